--- a/capacity/src/main/java/ottergauge/capacity/Main.java
+++ b/capacity/src/main/java/ottergauge/capacity/Main.java
@@ -6,15 +6,20 @@
 import picocli.CommandLine.Command;
 
 /** The benchmarks' command line. */
-@Command(name = "capacity", mixinStandardHelpOptions = true, version = "ottergauge-capacity 0.1.0",
-    description = "Measures one node at growing sizes.", subcommands = {TableCommand.class})
+@Command(
+        name = "capacity",
+        mixinStandardHelpOptions = true,
+        version = "ottergauge-capacity 0.1.0",
+        description = "Measures one node at growing sizes.",
+        subcommands = {TableCommand.class})
 public final class Main {
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] arguments) {
-        System.exit(new CommandLine(new Main()).setCaseInsensitiveEnumValuesAllowed(true)
-            .execute(arguments));
+        System.exit(
+                new CommandLine(new Main())
+                        .setCaseInsensitiveEnumValuesAllowed(true)
+                        .execute(arguments));
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/Check.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/Check.java
@@ -4,8 +4,7 @@
 /** Checks of what a benchmark measures: a run whose result is wrong fails. */
 final class Check {
 
-    private Check() {
-    }
+    private Check() {}
 
     static void equal(long expected, long found) {
         if (expected != found) {
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/CpuProfiler.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/CpuProfiler.java
@@ -13,8 +13,8 @@
 import org.openjdk.jmh.results.ScalarResult;
 
 /**
- * Tells the processor time that an operation takes: of the whole process, so that the collector's and the
- * compiler's is in it, and time in which other processes had the core is not.
+ * Tells the processor time that an operation takes: of the whole process, so that the collector's
+ * and the compiler's is in it, and time in which other processes had the core is not.
  */
 public final class CpuProfiler implements InternalProfiler {
 
@@ -24,7 +24,7 @@
     private static final double NANOS_A_MICRO = 1_000;
 
     private final OperatingSystemMXBean system =
-        (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+            (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
     private long before;
 
     @Override
@@ -38,10 +38,11 @@
     }
 
     @Override
-    public Collection<ScalarResult> afterIteration(BenchmarkParams benchmark, IterationParams iteration,
-                                                   IterationResult result) {
+    public Collection<ScalarResult> afterIteration(
+            BenchmarkParams benchmark, IterationParams iteration, IterationResult result) {
         double spent = (system.getProcessCpuTime() - before) / NANOS_A_MICRO;
         long operations = Math.max(1, result.getMetadata().getAllOps());
-        return List.of(new ScalarResult(RESULT, spent / operations, "us/op", AggregationPolicy.AVG));
+        return List.of(
+                new ScalarResult(RESULT, spent / operations, "us/op", AggregationPolicy.AVG));
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
@@ -27,8 +27,10 @@
 
     @Param("100")
     public int servers;
+
     @Param("8")
     public int classes;
+
     @Param("1")
     public long seed;
 
@@ -37,8 +39,11 @@
     /** Starts a module that has served for two windows. */
     @Setup
     public void start() {
-        Settings settings = new NodeConfiguration(Loopback.UNUSED, Loopback.UNUSED, seed, classes,
-            Fleet.unknown()).read().settings();
+        Settings settings =
+                new NodeConfiguration(
+                                Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.unknown())
+                        .read()
+                        .settings();
         driver = new DecisionDriver(settings, seed, ListedServers.draw(servers, seed).whole());
         driver.serveWindows(WINDOWS);
     }
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
@@ -29,8 +29,10 @@
 
     @Param("100")
     public int servers;
+
     @Param("8")
     public int classes;
+
     @Param("1")
     public long seed;
 
@@ -41,8 +43,11 @@
     /** Starts a module that has served for two windows. */
     @Setup
     public void start() {
-        Settings settings = new NodeConfiguration(Loopback.UNUSED, Loopback.UNUSED, seed, classes,
-            Fleet.unknown()).read().settings();
+        Settings settings =
+                new NodeConfiguration(
+                                Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.unknown())
+                        .read()
+                        .settings();
         listed = ListedServers.draw(servers, seed);
         whole = listed.whole();
         driver = new DecisionDriver(settings, seed, whole);
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
@@ -23,6 +23,7 @@
 
     @Param("100")
     public int servers;
+
     @Param("1")
     public long seed;
 
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
@@ -25,6 +25,7 @@
 
     @Param("100")
     public int servers;
+
     @Param("1")
     public long seed;
 
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/RouterListBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/RouterListBenchmark.java
@@ -23,8 +23,10 @@
 
     @Param("100")
     public int servers;
+
     @Param("8")
     public int classes;
+
     @Param("1")
     public long seed;
 
@@ -35,8 +37,15 @@
     @Setup
     public void start() {
         fleet = Fleet.draw(servers, seed, Loopback.UNUSED);
-        driver = new RouterDriver(new NodeConfiguration(Loopback.UNUSED, Loopback.UNUSED, seed, classes,
-            fleet.whole()).read());
+        driver =
+                new RouterDriver(
+                        new NodeConfiguration(
+                                        Loopback.UNUSED,
+                                        Loopback.UNUSED,
+                                        seed,
+                                        classes,
+                                        fleet.whole())
+                                .read());
         driver.callDiscovery();
     }
 
--- a/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
+++ b/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
@@ -11,14 +11,15 @@
 import ottergauge.protocol.HostList;
 import ottergauge.protocol.ProtocolException;
 
-/** Bytes that can be reached from the node's state, as JOL's walk over the object graph counts them. */
+/**
+ * Bytes that can be reached from the node's state, as JOL's walk over the object graph counts them.
+ */
 public final class RetainedHeap {
 
     // All rows have their weights after two windows.
     private static final int WINDOWS = 2;
 
-    private RetainedHeap() {
-    }
+    private RetainedHeap() {}
 
     /** Of a list as it is read from discovery's answer. */
     public static long ofList(int servers, long seed) {
@@ -28,8 +29,11 @@
     /** Of a decision module that has served for two windows, its settings included. */
     public static long ofDecisions(int servers, int classes, long seed) {
         NodeConfiguration configuration = configuration(classes, seed, Fleet.unknown());
-        DecisionDriver driver = new DecisionDriver(configuration.read().settings(), seed,
-            ListedServers.draw(servers, seed).whole());
+        DecisionDriver driver =
+                new DecisionDriver(
+                        configuration.read().settings(),
+                        seed,
+                        ListedServers.draw(servers, seed).whole());
         driver.serveWindows(WINDOWS);
         return bytes(driver.decide());
     }
@@ -44,7 +48,8 @@
     /** Of a router that was told the list by discovery. */
     public static long ofToldRouter(int servers, int classes, long seed) {
         Fleet fleet = Fleet.draw(servers, seed, Loopback.UNUSED);
-        RouterDriver driver = new RouterDriver(configuration(classes, seed, Fleet.unknown()).read());
+        RouterDriver driver =
+                new RouterDriver(configuration(classes, seed, Fleet.unknown()).read());
         driver.callDiscovery();
         driver.answer(readAgain(fleet.whole()));
         return bytes(driver.router());
--- a/capacity/src/main/java/ottergauge/capacity/load/Latencies.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/Latencies.java
@@ -4,9 +4,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of requests: the times from the intended instant to the last byte of an answer 200, how many
- * ended otherwise, and how late after the intended instant each was sent: a client that is itself late says
- * little of what it measures.
+ * What became of requests: the times from the intended instant to the last byte of an answer 200,
+ * how many ended otherwise, and how late after the intended instant each was sent: a client that is
+ * itself late says little of what it measures.
  */
 public record Latencies(Histogram served, long failed, Histogram lateness) {
 
--- a/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
@@ -31,8 +31,8 @@
 import ottergauge.protocol.Headers;
 
 /**
- * Sends requests to one address at instants that do not wait for answers; a request that finds no idle
- * connection opens one. Connections and times belong to one event loop.
+ * Sends requests to one address at instants that do not wait for answers; a request that finds no
+ * idle connection opens one. Connections and times belong to one event loop.
  */
 public final class OpenLoopClient implements AutoCloseable {
 
@@ -55,7 +55,9 @@
     private long open;
     private long failed;
 
-    /** A client whose requests are of so many classes in turn; {@code name} is a part of their ids. */
+    /**
+     * A client whose requests are of so many classes in turn; {@code name} is a part of their ids.
+     */
     public OpenLoopClient(EventLoop loop, Address target, int classes, String name) {
         this.loop = loop;
         this.target = target;
@@ -86,31 +88,44 @@
     }
 
     private void connect(long intended) {
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-            .handler(new ChannelInitializer<>() {
-                @Override
-                protected void initChannel(Channel connection) {
-                    connection.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY),
-                        new Answers());
-                }
-            }).connect(target.host(), target.port()).addListener(connected -> {
-                if (connected.isSuccess()) {
-                    Channel connection = ((ChannelFuture) connected).channel();
-                    connections.add(connection);
-                    write(connection, intended);
-                } else {
-                    over(false, intended);
-                }
-            });
+        new Bootstrap()
+                .group(loop)
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .handler(
+                        new ChannelInitializer<>() {
+                            @Override
+                            protected void initChannel(Channel connection) {
+                                connection
+                                        .pipeline()
+                                        .addLast(
+                                                new HttpClientCodec(),
+                                                new HttpObjectAggregator(MOST_BODY),
+                                                new Answers());
+                            }
+                        })
+                .connect(target.host(), target.port())
+                .addListener(
+                        connected -> {
+                            if (connected.isSuccess()) {
+                                Channel connection = ((ChannelFuture) connected).channel();
+                                connections.add(connection);
+                                write(connection, intended);
+                            } else {
+                                over(false, intended);
+                            }
+                        });
     }
 
     private void write(Channel connection, long intended) {
         connection.pipeline().get(Answers.class).intended = intended;
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
-        request.headers().set(HttpHeaderNames.HOST, target.toString())
-            .set(Headers.TRACE_ID, name + "-" + ++sent)
-            .set(Headers.REQUEST_CLASS, NodeConfiguration.className((int) (sent % classes)))
-            .set(Headers.EXPIRES_IN_MS, GIVE_UP_MS);
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
+        request.headers()
+                .set(HttpHeaderNames.HOST, target.toString())
+                .set(Headers.TRACE_ID, name + "-" + ++sent)
+                .set(Headers.REQUEST_CLASS, NodeConfiguration.className((int) (sent % classes)))
+                .set(Headers.EXPIRES_IN_MS, GIVE_UP_MS);
         connection.writeAndFlush(request);
     }
 
@@ -156,15 +171,20 @@
         }
     }
 
-    /** What has become of the requests since this was asked last; those that are open count later. */
+    /**
+     * What has become of the requests since this was asked last; those that are open count later.
+     */
     public Latencies take() {
-        return loop.submit(() -> {
-            Latencies taken = new Latencies(served, failed, lateness);
-            served = histogram();
-            lateness = histogram();
-            failed = 0;
-            return taken;
-        }).syncUninterruptibly().getNow();
+        return loop.submit(
+                        () -> {
+                            Latencies taken = new Latencies(served, failed, lateness);
+                            served = histogram();
+                            lateness = histogram();
+                            failed = 0;
+                            return taken;
+                        })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Waits until no request is open; false if some are after this time. */
--- a/capacity/src/main/java/ottergauge/capacity/load/Pacer.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/Pacer.java
@@ -6,7 +6,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** Sends requests of several clients at instants drawn from a seed, a Poisson process for each client. */
+/**
+ * Sends requests of several clients at instants drawn from a seed, a Poisson process for each
+ * client.
+ */
 public final class Pacer {
 
     private static final double NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -18,7 +21,10 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Lets each client send at this mean rate for some time; the thread that calls it does the waiting. */
+    /**
+     * Lets each client send at this mean rate for some time; the thread that calls it does the
+     * waiting.
+     */
     public void run(List<OpenLoopClient> clients, double perSecond, double seconds) {
         long from = System.nanoTime();
         long until = from + (long) (seconds * NANOS);
@@ -49,7 +55,9 @@
     }
 
     private static void waitUntil(long instant) {
-        for (long left = instant - System.nanoTime(); left > 0; left = instant - System.nanoTime()) {
+        for (long left = instant - System.nanoTime();
+                left > 0;
+                left = instant - System.nanoTime()) {
             LockSupport.parkNanos(left);
         }
     }
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeMeasurement.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeMeasurement.java
@@ -34,11 +34,20 @@
 public final class NodeMeasurement implements AutoCloseable {
 
     /** How long each part takes. */
-    public record Effort(int starts, int settleMs, int restSeconds, int changeSlices, int changeSliceSeconds,
-                         int warmUpRequests, int loadSlices, int loadSliceSeconds, int toldWithinMs) { }
+    public record Effort(
+            int starts,
+            int settleMs,
+            int restSeconds,
+            int changeSlices,
+            int changeSliceSeconds,
+            int warmUpRequests,
+            int loadSlices,
+            int loadSliceSeconds,
+            int toldWithinMs) {}
 
     /** Changes of the list a second while that is measured. */
     public static final int CHANGES_A_SECOND = 50;
+
     /** Requests a second at the node, and as many past it. */
     public static final int REQUESTS_A_SECOND = 62;
 
@@ -55,7 +64,7 @@
     private final int classes;
     private final Effort effort;
     private final EventLoopGroup loops =
-        new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
+            new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
 
     /** Measures the program under this root, started by this line. */
     public NodeMeasurement(RunLine run, Path root, long seed, int classes, Effort effort) {
@@ -84,9 +93,13 @@
         }
     }
 
-    private NodeFigures measureRunning(Fleet fleet, DiscoveryStandIn discovery, ServerStandIn server,
-                                       Told told, List<Start> starts)
-        throws IOException, InterruptedException {
+    private NodeFigures measureRunning(
+            Fleet fleet,
+            DiscoveryStandIn discovery,
+            ServerStandIn server,
+            Told told,
+            List<Start> starts)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("capacity");
         try (NodeProcess node = start(folder, configuration(discovery, fleet))) {
             starts.add(started(node));
@@ -102,7 +115,7 @@
     private Start startOnly(Fleet fleet) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("capacity");
         try (DiscoveryStandIn discovery = new DiscoveryStandIn(loops.next(), fleet);
-             NodeProcess node = start(folder, configuration(discovery, fleet))) {
+                NodeProcess node = start(folder, configuration(discovery, fleet))) {
             return started(node);
         } finally {
             delete(folder);
@@ -118,8 +131,13 @@
 
     private Told startUntold(DiscoveryStandIn discovery) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("capacity");
-        NodeConfiguration configuration = new NodeConfiguration(NodeProcess.freeAddress(),
-            discovery.address(), seed, classes, Fleet.unknown());
+        NodeConfiguration configuration =
+                new NodeConfiguration(
+                        NodeProcess.freeAddress(),
+                        discovery.address(),
+                        seed,
+                        classes,
+                        Fleet.unknown());
         try (NodeProcess node = start(folder, configuration)) {
             long from = System.nanoTime();
             node.awaitReady();
@@ -140,55 +158,67 @@
 
     private NotTaken notTaken(DiscoveryStandIn discovery) {
         Traffic passed = discovery.traffic();
-        return new NotTaken("not taken in %.1f s: %d calls, %,d bytes".formatted(
-            effort.toldWithinMs() / MILLIS, passed.calls(), passed.bytes()));
+        return new NotTaken(
+                "not taken in %.1f s: %d calls, %,d bytes"
+                        .formatted(effort.toldWithinMs() / MILLIS, passed.calls(), passed.bytes()));
     }
 
-    private Rest rest(NodeProcess node, DiscoveryStandIn discovery) throws IOException, InterruptedException {
+    private Rest rest(NodeProcess node, DiscoveryStandIn discovery)
+            throws IOException, InterruptedException {
         Traffic before = discovery.traffic();
         Duration cpuBefore = node.cpu();
         TimeUnit.SECONDS.sleep(effort.restSeconds());
         Traffic passed = discovery.traffic().since(before);
         double seconds = effort.restSeconds();
-        return new Rest(node.cpu().minus(cpuBefore).toMillis() / MILLIS / seconds, passed.calls() / seconds,
-            passed.bytes() / seconds);
+        return new Rest(
+                node.cpu().minus(cpuBefore).toMillis() / MILLIS / seconds,
+                passed.calls() / seconds,
+                passed.bytes() / seconds);
     }
 
     private Changes change(NodeProcess node, DiscoveryStandIn discovery)
-        throws IOException, InterruptedException {
+            throws IOException, InterruptedException {
         Traffic before = discovery.traffic();
         double[] cpu = new double[effort.changeSlices()];
         int made = 0;
         for (int slice = 0; slice < cpu.length; slice++) {
             Duration cpuBefore = node.cpu();
             made += discovery.change(CHANGES_A_SECOND, effort.changeSliceSeconds());
-            cpu[slice] = node.cpu().minus(cpuBefore).toMillis() / MILLIS / effort.changeSliceSeconds();
+            cpu[slice] =
+                    node.cpu().minus(cpuBefore).toMillis() / MILLIS / effort.changeSliceSeconds();
         }
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(effort.toldWithinMs());
         while (discovery.askedAfter() < discovery.version() && System.nanoTime() < until) {
             TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
         }
         Traffic passed = discovery.traffic().since(before);
-        return new Changes(cpu, passed.calls() / (double) made, passed.bytes() / (double) made,
-            discovery.askedAfter() == discovery.version());
+        return new Changes(
+                cpu,
+                passed.calls() / (double) made,
+                passed.bytes() / (double) made,
+                discovery.askedAfter() == discovery.version());
     }
 
     private Load load(NodeProcess node, ServerStandIn server, double cpuAtRest)
-        throws IOException, InterruptedException {
+            throws IOException, InterruptedException {
         List<LoadSlice> slices = new ArrayList<>();
-        try (OpenLoopClient through = new OpenLoopClient(loops.next(), node.address(), classes, "through");
-             OpenLoopClient direct = new OpenLoopClient(loops.next(), server.address(), classes, "direct")) {
+        try (OpenLoopClient through =
+                        new OpenLoopClient(loops.next(), node.address(), classes, "through");
+                OpenLoopClient direct =
+                        new OpenLoopClient(loops.next(), server.address(), classes, "direct")) {
             Pacer pacer = new Pacer(seed);
             List<OpenLoopClient> clients = List.of(through, direct);
-            pacer.run(clients, WARM_UP_A_SECOND, effort.warmUpRequests() / (double) WARM_UP_A_SECOND);
+            pacer.run(
+                    clients, WARM_UP_A_SECOND, effort.warmUpRequests() / (double) WARM_UP_A_SECOND);
             take(through);
             take(direct);
             for (int slice = 0; slice < effort.loadSlices(); slice++) {
                 Duration cpuBefore = node.cpu();
                 pacer.run(clients, REQUESTS_A_SECOND, effort.loadSliceSeconds());
                 Latencies node99 = take(through);
-                double cpu = node.cpu().minus(cpuBefore).toMillis() / MILLIS
-                    - cpuAtRest * effort.loadSliceSeconds();
+                double cpu =
+                        node.cpu().minus(cpuBefore).toMillis() / MILLIS
+                                - cpuAtRest * effort.loadSliceSeconds();
                 slices.add(slice(cpu, node99, take(direct)));
             }
         }
@@ -204,15 +234,21 @@
 
     private static LoadSlice slice(double cpuSeconds, Latencies through, Latencies direct) {
         long requests = through.served().getTotalCount() + through.failed();
-        return new LoadSlice(cpuSeconds * MILLIS / Math.max(1, requests), through.milliseconds(50),
-            through.milliseconds(99), direct.milliseconds(50), direct.milliseconds(99),
-            through.lateMilliseconds(99),
-            through.served().getTotalCount(), through.failed() + direct.failed());
+        return new LoadSlice(
+                cpuSeconds * MILLIS / Math.max(1, requests),
+                through.milliseconds(50),
+                through.milliseconds(99),
+                direct.milliseconds(50),
+                direct.milliseconds(99),
+                through.lateMilliseconds(99),
+                through.served().getTotalCount(),
+                through.failed() + direct.failed());
     }
 
-    private NodeConfiguration configuration(DiscoveryStandIn discovery, Fleet fleet) throws IOException {
-        return new NodeConfiguration(NodeProcess.freeAddress(), discovery.address(), seed, classes,
-            fleet.whole());
+    private NodeConfiguration configuration(DiscoveryStandIn discovery, Fleet fleet)
+            throws IOException {
+        return new NodeConfiguration(
+                NodeProcess.freeAddress(), discovery.address(), seed, classes, fleet.whole());
     }
 
     private NodeProcess start(Path folder, NodeConfiguration configuration) throws IOException {
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
@@ -18,7 +18,9 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.Headers;
 
-/** A process of the node as operators start it, with what the system says of its time and memory. */
+/**
+ * A process of the node as operators start it, with what the system says of its time and memory.
+ */
 public final class NodeProcess implements AutoCloseable {
 
     private static final long READY_WITHIN_MS = 30_000;
@@ -48,12 +50,16 @@
     }
 
     /** Starts a node from the program's root, with its files in a folder of its own. */
-    public static NodeProcess start(RunLine run, Path root, Path folder, NodeConfiguration configuration)
-        throws IOException {
+    public static NodeProcess start(
+            RunLine run, Path root, Path folder, NodeConfiguration configuration)
+            throws IOException {
         Path file = Files.write(folder.resolve("config.json"), configuration.json());
         Path log = folder.resolve("log");
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run.command()).directory(root.toFile())
-            .redirectErrorStream(true).redirectOutput(log.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", run.command())
+                        .directory(root.toFile())
+                        .redirectErrorStream(true)
+                        .redirectOutput(log.toFile());
         builder.environment().put("BALANCER_CONFIG", file.toAbsolutePath().toString());
         builder.environment().put("TMPDIR", folder.toAbsolutePath().toString());
         builder.environment().remove("BALANCER_MANAGEMENT");
@@ -76,10 +82,18 @@
     private boolean isReady() {
         try (Socket connection = new Socket(address.host(), address.port())) {
             connection.setSoTimeout(ANSWER_WITHIN_MS);
-            connection.getOutputStream().write(("GET " + Headers.READY_PATH
-                + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-            String status = new BufferedReader(new InputStreamReader(connection.getInputStream(),
-                StandardCharsets.US_ASCII)).readLine();
+            connection
+                    .getOutputStream()
+                    .write(
+                            ("GET "
+                                            + Headers.READY_PATH
+                                            + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII));
+            String status =
+                    new BufferedReader(
+                                    new InputStreamReader(
+                                            connection.getInputStream(), StandardCharsets.US_ASCII))
+                            .readLine();
             return status != null && status.startsWith(READY);
         } catch (IOException e) {
             // It does not listen yet.
@@ -113,8 +127,11 @@
 
     private long status(String field) throws IOException {
         Path status = Path.of("/proc", Long.toString(process.pid()), "status");
-        String line = Files.readAllLines(status).stream().filter(each -> each.startsWith(field)).findFirst()
-            .orElseThrow(() -> new IOException(status + " has no " + field));
+        String line =
+                Files.readAllLines(status).stream()
+                        .filter(each -> each.startsWith(field))
+                        .findFirst()
+                        .orElseThrow(() -> new IOException(status + " has no " + field));
         return Long.parseLong(line.replaceAll("\\D", "")) * 1024;
     }
 
--- a/capacity/src/main/java/ottergauge/capacity/node/RunLine.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/RunLine.java
@@ -27,11 +27,13 @@
     }
 
     /**
-     * The virtual machine's flags, without the archive of classes, which is of the node's jar alone:
-     * benchmarks run under the same compiler, collector and heap as a node.
+     * The virtual machine's flags, without the archive of classes, which is of the node's jar
+     * alone: benchmarks run under the same compiler, collector and heap as a node.
      */
     public List<String> jvmFlags() {
-        return Arrays.stream(command.split("\\s+")).takeWhile(word -> !word.equals(JAR))
-            .filter(word -> word.startsWith("-") && !word.startsWith(ARCHIVE)).toList();
+        return Arrays.stream(command.split("\\s+"))
+                .takeWhile(word -> !word.equals(JAR))
+                .filter(word -> word.startsWith("-") && !word.startsWith(ARCHIVE))
+                .toList();
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/program/Benchmarks.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/Benchmarks.java
@@ -15,21 +15,26 @@
 import org.openjdk.jmh.runner.options.VerboseMode;
 import ottergauge.capacity.benchmark.CpuProfiler;
 import ottergauge.capacity.report.Cell;
+import ottergauge.capacity.report.Cell.Failed;
 import ottergauge.capacity.report.Row;
 import ottergauge.capacity.report.Spread;
-import ottergauge.capacity.report.Cell.Failed;
 
-/** Runs benchmarks at some sizes; gives back two rows for each: its CPU time, and the bytes it allocates. */
+/**
+ * Runs benchmarks at some sizes; gives back two rows for each: its CPU time, and the bytes it
+ * allocates.
+ */
 final class Benchmarks {
 
     /** What is run: a method of a benchmark's class, under the name that the page gives it. */
-    record Plan(Class<?> type, String method, String what) { }
+    record Plan(Class<?> type, String method, String what) {}
 
-    /** Plans that are run at all sizes, and plans whose input has one size: these at the ends alone. */
-    record Plans(List<Plan> atAllSizes, List<Plan> atEnds) { }
+    /**
+     * Plans that are run at all sizes, and plans whose input has one size: these at the ends alone.
+     */
+    record Plans(List<Plan> atAllSizes, List<Plan> atEnds) {}
 
     /** How often: for {@code forks} of 0 in this process, which is for a test alone. */
-    record Effort(int forks, int warmups, int iterations, TimeValue each) { }
+    record Effort(int forks, int warmups, int iterations, TimeValue each) {}
 
     private static final String ALLOCATED = "gc.alloc.rate.norm";
 
@@ -66,17 +71,26 @@
         return rows(plan, "classes", sizes, "servers", servers);
     }
 
-    private List<Row> rows(Plan plan, String sizeParameter, List<Integer> sizes, String fixedParameter,
-                           int fixed) throws RunnerException {
-        ChainedOptionsBuilder options = new OptionsBuilder()
-            .include("^" + plan.type().getName() + "\\." + plan.method() + "$")
-            .param("seed", Long.toString(seed))
-            .param(sizeParameter, sizes.stream().map(String::valueOf).toArray(String[]::new))
-            .param(fixedParameter, Integer.toString(fixed))
-            .forks(effort.forks()).warmupIterations(effort.warmups()).warmupTime(effort.each())
-            .measurementIterations(effort.iterations()).measurementTime(effort.each())
-            .addProfiler(GCProfiler.class).addProfiler(CpuProfiler.class)
-            .shouldFailOnError(false).verbosity(VerboseMode.SILENT);
+    private List<Row> rows(
+            Plan plan, String sizeParameter, List<Integer> sizes, String fixedParameter, int fixed)
+            throws RunnerException {
+        ChainedOptionsBuilder options =
+                new OptionsBuilder()
+                        .include("^" + plan.type().getName() + "\\." + plan.method() + "$")
+                        .param("seed", Long.toString(seed))
+                        .param(
+                                sizeParameter,
+                                sizes.stream().map(String::valueOf).toArray(String[]::new))
+                        .param(fixedParameter, Integer.toString(fixed))
+                        .forks(effort.forks())
+                        .warmupIterations(effort.warmups())
+                        .warmupTime(effort.each())
+                        .measurementIterations(effort.iterations())
+                        .measurementTime(effort.each())
+                        .addProfiler(GCProfiler.class)
+                        .addProfiler(CpuProfiler.class)
+                        .shouldFailOnError(false)
+                        .verbosity(VerboseMode.SILENT);
         if (effort.forks() > 0) {
             options.jvmArgs(jvmFlags.toArray(new String[0]));
         }
@@ -101,7 +115,11 @@
             return new Failed("not told");
         }
         var values = result.getStatistics();
-        return new Cell.Measured(new Spread(values.getPercentile(50), values.getMin(), values.getMax(),
-            (int) values.getN()));
+        return new Cell.Measured(
+                new Spread(
+                        values.getPercentile(50),
+                        values.getMin(),
+                        values.getMax(),
+                        (int) values.getN()));
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/program/Conditions.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/Conditions.java
@@ -14,15 +14,18 @@
     private static final long ANSWER_WITHIN_S = 10;
     private static final String UNKNOWN = "unknown";
 
-    private Conditions() {
-    }
+    private Conditions() {}
 
     /** The name that git gives to the sources, with a mark if they were changed. */
     static String version(Path root) {
         try {
-            Process git = new ProcessBuilder("git", "describe", "--always", "--dirty")
-                .directory(root.toFile()).redirectError(ProcessBuilder.Redirect.DISCARD).start();
-            String text = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+            Process git =
+                    new ProcessBuilder("git", "describe", "--always", "--dirty")
+                            .directory(root.toFile())
+                            .redirectError(ProcessBuilder.Redirect.DISCARD)
+                            .start();
+            String text =
+                    new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
             boolean ended = git.waitFor(ANSWER_WITHIN_S, TimeUnit.SECONDS);
             return ended && git.exitValue() == 0 ? text : UNKNOWN;
         } catch (IOException e) {
@@ -37,8 +40,10 @@
     static String processor() {
         try {
             return Files.readAllLines(Path.of("/proc/cpuinfo")).stream()
-                .filter(line -> line.startsWith("model name")).findFirst()
-                .map(line -> line.substring(line.indexOf(':') + 1).strip()).orElse(UNKNOWN);
+                    .filter(line -> line.startsWith("model name"))
+                    .findFirst()
+                    .map(line -> line.substring(line.indexOf(':') + 1).strip())
+                    .orElse(UNKNOWN);
         } catch (IOException e) {
             return UNKNOWN;
         }
--- a/capacity/src/main/java/ottergauge/capacity/program/ReducerSections.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/ReducerSections.java
@@ -27,27 +27,51 @@
 
     static final String SERVERS = "server";
     static final String CLASSES = "class";
+
     /** Classes of the rows that are told by number of servers. */
     static final int USUAL_CLASSES = 8;
 
-    private static final Plans LISTS = new Plans(List.of(
-        new Plan(ListCodecBenchmark.class, "readWhole", "read a whole list"),
-        new Plan(ListCodecBenchmark.class, "writeWhole", "write a whole list"),
-        new Plan(RouterListBenchmark.class, "takeWhole", "router takes a whole list over"),
-        new Plan(RouterListBenchmark.class, "takeChange", "router takes one change over"),
-        new Plan(DecisionListBenchmark.class, "followWhole", "decisions alone, a whole list"),
-        new Plan(DecisionListBenchmark.class, "followChange", "decisions alone, one change")),
-        List.of(
-            new Plan(ListCodecBenchmark.class, "readChange", "read one change"),
-            new Plan(ListCodecBenchmark.class, "writeChange", "write one change")));
-    private static final Plans RESOURCES = new Plans(List.of(
-        new Plan(ResourceCodecBenchmark.class, "readSnapshot", "read all pages of a snapshot")),
-        List.of(
-            new Plan(ResourceCodecBenchmark.class, "readChange", "read one change"),
-            new Plan(ResourceCodecBenchmark.class, "writeChange", "write one change")));
-    private static final Plan DECISION = new Plan(DecisionBenchmark.class, "serveRequest",
-        "decisions for one request");
-    private static final Plan WINDOW = new Plan(DecisionBenchmark.class, "endWindow", "end of a window");
+    private static final Plans LISTS =
+            new Plans(
+                    List.of(
+                            new Plan(ListCodecBenchmark.class, "readWhole", "read a whole list"),
+                            new Plan(ListCodecBenchmark.class, "writeWhole", "write a whole list"),
+                            new Plan(
+                                    RouterListBenchmark.class,
+                                    "takeWhole",
+                                    "router takes a whole list over"),
+                            new Plan(
+                                    RouterListBenchmark.class,
+                                    "takeChange",
+                                    "router takes one change over"),
+                            new Plan(
+                                    DecisionListBenchmark.class,
+                                    "followWhole",
+                                    "decisions alone, a whole list"),
+                            new Plan(
+                                    DecisionListBenchmark.class,
+                                    "followChange",
+                                    "decisions alone, one change")),
+                    List.of(
+                            new Plan(ListCodecBenchmark.class, "readChange", "read one change"),
+                            new Plan(ListCodecBenchmark.class, "writeChange", "write one change")));
+    private static final Plans RESOURCES =
+            new Plans(
+                    List.of(
+                            new Plan(
+                                    ResourceCodecBenchmark.class,
+                                    "readSnapshot",
+                                    "read all pages of a snapshot")),
+                    List.of(
+                            new Plan(ResourceCodecBenchmark.class, "readChange", "read one change"),
+                            new Plan(
+                                    ResourceCodecBenchmark.class,
+                                    "writeChange",
+                                    "write one change")));
+    private static final Plan DECISION =
+            new Plan(DecisionBenchmark.class, "serveRequest", "decisions for one request");
+    private static final Plan WINDOW =
+            new Plan(DecisionBenchmark.class, "endWindow", "end of a window");
 
     // Classes past this many share a row of weights: lines are fitted up to here.
     private static final int MOST_ROWS = 64;
@@ -73,11 +97,19 @@
     Section lists() throws RunnerException {
         List<Row> rows = new ArrayList<>(messages());
         rows.addAll(benchmarks.byServers(LISTS, sizes.servers(), USUAL_CLASSES));
-        return new Section("A list and a change of it", List.of(
-            "The router's rows hold all that a list costs behind its reading: held servers, connections,",
-            "watch and decisions. A change is one server that begins to drain or is in service again. "
-                + USUAL_CLASSES + " classes."),
-            SERVERS, sizes.servers(), sizes.mostServers(), rows);
+        return new Section(
+                "A list and a change of it",
+                List.of(
+                        "The router's rows hold all that a list costs behind its reading: held"
+                                + " servers, connections,",
+                        "watch and decisions. A change is one server that begins to drain or is in"
+                                + " service again. "
+                                + USUAL_CLASSES
+                                + " classes."),
+                SERVERS,
+                sizes.servers(),
+                sizes.mostServers(),
+                rows);
     }
 
     private List<Row> messages() {
@@ -94,11 +126,18 @@
     Section versionedState() throws RunnerException {
         List<Row> rows = new ArrayList<>(pages());
         rows.addAll(benchmarks.byServers(RESOURCES, sizes.servers(), USUAL_CLASSES));
-        return new Section("Versioned state: services, servers, routes and tenants", List.of(
-            "With 8,000 servers go 500 services, 2,700 routes and 38,000 tenants, with fewer as many in",
-            "proportion. A change is one server that begins to drain or is in service again; a snapshot",
-            "comes in pages of at most " + EncodedFleet.PAGE_BYTES + " bytes."),
-            SERVERS, sizes.servers(), sizes.mostServers(), rows);
+        return new Section(
+                "Versioned state: services, servers, routes and tenants",
+                List.of(
+                        "With 8,000 servers go 500 services, 2,700 routes and 38,000 tenants, with"
+                                + " fewer as many in",
+                        "proportion. A change is one server that begins to drain or is in service"
+                                + " again; a snapshot",
+                        "comes in pages of at most " + EncodedFleet.PAGE_BYTES + " bytes."),
+                SERVERS,
+                sizes.servers(),
+                sizes.mostServers(),
+                rows);
     }
 
     private List<Row> pages() {
@@ -119,21 +158,35 @@
         List<Row> rows = new ArrayList<>();
         rows.addAll(benchmarks.byServers(DECISION, sizes.servers(), USUAL_CLASSES));
         rows.addAll(benchmarks.byServers(WINDOW, sizes.servers(), USUAL_CLASSES));
-        return new Section("Decisions by number of servers", List.of(
-            "A request arrives, is sent, and is answered 10 ms later with a report of load; 62 a second, so",
-            "that its figures hold one 310th of a window's end. The window that ends is one in which nothing",
-            "was served. " + USUAL_CLASSES + " classes."),
-            SERVERS, sizes.servers(), sizes.mostServers(), rows);
+        return new Section(
+                "Decisions by number of servers",
+                List.of(
+                        "A request arrives, is sent, and is answered 10 ms later with a report of"
+                                + " load; 62 a second, so",
+                        "that its figures hold one 310th of a window's end. The window that ends is"
+                                + " one in which nothing",
+                        "was served. " + USUAL_CLASSES + " classes."),
+                SERVERS,
+                sizes.servers(),
+                sizes.mostServers(),
+                rows);
     }
 
     Section decisionsByClasses() throws RunnerException {
         List<Row> rows = new ArrayList<>();
         rows.addAll(benchmarks.byClasses(DECISION, sizes.classes(), sizes.mostServers()));
         rows.addAll(benchmarks.byClasses(WINDOW, sizes.classes(), sizes.mostServers()));
-        return new Section("Decisions by number of classes", List.of(
-            "As above, with " + sizes.mostServers() + " servers. Classes past the 64th share one row of",
-            "weights: lines are fitted up to there."),
-            CLASSES, sizes.classes(), MOST_ROWS, rows);
+        return new Section(
+                "Decisions by number of classes",
+                List.of(
+                        "As above, with "
+                                + sizes.mostServers()
+                                + " servers. Classes past the 64th share one row of",
+                        "weights: lines are fitted up to there."),
+                CLASSES,
+                sizes.classes(),
+                MOST_ROWS,
+                rows);
     }
 
     Section heapByServers() {
@@ -147,20 +200,33 @@
             router.put(servers, exactly(RetainedHeap.ofRouter(servers, USUAL_CLASSES, seed)));
             told.put(servers, exactly(RetainedHeap.ofToldRouter(servers, USUAL_CLASSES, seed)));
         }
-        return new Section("Retained on the heap, by number of servers", List.of(
-            "All objects that can be reached, by JOL's GraphLayout with compressed references. The router's",
-            "rows hold the decisions and the configuration, whose list stays referenced after the start.",
-            USUAL_CLASSES + " classes."),
-            SERVERS, sizes.servers(), sizes.mostServers(), List.of(list, decisions, router, told));
+        return new Section(
+                "Retained on the heap, by number of servers",
+                List.of(
+                        "All objects that can be reached, by JOL's GraphLayout with compressed"
+                                + " references. The router's",
+                        "rows hold the decisions and the configuration, whose list stays referenced"
+                                + " after the start.",
+                        USUAL_CLASSES + " classes."),
+                SERVERS,
+                sizes.servers(),
+                sizes.mostServers(),
+                List.of(list, decisions, router, told));
     }
 
     Section heapByClasses() {
         Row decisions = Row.of("decisions, " + sizes.mostServers() + " servers", "B");
         for (int classes : sizes.classes()) {
-            decisions.put(classes, exactly(RetainedHeap.ofDecisions(sizes.mostServers(), classes, seed)));
+            decisions.put(
+                    classes, exactly(RetainedHeap.ofDecisions(sizes.mostServers(), classes, seed)));
         }
-        return new Section("Retained on the heap, by number of classes", List.of(), CLASSES, sizes.classes(),
-            MOST_ROWS, List.of(decisions));
+        return new Section(
+                "Retained on the heap, by number of classes",
+                List.of(),
+                CLASSES,
+                sizes.classes(),
+                MOST_ROWS,
+                List.of(decisions));
     }
 
     private static Cell exactly(long value) {
--- a/capacity/src/main/java/ottergauge/capacity/program/TableCommand.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/TableCommand.java
@@ -26,33 +26,47 @@
 import picocli.CommandLine.Spec;
 
 /** Takes all measurements and writes the page. */
-@Command(name = "table", mixinStandardHelpOptions = true,
-    description = "Take all measurements and write one page of tables.")
+@Command(
+        name = "table",
+        mixinStandardHelpOptions = true,
+        description = "Take all measurements and write one page of tables.")
 public final class TableCommand implements Callable<Integer> {
 
-    private static final Sizes SIZES = new Sizes(List.of(100, 1_000, 4_000, 8_000), List.of(1, 8, 64, 500));
+    private static final Sizes SIZES =
+            new Sizes(List.of(100, 1_000, 4_000, 8_000), List.of(1, 8, 64, 500));
     private static final Effort EFFORT = new Effort(2, 2, 3, TimeValue.milliseconds(300));
 
     private static final NodeMeasurement.Effort NODE_EFFORT =
-        new NodeMeasurement.Effort(3, 2_000, 8, 4, 2, 400, 3, 8, 8_000);
+            new NodeMeasurement.Effort(3, 2_000, 8, 4, 2, 400, 3, 8, 8_000);
 
-    @Option(names = "--root", defaultValue = ".", description = "The folder of the program under test.")
+    @Option(
+            names = "--root",
+            defaultValue = ".",
+            description = "The folder of the program under test.")
     private Path root;
 
     @Option(names = "--out", required = true, description = "Where the page is written.")
     private Path out;
 
-    @Option(names = "--parts", split = ",", defaultValue = "node,reducers",
-        description = "What is measured: node, reducers; all of it unless given.")
+    @Option(
+            names = "--parts",
+            split = ",",
+            defaultValue = "node,reducers",
+            description = "What is measured: node, reducers; all of it unless given.")
     private Set<Part> parts;
 
-    @Option(names = "--seed", defaultValue = "20260101", description = "Draws lists and configurations.")
+    @Option(
+            names = "--seed",
+            defaultValue = "20260101",
+            description = "Draws lists and configurations.")
     private long seed;
 
-    private enum Part { NODE, REDUCERS }
+    private enum Part {
+        NODE,
+        REDUCERS
+    }
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, RunnerException, InterruptedException {
@@ -76,17 +90,18 @@
     }
 
     private void measureNode(PrintWriter log, RunLine run, List<Section> sections)
-        throws InterruptedException {
-        try (NodeMeasurement node = new NodeMeasurement(run, root, seed, ReducerSections.USUAL_CLASSES,
-            NODE_EFFORT)) {
+            throws InterruptedException {
+        try (NodeMeasurement node =
+                new NodeMeasurement(run, root, seed, ReducerSections.USUAL_CLASSES, NODE_EFFORT)) {
             for (Section section : new NodeSections(node, NODE_EFFORT, SIZES.servers()).measure()) {
                 sections.add(done(log, section));
             }
         }
     }
 
-    private static void measureReducers(PrintWriter log, ReducerSections reducers, List<Section> sections)
-        throws RunnerException {
+    private static void measureReducers(
+            PrintWriter log, ReducerSections reducers, List<Section> sections)
+            throws RunnerException {
         sections.add(done(log, reducers.heapByServers()));
         sections.add(done(log, reducers.heapByClasses()));
         sections.add(done(log, reducers.lists()));
@@ -103,21 +118,38 @@
 
     private List<String> conditions(RunLine run, double loadBefore, long seconds) {
         return List.of(
-            "Sources: " + Conditions.version(root) + ". Seed " + seed + ".",
-            "Machine: " + Runtime.getRuntime().availableProcessors() + " cores (" + Conditions.processor()
-                + "), shared; Java " + Runtime.version() + ".",
-            String.format(Locale.ROOT, "Load average of a minute: %.1f at the start, %.1f at the end; the"
-                + " run took %d s. Other work may have run beside it.", loadBefore, Conditions.loadAverage(),
-                seconds),
-            "Benchmarks: JMH " + Version.getPlainVersion()
-                + ", one thread, " + EFFORT.forks() + " forks, each of " + EFFORT.warmups()
-                + " warm-up and " + EFFORT.iterations() + " measured iterations of " + EFFORT.each()
-                + "; CPU is the process's, its collector and compiler"
-                + " included, read in steps of 10 ms; bytes by the profiler `gc`.",
-            "Flags of the forks, those of the node's own `run` line: `" + String.join(" ", run.jvmFlags())
-                + "`.",
-            "A cell is the median of the iterations, with the least and the most; one value alone is exact,"
-                + " or was the same each time. The fit is a line by least squares through the medians, and"
-                + " holds over the sizes named.");
+                "Sources: " + Conditions.version(root) + ". Seed " + seed + ".",
+                "Machine: "
+                        + Runtime.getRuntime().availableProcessors()
+                        + " cores ("
+                        + Conditions.processor()
+                        + "), shared; Java "
+                        + Runtime.version()
+                        + ".",
+                String.format(
+                        Locale.ROOT,
+                        "Load average of a minute: %.1f at the start, %.1f at the end; the"
+                                + " run took %d s. Other work may have run beside it.",
+                        loadBefore,
+                        Conditions.loadAverage(),
+                        seconds),
+                "Benchmarks: JMH "
+                        + Version.getPlainVersion()
+                        + ", one thread, "
+                        + EFFORT.forks()
+                        + " forks, each of "
+                        + EFFORT.warmups()
+                        + " warm-up and "
+                        + EFFORT.iterations()
+                        + " measured iterations of "
+                        + EFFORT.each()
+                        + "; CPU is the process's, its collector and compiler"
+                        + " included, read in steps of 10 ms; bytes by the profiler `gc`.",
+                "Flags of the forks, those of the node's own `run` line: `"
+                        + String.join(" ", run.jvmFlags())
+                        + "`.",
+                "A cell is the median of the iterations, with the least and the most; one value"
+                        + " alone is exact, or was the same each time. The fit is a line by least"
+                        + " squares through the medians, and holds over the sizes named.");
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/report/Cell.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Cell.java
@@ -5,8 +5,8 @@
 public sealed interface Cell {
 
     /** It was measured. */
-    record Measured(Spread spread) implements Cell { }
+    record Measured(Spread spread) implements Cell {}
 
     /** It was tried and failed. */
-    record Failed(String why) implements Cell { }
+    record Failed(String why) implements Cell {}
 }
--- a/capacity/src/main/java/ottergauge/capacity/report/LinearFit.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/LinearFit.java
@@ -4,15 +4,17 @@
 import java.util.Arrays;
 
 /**
- * A line by least squares, over the sizes from {@code from} to {@code to}; {@code determination} is the part
- * of the variance that it explains.
+ * A line by least squares, over the sizes from {@code from} to {@code to}; {@code determination} is
+ * the part of the variance that it explains.
  */
-public record LinearFit(double intercept, double slope, double from, double to, double determination) {
+public record LinearFit(
+        double intercept, double slope, double from, double to, double determination) {
 
     /** Fits a line to at least two points with different sizes. */
     public static LinearFit of(double[] sizes, double[] values) {
         if (sizes.length != values.length || sizes.length < 2) {
-            throw new IllegalArgumentException(sizes.length + " sizes and " + values.length + " values");
+            throw new IllegalArgumentException(
+                    sizes.length + " sizes and " + values.length + " values");
         }
         double meanSize = Arrays.stream(sizes).average().orElseThrow();
         double meanValue = Arrays.stream(values).average().orElseThrow();
@@ -29,7 +31,11 @@
         }
         double slope = products / sizeSquares;
         double determination = valueSquares == 0 ? 1 : slope * products / valueSquares;
-        return new LinearFit(meanValue - slope * meanSize, slope, Arrays.stream(sizes).min().orElseThrow(),
-            Arrays.stream(sizes).max().orElseThrow(), determination);
+        return new LinearFit(
+                meanValue - slope * meanSize,
+                slope,
+                Arrays.stream(sizes).min().orElseThrow(),
+                Arrays.stream(sizes).max().orElseThrow(),
+                determination);
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/report/MarkdownWriter.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/MarkdownWriter.java
@@ -12,8 +12,7 @@
     // What grows by less than this part over all sizes does not grow.
     private static final double FLAT_PART = 0.001;
 
-    private MarkdownWriter() {
-    }
+    private MarkdownWriter() {}
 
     /** The page's text. */
     public static String write(Page page) {
@@ -31,15 +30,19 @@
         text.append(section.notes().isEmpty() ? "" : "\n");
         text.append("| what | unit |");
         section.sizes().forEach(size -> text.append(' ').append(whole(size)).append(" |"));
-        text.append(" fit: at 0 | fit: per ").append(section.sizeName()).append(" | fitted over | R² |\n|");
+        text.append(" fit: at 0 | fit: per ")
+                .append(section.sizeName())
+                .append(" | fitted over | R² |\n|");
         text.append(" --- |".repeat(section.sizes().size() + 6)).append('\n');
         section.rows().forEach(row -> write(text, section, row));
     }
 
     private static void write(StringBuilder text, Section section, Row row) {
         text.append("| ").append(row.what()).append(" | ").append(row.unit()).append(" | ");
-        text.append(section.sizes().stream().map(size -> cell(row.cells().get(size)))
-            .collect(Collectors.joining(" | ")));
+        text.append(
+                section.sizes().stream()
+                        .map(size -> cell(row.cells().get(size)))
+                        .collect(Collectors.joining(" | ")));
         String fit = row.fit(section.fitUpTo()).map(MarkdownWriter::fit).orElse("- | - | - | -");
         text.append(" | ").append(fit).append(" |\n");
     }
@@ -49,8 +52,9 @@
             Spread spread = measured.spread();
             String least = number(spread.least());
             String most = number(spread.most());
-            return least.equals(most) ? least
-                : "%s (%s to %s)".formatted(number(spread.median()), least, most);
+            return least.equals(most)
+                    ? least
+                    : "%s (%s to %s)".formatted(number(spread.median()), least, most);
         }
         return cell instanceof Cell.Failed failed ? "failed: " + failed.why() : NOT_RUN;
     }
@@ -58,9 +62,13 @@
     private static String fit(LinearFit fit) {
         double grows = fit.slope() * (fit.to() - fit.from());
         boolean flat = Math.abs(grows) < FLAT_PART * Math.abs(fit.intercept());
-        return "%s | %s | %s to %s | %s".formatted(number(fit.intercept()), flat ? "0" : number(fit.slope()),
-            whole((long) fit.from()), whole((long) fit.to()),
-            flat ? "-" : String.format(Locale.ROOT, "%.3f", fit.determination()));
+        return "%s | %s | %s to %s | %s"
+                .formatted(
+                        number(fit.intercept()),
+                        flat ? "0" : number(fit.slope()),
+                        whole((long) fit.from()),
+                        whole((long) fit.to()),
+                        flat ? "-" : String.format(Locale.ROOT, "%.3f", fit.determination()));
     }
 
     /** Three significant digits, thousands set apart. */
--- a/capacity/src/main/java/ottergauge/capacity/report/Page.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Page.java
@@ -4,5 +4,4 @@
 import java.util.List;
 
 /** The whole page: how it was made, line by line, and its tables. */
-public record Page(List<String> conditions, List<Section> sections) {
-}
+public record Page(List<String> conditions, List<Section> sections) {}
--- a/capacity/src/main/java/ottergauge/capacity/report/Row.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Row.java
@@ -22,10 +22,17 @@
     /** The line through the medians at sizes up to one, if two at least were measured. */
     public Optional<LinearFit> fit(int upTo) {
         SortedMap<Integer, Cell> fitted = cells.headMap(upTo + 1);
-        double[] sizes = fitted.entrySet().stream().filter(each -> each.getValue() instanceof Cell.Measured)
-            .mapToDouble(Map.Entry::getKey).toArray();
-        double[] medians = fitted.values().stream().filter(Cell.Measured.class::isInstance)
-            .map(Cell.Measured.class::cast).mapToDouble(each -> each.spread().median()).toArray();
+        double[] sizes =
+                fitted.entrySet().stream()
+                        .filter(each -> each.getValue() instanceof Cell.Measured)
+                        .mapToDouble(Map.Entry::getKey)
+                        .toArray();
+        double[] medians =
+                fitted.values().stream()
+                        .filter(Cell.Measured.class::isInstance)
+                        .map(Cell.Measured.class::cast)
+                        .mapToDouble(each -> each.spread().median())
+                        .toArray();
         return sizes.length < 2 ? Optional.empty() : Optional.of(LinearFit.of(sizes, medians));
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/report/Section.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Section.java
@@ -4,9 +4,13 @@
 import java.util.List;
 
 /**
- * A table of the page: rows measured at the same sizes, with what has to be known to read them. Lines are
- * fitted over the sizes up to {@code fitUpTo}.
+ * A table of the page: rows measured at the same sizes, with what has to be known to read them.
+ * Lines are fitted over the sizes up to {@code fitUpTo}.
  */
-public record Section(String title, List<String> notes, String sizeName, List<Integer> sizes, int fitUpTo,
-                      List<Row> rows) {
-}
+public record Section(
+        String title,
+        List<String> notes,
+        String sizeName,
+        List<Integer> sizes,
+        int fitUpTo,
+        List<Row> rows) {}
--- a/capacity/src/main/java/ottergauge/capacity/report/Spread.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Spread.java
@@ -14,7 +14,8 @@
         double[] sorted = values.clone();
         Arrays.sort(sorted);
         int middle = sorted.length / 2;
-        double median = sorted.length % 2 == 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2;
+        double median =
+                sorted.length % 2 == 1 ? sorted[middle] : (sorted[middle - 1] + sorted[middle]) / 2;
         return new Spread(median, sorted[0], sorted[sorted.length - 1], sorted.length);
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -22,8 +22,9 @@
 import ottergauge.protocol.HostList.Host;
 
 /**
- * Stands in for discovery: tells a fleet's list whole, or the changes after a version, and keeps a call that
- * has nothing to be told until a change comes or its wait is over. All of it runs on one event loop.
+ * Stands in for discovery: tells a fleet's list whole, or the changes after a version, and keeps a
+ * call that has nothing to be told until a change comes or its wait is over. All of it runs on one
+ * event loop.
  */
 public final class DiscoveryStandIn implements AutoCloseable {
 
@@ -32,14 +33,16 @@
     private static final String AFTER = "after";
     private static final String WAIT = "wait_ms";
 
-    private record Waiting(long after, long call) { }
+    private record Waiting(long after, long call) {}
 
     private final EventLoop loop;
     private final Fleet fleet;
     private final HttpListener listener;
     private final Deque<HostList> changes = new ArrayDeque<>();
+
     /** The call that waits on each connection. */
     private final Map<Channel, Waiting> waiting = new HashMap<>();
+
     private long version;
     private long lastCall;
     private volatile long askedAfter = -1;
@@ -49,17 +52,20 @@
         this.loop = loop;
         this.fleet = fleet;
         version = fleet.whole().seq();
-        listener = new HttpListener(loop, new HttpListener.Handler() {
-            @Override
-            public void asked(Channel connection, FullHttpRequest request) {
-                answer(connection, new QueryStringDecoder(request.uri()));
-            }
-
-            @Override
-            public void ended(Channel connection) {
-                waiting.remove(connection);
-            }
-        });
+        listener =
+                new HttpListener(
+                        loop,
+                        new HttpListener.Handler() {
+                            @Override
+                            public void asked(Channel connection, FullHttpRequest request) {
+                                answer(connection, new QueryStringDecoder(request.uri()));
+                            }
+
+                            @Override
+                            public void ended(Channel connection) {
+                                waiting.remove(connection);
+                            }
+                        });
     }
 
     /** Where it listens. */
@@ -72,7 +78,10 @@
         return listener.traffic();
     }
 
-    /** The version that the latest call asked from: what came up to it was taken; -1 for the whole list. */
+    /**
+     * The version that the latest call asked from: what came up to it was taken; -1 for the whole
+     * list.
+     */
     public long askedAfter() {
         return askedAfter;
     }
@@ -120,7 +129,8 @@
 
     private void answer(Channel connection, QueryStringDecoder call) {
         if (!call.path().equals(Headers.LIST_PATH)) {
-            connection.writeAndFlush(HttpListener.response(HttpResponseStatus.NOT_FOUND, new byte[0]));
+            connection.writeAndFlush(
+                    HttpListener.response(HttpResponseStatus.NOT_FOUND, new byte[0]));
             return;
         }
         long after = number(call, AFTER, -1);
@@ -132,11 +142,14 @@
         }
         Waiting held = new Waiting(after, ++lastCall);
         waiting.put(connection, held);
-        loop.schedule(() -> {
-            if (waiting.remove(connection, held)) {
-                tell(connection, after);
-            }
-        }, waitMs, TimeUnit.MILLISECONDS);
+        loop.schedule(
+                () -> {
+                    if (waiting.remove(connection, held)) {
+                        tell(connection, after);
+                    }
+                },
+                waitMs,
+                TimeUnit.MILLISECONDS);
     }
 
     private static long number(QueryStringDecoder call, String name, long absent) {
@@ -154,8 +167,9 @@
             return fleet.whole();
         }
         Map<String, Host> newest = new LinkedHashMap<>();
-        changes.stream().filter(change -> change.seq() > after)
-            .forEach(change -> change.hosts().forEach(host -> newest.put(host.name(), host)));
+        changes.stream()
+                .filter(change -> change.seq() > after)
+                .forEach(change -> change.hosts().forEach(host -> newest.put(host.name(), host)));
         return new HostList(version, false, new ArrayList<>(newest.values()));
     }
 
--- a/capacity/src/main/java/ottergauge/capacity/standin/HttpListener.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/HttpListener.java
@@ -31,7 +31,7 @@
         void asked(Channel connection, FullHttpRequest request);
 
         /** A connection has ended. */
-        default void ended(Channel connection) { }
+        default void ended(Channel connection) {}
     }
 
     private static final int MOST_BODY = 1 << 16;
@@ -41,15 +41,28 @@
     private final Channel listener;
 
     HttpListener(EventLoop loop, Handler handler) {
-        listener = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG).childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<>() {
-                @Override
-                protected void initChannel(Channel connection) {
-                    connection.pipeline().addLast(counter, new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_BODY), new Requests(handler));
-                }
-            }).bind(Loopback.HOST, 0).syncUninterruptibly().channel();
+        listener =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel connection) {
+                                        connection
+                                                .pipeline()
+                                                .addLast(
+                                                        counter,
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(MOST_BODY),
+                                                        new Requests(handler));
+                                    }
+                                })
+                        .bind(Loopback.HOST, 0)
+                        .syncUninterruptibly()
+                        .channel();
     }
 
     private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -86,8 +99,9 @@
 
     /** An answer with this body. */
     static FullHttpResponse response(HttpResponseStatus status, byte[] body) {
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-            Unpooled.wrappedBuffer(body));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         return response;
     }
--- a/capacity/src/main/java/ottergauge/capacity/standin/ServerStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/ServerStandIn.java
@@ -10,7 +10,9 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.Headers;
 
-/** Stands in for all servers of a fleet: answers each request at once and reports that it is idle. */
+/**
+ * Stands in for all servers of a fleet: answers each request at once and reports that it is idle.
+ */
 public final class ServerStandIn implements AutoCloseable {
 
     private static final byte[] BODY = "served".getBytes(StandardCharsets.US_ASCII);
--- a/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
@@ -66,13 +66,16 @@
         String id = Long.toString(++requests);
         int requestClass = (int) (requests % classes);
         sends.last = null;
-        decide.handle(now, new RequestArrived(id, requestClass, now + GIVE_UP_AFTER, false, 0), sends);
+        decide.handle(
+                now, new RequestArrived(id, requestClass, now + GIVE_UP_AFTER, false, 0), sends);
         Send send = sends.last;
         if (send == null || !send.id().equals(id)) {
             throw new IllegalStateException("request " + id + " was not sent");
         }
-        decide.handle(now + SERVICE, new AttemptEnded(id, 0, send.server(), Result.SERVED, SERVICE, true,
-            REPORT), sends);
+        decide.handle(
+                now + SERVICE,
+                new AttemptEnded(id, 0, send.server(), Result.SERVED, SERVICE, true, REPORT),
+                sends);
         now += SECOND / REQUESTS_A_SECOND;
         if (sends.given > 0) {
             throw new IllegalStateException("request " + id + " was given up");
--- a/capacity/src/main/java/ottergauge/capacity/workload/Fleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/Fleet.java
@@ -9,12 +9,15 @@
 import ottergauge.protocol.HostList;
 import ottergauge.protocol.HostList.Host;
 
-/** A list of servers as discovery tells it, and changes of it; the same seed gives the same lists. */
+/**
+ * A list of servers as discovery tells it, and changes of it; the same seed gives the same lists.
+ */
 public final class Fleet {
 
     /** The zones that the servers of a fleet stand in. */
     public static final List<String> ZONES =
-        List.of("z-01", "z-02", "z-03", "z-04", "z-05", "z-06", "z-07", "z-08", "z-09", "z-10");
+            List.of("z-01", "z-02", "z-03", "z-04", "z-05", "z-06", "z-07", "z-08", "z-09", "z-10");
+
     /** The kinds of machine that the servers of a fleet are of. */
     public static final List<String> KINDS = List.of("small", "medium", "large");
 
@@ -33,16 +36,26 @@
         this.hosts = hosts;
     }
 
-    /** Draws a fleet whose servers are all reached at one address, as those behind a stand-in are. */
+    /**
+     * Draws a fleet whose servers are all reached at one address, as those behind a stand-in are.
+     */
     public static Fleet draw(int servers, long seed, Address dial) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Host> hosts = new ArrayList<>(servers);
         for (int number = 0; number < servers; number++) {
             int kind = random.nextInt(KINDS.size());
-            long bornMs = random.nextInt(STARTED_LATELY) == 0 ? EPOCH_MS + random.nextLong(DAY_MS) : 0;
-            hosts.add(new Host("server-%05d.example".formatted(number), dial,
-                ZONES.get(random.nextInt(ZONES.size())), KINDS.get(kind), random.nextInt(BLOCKS),
-                ServerState.UP, SHARES[kind], bornMs));
+            long bornMs =
+                    random.nextInt(STARTED_LATELY) == 0 ? EPOCH_MS + random.nextLong(DAY_MS) : 0;
+            hosts.add(
+                    new Host(
+                            "server-%05d.example".formatted(number),
+                            dial,
+                            ZONES.get(random.nextInt(ZONES.size())),
+                            KINDS.get(kind),
+                            random.nextInt(BLOCKS),
+                            ServerState.UP,
+                            SHARES[kind],
+                            bornMs));
         }
         return new Fleet(hosts);
     }
@@ -65,9 +78,16 @@
     /** Makes the next change: one server begins to drain, or is in service again; each in turn. */
     public HostList change() {
         Host before = hosts.get(nextChanged);
-        Host after = new Host(before.name(), before.dial(), before.site(), before.kind(), before.block(),
-            before.state() == ServerState.UP ? ServerState.DRAINING : ServerState.UP, before.share(),
-            before.bornMs());
+        Host after =
+                new Host(
+                        before.name(),
+                        before.dial(),
+                        before.site(),
+                        before.kind(),
+                        before.block(),
+                        before.state() == ServerState.UP ? ServerState.DRAINING : ServerState.UP,
+                        before.share(),
+                        before.bornMs());
         hosts.set(nextChanged, after);
         // First it drains, then it is in service again: no more than one is out at a time.
         if (after.state() == ServerState.UP) {
--- a/capacity/src/main/java/ottergauge/capacity/workload/ListedServers.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/ListedServers.java
@@ -20,14 +20,23 @@
         this.servers = servers;
     }
 
-    /** Draws a fleet; the module sorts by the servers' numbers, which are drawn as evenly as hashes are. */
+    /**
+     * Draws a fleet; the module sorts by the servers' numbers, which are drawn as evenly as hashes
+     * are.
+     */
     public static ListedServers draw(int servers, long seed) {
         SplittableRandom numbers = new SplittableRandom(~seed);
         List<ListedServer> listed = new ArrayList<>(servers);
         for (Host host : Fleet.draw(servers, seed, Loopback.UNUSED).whole().hosts()) {
-            listed.add(new ListedServer(numbers.nextLong(), Fleet.ZONES.indexOf(host.site()),
-                Fleet.KINDS.indexOf(host.kind()), host.block(), host.state(), host.share(),
-                host.bornMs() * 1000));
+            listed.add(
+                    new ListedServer(
+                            numbers.nextLong(),
+                            Fleet.ZONES.indexOf(host.site()),
+                            Fleet.KINDS.indexOf(host.kind()),
+                            host.block(),
+                            host.state(),
+                            host.share(),
+                            host.bornMs() * 1000));
         }
         return new ListedServers(listed);
     }
@@ -40,9 +49,15 @@
     /** The next change: one server begins to drain, or is in service again; each in turn. */
     public ServerList change() {
         ListedServer before = servers.get(nextChanged);
-        ListedServer after = new ListedServer(before.id(), before.zone(), before.kind(), before.cell(),
-            before.state() == ServerState.UP ? ServerState.DRAINING : ServerState.UP, before.nominal(),
-            before.startedAt());
+        ListedServer after =
+                new ListedServer(
+                        before.id(),
+                        before.zone(),
+                        before.kind(),
+                        before.cell(),
+                        before.state() == ServerState.UP ? ServerState.DRAINING : ServerState.UP,
+                        before.nominal(),
+                        before.startedAt());
         servers.set(nextChanged, after);
         if (after.state() == ServerState.UP) {
             nextChanged = (nextChanged + 1) % servers.size();
--- a/capacity/src/main/java/ottergauge/capacity/workload/Loopback.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/Loopback.java
@@ -8,11 +8,11 @@
 
     /** The host of all addresses in use here. */
     public static final String HOST = "127.0.0.1";
+
     /** An address that nothing is sent to: reducers are measured without sockets. */
     public static final Address UNUSED = new Address(HOST, 9);
 
-    private Loopback() {
-    }
+    private Loopback() {}
 
     /** The loopback address with this port. */
     public static Address port(int port) {
--- a/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
@@ -14,10 +14,11 @@
 import ottergauge.protocol.ProtocolException;
 
 /**
- * The configuration of one of 780 nodes, the same for benchmarks and for real processes: answers tell loads,
- * probes cost more than they are worth, and all classes may be repeated.
+ * The configuration of one of 780 nodes, the same for benchmarks and for real processes: answers
+ * tell loads, probes cost more than they are worth, and all classes may be repeated.
  */
-public record NodeConfiguration(Address listen, Address discovery, long seed, int classes, HostList known) {
+public record NodeConfiguration(
+        Address listen, Address discovery, long seed, int classes, HostList known) {
 
     /** Nodes in the fleet that the measured one is part of. */
     public static final int NODES = 780;
@@ -140,7 +141,8 @@
         out.writeEndArray();
     }
 
-    private static void writeNames(JsonGenerator out, String field, List<String> names) throws IOException {
+    private static void writeNames(JsonGenerator out, String field, List<String> names)
+            throws IOException {
         out.writeArrayFieldStart(field);
         for (String name : names) {
             out.writeString(name);
--- a/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
@@ -15,7 +15,8 @@
 
     // The first call comes within 200 ms of the start.
     private static final long FIRST_CALL_WITHIN = 250_000;
-    // Discovery's answers follow each other this closely, so that no window of the decisions ends between.
+    // Discovery's answers follow each other this closely, so that no window of the decisions ends
+    // between.
     private static final long TICK = 1;
 
     /** Keeps the number of the call to discovery that is out and nothing else. */
--- a/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
@@ -21,13 +21,15 @@
 import ottergauge.resources.Subscription;
 
 /**
- * The state that a control process tells: services with their servers, routes, and tenants, as many for each
- * server as the target has; changes of it, and its pages. The same seed gives the same state.
+ * The state that a control process tells: services with their servers, routes, and tenants, as many
+ * for each server as the target has; changes of it, and its pages. The same seed gives the same
+ * state.
  */
 public final class VersionedFleet {
 
     /** The log that counts the versions. */
     public static final String LOG = "capacity";
+
     /** A node that follows all of it. */
     public static final Subscription ALL = new Subscription(Set.of(), "default");
 
@@ -44,25 +46,36 @@
     private long version;
     private int nextChanged;
 
-    private VersionedFleet() {
-    }
+    private VersionedFleet() {}
 
-    /** Draws a state with this many servers; its resources were each made by a change of their own. */
+    /**
+     * Draws a state with this many servers; its resources were each made by a change of their own.
+     */
     public static VersionedFleet draw(int servers, long seed) {
         VersionedFleet fleet = new VersionedFleet();
         SplittableRandom random = new SplittableRandom(seed);
         int services = inProportion(TARGET_SERVICES, servers);
         for (int number = 0; number < services; number++) {
-            fleet.put(ResourceKind.SERVICE, serviceName(number), new ResourceValue.Service("service"));
+            fleet.put(
+                    ResourceKind.SERVICE,
+                    serviceName(number),
+                    new ResourceValue.Service("service"));
         }
         for (Host host : Fleet.draw(servers, seed, Loopback.UNUSED).whole().hosts()) {
-            fleet.servers.add(fleet.put(ResourceKind.SERVER, host.name(),
-                new ResourceValue.Server(serviceName(random.nextInt(services)), host)));
+            fleet.servers.add(
+                    fleet.put(
+                            ResourceKind.SERVER,
+                            host.name(),
+                            new ResourceValue.Server(serviceName(random.nextInt(services)), host)));
         }
         for (int number = 0; number < inProportion(TARGET_ROUTES, servers); number++) {
-            fleet.put(ResourceKind.ROUTE, "route-%04d".formatted(number),
-                new ResourceValue.Route(serviceName(random.nextInt(services)), "/api/%04d".formatted(number),
-                    NodeConfiguration.className(0)));
+            fleet.put(
+                    ResourceKind.ROUTE,
+                    "route-%04d".formatted(number),
+                    new ResourceValue.Route(
+                            serviceName(random.nextInt(services)),
+                            "/api/%04d".formatted(number),
+                            NodeConfiguration.className(0)));
         }
         for (int number = 0; number < inProportion(TARGET_TENANTS, servers); number++) {
             fleet.put(ResourceKind.TENANT, "tenant-%05d".formatted(number), tenant(random));
@@ -71,8 +84,11 @@
     }
 
     private static ResourceValue tenant(SplittableRandom random) {
-        return new ResourceValue.Tenant(1 + random.nextInt(MOST_RATE), 1 + random.nextInt(MOST_RATE),
-            1 + random.nextInt(MOST_OPEN), 1);
+        return new ResourceValue.Tenant(
+                1 + random.nextInt(MOST_RATE),
+                1 + random.nextInt(MOST_RATE),
+                1 + random.nextInt(MOST_OPEN),
+                1);
     }
 
     private static int inProportion(int atTarget, int servers) {
@@ -105,8 +121,18 @@
         ResourceValue.Server before = (ResourceValue.Server) state.get(key).value();
         Host host = before.host();
         ServerState next = host.state() == ServerState.UP ? ServerState.DRAINING : ServerState.UP;
-        ResourceValue after = new ResourceValue.Server(before.service(), new Host(host.name(), host.dial(),
-            host.site(), host.kind(), host.block(), next, host.share(), host.bornMs()));
+        ResourceValue after =
+                new ResourceValue.Server(
+                        before.service(),
+                        new Host(
+                                host.name(),
+                                host.dial(),
+                                host.site(),
+                                host.kind(),
+                                host.block(),
+                                next,
+                                host.share(),
+                                host.bornMs()));
         put(key.kind(), key.name(), after);
         if (next == ServerState.UP) {
             nextChanged = (nextChanged + 1) % servers.size();
@@ -126,7 +152,9 @@
         List<Resource> page = new ArrayList<>();
         for (Map.Entry<ResourceKey, Resource> each : state.entrySet()) {
             if (page.size() == mostResources) {
-                pages.add(new SnapshotPage(position(), List.copyOf(page), Optional.of(each.getKey())));
+                pages.add(
+                        new SnapshotPage(
+                                position(), List.copyOf(page), Optional.of(each.getKey())));
                 page.clear();
             }
             page.add(each.getValue());
--- a/capacity/src/test/java/ottergauge/capacity/benchmark/BenchmarkSmokeTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/benchmark/BenchmarkSmokeTest.java
@@ -19,27 +19,47 @@
 import org.openjdk.jmh.runner.options.OptionsBuilder;
 import org.openjdk.jmh.runner.options.VerboseMode;
 
-/** Runs each benchmark once with 100 servers: it has to end with its result checked, in whatever time. */
+/**
+ * Runs each benchmark once with 100 servers: it has to end with its result checked, in whatever
+ * time.
+ */
 class BenchmarkSmokeTest {
 
     private static final String LIST = "/META-INF/BenchmarkList";
 
     @Test
     void eachBenchmarkRunsAndItsChecksHold() throws RunnerException, IOException {
-        Collection<RunResult> results = new Runner(new OptionsBuilder().include("^ottergauge\\.capacity\\.")
-            .param("servers", "100").param("seed", "7").forks(0).warmupIterations(0).measurementIterations(1)
-            .measurementBatchSize(3).mode(Mode.SingleShotTime)
-            .shouldFailOnError(true).verbosity(VerboseMode.SILENT).build()).run();
-        Set<String> ran = results.stream().map(each -> each.getParams().getBenchmark())
-            .collect(Collectors.toCollection(TreeSet::new));
+        Collection<RunResult> results =
+                new Runner(
+                                new OptionsBuilder()
+                                        .include("^ottergauge\\.capacity\\.")
+                                        .param("servers", "100")
+                                        .param("seed", "7")
+                                        .forks(0)
+                                        .warmupIterations(0)
+                                        .measurementIterations(1)
+                                        .measurementBatchSize(3)
+                                        .mode(Mode.SingleShotTime)
+                                        .shouldFailOnError(true)
+                                        .verbosity(VerboseMode.SILENT)
+                                        .build())
+                        .run();
+        Set<String> ran =
+                results.stream()
+                        .map(each -> each.getParams().getBenchmark())
+                        .collect(Collectors.toCollection(TreeSet::new));
         assertEquals(listed(), ran.size(), "benchmarks that ran: " + ran);
-        assertTrue(results.stream().allMatch(each -> each.getPrimaryResult().getStatistics().getN() > 0));
+        assertTrue(
+                results.stream()
+                        .allMatch(each -> each.getPrimaryResult().getStatistics().getN() > 0));
     }
 
     private static long listed() throws IOException {
         try (InputStream list = BenchmarkSmokeTest.class.getResourceAsStream(LIST)) {
-            return new String(list.readAllBytes(), StandardCharsets.UTF_8).lines()
-                .filter(line -> !line.isBlank()).count();
+            return new String(list.readAllBytes(), StandardCharsets.UTF_8)
+                    .lines()
+                    .filter(line -> !line.isBlank())
+                    .count();
         }
     }
 }
--- a/capacity/src/test/java/ottergauge/capacity/heap/RetainedHeapTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/heap/RetainedHeapTest.java
@@ -9,7 +9,8 @@
 class RetainedHeapTest {
 
     private static final long SEED = 7;
-    // A server's name alone is 20 bytes and a string around them; no server of the lists here takes 4 KiB.
+    // A server's name alone is 20 bytes and a string around them; no server of the lists here takes
+    // 4 KiB.
     private static final long LEAST_A_SERVER = 60;
     private static final long MOST_A_SERVER = 4_096;
 
--- a/capacity/src/test/java/ottergauge/capacity/load/OpenLoopClientTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/load/OpenLoopClientTest.java
@@ -24,7 +24,8 @@
 
     private static final long PATIENCE_MS = 20_000;
 
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final EventLoopGroup loops =
+            new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
     private final ServerStandIn server = new ServerStandIn(loops.next());
 
     @AfterEach
@@ -42,13 +43,16 @@
             assertEquals(1, latencies.served().getTotalCount());
             assertEquals(0, latencies.failed());
             assertTrue(latencies.milliseconds(50) >= 699, latencies.milliseconds(50) + " ms");
-            assertTrue(latencies.lateMilliseconds(50) >= 699, latencies.lateMilliseconds(50) + " ms late");
+            assertTrue(
+                    latencies.lateMilliseconds(50) >= 699,
+                    latencies.lateMilliseconds(50) + " ms late");
         }
     }
 
     @Test
     void whatCannotConnectHasFailed() throws Exception {
-        try (OpenLoopClient client = new OpenLoopClient(loops.next(), NodeProcess.freeAddress(), 1, "t")) {
+        try (OpenLoopClient client =
+                new OpenLoopClient(loops.next(), NodeProcess.freeAddress(), 1, "t")) {
             client.send(System.nanoTime());
             assertTrue(client.awaitAnswers(PATIENCE_MS));
             Latencies latencies = client.take();
@@ -60,7 +64,8 @@
     @Test
     void requestsDoNotWaitForEachOthersAnswers() throws Exception {
         try (Silent silent = new Silent();
-             OpenLoopClient client = new OpenLoopClient(loops.next(), silent.address(), 1, "t")) {
+                OpenLoopClient client =
+                        new OpenLoopClient(loops.next(), silent.address(), 1, "t")) {
             client.send(System.nanoTime());
             client.send(System.nanoTime());
             silent.acceptTwo();
@@ -73,11 +78,13 @@
             new Pacer(11).run(List.of(client), 400, 0.5);
             assertTrue(client.awaitAnswers(PATIENCE_MS));
             Latencies latencies = client.take();
-            assertEquals(drawn(11, 400, 0.5), latencies.served().getTotalCount() + latencies.failed());
+            assertEquals(
+                    drawn(11, 400, 0.5), latencies.served().getTotalCount() + latencies.failed());
         }
     }
 
-    // The same process by its definition: gaps with an exponential distribution until the time is over.
+    // The same process by its definition: gaps with an exponential distribution until the time is
+    // over.
     private static long drawn(long seed, double perSecond, double seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         long count = -1;
@@ -101,7 +108,8 @@
         }
 
         void acceptTwo() throws IOException {
-            try (Socket one = listener.accept(); Socket other = listener.accept()) {
+            try (Socket one = listener.accept();
+                    Socket other = listener.accept()) {
                 assertTrue(one.isConnected() && other.isConnected());
             }
         }
--- a/capacity/src/test/java/ottergauge/capacity/node/RunLineTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/node/RunLineTest.java
@@ -16,8 +16,10 @@
 
     @Test
     void theFlagsAreThoseBeforeTheJarWithoutTheArchive() {
-        RunLine run = new RunLine("exec java -XX:SharedArchiveFile=a.jsa -Xmx96m -XX:+UseSerialGC -jar a.jar "
-            + "serve --config x");
+        RunLine run =
+                new RunLine(
+                        "exec java -XX:SharedArchiveFile=a.jsa -Xmx96m -XX:+UseSerialGC -jar a.jar "
+                                + "serve --config x");
         assertEquals(List.of("-Xmx96m", "-XX:+UseSerialGC"), run.jvmFlags());
     }
 
--- a/capacity/src/test/java/ottergauge/capacity/report/LinearFitTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/report/LinearFitTest.java
@@ -12,8 +12,9 @@
 class LinearFitTest {
 
     @Property(seed = "20260101")
-    void whatLiesOnALineGivesThatLine(@ForAll @DoubleRange(min = -1e6, max = 1e6) double intercept,
-                                      @ForAll @DoubleRange(min = -1e3, max = 1e3) double slope) {
+    void whatLiesOnALineGivesThatLine(
+            @ForAll @DoubleRange(min = -1e6, max = 1e6) double intercept,
+            @ForAll @DoubleRange(min = -1e3, max = 1e3) double slope) {
         double[] sizes = {100, 1_000, 4_000, 8_000};
         double[] values = new double[sizes.length];
         for (int i = 0; i < sizes.length; i++) {
@@ -37,9 +38,11 @@
 
     @Test
     void onePointOrOneSizeIsNoLine() {
-        assertThrows(IllegalArgumentException.class,
-            () -> LinearFit.of(new double[] {1}, new double[] {1}));
-        assertThrows(IllegalArgumentException.class,
-            () -> LinearFit.of(new double[] {5, 5}, new double[] {1, 2}));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> LinearFit.of(new double[] {1}, new double[] {1}));
+        assertThrows(
+                IllegalArgumentException.class,
+                () -> LinearFit.of(new double[] {5, 5}, new double[] {1, 2}));
     }
 }
--- a/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
@@ -27,10 +27,12 @@
 
     private static final long PATIENCE_S = 20;
 
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoopGroup loops =
+            new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final DiscoveryStandIn discovery =
-        new DiscoveryStandIn(loops.next(), Fleet.draw(20, 3, Loopback.UNUSED));
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+            new DiscoveryStandIn(loops.next(), Fleet.draw(20, 3, Loopback.UNUSED));
+    private final HttpClient client =
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     @AfterEach
     void close() {
@@ -39,8 +41,9 @@
     }
 
     private HttpRequest call(String query) {
-        return HttpRequest.newBuilder(URI.create("http://" + discovery.address() + "/registry/instances"
-            + query)).build();
+        return HttpRequest.newBuilder(
+                        URI.create("http://" + discovery.address() + "/registry/instances" + query))
+                .build();
     }
 
     private HostList ask(String query) throws IOException, InterruptedException, ProtocolException {
@@ -58,7 +61,7 @@
     @Test
     void aCallThatWaitsIsToldTheChangeThatComes() throws Exception {
         CompletableFuture<HttpResponse<byte[]>> waiting =
-            client.sendAsync(call("?after=1&wait_ms=60000"), BodyHandlers.ofByteArray());
+                client.sendAsync(call("?after=1&wait_ms=60000"), BodyHandlers.ofByteArray());
         while (discovery.traffic().calls() == 0) {
             Thread.onSpinWait();
         }
--- a/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
@@ -20,8 +20,9 @@
     void theSameSeedGivesTheSameListAndAnotherOneAnother() {
         byte[] one = Fleet.draw(50, 3, Loopback.UNUSED).whole().json();
         assertArrayEquals(one, Fleet.draw(50, 3, Loopback.UNUSED).whole().json());
-        assertNotEquals(Fleet.draw(50, 4, Loopback.UNUSED).whole(),
-            Fleet.draw(50, 3, Loopback.UNUSED).whole());
+        assertNotEquals(
+                Fleet.draw(50, 4, Loopback.UNUSED).whole(),
+                Fleet.draw(50, 3, Loopback.UNUSED).whole());
     }
 
     @Test
@@ -40,16 +41,22 @@
             assertFalse(change.whole());
             assertEquals(++version, change.seq());
             HostList.Host host = change.hosts().get(0);
-            told.add(host.name().substring(7, 12) + (host.state() == ServerState.UP ? " up" : " drains"));
+            told.add(
+                    host.name().substring(7, 12)
+                            + (host.state() == ServerState.UP ? " up" : " drains"));
         }
-        assertEquals(List.of("00000 drains", "00000 up", "00001 drains", "00001 up", "00000 drains"), told);
+        assertEquals(
+                List.of("00000 drains", "00000 up", "00001 drains", "00001 up", "00000 drains"),
+                told);
     }
 
     @Test
     void theConfigurationIsReadWithItsListAndClasses() {
         Fleet fleet = Fleet.draw(20, 3, Loopback.UNUSED);
-        NodeConfig config = new NodeConfiguration(Loopback.port(3000), Loopback.port(8500), 5, 500,
-            fleet.whole()).read();
+        NodeConfig config =
+                new NodeConfiguration(
+                                Loopback.port(3000), Loopback.port(8500), 5, 500, fleet.whole())
+                        .read();
         assertEquals(fleet.whole(), config.known());
         assertEquals(500, config.settings().classes().size());
         assertEquals(NodeConfiguration.NODES, config.settings().nodes());
--- a/capacity/src/test/java/ottergauge/capacity/workload/VersionedFleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/VersionedFleetTest.java
@@ -24,15 +24,34 @@
 
     @Test
     void theTargetHasItsNumbersAndSmallerSizesTheSameParts() {
-        assertEquals(Map.of(ResourceKind.SERVICE, 500, ResourceKind.SERVER, 8_000, ResourceKind.ROUTE, 2_700,
-            ResourceKind.TENANT, 38_000), counts(VersionedFleet.draw(8_000, 7)));
-        assertEquals(Map.of(ResourceKind.SERVICE, 6, ResourceKind.SERVER, 100, ResourceKind.ROUTE, 34,
-            ResourceKind.TENANT, 475), counts(VersionedFleet.draw(100, 7)));
+        assertEquals(
+                Map.of(
+                        ResourceKind.SERVICE,
+                        500,
+                        ResourceKind.SERVER,
+                        8_000,
+                        ResourceKind.ROUTE,
+                        2_700,
+                        ResourceKind.TENANT,
+                        38_000),
+                counts(VersionedFleet.draw(8_000, 7)));
+        assertEquals(
+                Map.of(
+                        ResourceKind.SERVICE,
+                        6,
+                        ResourceKind.SERVER,
+                        100,
+                        ResourceKind.ROUTE,
+                        34,
+                        ResourceKind.TENANT,
+                        475),
+                counts(VersionedFleet.draw(100, 7)));
     }
 
     @Test
     void theSameSeedGivesTheSameState() {
-        assertEquals(VersionedFleet.draw(50, 3).resources(), VersionedFleet.draw(50, 3).resources());
+        assertEquals(
+                VersionedFleet.draw(50, 3).resources(), VersionedFleet.draw(50, 3).resources());
     }
 
     @Test
@@ -44,7 +63,9 @@
             all.addAll(pages.get(i).resources());
             assertEquals(i + 1 < pages.size(), pages.get(i).next().isPresent());
             if (i + 1 < pages.size()) {
-                assertEquals(pages.get(i + 1).resources().get(0).key(), pages.get(i).next().orElseThrow());
+                assertEquals(
+                        pages.get(i + 1).resources().get(0).key(),
+                        pages.get(i).next().orElseThrow());
             }
         }
         assertEquals(fleet.resources(), all);
@@ -57,7 +78,12 @@
         Change change = fleet.change();
         assertEquals(before + 1, change.version());
         assertEquals(1, change.puts().size());
-        assertTrue(fleet.resources().contains(new Resource(change.puts().get(0).key(), change.version(),
-            change.puts().get(0).value())));
+        assertTrue(
+                fleet.resources()
+                        .contains(
+                                new Resource(
+                                        change.puts().get(0).key(),
+                                        change.version(),
+                                        change.puts().get(0).value())));
     }
 }
--- a/control/src/main/java/ottergauge/control/client/ControlClient.java
+++ b/control/src/main/java/ottergauge/control/client/ControlClient.java
@@ -26,14 +26,17 @@
     private static final int GONE = 410;
     private static final String CHANGES_PATH = "/control/v1/changes";
     private static final Duration CALL_WITHIN = Duration.ofSeconds(5);
+
     /** A page may have to wait for its turn. */
     private static final Duration SNAPSHOT_WITHIN = Duration.ofSeconds(60);
+
     private static final long MOST_STATUS_BYTES = 8 << 20;
     private static final long FIRST_PAUSE_MS = 100;
     private static final long LONGEST_PAUSE_MS = 2_000;
 
     private final HttpCalls calls = new HttpCalls();
     private final List<Address> addresses;
+
     /** The address that answered last: asked first. */
     private int preferred;
 
@@ -76,14 +79,27 @@
 
     private Optional<PublishResult> publishAt(Address address, byte[] submission)
             throws IOException, ProtocolException, InterruptedException {
-        HttpAnswer answer = calls.post(address, CHANGES_PATH, submission, CALL_WITHIN,
-            ResourceCodec.MOST_PAGE_BYTES);
+        HttpAnswer answer =
+                calls.post(
+                        address,
+                        CHANGES_PATH,
+                        submission,
+                        CALL_WITHIN,
+                        ResourceCodec.MOST_PAGE_BYTES);
         return switch (answer.status()) {
-            case OK -> Optional.of(new PublishResult.Accepted(ResourceCodec.readPosition(answer.body())));
+            case OK ->
+                    Optional.of(
+                            new PublishResult.Accepted(ResourceCodec.readPosition(answer.body())));
             case BAD_REQUEST -> Optional.of(new PublishResult.Refused(faults(answer.body())));
-            case HttpCalls.TOO_LARGE -> Optional.of(new PublishResult.Refused(List.of(new Fault(
-                "the submission", submission.length + " bytes",
-                ResourceCodec.MOST_SUBMISSION_BYTES + " bytes at most"))));
+            case HttpCalls.TOO_LARGE ->
+                    Optional.of(
+                            new PublishResult.Refused(
+                                    List.of(
+                                            new Fault(
+                                                    "the submission",
+                                                    submission.length + " bytes",
+                                                    ResourceCodec.MOST_SUBMISSION_BYTES
+                                                            + " bytes at most"))));
             default -> Optional.empty();
         };
     }
@@ -92,25 +108,35 @@
         try {
             return ResourceCodec.readFaults(body);
         } catch (ProtocolException e) {
-            return List.of(new Fault("the submission", new String(body, StandardCharsets.UTF_8),
-                "one that can be read"));
+            return List.of(
+                    new Fault(
+                            "the submission",
+                            new String(body, StandardCharsets.UTF_8),
+                            "one that can be read"));
         }
     }
 
     /** What one process tells of itself. */
     public ProcessStatus status(Address address) throws IOException, InterruptedException {
-        HttpAnswer answer = calls.get(address, "/control/v1/status", CALL_WITHIN, MOST_STATUS_BYTES);
+        HttpAnswer answer =
+                calls.get(address, "/control/v1/status", CALL_WITHIN, MOST_STATUS_BYTES);
         if (answer.status() != OK) {
             throw new IOException("status " + answer.status());
         }
         return ProcessStatus.read(answer.body());
     }
 
-    /** A page of the state of one service with its servers and routes, and of what belongs to none. */
-    public SnapshotPage snapshot(String service, Optional<LogPosition> first, Optional<ResourceKey> from)
+    /**
+     * A page of the state of one service with its servers and routes, and of what belongs to none.
+     */
+    public SnapshotPage snapshot(
+            String service, Optional<LogPosition> first, Optional<ResourceKey> from)
             throws CallFailedException, InterruptedException {
-        String query = "?services=" + service + first.map(at -> "&log=" + at.log()).orElse("")
-            + from.map(key -> "&from=" + key.path()).orElse("");
+        String query =
+                "?services="
+                        + service
+                        + first.map(at -> "&log=" + at.log()).orElse("")
+                        + from.map(key -> "&from=" + key.path()).orElse("");
         HttpAnswer answer = ask("/control/v1/snapshot" + query, SNAPSHOT_WITHIN);
         if (answer.status() != OK) {
             throw new CallFailedException("a snapshot is answered by status " + answer.status());
@@ -125,8 +151,16 @@
     /** The changes of one service that are there by now; empty if a snapshot is needed. */
     public Optional<ChangePage> changes(String service, LogPosition after)
             throws CallFailedException, InterruptedException {
-        HttpAnswer answer = ask(CHANGES_PATH + "?services=" + service + "&log=" + after.log() + "&after="
-            + after.version(), CALL_WITHIN);
+        HttpAnswer answer =
+                ask(
+                        CHANGES_PATH
+                                + "?services="
+                                + service
+                                + "&log="
+                                + after.log()
+                                + "&after="
+                                + after.version(),
+                        CALL_WITHIN);
         if (answer.status() == GONE) {
             return Optional.empty();
         }
@@ -141,12 +175,14 @@
     }
 
     // Of the first process that answers with anything but that it can't now.
-    private HttpAnswer ask(String path, Duration within) throws CallFailedException, InterruptedException {
+    private HttpAnswer ask(String path, Duration within)
+            throws CallFailedException, InterruptedException {
         String why = "";
         for (int i = 0; i < addresses.size(); i++) {
             int at = (preferred + i) % addresses.size();
             try {
-                HttpAnswer answer = calls.get(addresses.get(at), path, within, ResourceCodec.MOST_PAGE_BYTES);
+                HttpAnswer answer =
+                        calls.get(addresses.get(at), path, within, ResourceCodec.MOST_PAGE_BYTES);
                 if (answer.status() != HttpCalls.UNAVAILABLE) {
                     preferred = at;
                     return answer;
--- a/control/src/main/java/ottergauge/control/client/HttpCalls.java
+++ b/control/src/main/java/ottergauge/control/client/HttpCalls.java
@@ -23,10 +23,13 @@
     private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
 
     /** An answer. */
-    public record HttpAnswer(int status, byte[] body) { }
+    public record HttpAnswer(int status, byte[] body) {}
 
-    private final HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1)
-        .connectTimeout(CONNECT_WITHIN).build();
+    private final HttpClient client =
+            HttpClient.newBuilder()
+                    .version(HttpClient.Version.HTTP_1_1)
+                    .connectTimeout(CONNECT_WITHIN)
+                    .build();
 
     /** Asks for a path with its query. */
     public HttpAnswer get(Address address, String path, Duration within, long mostBytes)
@@ -35,7 +38,8 @@
     }
 
     /** Sends a body. */
-    public HttpAnswer post(Address address, String path, byte[] body, Duration within, long mostBytes)
+    public HttpAnswer post(
+            Address address, String path, byte[] body, Duration within, long mostBytes)
             throws IOException, InterruptedException {
         HttpRequest request = request(address, path).POST(BodyPublishers.ofByteArray(body)).build();
         return call(request, within, mostBytes);
@@ -48,7 +52,7 @@
     private HttpAnswer call(HttpRequest request, Duration within, long mostBytes)
             throws IOException, InterruptedException {
         CompletableFuture<HttpResponse<byte[]>> answer =
-            client.sendAsync(request, LimitedBody.ofAtMost(mostBytes));
+                client.sendAsync(request, LimitedBody.ofAtMost(mostBytes));
         try {
             HttpResponse<byte[]> response = answer.get(within.toMillis(), TimeUnit.MILLISECONDS);
             return new HttpAnswer(response.statusCode(), response.body());
--- a/control/src/main/java/ottergauge/control/client/ProcessStatus.java
+++ b/control/src/main/java/ottergauge/control/client/ProcessStatus.java
@@ -9,10 +9,12 @@
 import ottergauge.settings.JsonTree;
 
 /** What a control process tells of itself and of the nodes that call it. */
-public record ProcessStatus(String name, String role, LogPosition position, List<NodeStatus> nodes) {
+public record ProcessStatus(
+        String name, String role, LogPosition position, List<NodeStatus> nodes) {
 
     /** What a node told last, and how long ago. */
-    public record NodeStatus(String name, String region, LogPosition inForce, long refused, long heardMs) { }
+    public record NodeStatus(
+            String name, String region, LogPosition inForce, long refused, long heardMs) {}
 
     static ProcessStatus read(byte[] body) throws IOException {
         Map<String, Object> tree = JsonTree.read(body);
@@ -24,14 +26,20 @@
                 }
             }
         }
-        return new ProcessStatus(text(tree, "name"), text(tree, "role"),
-            new LogPosition(text(tree, "log"), whole(tree, "version")), nodes);
+        return new ProcessStatus(
+                text(tree, "name"),
+                text(tree, "role"),
+                new LogPosition(text(tree, "log"), whole(tree, "version")),
+                nodes);
     }
 
     private static NodeStatus node(Map<?, ?> fields) {
-        return new NodeStatus(text(fields, "name"), text(fields, "region"),
-            new LogPosition(text(fields, "log"), whole(fields, "in_force")), whole(fields, "refused"),
-            whole(fields, "heard_ms"));
+        return new NodeStatus(
+                text(fields, "name"),
+                text(fields, "region"),
+                new LogPosition(text(fields, "log"), whole(fields, "in_force")),
+                whole(fields, "refused"),
+                whole(fields, "heard_ms"));
     }
 
     private static String text(Map<?, ?> fields, String key) {
--- a/control/src/main/java/ottergauge/control/client/PublishResult.java
+++ b/control/src/main/java/ottergauge/control/client/PublishResult.java
@@ -9,11 +9,14 @@
 public sealed interface PublishResult {
 
     /** It can't be lost any more. */
-    record Accepted(LogPosition position) implements PublishResult { }
+    record Accepted(LogPosition position) implements PublishResult {}
 
     /** Nothing of it is taken, and won't be. */
-    record Refused(List<Fault> faults) implements PublishResult { }
+    record Refused(List<Fault> faults) implements PublishResult {}
 
-    /** It was not accepted in time, or is not known to be; it may be published again under the same id. */
-    record Unknown(String why) implements PublishResult { }
+    /**
+     * It was not accepted in time, or is not known to be; it may be published again under the same
+     * id.
+     */
+    record Unknown(String why) implements PublishResult {}
 }
--- a/control/src/main/java/ottergauge/control/config/ConfigFields.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigFields.java
@@ -11,7 +11,10 @@
 import ottergauge.resources.Fault;
 import ottergauge.resources.ResourceChecks;
 
-/** Reads the keys of one object of a configuration; reports what is wrong, and keys that none asked for. */
+/**
+ * Reads the keys of one object of a configuration; reports what is wrong, and keys that none asked
+ * for.
+ */
 final class ConfigFields {
 
     private final Map<?, ?> fields;
@@ -85,14 +88,17 @@
     /** The objects of a list; what is none is reported and left out. */
     List<ConfigFields> objects(String key, int most) {
         Object value = value(key);
-        if (!(value instanceof List<?> list) || list.isEmpty() || list.size() > most
-            || !list.stream().allMatch(Map.class::isInstance)) {
+        if (!(value instanceof List<?> list)
+                || list.isEmpty()
+                || list.size() > most
+                || !list.stream().allMatch(Map.class::isInstance)) {
             fault(key, "a list of 1 to " + most + " objects");
             return List.of();
         }
         List<ConfigFields> objects = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
-            objects.add(new ConfigFields((Map<?, ?>) list.get(i), path + key + "[" + i + "].", faults));
+            objects.add(
+                    new ConfigFields((Map<?, ?>) list.get(i), path + key + "[" + i + "].", faults));
         }
         return objects;
     }
@@ -109,15 +115,23 @@
     void refuseOthers() {
         for (Object key : fields.keySet()) {
             if (!known.contains(key)) {
-                faults.add(new Fault(path + key, String.valueOf(fields.get(key)), "no key of this object"));
+                faults.add(
+                        new Fault(
+                                path + key,
+                                String.valueOf(fields.get(key)),
+                                "no key of this object"));
             }
         }
     }
 
     void fault(String key, String allowed) {
         Object value = fields.get(key);
-        String found = value == null ? "nothing" : value instanceof Map ? "an object"
-            : value instanceof List ? "a list" : String.valueOf(value);
+        String found =
+                value == null
+                        ? "nothing"
+                        : value instanceof Map
+                                ? "an object"
+                                : value instanceof List ? "a list" : String.valueOf(value);
         faults.add(new Fault(path + key, found, allowed));
     }
 
--- a/control/src/main/java/ottergauge/control/config/ControlConfig.java
+++ b/control/src/main/java/ottergauge/control/config/ControlConfig.java
@@ -15,8 +15,12 @@
  *
  * @param publishWithinMs how long a submission may wait until it can't be lost any more
  */
-public record ControlConfig(String name, Address listen, LogLimits logLimits, ServerLimits serverLimits,
-                            long publishWithinMs) {
+public record ControlConfig(
+        String name,
+        Address listen,
+        LogLimits logLimits,
+        ServerLimits serverLimits,
+        long publishWithinMs) {
 
     private static final int MOST_KEPT_CHANGES = 1_000_000;
     private static final long MOST_KEPT_BYTES = 1L << 30;
@@ -33,8 +37,12 @@
         try {
             tree = JsonTree.read(content);
         } catch (IOException e) {
-            throw new ConfigException(List.of(new Fault("the file", String.valueOf(e.getMessage()),
-                "one JSON object")));
+            throw new ConfigException(
+                    List.of(
+                            new Fault(
+                                    "the file",
+                                    String.valueOf(e.getMessage()),
+                                    "one JSON object")));
         }
         List<Fault> faults = new ArrayList<>();
         ControlConfig config = of(new ConfigFields(tree, "", faults));
@@ -45,9 +53,17 @@
     }
 
     private static ControlConfig of(ConfigFields fields) {
-        ControlConfig config = new ControlConfig(fields.name("name"), fields.address("listen"),
-            logLimits(fields), serverLimits(fields),
-            fields.whole("publish_within_ms", LEAST_SPAN_MS, MOST_SPAN_MS, DEFAULT_PUBLISH_WITHIN_MS));
+        ControlConfig config =
+                new ControlConfig(
+                        fields.name("name"),
+                        fields.address("listen"),
+                        logLimits(fields),
+                        serverLimits(fields),
+                        fields.whole(
+                                "publish_within_ms",
+                                LEAST_SPAN_MS,
+                                MOST_SPAN_MS,
+                                DEFAULT_PUBLISH_WITHIN_MS));
         fields.refuseOthers();
         return config;
     }
@@ -55,18 +71,21 @@
     private static LogLimits logLimits(ConfigFields fields) {
         LogLimits absent = LogLimits.DEFAULT;
         return new LogLimits(
-            (int) fields.whole("kept_changes", 1, MOST_KEPT_CHANGES, absent.mostChanges()),
-            fields.whole("kept_bytes", 1, MOST_KEPT_BYTES, absent.mostBytes()));
+                (int) fields.whole("kept_changes", 1, MOST_KEPT_CHANGES, absent.mostChanges()),
+                fields.whole("kept_bytes", 1, MOST_KEPT_BYTES, absent.mostBytes()));
     }
 
     private static ServerLimits serverLimits(ConfigFields fields) {
         ServerLimits absent = ServerLimits.DEFAULT;
         return new ServerLimits(
-            (int) fields.whole("connections", 1, MOST_CONNECTIONS, absent.connections()),
-            (int) fields.whole("waiting_polls", 1, MOST_CONNECTIONS, absent.waitingPolls()),
-            fields.whole("snapshot_bytes_per_second", LEAST_BYTES_PER_SECOND, MOST_BYTES_PER_SECOND,
-                absent.snapshotBytesPerSecond()),
-            fields.whole("slow_reader_ms", LEAST_SPAN_MS, MOST_SPAN_MS, absent.slowReaderMs()),
-            fields.whole("idle_ms", LEAST_SPAN_MS, MOST_SPAN_MS, absent.idleMs()));
+                (int) fields.whole("connections", 1, MOST_CONNECTIONS, absent.connections()),
+                (int) fields.whole("waiting_polls", 1, MOST_CONNECTIONS, absent.waitingPolls()),
+                fields.whole(
+                        "snapshot_bytes_per_second",
+                        LEAST_BYTES_PER_SECOND,
+                        MOST_BYTES_PER_SECOND,
+                        absent.snapshotBytesPerSecond()),
+                fields.whole("slow_reader_ms", LEAST_SPAN_MS, MOST_SPAN_MS, absent.slowReaderMs()),
+                fields.whole("idle_ms", LEAST_SPAN_MS, MOST_SPAN_MS, absent.idleMs()));
     }
 }
--- a/control/src/main/java/ottergauge/control/consensus/Consensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/Consensus.java
@@ -6,12 +6,16 @@
 import ottergauge.control.log.Outcome;
 import ottergauge.resources.Submission;
 
-/** Orders submissions and has them applied to the {@link SharedLog}, in the same order at each process. */
+/**
+ * Orders submissions and has them applied to the {@link SharedLog}, in the same order at each
+ * process.
+ */
 public interface Consensus extends AutoCloseable {
 
     /**
-     * Asks for a change. The future has the outcome once it can't be lost any more, and within a bounded
-     * time; it fails with {@link NoQuorumException} if that isn't reached or isn't known to be.
+     * Asks for a change. The future has the outcome once it can't be lost any more, and within a
+     * bounded time; it fails with {@link NoQuorumException} if that isn't reached or isn't known to
+     * be.
      */
     CompletableFuture<Outcome> propose(Submission submission);
 
--- a/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
@@ -10,8 +10,8 @@
 import ottergauge.resources.Submission;
 
 /**
- * One process that agrees with itself and keeps nothing: each start begins another log. For trials, and where
- * all state can be published again.
+ * One process that agrees with itself and keeps nothing: each start begins another log. For trials,
+ * and where all state can be published again.
  */
 public final class InMemoryConsensus implements Consensus {
 
--- a/control/src/main/java/ottergauge/control/consensus/SharedLog.java
+++ b/control/src/main/java/ottergauge/control/consensus/SharedLog.java
@@ -13,13 +13,14 @@
 import ottergauge.resources.Subscription;
 
 /**
- * The log of this process, for the thread that applies changes and the one that answers calls. There is none
- * before the group has begun one; another may take its place when a newer state is installed.
+ * The log of this process, for the thread that applies changes and the one that answers calls.
+ * There is none before the group has begun one; another may take its place when a newer state is
+ * installed.
  */
 public final class SharedLog {
 
     private ChangeLog log;
-    private Runnable listener = () -> { };
+    private Runnable listener = () -> {};
 
     /** The handler is called after each change of the log, by the thread that made it. */
     public synchronized void onChange(Runnable handler) {
@@ -59,13 +60,14 @@
     }
 
     /** See {@link ChangeLog#changesAfter}; there has to be a log. */
-    public synchronized Answer changesAfter(LogPosition after, Subscription subscription, int mostBytes) {
+    public synchronized Answer changesAfter(
+            LogPosition after, Subscription subscription, int mostBytes) {
         return log.changesAfter(after, subscription, mostBytes);
     }
 
     /** See {@link ChangeLog#snapshot}; there has to be a log. */
-    public synchronized EncodedSnapshot snapshot(Optional<ResourceKey> from, Subscription subscription,
-                                                 int mostBytes) {
+    public synchronized EncodedSnapshot snapshot(
+            Optional<ResourceKey> from, Subscription subscription, int mostBytes) {
         return log.snapshot(from, subscription, mostBytes);
     }
 
--- a/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
+++ b/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
@@ -27,17 +27,22 @@
         this.address = address;
     }
 
-    /** Asks for what has changed since the last call and waits some time for it; the list may be empty. */
+    /**
+     * Asks for what has changed since the last call and waits some time for it; the list may be
+     * empty.
+     */
     public HostList next() throws IOException, ProtocolException, InterruptedException {
         String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + WAIT_MS;
-        HttpAnswer answer = calls.get(address, Headers.LIST_PATH + query, CALL_WITHIN, MOST_LIST_BYTES);
+        HttpAnswer answer =
+                calls.get(address, Headers.LIST_PATH + query, CALL_WITHIN, MOST_LIST_BYTES);
         if (answer.status() != OK) {
             throw new IOException("discovery answers with status " + answer.status());
         }
         HostList list = HostList.read(answer.body());
         if (!list.whole() && list.seq() < version) {
             version = NO_VERSION;
-            throw new ProtocolException("discovery has begun its versions anew, it is asked for all");
+            throw new ProtocolException(
+                    "discovery has begun its versions anew, it is asked for all");
         }
         if (!list.whole() && version < 0) {
             throw new ProtocolException("discovery was asked for all and told of changes only");
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -25,27 +25,34 @@
 import ottergauge.resources.Submission;
 
 /**
- * The servers of one service as discovery lists them and as the log has them, and the submissions that make
- * the log's like discovery's. Does no I/O. What costs is what differs: names that are alike are looked at
- * again only when either side tells of them.
+ * The servers of one service as discovery lists them and as the log has them, and the submissions
+ * that make the log's like discovery's. Does no I/O. What costs is what differs: names that are
+ * alike are looked at again only when either side tells of them.
  */
 public final class ServiceReconciler {
 
     /** Of one submission; well within the bounds of one. */
     private static final int MOST_ENTRIES = 500;
+
     private static final int MOST_BYTES = 192 * 1024;
+
     /** A server's entry has little beside its value: kind and name. */
     private static final int ENTRY_OVERHEAD = 200;
+
     private static final Pattern ENTRY_OF_FAULT = Pattern.compile("(put|delete)\\[(\\d+)\\].*");
 
     private final String service;
     private final Map<String, Host> listed = new HashMap<>();
     private final Map<String, Host> published = new HashMap<>();
+
     /** Values that were refused: not published again until they change. */
     private final Map<String, Host> refused = new HashMap<>();
+
     /** The names of which the two sides may differ. */
     private final Set<String> toCompare = new LinkedHashSet<>();
+
     private boolean serviceExists;
+
     /** Whether discovery was heard: before, its list is not known to be empty. */
     private boolean heard;
 
@@ -95,7 +102,8 @@
     private void takePut(ResourceKey key, ResourceValue value) {
         if (key.equals(serviceKey())) {
             serviceExists = true;
-        } else if (value instanceof ResourceValue.Server server && server.service().equals(service)) {
+        } else if (value instanceof ResourceValue.Server server
+                && server.service().equals(service)) {
             published.put(key.name(), server.host());
             toCompare.add(key.name());
         }
@@ -113,7 +121,10 @@
         return new ResourceKey(ResourceKind.SERVICE, service);
     }
 
-    /** What has to be published next under this id; empty if the two are alike, or discovery wasn't heard. */
+    /**
+     * What has to be published next under this id; empty if the two are alike, or discovery wasn't
+     * heard.
+     */
     public Optional<Submission> next(String id) {
         if (!heard) {
             return Optional.empty();
@@ -122,7 +133,9 @@
         List<ResourceKey> deletes = new ArrayList<>();
         int bytes = 0;
         Iterator<String> names = toCompare.iterator();
-        while (names.hasNext() && puts.size() + deletes.size() < MOST_ENTRIES && bytes < MOST_BYTES) {
+        while (names.hasNext()
+                && puts.size() + deletes.size() < MOST_ENTRIES
+                && bytes < MOST_BYTES) {
             String name = names.next();
             Host wanted = listed.get(name);
             if (wanted == null ? !published.containsKey(name) : isSettled(name, wanted)) {
@@ -131,8 +144,10 @@
                 deletes.add(new ResourceKey(ResourceKind.SERVER, name));
                 bytes += ENTRY_OVERHEAD;
             } else {
-                Change.Put put = new Change.Put(new ResourceKey(ResourceKind.SERVER, name),
-                    new ResourceValue.Server(service, wanted));
+                Change.Put put =
+                        new Change.Put(
+                                new ResourceKey(ResourceKind.SERVER, name),
+                                new ResourceValue.Server(service, wanted));
                 puts.add(put);
                 bytes += ENTRY_OVERHEAD + ResourceCodec.write(put.value()).length;
             }
@@ -150,15 +165,19 @@
         return wanted.equals(published.get(name)) || wanted.equals(refused.get(name));
     }
 
-    /** What is wrong with servers of the list that can't be published; they are left out from now on. */
+    /**
+     * What is wrong with servers of the list that can't be published; they are left out from now
+     * on.
+     */
     public List<Fault> refuseMalformed(Submission submission) {
         List<Fault> faults = new ArrayList<>();
         for (Change.Put put : submission.puts()) {
             Optional<Fault> fault = ResourceChecks.fault(put.key(), put.value());
-            fault.ifPresent(found -> {
-                faults.add(found);
-                refuse(put);
-            });
+            fault.ifPresent(
+                    found -> {
+                        faults.add(found);
+                        refuse(put);
+                    });
         }
         return faults;
     }
@@ -196,7 +215,12 @@
 
     /** The log has accepted a submission. */
     public void accepted(Submission submission) {
-        takeChange(new Change(1, submission.puts(), submission.deletes().stream()
-            .map(key -> new Change.Delete(key, service)).toList()));
+        takeChange(
+                new Change(
+                        1,
+                        submission.puts(),
+                        submission.deletes().stream()
+                                .map(key -> new Change.Delete(key, service))
+                                .toList()));
     }
 }
--- a/control/src/main/java/ottergauge/control/log/Answer.java
+++ b/control/src/main/java/ottergauge/control/log/Answer.java
@@ -7,11 +7,13 @@
 public sealed interface Answer {
 
     /** The changes that the subscription follows. */
-    record Changes(EncodedChanges page) implements Answer { }
+    record Changes(EncodedChanges page) implements Answer {}
 
-    /** Another log, or changes after the version that aren't kept any more: a snapshot is needed. */
-    record TooOld(LogPosition newest, long oldest) implements Answer { }
+    /**
+     * Another log, or changes after the version that aren't kept any more: a snapshot is needed.
+     */
+    record TooOld(LogPosition newest, long oldest) implements Answer {}
 
     /** A version of this log that this copy of it has not reached yet. */
-    record Ahead(LogPosition newest) implements Answer { }
+    record Ahead(LogPosition newest) implements Answer {}
 }
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -16,9 +16,9 @@
 import ottergauge.resources.Subscription;
 
 /**
- * A log of changes with the state that they make: accepts submissions and tells subscribers of them. What an
- * operation costs goes by the change, or by the changes that a subscriber is behind, never by the state. Not
- * safe for use by several threads at once.
+ * A log of changes with the state that they make: accepts submissions and tells subscribers of
+ * them. What an operation costs goes by the change, or by the changes that a subscriber is behind,
+ * never by the state. Not safe for use by several threads at once.
  */
 public final class ChangeLog {
 
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Checks a submission whole and, if nothing is wrong with it, makes it the newest change. One of which
-     * the id was seen lately changes nothing and gets the answer that it got then.
+     * Checks a submission whole and, if nothing is wrong with it, makes it the newest change. One
+     * of which the id was seen lately changes nothing and gets the answer that it got then.
      */
     public Outcome apply(Submission submission) {
         Optional<Outcome> before = outcomes.of(submission.id());
@@ -102,7 +102,8 @@
 
     private List<Change.Delete> deletesOf(Submission submission) {
         return submission.deletes().stream()
-            .map(key -> new Change.Delete(key, state.get(key).service())).toList();
+                .map(key -> new Change.Delete(key, state.get(key).service()))
+                .toList();
     }
 
     private void accept(StoredChange change) {
@@ -112,8 +113,8 @@
     }
 
     /**
-     * The changes that a subscription follows after a version, in order: as many as fit into this many bytes,
-     * but one at least. What the answer reaches up to may be past its last change.
+     * The changes that a subscription follows after a version, in order: as many as fit into this
+     * many bytes, but one at least. What the answer reaches up to may be past its last change.
      */
     public Answer changesAfter(LogPosition after, Subscription subscription, int mostBytes) {
         if (!after.log().equals(log) || after.version() < changes.oldest() - 1) {
@@ -139,10 +140,11 @@
     }
 
     /**
-     * A page of the resources that a subscription follows, from a key on or from the first one: as many as
-     * fit into this many bytes, but one at least.
+     * A page of the resources that a subscription follows, from a key on or from the first one: as
+     * many as fit into this many bytes, but one at least.
      */
-    public EncodedSnapshot snapshot(Optional<ResourceKey> from, Subscription subscription, int mostBytes) {
+    public EncodedSnapshot snapshot(
+            Optional<ResourceKey> from, Subscription subscription, int mostBytes) {
         List<StoredResource> page = new ArrayList<>();
         int bytes = 0;
         for (StoredResource resource : state.from(from.orElse(FIRST_KEY))) {
@@ -161,8 +163,7 @@
 
     /** What the log holds at this instant; it can be encoded later, by another thread. */
     public LogImage capture() {
-        return new LogImage(position(), List.copyOf(state.all()), changes.all(),
-            outcomes.all());
+        return new LogImage(position(), List.copyOf(state.all()), changes.all(), outcomes.all());
     }
 
     /** The whole log as bytes, from which it can be restored. */
@@ -174,8 +175,9 @@
     public static ChangeLog restore(byte[] image, LogLimits limits) throws ProtocolException {
         LogImage read = LogImage.decode(image);
         long changesAfter = read.position().version() - read.changes().size();
-        ChangeLog restored = new ChangeLog(read.position().log(), limits, read.position().version(),
-            changesAfter);
+        ChangeLog restored =
+                new ChangeLog(
+                        read.position().log(), limits, read.position().version(), changesAfter);
         read.resources().forEach(restored.state::put);
         read.changes().forEach(restored.changes::add);
         read.outcomes().forEach(each -> restored.outcomes.remember(each.id(), each.outcome()));
--- a/control/src/main/java/ottergauge/control/log/EncodedChanges.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedChanges.java
@@ -6,7 +6,9 @@
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
 
-/** A page of changes: as a value, and as JSON that shares the encoded values with all other answers. */
+/**
+ * A page of changes: as a value, and as JSON that shares the encoded values with all other answers.
+ */
 public final class EncodedChanges {
 
     private final LogPosition upTo;
--- a/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
@@ -7,7 +7,10 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 
-/** A page of the state: as a value, and as JSON that shares the encoded values with all other answers. */
+/**
+ * A page of the state: as a value, and as JSON that shares the encoded values with all other
+ * answers.
+ */
 public final class EncodedSnapshot {
 
     private final LogPosition at;
@@ -30,12 +33,14 @@
     }
 
     public SnapshotPage page() {
-        return new SnapshotPage(at, resources.stream().map(StoredResource::resource).toList(), next);
+        return new SnapshotPage(
+                at, resources.stream().map(StoredResource::resource).toList(), next);
     }
 
     /** The body of the answer, as {@code ResourceCodec.readSnapshot} reads it. */
     public byte[] json() {
-        int size = 2 * JsonBytes.FRAME_OVERHEAD + resources.stream().mapToInt(JsonBytes::sizeOf).sum();
+        int size =
+                2 * JsonBytes.FRAME_OVERHEAD + resources.stream().mapToInt(JsonBytes::sizeOf).sum();
         JsonBytes json = new JsonBytes(size).position(at).text(",\"resources\":[");
         String separator = "";
         for (StoredResource resource : resources) {
--- a/control/src/main/java/ottergauge/control/log/JsonBytes.java
+++ b/control/src/main/java/ottergauge/control/log/JsonBytes.java
@@ -8,13 +8,14 @@
 import ottergauge.resources.ResourceKey;
 
 /**
- * Puts answers together from values that were encoded once. Names and identifiers of logs consist of
- * characters that JSON doesn't escape, which the checks on acceptance see to.
+ * Puts answers together from values that were encoded once. Names and identifiers of logs consist
+ * of characters that JSON doesn't escape, which the checks on acceptance see to.
  */
 final class JsonBytes {
 
     /** An upper bound of what an entry has beside its name, its service and its value. */
     static final int ENTRY_OVERHEAD = 80;
+
     /** An upper bound of what a page or a change has beside its entries. */
     static final int FRAME_OVERHEAD = 80;
 
@@ -52,7 +53,9 @@
     }
 
     JsonBytes resource(StoredResource resource) {
-        return key(resource.key()).text(",\"version\":" + resource.version()).value(resource.valueJson());
+        return key(resource.key())
+                .text(",\"version\":" + resource.version())
+                .value(resource.valueJson());
     }
 
     JsonBytes delete(Change.Delete delete) {
--- a/control/src/main/java/ottergauge/control/log/LogImage.java
+++ b/control/src/main/java/ottergauge/control/log/LogImage.java
@@ -24,8 +24,8 @@
 import ottergauge.resources.SnapshotPage;
 
 /**
- * All that a log holds at one instant. As bytes: a mark, the position, the resources and the changes as pages
- * in the JSON of the protocol, and the remembered outcomes.
+ * All that a log holds at one instant. As bytes: a mark, the position, the resources and the
+ * changes as pages in the JSON of the protocol, and the remembered outcomes.
  */
 public final class LogImage {
 
@@ -40,8 +40,11 @@
     private final List<StoredChange> changes;
     private final List<Remembered> outcomes;
 
-    LogImage(LogPosition position, List<StoredResource> resources, List<StoredChange> changes,
-             List<Remembered> outcomes) {
+    LogImage(
+            LogPosition position,
+            List<StoredResource> resources,
+            List<StoredChange> changes,
+            List<Remembered> outcomes) {
         this.position = position;
         this.resources = resources;
         this.changes = changes;
@@ -72,10 +75,16 @@
             out.writeInt(MARK);
             out.writeUTF(position.log());
             out.writeLong(position.version());
-            writePages(out, resources, JsonBytes::sizeOf, page ->
-                new EncodedSnapshot(position, page, Optional.empty()).json());
-            writePages(out, changes, JsonBytes::sizeOf, page ->
-                new EncodedChanges(position, page).json());
+            writePages(
+                    out,
+                    resources,
+                    JsonBytes::sizeOf,
+                    page -> new EncodedSnapshot(position, page, Optional.empty()).json());
+            writePages(
+                    out,
+                    changes,
+                    JsonBytes::sizeOf,
+                    page -> new EncodedChanges(position, page).json());
             out.writeInt(outcomes.size());
             for (Remembered remembered : outcomes) {
                 write(out, remembered);
@@ -86,8 +95,12 @@
         return bytes.toByteArray();
     }
 
-    private static <T> void writePages(DataOutputStream out, List<T> entries, ToIntFunction<T> sizeOf,
-                                       Function<List<T>, byte[]> encoder) throws IOException {
+    private static <T> void writePages(
+            DataOutputStream out,
+            List<T> entries,
+            ToIntFunction<T> sizeOf,
+            Function<List<T>, byte[]> encoder)
+            throws IOException {
         out.writeInt(entries.size());
         int from = 0;
         while (from < entries.size()) {
@@ -105,8 +118,9 @@
         do {
             bytes += sizeOf.applyAsInt(entries.get(to));
             to++;
-        } while (to < entries.size() && to - from < MOST_PAGE_ENTRIES
-            && bytes + sizeOf.applyAsInt(entries.get(to)) <= MOST_PAGE_BYTES);
+        } while (to < entries.size()
+                && to - from < MOST_PAGE_ENTRIES
+                && bytes + sizeOf.applyAsInt(entries.get(to)) <= MOST_PAGE_BYTES);
         return to;
     }
 
@@ -142,8 +156,9 @@
     private static LogImage read(DataInputStream in) throws IOException, ProtocolException {
         require(in.readInt() == MARK, "the image begins with another mark, or has a later form");
         LogPosition position = new LogPosition(in.readUTF(), in.readLong());
-        require(ResourceChecks.isName(position.log()) && position.version() >= 0,
-            "the image has no log and version: " + position);
+        require(
+                ResourceChecks.isName(position.log()) && position.version() >= 0,
+                "the image has no log and version: " + position);
         List<StoredResource> resources = readResources(in, position);
         List<StoredChange> changes = readChanges(in, position);
         List<Remembered> outcomes = readOutcomes(in, position);
@@ -156,11 +171,16 @@
         int entries = readCount(in, StateLimits.MOST_RESOURCES);
         while (resources.size() < entries) {
             SnapshotPage page = ResourceCodec.readSnapshot(readPage(in));
-            require(!page.resources().isEmpty() && page.unreadable().isEmpty(),
-                "the image has a resource that can't be read: " + page.unreadable());
+            require(
+                    !page.resources().isEmpty() && page.unreadable().isEmpty(),
+                    "the image has a resource that can't be read: " + page.unreadable());
             for (Resource resource : page.resources()) {
-                require(resource.version() <= position.version(), "the image has a resource of version "
-                    + resource.version() + ", after its own version " + position.version());
+                require(
+                        resource.version() <= position.version(),
+                        "the image has a resource of version "
+                                + resource.version()
+                                + ", after its own version "
+                                + position.version());
                 resources.add(stored(resource));
             }
         }
@@ -173,11 +193,13 @@
         int entries = readCount(in, (int) Math.min(Integer.MAX_VALUE, position.version()));
         while (changes.size() < entries) {
             ChangePage page = ResourceCodec.readChanges(readPage(in));
-            require(!page.changes().isEmpty() && page.unreadable().isEmpty(),
-                "the image has a change that can't be read: " + page.unreadable());
+            require(
+                    !page.changes().isEmpty() && page.unreadable().isEmpty(),
+                    "the image has a change that can't be read: " + page.unreadable());
             for (Change change : page.changes()) {
-                require(change.version() == position.version() - entries + changes.size() + 1,
-                    "the image has change " + change.version() + " in the place of another");
+                require(
+                        change.version() == position.version() - entries + changes.size() + 1,
+                        "the image has change " + change.version() + " in the place of another");
                 changes.add(stored(change));
             }
         }
@@ -190,8 +212,10 @@
     }
 
     private static StoredChange stored(Change change) {
-        List<StoredResource> puts = change.puts().stream()
-            .map(put -> stored(new Resource(put.key(), change.version(), put.value()))).toList();
+        List<StoredResource> puts =
+                change.puts().stream()
+                        .map(put -> stored(new Resource(put.key(), change.version(), put.value())))
+                        .toList();
         return new StoredChange(change.version(), puts, change.deletes());
     }
 
@@ -201,15 +225,17 @@
         int entries = readCount(in, OutcomeMemory.MOST_ACCEPTED + OutcomeMemory.MOST_REFUSED);
         for (int i = 0; i < entries; i++) {
             String id = in.readUTF();
-            Outcome outcome = in.readBoolean()
-                ? new Outcome.Accepted(new LogPosition(position.log(), in.readLong()))
-                : new Outcome.Invalid(readFaults(in));
+            Outcome outcome =
+                    in.readBoolean()
+                            ? new Outcome.Accepted(new LogPosition(position.log(), in.readLong()))
+                            : new Outcome.Invalid(readFaults(in));
             outcomes.add(new Remembered(id, outcome));
         }
         return outcomes;
     }
 
-    private static List<Fault> readFaults(DataInputStream in) throws IOException, ProtocolException {
+    private static List<Fault> readFaults(DataInputStream in)
+            throws IOException, ProtocolException {
         List<Fault> faults = new ArrayList<>();
         int entries = readCount(in, SubmissionCheck.MOST_FAULTS);
         for (int i = 0; i < entries; i++) {
@@ -219,15 +245,18 @@
     }
 
     private static byte[] readPage(DataInputStream in) throws IOException, ProtocolException {
-        byte[] page = new byte[readCount(in, Math.min(ResourceCodec.MOST_PAGE_BYTES, in.available()))];
+        byte[] page =
+                new byte[readCount(in, Math.min(ResourceCodec.MOST_PAGE_BYTES, in.available()))];
         in.readFully(page);
         return page;
     }
 
-    private static int readCount(DataInputStream in, int most) throws IOException, ProtocolException {
+    private static int readCount(DataInputStream in, int most)
+            throws IOException, ProtocolException {
         int count = in.readInt();
-        require(count >= 0 && count <= most, "the image counts " + count + " where " + most
-            + " is the most");
+        require(
+                count >= 0 && count <= most,
+                "the image counts " + count + " where " + most + " is the most");
         return count;
     }
 
--- a/control/src/main/java/ottergauge/control/log/LogLimits.java
+++ b/control/src/main/java/ottergauge/control/log/LogLimits.java
@@ -2,8 +2,9 @@
 package ottergauge.control.log;
 
 /**
- * How many of the newest changes are kept for subscribers that resume, by number and by bytes of JSON. The
- * newest change is always kept. Processes of one group may differ in it: it decides no outcome.
+ * How many of the newest changes are kept for subscribers that resume, by number and by bytes of
+ * JSON. The newest change is always kept. Processes of one group may differ in it: it decides no
+ * outcome.
  */
 public record LogLimits(int mostChanges, long mostBytes) {
 
@@ -11,7 +12,8 @@
 
     public LogLimits {
         if (mostChanges < 1 || mostBytes < 1) {
-            throw new IllegalArgumentException("limits are at least 1: " + mostChanges + ", " + mostBytes);
+            throw new IllegalArgumentException(
+                    "limits are at least 1: " + mostChanges + ", " + mostBytes);
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/log/Outcome.java
+++ b/control/src/main/java/ottergauge/control/log/Outcome.java
@@ -9,8 +9,8 @@
 public sealed interface Outcome {
 
     /** It is the change of this version. */
-    record Accepted(LogPosition position) implements Outcome { }
+    record Accepted(LogPosition position) implements Outcome {}
 
     /** Nothing of it was taken. */
-    record Invalid(List<Fault> faults) implements Outcome { }
+    record Invalid(List<Fault> faults) implements Outcome {}
 }
--- a/control/src/main/java/ottergauge/control/log/OutcomeMemory.java
+++ b/control/src/main/java/ottergauge/control/log/OutcomeMemory.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 
 /**
- * The outcomes of the last submissions, by id. Accepted and refused ones have bounds of their own, so that a
- * caller that keeps sending bad submissions can't have the accepted ones forgotten.
+ * The outcomes of the last submissions, by id. Accepted and refused ones have bounds of their own,
+ * so that a caller that keeps sending bad submissions can't have the accepted ones forgotten.
  */
 final class OutcomeMemory {
 
@@ -18,7 +18,7 @@
     static final int MOST_REFUSED = 200;
 
     /** A submission's id and what became of it. */
-    record Remembered(String id, Outcome outcome) { }
+    record Remembered(String id, Outcome outcome) {}
 
     private final Map<String, Outcome> accepted = new BoundedMap(MOST_ACCEPTED);
     private final Map<String, Outcome> refused = new BoundedMap(MOST_REFUSED);
--- a/control/src/main/java/ottergauge/control/log/RecentChanges.java
+++ b/control/src/main/java/ottergauge/control/log/RecentChanges.java
@@ -4,12 +4,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The newest changes in their order, with no gap between versions; the oldest go as new ones come. */
+/**
+ * The newest changes in their order, with no gap between versions; the oldest go as new ones come.
+ */
 final class RecentChanges {
 
     private final LogLimits limits;
-    /** A ring of slots, indexed by version: a change is found without a walk over those before it. */
+
+    /**
+     * A ring of slots, indexed by version: a change is found without a walk over those before it.
+     */
     private StoredChange[] ring = new StoredChange[64];
+
     private long newest;
     private int count;
     private long bytes;
--- a/control/src/main/java/ottergauge/control/log/ResourceState.java
+++ b/control/src/main/java/ottergauge/control/log/ResourceState.java
@@ -15,8 +15,10 @@
 final class ResourceState {
 
     private final NavigableMap<ResourceKey, StoredResource> resources = new TreeMap<>();
+
     /** How many servers and routes name a service; those that none names are absent. */
     private final Map<String, Integer> usersByService = new HashMap<>();
+
     private long bytes;
 
     /** The resource of this key; null if there is none. */
@@ -75,10 +77,13 @@
     }
 
     private void countUser(StoredResource resource, int difference) {
-        boolean uses = resource.key().kind() != ResourceKind.SERVICE && !resource.service().isEmpty();
+        boolean uses =
+                resource.key().kind() != ResourceKind.SERVICE && !resource.service().isEmpty();
         if (uses) {
-            usersByService.merge(resource.service(), difference,
-                (count, by) -> count + by == 0 ? null : count + by);
+            usersByService.merge(
+                    resource.service(),
+                    difference,
+                    (count, by) -> count + by == 0 ? null : count + by);
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/log/StoredChange.java
+++ b/control/src/main/java/ottergauge/control/log/StoredChange.java
@@ -10,11 +10,16 @@
 
     /** The part that this subscription follows; the change itself if that is all of it. */
     StoredChange followedBy(Subscription subscription) {
-        List<StoredResource> followedPuts = puts.stream()
-            .filter(put -> subscription.follows(put.key(), put.service())).toList();
-        List<Change.Delete> followedDeletes = deletes.stream()
-            .filter(delete -> subscription.follows(delete.key(), delete.service())).toList();
-        boolean whole = followedPuts.size() == puts.size() && followedDeletes.size() == deletes.size();
+        List<StoredResource> followedPuts =
+                puts.stream()
+                        .filter(put -> subscription.follows(put.key(), put.service()))
+                        .toList();
+        List<Change.Delete> followedDeletes =
+                deletes.stream()
+                        .filter(delete -> subscription.follows(delete.key(), delete.service()))
+                        .toList();
+        boolean whole =
+                followedPuts.size() == puts.size() && followedDeletes.size() == deletes.size();
         return whole ? this : new StoredChange(version, followedPuts, followedDeletes);
     }
 
@@ -23,7 +28,8 @@
     }
 
     Change change() {
-        List<Change.Put> values = puts.stream().map(put -> new Change.Put(put.key(), put.value())).toList();
+        List<Change.Put> values =
+                puts.stream().map(put -> new Change.Put(put.key(), put.value())).toList();
         return new Change(version, values, deletes);
     }
 }
--- a/control/src/main/java/ottergauge/control/log/SubmissionCheck.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionCheck.java
@@ -14,8 +14,8 @@
 import ottergauge.resources.Submission;
 
 /**
- * Says whether a submission that is well formed fits the state: by what the state would be after it, so that
- * a change may bring a service with its servers, or take away both.
+ * Says whether a submission that is well formed fits the state: by what the state would be after
+ * it, so that a change may bring a service with its servers, or take away both.
  */
 final class SubmissionCheck {
 
@@ -26,6 +26,7 @@
     private final List<Fault> faults = new ArrayList<>();
     private final Set<ResourceKey> deleted;
     private final Set<String> newServices = new HashSet<>();
+
     /** By how many the servers and routes that name a service become fewer. */
     private final Map<String, Integer> usersLost = new HashMap<>();
 
@@ -36,7 +37,8 @@
     }
 
     /** All that doesn't fit, up to a bound; empty if it may be applied. */
-    static List<Fault> faults(ResourceState state, Submission submission, List<StoredResource> puts) {
+    static List<Fault> faults(
+            ResourceState state, Submission submission, List<StoredResource> puts) {
         SubmissionCheck check = new SubmissionCheck(state, submission);
         check.countServices();
         check.checkPuts();
@@ -93,8 +95,11 @@
         if (state.get(key) == null) {
             fault(path, key.name(), "a " + key.kind().wireName() + " that exists");
         } else if (key.kind() == ResourceKind.SERVICE && usersLeft(key.name()) > 0) {
-            fault(path, key.name(), "a service that no server and no route names; this one has "
-                + usersLeft(key.name()));
+            fault(
+                    path,
+                    key.name(),
+                    "a service that no server and no route names; this one has "
+                            + usersLeft(key.name()));
         }
     }
 
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -35,9 +35,13 @@
 import picocli.CommandLine.Spec;
 
 /** Keeps a service's servers in the log like discovery's list, until it is told to stop. */
-@Command(name = "import", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Follow discovery's list and publish what changes in it, until SIGTERM. One at a time for "
-        + "a service: servers that discovery doesn't list are deleted.")
+@Command(
+        name = "import",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description =
+                "Follow discovery's list and publish what changes in it, until SIGTERM. One at a"
+                        + " time for a service: servers that discovery doesn't list are deleted.")
 final class ImportCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(ImportCommand.class);
@@ -45,37 +49,52 @@
     private static final long PAUSE_MS = 1_000;
     private static final int MOST_FAULTS_TOLD = 5;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--to", paramLabel = "ADDRESS", required = true, split = ",",
-        converter = AddressConverter.class, description = "The control processes, asked in turn.")
+    @Option(
+            names = "--to",
+            paramLabel = "ADDRESS",
+            required = true,
+            split = ",",
+            converter = AddressConverter.class,
+            description = "The control processes, asked in turn.")
     private List<Address> addresses;
 
-    @Option(names = "--service", paramLabel = "NAME", required = true,
-        description = "The service that discovery's servers belong to; made if there is none.")
+    @Option(
+            names = "--service",
+            paramLabel = "NAME",
+            required = true,
+            description = "The service that discovery's servers belong to; made if there is none.")
     private String service;
 
-    @Option(names = "--every-ms", paramLabel = "MS", defaultValue = "250",
-        description = "The least time between two changes, what comes meanwhile is put together; "
-            + "${DEFAULT-VALUE} unless given.")
+    @Option(
+            names = "--every-ms",
+            paramLabel = "MS",
+            defaultValue = "250",
+            description =
+                    "The least time between two changes, what comes meanwhile is put together; "
+                            + "${DEFAULT-VALUE} unless given.")
     private long everyMs;
 
-    @Parameters(paramLabel = "DISCOVERY", converter = AddressConverter.class,
-        description = "Discovery's address.")
+    @Parameters(
+            paramLabel = "DISCOVERY",
+            converter = AddressConverter.class,
+            description = "Discovery's address.")
     private Address discoveryAddress;
 
     private ControlClient control;
     private DiscoveryClient discovery;
     private ServiceReconciler reconciler;
+
     /** Up to where the log is known; empty if its state has to be taken anew. */
     private Optional<LogPosition> known = Optional.empty();
 
     @Override
     public Integer call() throws InterruptedException {
         if (!ResourceChecks.isName(service)) {
-            throw new ParameterException(spec.commandLine(),
-                "--service is " + ResourceChecks.NAME_FORM + ", not '" + service + "'");
+            throw new ParameterException(
+                    spec.commandLine(),
+                    "--service is " + ResourceChecks.NAME_FORM + ", not '" + service + "'");
         }
         control = new ControlClient(addresses);
         discovery = new DiscoveryClient(discoveryAddress);
@@ -147,15 +166,18 @@
         PublishResult result = control.publish(ResourceCodec.write(submission), PUBLISH_WITHIN);
         if (result instanceof PublishResult.Accepted accepted) {
             reconciler.accepted(submission);
-            LOG.info("version {}: {} put, {} deleted", accepted.position().version(),
-                submission.puts().size(), submission.deletes().size());
+            LOG.info(
+                    "version {}: {} put, {} deleted",
+                    accepted.position().version(),
+                    submission.puts().size(),
+                    submission.deletes().size());
         } else if (result instanceof PublishResult.Refused refused) {
             tell(refused.faults());
             reconciler.refuse(submission, refused.faults());
         } else if (result instanceof PublishResult.Unknown unknown) {
             known = Optional.empty();
-            throw new CallFailedException("a change is not known to be accepted, the log is read anew: "
-                + unknown.why());
+            throw new CallFailedException(
+                    "a change is not known to be accepted, the log is read anew: " + unknown.why());
         }
     }
 
--- a/control/src/main/java/ottergauge/control/program/LagTable.java
+++ b/control/src/main/java/ottergauge/control/program/LagTable.java
@@ -12,17 +12,26 @@
 import ottergauge.control.client.ProcessStatus.NodeStatus;
 import ottergauge.resources.LogPosition;
 
-/** Who has which version in force, and by how much each is behind the newest one that any process has. */
+/**
+ * Who has which version in force, and by how much each is behind the newest one that any process
+ * has.
+ */
 final class LagTable {
 
     /** Of one that goes by another log, or by none. */
     private static final long ANOTHER_LOG = Long.MAX_VALUE;
+
     private static final String FORMAT = "%-24s %-12s %-10s %12s %10s %10s %10s%n";
     private static final long MS_PER_S = 1_000;
 
     /** A process or a node. */
-    private record Row(String name, String region, String process, LogPosition inForce, long refused,
-                       String heard) { }
+    private record Row(
+            String name,
+            String region,
+            String process,
+            LogPosition inForce,
+            long refused,
+            String heard) {}
 
     private final LogPosition newest;
     private final List<Row> rows;
@@ -37,7 +46,8 @@
         Map<String, NodeStatus> nodes = new TreeMap<>();
         Map<String, String> heardBy = new HashMap<>();
         for (ProcessStatus process : processes) {
-            rows.add(new Row(process.name(), "control", process.role(), process.position(), 0, "-"));
+            rows.add(
+                    new Row(process.name(), "control", process.role(), process.position(), 0, "-"));
             for (NodeStatus node : process.nodes()) {
                 NodeStatus before = nodes.get(node.name());
                 if (before == null || node.heardMs() < before.heardMs()) {
@@ -46,8 +56,17 @@
                 }
             }
         }
-        nodes.values().forEach(node -> rows.add(new Row(node.name(), node.region(),
-            heardBy.get(node.name()), node.inForce(), node.refused(), heard(node.heardMs()))));
+        nodes.values()
+                .forEach(
+                        node ->
+                                rows.add(
+                                        new Row(
+                                                node.name(),
+                                                node.region(),
+                                                heardBy.get(node.name()),
+                                                node.inForce(),
+                                                node.refused(),
+                                                heard(node.heardMs()))));
         return new LagTable(newest(processes), rows);
     }
 
@@ -55,18 +74,24 @@
         return ms < MS_PER_S ? ms + " ms" : ms / MS_PER_S + " s";
     }
 
-    // Several logs are a fault that has to be seen: that of most processes counts, then the larger version.
+    // Several logs are a fault that has to be seen: that of most processes counts, then the larger
+    // version.
     private static LogPosition newest(List<ProcessStatus> processes) {
         Map<String, Long> processesByLog = new HashMap<>();
         processes.forEach(process -> processesByLog.merge(process.position().log(), 1L, Long::sum));
-        return processes.stream().map(ProcessStatus::position)
-            .max(Comparator.comparing((LogPosition at) -> processesByLog.get(at.log()))
-                .thenComparing(LogPosition::version).thenComparing(LogPosition::log)).orElseThrow();
+        return processes.stream()
+                .map(ProcessStatus::position)
+                .max(
+                        Comparator.comparing((LogPosition at) -> processesByLog.get(at.log()))
+                                .thenComparing(LogPosition::version)
+                                .thenComparing(LogPosition::log))
+                .orElseThrow();
     }
 
     private long behind(Row row) {
         return row.inForce().log().equals(newest.log())
-            ? Math.max(0, newest.version() - row.inForce().version()) : ANOTHER_LOG;
+                ? Math.max(0, newest.version() - row.inForce().version())
+                : ANOTHER_LOG;
     }
 
     /** The largest lag of all. */
@@ -78,12 +103,19 @@
         out.printf(FORMAT, "name", "region", "process", "in force", "behind", "refused", "heard");
         for (Row row : rows) {
             long behind = behind(row);
-            out.printf(FORMAT, row.name(), row.region(), row.process(), row.inForce().version(),
-                behind == ANOTHER_LOG ? "other log" : behind, row.refused() == 0 ? "-" : row.refused(),
-                row.heard());
+            out.printf(
+                    FORMAT,
+                    row.name(),
+                    row.region(),
+                    row.process(),
+                    row.inForce().version(),
+                    behind == ANOTHER_LOG ? "other log" : behind,
+                    row.refused() == 0 ? "-" : row.refused(),
+                    row.heard());
         }
         long current = rows.stream().filter(row -> behind(row) == 0).count();
-        out.printf("log %s, version %d: %d of %d have it in force%n", newest.log(), newest.version(), current,
-            rows.size());
+        out.printf(
+                "log %s, version %d: %d of %d have it in force%n",
+                newest.log(), newest.version(), current, rows.size());
     }
 }
--- a/control/src/main/java/ottergauge/control/program/Main.java
+++ b/control/src/main/java/ottergauge/control/program/Main.java
@@ -8,13 +8,21 @@
 import picocli.CommandLine.Spec;
 
 /** The command line: runs a control process, and speaks to those that run. */
-@Command(name = "ottergauge-control", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Accepts changes of the state that all nodes share and tells them to the nodes.",
-    subcommands = {ServeCommand.class, PublishCommand.class, StatusCommand.class, ImportCommand.class})
+@Command(
+        name = "ottergauge-control",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description =
+                "Accepts changes of the state that all nodes share and tells them to the nodes.",
+        subcommands = {
+            ServeCommand.class,
+            PublishCommand.class,
+            StatusCommand.class,
+            ImportCommand.class
+        })
 public final class Main implements Runnable {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     public static void main(String[] args) {
         System.exit(new CommandLine(new Main()).execute(args));
@@ -30,7 +38,9 @@
         @Override
         public String[] getVersion() {
             String version = Main.class.getPackage().getImplementationVersion();
-            return new String[] {"ottergauge-control " + (version == null ? "(unpackaged)" : version)};
+            return new String[] {
+                "ottergauge-control " + (version == null ? "(unpackaged)" : version)
+            };
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/program/PublishCommand.java
+++ b/control/src/main/java/ottergauge/control/program/PublishCommand.java
@@ -18,25 +18,42 @@
 import picocli.CommandLine.Spec;
 
 /** Publishes what a file says. */
-@Command(name = "publish", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Publish a change: the file is a submission as docs/control.md has it, with or without id.",
-    exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {" 0:accepted, can't be lost any more", " 1:refused, or not known to be accepted",
-        " 2:wrong usage"})
+@Command(
+        name = "publish",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description =
+                "Publish a change: the file is a submission as docs/control.md has it, with or"
+                        + " without id.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            " 0:accepted, can't be lost any more",
+            " 1:refused, or not known to be accepted",
+            " 2:wrong usage"
+        })
 final class PublishCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--to", paramLabel = "ADDRESS", required = true, split = ",",
-        converter = AddressConverter.class, description = "The control processes, asked in turn.")
+    @Option(
+            names = "--to",
+            paramLabel = "ADDRESS",
+            required = true,
+            split = ",",
+            converter = AddressConverter.class,
+            description = "The control processes, asked in turn.")
     private List<Address> addresses;
 
-    @Option(names = "--within-ms", paramLabel = "MS", defaultValue = "30000",
-        description = "How long to try; ${DEFAULT-VALUE} unless given.")
+    @Option(
+            names = "--within-ms",
+            paramLabel = "MS",
+            defaultValue = "30000",
+            description = "How long to try; ${DEFAULT-VALUE} unless given.")
     private long withinMs;
 
-    @Option(names = "--split", description = "Publish a file that is too large for one change as several.")
+    @Option(
+            names = "--split",
+            description = "Publish a file that is too large for one change as several.")
     private boolean split;
 
     @Parameters(paramLabel = "FILE", description = "What is to be changed, as JSON.")
@@ -64,15 +81,23 @@
     private boolean tell(Part part, PublishResult result) {
         PrintWriter err = spec.commandLine().getErr();
         if (result instanceof PublishResult.Accepted accepted) {
-            spec.commandLine().getOut().println(part.id() + ": version " + accepted.position().version()
-                + " of log " + accepted.position().log());
+            spec.commandLine()
+                    .getOut()
+                    .println(
+                            part.id()
+                                    + ": version "
+                                    + accepted.position().version()
+                                    + " of log "
+                                    + accepted.position().log());
             return true;
         }
         if (result instanceof PublishResult.Refused refused) {
             refused.faults().forEach(fault -> err.println(part.id() + " is refused: " + fault));
         } else if (result instanceof PublishResult.Unknown unknown) {
-            err.println(part.id() + " is not known to be accepted, publish it again under this id: "
-                + unknown.why());
+            err.println(
+                    part.id()
+                            + " is not known to be accepted, publish it again under this id: "
+                            + unknown.why());
         }
         return false;
     }
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -19,16 +19,22 @@
 import picocli.CommandLine.Option;
 
 /** Runs one control process until it is told to stop. */
-@Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Run one control process, until SIGTERM.",
-    exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {" 1:bad configuration, or the address is taken", " 2:wrong usage"})
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description = "Run one control process, until SIGTERM.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {" 1:bad configuration, or the address is taken", " 2:wrong usage"})
 final class ServeCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
 
-    @Option(names = "--config", paramLabel = "FILE", required = true,
-        description = "The process' configuration, as JSON.")
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            required = true,
+            description = "The process' configuration, as JSON.")
     private Path configFile;
 
     @Override
@@ -55,10 +61,12 @@
         CountDownLatch failed = new CountDownLatch(1);
         Thread stop = new Thread(() -> stop(config, server, consensus), "stop");
         Runtime.getRuntime().addShutdownHook(stop);
-        server.start().onFailure(e -> {
-            LOG.error("cannot listen on {}: {}", config.listen(), e.getMessage());
-            failed.countDown();
-        });
+        server.start()
+                .onFailure(
+                        e -> {
+                            LOG.error("cannot listen on {}: {}", config.listen(), e.getMessage());
+                            failed.countDown();
+                        });
         failed.await();
         Runtime.getRuntime().removeShutdownHook(stop);
         consensus.close();
--- a/control/src/main/java/ottergauge/control/program/StatusCommand.java
+++ b/control/src/main/java/ottergauge/control/program/StatusCommand.java
@@ -15,22 +15,37 @@
 import picocli.CommandLine.Spec;
 
 /** Shows which node has which version in force. */
-@Command(name = "status", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Show the control processes, and which node has which version in force.",
-    exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {" 0:nobody lags by more than is allowed",
-        " 1:somebody does, or no process could be reached", " 2:wrong usage"})
+@Command(
+        name = "status",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description = "Show the control processes, and which node has which version in force.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            " 0:nobody lags by more than is allowed",
+            " 1:somebody does, or no process could be reached",
+            " 2:wrong usage"
+        })
 final class StatusCommand implements Callable<Integer> {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--to", paramLabel = "ADDRESS", required = true, split = ",",
-        converter = AddressConverter.class, description = "The control processes, all of which are asked.")
+    @Option(
+            names = "--to",
+            paramLabel = "ADDRESS",
+            required = true,
+            split = ",",
+            converter = AddressConverter.class,
+            description = "The control processes, all of which are asked.")
     private List<Address> addresses;
 
-    @Option(names = "--most-behind", paramLabel = "VERSIONS", defaultValue = "0",
-        description = "By how many versions a node or a process may lag; ${DEFAULT-VALUE} unless given.")
+    @Option(
+            names = "--most-behind",
+            paramLabel = "VERSIONS",
+            defaultValue = "0",
+            description =
+                    "By how many versions a node or a process may lag; ${DEFAULT-VALUE} unless"
+                            + " given.")
     private long mostBehind;
 
     @Override
--- a/control/src/main/java/ottergauge/control/program/SubmissionFile.java
+++ b/control/src/main/java/ottergauge/control/program/SubmissionFile.java
@@ -15,20 +15,21 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * A file with what is to be changed, in the JSON of a submission. Without an id it gets one of its own. It
- * may be split into several submissions, each of which is a change for itself.
+ * A file with what is to be changed, in the JSON of a submission. Without an id it gets one of its
+ * own. It may be split into several submissions, each of which is a change for itself.
  */
 final class SubmissionFile {
 
     /** Of a submission that a file is split into: well within the bounds of one. */
     static final int MOST_ENTRIES = 500;
+
     static final int MOST_BYTES = 192 * 1024;
 
     private static final JsonFactory JSON = new JsonFactory();
     private static final String SERVICE = "service";
 
     /** A submission as it is sent. */
-    record Part(String id, byte[] body) { }
+    record Part(String id, byte[] body) {}
 
     private final String id;
     private final List<?> puts;
@@ -43,7 +44,8 @@
     static SubmissionFile read(Path file) throws IOException {
         Map<String, Object> tree = JsonTree.read(Files.readAllBytes(file));
         Object id = tree.getOrDefault("id", UUID.randomUUID().toString());
-        return new SubmissionFile(String.valueOf(id), entries(tree, "put"), entries(tree, "delete"));
+        return new SubmissionFile(
+                String.valueOf(id), entries(tree, "put"), entries(tree, "delete"));
     }
 
     private static List<?> entries(Map<String, Object> tree, String key) throws IOException {
@@ -60,8 +62,8 @@
     }
 
     /**
-     * As many submissions as are needed: services are put before what names them and deleted after it. Their
-     * ids follow from the file's, so that the same file again changes nothing twice.
+     * As many submissions as are needed: services are put before what names them and deleted after
+     * it. Their ids follow from the file's, so that the same file again changes nothing twice.
      */
     List<Part> split() throws IOException {
         List<Part> parts = new ArrayList<>();
@@ -100,15 +102,18 @@
     }
 
     private static Part part(String id, List<?> puts, List<?> deletes) throws IOException {
-        return new Part(id, write(out -> {
-            out.writeStartObject();
-            out.writeStringField("id", id);
-            out.writeFieldName("put");
-            JsonTree.write(out, puts);
-            out.writeFieldName("delete");
-            JsonTree.write(out, deletes);
-            out.writeEndObject();
-        }));
+        return new Part(
+                id,
+                write(
+                        out -> {
+                            out.writeStartObject();
+                            out.writeStringField("id", id);
+                            out.writeFieldName("put");
+                            JsonTree.write(out, puts);
+                            out.writeFieldName("delete");
+                            JsonTree.write(out, deletes);
+                            out.writeEndObject();
+                        }));
     }
 
     private interface Writer {
--- a/control/src/main/java/ottergauge/control/server/CallBody.java
+++ b/control/src/main/java/ottergauge/control/server/CallBody.java
@@ -15,8 +15,7 @@
     private final Buffer body = Buffer.buffer();
     private boolean refused;
 
-    private CallBody() {
-    }
+    private CallBody() {}
 
     /** Refuses a call that has a body where none is wanted. */
     static void refuseAny(HttpServerRequest request) throws CallException {
@@ -28,16 +27,18 @@
     }
 
     /** Reads a body; the first handler gets it whole, the second hears if it is too long. */
-    static void read(HttpServerRequest request, Consumer<Buffer> whole, Consumer<CallException> refuse)
+    static void read(
+            HttpServerRequest request, Consumer<Buffer> whole, Consumer<CallException> refuse)
             throws CallException {
         checkLength(request.getHeader(HttpHeaders.CONTENT_LENGTH));
         CallBody reading = new CallBody();
         request.handler(part -> reading.take(part, refuse));
-        request.endHandler(end -> {
-            if (!reading.refused) {
-                whole.accept(reading.body);
-            }
-        });
+        request.endHandler(
+                end -> {
+                    if (!reading.refused) {
+                        whole.accept(reading.body);
+                    }
+                });
     }
 
     private static void checkLength(String length) throws CallException {
@@ -57,6 +58,7 @@
     }
 
     private static CallException tooLong() {
-        return new CallException(Status.TOO_LARGE, "a submission has " + MOST_BYTES + " bytes at most");
+        return new CallException(
+                Status.TOO_LARGE, "a submission has " + MOST_BYTES + " bytes at most");
     }
 }
--- a/control/src/main/java/ottergauge/control/server/ChangesCall.java
+++ b/control/src/main/java/ottergauge/control/server/ChangesCall.java
@@ -6,5 +6,9 @@
 import ottergauge.resources.Subscription;
 
 /** A call for changes: answered as soon as there are any, and after {@code waitMs} in any case. */
-record ChangesCall(LogPosition after, long waitMs, int mostBytes, Subscription subscription,
-                   Optional<NodeReport> report) { }
+record ChangesCall(
+        LogPosition after,
+        long waitMs,
+        int mostBytes,
+        Subscription subscription,
+        Optional<NodeReport> report) {}
--- a/control/src/main/java/ottergauge/control/server/Connections.java
+++ b/control/src/main/java/ottergauge/control/server/Connections.java
@@ -11,9 +11,13 @@
 final class Connections {
 
     /** What a connection waits for. */
-    private enum Phase { CALL, ANSWER, READER }
+    private enum Phase {
+        CALL,
+        ANSWER,
+        READER
+    }
 
-    private record Activity(Phase phase, long sinceMs) { }
+    private record Activity(Phase phase, long sinceMs) {}
 
     private final int most;
     private final long idleMs;
@@ -61,13 +65,19 @@
 
     /** Closes those that have been quiet, and those whose client doesn't read, for too long. */
     void closeOverdue(long nowMs) {
-        List<HttpConnection> overdue = open.entrySet().stream()
-            .filter(each -> nowMs - each.getValue().sinceMs() > allowedMs(each.getValue().phase()))
-            .map(Map.Entry::getKey).toList();
+        List<HttpConnection> overdue =
+                open.entrySet().stream()
+                        .filter(
+                                each ->
+                                        nowMs - each.getValue().sinceMs()
+                                                > allowedMs(each.getValue().phase()))
+                        .map(Map.Entry::getKey)
+                        .toList();
         overdue.forEach(Connections::close);
     }
 
-    // The library's own close waits until all that was written is read, which a client may never do.
+    // The library's own close waits until all that was written is read, which a client may never
+    // do.
     private static void close(HttpConnection connection) {
         ((ConnectionBase) connection).channelHandlerContext().close();
     }
--- a/control/src/main/java/ottergauge/control/server/ControlServer.java
+++ b/control/src/main/java/ottergauge/control/server/ControlServer.java
@@ -24,8 +24,8 @@
 import ottergauge.control.consensus.SharedLog;
 
 /**
- * The HTTP server of a control process. One event loop owns all of its state; changes are applied by the
- * consensus' thread, which wakes the calls that wait for them.
+ * The HTTP server of a control process. One event loop owns all of its state; changes are applied
+ * by the consensus' thread, which wakes the calls that wait for them.
  */
 public final class ControlServer {
 
@@ -38,8 +38,10 @@
     private static final int MOST_LINE_BYTES = 64 * 1024;
     private static final int MOST_HEADER_BYTES = 16 * 1024;
     private static final int BACKLOG = 1_024;
+
     /** Of one connection: what a client doesn't read is held by the system, up to this. */
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
+
     private static final long SWEEP_EVERY_MS = 1_000;
     private static final long STOP_WITHIN_MS = 3_000;
     private static final long STOP_LOOK_EVERY_MS = 10;
@@ -66,16 +68,24 @@
         this.consensus = consensus;
         // Addresses are numbers: nothing is asked of DNS. No files: nothing is served from any.
         System.setProperty("vertx.disableDnsResolver", "true");
-        vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-            .setInternalBlockingPoolSize(1).setFileSystemOptions(new FileSystemOptions()
-                .setClassPathResolvingEnabled(false).setFileCachingEnabled(false)));
+        vertx =
+                Vertx.vertx(
+                        new VertxOptions()
+                                .setEventLoopPoolSize(1)
+                                .setWorkerPoolSize(1)
+                                .setInternalBlockingPoolSize(1)
+                                .setFileSystemOptions(
+                                        new FileSystemOptions()
+                                                .setClassPathResolvingEnabled(false)
+                                                .setFileCachingEnabled(false)));
         context = vertx.getOrCreateContext();
         ServerLimits limits = config.serverLimits();
         Timers timers = new VertxTimers(vertx);
         connections = new Connections(limits.connections(), limits.idleMs(), limits.slowReaderMs());
         polls = new WaitingPolls(log, timers, limits.waitingPolls());
-        snapshots = new SnapshotQueue(log, timers, ControlServer::nowMicros,
-            limits.snapshotBytesPerSecond());
+        snapshots =
+                new SnapshotQueue(
+                        log, timers, ControlServer::nowMicros, limits.snapshotBytesPerSecond());
         publishing = new Publishing(consensus, context, warnings);
     }
 
@@ -90,24 +100,38 @@
     /** Listens; the future says whether the address could be had. */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
-        context.runOnContext(run -> {
-            log.onChange(this::wake);
-            vertx.setPeriodic(SWEEP_EVERY_MS, sweep -> connections.closeOverdue(nowMs()));
-            server = vertx.createHttpServer(options())
-                .connectionHandler(connection -> connections.opened(connection, nowMs()))
-                .invalidRequestHandler(this::refuseMalformed)
-                .exceptionHandler(e -> LOG.debug("a connection failed", e))
-                .requestHandler(this::handle);
-            server.listen().<Void>mapEmpty().onSuccess(listening ->
-                LOG.info("{} listens on {}", config.name(), config.listen())).onComplete(started);
-        });
+        context.runOnContext(
+                run -> {
+                    log.onChange(this::wake);
+                    vertx.setPeriodic(SWEEP_EVERY_MS, sweep -> connections.closeOverdue(nowMs()));
+                    server =
+                            vertx.createHttpServer(options())
+                                    .connectionHandler(
+                                            connection -> connections.opened(connection, nowMs()))
+                                    .invalidRequestHandler(this::refuseMalformed)
+                                    .exceptionHandler(e -> LOG.debug("a connection failed", e))
+                                    .requestHandler(this::handle);
+                    server.listen()
+                            .<Void>mapEmpty()
+                            .onSuccess(
+                                    listening ->
+                                            LOG.info(
+                                                    "{} listens on {}",
+                                                    config.name(),
+                                                    config.listen()))
+                            .onComplete(started);
+                });
         return started.future();
     }
 
     private HttpServerOptions options() {
-        HttpServerOptions options = new HttpServerOptions().setHost(config.listen().host())
-            .setPort(config.listen().port()).setHttp2ClearTextEnabled(false)
-            .setMaxInitialLineLength(MOST_LINE_BYTES).setMaxHeaderSize(MOST_HEADER_BYTES);
+        HttpServerOptions options =
+                new HttpServerOptions()
+                        .setHost(config.listen().host())
+                        .setPort(config.listen().port())
+                        .setHttp2ClearTextEnabled(false)
+                        .setMaxInitialLineLength(MOST_LINE_BYTES)
+                        .setMaxHeaderSize(MOST_HEADER_BYTES);
         options.setAcceptBacklog(BACKLOG).setTcpNoDelay(true).setSendBufferSize(SEND_BUFFER_BYTES);
         return options;
     }
@@ -115,19 +139,28 @@
     // Called by the thread that applied a change: several changes at once wake the calls once.
     private void wake() {
         if (wakes.compareAndSet(false, true)) {
-            context.runOnContext(run -> {
-                wakes.set(false);
-                polls.wake();
-            });
+            context.runOnContext(
+                    run -> {
+                        wakes.set(false);
+                        polls.wake();
+                    });
         }
     }
 
     private void refuseMalformed(HttpServerRequest request) {
         Throwable cause = request.decoderResult().cause();
-        int status = cause instanceof TooLongHttpLineException ? Status.URI_TOO_LONG
-            : cause instanceof TooLongHttpHeaderException ? Status.HEADERS_TOO_LARGE : Status.BAD_REQUEST;
-        refuse(exchange(request), new CallException(status, "no request that can be read: "
-            + (cause == null ? "" : cause.getClass().getSimpleName())));
+        int status =
+                cause instanceof TooLongHttpLineException
+                        ? Status.URI_TOO_LONG
+                        : cause instanceof TooLongHttpHeaderException
+                                ? Status.HEADERS_TOO_LARGE
+                                : Status.BAD_REQUEST;
+        refuse(
+                exchange(request),
+                new CallException(
+                        status,
+                        "no request that can be read: "
+                                + (cause == null ? "" : cause.getClass().getSimpleName())));
     }
 
     private Exchange exchange(HttpServerRequest request) {
@@ -136,8 +169,11 @@
     }
 
     private void refuse(Exchange exchange, CallException why) {
-        warnings.warn("a call from " + exchange.request().remoteAddress() + " is refused: "
-            + why.getMessage());
+        warnings.warn(
+                "a call from "
+                        + exchange.request().remoteAddress()
+                        + " is refused: "
+                        + why.getMessage());
         exchange.closing().answer(why.status(), ErrorJson.of(why.getMessage()));
     }
 
@@ -210,12 +246,21 @@
     private void status(Exchange exchange) {
         long oldest = log.position().isEmpty() ? 0 : log.oldest();
         long now = nowMs();
-        exchange.answer(Status.OK, StatusJson.of(config.name(), consensus.role(), consensus.leader(),
-            log.position(), oldest, nodes.lately(now), now));
+        exchange.answer(
+                Status.OK,
+                StatusJson.of(
+                        config.name(),
+                        consensus.role(),
+                        consensus.leader(),
+                        log.position(),
+                        oldest,
+                        nodes.lately(now),
+                        now));
     }
 
     private void publish(Exchange exchange) throws CallException {
-        CallBody.read(exchange.request(), body -> submit(exchange, body), why -> refuse(exchange, why));
+        CallBody.read(
+                exchange.request(), body -> submit(exchange, body), why -> refuse(exchange, why));
     }
 
     private void submit(Exchange exchange, Buffer body) {
@@ -230,12 +275,13 @@
     /** Answers what waits and ends, within a bounded time. */
     public Future<Void> stop() {
         Promise<Void> stopped = Promise.promise();
-        context.runOnContext(run -> {
-            stopping = true;
-            polls.stop();
-            snapshots.stop();
-            awaitSubmissions(nowMs() + STOP_WITHIN_MS, stopped);
-        });
+        context.runOnContext(
+                run -> {
+                    stopping = true;
+                    polls.stop();
+                    snapshots.stop();
+                    awaitSubmissions(nowMs() + STOP_WITHIN_MS, stopped);
+                });
         return stopped.future();
     }
 
@@ -244,8 +290,10 @@
             vertx.setTimer(STOP_LOOK_EVERY_MS, look -> awaitSubmissions(untilMs, stopped));
             return;
         }
-        Future<Void> closed = server == null ? Future.succeededFuture()
-            : server.shutdown(STOP_WITHIN_MS, TimeUnit.MILLISECONDS);
+        Future<Void> closed =
+                server == null
+                        ? Future.succeededFuture()
+                        : server.shutdown(STOP_WITHIN_MS, TimeUnit.MILLISECONDS);
         closed.onComplete(done -> vertx.close().onComplete(stopped));
     }
 }
--- a/control/src/main/java/ottergauge/control/server/ErrorJson.java
+++ b/control/src/main/java/ottergauge/control/server/ErrorJson.java
@@ -12,19 +12,22 @@
 
     /** A submission isn't accepted, or isn't known to be. */
     static final String NO_QUORUM = "no_quorum";
+
     /** This process hasn't reached the version that the caller has. */
     static final String BEHIND = "behind";
+
     /** This process has no log yet. */
     static final String STARTING = "starting";
+
     /** This process ends. */
     static final String STOPPING = "stopping";
+
     /** There is no room for another call of this kind. */
     static final String BUSY = "busy";
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private ErrorJson() {
-    }
+    private ErrorJson() {}
 
     static byte[] of(String error) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/control/src/main/java/ottergauge/control/server/Exchange.java
+++ b/control/src/main/java/ottergauge/control/server/Exchange.java
@@ -37,11 +37,12 @@
 
     @Override
     public void onGone(Runnable handler) {
-        response.closeHandler(closed -> {
-            if (!response.ended()) {
-                handler.run();
-            }
-        });
+        response.closeHandler(
+                closed -> {
+                    if (!response.ended()) {
+                        handler.run();
+                    }
+                });
     }
 
     @Override
@@ -63,11 +64,13 @@
             response.putHeader(HttpHeaders.CONNECTION, HttpHeaders.CLOSE);
         }
         connections.answered(request.connection(), clockMs.getAsLong());
-        response.end(Buffer.buffer(json)).onComplete(written -> {
-            connections.written(request.connection(), clockMs.getAsLong());
-            if (lastOnConnection) {
-                request.connection().close();
-            }
-        });
+        response.end(Buffer.buffer(json))
+                .onComplete(
+                        written -> {
+                            connections.written(request.connection(), clockMs.getAsLong());
+                            if (lastOnConnection) {
+                                request.connection().close();
+                            }
+                        });
     }
 }
--- a/control/src/main/java/ottergauge/control/server/NodeTable.java
+++ b/control/src/main/java/ottergauge/control/server/NodeTable.java
@@ -6,14 +6,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** The nodes that were heard lately, with what they told last; the one not heard for longest goes first. */
+/**
+ * The nodes that were heard lately, with what they told last; the one not heard for longest goes
+ * first.
+ */
 final class NodeTable {
 
     static final int MOST_NODES = 4_096;
     static final long FORGOTTEN_AFTER_MS = 600_000;
 
     /** A node's report, and when it came. */
-    record Heard(NodeReport report, long atMs) { }
+    record Heard(NodeReport report, long atMs) {}
 
     /** By name, in the order in which they were heard. */
     private final Map<String, Heard> nodes = new LinkedHashMap<>();
