--- a/control/src/main/java/ottergauge/control/server/Parameters.java
+++ b/control/src/main/java/ottergauge/control/server/Parameters.java
@@ -18,8 +18,10 @@
 
     static final long MOST_WAIT_MS = 10_000;
     static final int DEFAULT_PAGE_BYTES = 65_536;
+
     /** With one change at least, however long, a page stays within what a node reads. */
     static final int MOST_PAGE_BYTES = 512 * 1024;
+
     static final int MOST_SERVICES = 1_000;
 
     // The largest whole number that a JSON number tells exactly.
@@ -36,22 +38,32 @@
         Parameters parameters = of(request);
         String log = parameters.name("log").orElseThrow(() -> missing("log"));
         LogPosition after = new LogPosition(log, parameters.whole("after", 0, MOST_VERSION, null));
-        return new ChangesCall(after, parameters.whole("wait_ms", 0, MOST_WAIT_MS, 0L),
-            parameters.pageBytes(), parameters.subscription(), parameters.report(log));
+        return new ChangesCall(
+                after,
+                parameters.whole("wait_ms", 0, MOST_WAIT_MS, 0L),
+                parameters.pageBytes(),
+                parameters.subscription(),
+                parameters.report(log));
     }
 
     static SnapshotCall snapshot(HttpServerRequest request) throws CallException {
         Parameters parameters = of(request);
-        return new SnapshotCall(parameters.name("log"), parameters.key("from"), parameters.pageBytes(),
-            parameters.subscription());
+        return new SnapshotCall(
+                parameters.name("log"),
+                parameters.key("from"),
+                parameters.pageBytes(),
+                parameters.subscription());
     }
 
     private static Parameters of(HttpServerRequest request) throws CallException {
         try {
             return new Parameters(request.params());
         } catch (IllegalArgumentException e) {
-            throw new CallException(Status.BAD_REQUEST, "the query can't be decoded: "
-                + new Fault("it", String.valueOf(e.getMessage()), "percent-encoded").value());
+            throw new CallException(
+                    Status.BAD_REQUEST,
+                    "the query can't be decoded: "
+                            + new Fault("it", String.valueOf(e.getMessage()), "percent-encoded")
+                                    .value());
         }
     }
 
@@ -60,8 +72,13 @@
         if (node.isEmpty()) {
             return Optional.empty();
         }
-        return Optional.of(new NodeReport(node.get(), name("region").orElse(""), log,
-            whole("in_force", 0, MOST_VERSION, 0L), whole("refused", 0, MOST_VERSION, 0L)));
+        return Optional.of(
+                new NodeReport(
+                        node.get(),
+                        name("region").orElse(""),
+                        log,
+                        whole("in_force", 0, MOST_VERSION, 0L),
+                        whole("refused", 0, MOST_VERSION, 0L)));
     }
 
     private int pageBytes() throws CallException {
@@ -79,8 +96,10 @@
         }
         for (String name : names) {
             if (!ResourceChecks.isName(name)) {
-                throw bad("services", name, "names with commas between them, each "
-                    + ResourceChecks.NAME_FORM);
+                throw bad(
+                        "services",
+                        name,
+                        "names with commas between them, each " + ResourceChecks.NAME_FORM);
             }
         }
         return new Subscription(Set.copyOf(names), name("settings").orElse(DEFAULT_SETTINGS));
@@ -102,8 +121,8 @@
         if (value == null || value.isEmpty()) {
             return Optional.empty();
         }
-        Optional<ResourceKey> key = ResourceKey.ofPath(value)
-            .filter(each -> ResourceChecks.isName(each.name()));
+        Optional<ResourceKey> key =
+                ResourceKey.ofPath(value).filter(each -> ResourceChecks.isName(each.name()));
         if (key.isEmpty()) {
             throw bad(parameter, value, "a kind, / and a name");
         }
--- a/control/src/main/java/ottergauge/control/server/Publishing.java
+++ b/control/src/main/java/ottergauge/control/server/Publishing.java
@@ -50,11 +50,16 @@
             return;
         }
         open++;
-        consensus.propose(submission).whenComplete((outcome, failure) ->
-            context.runOnContext(run -> decided(exchange, submission, outcome, failure)));
+        consensus
+                .propose(submission)
+                .whenComplete(
+                        (outcome, failure) ->
+                                context.runOnContext(
+                                        run -> decided(exchange, submission, outcome, failure)));
     }
 
-    private void decided(Exchange exchange, Submission submission, Outcome outcome, Throwable failure) {
+    private void decided(
+            Exchange exchange, Submission submission, Outcome outcome, Throwable failure) {
         open--;
         if (failure != null) {
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
@@ -70,6 +75,7 @@
     }
 
     private void warn(Exchange exchange, String why) {
-        warnings.warn("a submission from " + exchange.request().remoteAddress() + " is refused: " + why);
+        warnings.warn(
+                "a submission from " + exchange.request().remoteAddress() + " is refused: " + why);
     }
 }
--- a/control/src/main/java/ottergauge/control/server/Responder.java
+++ b/control/src/main/java/ottergauge/control/server/Responder.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-/** Takes the answer to one call; what comes after the first answer, or after the client left, is dropped. */
+/**
+ * Takes the answer to one call; what comes after the first answer, or after the client left, is
+ * dropped.
+ */
 interface Responder {
 
     void answer(int status, byte[] json);
--- a/control/src/main/java/ottergauge/control/server/SnapshotCall.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotCall.java
@@ -6,5 +6,8 @@
 import ottergauge.resources.Subscription;
 
 /** A call for a page of the state; {@code log} is the log that the pages before it are of. */
-record SnapshotCall(Optional<String> log, Optional<ResourceKey> from, int mostBytes,
-                    Subscription subscription) { }
+record SnapshotCall(
+        Optional<String> log,
+        Optional<ResourceKey> from,
+        int mostBytes,
+        Subscription subscription) {}
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -11,17 +11,19 @@
 import ottergauge.resources.TooOld;
 
 /**
- * Writes pages of snapshots at a rate for all callers together, in the order in which they called. A page is
- * made when its turn comes. There is one call a connection, so that the connections bound the queue.
+ * Writes pages of snapshots at a rate for all callers together, in the order in which they called.
+ * A page is made when its turn comes. There is one call a connection, so that the connections bound
+ * the queue.
  */
 final class SnapshotQueue {
 
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MS = 1_000;
+
     /** What the timers are late by is caught up with, up to this. */
     private static final long MOST_CATCH_UP_MICROS = 20_000;
 
-    private record Waiting(Responder responder, SnapshotCall call) { }
+    private record Waiting(Responder responder, SnapshotCall call) {}
 
     private final SharedLog log;
     private final Timers timers;
@@ -30,6 +32,7 @@
     private final Queue<Waiting> queue = new ArrayDeque<>();
     private boolean timerRuns;
     private boolean stopping;
+
     /** When the next page may be written. */
     private long nextAt;
 
@@ -89,8 +92,11 @@
         LogPosition position = log.position().orElseThrow();
         Optional<String> other = call.log().filter(each -> !each.equals(position.log()));
         if (other.isPresent()) {
-            waiting.responder().answer(Status.GONE, ResourceCodec.write(new TooOld(position.log(),
-                log.oldest(), position.version())));
+            waiting.responder()
+                    .answer(
+                            Status.GONE,
+                            ResourceCodec.write(
+                                    new TooOld(position.log(), log.oldest(), position.version())));
             return 0;
         }
         byte[] page = log.snapshot(call.from(), call.subscription(), call.mostBytes()).json();
--- a/control/src/main/java/ottergauge/control/server/Status.java
+++ b/control/src/main/java/ottergauge/control/server/Status.java
@@ -13,6 +13,5 @@
     static final int HEADERS_TOO_LARGE = 431;
     static final int UNAVAILABLE = 503;
 
-    private Status() {
-    }
+    private Status() {}
 }
--- a/control/src/main/java/ottergauge/control/server/StatusJson.java
+++ b/control/src/main/java/ottergauge/control/server/StatusJson.java
@@ -16,11 +16,16 @@
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    private StatusJson() {
-    }
+    private StatusJson() {}
 
-    static byte[] of(String name, Role role, Optional<String> leader, Optional<LogPosition> position,
-                     long oldest, List<NodeTable.Heard> nodes, long nowMs) {
+    static byte[] of(
+            String name,
+            Role role,
+            Optional<String> leader,
+            Optional<LogPosition> position,
+            long oldest,
+            List<NodeTable.Heard> nodes,
+            long nowMs) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
@@ -42,7 +47,8 @@
         return bytes.toByteArray();
     }
 
-    private static void write(JsonGenerator out, NodeTable.Heard heard, long nowMs) throws IOException {
+    private static void write(JsonGenerator out, NodeTable.Heard heard, long nowMs)
+            throws IOException {
         out.writeStartObject();
         out.writeStringField("name", heard.report().name());
         out.writeStringField("region", heard.report().region());
--- a/control/src/main/java/ottergauge/control/server/WaitingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/WaitingPolls.java
@@ -12,9 +12,9 @@
 import ottergauge.resources.TooOld;
 
 /**
- * The calls for changes. One for which there is nothing yet waits for the change that it follows, or for its
- * time to be over. Each change is looked at once for each call that waits; a call that is up to date costs
- * nothing meanwhile.
+ * The calls for changes. One for which there is nothing yet waits for the change that it follows,
+ * or for its time to be over. Each change is looked at once for each call that waits; a call that
+ * is up to date costs nothing meanwhile.
  */
 final class WaitingPolls {
 
@@ -24,8 +24,10 @@
     private final SharedLog log;
     private final Timers timers;
     private final int most;
+
     /** In the order in which they came. */
     private final Set<Poll> waiting = new LinkedHashSet<>();
+
     private boolean stopping;
 
     WaitingPolls(SharedLog log, Timers timers, int most) {
@@ -70,16 +72,21 @@
     }
 
     private void park(Poll poll) {
-        long waitMs = poll.ahead ? Math.min(MOST_BEHIND_MS, poll.call.waitMs()) : poll.call.waitMs();
+        long waitMs =
+                poll.ahead ? Math.min(MOST_BEHIND_MS, poll.call.waitMs()) : poll.call.waitMs();
         waiting.add(poll);
-        poll.timer = timers.start(waitMs, () -> {
-            waiting.remove(poll);
-            answerAnyway(poll);
-        });
-        poll.responder.onGone(() -> {
-            waiting.remove(poll);
-            timers.cancel(poll.timer);
-        });
+        poll.timer =
+                timers.start(
+                        waitMs,
+                        () -> {
+                            waiting.remove(poll);
+                            answerAnyway(poll);
+                        });
+        poll.responder.onGone(
+                () -> {
+                    waiting.remove(poll);
+                    timers.cancel(poll.timer);
+                });
     }
 
     /** The log has changed: answers the calls that it has something for. */
@@ -108,7 +115,8 @@
 
     // Answers if there are changes, or if there is no going on from where the caller is.
     private boolean answerIfAny(Poll poll) {
-        Answer answer = log.changesAfter(poll.reached, poll.call.subscription(), poll.call.mostBytes());
+        Answer answer =
+                log.changesAfter(poll.reached, poll.call.subscription(), poll.call.mostBytes());
         poll.ahead = answer instanceof Answer.Ahead;
         if (answer instanceof Answer.TooOld tooOld) {
             tellTooOld(poll, tooOld);
@@ -130,7 +138,8 @@
             poll.responder.unavailable(ErrorJson.BEHIND);
             return;
         }
-        Answer answer = log.changesAfter(poll.reached, poll.call.subscription(), poll.call.mostBytes());
+        Answer answer =
+                log.changesAfter(poll.reached, poll.call.subscription(), poll.call.mostBytes());
         if (answer instanceof Answer.Changes changes) {
             poll.responder.answer(Status.OK, changes.page().json());
         } else if (answer instanceof Answer.TooOld tooOld) {
@@ -141,7 +150,12 @@
     }
 
     private static void tellTooOld(Poll poll, Answer.TooOld tooOld) {
-        poll.responder.answer(Status.GONE, ResourceCodec.write(new TooOld(tooOld.newest().log(),
-            tooOld.oldest(), tooOld.newest().version())));
+        poll.responder.answer(
+                Status.GONE,
+                ResourceCodec.write(
+                        new TooOld(
+                                tooOld.newest().log(),
+                                tooOld.oldest(),
+                                tooOld.newest().version())));
     }
 }
--- a/control/src/test/java/ottergauge/control/ArchitectureTest.java
+++ b/control/src/test/java/ottergauge/control/ArchitectureTest.java
@@ -12,42 +12,79 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Holds the packages to their layers and libraries, and keeps clock, threads and I/O out of the log. */
+/**
+ * Holds the packages to their layers and libraries, and keeps clock, threads and I/O out of the
+ * log.
+ */
 class ArchitectureTest {
 
-    private final JavaClasses all = new ClassFileImporter()
-        .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("ottergauge.control");
+    private final JavaClasses all =
+            new ClassFileImporter()
+                    .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                    .importPackages("ottergauge.control");
 
     @Test
     void layersDependOneWay() {
-        layeredArchitecture().consideringOnlyDependenciesInAnyPackage("ottergauge.control..")
-            .layer("log").definedBy("ottergauge.control.log..")
-            .optionalLayer("consensus").definedBy("ottergauge.control.consensus..")
-            .optionalLayer("server").definedBy("ottergauge.control.server..")
-            .optionalLayer("program").definedBy("ottergauge.control.program..")
-            .whereLayer("program").mayNotBeAccessedByAnyLayer()
-            .whereLayer("server").mayOnlyBeAccessedByLayers("program")
-            .whereLayer("consensus").mayOnlyBeAccessedByLayers("server", "program")
-            .check(all);
+        layeredArchitecture()
+                .consideringOnlyDependenciesInAnyPackage("ottergauge.control..")
+                .layer("log")
+                .definedBy("ottergauge.control.log..")
+                .optionalLayer("consensus")
+                .definedBy("ottergauge.control.consensus..")
+                .optionalLayer("server")
+                .definedBy("ottergauge.control.server..")
+                .optionalLayer("program")
+                .definedBy("ottergauge.control.program..")
+                .whereLayer("program")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("server")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("consensus")
+                .mayOnlyBeAccessedByLayers("server", "program")
+                .check(all);
     }
 
     @Test
     void theLogHasNoClockNoThreadsAndNoIo() {
-        classes().that(resideInAnyPackage("ottergauge.control.log.."))
-            .should(onlyDependOnClassesThat(resideInAnyPackage("java.lang..", "java.util..", "java.io..",
-                "java.nio.charset..", "ottergauge.resources..", "ottergauge.protocol..",
-                "ottergauge.control.log..")))
-            .check(all);
-        noClasses().that(resideInAnyPackage("ottergauge.control.log.."))
-            .should().accessClassesThat().belongToAnyOf(System.class, Thread.class, java.util.Random.class,
-                java.util.UUID.class, java.io.File.class, java.io.FileInputStream.class,
-                java.io.FileOutputStream.class, java.util.Timer.class)
-            .check(all);
+        classes()
+                .that(resideInAnyPackage("ottergauge.control.log.."))
+                .should(
+                        onlyDependOnClassesThat(
+                                resideInAnyPackage(
+                                        "java.lang..",
+                                        "java.util..",
+                                        "java.io..",
+                                        "java.nio.charset..",
+                                        "ottergauge.resources..",
+                                        "ottergauge.protocol..",
+                                        "ottergauge.control.log..")))
+                .check(all);
+        noClasses()
+                .that(resideInAnyPackage("ottergauge.control.log.."))
+                .should()
+                .accessClassesThat()
+                .belongToAnyOf(
+                        System.class,
+                        Thread.class,
+                        java.util.Random.class,
+                        java.util.UUID.class,
+                        java.io.File.class,
+                        java.io.FileInputStream.class,
+                        java.io.FileOutputStream.class,
+                        java.util.Timer.class)
+                .check(all);
     }
 
     @Test
     void ofTheNodeOnlyValuesAreUsed() {
-        noClasses().should().dependOnClassesThat().resideInAnyPackage("ottergauge.routing..",
-            "ottergauge.transport..", "ottergauge.replica..", "ottergauge.program..").check(all);
+        noClasses()
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "ottergauge.routing..",
+                        "ottergauge.transport..",
+                        "ottergauge.replica..",
+                        "ottergauge.program..")
+                .check(all);
     }
 }
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -57,12 +57,16 @@
 
     private static List<Resource> state(ChangeLog log) {
         return log.snapshot(Optional.empty(), new Subscription(Set.of(SERVICE), "default"), 1 << 20)
-            .page().resources();
+                .page()
+                .resources();
     }
 
     private static Map<String, Host> servers(ChangeLog log) {
-        return state(log).stream().filter(each -> each.key().kind() == ResourceKind.SERVER)
-            .collect(Collectors.toMap(each -> each.key().name(), each -> ((Server) each.value()).host()));
+        return state(log).stream()
+                .filter(each -> each.key().kind() == ResourceKind.SERVER)
+                .collect(
+                        Collectors.toMap(
+                                each -> each.key().name(), each -> ((Server) each.value()).host()));
     }
 
     private Optional<Submission> next() {
@@ -75,7 +79,9 @@
         int changes = 0;
         Optional<Submission> next = next();
         while (next.isPresent()) {
-            assertTrue(next.get().puts().size() + next.get().deletes().size() <= 501, "too many entries");
+            assertTrue(
+                    next.get().puts().size() + next.get().deletes().size() <= 501,
+                    "too many entries");
             Outcome outcome = log.apply(next.get());
             if (outcome instanceof Outcome.Invalid invalid) {
                 reconciler.refuse(next.get(), invalid.faults());
@@ -115,10 +121,18 @@
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"), up("s-3"));
         publishAll();
-        list(false, up("s-1"), host("s-2", ServerState.DRAINING, 1), host("s-3", ServerState.GONE, 1));
+        list(
+                false,
+                up("s-1"),
+                host("s-2", ServerState.DRAINING, 1),
+                host("s-3", ServerState.GONE, 1));
         Submission next = next().orElseThrow();
-        assertEquals(List.of(new Change.Put(Submissions.key(ResourceKind.SERVER, "s-2"),
-            new Server(SERVICE, host("s-2", ServerState.DRAINING, 1)))), next.puts());
+        assertEquals(
+                List.of(
+                        new Change.Put(
+                                Submissions.key(ResourceKind.SERVER, "s-2"),
+                                new Server(SERVICE, host("s-2", ServerState.DRAINING, 1)))),
+                next.puts());
         assertEquals(List.of(Submissions.key(ResourceKind.SERVER, "s-3")), next.deletes());
         publishAll();
         list(true, up("s-1"), host("s-2", ServerState.DRAINING, 1));
@@ -130,11 +144,20 @@
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
-        Submission other = Submissions.of("other").delete(ResourceKind.SERVER, "s-1")
-            .server("s-2", SERVICE, 7).server("s-9", SERVICE).build();
+        Submission other =
+                Submissions.of("other")
+                        .delete(ResourceKind.SERVER, "s-1")
+                        .server("s-2", SERVICE, 7)
+                        .server("s-9", SERVICE)
+                        .build();
         log.apply(other);
-        reconciler.takeChange(new Change(9, other.puts(), List.of(
-            new Change.Delete(Submissions.key(ResourceKind.SERVER, "s-1"), SERVICE))));
+        reconciler.takeChange(
+                new Change(
+                        9,
+                        other.puts(),
+                        List.of(
+                                new Change.Delete(
+                                        Submissions.key(ResourceKind.SERVER, "s-1"), SERVICE))));
         publishAll();
         assertEquals(Map.of("s-1", up("s-1"), "s-2", up("s-2")), servers(log));
     }
@@ -182,12 +205,17 @@
     }
 
     /** What happens to the two lists. */
-    private record Step(int kind, int name, int share) { }
+    private record Step(int kind, int name, int share) {}
 
     @Provide
     Arbitrary<List<Step>> histories() {
-        return Combinators.combine(Arbitraries.integers().between(0, 5), Arbitraries.integers().between(0, 5),
-            Arbitraries.integers().between(1, 3)).as(Step::new).list().ofMaxSize(60);
+        return Combinators.combine(
+                        Arbitraries.integers().between(0, 5),
+                        Arbitraries.integers().between(0, 5),
+                        Arbitraries.integers().between(1, 3))
+                .as(Step::new)
+                .list()
+                .ofMaxSize(60);
     }
 
     @Property(tries = 300, seed = "61")
@@ -223,8 +251,11 @@
 
     // Somebody else puts a server of this service, and the reconciler hears of it.
     private void meddle(Host host) {
-        Submission other = Submissions.of("meddled-" + ids++).service(SERVICE)
-            .server(host.name(), SERVICE, host.share() + 10).build();
+        Submission other =
+                Submissions.of("meddled-" + ids++)
+                        .service(SERVICE)
+                        .server(host.name(), SERVICE, host.share() + 10)
+                        .build();
         log.apply(other);
         reconciler.takeChange(new Change(1, other.puts(), List.of()));
     }
--- a/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
@@ -43,25 +43,35 @@
 
     private static final String LOG = "a1";
     private static final LogLimits MANY = new LogLimits(10_000, 1 << 24);
+
     /** Of histories that have enough in them to show anything, in percent. */
     private static final double MANY_OUTCOMES = 10;
+
     private static final List<String> SERVICES = List.of("checkout", "search", "mail");
 
     /** One entry of a submission: few names, so that entries meet. */
-    private record Entry(ResourceKind kind, int name, int service, boolean delete, int number) { }
+    private record Entry(ResourceKind kind, int name, int service, boolean delete, int number) {}
 
     @Provide
     Arbitrary<List<Submission>> histories() {
-        Arbitrary<Entry> entries = Combinators.combine(Arbitraries.of(ResourceKind.class),
-            Arbitraries.integers().between(0, 4), Arbitraries.integers().between(0, 2),
-            Arbitraries.integers().between(0, 9).map(each -> each < 3),
-            Arbitraries.integers().between(-1, 20)).as(Entry::new);
+        Arbitrary<Entry> entries =
+                Combinators.combine(
+                                Arbitraries.of(ResourceKind.class),
+                                Arbitraries.integers().between(0, 4),
+                                Arbitraries.integers().between(0, 2),
+                                Arbitraries.integers().between(0, 9).map(each -> each < 3),
+                                Arbitraries.integers().between(-1, 20))
+                        .as(Entry::new);
         // Some ids are drawn again.
         Arbitrary<String> ids = Arbitraries.integers().between(0, 400).map(id -> "id-" + id);
-        Arbitrary<Submission> submissions = Combinators.combine(ids, entries.list().ofMinSize(1).ofMaxSize(3))
-            .as(ChangeLogHistoryTest::submission);
-        return submissions.list().ofMaxSize(120).withSizeDistribution(RandomDistribution.uniform())
-            .map(ChangeLogHistoryTest::afterServices);
+        Arbitrary<Submission> submissions =
+                Combinators.combine(ids, entries.list().ofMinSize(1).ofMaxSize(3))
+                        .as(ChangeLogHistoryTest::submission);
+        return submissions
+                .list()
+                .ofMaxSize(120)
+                .withSizeDistribution(RandomDistribution.uniform())
+                .map(ChangeLogHistoryTest::afterServices);
     }
 
     // Most entries name a service: with none to begin with, most submissions would be refused.
@@ -75,8 +85,10 @@
 
     @Provide
     Arbitrary<Subscription> subscriptions() {
-        return Combinators.combine(Arbitraries.of(SERVICES).set().ofMaxSize(2),
-            Arbitraries.of("set-0", "set-1")).as(Subscription::new);
+        return Combinators.combine(
+                        Arbitraries.of(SERVICES).set().ofMaxSize(2),
+                        Arbitraries.of("set-0", "set-1"))
+                .as(Subscription::new);
     }
 
     private static Submission submission(String id, List<Entry> entries) {
@@ -85,14 +97,35 @@
             String service = SERVICES.get(entry.service());
             switch (entry.kind()) {
                 case SERVICE -> put(submission, entry, service, () -> submission.service(service));
-                case SERVER -> put(submission, entry, "s-" + entry.name(),
-                    () -> submission.server("s-" + entry.name(), service, entry.number()));
-                case ROUTE -> put(submission, entry, "r-" + entry.name(),
-                    () -> submission.route("r-" + entry.name(), service));
-                case TENANT -> put(submission, entry, "t-" + entry.name(),
-                    () -> submission.tenant("t-" + entry.name(), entry.number()));
-                case SETTINGS -> put(submission, entry, "set-" + entry.name(),
-                    () -> submission.settings("set-" + entry.name(), Math.max(1, entry.number())));
+                case SERVER ->
+                        put(
+                                submission,
+                                entry,
+                                "s-" + entry.name(),
+                                () ->
+                                        submission.server(
+                                                "s-" + entry.name(), service, entry.number()));
+                case ROUTE ->
+                        put(
+                                submission,
+                                entry,
+                                "r-" + entry.name(),
+                                () -> submission.route("r-" + entry.name(), service));
+                case TENANT ->
+                        put(
+                                submission,
+                                entry,
+                                "t-" + entry.name(),
+                                () -> submission.tenant("t-" + entry.name(), entry.number()));
+                case SETTINGS ->
+                        put(
+                                submission,
+                                entry,
+                                "set-" + entry.name(),
+                                () ->
+                                        submission.settings(
+                                                "set-" + entry.name(),
+                                                Math.max(1, entry.number())));
                 default -> throw new AssertionError(entry.kind());
             }
         }
@@ -107,7 +140,10 @@
         }
     }
 
-    /** The rules of docs/control.md, written the plain way: tries a change on a copy of all resources. */
+    /**
+     * The rules of docs/control.md, written the plain way: tries a change on a copy of all
+     * resources.
+     */
     private static final class Model {
 
         final Map<ResourceKey, Resource> resources = new TreeMap<>();
@@ -125,18 +161,27 @@
             }
             version++;
             submission.deletes().forEach(resources::remove);
-            submission.puts().forEach(put ->
-                resources.put(put.key(), new Resource(put.key(), version, put.value())));
+            submission
+                    .puts()
+                    .forEach(
+                            put ->
+                                    resources.put(
+                                            put.key(),
+                                            new Resource(put.key(), version, put.value())));
             versionsById.put(submission.id(), version);
             return Optional.of(version);
         }
 
         private boolean fits(Submission submission) {
-            long keys = Stream.concat(submission.puts().stream().map(Change.Put::key),
-                submission.deletes().stream()).distinct().count();
+            long keys =
+                    Stream.concat(
+                                    submission.puts().stream().map(Change.Put::key),
+                                    submission.deletes().stream())
+                            .distinct()
+                            .count();
             if (keys < submission.puts().size() + submission.deletes().size()
-                || !resources.keySet().containsAll(submission.deletes())
-                || submission.puts().stream().anyMatch(this::isOutOfRange)) {
+                    || !resources.keySet().containsAll(submission.deletes())
+                    || submission.puts().stream().anyMatch(this::isOutOfRange)) {
                 return false;
             }
             Map<ResourceKey, Resource> after = new TreeMap<>(resources);
@@ -147,16 +192,18 @@
                     return false;
                 }
             }
-            return after.values().stream().map(each -> each.value().service())
-                .filter(service -> !service.isEmpty())
-                .allMatch(service -> after.containsKey(new ResourceKey(ResourceKind.SERVICE, service)));
+            return after.values().stream()
+                    .map(each -> each.value().service())
+                    .filter(service -> !service.isEmpty())
+                    .allMatch(
+                            service ->
+                                    after.containsKey(
+                                            new ResourceKey(ResourceKind.SERVICE, service)));
         }
 
         private boolean isOutOfRange(Change.Put put) {
-            return put.value() instanceof Tenant tenant
-                && tenant.requestsPerSecond() < 0
-                || put.value() instanceof Server server
-                && server.host().share() < 0;
+            return put.value() instanceof Tenant tenant && tenant.requestsPerSecond() < 0
+                    || put.value() instanceof Server server && server.host().share() < 0;
         }
     }
 
@@ -179,25 +226,33 @@
         for (Submission submission : history) {
             Optional<Long> expected = model.apply(submission);
             Outcome outcome = log.apply(submission);
-            Optional<Long> actual = outcome instanceof Outcome.Accepted accepted
-                ? Optional.of(accepted.position().version()) : Optional.empty();
+            Optional<Long> actual =
+                    outcome instanceof Outcome.Accepted accepted
+                            ? Optional.of(accepted.position().version())
+                            : Optional.empty();
             assertEquals(expected, actual, () -> submission + ": " + outcome);
             assertEquals(model.version, log.position().version());
         }
-        Map<ResourceKey, Resource> expected = model.resources.entrySet().stream()
-            .filter(each -> isVisible(each.getKey()))
-            .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
+        Map<ResourceKey, Resource> expected =
+                model.resources.entrySet().stream()
+                        .filter(each -> isVisible(each.getKey()))
+                        .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
         assertEquals(expected, state(log));
         assertEquals(model.resources.size(), log.size());
         boolean many = model.version > 10 && model.refusedIds.size() > 10;
-        Statistics.label("outcomes").collect(many ? "many" : "few")
-            .coverage(coverage -> coverage.check("many").percentage(share -> share > MANY_OUTCOMES));
+        Statistics.label("outcomes")
+                .collect(many ? "many" : "few")
+                .coverage(
+                        coverage ->
+                                coverage.check("many").percentage(share -> share > MANY_OUTCOMES));
     }
 
     @Property(tries = 300, seed = "52")
-    void pagesTakenWhileChangesComeAndTheChangesMakeTheState(@ForAll("histories") List<Submission> history,
+    void pagesTakenWhileChangesComeAndTheChangesMakeTheState(
+            @ForAll("histories") List<Submission> history,
             @ForAll("subscriptions") Subscription subscription,
-            @ForAll @IntRange(min = 1, max = 500) int bytes, @ForAll @IntRange(max = 60) int begin,
+            @ForAll @IntRange(min = 1, max = 500) int bytes,
+            @ForAll @IntRange(max = 60) int begin,
             @ForAll @IntRange(min = 1, max = 9) int changesAPage) {
         ChangeLog log = new ChangeLog(LOG, MANY);
         int next = Math.min(begin, history.size());
@@ -216,13 +271,20 @@
         } while (from.isPresent());
         follow(log, subscription, bytes, first, copy);
         assertEquals(followed(log, subscription), copy);
-        Statistics.label("changes meanwhile").collect(log.position().version() - first > 5 ? "many" : "few")
-            .coverage(coverage -> coverage.check("many").percentage(share -> share > MANY_OUTCOMES));
+        Statistics.label("changes meanwhile")
+                .collect(log.position().version() - first > 5 ? "many" : "few")
+                .coverage(
+                        coverage ->
+                                coverage.check("many").percentage(share -> share > MANY_OUTCOMES));
     }
 
     // As a node does: a change counts for a resource only if it is newer than that.
-    private static void follow(ChangeLog log, Subscription subscription, int bytes, long after,
-                               Map<ResourceKey, Resource> copy) {
+    private static void follow(
+            ChangeLog log,
+            Subscription subscription,
+            int bytes,
+            long after,
+            Map<ResourceKey, Resource> copy) {
         LogPosition at = new LogPosition(LOG, after);
         while (at.version() < log.position().version()) {
             Answer answer = log.changesAfter(at, subscription, bytes);
@@ -249,14 +311,16 @@
     private static Map<ResourceKey, Resource> followed(ChangeLog log, Subscription subscription) {
         Map<ResourceKey, Resource> followed = new TreeMap<>();
         log.capture().resources().stream()
-            .filter(each -> subscription.follows(each.key(), each.service()))
-            .forEach(each -> followed.put(each.key(), each.resource()));
+                .filter(each -> subscription.follows(each.key(), each.service()))
+                .forEach(each -> followed.put(each.key(), each.resource()));
         return followed;
     }
 
     @Property(tries = 200, seed = "53")
-    void aRestoredLogGoesOnAsTheOneThatItWasTakenFrom(@ForAll("histories") List<Submission> history,
-            @ForAll @IntRange(max = 60) int cut, @ForAll @IntRange(min = 1, max = 40) int keptChanges)
+    void aRestoredLogGoesOnAsTheOneThatItWasTakenFrom(
+            @ForAll("histories") List<Submission> history,
+            @ForAll @IntRange(max = 60) int cut,
+            @ForAll @IntRange(min = 1, max = 40) int keptChanges)
             throws ProtocolException {
         LogLimits limits = new LogLimits(keptChanges, 1 << 20);
         ChangeLog log = new ChangeLog(LOG, limits);
@@ -269,7 +333,8 @@
         for (Submission submission : history.subList(before, history.size())) {
             assertEquals(log.apply(submission), restored.apply(submission));
         }
-        history.forEach(submission -> assertEquals(log.apply(submission), restored.apply(submission)));
+        history.forEach(
+                submission -> assertEquals(log.apply(submission), restored.apply(submission)));
         assertArrayEquals(log.image(), restored.image());
     }
 
--- a/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
@@ -38,7 +38,9 @@
 
     private long accepted(Submissions submission) {
         Outcome outcome = log.apply(submission.build());
-        return assertInstanceOf(Outcome.Accepted.class, outcome, outcome::toString).position().version();
+        return assertInstanceOf(Outcome.Accepted.class, outcome, outcome::toString)
+                .position()
+                .version();
     }
 
     private List<Fault> refused(Submissions submission) {
@@ -71,44 +73,78 @@
 
     @Test
     void aServerNamesAServiceThatExists() {
-        assertFault("put[0].value.service", "checkout", "a service that exists",
-            refused(Submissions.of("a").server("s-1", "checkout")));
+        assertFault(
+                "put[0].value.service",
+                "checkout",
+                "a service that exists",
+                refused(Submissions.of("a").server("s-1", "checkout")));
         accepted(Submissions.of("b").server("s-1", "checkout").service("checkout"));
     }
 
     @Test
     void aServerKeepsItsService() {
-        accepted(Submissions.of("a").service("checkout").service("search").server("s-1", "checkout"));
-        assertFault("put[0].value.service", "search", "checkout, the service that the resource belongs to",
-            refused(Submissions.of("b").server("s-1", "search")));
+        accepted(
+                Submissions.of("a")
+                        .service("checkout")
+                        .service("search")
+                        .server("s-1", "checkout"));
+        assertFault(
+                "put[0].value.service",
+                "search",
+                "checkout, the service that the resource belongs to",
+                refused(Submissions.of("b").server("s-1", "search")));
         accepted(Submissions.of("c").server("s-1", "checkout", 2));
     }
 
     @Test
     void aServiceGoesOnlyWhenNothingNamesIt() {
-        accepted(Submissions.of("a").service("checkout").server("s-1", "checkout").route("r", "checkout"));
+        accepted(
+                Submissions.of("a")
+                        .service("checkout")
+                        .server("s-1", "checkout")
+                        .route("r", "checkout"));
         String allowed = "a service that no server and no route names; this one has ";
-        assertFault("delete[0].name", "checkout", allowed + 2,
-            refused(Submissions.of("b").delete(ResourceKind.SERVICE, "checkout")));
-        assertFault("delete[1].name", "checkout", allowed + 1,
-            refused(Submissions.of("c").delete(ResourceKind.SERVER, "s-1")
-                .delete(ResourceKind.SERVICE, "checkout")));
-        accepted(Submissions.of("d").delete(ResourceKind.SERVICE, "checkout")
-            .delete(ResourceKind.SERVER, "s-1").delete(ResourceKind.ROUTE, "r"));
+        assertFault(
+                "delete[0].name",
+                "checkout",
+                allowed + 2,
+                refused(Submissions.of("b").delete(ResourceKind.SERVICE, "checkout")));
+        assertFault(
+                "delete[1].name",
+                "checkout",
+                allowed + 1,
+                refused(
+                        Submissions.of("c")
+                                .delete(ResourceKind.SERVER, "s-1")
+                                .delete(ResourceKind.SERVICE, "checkout")));
+        accepted(
+                Submissions.of("d")
+                        .delete(ResourceKind.SERVICE, "checkout")
+                        .delete(ResourceKind.SERVER, "s-1")
+                        .delete(ResourceKind.ROUTE, "r"));
         assertEquals(0, log.size());
     }
 
     @Test
     void noServerIsPutWithTheServiceThatGoes() {
         accepted(Submissions.of("a").service("checkout"));
-        assertFault("put[0].value.service", "checkout", "a service that exists",
-            refused(Submissions.of("b").server("s-1", "checkout").delete(ResourceKind.SERVICE, "checkout")));
+        assertFault(
+                "put[0].value.service",
+                "checkout",
+                "a service that exists",
+                refused(
+                        Submissions.of("b")
+                                .server("s-1", "checkout")
+                                .delete(ResourceKind.SERVICE, "checkout")));
     }
 
     @Test
     void whatDoesNotExistIsNotDeleted() {
-        assertFault("delete[0].name", "gold", "a tenant that exists",
-            refused(Submissions.of("a").delete(ResourceKind.TENANT, "gold")));
+        assertFault(
+                "delete[0].name",
+                "gold",
+                "a tenant that exists",
+                refused(Submissions.of("a").delete(ResourceKind.TENANT, "gold")));
     }
 
     @Test
@@ -124,8 +160,9 @@
 
     @Test
     void aMalformedEntryIsRefused() {
-        assertEquals("put[0].value.requests_per_second",
-            refused(Submissions.of("a").tenant("gold", -3)).get(0).key());
+        assertEquals(
+                "put[0].value.requests_per_second",
+                refused(Submissions.of("a").tenant("gold", -3)).get(0).key());
         assertFalse(refused(Submissions.of("b").tenant("gold", 1).tenant("gold", 2)).isEmpty());
         assertFalse(refused(Submissions.of("c")).isEmpty());
         assertFalse(refused(Submissions.of("not a name").tenant("gold", 1)).isEmpty());
@@ -143,31 +180,42 @@
 
     @Test
     void resourcesAreBoundedByNumber() {
-        for (int change = 0; change < StateLimits.MOST_RESOURCES / ResourceChecks.MOST_ENTRIES; change++) {
+        for (int change = 0;
+                change < StateLimits.MOST_RESOURCES / ResourceChecks.MOST_ENTRIES;
+                change++) {
             Submissions tenants = Submissions.of("id-" + change);
             for (int i = 0; i < ResourceChecks.MOST_ENTRIES; i++) {
                 tenants.tenant(change + "-" + i, 1);
             }
             accepted(tenants);
         }
-        assertFault("put", "200001 resources in all", "200000 resources in all at most",
-            refused(Submissions.of("more").tenant("gold", 1)));
+        assertFault(
+                "put",
+                "200001 resources in all",
+                "200000 resources in all at most",
+                refused(Submissions.of("more").tenant("gold", 1)));
         accepted(Submissions.of("another-value").tenant("0-0", 2));
-        accepted(Submissions.of("one-for-another").tenant("gold", 1).delete(ResourceKind.TENANT, "0-0"));
+        accepted(
+                Submissions.of("one-for-another")
+                        .tenant("gold", 1)
+                        .delete(ResourceKind.TENANT, "0-0"));
     }
 
     @Test
     void resourcesAreBoundedByBytes() {
         ResourceValue longValue = new ResourceValue.Service("d".repeat(1_000));
         int changes = 0;
-        while (log.apply(services("id-" + changes, changes, longValue)) instanceof Outcome.Accepted) {
+        while (log.apply(services("id-" + changes, changes, longValue))
+                instanceof Outcome.Accepted) {
             changes++;
         }
         long bytes = 230L * (changes + 1) * (1_000 + JsonBytes.ENTRY_OVERHEAD);
         assertTrue(bytes > StateLimits.MOST_STATE_BYTES * 9 / 10, "refused after " + bytes);
-        assertInstanceOf(Outcome.Accepted.class,
-            log.apply(services("shorter", 0, new ResourceValue.Service(""))));
-        assertInstanceOf(Outcome.Accepted.class, log.apply(services("fits-now", changes, longValue)));
+        assertInstanceOf(
+                Outcome.Accepted.class,
+                log.apply(services("shorter", 0, new ResourceValue.Service(""))));
+        assertInstanceOf(
+                Outcome.Accepted.class, log.apply(services("fits-now", changes, longValue)));
     }
 
     private static Submission services(String id, int change, ResourceValue value) {
@@ -196,7 +244,9 @@
             accepted(Submissions.of("id-" + i).tenant("gold", i));
         }
         assertEquals(2, accepted(Submissions.of("id-0").tenant("gold", 0)));
-        assertEquals(OutcomeMemory.MOST_ACCEPTED + 2, accepted(Submissions.of("first").tenant("gold", 1)));
+        assertEquals(
+                OutcomeMemory.MOST_ACCEPTED + 2,
+                accepted(Submissions.of("first").tenant("gold", 1)));
     }
 
     @Test
@@ -218,8 +268,9 @@
         accepted(Submissions.of("e").settings("other", 10));
         ChangePage page = changesAfter(1, new Subscription(Set.of("checkout"), "default"));
         assertEquals(List.of(2L), versions(page));
-        assertEquals(List.of("s-1"),
-            page.changes().get(0).puts().stream().map(put -> put.key().name()).toList());
+        assertEquals(
+                List.of("s-1"),
+                page.changes().get(0).puts().stream().map(put -> put.key().name()).toList());
         assertEquals(5, page.upTo().version());
         page = changesAfter(1, new Subscription(Set.of("search"), "other"));
         assertEquals(List.of(2L, 3L, 4L, 5L), versions(page));
@@ -259,7 +310,9 @@
         accepted(Submissions.of("a").tenant("gold", 1));
         accepted(Submissions.of("b").tenant("gold", 2));
         Answer answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, 1);
-        assertEquals(List.of(1L), versions(assertInstanceOf(Answer.Changes.class, answer).page().page()));
+        assertEquals(
+                List.of(1L),
+                versions(assertInstanceOf(Answer.Changes.class, answer).page().page()));
     }
 
     @Test
@@ -269,14 +322,18 @@
             small.apply(Submissions.of("id-" + i).tenant("t", i).build());
         }
         LogPosition newest = new LogPosition(LOG, 10);
-        assertEquals(new Answer.TooOld(newest, 8),
-            small.changesAfter(new LogPosition(LOG, 6), EVERYTHING, ALL_BYTES));
-        assertInstanceOf(Answer.Changes.class,
-            small.changesAfter(new LogPosition(LOG, 7), EVERYTHING, ALL_BYTES));
-        assertEquals(new Answer.TooOld(newest, 8),
-            small.changesAfter(new LogPosition("other", 9), EVERYTHING, ALL_BYTES));
-        assertEquals(new Answer.Ahead(newest),
-            small.changesAfter(new LogPosition(LOG, 11), EVERYTHING, ALL_BYTES));
+        assertEquals(
+                new Answer.TooOld(newest, 8),
+                small.changesAfter(new LogPosition(LOG, 6), EVERYTHING, ALL_BYTES));
+        assertInstanceOf(
+                Answer.Changes.class,
+                small.changesAfter(new LogPosition(LOG, 7), EVERYTHING, ALL_BYTES));
+        assertEquals(
+                new Answer.TooOld(newest, 8),
+                small.changesAfter(new LogPosition("other", 9), EVERYTHING, ALL_BYTES));
+        assertEquals(
+                new Answer.Ahead(newest),
+                small.changesAfter(new LogPosition(LOG, 11), EVERYTHING, ALL_BYTES));
     }
 
     @Test
@@ -288,13 +345,20 @@
         long kept = 100 - small.oldest() + 1;
         assertTrue(kept >= 5 && kept <= 20, "kept: " + kept);
         StoredChange change = small.capture().changes().get(0);
-        assertTrue(kept * JsonBytes.sizeOf(change) <= 2_100, "bytes: " + kept * JsonBytes.sizeOf(change));
+        assertTrue(
+                kept * JsonBytes.sizeOf(change) <= 2_100,
+                "bytes: " + kept * JsonBytes.sizeOf(change));
     }
 
     @Test
     void theJsonIsThatOfTheCodec() throws ProtocolException {
-        accepted(Submissions.of("a").service("checkout").server("s-1", "checkout").route("r:1", "checkout")
-            .tenant("a/b.c_d", 1.5).settings("default", 20));
+        accepted(
+                Submissions.of("a")
+                        .service("checkout")
+                        .server("s-1", "checkout")
+                        .route("r:1", "checkout")
+                        .tenant("a/b.c_d", 1.5)
+                        .settings("default", 20));
         accepted(Submissions.of("b").delete(ResourceKind.SERVER, "s-1").service("checkout"));
         Answer answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, ALL_BYTES);
         EncodedChanges changes = assertInstanceOf(Answer.Changes.class, answer).page();
@@ -329,7 +393,8 @@
         List<ResourceKey> keys = new ArrayList<>();
         Optional<ResourceKey> from = Optional.empty();
         do {
-            EncodedSnapshot page = log.snapshot(from, new Subscription(Set.of("search"), "default"), 1_000);
+            EncodedSnapshot page =
+                    log.snapshot(from, new Subscription(Set.of("search"), "default"), 1_000);
             assertTrue(page.json().length <= 1_000 + 2 * JsonBytes.FRAME_OVERHEAD);
             assertFalse(page.page().resources().isEmpty());
             keys.addAll(page.page().resources().stream().map(Resource::key).toList());
--- a/control/src/test/java/ottergauge/control/log/Submissions.java
+++ b/control/src/test/java/ottergauge/control/log/Submissions.java
@@ -52,13 +52,16 @@
     }
 
     public Submissions tenant(String name, double requestsPerSecond) {
-        return put(ResourceKind.TENANT, name, new ResourceValue.Tenant(requestsPerSecond, 10, 5, 1));
+        return put(
+                ResourceKind.TENANT, name, new ResourceValue.Tenant(requestsPerSecond, 10, 5, 1));
     }
 
     public Submissions settings(String name, double aimMs) {
         Map<String, Object> requestClass = Map.of("name", "read", "aimMs", aimMs);
-        return put(ResourceKind.SETTINGS, name,
-            new ResourceValue.Settings(Map.of("classes", List.of(requestClass))));
+        return put(
+                ResourceKind.SETTINGS,
+                name,
+                new ResourceValue.Settings(Map.of("classes", List.of(requestClass))));
     }
 
     public Submissions put(ResourceKind kind, String name, ResourceValue value) {
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -43,8 +43,7 @@
 
     private static final String CHANGES = "/control/v1/changes";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static String changes(LogPosition after, String more) {
         return CHANGES + "?log=" + after.log() + "&after=" + after.version() + more;
@@ -68,13 +67,15 @@
     @Test
     void aChangeIsToldToACallThatWaits() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            LogPosition begin = control.publish(
-                Submissions.of("a").service("checkout").service("search").build());
+            LogPosition begin =
+                    control.publish(
+                            Submissions.of("a").service("checkout").service("search").build());
             long asked = System.nanoTime();
             CompletableFuture<HttpResponse<String>> waiting =
-                control.getLater(changes(begin, "&wait_ms=10000&services=checkout"));
+                    control.getLater(changes(begin, "&wait_ms=10000&services=checkout"));
             control.publish(Submissions.of("b").server("s-1", "search").build());
-            LogPosition second = control.publish(Submissions.of("c").server("s-2", "checkout").build());
+            LogPosition second =
+                    control.publish(Submissions.of("c").server("s-2", "checkout").build());
             ChangePage page = page(waiting.get());
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
             assertEquals(List.of(second.version()), versions(page));
@@ -90,12 +91,15 @@
             for (int i = 0; i < 6; i++) {
                 positions.add(control.publish(Submissions.of("id-" + i).tenant("gold", i).build()));
             }
-            assertEquals(List.of(4L, 5L, 6L), versions(page(control.get(changes(positions.get(2), "")))));
+            assertEquals(
+                    List.of(4L, 5L, 6L),
+                    versions(page(control.get(changes(positions.get(2), "")))));
             HttpResponse<String> old = control.get(changes(positions.get(1), "&wait_ms=10000"));
             assertEquals(410, old.statusCode());
             String log = positions.get(0).log();
             assertEquals(new TooOld(log, 4, 6), ResourceCodec.readTooOld(old.body().getBytes()));
-            HttpResponse<String> other = control.get(changes(new LogPosition("other", 5), "&wait_ms=10000"));
+            HttpResponse<String> other =
+                    control.get(changes(new LogPosition("other", 5), "&wait_ms=10000"));
             assertEquals(new TooOld(log, 4, 6), ResourceCodec.readTooOld(other.body().getBytes()));
             HttpResponse<String> ahead = control.get(changes(new LogPosition(log, 7), ""));
             assertRefused(503, "behind", ahead);
@@ -131,25 +135,38 @@
             Optional<ResourceKey> from = Optional.empty();
             int pages = 0;
             do {
-                String query = "?max_bytes=8000" + begin.map(at -> "&log=" + at.log()).orElse("")
-                    + from.map(key -> "&from=" + key.path()).orElse("");
-                SnapshotPage page = ResourceCodec.readSnapshot(
-                    control.get("/control/v1/snapshot" + query).body().getBytes());
+                String query =
+                        "?max_bytes=8000"
+                                + begin.map(at -> "&log=" + at.log()).orElse("")
+                                + from.map(key -> "&from=" + key.path()).orElse("");
+                SnapshotPage page =
+                        ResourceCodec.readSnapshot(
+                                control.get("/control/v1/snapshot" + query).body().getBytes());
                 begin = Optional.of(begin.orElse(page.at()));
                 page.resources().forEach(each -> copy.put(each.key(), each));
                 from = page.next();
-                control.publish(Submissions.of("meanwhile-" + pages).delete(ResourceKind.SERVER, "s-" + pages)
-                    .server("new-" + pages, "checkout").tenant("t-" + pages, 1_000).build());
+                control.publish(
+                        Submissions.of("meanwhile-" + pages)
+                                .delete(ResourceKind.SERVER, "s-" + pages)
+                                .server("new-" + pages, "checkout")
+                                .tenant("t-" + pages, 1_000)
+                                .build());
                 pages++;
             } while (from.isPresent());
             assertTrue(pages > 5, "pages: " + pages);
             for (Change change : page(control.get(changes(begin.orElseThrow(), ""))).changes()) {
                 change.deletes().forEach(delete -> copy.remove(delete.key()));
-                change.puts().forEach(put ->
-                    copy.put(put.key(), new Resource(put.key(), change.version(), put.value())));
+                change.puts()
+                        .forEach(
+                                put ->
+                                        copy.put(
+                                                put.key(),
+                                                new Resource(
+                                                        put.key(), change.version(), put.value())));
             }
-            SnapshotPage whole = ResourceCodec.readSnapshot(
-                control.get("/control/v1/snapshot?max_bytes=524288").body().getBytes());
+            SnapshotPage whole =
+                    ResourceCodec.readSnapshot(
+                            control.get("/control/v1/snapshot?max_bytes=524288").body().getBytes());
             assertEquals(Optional.empty(), whole.next());
             assertEquals(whole.resources(), List.copyOf(copy.values()));
         }
@@ -158,22 +175,28 @@
     @Test
     void aSubmissionIsAcceptedOnceAndABadOneNamesItsFaults() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            String tenant = "{\"id\":\"x\",\"put\":[{\"kind\":\"tenant\",\"name\":\"gold\",\"value\":"
-                + "{\"requests_per_second\":RATE}}]}";
+            String tenant =
+                    "{\"id\":\"x\",\"put\":[{\"kind\":\"tenant\",\"name\":\"gold\",\"value\":"
+                            + "{\"requests_per_second\":RATE}}]}";
             HttpResponse<String> accepted = control.post(tenant.replace("RATE", "3"));
             assertEquals(200, accepted.statusCode());
             assertEquals(accepted.body(), control.post(tenant.replace("RATE", "4")).body());
             assertEquals(1, control.position().version());
-            HttpResponse<String> bad = control.post(tenant.replace("\"x\"", "\"y\"").replace("RATE", "-3"));
+            HttpResponse<String> bad =
+                    control.post(tenant.replace("\"x\"", "\"y\"").replace("RATE", "-3"));
             assertEquals(400, bad.statusCode());
             Fault fault = ResourceCodec.readFaults(bad.body().getBytes()).get(0);
             assertEquals("put[0].value.requests_per_second", fault.key());
             assertEquals("-3", fault.value());
-            HttpResponse<String> unfit = control.post(new String(ResourceCodec.write(
-                Submissions.of("z").server("s-1", "none").build())));
+            HttpResponse<String> unfit =
+                    control.post(
+                            new String(
+                                    ResourceCodec.write(
+                                            Submissions.of("z").server("s-1", "none").build())));
             assertEquals(400, unfit.statusCode());
-            assertEquals("put[0].value.service",
-                ResourceCodec.readFaults(unfit.body().getBytes()).get(0).key());
+            assertEquals(
+                    "put[0].value.service",
+                    ResourceCodec.readFaults(unfit.body().getBytes()).get(0).key());
             assertEquals(1, control.position().version());
         }
     }
@@ -186,11 +209,18 @@
             assertRefused(400, "log is missing", control.get(CHANGES + "?after=0"));
             assertRefused(400, "after is missing", control.get(CHANGES + "?log=a"));
             assertRefused(400, "after is a whole number", control.get(CHANGES + "?log=a&after=-1"));
-            assertRefused(400, "after is a whole number", control.get(CHANGES + "?log=a&after=1e3"));
-            assertRefused(400, "wait_ms is a whole number",
-                control.get(CHANGES + "?log=a&after=0&wait_ms=10001"));
-            assertRefused(400, "max_bytes is", control.get(CHANGES + "?log=a&after=0&max_bytes=999999999"));
-            assertRefused(400, "services is", control.get(CHANGES + "?log=a&after=0&services=a,,b"));
+            assertRefused(
+                    400, "after is a whole number", control.get(CHANGES + "?log=a&after=1e3"));
+            assertRefused(
+                    400,
+                    "wait_ms is a whole number",
+                    control.get(CHANGES + "?log=a&after=0&wait_ms=10001"));
+            assertRefused(
+                    400,
+                    "max_bytes is",
+                    control.get(CHANGES + "?log=a&after=0&max_bytes=999999999"));
+            assertRefused(
+                    400, "services is", control.get(CHANGES + "?log=a&after=0&services=a,,b"));
             assertRefused(400, "node is", control.get(CHANGES + "?log=a&after=0&node=%0a%0dx"));
             assertRefused(400, "from is", control.get("/control/v1/snapshot?from=server"));
             assertRefused(400, "from is", control.get("/control/v1/snapshot?from=sever/a"));
@@ -224,20 +254,40 @@
         try (RunningControl control = RunningControl.serving(folder, "")) {
             assertTrue(raw(control, "nonsense\r\n\r\n").startsWith("HTTP/1.0 400"));
             assertTrue(raw(control, "GET / nonsense\r\n\r\n").startsWith("HTTP/1.0 400"));
-            assertTrue(raw(control, "GET /" + "a".repeat(70_000) + " HTTP/1.1\r\n\r\n").contains(" 414 "));
-            assertTrue(raw(control, "GET / HTTP/1.1\r\nX: " + "a".repeat(20_000) + "\r\n\r\n")
-                .contains(" 431 "));
-            assertTrue(raw(control, "GET /control/v1/status HTTP/1.1\r\nContent-Length: 5\r\n\r\nhello")
-                .startsWith("HTTP/1.1 400"));
-            assertTrue(raw(control, "PUT /control/v1/changes HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
-                .startsWith("HTTP/1.1 404"));
-            assertTrue(raw(control, "POST /control/v1/changes HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n")
-                .startsWith("HTTP/1.1 413"));
-            assertTrue(raw(control, "POST /control/v1/changes HTTP/1.1\r\nContent-Length: x\r\n\r\n")
-                .startsWith("HTTP/1.1 400"));
+            assertTrue(
+                    raw(control, "GET /" + "a".repeat(70_000) + " HTTP/1.1\r\n\r\n")
+                            .contains(" 414 "));
+            assertTrue(
+                    raw(control, "GET / HTTP/1.1\r\nX: " + "a".repeat(20_000) + "\r\n\r\n")
+                            .contains(" 431 "));
+            assertTrue(
+                    raw(
+                                    control,
+                                    "GET /control/v1/status HTTP/1.1\r\n"
+                                            + "Content-Length: 5\r\n\r\n"
+                                            + "hello")
+                            .startsWith("HTTP/1.1 400"));
+            assertTrue(
+                    raw(control, "PUT /control/v1/changes HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
+                            .startsWith("HTTP/1.1 404"));
+            assertTrue(
+                    raw(
+                                    control,
+                                    "POST /control/v1/changes HTTP/1.1\r\n"
+                                            + "Content-Length: 99999999\r\n\r\n")
+                            .startsWith("HTTP/1.1 413"));
+            assertTrue(
+                    raw(control, "POST /control/v1/changes HTTP/1.1\r\nContent-Length: x\r\n\r\n")
+                            .startsWith("HTTP/1.1 400"));
             String chunk = "20000\r\n" + "x".repeat(0x20000) + "\r\n";
-            assertTrue(raw(control, "POST /control/v1/changes HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + chunk.repeat(3) + "0\r\n\r\n").startsWith("HTTP/1.1 413"));
+            assertTrue(
+                    raw(
+                                    control,
+                                    "POST /control/v1/changes HTTP/1.1\r\n"
+                                            + "Transfer-Encoding: chunked\r\n\r\n"
+                                            + chunk.repeat(3)
+                                            + "0\r\n\r\n")
+                            .startsWith("HTTP/1.1 413"));
             assertEquals(200, control.get("/control/v1/status").statusCode());
         }
     }
@@ -250,9 +300,10 @@
             for (int i = 0; i < 3; i++) {
                 calls.add(control.getLater(changes(at, "&wait_ms=10000&node=n" + i)));
             }
-            control.await("one turned away", () -> calls.stream().anyMatch(CompletableFuture::isDone));
+            control.await(
+                    "one turned away", () -> calls.stream().anyMatch(CompletableFuture::isDone));
             CompletableFuture<HttpResponse<String>> turnedAway =
-                calls.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow();
+                    calls.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow();
             assertRefused(503, "busy", turnedAway.get());
             control.publish(Submissions.of("b").tenant("gold", 2).build());
             calls.remove(turnedAway);
@@ -266,21 +317,27 @@
     void connectionsAreBounded() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"connections\":2")) {
             String status = "GET /control/v1/status HTTP/1.1\r\n\r\n";
-            try (Socket first = control.connect(); Socket second = control.connect()) {
+            try (Socket first = control.connect();
+                    Socket second = control.connect()) {
                 first.getOutputStream().write(status.getBytes());
                 assertEquals('H', first.getInputStream().read());
                 second.getOutputStream().write(status.getBytes());
                 assertEquals('H', second.getInputStream().read());
                 assertEquals("", raw(control, status));
             }
-            control.await("room again", () -> {
-                try {
-                    return raw(control, status.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"))
-                        .startsWith("HTTP/1.1 200");
-                } catch (IOException e) {
-                    return false;
-                }
-            });
+            control.await(
+                    "room again",
+                    () -> {
+                        try {
+                            return raw(
+                                            control,
+                                            status.replace(
+                                                    "\r\n\r\n", "\r\nConnection: close\r\n\r\n"))
+                                    .startsWith("HTTP/1.1 200");
+                        } catch (IOException e) {
+                            return false;
+                        }
+                    });
         }
     }
 
@@ -289,9 +346,14 @@
         try (RunningControl control = RunningControl.serving(folder, ",\"idle_ms\":300")) {
             assertEquals("", raw(control, ""));
             assertEquals("", raw(control, "GET /control/v1/status HTTP/1.1\r\nHost: x"));
-            assertEquals("", raw(control,
-                "POST /control/v1/changes HTTP/1.1\r\nContent-Length: 100\r\n\r\n{"));
-            assertTrue(raw(control, "GET /control/v1/status HTTP/1.1\r\n\r\n").startsWith("HTTP/1.1 200"));
+            assertEquals(
+                    "",
+                    raw(
+                            control,
+                            "POST /control/v1/changes HTTP/1.1\r\nContent-Length: 100\r\n\r\n{"));
+            assertTrue(
+                    raw(control, "GET /control/v1/status HTTP/1.1\r\n\r\n")
+                            .startsWith("HTTP/1.1 200"));
             LogPosition at = control.position();
             long asked = System.nanoTime();
             page(control.get(changes(at, "&wait_ms=2500")));
@@ -305,19 +367,25 @@
             publishMuch(control);
             try (Socket slow = new Socket()) {
                 slow.setReceiveBufferSize(4_096);
-                slow.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(),
-                    Integer.parseInt(control.address().split(":")[1])));
-                slow.getOutputStream().write(
-                    "GET /control/v1/snapshot?max_bytes=524288 HTTP/1.1\r\n\r\n".getBytes());
-                control.await("closed", () -> {
-                    try {
-                        // Writing to a connection that the other side has closed fails.
-                        slow.getOutputStream().write("\r\n".getBytes());
-                        return false;
-                    } catch (IOException e) {
-                        return true;
-                    }
-                });
+                slow.connect(
+                        new InetSocketAddress(
+                                InetAddress.getLoopbackAddress(),
+                                Integer.parseInt(control.address().split(":")[1])));
+                slow.getOutputStream()
+                        .write(
+                                "GET /control/v1/snapshot?max_bytes=524288 HTTP/1.1\r\n\r\n"
+                                        .getBytes());
+                control.await(
+                        "closed",
+                        () -> {
+                            try {
+                                // Writing to a connection that the other side has closed fails.
+                                slow.getOutputStream().write("\r\n".getBytes());
+                                return false;
+                            } catch (IOException e) {
+                                return true;
+                            }
+                        });
             }
             assertEquals(200, control.get("/control/v1/status").statusCode());
         }
@@ -343,7 +411,8 @@
             try (Socket flood = control.connect()) {
                 Thread writer = new Thread(() -> writeUpTo(flood, calls, most));
                 writer.start();
-                // What is not read any more holds the writer up: this much doesn't fit into buffers.
+                // What is not read any more holds the writer up: this much doesn't fit into
+                // buffers.
                 writer.join(TimeUnit.SECONDS.toMillis(3));
                 assertTrue(writer.isAlive(), "all was read");
                 assertEquals(200, control.get("/control/v1/status").statusCode());
@@ -369,10 +438,18 @@
             control.get(changes(at, "&node=n1&region=r1&in_force=1"));
             control.get(changes(at, "&node=n2&region=r2&in_force=0&refused=1"));
             String status = control.get("/control/v1/status").body();
-            assertTrue(status.contains("\"name\":\"c1\",\"log\":\"" + at.log()
-                + "\",\"version\":1,\"oldest\":1,\"role\":\"leader\""), status);
-            assertTrue(status.contains("{\"name\":\"n1\",\"region\":\"r1\",\"log\":\"" + at.log()
-                + "\",\"in_force\":1,\"refused\":0,\"heard_ms\":"), status);
+            assertTrue(
+                    status.contains(
+                            "\"name\":\"c1\",\"log\":\""
+                                    + at.log()
+                                    + "\",\"version\":1,\"oldest\":1,\"role\":\"leader\""),
+                    status);
+            assertTrue(
+                    status.contains(
+                            "{\"name\":\"n1\",\"region\":\"r1\",\"log\":\""
+                                    + at.log()
+                                    + "\",\"in_force\":1,\"refused\":0,\"heard_ms\":"),
+                    status);
             assertTrue(status.contains("\"in_force\":0,\"refused\":1"), status);
         }
     }
@@ -382,14 +459,16 @@
         try (RunningControl control = RunningControl.serving(folder, "")) {
             LogPosition at = control.publish(Submissions.of("a").service("checkout").build());
             CompletableFuture<HttpResponse<String>> waiting =
-                control.getLater(changes(at, "&wait_ms=10000&services=checkout&node=n1"));
-            control.await("heard", () -> {
-                try {
-                    return control.get("/control/v1/status").body().contains("\"n1\"");
-                } catch (IOException | InterruptedException e) {
-                    return false;
-                }
-            });
+                    control.getLater(changes(at, "&wait_ms=10000&services=checkout&node=n1"));
+            control.await(
+                    "heard",
+                    () -> {
+                        try {
+                            return control.get("/control/v1/status").body().contains("\"n1\"");
+                        } catch (IOException | InterruptedException e) {
+                            return false;
+                        }
+                    });
             control.terminate();
             assertEquals(List.of(), versions(page(waiting.get())));
             control.exitCode();
@@ -399,16 +478,18 @@
 
     @Test
     void aBadConfigurationIsToldWhole() throws Exception {
-        RunningControl bad = RunningControl.starting(folder, 0,
-            ",\"waiting_polls\":0,\"pace\":1,\"idle_ms\":\"x\"");
+        RunningControl bad =
+                RunningControl.starting(
+                        folder, 0, ",\"waiting_polls\":0,\"pace\":1,\"idle_ms\":\"x\"");
         assertEquals(1, bad.exitCode());
         assertTrue(bad.output().contains("listen is a numeric host, : and a port"), bad.output());
-        assertTrue(bad.output().contains("waiting_polls is a whole number from 1 to 65536, not 0"),
-            bad.output());
+        assertTrue(
+                bad.output().contains("waiting_polls is a whole number from 1 to 65536, not 0"),
+                bad.output());
         assertTrue(bad.output().contains("pace is no key"), bad.output());
         assertTrue(bad.output().contains("idle_ms is a whole number"), bad.output());
-        RunningControl none = RunningControl.run(folder, "serve", "--config",
-            folder.resolve("none").toString());
+        RunningControl none =
+                RunningControl.run(folder, "serve", "--config", folder.resolve("none").toString());
         assertEquals(1, none.exitCode());
         assertTrue(none.output().contains("can't be read"), none.output());
     }
@@ -427,7 +508,16 @@
         assertEquals(2, RunningControl.run(folder).exitCode());
         assertEquals(2, RunningControl.run(folder, "serve").exitCode());
         assertEquals(2, RunningControl.run(folder, "publish", "--to", "nowhere", "f").exitCode());
-        assertEquals(2, RunningControl.run(folder, "import", "--to", "127.0.0.1:1", "--service", "a b",
-            "127.0.0.1:2").exitCode());
+        assertEquals(
+                2,
+                RunningControl.run(
+                                folder,
+                                "import",
+                                "--to",
+                                "127.0.0.1:1",
+                                "--service",
+                                "a b",
+                                "127.0.0.1:2")
+                        .exitCode());
     }
 }
--- a/control/src/test/java/ottergauge/control/program/RunningControl.java
+++ b/control/src/test/java/ottergauge/control/program/RunningControl.java
@@ -35,10 +35,10 @@
 
     private static final long PATIENCE_S = 60;
     private static final Path JAR =
-        Path.of(System.getProperty("control.jar", "target/ottergauge-control.jar"));
+            Path.of(System.getProperty("control.jar", "target/ottergauge-control.jar"));
     private static final AtomicLong START = new AtomicLong();
     private static final HttpClient HTTP =
-        HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
+            HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
     final Process process;
     private final Path output;
@@ -57,7 +57,9 @@
         }
     }
 
-    /** Starts a control process that has these keys in its configuration beside name and address. */
+    /**
+     * Starts a control process that has these keys in its configuration beside name and address.
+     */
     static RunningControl serving(Path folder, String moreKeys) throws Exception {
         return serving(folder, freePort(), moreKeys);
     }
@@ -71,18 +73,24 @@
     /** The same, without waiting until it listens. */
     static RunningControl starting(Path folder, int port, String moreKeys) throws IOException {
         String config = "{\"name\":\"c1\",\"listen\":\"127.0.0.1:" + port + "\"" + moreKeys + "}";
-        Path file = Files.writeString(folder.resolve("config-" + START.incrementAndGet() + ".json"), config);
+        Path file =
+                Files.writeString(
+                        folder.resolve("config-" + START.incrementAndGet() + ".json"), config);
         return start(folder, port, "serve", "--config", file.toString());
     }
 
     /** Runs the program with these arguments. */
     static RunningControl start(Path folder, int port, String... arguments) throws IOException {
         Path output = folder.resolve("output-" + START.incrementAndGet());
-        List<String> command = new ArrayList<>(List.of("java", "-XX:+UseSerialGC", "-Xmx256m", "-jar",
-            JAR.toString()));
+        List<String> command =
+                new ArrayList<>(
+                        List.of("java", "-XX:+UseSerialGC", "-Xmx256m", "-jar", JAR.toString()));
         command.addAll(Arrays.asList(arguments));
-        Process process = new ProcessBuilder(command).redirectErrorStream(true)
-            .redirectOutput(output.toFile()).start();
+        Process process =
+                new ProcessBuilder(command)
+                        .redirectErrorStream(true)
+                        .redirectOutput(output.toFile())
+                        .start();
         return new RunningControl(process, output, port);
     }
 
@@ -145,17 +153,19 @@
     }
 
     HttpResponse<String> post(String body) throws IOException, InterruptedException {
-        HttpRequest request = request("/control/v1/changes").POST(BodyPublishers.ofString(body)).build();
+        HttpRequest request =
+                request("/control/v1/changes").POST(BodyPublishers.ofString(body)).build();
         return HTTP.send(request, BodyHandlers.ofString());
     }
 
     private HttpRequest.Builder request(String path) {
         return HttpRequest.newBuilder(URI.create("http://" + address() + path))
-            .timeout(Duration.ofSeconds(PATIENCE_S));
+                .timeout(Duration.ofSeconds(PATIENCE_S));
     }
 
     /** Publishes and expects that it is accepted. */
-    LogPosition publish(Submission submission) throws IOException, InterruptedException, ProtocolException {
+    LogPosition publish(Submission submission)
+            throws IOException, InterruptedException, ProtocolException {
         HttpResponse<String> answer = post(new String(ResourceCodec.write(submission)));
         assertEquals(200, answer.statusCode(), answer.body());
         return ResourceCodec.readPosition(answer.body().getBytes());
@@ -163,7 +173,8 @@
 
     LogPosition position() throws IOException, InterruptedException {
         var status = JsonTree.read(get("/control/v1/status").body().getBytes());
-        return new LogPosition((String) status.get("log"), ((Double) status.get("version")).longValue());
+        return new LogPosition(
+                (String) status.get("log"), ((Double) status.get("version")).longValue());
     }
 
     Socket connect() throws IOException {
--- a/control/src/test/java/ottergauge/control/program/StubDiscovery.java
+++ b/control/src/test/java/ottergauge/control/program/StubDiscovery.java
@@ -19,7 +19,9 @@
 import ottergauge.protocol.HostList;
 import ottergauge.protocol.HostList.Host;
 
-/** Stands in for discovery: tells its list whole, or what has changed after a version, once it has. */
+/**
+ * Stands in for discovery: tells its list whole, or what has changed after a version, once it has.
+ */
 final class StubDiscovery implements AutoCloseable {
 
     private static final Pattern AFTER = Pattern.compile("after=(\\d+)&wait_ms=(\\d+)");
@@ -39,11 +41,13 @@
     }
 
     static Host up(String name) {
-        return new Host(name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, ServerState.UP, 1, 0);
+        return new Host(
+                name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, ServerState.UP, 1, 0);
     }
 
     static Host gone(String name) {
-        return new Host(name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, ServerState.GONE, 1, 0);
+        return new Host(
+                name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, ServerState.GONE, 1, 0);
     }
 
     String address() {
@@ -75,8 +79,10 @@
 
     private void answer(HttpExchange call) throws IOException {
         Matcher watch = AFTER.matcher(String.valueOf(call.getRequestURI().getQuery()));
-        byte[] body = watch.find() ? changes(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2)))
-            : whole();
+        byte[] body =
+                watch.find()
+                        ? changes(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2)))
+                        : whole();
         call.sendResponseHeaders(200, body.length);
         call.getResponseBody().write(body);
         call.close();
@@ -98,7 +104,9 @@
         }
         List<Host> changed = new ArrayList<>();
         gone.stream().filter(host -> versions.get(host.name()) > after).forEach(changed::add);
-        hosts.values().stream().filter(host -> versions.get(host.name()) > after).forEach(changed::add);
+        hosts.values().stream()
+                .filter(host -> versions.get(host.name()) > after)
+                .forEach(changed::add);
         return new HostList(version, false, changed).json();
     }
 
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -26,11 +26,11 @@
 /** Files that are published, whole or in parts. */
 class SubmissionFileTest {
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private SubmissionFile file(Submission submission) throws IOException {
-        return SubmissionFile.read(Files.write(folder.resolve("file.json"), ResourceCodec.write(submission)));
+        return SubmissionFile.read(
+                Files.write(folder.resolve("file.json"), ResourceCodec.write(submission)));
     }
 
     private static Submissions many() {
@@ -83,16 +83,22 @@
     void partsAreBoundedByBytes() throws IOException {
         Submissions longValues = Submissions.of("long");
         for (int i = 0; i < 600; i++) {
-            longValues.put(ResourceKind.SERVICE, "s-" + i, new ResourceValue.Service("d".repeat(1_000)));
+            longValues.put(
+                    ResourceKind.SERVICE, "s-" + i, new ResourceValue.Service("d".repeat(1_000)));
         }
         List<Part> parts = file(longValues.build()).split();
-        assertTrue(parts.stream().allMatch(part -> part.body().length < ResourceCodec.MOST_SUBMISSION_BYTES));
+        assertTrue(
+                parts.stream()
+                        .allMatch(
+                                part -> part.body().length < ResourceCodec.MOST_SUBMISSION_BYTES));
     }
 
     @Test
     void aFileWithoutAnIdGetsOne() throws IOException, ProtocolException {
-        Path file = Files.writeString(folder.resolve("file.json"),
-            "{\"put\":[{\"kind\":\"service\",\"name\":\"checkout\",\"value\":{}}]}");
+        Path file =
+                Files.writeString(
+                        folder.resolve("file.json"),
+                        "{\"put\":[{\"kind\":\"service\",\"name\":\"checkout\",\"value\":{}}]}");
         Part first = SubmissionFile.read(file).whole();
         assertEquals(first.id(), ResourceCodec.readSubmission(first.body()).id());
         assertTrue(!first.id().equals(SubmissionFile.read(file).whole().id()));
--- a/control/src/test/java/ottergauge/control/program/ToolsIT.java
+++ b/control/src/test/java/ottergauge/control/program/ToolsIT.java
@@ -20,8 +20,7 @@
 /** The tools of the jar against a control process, over loopback sockets. */
 class ToolsIT {
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private String file(Submission submission) throws Exception {
         Path file = folder.resolve(submission.id() + ".json");
@@ -34,8 +33,9 @@
             String nobody = "127.0.0.1:" + RunningControl.freePort();
             String file = file(Submissions.of("a").service("checkout").build());
             for (int i = 0; i < 2; i++) {
-                RunningControl tool = RunningControl.run(folder, "publish", "--to",
-                    nobody + "," + control.address(), file);
+                RunningControl tool =
+                        RunningControl.run(
+                                folder, "publish", "--to", nobody + "," + control.address(), file);
                 assertEquals(0, tool.exitCode(), tool.output());
                 assertTrue(tool.output().startsWith("a: version 1 of log "), tool.output());
             }
@@ -46,17 +46,32 @@
     @Test
     void aRefusedFileIsToldByItsFaults() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            RunningControl refused = RunningControl.run(folder, "publish", "--to", control.address(),
-                file(Submissions.of("a").server("s-1", "none").build()));
+            RunningControl refused =
+                    RunningControl.run(
+                            folder,
+                            "publish",
+                            "--to",
+                            control.address(),
+                            file(Submissions.of("a").server("s-1", "none").build()));
             assertEquals(1, refused.exitCode());
-            assertTrue(refused.output().contains("put[0].value.service is a service that exists, not none"),
-                refused.output());
+            assertTrue(
+                    refused.output()
+                            .contains("put[0].value.service is a service that exists, not none"),
+                    refused.output());
         }
-        RunningControl unknown = RunningControl.run(folder, "publish", "--within-ms", "300", "--to",
-            "127.0.0.1:" + RunningControl.freePort(), file(Submissions.of("b").service("x").build()));
+        RunningControl unknown =
+                RunningControl.run(
+                        folder,
+                        "publish",
+                        "--within-ms",
+                        "300",
+                        "--to",
+                        "127.0.0.1:" + RunningControl.freePort(),
+                        file(Submissions.of("b").service("x").build()));
         assertEquals(1, unknown.exitCode());
         assertTrue(unknown.output().contains("b is not known to be accepted"), unknown.output());
-        RunningControl none = RunningControl.run(folder, "publish", "--to", "127.0.0.1:1", "none.json");
+        RunningControl none =
+                RunningControl.run(folder, "publish", "--to", "127.0.0.1:1", "none.json");
         assertEquals(1, none.exitCode());
         assertTrue(none.output().contains("can't be read"), none.output());
     }
@@ -69,11 +84,13 @@
                 many.tenant("t-" + i, i);
             }
             String file = file(many.build());
-            RunningControl whole = RunningControl.run(folder, "publish", "--to", control.address(), file);
+            RunningControl whole =
+                    RunningControl.run(folder, "publish", "--to", control.address(), file);
             assertEquals(1, whole.exitCode());
             assertTrue(whole.output().contains("1000 entries at most"), whole.output());
-            RunningControl split = RunningControl.run(folder, "publish", "--split", "--to",
-                control.address(), file);
+            RunningControl split =
+                    RunningControl.run(
+                            folder, "publish", "--split", "--to", control.address(), file);
             assertEquals(0, split.exitCode(), split.output());
             assertEquals(3, control.position().version());
         }
@@ -93,23 +110,37 @@
             RunningControl lag = RunningControl.run(folder, "status", "--to", control.address());
             assertEquals(1, lag.exitCode(), lag.output());
             assertTrue(lag.output().matches("(?s).*n2 +r2 +c1 +1 +1 +2 .*"), lag.output());
-            assertEquals(0, RunningControl.run(folder, "status", "--most-behind", "1", "--to",
-                control.address()).exitCode());
+            assertEquals(
+                    0,
+                    RunningControl.run(
+                                    folder,
+                                    "status",
+                                    "--most-behind",
+                                    "1",
+                                    "--to",
+                                    control.address())
+                            .exitCode());
             control.get("/control/v1/changes?log=other&after=7&node=n3&in_force=7");
-            RunningControl other = RunningControl.run(folder, "status", "--most-behind", "1", "--to",
-                control.address());
+            RunningControl other =
+                    RunningControl.run(
+                            folder, "status", "--most-behind", "1", "--to", control.address());
             assertEquals(1, other.exitCode(), other.output());
             assertTrue(other.output().matches("(?s).*n3 .* other log .*"), other.output());
         }
-        assertEquals(1, RunningControl.run(folder, "status", "--to",
-            "127.0.0.1:" + RunningControl.freePort()).exitCode());
+        assertEquals(
+                1,
+                RunningControl.run(
+                                folder, "status", "--to", "127.0.0.1:" + RunningControl.freePort())
+                        .exitCode());
     }
 
     private static Set<String> servers(RunningControl control) {
         Set<String> names = new TreeSet<>();
         try {
-            for (Resource resource : ResourceCodec.readSnapshot(control.get("/control/v1/snapshot").body()
-                    .getBytes()).resources()) {
+            for (Resource resource :
+                    ResourceCodec.readSnapshot(
+                                    control.get("/control/v1/snapshot").body().getBytes())
+                            .resources()) {
                 if (resource.key().kind() == ResourceKind.SERVER) {
                     names.add(resource.key().name());
                 }
@@ -126,9 +157,18 @@
         int port = RunningControl.freePort();
         RunningControl first = RunningControl.serving(folder, port, "");
         try (StubDiscovery discovery = new StubDiscovery()) {
-            discovery.tell(StubDiscovery.up("s-1"), StubDiscovery.up("s-2"), StubDiscovery.up("bad name"));
-            RunningControl tool = RunningControl.start(folder, 0, "import", "--to", first.address(),
-                "--service", "checkout", discovery.address());
+            discovery.tell(
+                    StubDiscovery.up("s-1"), StubDiscovery.up("s-2"), StubDiscovery.up("bad name"));
+            RunningControl tool =
+                    RunningControl.start(
+                            folder,
+                            0,
+                            "import",
+                            "--to",
+                            first.address(),
+                            "--service",
+                            "checkout",
+                            discovery.address());
             try (tool) {
                 tool.await("imported", () -> servers(first).equals(Set.of("s-1", "s-2")));
                 tool.awaitOutput("left out: name is");
@@ -140,7 +180,8 @@
                 tool.await("put right", () -> servers(first).equals(Set.of("s-3", "s-4")));
                 first.kill();
                 try (RunningControl second = RunningControl.serving(folder, port, "")) {
-                    tool.await("imported again", () -> servers(second).equals(Set.of("s-3", "s-4")));
+                    tool.await(
+                            "imported again", () -> servers(second).equals(Set.of("s-3", "s-4")));
                 }
                 tool.terminate();
                 tool.exitCode();
--- a/control/src/test/java/ottergauge/control/server/MadeUpTimers.java
+++ b/control/src/test/java/ottergauge/control/server/MadeUpTimers.java
@@ -9,7 +9,7 @@
 /** Timers and a clock that go on only when a test says so. */
 final class MadeUpTimers implements Timers {
 
-    private record Due(long timer, long atMs, Runnable task) { }
+    private record Due(long timer, long atMs, Runnable task) {}
 
     private final Map<Long, Due> running = new HashMap<>();
     private long nowMs = 1_000;
@@ -53,7 +53,8 @@
     }
 
     private Optional<Due> next(long untilMs) {
-        return running.values().stream().filter(due -> due.atMs() <= untilMs)
-            .min(Comparator.comparing(Due::atMs).thenComparing(Due::timer));
+        return running.values().stream()
+                .filter(due -> due.atMs() <= untilMs)
+                .min(Comparator.comparing(Due::atMs).thenComparing(Due::timer));
     }
 }
--- a/control/src/test/java/ottergauge/control/server/RecordingResponder.java
+++ b/control/src/test/java/ottergauge/control/server/RecordingResponder.java
@@ -11,7 +11,7 @@
     int status;
     byte[] body;
     boolean closes;
-    private Runnable gone = () -> { };
+    private Runnable gone = () -> {};
 
     @Override
     public void answer(int answered, byte[] json) {
--- a/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
+++ b/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
@@ -28,7 +28,7 @@
     private final SharedLog log = new SharedLog();
     private final MadeUpTimers timers = new MadeUpTimers();
     private final SnapshotQueue queue =
-        new SnapshotQueue(log, timers, timers::nowMicros, BYTES_PER_SECOND);
+            new SnapshotQueue(log, timers, timers::nowMicros, BYTES_PER_SECOND);
 
     SnapshotQueueTest() {
         log.replace(new ChangeLog("a1", LogLimits.DEFAULT));
@@ -41,8 +41,13 @@
 
     private RecordingResponder ask(Optional<String> ofLog) {
         RecordingResponder responder = new RecordingResponder();
-        queue.take(responder, new SnapshotCall(ofLog, Optional.empty(), PAGE_BYTES,
-            new Subscription(Set.of(), "default")));
+        queue.take(
+                responder,
+                new SnapshotCall(
+                        ofLog,
+                        Optional.empty(),
+                        PAGE_BYTES,
+                        new Subscription(Set.of(), "default")));
         return responder;
     }
 
@@ -71,8 +76,11 @@
         long begun = timers.nowMs();
         while (answered(responders) < 100) {
             timers.pass(7);
-            long bytes = responders.stream().filter(RecordingResponder::isAnswered)
-                .mapToLong(each -> each.body.length).sum();
+            long bytes =
+                    responders.stream()
+                            .filter(RecordingResponder::isAnswered)
+                            .mapToLong(each -> each.body.length)
+                            .sum();
             long allowed = (timers.nowMs() - begun) * BYTES_PER_SECOND / 1_000 + 4 * PAGE_BYTES;
             assertTrue(bytes <= allowed, bytes + " bytes of " + allowed);
         }
--- a/control/src/test/java/ottergauge/control/server/WaitingPollsTest.java
+++ b/control/src/test/java/ottergauge/control/server/WaitingPollsTest.java
@@ -43,8 +43,14 @@
 
     private RecordingResponder ask(LogPosition after, long waitMs, String... services) {
         RecordingResponder responder = new RecordingResponder();
-        polls.take(responder, new ChangesCall(after, waitMs, 1 << 16,
-            new Subscription(Set.of(services), "default"), Optional.empty()));
+        polls.take(
+                responder,
+                new ChangesCall(
+                        after,
+                        waitMs,
+                        1 << 16,
+                        new Subscription(Set.of(services), "default"),
+                        Optional.empty()));
         return responder;
     }
 
--- a/lab/src/main/java/ottergauge/lab/client/Clients.java
+++ b/lab/src/main/java/ottergauge/lab/client/Clients.java
@@ -29,9 +29,9 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
 /**
- * All clients of a play: an open loop, each request begun at its drawn instant whatever became of others, and
- * tried again as its client would. A client that stops waiting goes on listening for a while, so that an
- * answer that comes too late is seen.
+ * All clients of a play: an open loop, each request begun at its drawn instant whatever became of
+ * others, and tried again as its client would. A client that stops waiting goes on listening for a
+ * while, so that an answer that comes too late is seen.
  */
 public final class Clients {
 
@@ -52,14 +52,25 @@
     private long lastId;
     private boolean ended;
 
-    public Clients(Loop loop, Scenario scenario, Ledger ledger, List<InetSocketAddress> nodes,
-                   List<Link> links) {
+    public Clients(
+            Loop loop,
+            Scenario scenario,
+            Ledger ledger,
+            List<InetSocketAddress> nodes,
+            List<Link> links) {
         this.loop = loop;
         this.scenario = scenario;
         this.ledger = ledger;
         dialer = new Dialer(loop, nodes, links);
-        front = new Front(loop, dialer, ledger, nodes.size(), scenario.nodes().busiest(),
-            scenario.clients().notice(), scenario.seed());
+        front =
+                new Front(
+                        loop,
+                        dialer,
+                        ledger,
+                        nodes.size(),
+                        scenario.nodes().busiest(),
+                        scenario.clients().notice(),
+                        scenario.seed());
         random = new SplittableRandom(scenario.seed() + 1);
         dead = new boolean[nodes.size() + 1];
         for (int node = 0; node <= nodes.size(); node++) {
@@ -67,7 +78,10 @@
         }
     }
 
-    /** A node's process has ended, or lives again: what breaks at a dead one is no close between requests. */
+    /**
+     * A node's process has ended, or lives again: what breaks at a dead one is no close between
+     * requests.
+     */
     public void lives(int node, boolean alive) {
         dead[node] = !alive;
     }
@@ -88,10 +102,12 @@
 
     private void next(List<Plan.Request> plan, int index) {
         if (index < plan.size() && !ended) {
-            loop.at(plan.get(index).at(), () -> {
-                next(plan, index + 1);
-                arrive(plan.get(index));
-            });
+            loop.at(
+                    plan.get(index).at(),
+                    () -> {
+                        next(plan, index + 1);
+                        arrive(plan.get(index));
+                    });
         }
     }
 
@@ -103,8 +119,13 @@
     }
 
     private void arrive(Plan.Request request) {
-        Ask ask = new Ask(request.number(), request.requestClass(), request.tenant(), request.at(),
-            request.work());
+        Ask ask =
+                new Ask(
+                        request.number(),
+                        request.requestClass(),
+                        request.tenant(),
+                        request.at(),
+                        request.work());
         ledger.asks.add(ask);
         attempt(ask, request, 0);
     }
@@ -117,8 +138,12 @@
             return;
         }
         int node = front.choose();
-        Try each = new Try(ask, String.format("%08x%08x", scenario.seed() & 0xffffffffL, ++lastId), node,
-            waits / MS * MS);
+        Try each =
+                new Try(
+                        ask,
+                        String.format("%08x%08x", scenario.seed() & 0xffffffffL, ++lastId),
+                        node,
+                        waits / MS * MS);
         ask.tries.add(each);
         ledger.tries.put(each.id, each);
         if (node == 0) {
@@ -151,15 +176,18 @@
         Connection connection = new Connection(call.each.node);
         connection.call = call;
         call.each.fresh = true;
-        dialer.connect(call.each.node, connection).addListener(done -> {
-            if (!done.isSuccess()) {
-                connection.call = null;
-                ended(call.each, call.request, call.repeat, Ledger.NO_CONNECTION);
-            }
-        });
+        dialer.connect(call.each.node, connection)
+                .addListener(
+                        done -> {
+                            if (!done.isSuccess()) {
+                                connection.call = null;
+                                ended(call.each, call.request, call.repeat, Ledger.NO_CONNECTION);
+                            }
+                        });
     }
 
-    // One try on its way; its request is written anew if a kept connection turns out to have been closed.
+    // One try on its way; its request is written anew if a kept connection turns out to have been
+    // closed.
     private final class Call {
         private final Try each;
         private final Plan.Request request;
@@ -176,17 +204,27 @@
         FullHttpRequest message() {
             RequestClass type = scenario.classes().get(each.ask.requestClass);
             boolean safe = type.effect() == Effect.SAFE;
-            FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                safe ? HttpMethod.GET : HttpMethod.POST, "/api/" + request.key(),
-                safe ? Unpooled.EMPTY_BUFFER : Unpooled.copiedBuffer("asks", StandardCharsets.UTF_8));
-            message.headers().set(HttpHeaderNames.HOST, "lab").set("X-Trace-Id", each.id)
-                .set("X-Qos", type.name()).set("X-Expires-In-Ms", each.waits / MS);
+            FullHttpRequest message =
+                    new DefaultFullHttpRequest(
+                            HttpVersion.HTTP_1_1,
+                            safe ? HttpMethod.GET : HttpMethod.POST,
+                            "/api/" + request.key(),
+                            safe
+                                    ? Unpooled.EMPTY_BUFFER
+                                    : Unpooled.copiedBuffer("asks", StandardCharsets.UTF_8));
+            message.headers()
+                    .set(HttpHeaderNames.HOST, "lab")
+                    .set("X-Trace-Id", each.id)
+                    .set("X-Qos", type.name())
+                    .set("X-Expires-In-Ms", each.waits / MS);
             if (!safe) {
                 HttpUtil.setContentLength(message, message.content().readableBytes());
             }
             if (type.effect() == Effect.KEYED) {
-                message.headers().set("Idempotency-Key",
-                    String.format("%016x%016x", scenario.seed(), each.ask.number));
+                message.headers()
+                        .set(
+                                "Idempotency-Key",
+                                String.format("%016x%016x", scenario.seed(), each.ask.number));
             }
             if (repeat > 0 && scenario.clients().marksRetry()) {
                 message.headers().set("X-Second-Try", "1");
@@ -203,11 +241,13 @@
             call.each.gaveUpAt = loop.now();
             ended(call.each, call.request, call.repeat, Ledger.OPEN);
             call.over = true;
-            loop.after(LISTENS, () -> {
-                if (call.on != null && call.on.call == call) {
-                    call.on.channel.close();
-                }
-            });
+            loop.after(
+                    LISTENS,
+                    () -> {
+                        if (call.on != null && call.on.call == call) {
+                            call.on.channel.close();
+                        }
+                    });
         }
     }
 
@@ -221,14 +261,19 @@
             return;
         }
         RequestClass type = scenario.classes().get(each.ask.requestClass);
-        boolean harmless = status == UNAVAILABLE || status == TOO_MANY || status == Ledger.NO_CONNECTION;
+        boolean harmless =
+                status == UNAVAILABLE || status == TOO_MANY || status == Ledger.NO_CONNECTION;
         if (type.effect() == Effect.UNSAFE && !harmless) {
             return;
         }
-        long wait = request.obeys() && each.advice >= 0
-            ? Math.min(each.advice, scenario.platform().mostRetryAfter()) : scenario.clients().pause();
+        long wait =
+                request.obeys() && each.advice >= 0
+                        ? Math.min(each.advice, scenario.platform().mostRetryAfter())
+                        : scenario.clients().pause();
         // A little apart, as clients are.
-        loop.after(wait + random.nextLong(wait / 10 + 2_000), () -> attempt(each.ask, request, repeat + 1));
+        loop.after(
+                wait + random.nextLong(wait / 10 + 2_000),
+                () -> attempt(each.ask, request, repeat + 1));
     }
 
     // A connection to a node: one request at a time.
@@ -271,8 +316,11 @@
             if (after != null) {
                 each.advice = Math.round(Double.parseDouble(after) * 1e6);
             }
-            each.genuine = status != 200 || response.content().toString(StandardCharsets.UTF_8)
-                .equals("made for " + each.id);
+            each.genuine =
+                    status != 200
+                            || response.content()
+                                    .toString(StandardCharsets.UTF_8)
+                                    .equals("made for " + each.id);
             boolean keeps = HttpUtil.isKeepAlive(response);
             if (answered.over) {
                 each.status = status;
@@ -297,7 +345,8 @@
                 return;
             }
             if (!broken.each.fresh && !broken.over && !dead[node] && !ended) {
-                // The node closed it between requests: that is no answer, and the request goes out anew.
+                // The node closed it between requests: that is no answer, and the request goes out
+                // anew.
                 connect(broken);
             } else if (broken.over) {
                 if (broken.each.answeredAt < 0) {
--- a/lab/src/main/java/ottergauge/lab/client/Dialer.java
+++ b/lab/src/main/java/ottergauge/lab/client/Dialer.java
@@ -41,50 +41,68 @@
     /** Connects to a node; the handler sits behind HTTP's codec. */
     ChannelFuture connect(int node, ChannelHandler handler) {
         Link link = links.get(node - 1);
-        return new Bootstrap().group(loop.netty()).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_WITHIN_MS)
-            .handler(new ChannelInitializer<Channel>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    channel.pipeline().addLast(new LinkHandler(loop, link, true), new HttpClientCodec(),
-                        new HttpObjectAggregator(MOST_BODY), handler);
-                }
-            }).connect(nodes.get(node - 1));
+        return new Bootstrap()
+                .group(loop.netty())
+                .channel(NioSocketChannel.class)
+                .option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_WITHIN_MS)
+                .handler(
+                        new ChannelInitializer<Channel>() {
+                            @Override
+                            protected void initChannel(Channel channel) {
+                                channel.pipeline()
+                                        .addLast(
+                                                new LinkHandler(loop, link, true),
+                                                new HttpClientCodec(),
+                                                new HttpObjectAggregator(MOST_BODY),
+                                                handler);
+                            }
+                        })
+                .connect(nodes.get(node - 1));
     }
 
-    /** Asks a node one thing on a connection of its own; the status, or 0 if no answer came in time. */
+    /**
+     * Asks a node one thing on a connection of its own; the status, or 0 if no answer came in time.
+     */
     void ask(int node, FullHttpRequest request, long within, IntConsumer answered) {
-        ChannelFuture connecting = connect(node, new SimpleChannelInboundHandler<FullHttpResponse>() {
-            @Override
-            protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-                answered.accept(response.status().code());
-                ctx.close();
-            }
+        ChannelFuture connecting =
+                connect(
+                        node,
+                        new SimpleChannelInboundHandler<FullHttpResponse>() {
+                            @Override
+                            protected void channelRead0(
+                                    ChannelHandlerContext ctx, FullHttpResponse response) {
+                                answered.accept(response.status().code());
+                                ctx.close();
+                            }
 
-            @Override
-            public void channelActive(ChannelHandlerContext ctx) {
-                ctx.writeAndFlush(request);
-            }
+                            @Override
+                            public void channelActive(ChannelHandlerContext ctx) {
+                                ctx.writeAndFlush(request);
+                            }
 
-            @Override
-            public void channelInactive(ChannelHandlerContext ctx) {
-                answered.accept(0);
-            }
+                            @Override
+                            public void channelInactive(ChannelHandlerContext ctx) {
+                                answered.accept(0);
+                            }
 
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                ctx.close();
-            }
-        });
-        connecting.addListener(done -> {
-            if (!done.isSuccess()) {
-                answered.accept(0);
-            }
-        });
-        loop.after(within, () -> {
-            answered.accept(0);
-            connecting.channel().close();
-        });
+                            @Override
+                            public void exceptionCaught(
+                                    ChannelHandlerContext ctx, Throwable cause) {
+                                ctx.close();
+                            }
+                        });
+        connecting.addListener(
+                done -> {
+                    if (!done.isSuccess()) {
+                        answered.accept(0);
+                    }
+                });
+        loop.after(
+                within,
+                () -> {
+                    answered.accept(0);
+                    connecting.channel().close();
+                });
     }
 }
--- a/lab/src/main/java/ottergauge/lab/client/Front.java
+++ b/lab/src/main/java/ottergauge/lab/client/Front.java
@@ -10,8 +10,8 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * Deals clients out among the nodes: takes one in once it says that it is ready, out as soon as it says that
- * it is not, and notices late that one has died.
+ * Deals clients out among the nodes: takes one in once it says that it is ready, out as soon as it
+ * says that it is not, and notices late that one has died.
  */
 final class Front {
 
@@ -28,7 +28,14 @@
     private final SplittableRandom random;
     private boolean ended;
 
-    Front(Loop loop, Dialer dialer, Ledger ledger, int nodes, double busiest, long notice, long seed) {
+    Front(
+            Loop loop,
+            Dialer dialer,
+            Ledger ledger,
+            int nodes,
+            double busiest,
+            long notice,
+            long seed) {
         this.loop = loop;
         this.dialer = dialer;
         this.ledger = ledger;
@@ -53,16 +60,23 @@
         if (ended) {
             return;
         }
-        var request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/health/ready");
-        request.headers().set(HttpHeaderNames.HOST, "front").set(HttpHeaderNames.CONNECTION, "close");
+        var request =
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/health/ready");
+        request.headers()
+                .set(HttpHeaderNames.HOST, "front")
+                .set(HttpHeaderNames.CONNECTION, "close");
         boolean[] heard = new boolean[1];
-        dialer.ask(node, request, ANSWER_WITHIN, status -> {
-            if (!heard[0]) {
-                heard[0] = true;
-                heard(node, status);
-                loop.after(LOOK_EVERY, () -> look(node));
-            }
-        });
+        dialer.ask(
+                node,
+                request,
+                ANSWER_WITHIN,
+                status -> {
+                    if (!heard[0]) {
+                        heard[0] = true;
+                        heard(node, status);
+                        loop.after(LOOK_EVERY, () -> look(node));
+                    }
+                });
     }
 
     private void heard(int node, int status) {
--- a/lab/src/main/java/ottergauge/lab/client/Plan.java
+++ b/lab/src/main/java/ottergauge/lab/client/Plan.java
@@ -12,18 +12,26 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 import ottergauge.lab.scenario.Scenario.Tenant;
 
-/** All requests of a play, drawn from its seed before it begins: what nodes do changes none of them. */
+/**
+ * All requests of a play, drawn from its seed before it begins: what nodes do changes none of them.
+ */
 public final class Plan {
 
     /**
-     * A request to come; {@code obeys} says that its client follows advice, {@code leaves} after which part
-     * of its time its client leaves, or is negative.
+     * A request to come; {@code obeys} says that its client follows advice, {@code leaves} after
+     * which part of its time its client leaves, or is negative.
      */
-    public record Request(int number, long at, int requestClass, int tenant, int key, long work,
-                          boolean obeys, double leaves) { }
+    public record Request(
+            int number,
+            long at,
+            int requestClass,
+            int tenant,
+            int key,
+            long work,
+            boolean obeys,
+            double leaves) {}
 
-    private Plan() {
-    }
+    private Plan() {}
 
     public static List<Request> draw(Scenario scenario) {
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(scenario.seed());
@@ -49,11 +57,18 @@
             double draw = random.nextDouble();
             int key = (int) (draw * draw * scenario.classes().get(type).keys());
             if (at < scenario.length()) {
-                requests.add(new Request(requests.size(), (long) at, type,
-                    tenants.length == 0 ? -1 : pick(tenants, random), key,
-                    Math.max(100, Math.round(work.get(type).getAsDouble())),
-                    random.nextDouble() < scenario.clients().obey(),
-                    leaving.nextDouble() < scenario.clients().leave() ? leaving.nextDouble() : -1));
+                requests.add(
+                        new Request(
+                                requests.size(),
+                                (long) at,
+                                type,
+                                tenants.length == 0 ? -1 : pick(tenants, random),
+                                key,
+                                Math.max(100, Math.round(work.get(type).getAsDouble())),
+                                random.nextDouble() < scenario.clients().obey(),
+                                leaving.nextDouble() < scenario.clients().leave()
+                                        ? leaving.nextDouble()
+                                        : -1));
             }
         }
         return requests;
@@ -65,8 +80,11 @@
             return type::work;
         }
         double variance = Math.log(1 + type.spread() * type.spread());
-        LogNormalSampler sampler = new LogNormalSampler(ZigguratSampler.NormalizedGaussian.of(random),
-            Math.log(type.work()) - variance / 2, Math.sqrt(variance));
+        LogNormalSampler sampler =
+                new LogNormalSampler(
+                        ZigguratSampler.NormalizedGaussian.of(random),
+                        Math.log(type.work()) - variance / 2,
+                        Math.sqrt(variance));
         return sampler::sample;
     }
 
--- a/lab/src/main/java/ottergauge/lab/discovery/Registry.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/Registry.java
@@ -6,15 +6,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** The list of servers as discovery knows it, by versions; what it is told becomes known here late. */
+/**
+ * The list of servers as discovery knows it, by versions; what it is told becomes known here late.
+ */
 public final class Registry {
 
     /** What the list says of a server. */
-    public enum Health { IN_SERVICE, TERMINATING, TERMINATED }
+    public enum Health {
+        IN_SERVICE,
+        TERMINATING,
+        TERMINATED
+    }
 
     /** A line of the list; {@code place} is where the server stands, whatever its id. */
-    public record Line(String id, String place, String zone, String kind, Health health, long bornMs,
-                       long version) { }
+    public record Line(
+            String id,
+            String place,
+            String zone,
+            String kind,
+            Health health,
+            long bornMs,
+            long version) {}
 
     private final Map<String, Line> lines = new LinkedHashMap<>();
     private final List<Line> gone = new ArrayList<>();
@@ -23,10 +35,11 @@
     private long frozenVersion;
 
     /** Notes a server's state; the same as before is no news. */
-    public boolean set(String id, String place, String zone, String kind, Health health, long bornMs) {
+    public boolean set(
+            String id, String place, String zone, String kind, Health health, long bornMs) {
         Line before = lines.get(id);
         if (before != null && before.health() == health && before.bornMs() == bornMs
-            || before == null && health == Health.TERMINATED) {
+                || before == null && health == Health.TERMINATED) {
             return false;
         }
         Line line = new Line(id, place, zone, kind, health, bornMs, ++version);
@@ -60,9 +73,13 @@
     /** Whether this is still the last that is known of its server. */
     public boolean isLatest(Line line) {
         Line listed = lines.get(line.id());
-        return listed != null ? listed.equals(line)
-            : gone.stream().filter(each -> each.id().equals(line.id())).reduce((first, last) -> last)
-                .filter(line::equals).isPresent();
+        return listed != null
+                ? listed.equals(line)
+                : gone.stream()
+                        .filter(each -> each.id().equals(line.id()))
+                        .reduce((first, last) -> last)
+                        .filter(line::equals)
+                        .isPresent();
     }
 
     /** What has changed since a version; a frozen one knows of no change. */
--- a/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
@@ -38,7 +38,8 @@
 import ottergauge.lab.scenario.Scenario;
 
 /**
- * Stand-in discovery: one service for all nodes that works through calls in turn and may be short of time.
+ * Stand-in discovery: one service for all nodes that works through calls in turn and may be short
+ * of time.
  */
 public final class RegistryHost {
 
@@ -47,10 +48,11 @@
     private static final long MS = 1_000;
     // A watch that goes on so soon does not stand in the line again.
     private static final long GOES_ON = 200 * MS;
-    // Whatever became of calls, a change counts as told so long after it was made and could be asked for.
+    // Whatever became of calls, a change counts as told so long after it was made and could be
+    // asked for.
     private static final long TOLD_WITHIN = 6_000 * MS;
 
-    private record Watch(ChannelHandlerContext ctx, int node, long after, long until) { }
+    private record Watch(ChannelHandlerContext ctx, int node, long after, long until) {}
 
     private final Loop loop;
     private final Scenario scenario;
@@ -60,22 +62,31 @@
     private final Map<Integer, Listener> listeners = new LinkedHashMap<>();
     private final List<Link> links = new ArrayList<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
+
     /** Connections on which nothing comes any more. */
     private final Set<ChannelHandlerContext> silent = new HashSet<>();
+
     /** When a watch was answered last, for each connection that is open. */
     private final Map<ChannelHandlerContext, Long> answered = new HashMap<>();
+
     private final Map<Integer, Map<String, Long>> drainsTold = new LinkedHashMap<>();
     private final Set<Line> counted = new HashSet<>();
     private boolean lives = true;
     private boolean frozen;
+
     /** From when on it has answered with what it knows. */
     private long reachableSince;
+
     private double callsPerSecond;
     private long freeAt;
 
     /** {@code dials} gives the address under which a node finds the server of a place. */
-    public RegistryHost(Loop loop, Scenario scenario, Registry registry, Ledger ledger,
-                        BiFunction<Integer, String, String> dials) {
+    public RegistryHost(
+            Loop loop,
+            Scenario scenario,
+            Registry registry,
+            Ledger ledger,
+            BiFunction<Integer, String, String> dials) {
         this.loop = loop;
         this.scenario = scenario;
         this.registry = registry;
@@ -90,28 +101,33 @@
     }
 
     private void adopt(int node, ChannelPipeline pipeline) {
-        pipeline.addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16),
-            new SimpleChannelInboundHandler<FullHttpRequest>() {
-                @Override
-                protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-                    asked(ctx, node, new QueryStringDecoder(request.uri()));
-                }
+        pipeline.addLast(
+                new HttpServerCodec(),
+                new HttpObjectAggregator(1 << 16),
+                new SimpleChannelInboundHandler<FullHttpRequest>() {
+                    @Override
+                    protected void channelRead0(
+                            ChannelHandlerContext ctx, FullHttpRequest request) {
+                        asked(ctx, node, new QueryStringDecoder(request.uri()));
+                    }
 
-                @Override
-                public void channelInactive(ChannelHandlerContext ctx) {
-                    watches.removeIf(watch -> watch.ctx() == ctx);
-                    silent.remove(ctx);
-                    answered.remove(ctx);
-                }
+                    @Override
+                    public void channelInactive(ChannelHandlerContext ctx) {
+                        watches.removeIf(watch -> watch.ctx() == ctx);
+                        silent.remove(ctx);
+                        answered.remove(ctx);
+                    }
 
-                @Override
-                public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                    ctx.close();
-                }
-            });
+                    @Override
+                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+                        ctx.close();
+                    }
+                });
     }
 
-    /** The watches that are open fall silent: their connections stay up, and nothing comes on them. */
+    /**
+     * The watches that are open fall silent: their connections stay up, and nothing comes on them.
+     */
     public void silence() {
         watches.forEach(watch -> silent.add(watch.ctx()));
         watches.clear();
@@ -137,8 +153,9 @@
         long turn = Math.max(freeAt, now) + (long) (1e6 / callsPerSecond);
         if (turn - now > scenario.registry().patience()) {
             ledger.pays(now, Cost.LIST_CALL_FAILED, node, TARGET);
-            loop.after(scenario.registry().patience(),
-                () -> answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "{}"));
+            loop.after(
+                    scenario.registry().patience(),
+                    () -> answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "{}"));
             return;
         }
         ledger.pays(now, Cost.LIST_CALL, node, TARGET);
@@ -163,19 +180,22 @@
         } else {
             Watch watch = new Watch(ctx, node, after, loop.now() + wait);
             watches.add(watch);
-            loop.at(watch.until(), () -> {
-                if (watches.remove(watch)) {
-                    tell(ctx, node, false, registry.since(after));
-                }
-            });
+            loop.at(
+                    watch.until(),
+                    () -> {
+                        if (watches.remove(watch)) {
+                            tell(ctx, node, false, registry.since(after));
+                        }
+                    });
         }
     }
 
     /** The list has changed: those who watch are told. */
     public void changed() {
         long now = loop.now();
-        registry.since(0).stream().filter(line -> line.health() != Health.IN_SERVICE && counted.add(line))
-            .forEach(line -> loop.at(now + TOLD_WITHIN, () -> countsByNow(line, now)));
+        registry.since(0).stream()
+                .filter(line -> line.health() != Health.IN_SERVICE && counted.add(line))
+                .forEach(line -> loop.at(now + TOLD_WITHIN, () -> countsByNow(line, now)));
         for (Watch watch : new ArrayList<>(watches)) {
             List<Line> news = registry.since(watch.after());
             if (!news.isEmpty() && watches.remove(watch)) {
@@ -185,12 +205,14 @@
     }
 
     private void tell(ChannelHandlerContext ctx, int node, boolean whole, List<Line> lines) {
-        StringBuilder text = new StringBuilder("{\"seq\":" + registry.version() + ",\"whole\":" + whole
-            + ",\"hosts\":[");
+        StringBuilder text =
+                new StringBuilder(
+                        "{\"seq\":" + registry.version() + ",\"whole\":" + whole + ",\"hosts\":[");
         for (Line line : lines) {
             if (line.health() != Health.IN_SERVICE) {
-                drainsTold.computeIfAbsent(node, each -> new LinkedHashMap<>())
-                    .put(line.id(), line.version());
+                drainsTold
+                        .computeIfAbsent(node, each -> new LinkedHashMap<>())
+                        .put(line.id(), line.version());
             }
             text.append(text.charAt(text.length() - 1) == '[' ? "" : ",").append(entry(node, line));
         }
@@ -221,36 +243,51 @@
 
     /** A line as a node is told it. */
     public String entry(int node, Line line) {
-        return String.format(Locale.ROOT, "{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"%s\",\"class\":\"%s\","
-                + "\"block\":0,\"health\":\"%s\",\"share\":1.0,\"born_ms\":%d}", line.id(),
-            dials.apply(node, line.place()), line.zone(), line.kind(),
-            line.health().name().toLowerCase(Locale.ROOT), line.bornMs());
+        return String.format(
+                Locale.ROOT,
+                "{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"%s\",\"class\":\"%s\","
+                        + "\"block\":0,\"health\":\"%s\",\"share\":1.0,\"born_ms\":%d}",
+                line.id(),
+                dials.apply(node, line.place()),
+                line.zone(),
+                line.kind(),
+                line.health().name().toLowerCase(Locale.ROOT),
+                line.bornMs());
     }
 
     // A node that asks for what is newer than a version has heard all of that.
     private void confirmed(int node, long version) {
-        drainsTold.getOrDefault(node, Map.of()).entrySet().removeIf(told -> {
-            boolean heard = version >= told.getValue();
-            if (heard) {
-                counts(node, told.getKey());
-            }
-            return heard;
-        });
+        drainsTold
+                .getOrDefault(node, Map.of())
+                .entrySet()
+                .removeIf(
+                        told -> {
+                            boolean heard = version >= told.getValue();
+                            if (heard) {
+                                counts(node, told.getKey());
+                            }
+                            return heard;
+                        });
     }
 
     // From now on a node counts as told that a server leaves.
     private void counts(int node, String server) {
-        ledger.lives.values().stream().filter(life -> life.server.equals(server))
-            .reduce((first, last) -> last)
-            .ifPresent(life -> life.toldAt.putIfAbsent(node, loop.now()));
+        ledger.lives.values().stream()
+                .filter(life -> life.server.equals(server))
+                .reduce((first, last) -> last)
+                .ifPresent(life -> life.toldAt.putIfAbsent(node, loop.now()));
     }
 
     private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
         Channel channel = ctx.channel();
         if (channel.isActive() && !silent.contains(ctx)) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1,
+                            status,
+                            Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+            response.headers()
+                    .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             ctx.writeAndFlush(response);
         }
--- a/lab/src/main/java/ottergauge/lab/ledger/Checker.java
+++ b/lab/src/main/java/ottergauge/lab/ledger/Checker.java
@@ -15,19 +15,27 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
 /**
- * Decides by the ledger alone whether the rules were kept: each request that a running node took gets one
- * genuine answer in time, no effect happens twice, a draining server gets nothing new, no cold server is
- * pushed over. It knows nothing of how a node works.
+ * Decides by the ledger alone whether the rules were kept: each request that a running node took
+ * gets one genuine answer in time, no effect happens twice, a draining server gets nothing new, no
+ * cold server is pushed over. It knows nothing of how a node works.
  */
 public final class Checker {
 
     /** The rules, and what a play may show beside them. */
-    public enum Rule { ANSWER, EFFECT, DRAIN, COLD, GONE, CRASH }
+    public enum Rule {
+        ANSWER,
+        EFFECT,
+        DRAIN,
+        COLD,
+        GONE,
+        CRASH
+    }
 
     /** One break of a rule, in words. */
-    public record Broken(Rule rule, long at, String what) { }
+    public record Broken(Rule rule, long at, String what) {}
 
-    // Time limits on sockets are longer by this much; and an answer may come so late that it only earns
+    // Time limits on sockets are longer by this much; and an answer may come so late that it only
+    // earns
     // nothing.
     private static final long SOCKET_SLACK = 50_000;
     private static final long LOST_AFTER = 500_000;
@@ -35,7 +43,8 @@
     private static final long OVERLAP = 5_000;
     private static final int REFUSED = 503;
     private static final int TOO_MANY = 429;
-    // An attempt that begins so long after its client has left is for nobody; the first cases are put down to
+    // An attempt that begins so long after its client has left is for nobody; the first cases are
+    // put down to
     // messages that crossed.
     private static final long GONE_AFTER = 100_000;
     private static final int GONE_CASES = 2;
@@ -85,39 +94,66 @@
             if (each.sentAt < 0 || due > end || each.leftAt >= 0) {
                 continue;
             }
-            boolean ran = away.getOrDefault(each.node, List.of()).stream()
-                .noneMatch(span -> span[0] <= due && span[1] >= each.sentAt);
+            boolean ran =
+                    away.getOrDefault(each.node, List.of()).stream()
+                            .noneMatch(span -> span[0] <= due && span[1] >= each.sentAt);
             if (!each.genuine) {
-                fault(Rule.ANSWER, each.answeredAt, each.id + " was served with what no server made for it");
+                fault(
+                        Rule.ANSWER,
+                        each.answeredAt,
+                        each.id + " was served with what no server made for it");
             } else if (each.answers > 1) {
-                fault(Rule.ANSWER, each.answeredAt, each.id + " was answered " + each.answers + " times");
+                fault(
+                        Rule.ANSWER,
+                        each.answeredAt,
+                        each.id + " was answered " + each.answers + " times");
             } else if (ran && each.status == Ledger.BROKEN) {
-                fault(Rule.ANSWER, each.sentAt, each.id + " was taken by n" + each.node
-                    + " and its connection ended with no answer");
+                fault(
+                        Rule.ANSWER,
+                        each.sentAt,
+                        each.id
+                                + " was taken by n"
+                                + each.node
+                                + " and its connection ended with no answer");
             } else if (ran && (each.answeredAt < 0 || each.answeredAt > due)) {
-                fault(Rule.ANSWER, each.sentAt, each.id + " was taken by n" + each.node + " and "
-                    + (each.answeredAt < 0 ? "never answered"
-                    : "answered " + (each.answeredAt - each.sentAt) / 1000 + " ms later, of "
-                    + each.waits / 1000));
+                fault(
+                        Rule.ANSWER,
+                        each.sentAt,
+                        each.id
+                                + " was taken by n"
+                                + each.node
+                                + " and "
+                                + (each.answeredAt < 0
+                                        ? "never answered"
+                                        : "answered "
+                                                + (each.answeredAt - each.sentAt) / 1000
+                                                + " ms later, of "
+                                                + each.waits / 1000));
             }
         }
     }
 
-    // When each node did not run, or its clients could not reach it: what it had taken then is excused.
+    // When each node did not run, or its clients could not reach it: what it had taken then is
+    // excused.
     private Map<Integer, List<long[]>> away(long end) {
         Map<Integer, List<long[]>> spans = new HashMap<>();
         for (Happening each : ledger.happenings) {
             if (!each.who().startsWith("n") || !Character.isDigit(each.who().charAt(1))) {
                 continue;
             }
-            List<long[]> own = spans.computeIfAbsent(Integer.parseInt(each.who().substring(1)),
-                node -> new ArrayList<>());
+            List<long[]> own =
+                    spans.computeIfAbsent(
+                            Integer.parseInt(each.who().substring(1)), node -> new ArrayList<>());
             String what = each.what();
-            if (what.startsWith("is killed") || what.startsWith("is stopped") || what.startsWith("crashed")
-                || what.startsWith("cannot be reached")) {
+            if (what.startsWith("is killed")
+                    || what.startsWith("is stopped")
+                    || what.startsWith("crashed")
+                    || what.startsWith("cannot be reached")) {
                 own.add(new long[] {each.at(), end});
-            } else if (!own.isEmpty() && (what.startsWith("is started") || what.startsWith("goes on")
-                || what.startsWith("can be reached"))) {
+            } else if (!own.isEmpty()
+                    && (what.startsWith("is started")
+                            || what.startsWith("goes on")
+                            || what.startsWith("can be reached"))) {
                 own.get(own.size() - 1)[1] = each.at();
             }
         }
@@ -136,11 +172,12 @@
                 repeated(each);
             }
         }
-        byAsk.forEach((ask, effects) -> {
-            if (scenario.classes().get(ask.requestClass).effect() != Scenario.Effect.SAFE) {
-                twice(ask, effects);
-            }
-        });
+        byAsk.forEach(
+                (ask, effects) -> {
+                    if (scenario.classes().get(ask.requestClass).effect() != Scenario.Effect.SAFE) {
+                        twice(ask, effects);
+                    }
+                });
     }
 
     private void overlaps(Try each) {
@@ -148,8 +185,14 @@
             Attempt before = each.attempts.get(i - 1);
             long at = each.attempts.get(i).at;
             if (before.endedAt < 0 || before.endedAt > at + OVERLAP) {
-                fault(Rule.EFFECT, at, each.id + " was sent to " + each.attempts.get(i).server
-                    + " while it was out at " + before.server);
+                fault(
+                        Rule.EFFECT,
+                        at,
+                        each.id
+                                + " was sent to "
+                                + each.attempts.get(i).server
+                                + " while it was out at "
+                                + before.server);
             }
         }
     }
@@ -158,10 +201,20 @@
     private void repeated(Try each) {
         for (int i = 1; i < each.attempts.size(); i++) {
             Attempt before = each.attempts.get(i - 1);
-            if (before.end.equals("served") || before.end.equals("error") || before.end.equals("answer lost")
-                || before.end.startsWith("given up")) {
-                fault(Rule.EFFECT, each.attempts.get(i).at, each.id + ", unsafe to repeat, was sent again to "
-                    + each.attempts.get(i).server + " after " + before.server + ": " + before.end);
+            if (before.end.equals("served")
+                    || before.end.equals("error")
+                    || before.end.equals("answer lost")
+                    || before.end.startsWith("given up")) {
+                fault(
+                        Rule.EFFECT,
+                        each.attempts.get(i).at,
+                        each.id
+                                + ", unsafe to repeat, was sent again to "
+                                + each.attempts.get(i).server
+                                + " after "
+                                + before.server
+                                + ": "
+                                + before.end);
             }
         }
     }
@@ -169,15 +222,23 @@
     private void twice(Ask ask, List<Effect> effects) {
         Map<Try, Long> byTry = new HashMap<>();
         effects.forEach(effect -> byTry.merge(effect.attempt().of, 1L, Long::sum));
-        byTry.forEach((each, times) -> {
-            if (times >= READ_TWICE) {
-                fault(Rule.EFFECT, each.sentAt, each.id + " had its effect " + times + " times");
-            }
-            if ((each.status == REFUSED || each.status == TOO_MANY)
-                && scenario.classes().get(ask.requestClass).effect() == Scenario.Effect.UNSAFE) {
-                fault(Rule.EFFECT, each.answeredAt, each.id + " was refused and had its effect");
-            }
-        });
+        byTry.forEach(
+                (each, times) -> {
+                    if (times >= READ_TWICE) {
+                        fault(
+                                Rule.EFFECT,
+                                each.sentAt,
+                                each.id + " had its effect " + times + " times");
+                    }
+                    if ((each.status == REFUSED || each.status == TOO_MANY)
+                            && scenario.classes().get(ask.requestClass).effect()
+                                    == Scenario.Effect.UNSAFE) {
+                        fault(
+                                Rule.EFFECT,
+                                each.answeredAt,
+                                each.id + " was refused and had its effect");
+                    }
+                });
     }
 
     private void drains() {
@@ -186,8 +247,17 @@
             Life life = ledger.lives.get(each.server);
             Long told = life == null ? null : life.toldAt.get(each.node);
             if (told != null && each.firstByteAt > told + grace) {
-                fault(Rule.DRAIN, each.firstByteAt, each.of.id + " went to " + each.server + " "
-                    + (each.firstByteAt - told) / 1000 + " ms after n" + each.node + " knew that it drains");
+                fault(
+                        Rule.DRAIN,
+                        each.firstByteAt,
+                        each.of.id
+                                + " went to "
+                                + each.server
+                                + " "
+                                + (each.firstByteAt - told) / 1000
+                                + " ms after n"
+                                + each.node
+                                + " knew that it drains");
             }
         }
     }
@@ -195,21 +265,39 @@
     /** The attempts that began when their client had been away for long enough to be seen. */
     public static List<Attempt> forNobody(Ledger ledger) {
         return ledger.attempts.stream()
-            .filter(each -> each.of.leftAt >= 0 && each.firstByteAt > each.of.leftAt + GONE_AFTER).toList();
+                .filter(
+                        each ->
+                                each.of.leftAt >= 0
+                                        && each.firstByteAt > each.of.leftAt + GONE_AFTER)
+                .toList();
     }
 
     private void gone() {
-        forNobody(ledger).stream().skip(GONE_CASES).forEach(each -> fault(Rule.GONE, each.firstByteAt,
-            each.of.id + " went to " + each.server + " " + (each.firstByteAt - each.of.leftAt) / 1000
-            + " ms after its client had left n" + each.node));
+        forNobody(ledger).stream()
+                .skip(GONE_CASES)
+                .forEach(
+                        each ->
+                                fault(
+                                        Rule.GONE,
+                                        each.firstByteAt,
+                                        each.of.id
+                                                + " went to "
+                                                + each.server
+                                                + " "
+                                                + (each.firstByteAt - each.of.leftAt) / 1000
+                                                + " ms after its client had left n"
+                                                + each.node));
     }
 
-    /** Keyed requests that ran twice because their clients tried again: no node's fault, but counted. */
+    /**
+     * Keyed requests that ran twice because their clients tried again: no node's fault, but
+     * counted.
+     */
     public static long secondRuns(Scenario scenario, Ledger ledger) {
         Map<String, Integer> runs = new HashMap<>();
         for (Effect effect : ledger.effects) {
             if (scenario.classes().get(effect.attempt().of.ask.requestClass).effect()
-                == Scenario.Effect.KEYED) {
+                    == Scenario.Effect.KEYED) {
                 runs.merge(effect.key(), 1, Integer::sum);
             }
         }
--- a/lab/src/main/java/ottergauge/lab/ledger/Figures.java
+++ b/lab/src/main/java/ottergauge/lab/ledger/Figures.java
@@ -21,21 +21,50 @@
 public final class Figures {
 
     /** How a request ended, its further tries included. */
-    public enum End { IN_TIME, LATE, REFUSED, FAILED }
+    public enum End {
+        IN_TIME,
+        LATE,
+        REFUSED,
+        FAILED
+    }
 
     /**
      * A span of the play. {@code worth} is the part of the offered worth that was served in time,
-     * {@code ideal} the part that an order which knows all could serve, {@code inverted} the part of the
-     * requests that were served, or refused, while one of higher or lower worth was the other.
+     * {@code ideal} the part that an order which knows all could serve, {@code inverted} the part
+     * of the requests that were served, or refused, while one of higher or lower worth was the
+     * other.
      */
-    public record Span(long from, long to, int asks, double worth, double ideal, double refused,
-                       double failed, double triesPerAsk, double attemptsPerAsk, double inverted,
-                       double probesPerServer, double handshakesPerServer, double probesPerAsk,
-                       double turnedAway, double busiestProbes) { }
+    public record Span(
+            long from,
+            long to,
+            int asks,
+            double worth,
+            double ideal,
+            double refused,
+            double failed,
+            double triesPerAsk,
+            double attemptsPerAsk,
+            double inverted,
+            double probesPerServer,
+            double handshakesPerServer,
+            double probesPerAsk,
+            double turnedAway,
+            double busiestProbes) {}
 
     /** One second of the play. */
-    public record Second(int second, int offered, int inTime, int late, int refused, int failed, int tries,
-                         int attempts, int probes, int handshakes, int listCalls, int turnedAway) { }
+    public record Second(
+            int second,
+            int offered,
+            int inTime,
+            int late,
+            int refused,
+            int failed,
+            int tries,
+            int attempts,
+            int probes,
+            int handshakes,
+            int listCalls,
+            int turnedAway) {}
 
     private static final long SECOND = 1_000_000;
     private static final long STEP = 100_000;
@@ -64,7 +93,9 @@
             return served <= ask.intendedAt + type.aim() ? End.IN_TIME : End.LATE;
         }
         Try last = ask.tries.isEmpty() ? null : ask.tries.get(ask.tries.size() - 1);
-        return last != null && (last.status == REFUSED || last.status == TOO_MANY) ? End.REFUSED : End.FAILED;
+        return last != null && (last.status == REFUSED || last.status == TOO_MANY)
+                ? End.REFUSED
+                : End.FAILED;
     }
 
     public End endOf(Ask ask) {
@@ -81,30 +112,48 @@
 
     /** The figures of the requests that were due in a span, and of what was paid in it. */
     public Span span(long from, long to) {
-        List<Ask> asks = ledger.asks.stream().filter(a -> a.intendedAt >= from && a.intendedAt < to).toList();
+        List<Ask> asks =
+                ledger.asks.stream()
+                        .filter(a -> a.intendedAt >= from && a.intendedAt < to)
+                        .toList();
         double offered = asks.stream().mapToDouble(ask -> type(ask).worth()).sum();
         double earned = asks.stream().mapToDouble(this::earned).sum();
         double tries = asks.stream().mapToInt(ask -> ask.tries.size()).sum();
-        double attempts = asks.stream().flatMap(ask -> ask.tries.stream()).mapToInt(t -> t.attempts.size())
-            .sum();
+        double attempts =
+                asks.stream()
+                        .flatMap(ask -> ask.tries.stream())
+                        .mapToInt(t -> t.attempts.size())
+                        .sum();
         int servers = scenario.servers().stream().mapToInt(Scenario.ServerKind::count).sum();
         double seconds = (to - from) / (double) SECOND;
         int count = Math.max(1, asks.size());
-        return new Span(from, to, asks.size(), offered == 0 ? 1 : earned / offered,
-            offered == 0 ? 1 : ideal(asks, from, to) / offered, share(asks, End.REFUSED),
-            share(asks, End.FAILED), tries / count, attempts / count, inverted(asks),
-            paid(Cost.PROBE, from, to) / servers / seconds,
-            paid(Cost.HANDSHAKE, from, to) / servers / seconds,
-            paid(Cost.PROBE, from, to) / count, paid(Cost.TURNED_AWAY, from, to) / Math.max(1, attempts),
-            busiestProbes(from, to));
+        return new Span(
+                from,
+                to,
+                asks.size(),
+                offered == 0 ? 1 : earned / offered,
+                offered == 0 ? 1 : ideal(asks, from, to) / offered,
+                share(asks, End.REFUSED),
+                share(asks, End.FAILED),
+                tries / count,
+                attempts / count,
+                inverted(asks),
+                paid(Cost.PROBE, from, to) / servers / seconds,
+                paid(Cost.HANDSHAKE, from, to) / servers / seconds,
+                paid(Cost.PROBE, from, to) / count,
+                paid(Cost.TURNED_AWAY, from, to) / Math.max(1, attempts),
+                busiestProbes(from, to));
     }
 
     private double share(List<Ask> asks, End end) {
-        return asks.stream().filter(ask -> ends.get(ask) == end).count() / (double) Math.max(1, asks.size());
+        return asks.stream().filter(ask -> ends.get(ask) == end).count()
+                / (double) Math.max(1, asks.size());
     }
 
     private double paid(Cost cost, long from, long to) {
-        return ledger.paid.stream().filter(p -> p.cost() == cost && p.at() >= from && p.at() < to).count();
+        return ledger.paid.stream()
+                .filter(p -> p.cost() == cost && p.at() >= from && p.at() < to)
+                .count();
     }
 
     // The most probes that one server got in one second.
@@ -118,14 +167,22 @@
         return bySecond.values().stream().mapToInt(n -> n).max().orElse(0);
     }
 
-    // Filled greedily by worth for the work, with all that the servers can do in the span and one aim more.
+    // Filled greedily by worth for the work, with all that the servers can do in the span and one
+    // aim more.
     private double ideal(List<Ask> asks, long from, long to) {
         long aim = scenario.classes().stream().mapToLong(RequestClass::aim).max().orElse(0);
-        double left = scenario.servers().stream()
-            .mapToDouble(kind -> kind.count() * kind.cores() * kind.speed()).sum() * (to - from + aim);
+        double left =
+                scenario.servers().stream()
+                                .mapToDouble(kind -> kind.count() * kind.cores() * kind.speed())
+                                .sum()
+                        * (to - from + aim);
         double worth = 0;
-        List<Ask> byWorth = asks.stream().sorted(Comparator.comparingDouble(
-            (Ask ask) -> -type(ask).worth() / ask.work)).toList();
+        List<Ask> byWorth =
+                asks.stream()
+                        .sorted(
+                                Comparator.comparingDouble(
+                                        (Ask ask) -> -type(ask).worth() / ask.work))
+                        .toList();
         for (Ask ask : byWorth) {
             if (left < ask.work) {
                 break;
@@ -139,16 +196,25 @@
     // In each second: the requests that changed places with one of another worth for its work.
     private double inverted(List<Ask> asks) {
         Map<Long, List<Ask>> bySecond = new TreeMap<>();
-        asks.forEach(ask -> bySecond.computeIfAbsent(ask.intendedAt / SECOND, s -> new ArrayList<>())
-            .add(ask));
+        asks.forEach(
+                ask ->
+                        bySecond.computeIfAbsent(ask.intendedAt / SECOND, s -> new ArrayList<>())
+                                .add(ask));
         double inverted = 0;
         for (List<Ask> second : bySecond.values()) {
             int best = 0;
             for (RequestClass low : scenario.classes()) {
-                long lowServed = second.stream().filter(ask -> type(ask) == low
-                    && ends.get(ask) == End.IN_TIME).count();
-                long highRefused = second.stream().filter(ask -> ends.get(ask) == End.REFUSED
-                    && density(type(ask)) > density(low)).count();
+                long lowServed =
+                        second.stream()
+                                .filter(ask -> type(ask) == low && ends.get(ask) == End.IN_TIME)
+                                .count();
+                long highRefused =
+                        second.stream()
+                                .filter(
+                                        ask ->
+                                                ends.get(ask) == End.REFUSED
+                                                        && density(type(ask)) > density(low))
+                                .count();
                 best = Math.max(best, (int) Math.min(lowServed, highRefused));
             }
             inverted += best;
@@ -161,8 +227,9 @@
     }
 
     /**
-     * How long after an instant service is back: until the first second from which on, for three seconds,
-     * 0.95 of the part of worth that was served in time before {@code before} is; -1 if it never is.
+     * How long after an instant service is back: until the first second from which on, for three
+     * seconds, 0.95 of the part of worth that was served in time before {@code before} is; -1 if it
+     * never is.
      */
     public long backAfter(long before, long after, int seconds) {
         double full = FULL * span(Math.min(SECOND, before / 2), before).worth();
@@ -183,8 +250,10 @@
         List<Span> spans = new ArrayList<>();
         List<LoadStep> steps = scenario.load();
         for (int i = 0; i < steps.size(); i++) {
-            spans.add(span(steps.get(i).from(), i + 1 < steps.size() ? steps.get(i + 1).from()
-                : scenario.length()));
+            spans.add(
+                    span(
+                            steps.get(i).from(),
+                            i + 1 < steps.size() ? steps.get(i + 1).from() : scenario.length()));
         }
         return spans;
     }
@@ -202,17 +271,22 @@
             add(n, each.at, 6);
         }
         for (Paid each : ledger.paid) {
-            add(n, each.at(), switch (each.cost()) {
-                case PROBE -> 7;
-                case HANDSHAKE -> 8;
-                case LIST_CALL, LIST_CALL_FAILED -> 9;
-                case TURNED_AWAY -> 10;
-            });
+            add(
+                    n,
+                    each.at(),
+                    switch (each.cost()) {
+                        case PROBE -> 7;
+                        case HANDSHAKE -> 8;
+                        case LIST_CALL, LIST_CALL_FAILED -> 9;
+                        case TURNED_AWAY -> 10;
+                    });
         }
         List<Second> seconds = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            seconds.add(new Second(i, n[i][0], n[i][1], n[i][2], n[i][3], n[i][4], n[i][5], n[i][6], n[i][7],
-                n[i][8], n[i][9], n[i][10]));
+            seconds.add(
+                    new Second(
+                            i, n[i][0], n[i][1], n[i][2], n[i][3], n[i][4], n[i][5], n[i][6],
+                            n[i][7], n[i][8], n[i][9], n[i][10]));
         }
         return seconds;
     }
@@ -231,17 +305,21 @@
             long served = ask.servedAt();
             if (served >= 0) {
                 byClass.computeIfAbsent(type(ask).name(), name -> new Histogram(3))
-                    .recordValue(Math.max(0, served - ask.intendedAt));
+                        .recordValue(Math.max(0, served - ask.intendedAt));
             }
         }
         return byClass;
     }
 
-    /** How many first sends, or probes and the like, each target got from all nodes in its worst 100 ms. */
+    /**
+     * How many first sends, or probes and the like, each target got from all nodes in its worst 100
+     * ms.
+     */
     public int worstTenth(Cost cost) {
         Map<String, Integer> counts = new HashMap<>();
-        ledger.paid.stream().filter(p -> p.cost() == cost)
-            .forEach(p -> counts.merge(p.target() + "/" + p.at() / STEP, 1, Integer::sum));
+        ledger.paid.stream()
+                .filter(p -> p.cost() == cost)
+                .forEach(p -> counts.merge(p.target() + "/" + p.at() / STEP, 1, Integer::sum));
         return counts.values().stream().mapToInt(n -> n).max().orElse(0);
     }
 
--- a/lab/src/main/java/ottergauge/lab/ledger/Ledger.java
+++ b/lab/src/main/java/ottergauge/lab/ledger/Ledger.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * What the stand-ins and clients saw, in the order in which they saw it: the only thing that the checker and
- * the figures go by. No node writes here. Instants are microseconds from the start of the load.
+ * What the stand-ins and clients saw, in the order in which they saw it: the only thing that the
+ * checker and the figures go by. No node writes here. Instants are microseconds from the start of
+ * the load.
  */
 public final class Ledger {
 
@@ -31,13 +32,17 @@
 
         /** The instant at which an answer came in a try's time that served it, or -1. */
         public long servedAt() {
-            return tries.stream().filter(t -> t.status == 200 && t.answeredAt <= t.sentAt + t.waits)
-                .mapToLong(t -> t.answeredAt).min().orElse(-1);
+            return tries.stream()
+                    .filter(t -> t.status == 200 && t.answeredAt <= t.sentAt + t.waits)
+                    .mapToLong(t -> t.answeredAt)
+                    .min()
+                    .orElse(-1);
         }
     }
 
     /** How a try ended where no status says it. */
     public static final int OPEN = 0;
+
     public static final int BROKEN = -1;
     public static final int NO_CONNECTION = -2;
 
@@ -46,24 +51,35 @@
         public final Ask ask;
         public final String id;
         public final int node;
+
         /** How long the client waits for its answer. */
         public final long waits;
+
         /** When the last byte was written to the node, or -1. */
         public long sentAt = -1;
+
         /** When its last answer came, or its connection ended; -1 if neither has. */
         public long answeredAt = -1;
+
         /** When the client closed its connection, or -1. */
         public long leftAt = -1;
+
         /** When the client stopped waiting, or -1. */
         public long gaveUpAt = -1;
+
         public int status = OPEN;
+
         /** The advice on when to come back, or -1. */
         public long advice = -1;
+
         public int answers;
+
         /** Whether the body is what a server made for this try. */
         public boolean genuine = true;
+
         /** Whether it was the first that its connection carried. */
         public boolean fresh;
+
         public final List<Attempt> attempts = new ArrayList<>(1);
 
         public Try(Ask ask, String id, int node, long waits) {
@@ -95,15 +111,21 @@
     }
 
     /** An effect that a request had at a server, by what must not happen twice. */
-    public record Effect(long at, String key, String group, String server, Attempt attempt) { }
+    public record Effect(long at, String key, String group, String server, Attempt attempt) {}
 
     /** What costs a server or discovery something beside requests. */
-    public enum Cost { PROBE, HANDSHAKE, LIST_CALL, LIST_CALL_FAILED, TURNED_AWAY }
+    public enum Cost {
+        PROBE,
+        HANDSHAKE,
+        LIST_CALL,
+        LIST_CALL_FAILED,
+        TURNED_AWAY
+    }
 
-    public record Paid(long at, Cost cost, int node, String target) { }
+    public record Paid(long at, Cost cost, int node, String target) {}
 
     /** Something that happened to a process: a fault, a start, a state. */
-    public record Happening(long at, String who, String what) { }
+    public record Happening(long at, String who, String what) {}
 
     /** A server's time under one id: when it began to drain for each node, when it went. */
     public static final class Life {
@@ -111,8 +133,10 @@
         public final String zone;
         public final long bornAt;
         public final boolean cold;
+
         /** When each node was told that it drains. */
         public final Map<Integer, Long> toldAt = new LinkedHashMap<>();
+
         public long fellAt = -1;
 
         public Life(String server, String zone, long bornAt, boolean cold) {
@@ -130,6 +154,7 @@
     public final List<Paid> paid = new ArrayList<>();
     public final List<Happening> happenings = new ArrayList<>();
     public final Map<String, Life> lives = new LinkedHashMap<>();
+
     /** Attempts whose id no client sent: a server took something that nobody asked for. */
     public final List<Happening> strangers = new ArrayList<>();
 
--- a/lab/src/main/java/ottergauge/lab/net/Addresses.java
+++ b/lab/src/main/java/ottergauge/lab/net/Addresses.java
@@ -6,8 +6,9 @@
 import java.net.ServerSocket;
 
 /**
- * The loopback addresses of one play: each node reaches each server, discovery and each other node under an
- * address of its own, so that the stand-in at the other end knows which link a connection came over.
+ * The loopback addresses of one play: each node reaches each server, discovery and each other node
+ * under an address of its own, so that the stand-in at the other end knows which link a connection
+ * came over.
  */
 public record Addresses(int net, int port) {
 
@@ -20,12 +21,13 @@
     private static final int BY_NODE = 100;
 
     /**
-     * Addresses that no other play uses: the socket given back holds them until it is closed. Ports are below
-     * the range that the system gives out by itself.
+     * Addresses that no other play uses: the socket given back holds them until it is closed. Ports
+     * are below the range that the system gives out by itself.
      */
     public static ServerSocket reserve() throws IOException {
         for (int net = FIRST_NET; net <= LAST_NET; net++) {
-            int port = LOWEST_PORT + (int) ((ProcessHandle.current().pid() * 31 + net * 97L) % PORTS);
+            int port =
+                    LOWEST_PORT + (int) ((ProcessHandle.current().pid() * 31 + net * 97L) % PORTS);
             ServerSocket lock = new ServerSocket();
             try {
                 lock.bind(new InetSocketAddress("127." + net + ".0.1", LOWEST_PORT - 1));
@@ -42,8 +44,9 @@
 
     public static Addresses of(ServerSocket lock) {
         int net = lock.getInetAddress().getAddress()[1] & 0xff;
-        return new Addresses(net,
-            LOWEST_PORT + (int) ((ProcessHandle.current().pid() * 31 + net * 97L) % PORTS));
+        return new Addresses(
+                net,
+                LOWEST_PORT + (int) ((ProcessHandle.current().pid() * 31 + net * 97L) % PORTS));
     }
 
     private InetSocketAddress at(int third, int fourth, int toPort) {
@@ -78,7 +81,8 @@
     /** Reads HOST:PORT, as {@link #text} writes it. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
-        return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
+        return new InetSocketAddress(
+                text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
     public static String text(InetSocketAddress address) {
--- a/lab/src/main/java/ottergauge/lab/net/Lane.java
+++ b/lab/src/main/java/ottergauge/lab/net/Lane.java
@@ -22,7 +22,9 @@
     private long cutAfter = -1;
     private final List<Runnable> waiting = new ArrayList<>();
 
-    /** {@code base} is how long a byte takes with nothing wrong, and {@code baseJitter} its spread. */
+    /**
+     * {@code base} is how long a byte takes with nothing wrong, and {@code baseJitter} its spread.
+     */
     Lane(long seed, long base, long baseJitter) {
         random = new SplittableRandom(seed);
         this.base = base;
@@ -90,8 +92,12 @@
 
     /** Whether nothing at all is wrong and no byte takes any time. */
     boolean clear() {
-        return !held && !gone && delay + jitter + base + baseJitter == 0 && lost == 0 && bytesPerSecond == 0
-            && cutAfter < 0;
+        return !held
+                && !gone
+                && delay + jitter + base + baseJitter == 0
+                && lost == 0
+                && bytesPerSecond == 0
+                && cutAfter < 0;
     }
 
     /** How long the next bytes take on their way. */
--- a/lab/src/main/java/ottergauge/lab/net/Link.java
+++ b/lab/src/main/java/ottergauge/lab/net/Link.java
@@ -9,17 +9,23 @@
 import ottergauge.lab.scenario.Scenario.Fault;
 import ottergauge.lab.scenario.Scenario.Way;
 
-/** The way between two processes: its two lanes, its open connections, and whether new ones come up. */
+/**
+ * The way between two processes: its two lanes, its open connections, and whether new ones come up.
+ */
 public final class Link {
 
     /** What becomes of a connection that is asked for. */
-    public enum Door { OPEN, REFUSES, SILENT }
+    public enum Door {
+        OPEN,
+        REFUSES,
+        SILENT
+    }
 
     private final Lane there;
     private final Lane back;
     private final Set<Channel> open = new LinkedHashSet<>();
     private Door door = Door.OPEN;
-    private Runnable doorMoved = () -> { };
+    private Runnable doorMoved = () -> {};
     private boolean resets;
 
     Link(long seed, long base, long jitter) {
--- a/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
+++ b/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
@@ -10,13 +10,13 @@
 import java.util.function.Consumer;
 
 /**
- * What lies between a connection's socket and the stand-in behind it: all bytes of either way pass its lane,
- * which holds, delays, loses or slows them or cuts the connection. A lost byte of a stream is never made up
- * for: what comes behind it on that connection is not delivered either.
+ * What lies between a connection's socket and the stand-in behind it: all bytes of either way pass
+ * its lane, which holds, delays, loses or slows them or cuts the connection. A lost byte of a
+ * stream is never made up for: what comes behind it on that connection is not delivered either.
  */
 public final class LinkHandler extends ChannelDuplexHandler {
 
-    private record Piece(ByteBuf bytes, Consumer<ByteBuf> deliver, long due) { }
+    private record Piece(ByteBuf bytes, Consumer<ByteBuf> deliver, long due) {}
 
     // The bytes of one way of one connection, in their order.
     private final class Stream {
@@ -39,7 +39,8 @@
                 deliver.accept(bytes);
             } else {
                 long now = loop.now();
-                lastDue = Math.max(lastDue, now + lane.trip()) + lane.writing(bytes.readableBytes());
+                lastDue =
+                        Math.max(lastDue, now + lane.trip()) + lane.writing(bytes.readableBytes());
                 queue.add(new Piece(bytes, deliver, lastDue));
                 move();
             }
@@ -113,10 +114,12 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        in.take((ByteBuf) message, bytes -> {
-            ctx.fireChannelRead(bytes);
-            ctx.fireChannelReadComplete();
-        });
+        in.take(
+                (ByteBuf) message,
+                bytes -> {
+                    ctx.fireChannelRead(bytes);
+                    ctx.fireChannelReadComplete();
+                });
     }
 
     @Override
--- a/lab/src/main/java/ottergauge/lab/net/Links.java
+++ b/lab/src/main/java/ottergauge/lab/net/Links.java
@@ -8,7 +8,7 @@
 /** All links of a play, by the names of their two sides: the one that connects first. */
 public final class Links {
 
-    private record Ends(String from, String to) { }
+    private record Ends(String from, String to) {}
 
     private final Map<Ends, Link> links = new LinkedHashMap<>();
     private final long seed;
@@ -19,7 +19,8 @@
 
     /** Adds a link whose bytes take {@code base} to {@code base + jitter} microseconds. */
     public Link add(String from, String to, long base, long jitter) {
-        Link link = new Link(seed ^ (from + '/' + to).hashCode() * 0x9E3779B97F4A7C15L, base, jitter);
+        Link link =
+                new Link(seed ^ (from + '/' + to).hashCode() * 0x9E3779B97F4A7C15L, base, jitter);
         links.put(new Ends(from, to), link);
         return link;
     }
@@ -31,8 +32,12 @@
     /** The links between two sets of processes, whichever connects. */
     public List<Link> between(List<String> some, List<String> others) {
         return links.entrySet().stream()
-            .filter(e -> some.contains(e.getKey().from()) && others.contains(e.getKey().to())
-                || others.contains(e.getKey().from()) && some.contains(e.getKey().to()))
-            .map(Map.Entry::getValue).toList();
+                .filter(
+                        e ->
+                                some.contains(e.getKey().from()) && others.contains(e.getKey().to())
+                                        || others.contains(e.getKey().from())
+                                                && some.contains(e.getKey().to()))
+                .map(Map.Entry::getValue)
+                .toList();
     }
 }
--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -20,9 +20,9 @@
 import java.util.function.Consumer;
 
 /**
- * An address at which a stand-in is connected to over one link. Open, it accepts; refusing, nothing listens;
- * silent, a listener that accepts nothing has its short queue filled by the rig itself, so that the system
- * answers no further connection, as if the machine were gone.
+ * An address at which a stand-in is connected to over one link. Open, it accepts; refusing, nothing
+ * listens; silent, a listener that accepts nothing has its short queue filled by the rig itself, so
+ * that the system answers no further connection, as if the machine were gone.
  */
 public final class Listener {
 
@@ -45,10 +45,11 @@
     private boolean closed;
 
     /**
-     * Listens at once, not on the loop; {@code accepted} gets the pipeline of each connection, behind its
-     * link.
+     * Listens at once, not on the loop; {@code accepted} gets the pipeline of each connection,
+     * behind its link.
      */
-    public Listener(Loop loop, InetSocketAddress address, Link link, Consumer<ChannelPipeline> accepted)
+    public Listener(
+            Loop loop, InetSocketAddress address, Link link, Consumer<ChannelPipeline> accepted)
             throws IOException {
         this.loop = loop;
         this.address = address;
@@ -56,7 +57,8 @@
         this.accepted = accepted;
         link.whenDoorMoves(this::move);
         ChannelFuture bound = open().awaitUninterruptibly();
-        // On a busy machine a process of the play before may hold this address for a moment: until the one
+        // On a busy machine a process of the play before may hold this address for a moment: until
+        // the one
         // that is being started has become its own program, it has all that the rig had open.
         for (int tries = 1; !bound.isSuccess() && tries < FIRST_TRIES; tries++) {
             LockSupport.parkNanos(FIRST_PAUSE);
@@ -94,25 +96,34 @@
                 again.run();
             }
         } else if (up && link.door() == Link.Door.OPEN) {
-            open().addListener(bound -> {
-                if (!bound.isSuccess()) {
-                    again.run();
-                }
-            });
+            open().addListener(
+                            bound -> {
+                                if (!bound.isSuccess()) {
+                                    again.run();
+                                }
+                            });
         }
     }
 
     private ChannelFuture open() {
-        ChannelFuture bound = new ServerBootstrap().group(loop.netty()).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<>() {
-                @Override
-                protected void initChannel(Channel connection) {
-                    connection.pipeline().addLast(new LinkHandler(loop, link, false));
-                    accepted.accept(connection.pipeline());
-                }
-            }).bind(address);
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop.netty())
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel connection) {
+                                        connection
+                                                .pipeline()
+                                                .addLast(new LinkHandler(loop, link, false));
+                                        accepted.accept(connection.pipeline());
+                                    }
+                                })
+                        .bind(address);
         channel = bound.channel();
         return bound;
     }
--- a/lab/src/main/java/ottergauge/lab/net/Loop.java
+++ b/lab/src/main/java/ottergauge/lab/net/Loop.java
@@ -9,8 +9,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * The rig's one thread and its clock: stand-ins, faults and clients all run on it, in turn. It counts how
- * late it is with what it was to do: a rig that ran late has measured itself.
+ * The rig's one thread and its clock: stand-ins, faults and clients all run on it, in turn. It
+ * counts how late it is with what it was to do: a rig that ran late has measured itself.
  */
 public final class Loop implements AutoCloseable {
 
@@ -23,8 +23,9 @@
     private long origin = System.nanoTime();
 
     public Loop() {
-        group = new MultiThreadIoEventLoopGroup(1, new DefaultThreadFactory("rig", true),
-            NioIoHandler.newFactory());
+        group =
+                new MultiThreadIoEventLoopGroup(
+                        1, new DefaultThreadFactory("rig", true), NioIoHandler.newFactory());
         loop = group.next();
     }
 
@@ -45,10 +46,13 @@
 
     /** Does something at an instant, or at once if that has passed. */
     public void at(long instant, Runnable task) {
-        loop.schedule(() -> {
-            lateness.recordValue(Math.min(MOST_LATE, Math.max(0, now() - instant)));
-            task.run();
-        }, Math.max(0, instant - now()), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    lateness.recordValue(Math.min(MOST_LATE, Math.max(0, now() - instant)));
+                    task.run();
+                },
+                Math.max(0, instant - now()),
+                TimeUnit.MICROSECONDS);
     }
 
     public void after(long span, Runnable task) {
--- a/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
@@ -20,25 +20,31 @@
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final double MS = 1_000;
     private static final Map<Effect, String> SEMANTICS =
-        Map.of(Effect.SAFE, "free", Effect.KEYED, "guarded", Effect.UNSAFE, "single_shot");
+            Map.of(Effect.SAFE, "free", Effect.KEYED, "guarded", Effect.UNSAFE, "single_shot");
 
-    private NodeConfig() {
-    }
+    private NodeConfig() {}
 
     /**
      * The configuration of a node; {@code known} are the lines of the list that it had last, and
      * {@code extra} is put into the root object as it is (null for nothing).
      */
-    public static String of(Scenario scenario, Addresses addresses, int node, long seed,
-                            List<String> known, ObjectNode extra) {
+    public static String of(
+            Scenario scenario,
+            Addresses addresses,
+            int node,
+            long seed,
+            List<String> known,
+            ObjectNode extra) {
         try {
             ObjectNode root = JSON.createObjectNode();
             root.put("name", "n" + node);
             root.put("listen", Addresses.text(addresses.node(node)));
             root.put("discovery", Addresses.text(addresses.registry(node)));
             root.put("seed", String.format("%016x", seed));
-            root.putObject("limits").put("cores", scenario.nodes().cores())
-                .put("memory_mb", scenario.nodes().memoryMb()).put("sockets", scenario.nodes().sockets());
+            root.putObject("limits")
+                    .put("cores", scenario.nodes().cores())
+                    .put("memory_mb", scenario.nodes().memoryMb())
+                    .put("sockets", scenario.nodes().sockets());
             ObjectNode list = root.putObject("known").put("seq", 1).put("whole", true);
             ArrayNode hosts = list.putArray("hosts");
             for (String line : known) {
@@ -57,41 +63,68 @@
     private static ObjectNode settings(Scenario scenario, int node) {
         Platform platform = scenario.platform();
         ObjectNode settings = JSON.createObjectNode();
-        settings.put("me", node - 1).put("balancers", scenario.nodes().count()).put("family", "proxy")
-            .put("registryMode", "on_request").put("roundMs", 1.0).put("worthBy", "request")
-            .put("weights", "off").put("zone", zoneOf(scenario, node));
+        settings.put("me", node - 1)
+                .put("balancers", scenario.nodes().count())
+                .put("family", "proxy")
+                .put("registryMode", "on_request")
+                .put("roundMs", 1.0)
+                .put("worthBy", "request")
+                .put("weights", "off")
+                .put("zone", zoneOf(scenario, node));
         ArrayNode zones = settings.putArray("zones");
         scenario.zones().forEach(zones::add);
         ArrayNode kinds = settings.putArray("kinds");
         scenario.servers().forEach(kind -> kinds.add(kind.name()));
         settings.putObject("clients").put("marksRetry", scenario.clients().marksRetry());
-        settings.putObject("reporting").put("how", platform.reports() ? "inline" : "off")
-            .putArray("fields").add("outstanding").add("backlog").add("utilization");
-        settings.putObject("ceilings").put("probes", platform.probes()).put("cancel", platform.cancel())
-            .put("retryAfter", platform.retryAfter()).put("maxAttempts", (double) platform.mostAttempts())
-            .put("maxRetryAfterMs", platform.mostRetryAfter() / MS).put("secondCopies", false)
-            .put("connectTimeoutMs", platform.connectTimeout() / MS)
-            .put("connIdleMs", platform.connectionIdle() / MS).put("peerMessages", scenario.nodes().talk());
+        settings.putObject("reporting")
+                .put("how", platform.reports() ? "inline" : "off")
+                .putArray("fields")
+                .add("outstanding")
+                .add("backlog")
+                .add("utilization");
+        settings.putObject("ceilings")
+                .put("probes", platform.probes())
+                .put("cancel", platform.cancel())
+                .put("retryAfter", platform.retryAfter())
+                .put("maxAttempts", (double) platform.mostAttempts())
+                .put("maxRetryAfterMs", platform.mostRetryAfter() / MS)
+                .put("secondCopies", false)
+                .put("connectTimeoutMs", platform.connectTimeout() / MS)
+                .put("connIdleMs", platform.connectionIdle() / MS)
+                .put("peerMessages", scenario.nodes().talk());
         Scenario.ServerKind kind = scenario.servers().get(0);
-        settings.putObject("rules").put("answerSlackMs", platform.answerSlack() / MS)
-            .put("stopSendingWithinMs", platform.drainGrace() / MS).put("coldFrom", kind.coldFrom())
-            .put("coldMs", kind.coldFor() / MS).put("tipMultiple", platform.tipMultiple())
-            .put("fallMs", platform.fallAfter() / MS)
-            .put("mustAskInMs", scenario.registry().askWithin() / MS);
+        settings.putObject("rules")
+                .put("answerSlackMs", platform.answerSlack() / MS)
+                .put("stopSendingWithinMs", platform.drainGrace() / MS)
+                .put("coldFrom", kind.coldFrom())
+                .put("coldMs", kind.coldFor() / MS)
+                .put("tipMultiple", platform.tipMultiple())
+                .put("fallMs", platform.fallAfter() / MS)
+                .put("mustAskInMs", scenario.registry().askWithin() / MS);
         settings.putObject("penalties").put("probe", platform.probePrice()).put("connection", 0.0);
         ArrayNode classes = settings.putArray("classes");
         for (RequestClass type : scenario.classes()) {
-            classes.addObject().put("name", type.name()).put("semantics", SEMANTICS.get(type.effect()))
-                .put("group", type.group().name().toLowerCase(Locale.ROOT)).put("aimMs", type.aim() / MS)
-                .put("hardLimitMs", type.deadline() / MS).put("windowMs", type.window() / MS)
-                .put("value", type.worth()).put("lateWorth", type.lateWorth()).put("streamed", false);
+            classes.addObject()
+                    .put("name", type.name())
+                    .put("semantics", SEMANTICS.get(type.effect()))
+                    .put("group", type.group().name().toLowerCase(Locale.ROOT))
+                    .put("aimMs", type.aim() / MS)
+                    .put("hardLimitMs", type.deadline() / MS)
+                    .put("windowMs", type.window() / MS)
+                    .put("value", type.worth())
+                    .put("lateWorth", type.lateWorth())
+                    .put("streamed", false);
         }
         ArrayNode parties = settings.putArray("parties");
         double capacity = scenario.capacity();
         double portions = scenario.tenants().stream().mapToDouble(Scenario.Tenant::portion).sum();
-        scenario.tenants().forEach(tenant -> parties.addObject().put("name", tenant.name())
-            .put("portion", tenant.portion() / portions)
-            .put("quotaPerS", tenant.portion() / portions * capacity));
+        scenario.tenants()
+                .forEach(
+                        tenant ->
+                                parties.addObject()
+                                        .put("name", tenant.name())
+                                        .put("portion", tenant.portion() / portions)
+                                        .put("quotaPerS", tenant.portion() / portions * capacity));
         return settings;
     }
 
--- a/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
@@ -26,11 +26,18 @@
     private long cpuBefore;
 
     /**
-     * {@code command} is a shell line run from {@code root}; {@code folder} is the node's own, with its
-     * configuration and logs; {@code ended} is told, on a thread of its own, that the process has ended.
+     * {@code command} is a shell line run from {@code root}; {@code folder} is the node's own, with
+     * its configuration and logs; {@code ended} is told, on a thread of its own, that the process
+     * has ended.
      */
-    public NodeProcess(int number, String command, Path root, Path folder, Signals signals,
-                       Consumer<NodeProcess> ended) throws IOException {
+    public NodeProcess(
+            int number,
+            String command,
+            Path root,
+            Path folder,
+            Signals signals,
+            Consumer<NodeProcess> ended)
+            throws IOException {
         this.number = number;
         this.command = command;
         this.root = root;
@@ -46,8 +53,11 @@
         delete(temporary);
         Files.createDirectories(temporary);
         starts++;
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", command).directory(root.toFile())
-            .redirectErrorStream(true).redirectOutput(log().toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", command)
+                        .directory(root.toFile())
+                        .redirectErrorStream(true)
+                        .redirectOutput(log().toFile());
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.environment().put("TMPDIR", temporary.toString());
         process = builder.start();
--- a/lab/src/main/java/ottergauge/lab/node/Signals.java
+++ b/lab/src/main/java/ottergauge/lab/node/Signals.java
@@ -12,8 +12,12 @@
     private final OutputStream orders;
 
     public Signals() throws IOException {
-        shell = new ProcessBuilder("/bin/sh", "-c", "while read s p; do kill -$s $p 2>/dev/null; done")
-            .redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.DISCARD).start();
+        shell =
+                new ProcessBuilder(
+                                "/bin/sh", "-c", "while read s p; do kill -$s $p 2>/dev/null; done")
+                        .redirectErrorStream(true)
+                        .redirectOutput(ProcessBuilder.Redirect.DISCARD)
+                        .start();
         orders = shell.getOutputStream();
     }
 
--- a/lab/src/main/java/ottergauge/lab/play/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/play/Fleet.java
@@ -19,7 +19,10 @@
 import ottergauge.lab.node.Signals;
 import ottergauge.lab.scenario.Scenario;
 
-/** The nodes of a play: started, stalled, killed and started again, each under its name and addresses. */
+/**
+ * The nodes of a play: started, stalled, killed and started again, each under its name and
+ * addresses.
+ */
 final class Fleet implements AutoCloseable {
 
     // A node's time on its core is given and taken in steps of this length.
@@ -41,11 +44,20 @@
     private boolean closed;
 
     /**
-     * {@code lists} gives the lines of the server list that a node had last, {@code extras} what its
-     * configuration has beside the usual.
+     * {@code lists} gives the lines of the server list that a node had last, {@code extras} what
+     * its configuration has beside the usual.
      */
-    Fleet(Loop loop, Scenario scenario, Addresses addresses, Ledger ledger, String command, Path root,
-          Path folder, IntFunction<List<String>> lists, IntFunction<ObjectNode> extras) throws IOException {
+    Fleet(
+            Loop loop,
+            Scenario scenario,
+            Addresses addresses,
+            Ledger ledger,
+            String command,
+            Path root,
+            Path folder,
+            IntFunction<List<String>> lists,
+            IntFunction<ObjectNode> extras)
+            throws IOException {
         this.loop = loop;
         this.scenario = scenario;
         this.addresses = addresses;
@@ -57,8 +69,14 @@
         cores = new double[scenario.nodes().count() + 1];
         for (int n = 1; n <= scenario.nodes().count(); n++) {
             cores[n] = scenario.nodes().cores();
-            nodes.add(new NodeProcess(n, command, root, folder.resolve("n" + n), signals,
-                gone -> loop.netty().execute(() -> ended(gone))));
+            nodes.add(
+                    new NodeProcess(
+                            n,
+                            command,
+                            root,
+                            folder.resolve("n" + n),
+                            signals,
+                            gone -> loop.netty().execute(() -> ended(gone))));
         }
     }
 
@@ -81,8 +99,15 @@
         try {
             toEnd.remove(number);
             stalled.remove(number);
-            node(number).start(NodeConfig.of(scenario, addresses, number, seeds.nextLong(),
-                lists.apply(number), extras.apply(number)));
+            node(number)
+                    .start(
+                            NodeConfig.of(
+                                    scenario,
+                                    addresses,
+                                    number,
+                                    seeds.nextLong(),
+                                    lists.apply(number),
+                                    extras.apply(number)));
             clients.lives(number, true);
             ledger.happens(loop.now(), "n" + number, "is started");
             if (cores[number] < 1) {
@@ -113,11 +138,13 @@
             return;
         }
         node.signal("CONT");
-        loop.after((long) (DUTY * cores[number]), () -> {
-            if (node.starts() == start && !stalled.contains(number) && cores[number] < 1) {
-                node.signal("STOP");
-            }
-        });
+        loop.after(
+                (long) (DUTY * cores[number]),
+                () -> {
+                    if (node.starts() == start && !stalled.contains(number) && cores[number] < 1) {
+                        node.signal("STOP");
+                    }
+                });
         loop.after(DUTY, () -> duty(number, start));
     }
 
@@ -144,15 +171,21 @@
         toEnd.add(number);
         ledger.happens(loop.now(), "n" + number, "is told to end");
         node(number).signal("TERM");
-        long longest = scenario.classes().stream().mapToLong(Scenario.RequestClass::deadline).max().orElse(0);
+        long longest =
+                scenario.classes().stream()
+                        .mapToLong(Scenario.RequestClass::deadline)
+                        .max()
+                        .orElse(0);
         int start = node(number).starts();
-        loop.after(longest + 700_000, () -> {
-            if (node(number).starts() == start && node(number).isAlive()) {
-                ledger.happens(loop.now(), "n" + number, "is killed: it did not end");
-                clients.lives(number, false);
-                node(number).kill();
-            }
-        });
+        loop.after(
+                longest + 700_000,
+                () -> {
+                    if (node(number).starts() == start && node(number).isAlive()) {
+                        ledger.happens(loop.now(), "n" + number, "is killed: it did not end");
+                        clients.lives(number, false);
+                        node(number).kill();
+                    }
+                });
         awaitEnd(number, after);
     }
 
@@ -184,8 +217,10 @@
     private void ended(NodeProcess node) {
         if (!closed && !toEnd.contains(node.number())) {
             clients.lives(node.number(), false);
-            ledger.happens(loop.now(), "n" + node.number(),
-                "crashed with exit code " + node.exitCode() + ": " + node.logEnd());
+            ledger.happens(
+                    loop.now(),
+                    "n" + node.number(),
+                    "crashed with exit code " + node.exitCode() + ": " + node.logEnd());
         }
     }
 
