--- a/lab/src/main/java/ottergauge/lab/play/Play.java
+++ b/lab/src/main/java/ottergauge/lab/play/Play.java
@@ -25,10 +25,16 @@
 import ottergauge.lab.node.NodeProcess;
 import ottergauge.lab.scenario.Scenario;
 
-/** Plays a scenario with real nodes: starts everything, plays load and faults, and leaves nothing running. */
+/**
+ * Plays a scenario with real nodes: starts everything, plays load and faults, and leaves nothing
+ * running.
+ */
 public final class Play {
 
-    /** How the nodes are started: a shell line run from a folder, and what their configuration has more. */
+    /**
+     * How the nodes are started: a shell line run from a folder, and what their configuration has
+     * more.
+     */
     public record Program(String command, Path root, IntFunction<ObjectNode> extras) {
         public Program(String command, Path root) {
             this(command, root, node -> null);
@@ -36,8 +42,14 @@
     }
 
     /** What was played: the ledger, how late the rig was, and the CPU that each side took. */
-    public record Played(Scenario scenario, Ledger ledger, long lateP99, long lateMost, double rigCores,
-                         double nodeCores, List<List<String>> levels) { }
+    public record Played(
+            Scenario scenario,
+            Ledger ledger,
+            long lateP99,
+            long lateMost,
+            double rigCores,
+            double nodeCores,
+            List<List<String>> levels) {}
 
     private static final long READY_WITHIN_S = 60;
     private static final long LOOK_EVERY = 20_000;
@@ -58,7 +70,8 @@
 
     /** Plays it; no process, port or thread is left, however it ends. */
     public Played run() throws PlayException, IOException, InterruptedException {
-        try (ServerSocket lock = Addresses.reserve(); Loop loop = new Loop()) {
+        try (ServerSocket lock = Addresses.reserve();
+                Loop loop = new Loop()) {
             return run(loop, Addresses.of(lock));
         }
     }
@@ -74,47 +87,72 @@
             toNodes.add(links.add("clients", "n" + node, 0, 0));
         }
         Clients clients = new Clients(loop, scenario, ledger, nodes, toNodes);
-        Fleet fleet = new Fleet(loop, scenario, addresses, ledger, program.command(), program.root(), folder,
-            servers::lines, program.extras());
+        Fleet fleet =
+                new Fleet(
+                        loop,
+                        scenario,
+                        addresses,
+                        ledger,
+                        program.command(),
+                        program.root(),
+                        folder,
+                        servers::lines,
+                        program.extras());
         fleet.clients(clients);
-        Thread interrupted = new Thread(() -> fleet.nodes().forEach(NodeProcess::kill), "interrupted");
+        Thread interrupted =
+                new Thread(() -> fleet.nodes().forEach(NodeProcess::kill), "interrupted");
         Runtime.getRuntime().addShutdownHook(interrupted);
         try (fleet) {
-            onLoop(loop, () -> {
-                for (int node = 1; node <= scenario.nodes().count(); node++) {
-                    fleet.start(node);
-                }
-                clients.look();
-            });
+            onLoop(
+                    loop,
+                    () -> {
+                        for (int node = 1; node <= scenario.nodes().count(); node++) {
+                            fleet.start(node);
+                        }
+                        clients.look();
+                    });
             awaitReady(loop, fleet, clients);
             long rigCpu = rigCpu();
             long nodeCpu = fleet.cpuMicros();
             long from = System.nanoTime();
             CompletableFuture<Void> over = new CompletableFuture<>();
-            onLoop(loop, () -> {
-                loop.begin();
-                ledger.happenings.clear();
-                ledger.paid.clear();
-                clients.begin(Plan.draw(scenario));
-                new Timetable(loop, scenario, fleet, servers, links, ledger).begin();
-                long longest = scenario.classes().stream().mapToLong(Scenario.RequestClass::deadline).max()
-                    .orElse(0);
-                loop.at(scenario.length() + longest + AFTER, () -> over.complete(null));
-            });
+            onLoop(
+                    loop,
+                    () -> {
+                        loop.begin();
+                        ledger.happenings.clear();
+                        ledger.paid.clear();
+                        clients.begin(Plan.draw(scenario));
+                        new Timetable(loop, scenario, fleet, servers, links, ledger).begin();
+                        long longest =
+                                scenario.classes().stream()
+                                        .mapToLong(Scenario.RequestClass::deadline)
+                                        .max()
+                                        .orElse(0);
+                        loop.at(scenario.length() + longest + AFTER, () -> over.complete(null));
+                    });
             await(over, scenario.length() / 1_000_000 + 60);
             double seconds = (System.nanoTime() - from) / 1e9;
             double rigCores = (rigCpu() - rigCpu) / 1e6 / seconds;
             double nodeCores = (fleet.cpuMicros() - nodeCpu) / 1e6 / seconds;
-            onLoop(loop, () -> {
-                clients.end();
-                servers.end();
-            });
+            onLoop(
+                    loop,
+                    () -> {
+                        clients.end();
+                        servers.end();
+                    });
             List<List<String>> levels = new ArrayList<>();
             for (NodeProcess node : fleet.nodes()) {
                 levels.add(node.logLines("level"));
             }
-            return new Played(scenario, ledger, loop.lateness().getValueAtPercentile(99),
-                loop.lateness().getMaxValue(), rigCores, nodeCores, levels);
+            return new Played(
+                    scenario,
+                    ledger,
+                    loop.lateness().getValueAtPercentile(99),
+                    loop.lateness().getMaxValue(),
+                    rigCores,
+                    nodeCores,
+                    levels);
         } finally {
             Runtime.getRuntime().removeShutdownHook(interrupted);
         }
@@ -122,10 +160,12 @@
 
     private static long rigCpu() {
         return ManagementFactory.getOperatingSystemMXBean() instanceof OperatingSystemMXBean system
-            ? system.getProcessCpuTime() / 1_000 : 0;
+                ? system.getProcessCpuTime() / 1_000
+                : 0;
     }
 
-    private static void onLoop(Loop loop, Runnable task) throws InterruptedException, PlayException {
+    private static void onLoop(Loop loop, Runnable task)
+            throws InterruptedException, PlayException {
         try {
             loop.netty().submit(task).get();
         } catch (ExecutionException e) {
@@ -153,17 +193,29 @@
         await(ready, READY_WITHIN_S + 5);
     }
 
-    private void look(Loop loop, Fleet fleet, Clients clients, long until, CompletableFuture<Void> ready) {
-        NodeProcess dead = fleet.nodes().stream().filter(node -> !node.isAlive()).findFirst().orElse(null);
+    private void look(
+            Loop loop, Fleet fleet, Clients clients, long until, CompletableFuture<Void> ready) {
+        NodeProcess dead =
+                fleet.nodes().stream().filter(node -> !node.isAlive()).findFirst().orElse(null);
         if (dead != null) {
-            ready.completeExceptionally(new PlayException("n" + dead.number()
-                + " ended before it was ready; the end of its log:\n" + dead.logEnd()));
+            ready.completeExceptionally(
+                    new PlayException(
+                            "n"
+                                    + dead.number()
+                                    + " ended before it was ready; the end of its log:\n"
+                                    + dead.logEnd()));
         } else if (clients.allReady()) {
             ready.complete(null);
         } else if (System.nanoTime() > until) {
-            StringBuilder text = new StringBuilder("nodes are not ready after " + READY_WITHIN_S + " s");
-            fleet.nodes().forEach(node -> text.append("\nn").append(node.number())
-                .append("; the end of its log:\n").append(node.logEnd()));
+            StringBuilder text =
+                    new StringBuilder("nodes are not ready after " + READY_WITHIN_S + " s");
+            fleet.nodes()
+                    .forEach(
+                            node ->
+                                    text.append("\nn")
+                                            .append(node.number())
+                                            .append("; the end of its log:\n")
+                                            .append(node.logEnd()));
             ready.completeExceptionally(new PlayException(text.toString()));
         } else {
             loop.after(LOOK_EVERY, () -> look(loop, fleet, clients, until, ready));
--- a/lab/src/main/java/ottergauge/lab/play/Servers.java
+++ b/lab/src/main/java/ottergauge/lab/play/Servers.java
@@ -42,29 +42,51 @@
         this.ledger = ledger;
         SplittableRandom random = new SplittableRandom(scenario.seed() + 3);
         Map<String, Repeats> groups = new HashMap<>();
-        boolean byZone = scenario.classes().stream().anyMatch(type -> type.group() == Scenario.Group.ZONE);
+        boolean byZone =
+                scenario.classes().stream().anyMatch(type -> type.group() == Scenario.Group.ZONE);
         for (ServerKind kind : scenario.servers()) {
             for (int i = 0; i < kind.count(); i++) {
                 int number = servers.size() + 1;
                 String zone = scenario.zones().get((number - 1) % scenario.zones().size());
-                servers.add(new ServerHost(loop, scenario, kind, "s" + number, zone,
-                    groups.computeIfAbsent(byZone ? zone : "all", each -> new Repeats()), ledger,
-                    random.split(), System::currentTimeMillis));
+                servers.add(
+                        new ServerHost(
+                                loop,
+                                scenario,
+                                kind,
+                                "s" + number,
+                                zone,
+                                groups.computeIfAbsent(
+                                        byZone ? zone : "all", each -> new Repeats()),
+                                ledger,
+                                random.split(),
+                                System::currentTimeMillis));
                 kinds.add(kind);
             }
         }
-        discovery = new RegistryHost(loop, scenario, registry, ledger,
-            (node, place) -> Addresses.text(addresses.server(node, Integer.parseInt(place.substring(1)))));
+        discovery =
+                new RegistryHost(
+                        loop,
+                        scenario,
+                        registry,
+                        ledger,
+                        (node, place) ->
+                                Addresses.text(
+                                        addresses.server(
+                                                node, Integer.parseInt(place.substring(1)))));
         servers.forEach(this::learn);
         for (int node = 1; node <= scenario.nodes().count(); node++) {
             String name = "n" + node;
             Link toRegistry = links.add(name, REGISTRY, 0, 0);
             discovery.listen(node, addresses.registry(node), toRegistry);
             for (int server = 1; server <= servers.size(); server++) {
-                boolean same = NodeConfig.zoneOf(scenario, node).equals(servers.get(server - 1).zone());
-                Link link = links.add(name, "s" + server,
-                    same ? scenario.network().same() : scenario.network().cross(),
-                    scenario.network().jitter());
+                boolean same =
+                        NodeConfig.zoneOf(scenario, node).equals(servers.get(server - 1).zone());
+                Link link =
+                        links.add(
+                                name,
+                                "s" + server,
+                                same ? scenario.network().same() : scenario.network().cross(),
+                                scenario.network().jitter());
                 servers.get(server - 1).listen(node, addresses.server(node, server), link);
             }
         }
@@ -88,8 +110,11 @@
     }
 
     private void learn(ServerHost server) {
-        tell(server.id(), server, server.draining() ? Health.TERMINATING : Health.IN_SERVICE,
-            server.bornMs());
+        tell(
+                server.id(),
+                server,
+                server.draining() ? Health.TERMINATING : Health.IN_SERVICE,
+                server.bornMs());
     }
 
     private void tell(String id, ServerHost server, Health health, long bornMs) {
--- a/lab/src/main/java/ottergauge/lab/play/Timetable.java
+++ b/lab/src/main/java/ottergauge/lab/play/Timetable.java
@@ -26,7 +26,13 @@
     private final Links links;
     private final Ledger ledger;
 
-    Timetable(Loop loop, Scenario scenario, Fleet fleet, Servers servers, Links links, Ledger ledger) {
+    Timetable(
+            Loop loop,
+            Scenario scenario,
+            Fleet fleet,
+            Servers servers,
+            Links links,
+            Ledger ledger) {
         this.loop = loop;
         this.scenario = scenario;
         this.fleet = fleet;
@@ -42,43 +48,72 @@
     }
 
     private void begin(Fault fault) {
-        ledger.happens(loop.now(), "fault " + fault.line(), fault.what() + " begins for "
-            + (fault.who().isEmpty() ? fault.part() + " of them" : String.join(", ", fault.who())));
+        ledger.happens(
+                loop.now(),
+                "fault " + fault.line(),
+                fault.what()
+                        + " begins for "
+                        + (fault.who().isEmpty()
+                                ? fault.part() + " of them"
+                                : String.join(", ", fault.who())));
         switch (fault.what()) {
             case NODE_KILL -> nodes(fault, node -> fleet.kill(node, fault.lasts()), null);
             case NODE_TERM -> nodes(fault, node -> fleet.term(node, fault.lasts()), null);
             case NODE_HUP -> nodes(fault, fleet::hangUp, null);
             case NODE_STALL -> nodes(fault, fleet::stall, fleet::goOn);
-            case NODE_CORES -> nodes(fault, node -> fleet.cores(node, fault.amount()),
-                node -> fleet.cores(node, scenario.nodes().cores()));
+            case NODE_CORES ->
+                    nodes(
+                            fault,
+                            node -> fleet.cores(node, fault.amount()),
+                            node -> fleet.cores(node, scenario.nodes().cores()));
             case SERVER_STALL -> servers(fault, ServerHost::stall, ServerHost::recover);
-            case SERVER_SLOW -> servers(fault, server -> server.slow(fault.amount()),
-                server -> server.slow(HEALTHY));
+            case SERVER_SLOW ->
+                    servers(
+                            fault,
+                            server -> server.slow(fault.amount()),
+                            server -> server.slow(HEALTHY));
             case SERVER_FAIL -> servers(fault, ServerHost::failAll, ServerHost::recover);
             case SERVER_FULL -> servers(fault, ServerHost::fillUp, ServerHost::recover);
-            case SERVER_KILL -> servers(fault, servers::kill, server -> servers.start(server, false));
-            case SERVER_VANISH -> servers(fault, servers::vanish, server -> servers.start(server, false));
-            case SERVER_REPLACE -> servers(fault, servers::kill, server -> servers.start(server, true));
+            case SERVER_KILL ->
+                    servers(fault, servers::kill, server -> servers.start(server, false));
+            case SERVER_VANISH ->
+                    servers(fault, servers::vanish, server -> servers.start(server, false));
+            case SERVER_REPLACE ->
+                    servers(fault, servers::kill, server -> servers.start(server, true));
             case SERVER_DRAIN -> servers(fault, servers::drain, servers::replace);
-            case ANSWERS_LOST -> servers(fault, server -> server.loseAnswers(fault.amount()),
-                ServerHost::recover);
-            case REGISTRY_AWAY -> registry(fault, () -> servers.discovery().up(false),
-                () -> servers.discovery().up(true));
-            case REGISTRY_SLOW -> registry(fault, () -> servers.discovery().speed(fault.amount()),
-                () -> servers.discovery().speed(scenario.registry().callsPerSecond()));
+            case ANSWERS_LOST ->
+                    servers(
+                            fault,
+                            server -> server.loseAnswers(fault.amount()),
+                            ServerHost::recover);
+            case REGISTRY_AWAY ->
+                    registry(
+                            fault,
+                            () -> servers.discovery().up(false),
+                            () -> servers.discovery().up(true));
+            case REGISTRY_SLOW ->
+                    registry(
+                            fault,
+                            () -> servers.discovery().speed(fault.amount()),
+                            () -> servers.discovery().speed(scenario.registry().callsPerSecond()));
             case REGISTRY_SILENT -> servers.discovery().silence();
-            case REGISTRY_FROZEN -> registry(fault, () -> servers.discovery().freeze(true),
-                () -> servers.discovery().freeze(false));
+            case REGISTRY_FROZEN ->
+                    registry(
+                            fault,
+                            () -> servers.discovery().freeze(true),
+                            () -> servers.discovery().freeze(false));
             default -> links(fault);
         }
     }
 
     private void end(Fault fault, Runnable task) {
         if (fault.lasts() > 0) {
-            loop.at(fault.at() + fault.lasts(), () -> {
-                ledger.happens(loop.now(), "fault " + fault.line(), fault.what() + " ends");
-                task.run();
-            });
+            loop.at(
+                    fault.at() + fault.lasts(),
+                    () -> {
+                        ledger.happens(loop.now(), "fault " + fault.line(), fault.what() + " ends");
+                        task.run();
+                    });
         }
     }
 
@@ -88,8 +123,11 @@
     }
 
     private void nodes(Fault fault, Consumer<Integer> begins, Consumer<Integer> ends) {
-        List<Integer> hit = drawn(fault, numbers(fault.who(), "n", scenario.nodes().count()),
-            scenario.nodes().count());
+        List<Integer> hit =
+                drawn(
+                        fault,
+                        numbers(fault.who(), "n", scenario.nodes().count()),
+                        scenario.nodes().count());
         hit.forEach(begins);
         if (ends != null) {
             end(fault, () -> hit.forEach(ends));
@@ -98,8 +136,10 @@
 
     private void servers(Fault fault, Consumer<ServerHost> begins, Consumer<ServerHost> ends) {
         int count = servers.all().size();
-        List<ServerHost> hit = drawn(fault, numbers(fault.who(), "s", count), count).stream()
-            .map(servers::server).toList();
+        List<ServerHost> hit =
+                drawn(fault, numbers(fault.who(), "s", count), count).stream()
+                        .map(servers::server)
+                        .toList();
         hit.forEach(begins);
         end(fault, () -> hit.forEach(ends));
     }
@@ -141,8 +181,9 @@
             } else if (name.equals("servers")) {
                 servers.all().forEach(server -> names.add(server.place()));
             } else if (name.startsWith("zone-")) {
-                servers.all().stream().filter(server -> server.zone().equals(name.substring(5)))
-                    .forEach(server -> names.add(server.place()));
+                servers.all().stream()
+                        .filter(server -> server.zone().equals(name.substring(5)))
+                        .forEach(server -> names.add(server.place()));
             } else {
                 names.add(name);
             }
--- a/lab/src/main/java/ottergauge/lab/program/DiscoveryCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/DiscoveryCommand.java
@@ -8,17 +8,27 @@
 import picocli.CommandLine.Option;
 
 /** A process of a scale test: discovery. */
-@Command(name = "discovery", hidden = true, mixinStandardHelpOptions = true,
-    description = "Stand in for discovery; orders come on standard input, and it ends with that.")
+@Command(
+        name = "discovery",
+        hidden = true,
+        mixinStandardHelpOptions = true,
+        description =
+                "Stand in for discovery; orders come on standard input, and it ends with that.")
 final class DiscoveryCommand implements Callable<Integer> {
 
     @Option(names = "--listen", required = true, description = "The address, as HOST:PORT.")
     private String listen;
 
-    @Option(names = "--calls-per-second", required = true, description = "The calls that it works through.")
+    @Option(
+            names = "--calls-per-second",
+            required = true,
+            description = "The calls that it works through.")
     private double callsPerSecond;
 
-    @Option(names = "--patience-us", required = true, description = "How long a call may stand in line.")
+    @Option(
+            names = "--patience-us",
+            required = true,
+            description = "How long a call may stand in line.")
     private long patience;
 
     @Override
--- a/lab/src/main/java/ottergauge/lab/program/LinksCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/LinksCommand.java
@@ -7,8 +7,12 @@
 import picocli.CommandLine.Command;
 
 /** A process of a scale test: the links between regions. */
-@Command(name = "links", hidden = true, mixinStandardHelpOptions = true,
-    description = "Relay bytes over links; orders come on standard input, and it ends with that.")
+@Command(
+        name = "links",
+        hidden = true,
+        mixinStandardHelpOptions = true,
+        description =
+                "Relay bytes over links; orders come on standard input, and it ends with that.")
 final class LinksCommand implements Callable<Integer> {
 
     @Override
--- a/lab/src/main/java/ottergauge/lab/program/Main.java
+++ b/lab/src/main/java/ottergauge/lab/program/Main.java
@@ -5,13 +5,20 @@
 import picocli.CommandLine.Command;
 
 /** The laboratory's command line. */
-@Command(name = "lab", mixinStandardHelpOptions = true, version = "ottergauge-lab 0.1.0",
-    description = "Plays fleets of nodes against stand-ins with faults between them.",
-    subcommands = {RunCommand.class, ScaleCommand.class, DiscoveryCommand.class, LinksCommand.class})
+@Command(
+        name = "lab",
+        mixinStandardHelpOptions = true,
+        version = "ottergauge-lab 0.1.0",
+        description = "Plays fleets of nodes against stand-ins with faults between them.",
+        subcommands = {
+            RunCommand.class,
+            ScaleCommand.class,
+            DiscoveryCommand.class,
+            LinksCommand.class
+        })
 public final class Main {
 
-    private Main() {
-    }
+    private Main() {}
 
     public static void main(String[] arguments) {
         System.exit(new CommandLine(new Main()).execute(arguments));
--- a/lab/src/main/java/ottergauge/lab/program/RunCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/RunCommand.java
@@ -22,7 +22,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Plays one scenario: exit code 0 if all rules were kept, 1 if not or if it could not be played, 2 if bad.
+ * Plays one scenario: exit code 0 if all rules were kept, 1 if not or if it could not be played, 2
+ * if bad.
  */
 @Command(name = "run", mixinStandardHelpOptions = true, description = "Play a scenario and report.")
 final class RunCommand implements Callable<Integer> {
@@ -35,15 +36,22 @@
     @Option(names = "--seed", description = "Another seed than the scenario's.")
     private Long seed;
 
-    @Option(names = "--root", defaultValue = ".", description = "The folder of the program under test.")
+    @Option(
+            names = "--root",
+            defaultValue = ".",
+            description = "The folder of the program under test.")
     private Path root;
 
-    @Option(names = "--command", description = "How a node is started; the line run of deploy/balancer.toml "
-        + "under the root unless given.")
+    @Option(
+            names = "--command",
+            description =
+                    "How a node is started; the line run of deploy/balancer.toml "
+                            + "under the root unless given.")
     private String command;
 
-    @Option(names = "--logs", description = "Where the nodes' logs are kept; a temporary folder"
-        + " unless given.")
+    @Option(
+            names = "--logs",
+            description = "Where the nodes' logs are kept; a temporary folder" + " unless given.")
     private Path logs;
 
     @Option(names = "--json", description = "Where the report for programs is written.")
@@ -52,8 +60,7 @@
     @Option(names = "--seconds", description = "Print the play second by second too.")
     private boolean seconds;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
@@ -70,7 +77,8 @@
             scenario = scenario.withSeed(seed);
         }
         try {
-            Path folder = logs == null ? Files.createTempDirectory("lab") : Files.createDirectories(logs);
+            Path folder =
+                    logs == null ? Files.createTempDirectory("lab") : Files.createDirectories(logs);
             Program program = new Program(command == null ? runLine(root) : command, root);
             Report report = new Report(new Play(scenario, program, folder.toAbsolutePath()).run());
             report.print(out);
@@ -90,8 +98,9 @@
     /** The line {@code run} of the deploy file. */
     static String runLine(Path root) throws IOException, PlayException {
         Path deploy = root.resolve("deploy/balancer.toml");
-        Matcher run = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
-            .matcher(Files.readString(deploy));
+        Matcher run =
+                Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
+                        .matcher(Files.readString(deploy));
         if (!run.find()) {
             throw new PlayException(deploy + ": no line run");
         }
--- a/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
@@ -19,11 +19,13 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Plays one scale test: exit code 0 if all nodes came to go by all that was changed, 1 if not, if the rig was
- * late or if it could not be played, 2 if the scenario is wrong.
+ * Plays one scale test: exit code 0 if all nodes came to go by all that was changed, 1 if not, if
+ * the rig was late or if it could not be played, 2 if the scenario is wrong.
  */
-@Command(name = "scale", mixinStandardHelpOptions = true,
-    description = "Play a scale test with hollow nodes and report.")
+@Command(
+        name = "scale",
+        mixinStandardHelpOptions = true,
+        description = "Play a scale test with hollow nodes and report.")
 final class ScaleCommand implements Callable<Integer> {
 
     private static final int BAD_INPUT = 2;
@@ -34,18 +36,22 @@
     @Option(names = "--seed", description = "Another seed than the scenario's.")
     private Long seed;
 
-    @Option(names = "--root", defaultValue = ".", description = "The folder of the program under test.")
+    @Option(
+            names = "--root",
+            defaultValue = ".",
+            description = "The folder of the program under test.")
     private Path root;
 
-    @Option(names = "--logs", description = "Where configurations and logs are kept; a temporary folder"
-        + " unless given.")
+    @Option(
+            names = "--logs",
+            description =
+                    "Where configurations and logs are kept; a temporary folder" + " unless given.")
     private Path logs;
 
     @Option(names = "--json", description = "Where the report for programs is written.")
     private Path json;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
@@ -58,10 +64,15 @@
             return BAD_INPUT;
         }
         scenario = seed == null ? scenario : scenario.withSeed(seed);
-        Path folder = logs == null ? Files.createTempDirectory("scale") : Files.createDirectories(logs);
+        Path folder =
+                logs == null ? Files.createTempDirectory("scale") : Files.createDirectories(logs);
         try {
-            ScalePlay play = new ScalePlay(scenario, root.toAbsolutePath(), RunCommand.runLine(root),
-                folder.toAbsolutePath());
+            ScalePlay play =
+                    new ScalePlay(
+                            scenario,
+                            root.toAbsolutePath(),
+                            RunCommand.runLine(root),
+                            folder.toAbsolutePath());
             ScaleReport report = new ScaleReport(scenario, play.run());
             report.print(spec.commandLine().getOut());
             if (json != null) {
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -26,7 +26,11 @@
 public final class Report {
 
     /** Whether a play says anything: a rig that was late, or short of CPU, has measured itself. */
-    public enum Verdict { KEPT, BROKEN, RIG_LATE }
+    public enum Verdict {
+        KEPT,
+        BROKEN,
+        RIG_LATE
+    }
 
     // A hundredth of what the rig did may be so late.
     private static final long LATE_P99 = 20_000;
@@ -47,8 +51,9 @@
     }
 
     public Verdict verdict() {
-        return played.lateP99() > LATE_P99 ? Verdict.RIG_LATE
-            : broken.isEmpty() ? Verdict.KEPT : Verdict.BROKEN;
+        return played.lateP99() > LATE_P99
+                ? Verdict.RIG_LATE
+                : broken.isEmpty() ? Verdict.KEPT : Verdict.BROKEN;
     }
 
     public List<Broken> broken() {
@@ -60,10 +65,13 @@
     }
 
     /**
-     * The burst of a play: the step with the highest load, and how long after it service is back; or null.
+     * The burst of a play: the step with the highest load, and how long after it service is back;
+     * or null.
      */
     public record Burst(Span before, Span during, long backAfter) {
-        /** The worth served in time during the burst, of what an order that knows all could serve. */
+        /**
+         * The worth served in time during the burst, of what an order that knows all could serve.
+         */
         public double ofIdeal() {
             return during.worth() / during.ideal();
         }
@@ -75,52 +83,96 @@
             if (steps.get(i).rate() > 1 && steps.get(i + 1).rate() < 1) {
                 long from = steps.get(i).from();
                 long to = steps.get(i + 1).from();
-                return new Burst(figures.span(0, from), figures.span(from, to),
-                    figures.backAfter(from, to, 3));
+                return new Burst(
+                        figures.span(0, from),
+                        figures.span(from, to),
+                        figures.backAfter(from, to, 3));
             }
         }
         return null;
     }
 
     public void print(PrintWriter out) {
-        out.printf(Locale.ROOT, "%s  seed %d  %d requests  verdict %s%n", scenario.name(), scenario.seed(),
-            played.ledger().asks.size(), verdict());
-        out.printf(Locale.ROOT, "rig late p99 %.1f ms, most %.1f ms; cores: rig %.2f, nodes %.2f%n",
-            played.lateP99() / MS, played.lateMost() / MS, played.rigCores(), played.nodeCores());
-        out.println("   from offered  worth  ideal refused failed tries  att. invert probes/s shakes/s"
-            + "  away");
+        out.printf(
+                Locale.ROOT,
+                "%s  seed %d  %d requests  verdict %s%n",
+                scenario.name(),
+                scenario.seed(),
+                played.ledger().asks.size(),
+                verdict());
+        out.printf(
+                Locale.ROOT,
+                "rig late p99 %.1f ms, most %.1f ms; cores: rig %.2f, nodes %.2f%n",
+                played.lateP99() / MS,
+                played.lateMost() / MS,
+                played.rigCores(),
+                played.nodeCores());
+        out.println(
+                "   from offered  worth  ideal refused failed tries  att. invert probes/s shakes/s"
+                        + "  away");
         for (Span span : figures.steps()) {
-            out.printf(Locale.ROOT,
-                "%6.1fs %7d %6.3f %6.3f %7.3f %6.3f %5.2f %5.2f %6.3f %8.1f %8.2f %5.3f%n",
-                span.from() / SECOND, span.asks(), span.worth(), span.ideal(), span.refused(), span.failed(),
-                span.triesPerAsk(), span.attemptsPerAsk(), span.inverted(), span.probesPerServer(),
-                span.handshakesPerServer(), span.turnedAway());
+            out.printf(
+                    Locale.ROOT,
+                    "%6.1fs %7d %6.3f %6.3f %7.3f %6.3f %5.2f %5.2f %6.3f %8.1f %8.2f %5.3f%n",
+                    span.from() / SECOND,
+                    span.asks(),
+                    span.worth(),
+                    span.ideal(),
+                    span.refused(),
+                    span.failed(),
+                    span.triesPerAsk(),
+                    span.attemptsPerAsk(),
+                    span.inverted(),
+                    span.probesPerServer(),
+                    span.handshakesPerServer(),
+                    span.turnedAway());
         }
         Burst burst = burst();
         if (burst != null) {
-            out.printf(Locale.ROOT, "burst: %.3f of what an order that knows all would serve; %s%n",
-                burst.ofIdeal(), burst.backAfter() < 0 ? "service never comes back"
-                : String.format(Locale.ROOT, "service is back %.1f s after its end",
-                    burst.backAfter() / SECOND));
+            out.printf(
+                    Locale.ROOT,
+                    "burst: %.3f of what an order that knows all would serve; %s%n",
+                    burst.ofIdeal(),
+                    burst.backAfter() < 0
+                            ? "service never comes back"
+                            : String.format(
+                                    Locale.ROOT,
+                                    "service is back %.1f s after its end",
+                                    burst.backAfter() / SECOND));
         }
         for (Map.Entry<String, Histogram> each : figures.latencies().entrySet()) {
-            out.printf(Locale.ROOT, "%s: served %d, ms p50 %.0f p99 %.0f%n", each.getKey(),
-                each.getValue().getTotalCount(), each.getValue().getValueAtPercentile(50) / MS,
-                each.getValue().getValueAtPercentile(99) / MS);
+            out.printf(
+                    Locale.ROOT,
+                    "%s: served %d, ms p50 %.0f p99 %.0f%n",
+                    each.getKey(),
+                    each.getValue().getTotalCount(),
+                    each.getValue().getValueAtPercentile(50) / MS,
+                    each.getValue().getValueAtPercentile(99) / MS);
         }
         out.println("attempts: " + figures.attemptEnds());
-        out.printf("clients that left: %d; attempts for those that had: %d%n",
-            played.ledger().tries.values().stream().filter(each -> each.leftAt >= 0).count(),
-            Checker.forNobody(played.ledger()).size());
-        out.printf("worst 100 ms at one target: %d handshakes, %d probes, %d list calls%n",
-            figures.worstTenth(Cost.HANDSHAKE), figures.worstTenth(Cost.PROBE),
-            figures.worstTenth(Cost.LIST_CALL));
+        out.printf(
+                "clients that left: %d; attempts for those that had: %d%n",
+                played.ledger().tries.values().stream().filter(each -> each.leftAt >= 0).count(),
+                Checker.forNobody(played.ledger()).size());
+        out.printf(
+                "worst 100 ms at one target: %d handshakes, %d probes, %d list calls%n",
+                figures.worstTenth(Cost.HANDSHAKE),
+                figures.worstTenth(Cost.PROBE),
+                figures.worstTenth(Cost.LIST_CALL));
         if (!broken.isEmpty()) {
             Map<Checker.Rule, Integer> counts = new LinkedHashMap<>();
             broken.forEach(each -> counts.merge(each.rule(), 1, Integer::sum));
             out.println("RULES BROKEN: " + counts);
-            broken.stream().limit(SHOWN).forEach(each -> out.printf(Locale.ROOT, "  %.3f s %s %s%n",
-                each.at() / SECOND, each.rule(), each.what()));
+            broken.stream()
+                    .limit(SHOWN)
+                    .forEach(
+                            each ->
+                                    out.printf(
+                                            Locale.ROOT,
+                                            "  %.3f s %s %s%n",
+                                            each.at() / SECOND,
+                                            each.rule(),
+                                            each.what()));
         }
         out.flush();
     }
@@ -129,9 +181,20 @@
     public void printSeconds(PrintWriter out) {
         out.println(" s offered in time late refused failed tries att. probes shakes lists away");
         for (Second s : figures.seconds()) {
-            out.printf("%2d %7d %7d %4d %7d %6d %5d %4d %6d %6d %5d %4d%n", s.second(), s.offered(),
-                s.inTime(), s.late(), s.refused(), s.failed(), s.tries(), s.attempts(), s.probes(),
-                s.handshakes(), s.listCalls(), s.turnedAway());
+            out.printf(
+                    "%2d %7d %7d %4d %7d %6d %5d %4d %6d %6d %5d %4d%n",
+                    s.second(),
+                    s.offered(),
+                    s.inTime(),
+                    s.late(),
+                    s.refused(),
+                    s.failed(),
+                    s.tries(),
+                    s.attempts(),
+                    s.probes(),
+                    s.handshakes(),
+                    s.listCalls(),
+                    s.turnedAway());
         }
         out.flush();
     }
@@ -152,6 +215,8 @@
         root.put("second_runs_by_clients", Checker.secondRuns(scenario, played.ledger()));
         root.put("broken", new ArrayList<>(broken));
         root.put("happenings", played.ledger().happenings);
-        new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT).writeValue(file.toFile(), root);
+        new ObjectMapper()
+                .enable(SerializationFeature.INDENT_OUTPUT)
+                .writeValue(file.toFile(), root);
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryCounts.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryCounts.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import ottergauge.lab.scale.process.Reporter;
 
-/** Counts calls in spans of 10 ms, and answers and bytes in spans of 100 ms, and tells them as JSON lines. */
+/**
+ * Counts calls in spans of 10 ms, and answers and bytes in spans of 100 ms, and tells them as JSON
+ * lines.
+ */
 final class DiscoveryCounts {
 
     /** Takes what is counted. */
@@ -18,13 +21,21 @@
         void tell(String event, long at, ObjectNode fields);
     }
 
-    /** What became of a call: it opened a watch or took the list, went on with a watch, was turned away. */
-    enum Kind { OPENS, GOES_ON, REFUSED }
+    /**
+     * What became of a call: it opened a watch or took the list, went on with a watch, was turned
+     * away.
+     */
+    enum Kind {
+        OPENS,
+        GOES_ON,
+        REFUSED
+    }
 
     private static final long CALLS_SPAN = 10_000;
     private static final long BYTES_SPAN = 100_000;
 
-    // Where the system lets a connection within this machine come from, unless it is told otherwise.
+    // Where the system lets a connection within this machine come from, unless it is told
+    // otherwise.
     private static final String ANYWHERE = "127.0.0.1";
 
     private final Sink sink;
@@ -50,11 +61,20 @@
         calls.merge(kind, 1L, Long::sum);
     }
 
-    /** A caller has this version: told of those that connect from an address of their own, when it moves. */
+    /**
+     * A caller has this version: told of those that connect from an address of their own, when it
+     * moves.
+     */
     void asks(String caller, long version) {
-        if (!ANYWHERE.equals(caller) && !Long.valueOf(version).equals(versions.put(caller, version))) {
-            sink.tell("asks", Reporter.wallMicros(), JsonNodeFactory.instance.objectNode()
-                .put("caller", caller).put("version", version));
+        if (!ANYWHERE.equals(caller)
+                && !Long.valueOf(version).equals(versions.put(caller, version))) {
+            sink.tell(
+                    "asks",
+                    Reporter.wallMicros(),
+                    JsonNodeFactory.instance
+                            .objectNode()
+                            .put("caller", caller)
+                            .put("version", version));
         }
     }
 
@@ -97,8 +117,15 @@
 
     private void tellBytes() {
         if (bytesIn + bytesOut + wholeLists > 0) {
-            sink.tell("bytes", bytesAt, JsonNodeFactory.instance.objectNode().put("in", bytesIn)
-                .put("out", bytesOut).put("whole_lists", wholeLists).put("whole_bytes", wholeBytes));
+            sink.tell(
+                    "bytes",
+                    bytesAt,
+                    JsonNodeFactory.instance
+                            .objectNode()
+                            .put("in", bytesIn)
+                            .put("out", bytesOut)
+                            .put("whole_lists", wholeLists)
+                            .put("whole_bytes", wholeBytes));
             bytesIn = 0;
             bytesOut = 0;
             wholeLists = 0;
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
@@ -19,8 +19,8 @@
 import ottergauge.lab.scale.process.Reporter;
 
 /**
- * Discovery as a process: its first order is the list that it begins with, each further one a change. It
- * tells the version and instant of each change, its calls and its bytes.
+ * Discovery as a process: its first order is the list that it begins with, each further one a
+ * change. It tells the version and instant of each change, its calls and its bytes.
  */
 public final class DiscoveryProcess {
 
@@ -39,14 +39,16 @@
 
     /** Runs until its orders end. */
     public void run(InputStream orders, PrintStream out) throws IOException {
-        BufferedReader lines = new BufferedReader(new InputStreamReader(orders, StandardCharsets.UTF_8));
+        BufferedReader lines =
+                new BufferedReader(new InputStreamReader(orders, StandardCharsets.UTF_8));
         Reporter reporter = new Reporter(out);
         try (Loop loop = new Loop()) {
             JsonNode first = JSON.readTree(lines.readLine());
             ListLog list = new ListLog(first.get("version").asLong(), entries(first.get("hosts")));
             warmUp(loop, list);
             DiscoveryCounts counts = new DiscoveryCounts(reporter::tell);
-            DiscoveryServer server = new DiscoveryServer(loop, list, counts, callsPerSecond, patience);
+            DiscoveryServer server =
+                    new DiscoveryServer(loop, list, counts, callsPerSecond, patience);
             server.listen(Addresses.parse(listen));
             loop.netty().execute(() -> reporter.watch(loop, counts::tell));
             reporter.tell("ready", Reporter.wallMicros(), JsonNodeFactory.instance.objectNode());
@@ -59,7 +61,7 @@
 
     // A service of its own on the same loop and list, whose counts are nobody's.
     private static void warmUp(Loop loop, ListLog list) throws IOException {
-        DiscoveryCounts counts = new DiscoveryCounts((event, at, fields) -> { });
+        DiscoveryCounts counts = new DiscoveryCounts((event, at, fields) -> {});
         DiscoveryServer warm = new DiscoveryServer(loop, list, counts, Double.MAX_VALUE, 0);
         SelfCalls.run(warm.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
     }
@@ -67,14 +69,24 @@
     private static void change(DiscoveryServer server, JsonNode order, Reporter reporter) {
         long at = Reporter.wallMicros();
         long version = server.change(entries(order.get("hosts")));
-        reporter.tell("changed", at, JsonNodeFactory.instance.objectNode().put("id", order.get("id").asLong())
-            .put("version", version));
+        reporter.tell(
+                "changed",
+                at,
+                JsonNodeFactory.instance
+                        .objectNode()
+                        .put("id", order.get("id").asLong())
+                        .put("version", version));
     }
 
     private static List<ListLog.Entry> entries(JsonNode hosts) {
         List<ListLog.Entry> entries = new ArrayList<>();
-        hosts.forEach(host -> entries.add(new ListLog.Entry(host.get("host").asText(),
-            "terminated".equals(host.get("health").asText()), host.toString())));
+        hosts.forEach(
+                host ->
+                        entries.add(
+                                new ListLog.Entry(
+                                        host.get("host").asText(),
+                                        "terminated".equals(host.get("health").asText()),
+                                        host.toString())));
         return entries;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
@@ -35,9 +35,9 @@
 import ottergauge.lab.scale.discovery.ListLog.Answer;
 
 /**
- * Stand-in discovery on sockets: one service that works through calls in turn. A call that opens a watch
- * takes its turn in the line, and is turned away if it would have to wait for too long; a watch that goes on
- * at once does not.
+ * Stand-in discovery on sockets: one service that works through calls in turn. A call that opens a
+ * watch takes its turn in the line, and is turned away if it would have to wait for too long; a
+ * watch that goes on at once does not.
  */
 final class DiscoveryServer {
 
@@ -50,7 +50,7 @@
     // A watch that goes on so soon does not stand in the line again.
     private static final long GOES_ON = 200 * MICROS_A_MS;
 
-    private record Watch(ChannelHandlerContext context, long after) { }
+    private record Watch(ChannelHandlerContext context, long after) {}
 
     private final Loop loop;
     private final ListLog list;
@@ -58,13 +58,16 @@
     private final double callsPerSecond;
     private final long patience;
     private final Set<Watch> watches = new LinkedHashSet<>();
+
     /** When each open connection was answered last. */
     private final Map<ChannelHandlerContext, Long> answeredAt = new HashMap<>();
+
     /** Until when the line is full. */
     private long freeAt;
 
     /** {@code patience}, in microseconds, is how long a call may stand in the line. */
-    DiscoveryServer(Loop loop, ListLog list, DiscoveryCounts counts, double callsPerSecond, long patience) {
+    DiscoveryServer(
+            Loop loop, ListLog list, DiscoveryCounts counts, double callsPerSecond, long patience) {
         this.loop = loop;
         this.list = list;
         this.counts = counts;
@@ -74,16 +77,28 @@
 
     /** Listens, and gives back the address, with its port if that was left open. */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
-        ChannelFuture bound = new ServerBootstrap().group(loop.netty()).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(new ChannelInitializer<>() {
-                @Override
-                protected void initChannel(Channel connection) {
-                    connection.pipeline().addLast(new ByteCounter(), new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_REQUEST), new Calls());
-                }
-            }).bind(address).awaitUninterruptibly();
+        ChannelFuture bound =
+                new ServerBootstrap()
+                        .group(loop.netty())
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel connection) {
+                                        connection
+                                                .pipeline()
+                                                .addLast(
+                                                        new ByteCounter(),
+                                                        new HttpServerCodec(),
+                                                        new HttpObjectAggregator(MOST_REQUEST),
+                                                        new Calls());
+                                    }
+                                })
+                        .bind(address)
+                        .awaitUninterruptibly();
         if (!bound.isSuccess()) {
             throw new IOException("cannot listen on " + Addresses.text(address), bound.cause());
         }
@@ -144,8 +159,9 @@
         long turn = Math.max(freeAt, now) + (long) (MICROS_A_SECOND / callsPerSecond);
         if (turn - now > patience) {
             counts.call(DiscoveryCounts.Kind.REFUSED);
-            loop.after(patience,
-                () -> answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]));
+            loop.after(
+                    patience,
+                    () -> answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]));
             return;
         }
         counts.call(DiscoveryCounts.Kind.OPENS);
@@ -169,11 +185,13 @@
         }
         Watch watch = new Watch(context, after);
         watches.add(watch);
-        loop.after(wait, () -> {
-            if (watches.remove(watch)) {
-                tell(context, after);
-            }
-        });
+        loop.after(
+                wait,
+                () -> {
+                    if (watches.remove(watch)) {
+                        tell(context, after);
+                    }
+                });
     }
 
     /** Takes a change of the list, tells those who watch, and gives back its version. */
@@ -194,10 +212,12 @@
         answer(context, HttpResponseStatus.OK, answer.body());
     }
 
-    private static void answer(ChannelHandlerContext context, HttpResponseStatus status, byte[] body) {
+    private static void answer(
+            ChannelHandlerContext context, HttpResponseStatus status, byte[] body) {
         if (context.channel().isActive()) {
-            FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-                Unpooled.wrappedBuffer(body));
+            FullHttpResponse response =
+                    new DefaultFullHttpResponse(
+                            HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
             context.writeAndFlush(response);
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/ListLog.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/ListLog.java
@@ -10,18 +10,18 @@
 import java.util.Map;
 
 /**
- * The list of servers and its newest changes, by versions. Bodies of answers are made once for all callers
- * that ask from the same version.
+ * The list of servers and its newest changes, by versions. Bodies of answers are made once for all
+ * callers that ask from the same version.
  */
 final class ListLog {
 
     /** A server's entry as it is told; {@code gone} says that this is its last one. */
-    record Entry(String host, boolean gone, String json) { }
+    record Entry(String host, boolean gone, String json) {}
 
-    private record Change(long version, List<Entry> entries) { }
+    private record Change(long version, List<Entry> entries) {}
 
     /** An answer: its body, and whether that is the whole list. */
-    record Answer(byte[] body, boolean whole, int entries) { }
+    record Answer(byte[] body, boolean whole, int entries) {}
 
     private static final int MOST_CHANGES = 50_000;
 
@@ -29,6 +29,7 @@
     private final Deque<Change> changes = new ArrayDeque<>();
     private final Map<Long, Answer> answers = new LinkedHashMap<>();
     private long version;
+
     /** The oldest version from which the changes are known. */
     private long oldest;
 
@@ -66,7 +67,10 @@
         return after != version;
     }
 
-    /** What one that has this version is told: changes, or the whole list if they are not known from it. */
+    /**
+     * What one that has this version is told: changes, or the whole list if they are not known from
+     * it.
+     */
     Answer after(long after) {
         long from = after < oldest || after > version ? -1 : after;
         return answers.computeIfAbsent(from, this::make);
@@ -74,12 +78,17 @@
 
     private Answer make(long from) {
         Collection<Entry> entries = from < 0 ? listed.values() : newest(from);
-        StringBuilder text = new StringBuilder("{\"seq\":" + version + ",\"whole\":" + (from < 0)
-            + ",\"hosts\":[");
-        entries.forEach(each -> text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
-            .append(each.json()));
-        return new Answer(text.append("]}").toString().getBytes(StandardCharsets.UTF_8), from < 0,
-            entries.size());
+        StringBuilder text =
+                new StringBuilder(
+                        "{\"seq\":" + version + ",\"whole\":" + (from < 0) + ",\"hosts\":[");
+        entries.forEach(
+                each ->
+                        text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
+                                .append(each.json()));
+        return new Answer(
+                text.append("]}").toString().getBytes(StandardCharsets.UTF_8),
+                from < 0,
+                entries.size());
     }
 
     // Of each server only the last that is known.
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/SelfCalls.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/SelfCalls.java
@@ -8,20 +8,20 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Calls a stand-in from its own process until it is warm: one whose code runs for the first time answers the
- * first hundreds of calls late, which a play would take for the nodes' doing.
+ * Calls a stand-in from its own process until it is warm: one whose code runs for the first time
+ * answers the first hundreds of calls late, which a play would take for the nodes' doing.
  */
 final class SelfCalls {
 
     private static final int CALLS = 500;
     private static final int READ_WITHIN_MS = 10_000;
-    private static final byte[] REQUEST = ("GET /registry/instances?after=0&wait_ms=0 HTTP/1.1\r\n"
-        + "Host: itself\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+    private static final byte[] REQUEST =
+            ("GET /registry/instances?after=0&wait_ms=0 HTTP/1.1\r\n" + "Host: itself\r\n\r\n")
+                    .getBytes(StandardCharsets.US_ASCII);
     private static final String LENGTH = "content-length: ";
     private static final String HEAD_END = "\r\n\r\n";
 
-    private SelfCalls() {
-    }
+    private SelfCalls() {}
 
     static void run(InetSocketAddress address) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
--- a/lab/src/main/java/ottergauge/lab/scale/figures/FiguresOfPhase.java
+++ b/lab/src/main/java/ottergauge/lab/scale/figures/FiguresOfPhase.java
@@ -42,20 +42,44 @@
                 atLast.add(spans.stream().mapToLong(each -> each).max().orElse(0));
             }
         }
-        List<Long> atReal = changes.entrySet().stream()
-            .flatMap(change -> spans(change, window.real()).stream()).toList();
+        List<Long> atReal =
+                changes.entrySet().stream()
+                        .flatMap(change -> spans(change, window.real()).stream())
+                        .toList();
         List<NodeLog> hollow = window.hollow().stream().map(seen.nodes()::get).toList();
         Latest latest = latest();
-        return new PhaseFigures(window, latest.part() > LATE_PART || latest.lost() > 0, latest,
-            changes.size(), spread(inForce), spread(atLast), spread(atReal), afterRestart(), missing,
-            hollow.stream().filter(node -> node.inForce() < seen.newestVersion()).count(),
-            window.digest().isEmpty() ? 0
-                : hollow.stream().filter(node -> !node.digest().equals(window.digest())).count(),
-            bytesANode(hollow), hollow.stream()
-                .mapToLong(node -> node.mostBytesInWindow(window.spansFrom(), window.until())).max()
-                .orElse(0),
-            sums(seen.calls()), most(seen.calls()), sums(seen.discovery()), most(seen.discovery()),
-            wholeLists(), cores(), resident(), heaps(), linkBytes(), Map.copyOf(seen.leftOut()));
+        return new PhaseFigures(
+                window,
+                latest.part() > LATE_PART || latest.lost() > 0,
+                latest,
+                changes.size(),
+                spread(inForce),
+                spread(atLast),
+                spread(atReal),
+                afterRestart(),
+                missing,
+                hollow.stream().filter(node -> node.inForce() < seen.newestVersion()).count(),
+                window.digest().isEmpty()
+                        ? 0
+                        : hollow.stream()
+                                .filter(node -> !node.digest().equals(window.digest()))
+                                .count(),
+                bytesANode(hollow),
+                hollow.stream()
+                        .mapToLong(
+                                node -> node.mostBytesInWindow(window.spansFrom(), window.until()))
+                        .max()
+                        .orElse(0),
+                sums(seen.calls()),
+                most(seen.calls()),
+                sums(seen.discovery()),
+                most(seen.discovery()),
+                wholeLists(),
+                cores(),
+                resident(),
+                heaps(),
+                linkBytes(),
+                Map.copyOf(seen.leftOut()));
     }
 
     private static Spread spread(List<Long> values) {
@@ -80,9 +104,12 @@
             return Spread.NONE;
         }
         long newest = seen.newestVersion();
-        return spread(window.hollow().stream()
-            .map(name -> seen.nodes().get(name).reached(newest, window.from())).filter(at -> at >= 0)
-            .map(at -> at - window.from()).toList());
+        return spread(
+                window.hollow().stream()
+                        .map(name -> seen.nodes().get(name).reached(newest, window.from()))
+                        .filter(at -> at >= 0)
+                        .map(at -> at - window.from())
+                        .toList());
     }
 
     private double seconds() {
@@ -90,19 +117,26 @@
     }
 
     private double bytesANode(List<NodeLog> hollow) {
-        long bytes = hollow.stream().mapToLong(node -> node.bytes(window.spansFrom(), window.until())).sum();
+        long bytes =
+                hollow.stream()
+                        .mapToLong(node -> node.bytes(window.spansFrom(), window.until()))
+                        .sum();
         return bytes / seconds() / Math.max(1, hollow.size());
     }
 
     private Map<String, Long> sums(Map<String, LongTable> tables) {
         Map<String, Long> sums = new TreeMap<>();
-        tables.forEach((kind, table) -> {
-            long sum = 0;
-            for (int row = 0; row < table.rows(); row++) {
-                sum += window.holds(table.get(row, Observations.AT)) ? table.get(row, Observations.COUNT) : 0;
-            }
-            sums.put(kind, sum);
-        });
+        tables.forEach(
+                (kind, table) -> {
+                    long sum = 0;
+                    for (int row = 0; row < table.rows(); row++) {
+                        sum +=
+                                window.holds(table.get(row, Observations.AT))
+                                        ? table.get(row, Observations.COUNT)
+                                        : 0;
+                    }
+                    sums.put(kind, sum);
+                });
         return sums;
     }
 
@@ -112,13 +146,21 @@
         for (LongTable table : tables.values()) {
             for (int row = 0; row < table.rows(); row++) {
                 if (window.holds(table.get(row, Observations.AT))) {
-                    spans.merge(table.get(row, Observations.AT), table.get(row, Observations.COUNT),
-                        Long::sum);
+                    spans.merge(
+                            table.get(row, Observations.AT),
+                            table.get(row, Observations.COUNT),
+                            Long::sum);
                 }
             }
         }
-        return spans.keySet().stream().mapToLong(from -> spans.subMap(from, from + WORST + CALLS_SPAN)
-            .values().stream().mapToLong(each -> each).sum()).max().orElse(0);
+        return spans.keySet().stream()
+                .mapToLong(
+                        from ->
+                                spans.subMap(from, from + WORST + CALLS_SPAN).values().stream()
+                                        .mapToLong(each -> each)
+                                        .sum())
+                .max()
+                .orElse(0);
     }
 
     private WholeLists wholeLists() {
@@ -136,45 +178,64 @@
 
     private Map<String, Double> cores() {
         Map<String, Double> cores = new LinkedHashMap<>();
-        seen.uses().forEach((process, uses) -> {
-            List<Use> part = uses.stream().filter(use -> window.holds(use.at())).toList();
-            if (part.size() > 1) {
-                Use first = part.get(0);
-                Use last = part.get(part.size() - 1);
-                cores.put(process, (double) (last.cpuMicros() - first.cpuMicros())
-                    / (last.at() - first.at()));
-            }
-        });
+        seen.uses()
+                .forEach(
+                        (process, uses) -> {
+                            List<Use> part =
+                                    uses.stream().filter(use -> window.holds(use.at())).toList();
+                            if (part.size() > 1) {
+                                Use first = part.get(0);
+                                Use last = part.get(part.size() - 1);
+                                cores.put(
+                                        process,
+                                        (double) (last.cpuMicros() - first.cpuMicros())
+                                                / (last.at() - first.at()));
+                            }
+                        });
         return cores;
     }
 
     private Map<String, Long> resident() {
-        return seen.uses().entrySet().stream().collect(Collectors.toMap(Map.Entry::getKey,
-            each -> each.getValue().stream().filter(use -> window.holds(use.at()))
-                .mapToLong(Use::residentBytes).max().orElse(0), (one, other) -> one, LinkedHashMap::new));
+        return seen.uses().entrySet().stream()
+                .collect(
+                        Collectors.toMap(
+                                Map.Entry::getKey,
+                                each ->
+                                        each.getValue().stream()
+                                                .filter(use -> window.holds(use.at()))
+                                                .mapToLong(Use::residentBytes)
+                                                .max()
+                                                .orElse(0),
+                                (one, other) -> one,
+                                LinkedHashMap::new));
     }
 
     private Map<String, Long> heaps() {
         Map<String, Long> heaps = new LinkedHashMap<>();
-        seen.heaps().forEach((process, table) -> {
-            for (int row = 0; row < table.rows(); row++) {
-                if (window.holds(table.get(row, Observations.AT))) {
-                    heaps.merge(process, table.get(row, 1), Math::min);
-                }
-            }
-        });
+        seen.heaps()
+                .forEach(
+                        (process, table) -> {
+                            for (int row = 0; row < table.rows(); row++) {
+                                if (window.holds(table.get(row, Observations.AT))) {
+                                    heaps.merge(process, table.get(row, 1), Math::min);
+                                }
+                            }
+                        });
         return heaps;
     }
 
     private Map<String, Long> linkBytes() {
         Map<String, Long> bytes = new LinkedHashMap<>();
-        seen.linkBytes().forEach((link, table) -> {
-            for (int row = 0; row < table.rows(); row++) {
-                if (window.holds(table.get(row, Observations.AT))) {
-                    bytes.merge(link, table.get(row, 1) + table.get(row, 2), Long::sum);
-                }
-            }
-        });
+        seen.linkBytes()
+                .forEach(
+                        (link, table) -> {
+                            for (int row = 0; row < table.rows(); row++) {
+                                if (window.holds(table.get(row, Observations.AT))) {
+                                    bytes.merge(
+                                            link, table.get(row, 1) + table.get(row, 2), Long::sum);
+                                }
+                            }
+                        });
         return bytes;
     }
 
@@ -193,6 +254,7 @@
                 part = (double) late / looks;
             }
         }
-        return new Latest(latest, part, seen.lost().values().stream().mapToLong(each -> each).sum());
+        return new Latest(
+                latest, part, seen.lost().values().stream().mapToLong(each -> each).sum());
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/figures/LongTable.java
+++ b/lab/src/main/java/ottergauge/lab/scale/figures/LongTable.java
@@ -3,7 +3,9 @@
 
 import java.util.Arrays;
 
-/** Rows of whole numbers in the order in which they came, kept densely: there are millions of them. */
+/**
+ * Rows of whole numbers in the order in which they came, kept densely: there are millions of them.
+ */
 final class LongTable {
 
     private static final int FIRST_ROWS = 16;
--- a/lab/src/main/java/ottergauge/lab/scale/figures/NodeLog.java
+++ b/lab/src/main/java/ottergauge/lab/scale/figures/NodeLog.java
@@ -4,7 +4,10 @@
 import java.util.Comparator;
 import java.util.stream.IntStream;
 
-/** What was seen of one node: the versions that came in force, and its bytes. Instants are microseconds. */
+/**
+ * What was seen of one node: the versions that came in force, and its bytes. Instants are
+ * microseconds.
+ */
 final class NodeLog {
 
     private static final long BYTES_SPAN = 100_000;
@@ -42,7 +45,9 @@
         return inForce;
     }
 
-    /** When this version or a newer one came in force first, from an instant on; negative if never. */
+    /**
+     * When this version or a newer one came in force first, from an instant on; negative if never.
+     */
     long reached(long version, long from) {
         for (int row = 0; row < versions.rows(); row++) {
             if (versions.get(row, 0) >= version && versions.get(row, 1) >= from) {
@@ -64,8 +69,8 @@
     }
 
     /**
-     * The most bytes, either way, in any ten seconds of a span of time. Bytes are known by tenths of a
-     * second; a tenth that lies only partly in the ten seconds counts whole.
+     * The most bytes, either way, in any ten seconds of a span of time. Bytes are known by tenths
+     * of a second; a tenth that lies only partly in the ten seconds counts whole.
      */
     long mostBytesInWindow(long from, long until) {
         long[][] rows = sorted(from, until);
@@ -86,8 +91,13 @@
     // By instant: what is counted for one source of state is told apart from what is for another.
     private long[][] sorted(long from, long until) {
         return IntStream.range(0, traffic.rows())
-            .mapToObj(row -> new long[] {traffic.get(row, 2), traffic.get(row, 0) + traffic.get(row, 1)})
-            .filter(row -> row[0] > from && row[0] < until)
-            .sorted(Comparator.comparingLong(row -> row[0])).toArray(long[][]::new);
+                .mapToObj(
+                        row ->
+                                new long[] {
+                                    traffic.get(row, 2), traffic.get(row, 0) + traffic.get(row, 1)
+                                })
+                .filter(row -> row[0] > from && row[0] < until)
+                .sorted(Comparator.comparingLong(row -> row[0]))
+                .toArray(long[][]::new);
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/figures/Observations.java
+++ b/lab/src/main/java/ottergauge/lab/scale/figures/Observations.java
@@ -8,31 +8,36 @@
 import java.util.TreeMap;
 
 /**
- * All that was seen in a play, by whoever saw it: instants are wall-clock microseconds. Safe to be told from
- * several threads.
+ * All that was seen in a play, by whoever saw it: instants are wall-clock microseconds. Safe to be
+ * told from several threads.
  */
 public final class Observations {
 
     /** What the use of the whole machine is noted under, and that of the rig's own process. */
     public static final String MACHINE = "machine";
+
     public static final String RIG = "rig";
 
     /** What a process used: its CPU so far, resident bytes, and heap as far as it tells. */
-    record Use(long at, long cpuMicros, long residentBytes) { }
+    record Use(long at, long cpuMicros, long residentBytes) {}
 
     /** How late a loop of the rig came round in the time before an instant. */
-    record Lateness(long at, long looks, long late) { }
+    record Lateness(long at, long looks, long late) {}
 
     /** The columns of {@link #calls} and {@link #discovery}. */
     static final int AT = 0;
+
     static final int COUNT = 1;
 
     private final Map<String, NodeLog> nodes = new LinkedHashMap<>();
     private final TreeMap<Long, Long> changes = new TreeMap<>();
+
     /** Calls that hollow nodes made, by kind. */
     private final Map<String, LongTable> calls = new LinkedHashMap<>();
+
     /** Calls that reached discovery, by what became of them. */
     private final Map<String, LongTable> discovery = new LinkedHashMap<>();
+
     private final LongTable wholeLists = new LongTable(3);
     private final Map<String, List<Use>> uses = new LinkedHashMap<>();
     private final Map<String, LongTable> heaps = new LinkedHashMap<>();
@@ -86,14 +91,17 @@
     }
 
     public synchronized void use(String process, long cpuMicros, long residentBytes, long at) {
-        uses.computeIfAbsent(process, each -> new ArrayList<>()).add(new Use(at, cpuMicros, residentBytes));
+        uses.computeIfAbsent(process, each -> new ArrayList<>())
+                .add(new Use(at, cpuMicros, residentBytes));
     }
 
     public synchronized void heap(String process, long bytes, long at) {
         heaps.computeIfAbsent(process, each -> new LongTable(2)).add(at, bytes);
     }
 
-    /** A process is stopped on purpose: what it tells of its lateness until then is not the rig's. */
+    /**
+     * A process is stopped on purpose: what it tells of its lateness until then is not the rig's.
+     */
     public synchronized void excuse(String process, long until) {
         excused.put(process, until);
     }
@@ -102,7 +110,8 @@
         if (at < excused.getOrDefault(process, 0L)) {
             return;
         }
-        lateness.computeIfAbsent(process, each -> new ArrayList<>()).add(new Lateness(at, looks, late));
+        lateness.computeIfAbsent(process, each -> new ArrayList<>())
+                .add(new Lateness(at, looks, late));
     }
 
     public synchronized void linkBytes(String link, long there, long back, long at) {
--- a/lab/src/main/java/ottergauge/lab/scale/figures/Spread.java
+++ b/lab/src/main/java/ottergauge/lab/scale/figures/Spread.java
@@ -3,7 +3,10 @@
 
 import java.util.Arrays;
 
-/** How values spread: their number, median, 99th percentile and largest. All are 0 if there are none. */
+/**
+ * How values spread: their number, median, 99th percentile and largest. All are 0 if there are
+ * none.
+ */
 public record Spread(long count, long median, long p99, long most) {
 
     public static final Spread NONE = new Spread(0, 0, 0, 0);
@@ -17,7 +20,8 @@
             return NONE;
         }
         Arrays.sort(values);
-        return new Spread(values.length, at(values, MEDIAN), at(values, P99), values[values.length - 1]);
+        return new Spread(
+                values.length, at(values, MEDIAN), at(values, P99), values[values.length - 1]);
     }
 
     // The smallest value that so large a part of all is not over.
--- a/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
@@ -21,8 +21,8 @@
 import ottergauge.lab.scale.process.Reporter;
 
 /**
- * All links as a process: its first order names them with their addresses and targets, each further one cuts
- * or heals some. It tells when it has done so, and the bytes over each link.
+ * All links as a process: its first order names them with their addresses and targets, each further
+ * one cuts or heals some. It tells when it has done so, and the bytes over each link.
  */
 public final class LinksProcess {
 
@@ -33,15 +33,22 @@
 
     /** Runs until its orders end. */
     public void run(InputStream orders, PrintStream out) throws IOException {
-        BufferedReader lines = new BufferedReader(new InputStreamReader(orders, StandardCharsets.UTF_8));
+        BufferedReader lines =
+                new BufferedReader(new InputStreamReader(orders, StandardCharsets.UTF_8));
         Reporter reporter = new Reporter(out);
         try (Loop loop = new Loop()) {
             Links links = new Links(CLEAR);
             for (JsonNode each : JSON.readTree(lines.readLine()).get("links")) {
                 String name = each.get("name").asText();
                 Link link = links.add(name, each.get("target").asText(), 0, 0);
-                relays.put(name, new Relay(loop, link, Addresses.parse(each.get("listen").asText()),
-                    Addresses.parse(each.get("target").asText()), source(each)));
+                relays.put(
+                        name,
+                        new Relay(
+                                loop,
+                                link,
+                                Addresses.parse(each.get("listen").asText()),
+                                Addresses.parse(each.get("target").asText()),
+                                source(each)));
             }
             loop.netty().execute(() -> reporter.watch(loop, () -> tellBytes(reporter)));
             reporter.tell("ready", Reporter.wallMicros(), JsonNodeFactory.instance.objectNode());
@@ -66,12 +73,19 @@
     }
 
     private void tellBytes(Reporter reporter) {
-        relays.forEach((name, relay) -> {
-            long[] bytes = relay.takeBytes();
-            if (bytes[0] + bytes[1] > 0) {
-                reporter.tell("link-bytes", Reporter.wallMicros(), JsonNodeFactory.instance.objectNode()
-                    .put("link", name).put("there", bytes[0]).put("back", bytes[1]));
-            }
-        });
+        relays.forEach(
+                (name, relay) -> {
+                    long[] bytes = relay.takeBytes();
+                    if (bytes[0] + bytes[1] > 0) {
+                        reporter.tell(
+                                "link-bytes",
+                                Reporter.wallMicros(),
+                                JsonNodeFactory.instance
+                                        .objectNode()
+                                        .put("link", name)
+                                        .put("there", bytes[0])
+                                        .put("back", bytes[1]));
+                    }
+                });
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
@@ -23,28 +23,37 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * One way between two places: what connects to its address is connected to its target, and bytes go on
- * either way as fast as the other side takes them. Cut off, it moves nothing and answers no connection, as if
- * the network between had gone; what the systems hold at either side moves once it heals.
+ * One way between two places: what connects to its address is connected to its target, and bytes go
+ * on either way as fast as the other side takes them. Cut off, it moves nothing and answers no
+ * connection, as if the network between had gone; what the systems hold at either side moves once
+ * it heals.
  */
 final class Relay {
 
-    private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(64 << 10, 256 << 10);
+    private static final WriteBufferWaterMark WATER_MARK =
+            new WriteBufferWaterMark(64 << 10, 256 << 10);
 
     private final Loop loop;
     private final InetSocketAddress target;
     private final InetSocketAddress source;
     private final Link link;
     private final Listener listener;
+
     /** The connections at this relay's two sides. */
     private final Set<Channel> open = new LinkedHashSet<>();
+
     private boolean cut;
     private long bytesThere;
     private long bytesBack;
 
     /** {@code source} is where it connects to the target from; null for wherever. */
-    Relay(Loop loop, Link link, InetSocketAddress address, InetSocketAddress target,
-          InetSocketAddress source) throws IOException {
+    Relay(
+            Loop loop,
+            Link link,
+            InetSocketAddress address,
+            InetSocketAddress target,
+            InetSocketAddress source)
+            throws IOException {
         this.loop = loop;
         this.target = target;
         this.source = source;
@@ -57,22 +66,29 @@
         near.config().setWriteBufferWaterMark(WATER_MARK);
         near.config().setAutoRead(false);
         near.closeFuture().addListener(closed -> open.remove(near));
-        ChannelFuture connecting = new Bootstrap().group(loop.netty()).channel(NioSocketChannel.class)
-            .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.AUTO_READ, false)
-            .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-            .handler(new ChannelInitializer<>() {
-                @Override
-                protected void initChannel(Channel channel) {
-                    // Its handler comes with the connection.
-                }
-            }).connect(target, source);
-        connecting.addListener(done -> {
-            if (done.isSuccess()) {
-                join(near, connecting.channel());
-            } else {
-                near.close();
-            }
-        });
+        ChannelFuture connecting =
+                new Bootstrap()
+                        .group(loop.netty())
+                        .channel(NioSocketChannel.class)
+                        .option(ChannelOption.TCP_NODELAY, true)
+                        .option(ChannelOption.AUTO_READ, false)
+                        .option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
+                        .handler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel channel) {
+                                        // Its handler comes with the connection.
+                                    }
+                                })
+                        .connect(target, source);
+        connecting.addListener(
+                done -> {
+                    if (done.isSuccess()) {
+                        join(near, connecting.channel());
+                    } else {
+                        near.close();
+                    }
+                });
     }
 
     private void join(Channel near, Channel far) {
--- a/lab/src/main/java/ottergauge/lab/scale/play/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/Fleet.java
@@ -29,7 +29,7 @@
 final class Fleet implements AutoCloseable {
 
     /** The program under test: its folder, and the line that starts a real node. */
-    record Program(Path root, String run) { }
+    record Program(Path root, String run) {}
 
     private static final String DISCOVERY = "discovery";
     private static final String LINKS = "links";
@@ -49,7 +49,12 @@
     private final Map<String, CountDownLatch> ready = new LinkedHashMap<>();
     private final Told told;
 
-    Fleet(ScaleScenario scenario, Program program, Path folder, ScaleAddresses addresses, Observations seen)
+    Fleet(
+            ScaleScenario scenario,
+            Program program,
+            Path folder,
+            ScaleAddresses addresses,
+            Observations seen)
             throws IOException {
         this.scenario = scenario;
         this.program = program;
@@ -66,8 +71,11 @@
     private void placeNodes() {
         int from = 1;
         for (int process = 0; process < scenario.nodes().processes(); process++) {
-            int count = scenario.nodes().hollow() / scenario.nodes().processes()
-                + (process < scenario.nodes().hollow() % scenario.nodes().processes() ? 1 : 0);
+            int count =
+                    scenario.nodes().hollow() / scenario.nodes().processes()
+                            + (process < scenario.nodes().hollow() % scenario.nodes().processes()
+                                    ? 1
+                                    : 0);
             List<String> names = new ArrayList<>();
             for (int number = from; number < from + count; number++) {
                 names.add("h" + number);
@@ -87,9 +95,17 @@
     }
 
     private void prepareDiscovery() {
-        process(DISCOVERY, standIn(scenario.discovery().heapMb(), DISCOVERY, "--listen",
-            addresses.discovery(), "--calls-per-second", "" + scenario.discovery().callsPerSecond(),
-            "--patience-us", "" + scenario.discovery().patience()));
+        process(
+                DISCOVERY,
+                standIn(
+                        scenario.discovery().heapMb(),
+                        DISCOVERY,
+                        "--listen",
+                        addresses.discovery(),
+                        "--calls-per-second",
+                        "" + scenario.discovery().callsPerSecond(),
+                        "--patience-us",
+                        "" + scenario.discovery().patience()));
     }
 
     private void prepareLinks() {
@@ -97,9 +113,16 @@
     }
 
     private static ProcessBuilder standIn(int heapMb, String... command) {
-        List<String> line = new ArrayList<>(List.of(java(), "-Xmx" + heapMb + "m", "-XX:+UseSerialGC",
-            "-XX:-UsePerfData", "-cp", System.getProperty("java.class.path"),
-            "ottergauge.lab.program.Main"));
+        List<String> line =
+                new ArrayList<>(
+                        List.of(
+                                java(),
+                                "-Xmx" + heapMb + "m",
+                                "-XX:+UseSerialGC",
+                                "-XX:-UsePerfData",
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                "ottergauge.lab.program.Main"));
         line.addAll(List.of(command));
         return new ProcessBuilder(line);
     }
@@ -110,8 +133,9 @@
 
     private ChildProcess process(String name, ProcessBuilder builder) {
         Consumer<JsonNode> take = event -> told.take(name, event);
-        ChildProcess process = new ChildProcess(name, builder, folder.resolve(name + ".log"), reaper,
-            signals, take);
+        ChildProcess process =
+                new ChildProcess(
+                        name, builder, folder.resolve(name + ".log"), reaper, signals, take);
         processes.put(name, process);
         return process;
     }
@@ -127,7 +151,8 @@
     }
 
     // Starts a process, gives it its first order and waits until it says that it is ready.
-    private void start(String name, String order) throws IOException, InterruptedException, PlayException {
+    private void start(String name, String order)
+            throws IOException, InterruptedException, PlayException {
         CountDownLatch latch = new CountDownLatch(1);
         synchronized (ready) {
             ready.put(name, latch);
@@ -136,15 +161,24 @@
         process.start();
         process.order(order);
         if (!latch.await(READY_WITHIN_S, TimeUnit.SECONDS)) {
-            throw new PlayException(name + " is not ready; the end of its log:\n" + process.logEnd());
+            throw new PlayException(
+                    name + " is not ready; the end of its log:\n" + process.logEnd());
         }
     }
 
-    /** Starts discovery, for the first time or anew: it knows this list and nothing of what was before. */
+    /**
+     * Starts discovery, for the first time or anew: it knows this list and nothing of what was
+     * before.
+     */
     void startDiscovery(long version, ArrayNode list)
             throws IOException, InterruptedException, PlayException {
-        start(DISCOVERY, JsonNodeFactory.instance.objectNode().put("version", version)
-            .<ObjectNode>set("hosts", list).toString());
+        start(
+                DISCOVERY,
+                JsonNodeFactory.instance
+                        .objectNode()
+                        .put("version", version)
+                        .<ObjectNode>set("hosts", list)
+                        .toString());
     }
 
     /** Starts the links. */
@@ -152,13 +186,17 @@
         ObjectNode order = JsonNodeFactory.instance.objectNode();
         ArrayNode links = order.putArray("links");
         for (int region = 0; region < scenario.regions(); region++) {
-            links.addObject().put("name", ScaleScenario.region(region))
-                .put("listen", addresses.discoveryFrom(region)).put("target", addresses.discovery());
+            links.addObject()
+                    .put("name", ScaleScenario.region(region))
+                    .put("listen", addresses.discoveryFrom(region))
+                    .put("target", addresses.discovery());
         }
         for (int node = 0; node < scenario.nodes().real(); node++) {
-            links.addObject().put("name", realNodes.get(node))
-                .put("listen", addresses.discoveryOfReal(node)).put("target", addresses.discovery())
-                .put("source", addresses.sourceOfReal(node));
+            links.addObject()
+                    .put("name", realNodes.get(node))
+                    .put("listen", addresses.discoveryOfReal(node))
+                    .put("target", addresses.discovery())
+                    .put("source", addresses.sourceOfReal(node));
         }
         start(LINKS, order.toString());
     }
@@ -175,16 +213,41 @@
         int from = 1;
         for (Map.Entry<String, List<String>> each : hollowNodes.entrySet()) {
             Path config = folder.resolve(each.getKey() + ".json");
-            Files.writeString(config, NodeTemplate.of(scenario, each.getKey(), 0, "127.0.0.1:1",
-                addresses.discoveryFrom(process % scenario.regions()), knownVersion, known).toString());
-            ProcessBuilder builder = new ProcessBuilder(java(), "-Xmx" + scenario.nodes().heapMb() + "m",
-                "-XX:-UsePerfData", "-XX:TieredStopAtLevel=1", "-XX:ParallelGCThreads=2",
-                "-XX:ConcGCThreads=1", "-Dio.netty.jfr.enabled=false", "-Djava.net.preferIPv4Stack=true",
-                "-Dorg.slf4j.simpleLogger.defaultLogLevel=error", "-jar",
-                program.root().resolve("target/ottergauge.jar").toString(), "hollow", "--config",
-                config.toString(), "--count", "" + each.getValue().size(), "--from", "" + from, "--loops",
-                "" + Math.min(scenario.nodes().loops(), each.getValue().size()), "--start-over-ms",
-                "" + TimeUnit.MICROSECONDS.toMillis(scenario.nodes().startOver()));
+            Files.writeString(
+                    config,
+                    NodeTemplate.of(
+                                    scenario,
+                                    each.getKey(),
+                                    0,
+                                    "127.0.0.1:1",
+                                    addresses.discoveryFrom(process % scenario.regions()),
+                                    knownVersion,
+                                    known)
+                            .toString());
+            ProcessBuilder builder =
+                    new ProcessBuilder(
+                            java(),
+                            "-Xmx" + scenario.nodes().heapMb() + "m",
+                            "-XX:-UsePerfData",
+                            "-XX:TieredStopAtLevel=1",
+                            "-XX:ParallelGCThreads=2",
+                            "-XX:ConcGCThreads=1",
+                            "-Dio.netty.jfr.enabled=false",
+                            "-Djava.net.preferIPv4Stack=true",
+                            "-Dorg.slf4j.simpleLogger.defaultLogLevel=error",
+                            "-jar",
+                            program.root().resolve("target/ottergauge.jar").toString(),
+                            "hollow",
+                            "--config",
+                            config.toString(),
+                            "--count",
+                            "" + each.getValue().size(),
+                            "--from",
+                            "" + from,
+                            "--loops",
+                            "" + Math.min(scenario.nodes().loops(), each.getValue().size()),
+                            "--start-over-ms",
+                            "" + TimeUnit.MICROSECONDS.toMillis(scenario.nodes().startOver()));
             process(each.getKey(), builder).start();
             from += each.getValue().size();
             process++;
@@ -194,19 +257,36 @@
     private void startReal(int node, long knownVersion, ArrayNode known) throws IOException {
         String name = realNodes.get(node);
         Path config = folder.resolve(name + ".json");
-        Files.writeString(config, NodeTemplate.of(scenario, name, scenario.nodes().hollow() + node,
-            addresses.real(node), addresses.discoveryOfReal(node), knownVersion, known).toString());
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", program.run())
-            .directory(program.root().toFile());
+        Files.writeString(
+                config,
+                NodeTemplate.of(
+                                scenario,
+                                name,
+                                scenario.nodes().hollow() + node,
+                                addresses.real(node),
+                                addresses.discoveryOfReal(node),
+                                knownVersion,
+                                known)
+                        .toString());
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", program.run())
+                        .directory(program.root().toFile());
         builder.environment().put("BALANCER_CONFIG", config.toString());
-        builder.environment().put("TMPDIR", Files.createDirectories(folder.resolve(name)).toString());
+        builder.environment()
+                .put("TMPDIR", Files.createDirectories(folder.resolve(name)).toString());
         process(name, builder).start();
     }
 
     /** Tells discovery of a change; its instant and version come back by what it tells. */
     void change(long id, ArrayNode entries) {
-        processes.get(DISCOVERY).order(JsonNodeFactory.instance.objectNode().put("id", id)
-            .<ObjectNode>set("hosts", entries).toString());
+        processes
+                .get(DISCOVERY)
+                .order(
+                        JsonNodeFactory.instance
+                                .objectNode()
+                                .put("id", id)
+                                .<ObjectNode>set("hosts", entries)
+                                .toString());
     }
 
     /** Cuts regions with their real nodes off, or heals them. */
@@ -262,8 +342,10 @@
 
     /** All nodes of some regions. */
     List<String> nodesOf(Collection<String> regions) {
-        return regionOf.entrySet().stream().filter(each -> regions.contains(each.getValue()))
-            .map(Map.Entry::getKey).toList();
+        return regionOf.entrySet().stream()
+                .filter(each -> regions.contains(each.getValue()))
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
     /** Notes what each process uses, and gives back the memory of all together. */
@@ -285,9 +367,14 @@
     /** A process that has ended by itself, if there is one. */
     String ended(Collection<String> expected) {
         return processes.values().stream()
-            .filter(process -> !process.isAlive() && !expected.contains(process.name()))
-            .map(process -> process.name() + " has ended; the end of its log:\n" + process.logEnd())
-            .findFirst().orElse(null);
+                .filter(process -> !process.isAlive() && !expected.contains(process.name()))
+                .map(
+                        process ->
+                                process.name()
+                                        + " has ended; the end of its log:\n"
+                                        + process.logEnd())
+                .findFirst()
+                .orElse(null);
     }
 
     @Override
--- a/lab/src/main/java/ottergauge/lab/scale/play/PhasePlayer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/PhasePlayer.java
@@ -29,16 +29,24 @@
     private final ServerList list;
     private final Observations seen;
     private final SplittableRandom random;
+
     /** Processes that are meant to be away. */
     private final Set<String> away = ConcurrentHashMap.newKeySet();
+
     private final Map<String, Long> excusedUntil = new HashMap<>();
     private volatile String failure;
     private long lastId;
+
     /** The version that the list has once all that was ordered is done. */
     private volatile long expected;
 
-    PhasePlayer(Loop loop, Fleet fleet, ServerList list, Observations seen, ScaleScenario scenario,
-                long version) {
+    PhasePlayer(
+            Loop loop,
+            Fleet fleet,
+            ServerList list,
+            Observations seen,
+            ScaleScenario scenario,
+            long version) {
         this.loop = loop;
         this.fleet = fleet;
         this.list = list;
@@ -70,7 +78,7 @@
             excusedUntil.clear();
         }
         switch (phase.what()) {
-            case REST -> { }
+            case REST -> {}
             case CHANGES -> drawn(phase);
             case RELEASE -> paced(phase);
             case RESTART -> restart();
@@ -109,7 +117,9 @@
         long from = loop.now();
         long count = Math.max(1, (long) (phase.rate() * phase.length() / MICROS_A_SECOND));
         for (long i = 0; i < count; i++) {
-            loop.at(from + (long) (i / phase.rate() * MICROS_A_SECOND), () -> change(list::release));
+            loop.at(
+                    from + (long) (i / phase.rate() * MICROS_A_SECOND),
+                    () -> change(list::release));
         }
     }
 
@@ -123,10 +133,12 @@
         excuse(nodes, Long.MAX_VALUE);
         fleet.cut(phase.regions(), true);
         drawn(phase);
-        loop.after(phase.length(), () -> {
-            fleet.cut(phase.regions(), false);
-            excuse(nodes, Reporter.wallMicros());
-        });
+        loop.after(
+                phase.length(),
+                () -> {
+                    fleet.cut(phase.regions(), false);
+                    excuse(nodes, Reporter.wallMicros());
+                });
     }
 
     private void excuse(List<String> nodes, long until) {
@@ -135,7 +147,8 @@
         }
     }
 
-    // The change that comes with it may be told to none, some or all: once it is back, it knows of it.
+    // The change that comes with it may be told to none, some or all: once it is back, it knows of
+    // it.
     private void kill(Phase phase) {
         away.add(phase.who());
         change(list::draw);
@@ -148,14 +161,15 @@
     private void startDiscovery() {
         long version = expected;
         ArrayNode entries = list.whole();
-        beside(() -> {
-            fleet.startDiscovery(version, entries);
-            long at = Reporter.wallMicros();
-            seen.changed(version, at);
-            excuse(fleet.hollow(), at);
-            excuse(fleet.real(), at);
-            away.remove("discovery");
-        });
+        beside(
+                () -> {
+                    fleet.startDiscovery(version, entries);
+                    long at = Reporter.wallMicros();
+                    seen.changed(version, at);
+                    excuse(fleet.hollow(), at);
+                    excuse(fleet.real(), at);
+                    away.remove("discovery");
+                });
     }
 
     private interface Waiting {
@@ -164,15 +178,18 @@
 
     // What waits for a process does so on a thread of its own: the loop has to be in time.
     private void beside(Waiting task) {
-        Thread thread = new Thread(() -> {
-            try {
-                task.run();
-            } catch (IOException | PlayException e) {
-                failure = e.toString();
-            } catch (InterruptedException e) {
-                Thread.currentThread().interrupt();
-            }
-        }, "beside");
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                task.run();
+                            } catch (IOException | PlayException e) {
+                                failure = e.toString();
+                            } catch (InterruptedException e) {
+                                Thread.currentThread().interrupt();
+                            }
+                        },
+                        "beside");
         thread.setDaemon(true);
         thread.start();
     }
@@ -183,17 +200,21 @@
     }
 
     private void stall(Phase phase) {
-        List<String> nodes = "discovery".equals(phase.who()) ? List.of() : fleet.hollowOf(phase.who());
+        List<String> nodes =
+                "discovery".equals(phase.who()) ? List.of() : fleet.hollowOf(phase.who());
         excuse(nodes, Long.MAX_VALUE);
         fleet.stall(phase.who(), true);
         loop.after(phase.away() / 2, () -> change(list::draw));
-        loop.after(phase.away(), () -> {
-            fleet.stall(phase.who(), false);
-            excuse(nodes, Reporter.wallMicros());
-        });
+        loop.after(
+                phase.away(),
+                () -> {
+                    fleet.stall(phase.who(), false);
+                    excuse(nodes, Reporter.wallMicros());
+                });
     }
 
     /** Whether a phase's nodes begin without any state. */
     static boolean beginsAnew(Phase phase) {
         return phase.what() == What.RESTART;
-    }}
+    }
+}
--- a/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
@@ -42,8 +42,8 @@
     private long lookedAt;
 
     /**
-     * {@code root} is the folder of the program under test, {@code run} the line that starts a real node, and
-     * {@code folder} keeps configurations and logs.
+     * {@code root} is the folder of the program under test, {@code run} the line that starts a real
+     * node, and {@code folder} keeps configurations and logs.
      */
     public ScalePlay(ScaleScenario scenario, Path root, String run, Path folder) {
         this.scenario = scenario;
@@ -52,11 +52,19 @@
         this.folder = folder;
     }
 
-    /** Plays it, and gives back the figures of each phase; the first one is the start of all nodes. */
+    /**
+     * Plays it, and gives back the figures of each phase; the first one is the start of all nodes.
+     */
     public List<PhaseFigures> run() throws IOException, InterruptedException, PlayException {
-        try (ServerSocket lock = Addresses.reserve(); Loop loop = new Loop();
-             Fleet fleet = new Fleet(scenario, new Fleet.Program(root, run), folder,
-                 new ScaleAddresses(Addresses.of(lock)), seen)) {
+        try (ServerSocket lock = Addresses.reserve();
+                Loop loop = new Loop();
+                Fleet fleet =
+                        new Fleet(
+                                scenario,
+                                new Fleet.Program(root, run),
+                                folder,
+                                new ScaleAddresses(Addresses.of(lock)),
+                                seen)) {
             ServerList list = new ServerList(scenario);
             PhasePlayer player = new PhasePlayer(loop, fleet, list, seen, scenario, FIRST_VERSION);
             onLoop(loop, loop::begin);
@@ -73,7 +81,8 @@
         }
     }
 
-    private static void onLoop(Loop loop, Runnable task) throws InterruptedException, PlayException {
+    private static void onLoop(Loop loop, Runnable task)
+            throws InterruptedException, PlayException {
         try {
             loop.netty().submit(task).get();
         } catch (ExecutionException e) {
@@ -83,23 +92,39 @@
 
     // The rig's own loop, on which things happen at their times.
     private void watchRig(Loop loop, LoopLooks looks) {
-        loop.after(USE_EVERY, () -> {
-            LoopLooks.Lateness lateness = looks.take();
-            seen.lateness(Observations.RIG, lateness.looks(), lateness.late(), Reporter.wallMicros());
-            watchRig(loop, looks);
-        });
+        loop.after(
+                USE_EVERY,
+                () -> {
+                    LoopLooks.Lateness lateness = looks.take();
+                    seen.lateness(
+                            Observations.RIG,
+                            lateness.looks(),
+                            lateness.late(),
+                            Reporter.wallMicros());
+                    watchRig(loop, looks);
+                });
     }
 
     private PhaseFigures start(Fleet fleet, ServerList list, PhasePlayer player)
             throws IOException, InterruptedException, PlayException {
         long from = Reporter.wallMicros();
-        Phase phase = new Phase("start", What.RESTART, scenario.nodes().startOver(), 0, 1, 0, List.of(), "",
-            0);
+        Phase phase =
+                new Phase(
+                        "start",
+                        What.RESTART,
+                        scenario.nodes().startOver(),
+                        0,
+                        1,
+                        0,
+                        List.of(),
+                        "",
+                        0);
         fleet.startNodes(player.expected(), list.whole());
         return end(fleet, list, player, phase, from);
     }
 
-    private PhaseFigures play(Loop loop, Fleet fleet, ServerList list, PhasePlayer player, Phase phase)
+    private PhaseFigures play(
+            Loop loop, Fleet fleet, ServerList list, PhasePlayer player, Phase phase)
             throws InterruptedException, PlayException {
         long from = Reporter.wallMicros();
         onLoop(loop, () -> player.begin(phase));
@@ -108,26 +133,44 @@
     }
 
     // Waits until all go by the newest version, or until the time for that is over.
-    private PhaseFigures end(Fleet fleet, ServerList list, PhasePlayer player, Phase phase, long from)
+    private PhaseFigures end(
+            Fleet fleet, ServerList list, PhasePlayer player, Phase phase, long from)
             throws InterruptedException, PlayException {
-        long most = Reporter.wallMicros() + phase.length() * (phase.what() == What.RESTART ? 1 : 0)
-            + scenario.settle();
-        await(fleet, player, most, () -> player.away().isEmpty() && allReached(fleet, player.expected()));
+        long most =
+                Reporter.wallMicros()
+                        + phase.length() * (phase.what() == What.RESTART ? 1 : 0)
+                        + scenario.settle();
+        await(
+                fleet,
+                player,
+                most,
+                () -> player.away().isEmpty() && allReached(fleet, player.expected()));
         long until = Reporter.wallMicros();
         seen.forgetDigests();
         await(fleet, player, until + TOLD_AFTER, () -> false);
         fleet.askServers();
-        await(fleet, player, Reporter.wallMicros() + DIGESTS_WITHIN,
-            () -> seen.digests(fleet.hollow()) == fleet.hollow().size());
+        await(
+                fleet,
+                player,
+                Reporter.wallMicros() + DIGESTS_WITHIN,
+                () -> seen.digests(fleet.hollow()) == fleet.hollow().size());
         Map<String, Long> excused = player.excusedUntil();
-        return seen.figures(new PhaseWindow(phase, from, until, fleet.hollow(), fleet.real(),
-            PhasePlayer.beginsAnew(phase), excused, list.digest()));
+        return seen.figures(
+                new PhaseWindow(
+                        phase,
+                        from,
+                        until,
+                        fleet.hollow(),
+                        fleet.real(),
+                        PhasePlayer.beginsAnew(phase),
+                        excused,
+                        list.digest()));
     }
 
     private boolean allReached(Fleet fleet, long version) {
         return seen.newestVersion() >= version
-            && seen.reached(fleet.hollow(), version) == fleet.hollow().size()
-            && seen.reached(fleet.real(), version) == fleet.real().size();
+                && seen.reached(fleet.hollow(), version) == fleet.hollow().size()
+                && seen.reached(fleet.real(), version) == fleet.real().size();
     }
 
     // Looks after the processes meanwhile.
@@ -142,8 +185,12 @@
                 lookedAt = Reporter.wallMicros();
                 long resident = fleet.look();
                 if (resident > MOST_MEMORY) {
-                    throw new PlayException("the play takes " + (resident >> 20) + " MB of memory, over the "
-                        + (MOST_MEMORY >> 20) + " MB that it may have");
+                    throw new PlayException(
+                            "the play takes "
+                                    + (resident >> 20)
+                                    + " MB of memory, over the "
+                                    + (MOST_MEMORY >> 20)
+                                    + " MB that it may have");
                 }
             }
             TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
--- a/lab/src/main/java/ottergauge/lab/scale/play/ServerList.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/ServerList.java
@@ -15,14 +15,20 @@
 import java.util.SplittableRandom;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 
-/** The servers as they ought to be listed: changed by the play, and held against what nodes go by. */
+/**
+ * The servers as they ought to be listed: changed by the play, and held against what nodes go by.
+ */
 final class ServerList {
 
     /** What the list says of a server. */
-    enum Health { IN_SERVICE, TERMINATING, TERMINATED }
+    enum Health {
+        IN_SERVICE,
+        TERMINATING,
+        TERMINATED
+    }
 
     /** A place in the fleet, and the server that stands there now. */
-    private record Server(String name, int place, Health health, long bornMs) { }
+    private record Server(String name, int place, Health health, long bornMs) {}
 
     private static final int ZONES = 10;
     private static final int DIGEST_BYTES = 8;
@@ -59,11 +65,23 @@
 
     private static ObjectNode entry(Server server) {
         // Nobody connects to it: an address of this machine at which nothing listens.
-        String dial = "127.251." + server.place() / BYTE % BYTE + "." + server.place() % BYTE + ":" + PORT;
-        return JsonNodeFactory.instance.objectNode().put("host", server.name()).put("dial", dial)
-            .put("site", zone(server.place())).put("class", "std").put("block", 0)
-            .put("health", server.health().name().toLowerCase(java.util.Locale.ROOT)).put("share", 1.0)
-            .put("born_ms", server.bornMs());
+        String dial =
+                "127.251."
+                        + server.place() / BYTE % BYTE
+                        + "."
+                        + server.place() % BYTE
+                        + ":"
+                        + PORT;
+        return JsonNodeFactory.instance
+                .objectNode()
+                .put("host", server.name())
+                .put("dial", dial)
+                .put("site", zone(server.place()))
+                .put("class", "std")
+                .put("block", 0)
+                .put("health", server.health().name().toLowerCase(java.util.Locale.ROOT))
+                .put("share", 1.0)
+                .put("born_ms", server.bornMs());
     }
 
     /** The names of all zones. */
@@ -88,13 +106,20 @@
         if (what == 1 && !empty.isEmpty()) {
             return only(add(empty.get(random.nextInt(empty.size())), nowMs));
         }
-        List<Integer> serving = places.values().stream()
-            .filter(server -> server.health() == Health.IN_SERVICE).map(Server::place).toList();
-        return serving.isEmpty() ? only(add(empty.get(0), nowMs))
-            : only(drain(serving.get(random.nextInt(serving.size()))));
+        List<Integer> serving =
+                places.values().stream()
+                        .filter(server -> server.health() == Health.IN_SERVICE)
+                        .map(Server::place)
+                        .toList();
+        return serving.isEmpty()
+                ? only(add(empty.get(0), nowMs))
+                : only(drain(serving.get(random.nextInt(serving.size()))));
     }
 
-    /** The next change of a release: each server in turn drains, goes, and comes back under another name. */
+    /**
+     * The next change of a release: each server in turn drains, goes, and comes back under another
+     * name.
+     */
     ArrayNode release(long nowMs) {
         int place = nextToRelease;
         Server server = places.get(place);
@@ -148,9 +173,16 @@
 
     /** What a node's digest of its servers has to be. */
     String digest() {
-        List<String> lines = new ArrayList<>(places.values().stream()
-            .map(server -> server.name() + (server.health() == Health.IN_SERVICE ? " used" : " draining"))
-            .toList());
+        List<String> lines =
+                new ArrayList<>(
+                        places.values().stream()
+                                .map(
+                                        server ->
+                                                server.name()
+                                                        + (server.health() == Health.IN_SERVICE
+                                                                ? " used"
+                                                                : " draining"))
+                                .toList());
         lines.sort(null);
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
--- a/lab/src/main/java/ottergauge/lab/scale/play/Told.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/Told.java
@@ -16,6 +16,7 @@
     private final Observations seen;
     private final Consumer<String> ready;
     private final Map<String, String> callers = new HashMap<>();
+
     /** The index of the first of a hollow process's counts of lateness that is over what may be. */
     private volatile int firstLate;
 
@@ -36,18 +37,29 @@
         switch (line.path("event").asText()) {
             case "ready", "started" -> ready.accept(process);
             case "changed" -> seen.changed(line.get("version").asLong(), at);
-            case "in-force" -> seen.inForce(line.get("node").asText(), line.get("version").asLong(), at);
+            case "in-force" ->
+                    seen.inForce(line.get("node").asText(), line.get("version").asLong(), at);
             case "asks" -> asks(line, at);
-            case "traffic" -> seen.traffic(line.get("node").asText(), line.get("in").asLong(),
-                line.get("out").asLong(), at);
+            case "traffic" ->
+                    seen.traffic(
+                            line.get("node").asText(),
+                            line.get("in").asLong(),
+                            line.get("out").asLong(),
+                            at);
             case "servers" -> seen.digest(line.get("node").asText(), line.get("digest").asText());
             case "calls" -> calls(line, at);
-            case "bytes" -> seen.wholeLists(line.get("whole_lists").asLong(),
-                line.get("whole_bytes").asLong(), at);
-            case "link-bytes" -> seen.linkBytes(line.get("link").asText(), line.get("there").asLong(),
-                line.get("back").asLong(), at);
-            case "lateness" -> seen.lateness(process, line.get("looks").asLong(), line.get("late").asLong(),
-                at);
+            case "bytes" ->
+                    seen.wholeLists(
+                            line.get("whole_lists").asLong(), line.get("whole_bytes").asLong(), at);
+            case "link-bytes" ->
+                    seen.linkBytes(
+                            line.get("link").asText(),
+                            line.get("there").asLong(),
+                            line.get("back").asLong(),
+                            at);
+            case "lateness" ->
+                    seen.lateness(
+                            process, line.get("looks").asLong(), line.get("late").asLong(), at);
             case "bounds" -> bounds(line);
             case "late" -> late(process, line, at);
             case "process" -> {
@@ -55,7 +67,7 @@
                 seen.lost(process, line.get("lost").asLong());
             }
             case "left-out" -> seen.leftOut(line.get("effect").asText());
-            default -> { }
+            default -> {}
         }
     }
 
@@ -69,14 +81,19 @@
     // Hollow nodes tell one kind at a time, discovery all that it has counted.
     private void calls(JsonNode line, long at) {
         if (line.has("kind")) {
-            seen.calls(line.get("source").asText() + " " + line.get("kind").asText(),
-                line.get("count").asLong(), at);
+            seen.calls(
+                    line.get("source").asText() + " " + line.get("kind").asText(),
+                    line.get("count").asLong(),
+                    at);
         } else {
-            line.fields().forEachRemaining(each -> {
-                if (!"event".equals(each.getKey()) && !"at".equals(each.getKey())) {
-                    seen.callsAtDiscovery(each.getKey(), each.getValue().asLong(), at);
-                }
-            });
+            line.fields()
+                    .forEachRemaining(
+                            each -> {
+                                if (!"event".equals(each.getKey()) && !"at".equals(each.getKey())) {
+                                    seen.callsAtDiscovery(
+                                            each.getKey(), each.getValue().asLong(), at);
+                                }
+                            });
         }
     }
 
--- a/lab/src/main/java/ottergauge/lab/scale/process/ChildProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/ChildProcess.java
@@ -15,8 +15,8 @@
 import ottergauge.lab.node.Signals;
 
 /**
- * A process of a play that takes orders on standard input, a line each, and tells what it sees as JSON lines
- * on standard output. It ends with its input.
+ * A process of a play that takes orders on standard input, a line each, and tells what it sees as
+ * JSON lines on standard output. It ends with its input.
  */
 public final class ChildProcess {
 
@@ -33,8 +33,13 @@
     private Process process;
 
     /** {@code told} gets each line, on a thread of the process's own. */
-    public ChildProcess(String name, ProcessBuilder builder, Path log, Reaper reaper, Signals signals,
-                        Consumer<JsonNode> told) {
+    public ChildProcess(
+            String name,
+            ProcessBuilder builder,
+            Path log,
+            Reaper reaper,
+            Signals signals,
+            Consumer<JsonNode> told) {
         this.name = name;
         this.builder = builder;
         this.log = log;
@@ -54,8 +59,9 @@
     }
 
     private void read(Process from) {
-        try (BufferedReader lines = new BufferedReader(new InputStreamReader(from.getInputStream(),
-                StandardCharsets.UTF_8))) {
+        try (BufferedReader lines =
+                new BufferedReader(
+                        new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 JsonNode event = parse(line);
                 if (event != null) {
--- a/lab/src/main/java/ottergauge/lab/scale/process/LoopLooks.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/LoopLooks.java
@@ -4,7 +4,10 @@
 import org.HdrHistogram.Histogram;
 import ottergauge.lab.net.Loop;
 
-/** Looks at a loop in equal steps, so that how late it comes round is known also while nothing happens. */
+/**
+ * Looks at a loop in equal steps, so that how late it comes round is known also while nothing
+ * happens.
+ */
 public final class LoopLooks {
 
     /** Looks that are later than this count as late, in microseconds. */
@@ -13,7 +16,7 @@
     private static final long EVERY = 10_000;
 
     /** How many looks there were, how many of them late, and the latest in microseconds. */
-    public record Lateness(long looks, long late, long most) { }
+    public record Lateness(long looks, long late, long most) {}
 
     private final Loop loop;
 
@@ -28,7 +31,8 @@
         return looks;
     }
 
-    // The next look is due from when this one was: those that were missed come late one after the other.
+    // The next look is due from when this one was: those that were missed come late one after the
+    // other.
     private void look(long due) {
         loop.at(due, () -> look(due + EVERY));
     }
@@ -37,8 +41,11 @@
     public Lateness take() {
         Histogram histogram = loop.lateness();
         long looks = histogram.getTotalCount();
-        Lateness taken = new Lateness(looks, looks - histogram.getCountBetweenValues(0, LATE),
-            histogram.getMaxValue());
+        Lateness taken =
+                new Lateness(
+                        looks,
+                        looks - histogram.getCountBetweenValues(0, LATE),
+                        histogram.getMaxValue());
         histogram.reset();
         return taken;
     }
--- a/lab/src/main/java/ottergauge/lab/scale/process/ProcessUse.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/ProcessUse.java
@@ -50,7 +50,9 @@
 
     static ProcessUse parse(String stat) {
         List<String> fields = List.of(stat.substring(stat.lastIndexOf(')') + 2).trim().split(" "));
-        long ticks = Long.parseLong(fields.get(USER_TICKS)) + Long.parseLong(fields.get(SYSTEM_TICKS));
-        return new ProcessUse(ticks * MICROS_A_TICK, Long.parseLong(fields.get(RESIDENT_PAGES)) * PAGE);
+        long ticks =
+                Long.parseLong(fields.get(USER_TICKS)) + Long.parseLong(fields.get(SYSTEM_TICKS));
+        return new ProcessUse(
+                ticks * MICROS_A_TICK, Long.parseLong(fields.get(RESIDENT_PAGES)) * PAGE);
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/process/Reporter.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/Reporter.java
@@ -12,8 +12,8 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * Tells what a process of the rig sees, as JSON lines on standard output, and each second how late its loop
- * came round. A thread of its own writes: one that reads slowly never holds up the loop.
+ * Tells what a process of the rig sees, as JSON lines on standard output, and each second how late
+ * its loop came round. A thread of its own writes: one that reads slowly never holds up the loop.
  */
 public final class Reporter {
 
@@ -62,19 +62,28 @@
         }
     }
 
-    /** Watches how late a loop comes round, and tells it; {@code beside} runs before that is told. */
+    /**
+     * Watches how late a loop comes round, and tells it; {@code beside} runs before that is told.
+     */
     public void watch(Loop loop, Runnable beside) {
         tellLateness(loop, LoopLooks.begin(loop), beside);
     }
 
     private void tellLateness(Loop loop, LoopLooks looks, Runnable beside) {
-        loop.after(TELL_EVERY, () -> {
-            beside.run();
-            LoopLooks.Lateness lateness = looks.take();
-            tell("lateness", wallMicros(), JsonNodeFactory.instance.objectNode()
-                .put("looks", lateness.looks()).put("late", lateness.late())
-                .put("most_us", lateness.most()));
-            tellLateness(loop, looks, beside);
-        });
+        loop.after(
+                TELL_EVERY,
+                () -> {
+                    beside.run();
+                    LoopLooks.Lateness lateness = looks.take();
+                    tell(
+                            "lateness",
+                            wallMicros(),
+                            JsonNodeFactory.instance
+                                    .objectNode()
+                                    .put("looks", lateness.looks())
+                                    .put("late", lateness.late())
+                                    .put("most_us", lateness.most()));
+                    tellLateness(loop, looks, beside);
+                });
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
@@ -30,8 +30,7 @@
     private static final double SECONDS_A_DAY = 86_400;
     private static final int CHANGES_A_SERVER = 3;
 
-    private ScaleScenarioReader() {
-    }
+    private ScaleScenarioReader() {}
 
     /** Reads and checks a file. */
     public static ScaleScenario read(Path path) throws ScenarioException, IOException {
@@ -44,14 +43,22 @@
         int regions = atMost(root, "regions", root.count("regions", 1), MOST_REGIONS);
         State state = state(root.child("state"));
         Nodes nodes = nodes(root.child("nodes"), regions);
-        ScaleScenario scenario = new ScaleScenario(root.text("name"), root.whole("seed", 1), nodes, regions,
-            state, discovery(root.childOrNone("discovery")), root.span("settle", 30 * S),
-            phases(root, regions, nodes, state));
+        ScaleScenario scenario =
+                new ScaleScenario(
+                        root.text("name"),
+                        root.whole("seed", 1),
+                        nodes,
+                        regions,
+                        state,
+                        discovery(root.childOrNone("discovery")),
+                        root.span("settle", 30 * S),
+                        phases(root, regions, nodes, state));
         root.done();
         return scenario;
     }
 
-    private static int atMost(Entry entry, String key, int value, int most) throws ScenarioException {
+    private static int atMost(Entry entry, String key, int value, int most)
+            throws ScenarioException {
         if (value > most) {
             throw entry.fault(key, "a whole number from 1 to " + most);
         }
@@ -59,8 +66,10 @@
     }
 
     private static State state(Entry e) throws ScenarioException {
-        State state = new State(atMost(e, "servers", e.count("servers"), MOST_SERVERS),
-            e.count("services", 1));
+        State state =
+                new State(
+                        atMost(e, "servers", e.count("servers"), MOST_SERVERS),
+                        e.count("services", 1));
         e.done();
         return state;
     }
@@ -69,19 +78,35 @@
         int hollow = atMost(e, "hollow", e.count("hollow"), MOST_HOLLOW);
         int processes = atMost(e, "processes", e.count("processes", regions), MOST_PROCESSES);
         if (processes % regions != 0 || processes > hollow) {
-            throw e.fault("processes", "a multiple of the " + regions + " regions and at most one a node");
+            throw e.fault(
+                    "processes",
+                    "a multiple of the " + regions + " regions and at most one a node");
         }
-        int real = (int) e.number("real", new Range(0, MOST_REAL, "a whole number from 0 to " + MOST_REAL),
-            0);
-        Nodes nodes = new Nodes(hollow, processes, e.count("loops", 1), e.count("heap_mb", 512),
-            e.span("start_over", 5 * S), real, e.flag("know", false));
+        int real =
+                (int)
+                        e.number(
+                                "real",
+                                new Range(0, MOST_REAL, "a whole number from 0 to " + MOST_REAL),
+                                0);
+        Nodes nodes =
+                new Nodes(
+                        hollow,
+                        processes,
+                        e.count("loops", 1),
+                        e.count("heap_mb", 512),
+                        e.span("start_over", 5 * S),
+                        real,
+                        e.flag("know", false));
         e.done();
         return nodes;
     }
 
     private static Discovery discovery(Entry e) throws ScenarioException {
-        Discovery discovery = new Discovery(e.number("calls_per_s", Range.POSITIVE, 1_000),
-            e.span("patience", 2 * S), e.count("heap_mb", 512));
+        Discovery discovery =
+                new Discovery(
+                        e.number("calls_per_s", Range.POSITIVE, 1_000),
+                        e.span("patience", 2 * S),
+                        e.count("heap_mb", 512));
         e.done();
         return discovery;
     }
@@ -101,14 +126,17 @@
             phases.add(phase);
         }
         if (phases.isEmpty() || length > MOST_LENGTH) {
-            throw root.fault("phases", "a list of at least one phase, of an hour in all at the most");
+            throw root.fault(
+                    "phases", "a list of at least one phase, of an hour in all at the most");
         }
         return phases;
     }
 
-    private static Phase phase(Entry e, int regions, Nodes nodes, State state) throws ScenarioException {
+    private static Phase phase(Entry e, int regions, Nodes nodes, State state)
+            throws ScenarioException {
         What what = e.oneOf("what", What.class, null);
-        String name = e.text("name", what.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
+        String name =
+                e.text("name", what.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
         double compressed = e.number("compressed", Range.POSITIVE, 1);
         double rate = rate(e, what, compressed, state);
         List<String> apart = what == What.APART ? apart(e, regions) : List.of();
@@ -122,15 +150,20 @@
         return new Phase(name, what, length, rate, compressed, part, apart, who, away);
     }
 
-    // Either as such, or as what it is on a day or in a release, and how many times denser it is played.
-    private static double rate(Entry e, What what, double compressed, State state) throws ScenarioException {
+    // Either as such, or as what it is on a day or in a release, and how many times denser it is
+    // played.
+    private static double rate(Entry e, What what, double compressed, State state)
+            throws ScenarioException {
         if (what == What.RELEASE) {
-            return state.servers() * (double) CHANGES_A_SERVER / (e.span("within") / (double) S)
-                * compressed;
+            return state.servers()
+                    * (double) CHANGES_A_SERVER
+                    / (e.span("within") / (double) S)
+                    * compressed;
         }
         if (what == What.CHANGES || what == What.APART) {
-            return e.has("a_day") ? e.number("a_day", Range.POSITIVE) / SECONDS_A_DAY * compressed
-                : e.number("rate", Range.POSITIVE);
+            return e.has("a_day")
+                    ? e.number("a_day", Range.POSITIVE) / SECONDS_A_DAY * compressed
+                    : e.number("rate", Range.POSITIVE);
         }
         return 0;
     }
@@ -150,11 +183,18 @@
 
     private static String who(Entry e, What what, Nodes nodes) throws ScenarioException {
         String who = e.text("who", "discovery");
-        boolean known = "discovery".equals(who) || what == What.STALL && who.matches("hollow-[1-9][0-9]?")
-            && Integer.parseInt(who.substring("hollow-".length())) <= nodes.processes();
+        boolean known =
+                "discovery".equals(who)
+                        || what == What.STALL
+                                && who.matches("hollow-[1-9][0-9]?")
+                                && Integer.parseInt(who.substring("hollow-".length()))
+                                        <= nodes.processes();
         if (!known) {
-            throw e.fault("who", what == What.KILL ? "discovery" : "discovery, or hollow-1 to hollow-"
-                + nodes.processes());
+            throw e.fault(
+                    "who",
+                    what == What.KILL
+                            ? "discovery"
+                            : "discovery, or hollow-1 to hollow-" + nodes.processes());
         }
         return who;
     }
--- a/lab/src/main/java/ottergauge/lab/scenario/Entry.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/Entry.java
@@ -19,8 +19,8 @@
 import org.snakeyaml.engine.v2.nodes.SequenceNode;
 
 /**
- * A mapping of a scenario file that knows its lines. Each value is asked for with what it may be; what nobody
- * asked for is an unknown key and is told by {@link #done}.
+ * A mapping of a scenario file that knows its lines. Each value is asked for with what it may be;
+ * what nobody asked for is an unknown key and is told by {@link #done}.
  */
 public final class Entry {
 
@@ -32,7 +32,8 @@
         public static final Range COUNT = new Range(1, 100_000, "a whole number of 1 or more");
     }
 
-    private static final Map<String, Double> UNITS = Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "min", 60e6);
+    private static final Map<String, Double> UNITS =
+            Map.of("us", 1.0, "ms", 1e3, "s", 1e6, "min", 60e6);
 
     private final String file;
     private final int line;
@@ -47,9 +48,14 @@
     /** Reads a file's text, which is one mapping; {@code file} is what messages call it. */
     public static Entry root(String file, String text) throws ScenarioException {
         try {
-            return of(file, new Compose(LoadSettings.builder().setLabel(file).build())
-                .composeReader(new StringReader(text))
-                .orElseThrow(() -> new ScenarioException(file + ":1: expected keys with values")));
+            return of(
+                    file,
+                    new Compose(LoadSettings.builder().setLabel(file).build())
+                            .composeReader(new StringReader(text))
+                            .orElseThrow(
+                                    () ->
+                                            new ScenarioException(
+                                                    file + ":1: expected keys with values")));
         } catch (MarkedYamlEngineException e) {
             int line = e.getProblemMark().map(mark -> mark.getLine() + 1).orElse(0);
             throw new ScenarioException(file + ":" + line + ": no YAML: " + e.getProblem());
@@ -66,10 +72,12 @@
         Entry entry = new Entry(file, line);
         for (NodeTuple tuple : mapping.getValue()) {
             if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
-                throw new ScenarioException(file + ":" + line(tuple.getKeyNode()) + ": a key is a word");
+                throw new ScenarioException(
+                        file + ":" + line(tuple.getKeyNode()) + ": a key is a word");
             }
             if (entry.values.put(key.getValue(), tuple.getValueNode()) != null) {
-                throw new ScenarioException(file + ":" + line(key) + ": " + key.getValue() + ": given twice");
+                throw new ScenarioException(
+                        file + ":" + line(key) + ": " + key.getValue() + ": given twice");
             }
         }
         return entry;
@@ -82,8 +90,16 @@
     public ScenarioException fault(String key, String allowed) {
         Node node = values.get(key);
         String told = node instanceof ScalarNode scalar ? ", not " + scalar.getValue() : "";
-        return new ScenarioException(file + ":" + (node == null ? line : line(node)) + ": " + key + ": "
-            + (node == null ? "missing; " : "") + allowed + told);
+        return new ScenarioException(
+                file
+                        + ":"
+                        + (node == null ? line : line(node))
+                        + ": "
+                        + key
+                        + ": "
+                        + (node == null ? "missing; " : "")
+                        + allowed
+                        + told);
     }
 
     public boolean has(String key) {
@@ -111,7 +127,8 @@
         return has(key) ? text(key) : absent;
     }
 
-    public <E extends Enum<E>> E oneOf(String key, Class<E> kind, E absent) throws ScenarioException {
+    public <E extends Enum<E>> E oneOf(String key, Class<E> kind, E absent)
+            throws ScenarioException {
         if (absent != null && !has(key)) {
             return absent;
         }
@@ -249,8 +266,14 @@
         asked.addAll(List.of(known));
         for (String key : values.keySet()) {
             if (!asked.contains(key)) {
-                throw new ScenarioException(file + ":" + line(values.get(key)) + ": " + key
-                    + ": unknown key; known here: " + String.join(", ", new java.util.TreeSet<>(asked)));
+                throw new ScenarioException(
+                        file
+                                + ":"
+                                + line(values.get(key))
+                                + ": "
+                                + key
+                                + ": unknown key; known here: "
+                                + String.join(", ", new java.util.TreeSet<>(asked)));
             }
         }
     }
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
@@ -54,20 +54,36 @@
             zones = List.of("a");
         }
         long length = root.span("length");
-        Scenario scenario = new Scenario(root.text("name"), root.whole("seed", 1), length, zones,
-            nodes(root.child("nodes")), servers(root), classes(root), tenants(root),
-            clients(root.childOrNone("clients")), load(root, length), network(root.childOrNone("network")),
-            registry(root.childOrNone("registry")), platform(root.childOrNone("platform")),
-            faults(root, length));
+        Scenario scenario =
+                new Scenario(
+                        root.text("name"),
+                        root.whole("seed", 1),
+                        length,
+                        zones,
+                        nodes(root.child("nodes")),
+                        servers(root),
+                        classes(root),
+                        tenants(root),
+                        clients(root.childOrNone("clients")),
+                        load(root, length),
+                        network(root.childOrNone("network")),
+                        registry(root.childOrNone("registry")),
+                        platform(root.childOrNone("platform")),
+                        faults(root, length));
         root.done();
         checkTargets(scenario);
         return scenario;
     }
 
     private Nodes nodes(Entry e) throws ScenarioException {
-        Nodes nodes = new Nodes(e.count("count"), e.count("memory_mb", 192), e.count("sockets", 1024),
-            e.number("cores", new Range(0.05, 1, "a part of a core from 0.05 to 1"), 1),
-            e.number("busiest", Range.POSITIVE, 1), e.flag("talk", false));
+        Nodes nodes =
+                new Nodes(
+                        e.count("count"),
+                        e.count("memory_mb", 192),
+                        e.count("sockets", 1024),
+                        e.number("cores", new Range(0.05, 1, "a part of a core from 0.05 to 1"), 1),
+                        e.number("busiest", Range.POSITIVE, 1),
+                        e.flag("talk", false));
         if (nodes.count() > MOST_NODES) {
             throw e.fault("count", "at most " + MOST_NODES + " nodes");
         }
@@ -80,12 +96,23 @@
         int servers = 0;
         for (Entry e : root.children("servers")) {
             int cores = e.count("cores", 1);
-            kinds.add(new ServerKind(e.text("kind", "std"), e.count("count"), cores,
-                e.number("speed", Range.POSITIVE, 1), e.number("spread", Range.PART, 0),
-                e.count("slots", cores), (int) e.number("queue", Range.ANY, 8.0 * cores),
-                e.span("early_full", 0), e.number("cold_from", Range.PART, 0.3), e.span("cold_for", 6 * S),
-                e.count("connections", 600), e.span("handshake", 100), e.span("probe", 40),
-                e.number("errors", Range.PART, 0), e.flag("reports", true)));
+            kinds.add(
+                    new ServerKind(
+                            e.text("kind", "std"),
+                            e.count("count"),
+                            cores,
+                            e.number("speed", Range.POSITIVE, 1),
+                            e.number("spread", Range.PART, 0),
+                            e.count("slots", cores),
+                            (int) e.number("queue", Range.ANY, 8.0 * cores),
+                            e.span("early_full", 0),
+                            e.number("cold_from", Range.PART, 0.3),
+                            e.span("cold_for", 6 * S),
+                            e.count("connections", 600),
+                            e.span("handshake", 100),
+                            e.span("probe", 40),
+                            e.number("errors", Range.PART, 0),
+                            e.flag("reports", true)));
             e.done();
             servers += kinds.get(kinds.size() - 1).count();
             if (servers > MOST_SERVERS) {
@@ -103,11 +130,21 @@
         Set<String> names = new HashSet<>();
         for (Entry e : root.children("classes")) {
             Effect effect = e.oneOf("effect", Effect.class, Effect.SAFE);
-            RequestClass type = new RequestClass(e.text("name"), e.number("share", Range.POSITIVE, 1),
-                e.span("work"), e.number("spread", new Range(0, 3, "a number from 0 to 3"), 0.5),
-                e.span("waits", 0), e.span("aim"), e.span("deadline"), e.number("worth", Range.POSITIVE, 1),
-                e.number("late_worth", Range.PART, 0), effect, e.oneOf("group", Group.class, Group.ALL),
-                effect == Effect.KEYED ? e.span("window") : e.span("window", 0), e.count("keys", 1000));
+            RequestClass type =
+                    new RequestClass(
+                            e.text("name"),
+                            e.number("share", Range.POSITIVE, 1),
+                            e.span("work"),
+                            e.number("spread", new Range(0, 3, "a number from 0 to 3"), 0.5),
+                            e.span("waits", 0),
+                            e.span("aim"),
+                            e.span("deadline"),
+                            e.number("worth", Range.POSITIVE, 1),
+                            e.number("late_worth", Range.PART, 0),
+                            effect,
+                            e.oneOf("group", Group.class, Group.ALL),
+                            effect == Effect.KEYED ? e.span("window") : e.span("window", 0),
+                            e.count("keys", 1000));
             e.done();
             if (type.deadline() < type.aim()) {
                 throw e.fault("deadline", "a time not before the aim");
@@ -127,16 +164,24 @@
         List<Tenant> tenants = new ArrayList<>();
         for (Entry e : root.children("tenants")) {
             double traffic = e.number("traffic", Range.POSITIVE);
-            tenants.add(new Tenant(e.text("name"), traffic, e.number("portion", Range.POSITIVE, traffic)));
+            tenants.add(
+                    new Tenant(
+                            e.text("name"), traffic, e.number("portion", Range.POSITIVE, traffic)));
             e.done();
         }
         return tenants;
     }
 
     private Clients clients(Entry e) throws ScenarioException {
-        Clients clients = new Clients((int) e.number("repeats", Range.ANY, 0), e.span("pause", 50 * MS),
-            e.number("obey", Range.PART, 0.3), e.number("try_part", Range.PART, 0.55),
-            e.flag("marks_retry", false), e.span("notice", 2 * S), e.number("leave", Range.PART, 0));
+        Clients clients =
+                new Clients(
+                        (int) e.number("repeats", Range.ANY, 0),
+                        e.span("pause", 50 * MS),
+                        e.number("obey", Range.PART, 0.3),
+                        e.number("try_part", Range.PART, 0.55),
+                        e.flag("marks_retry", false),
+                        e.span("notice", 2 * S),
+                        e.number("leave", Range.PART, 0));
         e.done();
         return clients;
     }
@@ -146,8 +191,8 @@
         for (Entry e : root.children("load")) {
             LoadStep step = new LoadStep(e.span("from", 0), e.number("rate", Range.ANY));
             e.done();
-            if (step.from() >= length || !steps.isEmpty()
-                && step.from() <= steps.get(steps.size() - 1).from()) {
+            if (step.from() >= length
+                    || !steps.isEmpty() && step.from() <= steps.get(steps.size() - 1).from()) {
                 throw e.fault("from", "a time after the step before and before the play's end");
             }
             steps.add(step);
@@ -165,19 +210,32 @@
     }
 
     private Registry registry(Entry e) throws ScenarioException {
-        Registry registry = new Registry(e.span("notice", S), e.number("calls_per_s", Range.POSITIVE, 1000),
-            e.span("patience", 2 * S), e.span("ask_within", 10 * S));
+        Registry registry =
+                new Registry(
+                        e.span("notice", S),
+                        e.number("calls_per_s", Range.POSITIVE, 1000),
+                        e.span("patience", 2 * S),
+                        e.span("ask_within", 10 * S));
         e.done();
         return registry;
     }
 
     private Platform platform(Entry e) throws ScenarioException {
-        Platform platform = new Platform(e.flag("probes", true), e.flag("cancel", true),
-            e.flag("retry_after", true), e.span("most_retry_after", 600 * MS), e.count("most_attempts", 5),
-            e.flag("reports", true), e.number("probe_price", Range.PART, 0.002),
-            e.span("drain_grace", 250 * MS), e.number("tip_multiple", Range.POSITIVE, 3),
-            e.span("fall_after", S), e.span("connection_idle", 60 * S), e.span("connect_timeout", 200 * MS),
-            e.span("answer_slack", 5 * MS));
+        Platform platform =
+                new Platform(
+                        e.flag("probes", true),
+                        e.flag("cancel", true),
+                        e.flag("retry_after", true),
+                        e.span("most_retry_after", 600 * MS),
+                        e.count("most_attempts", 5),
+                        e.flag("reports", true),
+                        e.number("probe_price", Range.PART, 0.002),
+                        e.span("drain_grace", 250 * MS),
+                        e.number("tip_multiple", Range.POSITIVE, 3),
+                        e.span("fall_after", S),
+                        e.span("connection_idle", 60 * S),
+                        e.span("connect_timeout", 200 * MS),
+                        e.span("answer_slack", 5 * MS));
         e.done();
         return platform;
     }
@@ -191,11 +249,23 @@
                 throw e.fault("at", "a time before the play's end");
             }
             List<String> who = e.texts("who");
-            double part = who.isEmpty() && !what.name().startsWith("REGISTRY")
-                ? e.number("part", Range.PART) : e.number("part", Range.PART, 0);
-            faults.add(new Fault(at, e.span("for", 0), what, who, part, e.texts("to"),
-                e.oneOf("way", Way.class, Way.BOTH), e.number("amount", Range.ANY, usual(what)),
-                e.span("span", 0), e.span("jitter", 0), faults.size() + 1));
+            double part =
+                    who.isEmpty() && !what.name().startsWith("REGISTRY")
+                            ? e.number("part", Range.PART)
+                            : e.number("part", Range.PART, 0);
+            faults.add(
+                    new Fault(
+                            at,
+                            e.span("for", 0),
+                            what,
+                            who,
+                            part,
+                            e.texts("to"),
+                            e.oneOf("way", Way.class, Way.BOTH),
+                            e.number("amount", Range.ANY, usual(what)),
+                            e.span("span", 0),
+                            e.span("jitter", 0),
+                            faults.size() + 1));
             e.done();
         }
         return faults;
@@ -215,17 +285,28 @@
             for (List<String> names : List.of(fault.who(), fault.to())) {
                 for (String name : names) {
                     if (!isKnown(scenario, name)) {
-                        throw new ScenarioException(file + ": faults: " + fault.line() + ": " + name
-                            + ": no process of this play; allowed are n1 to n" + scenario.nodes().count()
-                            + ", s1 to s" + servers(scenario)
-                            + ", nodes, servers, registry, clients and zone NAME's servers as zone-NAME");
+                        throw new ScenarioException(
+                                file
+                                        + ": faults: "
+                                        + fault.line()
+                                        + ": "
+                                        + name
+                                        + ": no process of this play; allowed are n1 to n"
+                                        + scenario.nodes().count()
+                                        + ", s1 to s"
+                                        + servers(scenario)
+                                        + ", nodes, servers, registry, clients and zone NAME's"
+                                        + " servers as zone-NAME");
                     }
                 }
             }
             boolean link = fault.what().name().startsWith("LINK");
             if (link && (fault.who().isEmpty() || fault.to().isEmpty())) {
-                throw new ScenarioException(file + ": faults: " + fault.line()
-                    + ": who, to: a link has two sides; both are named");
+                throw new ScenarioException(
+                        file
+                                + ": faults: "
+                                + fault.line()
+                                + ": who, to: a link has two sides; both are named");
             }
         }
     }
@@ -241,8 +322,10 @@
         if (name.startsWith("zone-")) {
             return scenario.zones().contains(name.substring("zone-".length()));
         }
-        int most = name.startsWith("n") ? scenario.nodes().count() : name.startsWith("s")
-            ? servers(scenario) : 0;
+        int most =
+                name.startsWith("n")
+                        ? scenario.nodes().count()
+                        : name.startsWith("s") ? servers(scenario) : 0;
         try {
             int number = Integer.parseInt(name.substring(1));
             return number >= 1 && number <= most;
--- a/lab/src/main/java/ottergauge/lab/server/Repeats.java
+++ b/lab/src/main/java/ottergauge/lab/server/Repeats.java
@@ -4,12 +4,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the servers of one group remember of keyed requests: a repeat within the window has no effect. */
+/**
+ * What the servers of one group remember of keyed requests: a repeat within the window has no
+ * effect.
+ */
 public final class Repeats {
 
     private final Map<String, Long> until = new HashMap<>();
 
-    /** Whether a request with this key has its effect now; from then on repeats have none for the window. */
+    /**
+     * Whether a request with this key has its effect now; from then on repeats have none for the
+     * window.
+     */
     public boolean takes(long now, String key, long window) {
         Long end = until.get(key);
         if (end != null && now < end) {
--- a/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
@@ -52,8 +52,13 @@
         }
         Try of = host.ledger().tries.get(String.valueOf(request.headers().get("X-Trace-Id")));
         if (of == null) {
-            host.ledger().strangers.add(new ottergauge.lab.ledger.Ledger.Happening(host.loop().now(),
-                host.id(), "a request that no client sent: " + path));
+            host.ledger()
+                    .strangers
+                    .add(
+                            new ottergauge.lab.ledger.Ledger.Happening(
+                                    host.loop().now(),
+                                    host.id(),
+                                    "a request that no client sent: " + path));
             answer(ctx, HttpResponseStatus.BAD_REQUEST, "", false, false);
             return;
         }
@@ -82,12 +87,25 @@
             answer(ctx, HttpResponseStatus.NOT_FOUND, "", false, false);
             return;
         }
-        host.loop().after(host.kind().probeWork(), () -> host.unlessStalled(() ->
-            answer(ctx, HttpResponseStatus.OK, path.equals("/stats") && host.kind().reports()
-                ? host.report() : "", false, false)));
+        host.loop()
+                .after(
+                        host.kind().probeWork(),
+                        () ->
+                                host.unlessStalled(
+                                        () ->
+                                                answer(
+                                                        ctx,
+                                                        HttpResponseStatus.OK,
+                                                        path.equals("/stats")
+                                                                        && host.kind().reports()
+                                                                ? host.report()
+                                                                : "",
+                                                        false,
+                                                        false)));
     }
 
-    private void begin(ChannelHandlerContext ctx, Attempt here, String key, long over, boolean fresh) {
+    private void begin(
+            ChannelHandlerContext ctx, Attempt here, String key, long over, boolean fresh) {
         if (!ctx.channel().isActive()) {
             here.end = "given up unbegun";
         } else if (overTheTable || host.full()) {
@@ -101,11 +119,17 @@
         }
     }
 
-    private void work(ChannelHandlerContext ctx, Attempt here, String key, long over, long handshake) {
+    private void work(
+            ChannelHandlerContext ctx, Attempt here, String key, long over, long handshake) {
         RequestClass type = host.scenario().classes().get(here.of.ask.requestClass);
         Job[] own = new Job[1];
-        own[0] = new Job(here.of.ask.work + handshake, type.waits(), over,
-            () -> here.beganAt = host.loop().now(), () -> done(ctx, here, own[0], type, key));
+        own[0] =
+                new Job(
+                        here.of.ask.work + handshake,
+                        type.waits(),
+                        over,
+                        () -> here.beganAt = host.loop().now(),
+                        () -> done(ctx, here, own[0], type, key));
         job = own[0];
         Offer offer = host.model().offer(host.loop().now(), own[0]);
         if (offer == Offer.FULL) {
@@ -123,21 +147,30 @@
         answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true, true);
     }
 
-    private void done(ChannelHandlerContext ctx, Attempt here, Job own, RequestClass type, String key) {
+    private void done(
+            ChannelHandlerContext ctx, Attempt here, Job own, RequestClass type, String key) {
         boolean givenUp = here.endedAt >= 0;
         if (!givenUp) {
             here.endedAt = host.loop().now();
         }
         if (own.withdrawn) {
             here.end = "out of time unbegun";
-            host.unlessStalled(() -> answer(ctx, HttpResponseStatus.GATEWAY_TIMEOUT, "", true, true));
+            host.unlessStalled(
+                    () -> answer(ctx, HttpResponseStatus.GATEWAY_TIMEOUT, "", true, true));
             return;
         }
         String what = type.effect() == Scenario.Effect.KEYED ? key : here.of.id;
         if (type.effect() != Scenario.Effect.KEYED
-            || host.repeats().takes(here.beganAt, what, type.window())) {
-            host.ledger().effects.add(new Effect(here.beganAt, what,
-                type.group() == Scenario.Group.ALL ? "all" : host.zone(), host.id(), here));
+                || host.repeats().takes(here.beganAt, what, type.window())) {
+            host.ledger()
+                    .effects
+                    .add(
+                            new Effect(
+                                    here.beganAt,
+                                    what,
+                                    type.group() == Scenario.Group.ALL ? "all" : host.zone(),
+                                    host.id(),
+                                    here));
         }
         here.end = givenUp ? "given up, ran on" : "served";
         if (givenUp) {
@@ -146,20 +179,33 @@
         if (host.losesAnswer()) {
             here.end = "answer lost";
         } else {
-            host.unlessStalled(() -> answer(ctx, HttpResponseStatus.OK, "made for " + here.of.id, false,
-                true));
+            host.unlessStalled(
+                    () ->
+                            answer(
+                                    ctx,
+                                    HttpResponseStatus.OK,
+                                    "made for " + here.of.id,
+                                    false,
+                                    true));
         }
     }
 
-    private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body, boolean neverRan,
-                        boolean report) {
+    private void answer(
+            ChannelHandlerContext ctx,
+            HttpResponseStatus status,
+            String body,
+            boolean neverRan,
+            boolean report) {
         job = null;
         attempt = null;
         if (!ctx.channel().isActive()) {
             return;
         }
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-            Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1,
+                        status,
+                        Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
         if (neverRan) {
             response.headers().set(NEVER_RAN, "1");
--- a/lab/src/main/java/ottergauge/lab/server/ServerHost.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerHost.java
@@ -23,7 +23,10 @@
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.ServerKind;
 
-/** One stand-in server: an address for each node, the model that says how it works, and what ails it. */
+/**
+ * One stand-in server: an address for each node, the model that says how it works, and what ails
+ * it.
+ */
 public final class ServerHost {
 
     private static final int MOST_BODY = 128 * 1024;
@@ -31,7 +34,12 @@
     private static final long LONG_AGO = -3_600_000_000L;
 
     /** What a server does with requests while something is wrong with it. */
-    private enum Ailment { NONE, STALLED, FAILS, FULL }
+    private enum Ailment {
+        NONE,
+        STALLED,
+        FAILS,
+        FULL
+    }
 
     private final Loop loop;
     private final Scenario scenario;
@@ -55,8 +63,16 @@
     private boolean draining;
 
     /** {@code place} is the server's name in the play; its id changes when it is replaced. */
-    public ServerHost(Loop loop, Scenario scenario, ServerKind kind, String place, String zone,
-                      Repeats repeats, Ledger ledger, SplittableRandom random, LongSupplier wallMs) {
+    public ServerHost(
+            Loop loop,
+            Scenario scenario,
+            ServerKind kind,
+            String place,
+            String zone,
+            Repeats repeats,
+            Ledger ledger,
+            SplittableRandom random,
+            LongSupplier wallMs) {
         this.loop = loop;
         this.scenario = scenario;
         this.kind = kind;
@@ -67,8 +83,14 @@
         this.random = random;
         this.wallMs = wallMs;
         double speed = kind.speed() * (1 + kind.spread() * (2 * random.nextDouble() - 1));
-        model = new ServerModel(kind, speed, LONG_AGO, scenario.platform().tipMultiple(),
-            scenario.platform().fallAfter(), loop::at);
+        model =
+                new ServerModel(
+                        kind,
+                        speed,
+                        LONG_AGO,
+                        scenario.platform().tipMultiple(),
+                        scenario.platform().fallAfter(),
+                        loop::at);
         born(0, false);
     }
 
@@ -92,13 +114,19 @@
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
         FirstByte firstByte = new FirstByte(loop);
-        pipeline.addLast(firstByte, new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY),
-            new ServerConnection(this, node, firstByte, over));
+        pipeline.addLast(
+                firstByte,
+                new HttpServerCodec(),
+                new HttpObjectAggregator(MOST_BODY),
+                new ServerConnection(this, node, firstByte, over));
     }
 
-    // ---- What ails it ---------------------------------------------------------------------------------
+    // ---- What ails it
+    // ---------------------------------------------------------------------------------
 
-    /** It takes what comes and answers nothing until it goes on; then it does all that was held up. */
+    /**
+     * It takes what comes and answers nothing until it goes on; then it does all that was held up.
+     */
     public void stall() {
         ailment = Ailment.STALLED;
     }
@@ -142,21 +170,23 @@
     public void vanish() {
         model.die();
         held.clear();
-        links.forEach(link -> {
-            link.there().loseAll(true);
-            link.back().loseAll(true);
-            link.silent(true);
-        });
+        links.forEach(
+                link -> {
+                    link.there().loseAll(true);
+                    link.back().loseAll(true);
+                    link.silent(true);
+                });
     }
 
     /** It starts again, cold; under another id if it is replaced. */
     public void start(boolean replaced) {
-        links.forEach(link -> {
-            link.there().loseAll(false);
-            link.back().loseAll(false);
-            link.silent(false);
-            link.resetAll();
-        });
+        links.forEach(
+                link -> {
+                    link.there().loseAll(false);
+                    link.back().loseAll(false);
+                    link.silent(false);
+                    link.resetAll();
+                });
         model.start(loop.now());
         ailment = Ailment.NONE;
         draining = false;
@@ -180,7 +210,8 @@
         new ArrayList<>(connections).forEach(Channel::close);
     }
 
-    // ---- What its connections ask of it -----------------------------------------------------------------
+    // ---- What its connections ask of it
+    // -----------------------------------------------------------------
 
     Loop loop() {
         return loop;
@@ -229,8 +260,11 @@
 
     /** It was pushed over: it stays down. */
     void fell() {
-        Ledger.Life life = ledger.lives.values().stream().filter(each -> each.server.equals(id))
-            .reduce((first, last) -> last).orElseThrow();
+        Ledger.Life life =
+                ledger.lives.values().stream()
+                        .filter(each -> each.server.equals(id))
+                        .reduce((first, last) -> last)
+                        .orElseThrow();
         if (life.fellAt < 0) {
             life.fellAt = loop.now();
             ledger.happens(loop.now(), place, "was pushed over while cold");
@@ -239,8 +273,12 @@
     }
 
     String report() {
-        return "TEXT inflight=" + model.inFlight() + ", queue=" + model.queued() + ", util="
-            + Math.round(model.utilization(loop.now()) * 1000) / 1000.0;
+        return "TEXT inflight="
+                + model.inFlight()
+                + ", queue="
+                + model.queued()
+                + ", util="
+                + Math.round(model.utilization(loop.now()) * 1000) / 1000.0;
     }
 
     public String id() {
--- a/lab/src/main/java/ottergauge/lab/server/ServerModel.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerModel.java
@@ -4,19 +4,23 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
+import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.LinkedHashSet;
 import ottergauge.lab.scenario.Scenario.ServerKind;
 
 /**
- * How a server works, without a socket or a clock: requests run in slots, as many at once as it has, and wait
- * in a bounded room before that. Of what runs, each holds a core for its work; with more than cores of them
- * all take so much longer. It starts cold and falls over if far more is sent to it than it can do.
+ * How a server works, without a socket or a clock: requests run in slots, as many at once as it
+ * has, and wait in a bounded room before that. Of what runs, each holds a core for its work; with
+ * more than cores of them all take so much longer. It starts cold and falls over if far more is
+ * sent to it than it can do.
  */
 public final class ServerModel {
 
-    /** Work that a server was given; {@code over} is the instant at which nobody waits for it any more. */
+    /**
+     * Work that a server was given; {@code over} is the instant at which nobody waits for it any
+     * more.
+     */
     public static final class Job {
         final long work;
         final long waits;
@@ -36,7 +40,11 @@
     }
 
     /** What becomes of a job that is offered. */
-    public enum Offer { TAKEN, FULL, FALLEN }
+    public enum Offer {
+        TAKEN,
+        FULL,
+        FALLEN
+    }
 
     /** Asks to be told when a job that has begun is over. */
     @FunctionalInterface
@@ -44,7 +52,7 @@
         void at(long instant, Runnable task);
     }
 
-    private record Sent(long at, long work) { }
+    private record Sent(long at, long work) {}
 
     // The load that it reports as busy is a mean over so long.
     private static final long BUSY_OVER = 500_000;
@@ -65,8 +73,13 @@
     private long work;
 
     /** {@code bornAt} is when it last started; far in the past, it is warm. */
-    public ServerModel(ServerKind kind, double speed, long bornAt, double tipMultiple, long fallAfter,
-                       Alarm alarm) {
+    public ServerModel(
+            ServerKind kind,
+            double speed,
+            long bornAt,
+            double tipMultiple,
+            long fallAfter,
+            Alarm alarm) {
         this.kind = kind;
         this.speed = speed;
         this.bornAt = bornAt;
@@ -88,7 +101,9 @@
     /** The part of its capacity that it has by now. */
     public double warmth(long now) {
         long age = now - bornAt;
-        return age >= kind.coldFor() ? 1 : kind.coldFrom() + (1 - kind.coldFrom()) * age / kind.coldFor();
+        return age >= kind.coldFor()
+                ? 1
+                : kind.coldFrom() + (1 - kind.coldFrom()) * age / kind.coldFor();
     }
 
     private double capacity(long now) {
@@ -102,8 +117,8 @@
             return Offer.FALLEN;
         }
         if (running.size() >= kind.slots()
-            && (waiting.size() >= kind.queue() || kind.earlyFull() > 0 && held() / capacity(now)
-            > kind.earlyFull())) {
+                && (waiting.size() >= kind.queue()
+                        || kind.earlyFull() > 0 && held() / capacity(now) > kind.earlyFull())) {
             return Offer.FULL;
         }
         waiting.add(job);
@@ -140,7 +155,8 @@
         while (running.size() < kind.slots() && !waiting.isEmpty()) {
             Job job = waiting.poll();
             if (job.withdrawn || job.over <= now) {
-                // Nobody waits for it any more: a server drops what has run out of time before it begins.
+                // Nobody waits for it any more: a server drops what has run out of time before it
+                // begins.
                 if (!job.withdrawn) {
                     job.withdrawn = true;
                     job.done.run();
--- a/lab/src/test/java/ottergauge/lab/ledger/CheckerTest.java
+++ b/lab/src/test/java/ottergauge/lab/ledger/CheckerTest.java
@@ -16,7 +16,10 @@
 import ottergauge.lab.scenario.ScenarioException;
 import ottergauge.lab.scenario.ScenarioReader;
 
-/** A checker that cannot fail proves nothing: each rule broken in a ledger, and the same ledger unbroken. */
+/**
+ * A checker that cannot fail proves nothing: each rule broken in a ledger, and the same ledger
+ * unbroken.
+ */
 class CheckerTest {
 
     private static final long END = 20_000_000;
@@ -27,16 +30,18 @@
 
     private static Scenario scenario() {
         try {
-            return ScenarioReader.read("t", """
-                name: t
-                length: 20s
-                nodes: {count: 2}
-                servers: [{count: 2}]
-                classes:
-                  - {name: grant, work: 50ms, aim: 400ms, deadline: 1s, effect: unsafe}
-                  - {name: pay, work: 50ms, aim: 400ms, deadline: 1s, effect: keyed, window: 3s}
-                load: [{rate: 0.5}]
-                """);
+            return ScenarioReader.read(
+                    "t",
+                    """
+                    name: t
+                    length: 20s
+                    nodes: {count: 2}
+                    servers: [{count: 2}]
+                    classes:
+                      - {name: grant, work: 50ms, aim: 400ms, deadline: 1s, effect: unsafe}
+                      - {name: pay, work: 50ms, aim: 400ms, deadline: 1s, effect: keyed, window: 3s}
+                    load: [{rate: 0.5}]
+                    """);
         } catch (ScenarioException e) {
             throw new IllegalStateException(e);
         }
@@ -111,8 +116,7 @@
 
     @Test
     void whatMayHaveRunAndIsUnsafeIsSentOnce() {
-        expect(Rule.EFFECT, served(0),
-            each -> attempt(each, "s2", 1_192 * MS, 1_198 * MS, "full"));
+        expect(Rule.EFFECT, served(0), each -> attempt(each, "s2", 1_192 * MS, 1_198 * MS, "full"));
     }
 
     @Test
@@ -135,8 +139,17 @@
     @Test
     void anEffectTwiceByOneTryOrBehindARefusalIsCaught() {
         Try each = served(1);
-        expect(Rule.EFFECT, each, again -> ledger.effects.add(new Effect(1_150 * MS, again.id, "all", "s2",
-            ledger.attempts.get(0))));
+        expect(
+                Rule.EFFECT,
+                each,
+                again ->
+                        ledger.effects.add(
+                                new Effect(
+                                        1_150 * MS,
+                                        again.id,
+                                        "all",
+                                        "s2",
+                                        ledger.attempts.get(0))));
         ledger.effects.remove(1);
         expect(Rule.EFFECT, served(0), again -> again.status = 503);
     }
@@ -174,12 +187,19 @@
         ledger.lives.put("s1", life);
         expect(Rule.COLD, served(0), each -> life.fellAt = 5_000 * MS);
         life.fellAt = -1;
-        expect(Rule.CRASH, served(0), each -> ledger.happens(6_000 * MS, "n2", "crashed with exit code 3"));
+        expect(
+                Rule.CRASH,
+                served(0),
+                each -> ledger.happens(6_000 * MS, "n2", "crashed with exit code 3"));
     }
 
     @Test
     void whatNoClientSentIsCaught() {
-        expect(Rule.EFFECT, served(0),
-            each -> ledger.strangers.add(new Ledger.Happening(0, "s1", "a request that no client sent")));
+        expect(
+                Rule.EFFECT,
+                served(0),
+                each ->
+                        ledger.strangers.add(
+                                new Ledger.Happening(0, "s1", "a request that no client sent")));
     }
 }
--- a/lab/src/test/java/ottergauge/lab/net/LinkTest.java
+++ b/lab/src/test/java/ottergauge/lab/net/LinkTest.java
@@ -32,7 +32,8 @@
 @Timeout(30)
 class LinkTest {
 
-    // What is to come may be late on a busy machine; what is not to come is not waited for that long.
+    // What is to come may be late on a busy machine; what is not to come is not waited for that
+    // long.
     private static final int PATIENCE_MS = 10_000;
     private static final int SOON_MS = 300;
 
@@ -47,18 +48,25 @@
         try (ServerSocket free = new ServerSocket(0)) {
             address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
         }
-        listener = new Listener(loop, address, link, pipeline -> pipeline.addLast(
-            new ChannelInboundHandlerAdapter() {
-                @Override
-                public void channelRead(ChannelHandlerContext ctx, Object message) {
-                    ctx.writeAndFlush(((ByteBuf) message));
-                }
+        listener =
+                new Listener(
+                        loop,
+                        address,
+                        link,
+                        pipeline ->
+                                pipeline.addLast(
+                                        new ChannelInboundHandlerAdapter() {
+                                            @Override
+                                            public void channelRead(
+                                                    ChannelHandlerContext ctx, Object message) {
+                                                ctx.writeAndFlush(((ByteBuf) message));
+                                            }
 
-                @Override
-                public void channelInactive(ChannelHandlerContext ctx) {
-                    ended.add("ended");
-                }
-            }));
+                                            @Override
+                                            public void channelInactive(ChannelHandlerContext ctx) {
+                                                ended.add("ended");
+                                            }
+                                        }));
     }
 
     @AfterEach
@@ -68,8 +76,14 @@
     }
 
     private void fault(What what, Way way, double amount, long span) throws Exception {
-        loop.netty().submit(() -> link.apply(new Fault(0, 0, what, List.of(), 0, List.of(), way, amount, span,
-            0, 1))).get();
+        loop.netty()
+                .submit(
+                        () ->
+                                link.apply(
+                                        new Fault(
+                                                0, 0, what, List.of(), 0, List.of(), way, amount,
+                                                span, 0, 1)))
+                .get();
     }
 
     private void heal() throws Exception {
@@ -85,7 +99,7 @@
 
     // A door that moves has settled a moment later.
     private void awaitConnecting(Class<? extends IOException> failure) throws IOException {
-        for (;;) {
+        for (; ; ) {
             try {
                 connect().close();
             } catch (IOException e) {
@@ -97,7 +111,7 @@
     }
 
     private Socket connectOnceUp() {
-        for (;;) {
+        for (; ; ) {
             try {
                 return connect();
             } catch (IOException e) {
@@ -117,8 +131,8 @@
     }
 
     /**
-     * Guards against a rig that takes an attempt for open whose connection it has reset itself: the stand-in
-     * behind it did not hear of the end, and the next attempt counted as a second copy.
+     * Guards against a rig that takes an attempt for open whose connection it has reset itself: the
+     * stand-in behind it did not hear of the end, and the next attempt counted as a second copy.
      */
     @Test
     void theStandInHearsOfAResetOfItsConnection() throws Exception {
@@ -152,23 +166,27 @@
         try (Socket socket = connect()) {
             assertEquals("before", ask(socket, "before"));
             fault(What.LINK_RESET, Way.BOTH, 1, 0);
-            assertThrows(SocketException.class, () -> {
-                while (socket.getInputStream().read() >= 0) {
-                    continue;
-                }
-                throw new SocketException("ended");
-            });
+            assertThrows(
+                    SocketException.class,
+                    () -> {
+                        while (socket.getInputStream().read() >= 0) {
+                            continue;
+                        }
+                        throw new SocketException("ended");
+                    });
         }
         // The reset may come as soon as the connection is up, or later.
-        assertThrows(SocketException.class, () -> {
-            try (Socket socket = connect()) {
-                socket.getOutputStream().write(1);
-                while (socket.getInputStream().read() >= 0) {
-                    continue;
-                }
-                throw new SocketException("ended");
-            }
-        });
+        assertThrows(
+                SocketException.class,
+                () -> {
+                    try (Socket socket = connect()) {
+                        socket.getOutputStream().write(1);
+                        while (socket.getInputStream().read() >= 0) {
+                            continue;
+                        }
+                        throw new SocketException("ended");
+                    }
+                });
     }
 
     @Test
@@ -219,11 +237,13 @@
         try (Socket socket = connect()) {
             socket.getOutputStream().write("message".getBytes());
             assertEquals("mes", new String(socket.getInputStream().readNBytes(3)));
-            assertThrows(SocketException.class, () -> {
-                if (socket.getInputStream().read() < 0) {
-                    throw new SocketException("ended");
-                }
-            });
+            assertThrows(
+                    SocketException.class,
+                    () -> {
+                        if (socket.getInputStream().read() < 0) {
+                            throw new SocketException("ended");
+                        }
+                    });
         }
     }
 
@@ -241,12 +261,17 @@
     @Test
     void anAddressThatIsNotYetGivenBackIsTriedAgain() throws Exception {
         ServerSocket before = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        loop.netty().schedule(() -> {
-            before.close();
-            return null;
-        }, SOON_MS, TimeUnit.MILLISECONDS);
+        loop.netty()
+                .schedule(
+                        () -> {
+                            before.close();
+                            return null;
+                        },
+                        SOON_MS,
+                        TimeUnit.MILLISECONDS);
         InetSocketAddress held = (InetSocketAddress) before.getLocalSocketAddress();
-        Listener late = new Listener(loop, held, new Links(1).add("n2", "s1", 0, 0), pipeline -> { });
+        Listener late =
+                new Listener(loop, held, new Links(1).add("n2", "s1", 0, 0), pipeline -> {});
         try (Socket socket = new Socket()) {
             socket.connect(held, PATIENCE_MS);
         } finally {
--- a/lab/src/test/java/ottergauge/lab/play/PlayIT.java
+++ b/lab/src/test/java/ottergauge/lab/play/PlayIT.java
@@ -29,12 +29,12 @@
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     static String runLine() throws IOException {
-        Matcher run = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
-            .matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
+        Matcher run =
+                Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
+                        .matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
         assertTrue(run.find());
         return run.group(1);
     }
@@ -58,7 +58,10 @@
         assertFalse(left(), "processes are left");
     }
 
-    /** Guards against requests to servers that began to leave right after all watches had fallen silent. */
+    /**
+     * Guards against requests to servers that began to leave right after all watches had fallen
+     * silent.
+     */
     @Test
     void aServerThatLeavesWhileWatchesAreSilentGetsNothingNew() throws Exception {
         Report report = play("silent.yaml", runLine());
@@ -67,8 +70,9 @@
     }
 
     /**
-     * Guards against requests to servers that left while discovery was away or its watches silent, and
-     * against attempts for clients that had left while their requests waited or their node stood still.
+     * Guards against requests to servers that left while discovery was away or its watches silent,
+     * and against attempts for clients that had left while their requests waited or their node
+     * stood still.
      */
     @ParameterizedTest
     @ValueSource(strings = {"late-list.yaml", "leaving.yaml"})
@@ -80,21 +84,33 @@
 
     // Whether any process still has this play's folder for its configuration.
     private boolean left() {
-        return ProcessHandle.allProcesses().anyMatch(process -> {
-            try {
-                return new String(Files.readAllBytes(Path.of("/proc/" + process.pid() + "/environ")))
-                    .contains(folder.toString());
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        return ProcessHandle.allProcesses()
+                .anyMatch(
+                        process -> {
+                            try {
+                                return new String(
+                                                Files.readAllBytes(
+                                                        Path.of(
+                                                                "/proc/"
+                                                                        + process.pid()
+                                                                        + "/environ")))
+                                        .contains(folder.toString());
+                            } catch (IOException e) {
+                                return false;
+                            }
+                        });
     }
 
     @Test
     void aNodeThatNeverBecomesReadyIsNamedWithTheEndOfItsLog() {
-        String told = assertThrows(PlayException.class,
-            () -> play("faults.yaml", "echo no such program; exit 3")).getMessage();
-        assertTrue(told.startsWith("n1 ended before it was ready") && told.contains("no such program"), told);
+        String told =
+                assertThrows(
+                                PlayException.class,
+                                () -> play("faults.yaml", "echo no such program; exit 3"))
+                        .getMessage();
+        assertTrue(
+                told.startsWith("n1 ended before it was ready") && told.contains("no such program"),
+                told);
         assertFalse(left(), "processes are left");
     }
 }
--- a/lab/src/test/java/ottergauge/lab/scale/figures/PhaseFiguresTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/figures/PhaseFiguresTest.java
@@ -26,10 +26,19 @@
         seen.inForce("h2", 7, 51 * S);
     }
 
-    private PhaseFigures figures(boolean beginsAnew, Map<String, Long> excusedUntil, String digest) {
+    private PhaseFigures figures(
+            boolean beginsAnew, Map<String, Long> excusedUntil, String digest) {
         Phase phase = new Phase("phase", What.CHANGES, 10 * S, 1, 1, 0, List.of(), "", 0);
-        return seen.figures(new PhaseWindow(phase, FROM, UNTIL, List.of("h1", "h2"), List.of("real-1"),
-            beginsAnew, excusedUntil, digest));
+        return seen.figures(
+                new PhaseWindow(
+                        phase,
+                        FROM,
+                        UNTIL,
+                        List.of("h1", "h2"),
+                        List.of("real-1"),
+                        beginsAnew,
+                        excusedUntil,
+                        digest));
     }
 
     private PhaseFigures figures() {
@@ -86,7 +95,8 @@
         seen.changed(8, 101 * S);
         seen.inForce("h1", 8, 101 * S + 30);
         seen.inForce("h2", 8, 105 * S + 40);
-        assertEquals(new Spread(2, 30, 40, 40), figures(false, Map.of("h2", 105 * S), "").inForce());
+        assertEquals(
+                new Spread(2, 30, 40, 40), figures(false, Map.of("h2", 105 * S), "").inForce());
     }
 
     @Test
@@ -95,7 +105,8 @@
         seen.inForce("h1", 7, 103 * S);
         assertEquals(1, figures(true, Map.of(), "").behind());
         seen.inForce("h2", 7, 104 * S);
-        assertEquals(new Spread(2, 3 * S, 4 * S, 4 * S), figures(true, Map.of(), "").afterRestart());
+        assertEquals(
+                new Spread(2, 3 * S, 4 * S, 4 * S), figures(true, Map.of(), "").afterRestart());
         assertEquals(Verdict.REACHED, figures(true, Map.of(), "").verdict());
     }
 
@@ -109,8 +120,17 @@
         for (int second = 11; second < 30; second++) {
             seen.traffic("h1", 110, 0, FROM + second * S);
         }
-        PhaseFigures figures = seen.figures(new PhaseWindow(phase, FROM, FROM + 40 * S, List.of("h1", "h2"),
-            List.of(), false, Map.of(), ""));
+        PhaseFigures figures =
+                seen.figures(
+                        new PhaseWindow(
+                                phase,
+                                FROM,
+                                FROM + 40 * S,
+                                List.of("h1", "h2"),
+                                List.of(),
+                                false,
+                                Map.of(),
+                                ""));
         // Eleven of a second each lie in ten seconds and a tenth.
         assertEquals(1_210, figures.mostBytesIn10s());
         assertEquals((1_120 + 80 + 19 * 110) / 40.0 / 2, figures.bytesANode());
--- a/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
@@ -40,8 +40,13 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             address = new InetSocketAddress(free.getInetAddress(), free.getLocalPort());
         }
-        relay = new Relay(loop, new Links(1).add("a", "b", 0, 0), address,
-            (InetSocketAddress) target.getLocalSocketAddress(), new InetSocketAddress("127.9.9.9", 0));
+        relay =
+                new Relay(
+                        loop,
+                        new Links(1).add("a", "b", 0, 0),
+                        address,
+                        (InetSocketAddress) target.getLocalSocketAddress(),
+                        new InetSocketAddress("127.9.9.9", 0));
     }
 
     @AfterEach
@@ -74,7 +79,8 @@
 
     @Test
     void bytesGoBothWaysFromTheAddressThatWasNamed() throws Exception {
-        try (Socket near = connect(LATER_MS); Socket far = target.accept()) {
+        try (Socket near = connect(LATER_MS);
+                Socket far = target.accept()) {
             assertEquals("127.9.9.9", far.getInetAddress().getHostAddress());
             assertCarries(near, far, "there");
             assertCarries(far, near, "and back");
@@ -85,7 +91,8 @@
 
     @Test
     void theEndOfOneSideIsTheEndOfTheOther() throws Exception {
-        try (Socket near = connect(LATER_MS); Socket far = target.accept()) {
+        try (Socket near = connect(LATER_MS);
+                Socket far = target.accept()) {
             far.getOutputStream().write("last".getBytes());
             far.close();
             near.setSoTimeout(LATER_MS);
@@ -96,7 +103,8 @@
     /** Guards against a cut that loses or passes what is under way, or that lets connections up. */
     @Test
     void cutOffNothingMovesUntilItHeals() throws Exception {
-        try (Socket near = connect(LATER_MS); Socket far = target.accept()) {
+        try (Socket near = connect(LATER_MS);
+                Socket far = target.accept()) {
             assertCarries(near, far, "open");
             cut(true);
             near.getOutputStream().write("held there".getBytes());
@@ -109,7 +117,8 @@
             near.setSoTimeout(LATER_MS);
             assertEquals("held there", new String(far.getInputStream().readNBytes(10)));
             assertEquals("held back", new String(near.getInputStream().readNBytes(9)));
-            try (Socket again = connect(LATER_MS); Socket other = target.accept()) {
+            try (Socket again = connect(LATER_MS);
+                    Socket other = target.accept()) {
                 assertCarries(again, other, "anew");
             }
         }
@@ -118,7 +127,8 @@
     /** Guards against a relay that keeps in its memory what the other side does not take. */
     @Test
     void oneThatDoesNotReadStopsTheOneThatWrites() throws Exception {
-        try (SocketChannel near = SocketChannel.open(address); Socket far = target.accept()) {
+        try (SocketChannel near = SocketChannel.open(address);
+                Socket far = target.accept()) {
             near.configureBlocking(false);
             long written = 0;
             long quietSince = System.nanoTime();
--- a/lab/src/test/java/ottergauge/lab/scale/play/ServerListTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/play/ServerListTest.java
@@ -20,8 +20,16 @@
 class ServerListTest {
 
     private static ServerList list(long seed) {
-        return new ServerList(new ScaleScenario("test", seed, new Nodes(1, 1, 1, 1, 0, 0, false), 1,
-            new State(20, 4), new Discovery(1, 1, 1), 0, List.of()));
+        return new ServerList(
+                new ScaleScenario(
+                        "test",
+                        seed,
+                        new Nodes(1, 1, 1, 1, 0, 0, false),
+                        1,
+                        new State(20, 4),
+                        new Discovery(1, 1, 1),
+                        0,
+                        List.of()));
     }
 
     private static String change(JsonNode entries) {
@@ -32,9 +40,13 @@
     @Test
     void aReleaseReplacesEachServerInTurn() {
         ServerList list = list(1);
-        assertEquals(List.of("svc-000-s00000-0 terminating", "svc-000-s00000-0 terminated",
-            "svc-000-s00000-1 in_service", "svc-001-s00001-0 terminating"),
-            Stream.generate(() -> change(list.release(5))).limit(4).toList());
+        assertEquals(
+                List.of(
+                        "svc-000-s00000-0 terminating",
+                        "svc-000-s00000-0 terminated",
+                        "svc-000-s00000-1 in_service",
+                        "svc-001-s00001-0 terminating"),
+                Stream.generate(() -> change(list.release(5))).limit(4).toList());
         assertEquals(20, list.whole().size());
     }
 
--- a/lab/src/test/java/ottergauge/lab/scale/process/ProcessUseTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/process/ProcessUseTest.java
@@ -11,15 +11,17 @@
 
     @Test
     void fieldsAreCountedBehindTheNameWhateverItHolds() {
-        String stat = "42 (a) b (c) S 1 42 42 0 -1 4194560 900 0 0 0 150 50 0 0 20 0 9 0 77 5000 2000 18446"
-            + " 1 1 0 0";
+        String stat =
+                "42 (a) b (c) S 1 42 42 0 -1 4194560 900 0 0 0 150 50 0 0 20 0 9 0 77 5000 2000"
+                        + " 18446 1 1 0 0";
         assertEquals(new ProcessUse(2_000_000, 2_000 * 4_096L), ProcessUse.parse(stat));
     }
 
     @Test
     void theMachineIsBusyWithAllButIdlingAndDisks() {
-        assertEquals(new ProcessUse(1_150_000, 0),
-            ProcessUse.parseMachine("cpu  50 10 40 9000 700 5 10 0 0 0"));
+        assertEquals(
+                new ProcessUse(1_150_000, 0),
+                ProcessUse.parseMachine("cpu  50 10 40 9000 700 5 10 0 0 0"));
         assertTrue(ProcessUse.ofMachine().cpuMicros() > 0);
     }
 
--- a/lab/src/test/java/ottergauge/lab/scale/process/ReaperTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/process/ReaperTest.java
@@ -29,7 +29,8 @@
             reaper.started(ended.pid());
             reaper.started(stopped.pid());
             reaper.ended(ended.pid());
-            assertEquals(0, new ProcessBuilder("kill", "-STOP", "" + stopped.pid()).start().waitFor());
+            assertEquals(
+                    0, new ProcessBuilder("kill", "-STOP", "" + stopped.pid()).start().waitFor());
             reaper.close();
             assertTrue(left.waitFor(20, TimeUnit.SECONDS) && stopped.waitFor(20, TimeUnit.SECONDS));
             assertEquals(KILLED, left.exitValue());
--- a/lab/src/test/java/ottergauge/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/ottergauge/lab/scenario/ScenarioReaderTest.java
@@ -16,22 +16,23 @@
 
 class ScenarioReaderTest {
 
-    private static final String GOOD = """
-        name: small
-        length: 10s
-        zones: [a, b]
-        nodes: {count: 2}
-        servers:
-          - {kind: std, count: 3, cores: 2}
-        classes:
-          - {name: view, work: 50ms, aim: 400ms, deadline: 1s}
-        load:
-          - {from: 0s, rate: 0.5}
-          - {from: 4s, rate: 2}
-        faults:
-          - {at: 1s, for: 500ms, what: node-stall, who: n2}
-          - {at: 2s, for: 1.5s, what: link-drop, who: [n1], to: [servers], way: there}
-        """;
+    private static final String GOOD =
+            """
+            name: small
+            length: 10s
+            zones: [a, b]
+            nodes: {count: 2}
+            servers:
+              - {kind: std, count: 3, cores: 2}
+            classes:
+              - {name: view, work: 50ms, aim: 400ms, deadline: 1s}
+            load:
+              - {from: 0s, rate: 0.5}
+              - {from: 4s, rate: 2}
+            faults:
+              - {at: 1s, for: 500ms, what: node-stall, who: n2}
+              - {at: 2s, for: 1.5s, what: link-drop, who: [n1], to: [servers], way: there}
+            """;
 
     @Test
     void aScenarioIsReadWithItsUnits() throws ScenarioException {
@@ -45,33 +46,46 @@
     }
 
     /**
-     * Each line of a good scenario replaced by a bad one: the message has file, line, key and what is
-     * allowed.
+     * Each line of a good scenario replaced by a bad one: the message has file, line, key and what
+     * is allowed.
      */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "length: 10s|length: 10|small.yaml:2: length: a time with its unit",
-        "length: 10s|length: 10h|small.yaml:2: length: a time with its unit",
-        "length: 10s|lenght: 10s|small.yaml:1: length: missing; a time with its unit",
-        "zones: [a, b]|zones: [a, b]%colour: red|small.yaml:4: colour: unknown key; known here: classes",
-        "nodes: {count: 2}|nodes: {count: -2}|small.yaml:4: count: a whole number of 1 or more, not -2",
-        "nodes: {count: 2}|nodes: {count: 200}|small.yaml:4: count: at most 99 nodes",
-        "nodes: {count: 2}|nodes: {count: 2, cores: 3}|small.yaml:4: cores: a part of a core from 0.05 to 1",
-        "count: 3, cores: 2|count: 3, cores: two|small.yaml:6: cores: a whole number of 1 or more, not two",
-        "work: 50ms, aim: 400ms|aim: 400ms|small.yaml:8: work: missing; a time with its unit",
-        "deadline: 1s|deadline: 300ms|small.yaml:8: deadline: a time not before the aim",
-        "deadline: 1s|deadline: 1s, effect: odd|small.yaml:8: effect: one of safe, keyed, unsafe, not odd",
-        "from: 4s, rate: 2|from: 12s, rate: 2|small.yaml:11: from: a time after the step before",
-        "from: 0s, rate: 0.5|from: 0s, rate: -1|small.yaml:10: rate: a number of 0 or more, not -1",
-        "what: node-stall|what: node-sulk|small.yaml:13: what: one of node-kill",
-        "who: n2|part: 1.5|small.yaml:13: part: a part from 0 to 1",
-        "who: n2|who: n3|small.yaml: faults: 1: n3: no process of this play; allowed are n1 to n2",
-        "to: [servers], way|way|small.yaml: faults: 2: who, to: a link has two sides",
-        "name: small|name: [small|small.yaml:2: no YAML"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "length: 10s|length: 10|small.yaml:2: length: a time with its unit",
+                "length: 10s|length: 10h|small.yaml:2: length: a time with its unit",
+                "length: 10s|lenght: 10s|small.yaml:1: length: missing; a time with its unit",
+                "zones: [a, b]|zones: [a, b]%colour: red|small.yaml:4: colour: unknown key; known"
+                        + " here: classes",
+                "nodes: {count: 2}|nodes: {count: -2}|small.yaml:4: count: a whole number of 1 or"
+                        + " more, not -2",
+                "nodes: {count: 2}|nodes: {count: 200}|small.yaml:4: count: at most 99 nodes",
+                "nodes: {count: 2}|nodes: {count: 2, cores: 3}|small.yaml:4: cores: a part of a"
+                        + " core from 0.05 to 1",
+                "count: 3, cores: 2|count: 3, cores: two|small.yaml:6: cores: a whole number of 1"
+                        + " or more, not two",
+                "work: 50ms, aim: 400ms|aim: 400ms|small.yaml:8: work: missing; a time with its"
+                        + " unit",
+                "deadline: 1s|deadline: 300ms|small.yaml:8: deadline: a time not before the aim",
+                "deadline: 1s|deadline: 1s, effect: odd|small.yaml:8: effect: one of safe, keyed,"
+                        + " unsafe, not odd",
+                "from: 4s, rate: 2|from: 12s, rate: 2|small.yaml:11: from: a time after the step"
+                        + " before",
+                "from: 0s, rate: 0.5|from: 0s, rate: -1|small.yaml:10: rate: a number of 0 or more,"
+                        + " not -1",
+                "what: node-stall|what: node-sulk|small.yaml:13: what: one of node-kill",
+                "who: n2|part: 1.5|small.yaml:13: part: a part from 0 to 1",
+                "who: n2|who: n3|small.yaml: faults: 1: n3: no process of this play; allowed are n1"
+                        + " to n2",
+                "to: [servers], way|way|small.yaml: faults: 2: who, to: a link has two sides",
+                "name: small|name: [small|small.yaml:2: no YAML"
+            })
     void whatIsWrongIsNamedWithItsLine(String good, String bad, String message) {
         String text = GOOD.replace(good, bad.replace("%", "\n"));
-        String told = assertThrows(ScenarioException.class, () -> ScenarioReader.read("small.yaml", text))
-            .getMessage();
+        String told =
+                assertThrows(ScenarioException.class, () -> ScenarioReader.read("small.yaml", text))
+                        .getMessage();
         assertTrue(told.startsWith(message), told);
     }
 
