--- a/lab/src/test/java/ottergauge/lab/server/ServerModelTest.java
+++ b/lab/src/test/java/ottergauge/lab/server/ServerModelTest.java
@@ -21,16 +21,27 @@
     private static final long FAR = Long.MAX_VALUE / 2;
     private static final long WARM = -FAR;
 
-    private record Due(long at, long order, Runnable task) { }
+    private record Due(long at, long order, Runnable task) {}
 
-    private final PriorityQueue<Due> alarms = new PriorityQueue<>((a, b) -> a.at() != b.at()
-        ? Long.compare(a.at(), b.at()) : Long.compare(a.order(), b.order()));
+    private final PriorityQueue<Due> alarms =
+            new PriorityQueue<>(
+                    (a, b) ->
+                            a.at() != b.at()
+                                    ? Long.compare(a.at(), b.at())
+                                    : Long.compare(a.order(), b.order()));
     private long order;
     private long now;
 
     private ServerModel server(int cores, int queue, long bornAt) {
-        return new ServerModel(new ServerKind("std", 1, cores, 1, 0, cores, queue, 0, 0.25, 8_000_000, 100, 0,
-            0, 0, true), 1, bornAt, 2, 1_000_000, (at, task) -> alarms.add(new Due(at, order++, task)));
+        return new ServerModel(
+                new ServerKind(
+                        "std", 1, cores, 1, 0, cores, queue, 0, 0.25, 8_000_000, 100, 0, 0, 0,
+                        true),
+                1,
+                bornAt,
+                2,
+                1_000_000,
+                (at, task) -> alarms.add(new Due(at, order++, task)));
     }
 
     private void passUntil(long until) {
@@ -42,7 +53,7 @@
     }
 
     private static Job job(long work, Runnable done) {
-        return new Job(work, 0, FAR, () -> { }, done);
+        return new Job(work, 0, FAR, () -> {}, done);
     }
 
     @Test
@@ -79,7 +90,7 @@
         passUntil(2_000_000);
         assertEquals(400_000, ended[0], "a quarter of its capacity at first");
         int taken = 0;
-        while (server.offer(now, job(100_000, () -> { })) == Offer.TAKEN && taken < 100) {
+        while (server.offer(now, job(100_000, () -> {})) == Offer.TAKEN && taken < 100) {
             taken++;
         }
         assertTrue(server.fallen());
@@ -105,8 +116,11 @@
                 at += exponential.sample() * meanWork / cores / load;
                 passUntil((long) at);
                 long came = now;
-                server.offer(now, job(Math.max(1, Math.round(exponential.sample() * meanWork)),
-                    () -> sum[0] += now - came));
+                server.offer(
+                        now,
+                        job(
+                                Math.max(1, Math.round(exponential.sample() * meanWork)),
+                                () -> sum[0] += now - came));
             }
             passUntil(now + 60_000_000);
             // Time in an M/M/1 and an M/M/2: 1 / (1 - load) and 1 / (1 - load^2) services.
--- a/src/main/java/ottergauge/Decide.java
+++ b/src/main/java/ottergauge/Decide.java
@@ -20,16 +20,19 @@
 import ottergauge.rows.RowTable;
 
 /**
- * Every decision of a node and nothing else. Its interface (settings, events, actions) is DecisionApi.java.
- * An instant and an event go in, actions come out; the same in, the same out. The ordinary path is
- * Per-Function Auto Weighted Round-Robin; docs/design.md lists the departures and says when each acts.
+ * Every decision of a node and nothing else. Its interface (settings, events, actions) is
+ * DecisionApi.java. An instant and an event go in, actions come out; the same in, the same out. The
+ * ordinary path is Per-Function Auto Weighted Round-Robin; docs/design.md lists the departures and
+ * says when each acts.
  */
 public final class Decide implements Insight {
 
-    // ---- The design's starting values --------------------------------------------------------------
+    // ---- The design's starting values
+    // --------------------------------------------------------------
     private static final long WINDOW = 5_000_000;
     private static final int WEIGHT_TOTAL = 1000;
-    // A node's first window: until it ends all servers weigh the same, and the slow ones are overrun.
+    // A node's first window: until it ends all servers weigh the same, and the slow ones are
+    // overrun.
     private static final long FIRST_WINDOW = WINDOW / 5;
     // The class table's bound: classes past it borrow the shared row.
     private static final int MOST_ROWS = 64;
@@ -38,46 +41,60 @@
     // A server is skipped when its own in-flight count is over this multiple of the mean, plus one.
     private static final double SKIP_MULTIPLE = 2;
 
-    // ---- Figures of the departures, each with its reason --------------------------------------------
+    // ---- Figures of the departures, each with its reason
+    // --------------------------------------------
     // The way to the client and back, which the node cannot time: an answer must leave this early.
     private static final long CLIENT_TRIP = 2_000;
     // The weight of a new sample in the running means: about the last ten count.
     private static final double BLEND = 0.1;
     // The most of the result that probing for load may cost: well under what a bad choice costs.
     private static final double PROBE_SPEND = 0.06;
-    // The most of the result that open connections may cost: they also take capacity of every server.
+    // The most of the result that open connections may cost: they also take capacity of every
+    // server.
     private static final double CONNECTION_SPEND = 0.005;
-    // A node's servers, at the least: with a fifth of the fleet silent, fewer would often all be silent.
+    // A node's servers, at the least: with a fifth of the fleet silent, fewer would often all be
+    // silent.
     private static final int LEAST_SUBSET = 4;
     // And where connections are free: the best of so many is hardly worse than the best of all.
     private static final int FREE_SUBSET = 32;
-    // Of these a node has a dozen, or so many that each server is in a dozen subsets, if more: with all
+    // Of these a node has a dozen, or so many that each server is in a dozen subsets, if more: with
+    // all
     // of them more nodes see and take the same free core, and hear of each server too seldom.
     private static final int DOZEN = 12;
-    // A node has this multiple of what it has out in servers, so that most sends find an idle connection.
+    // A node has this multiple of what it has out in servers, so that most sends find an idle
+    // connection.
     private static final int SUBSET_SPARE = 2;
-    // A report is fresh for this part of a service time: the chance that the load changed is as small.
+    // A report is fresh for this part of a service time: the chance that the load changed is as
+    // small.
     private static final double FRESH_PART = 0.08;
     // A server seen busy stays so for this part of the work it was seen to hold.
     private static final double BUSY_PART = 0.3;
-    // A report is forgotten over so many service times: as seldom do others send to a server left idle.
+    // A report is forgotten over so many service times: as seldom do others send to a server left
+    // idle.
     private static final double FORGET_SERVICES = 10;
-    // So much do others do what a node does, and for so much counts what leaves: others mostly fill it up.
+    // So much do others do what a node does, and for so much counts what leaves: others mostly fill
+    // it up.
     private static final double OTHERS_ALIKE = 0.4;
     private static final double HAVE_LEFT = 0.25;
-    // Servers believed to hold so much more than the least are passed over: less than that no report tells.
+    // Servers believed to hold so much more than the least are passed over: less than that no
+    // report tells.
     private static final double HEARD_MARGIN = 0.1;
-    // An answer that took longer than this part of its aim tells of a queue that leaves no time to spare.
+    // An answer that took longer than this part of its aim tells of a queue that leaves no time to
+    // spare.
     private static final double QUEUED_PART = 0.5;
-    // A server is worth a send if what it holds, and this request, fit in this part of the time left.
+    // A server is worth a send if what it holds, and this request, fit in this part of the time
+    // left.
     private static final double FIT_PART = 0.75;
-    // And in this part where it is not cut off at its aim, but goes on for late worth at the cost of others.
+    // And in this part where it is not cut off at its aim, but goes on for late worth at the cost
+    // of others.
     private static final double LATE_FIT_PART = 0.5;
-    // After this part of its aim a request settles for a server that it fits at: searching takes time.
+    // After this part of its aim a request settles for a server that it fits at: searching takes
+    // time.
     private static final double SEARCH_PART = 0.1;
     // An odd number with its bits well spread, the golden ratio's, for mixing keys with ids.
     private static final long MIX = 0x9E3779B97F4A7C15L;
-    // Nothing is sent where this multiple of the root of its room waits: the square-root rule of staffing.
+    // Nothing is sent where this multiple of the root of its room waits: the square-root rule of
+    // staffing.
     private static final double MOST_WAITING = 0.6;
     // Less than this part of a service time left to the aim: the request can no longer make it.
     private static final double DOOMED_PART = 0.6;
@@ -85,36 +102,45 @@
     private static final double MUTE_TRIPS = 4;
     // The trip to a zone that no probe has come back from.
     private static final double FIRST_TRIP = 1_000;
-    // Silence is proven when this many answers should have come and none did: e^-5 is under 1 in 100.
+    // Silence is proven when this many answers should have come and none did: e^-5 is under 1 in
+    // 100.
     private static final double SILENT_ANSWERS = 5;
     // One attempt proves no more than this: a costly request also makes a server look silent.
     private static final double SILENT_EACH = 3;
-    // An attempt out for this multiple of what it was expected to take is not waited for: few take so long.
+    // An attempt out for this multiple of what it was expected to take is not waited for: few take
+    // so long.
     private static final double OVERDUE = 6;
-    // But only while more than this part of the attempts goes unanswered: else it is a long request.
+    // But only while more than this part of the attempts goes unanswered: else it is a long
+    // request.
     private static final double LOST_PART = 0.15;
     // Up to this part of the cores busy hardly a request waits for one.
     private static final double SPARE = 0.6;
-    // A reported busy part is a mean over a second: of a fleet that has just woken it tells too little.
+    // A reported busy part is a mean over a second: of a fleet that has just woken it tells too
+    // little.
     private static final long WAKING = 2_000_000;
     // A rate is a mean over some time, and says as much as so many counts at an instant.
     private static final double RATE_SAYS = 4;
-    // Departure "errors": so many in a row bar a server. One that fails at once looks idle and draws sends.
+    // Departure "errors": so many in a row bar a server. One that fails at once looks idle and
+    // draws sends.
     private static final int ERRORS_IN_A_ROW = 2;
     // Where loads are heard a bar for an error begins so far up: a trial costs a request.
     private static final int HEARD_ERROR = 2;
     // Bars double from the first to the last.
     private static final long FIRST_BAR = 100_000;
     private static final int MOST_STRIKES = 6;
-    // Of the requests given up on, the part that comes again: counted higher, refusals breed refusals.
+    // Of the requests given up on, the part that comes again: counted higher, refusals breed
+    // refusals.
     private static final double ASKS_AGAIN = 0.5;
     // The part of the cold budget that is used: the guide is an estimate.
     private static final double COLD_CAUTION = 0.6;
-    // What all nodes together may send a cold server in a span, at the least: with none it is never warm.
+    // What all nodes together may send a cold server in a span, at the least: with none it is never
+    // warm.
     private static final double LEAST_SENDS = 2;
-    // A send to a cold server is counted when it is chosen: it may begin in this part of the span from then.
+    // A send to a cold server is counted when it is chosen: it may begin in this part of the span
+    // from then.
     private static final double COLD_WAIT_PART = 0.25;
-    // Before it has answered, a cold server is hoped to do this multiple of the least it can do by now.
+    // Before it has answered, a cold server is hoped to do this multiple of the least it can do by
+    // now.
     private static final double COLD_HOPE = 1.5;
     private static final long LOOK_EVERY = 25_000;
     private static final long FIRST_ASK_WITHIN = 200_000;
@@ -124,12 +150,14 @@
     private static final double GOLDEN = 0.6180339887498949;
     private static final int SUBSET_TRIES = 4;
     private static final double SECOND = 1e6;
-    // How seldom chance may take a live server for a dead one, and over how many attempts it is judged.
+    // How seldom chance may take a live server for a dead one, and over how many attempts it is
+    // judged.
     private static final double CHANCE = 0.005;
     private static final double UNREACHED_BLEND = 0.02;
     private static final long NEVER = Long.MIN_VALUE / 4;
 
-    // A server in one row of the rotation: its answers, of this window and as a mean, and its turns.
+    // A server in one row of the rotation: its answers, of this window and as a mean, and its
+    // turns.
     private static final class RowFigures {
         double sum;
         int count;
@@ -166,7 +194,8 @@
         ListedServer entry;
         ServerState state;
         final ArrayList<Attempt> out = new ArrayList<>();
-        // Its rows in the rotation, once it was in the subset, and how many windows have ended for them.
+        // Its rows in the rotation, once it was in the subset, and how many windows have ended for
+        // them.
         List<RowFigures> rows = List.of();
         long windows;
         boolean candidate;
@@ -196,7 +225,8 @@
             this.entry = entry;
         }
 
-        // Ends the windows that have ended since it was looked at last: no window's end visits all servers.
+        // Ends the windows that have ended since it was looked at last: no window's end visits all
+        // servers.
         void endWindows(long ended) {
             // Past so many even the largest count is halved to none.
             for (windows = Math.max(windows, ended - Integer.SIZE); windows < ended; windows++) {
@@ -205,13 +235,15 @@
         }
     }
 
-    // A request that this node holds or has sent, with the class and the limits that it was taken with.
+    // A request that this node holds or has sent, with the class and the limits that it was taken
+    // with.
     private static final class Request {
         final String id;
         final long number;
         final RequestClass type;
         final Limits limits;
-        // The end of its worth, and of what is worked for now: the aim or, once that is past, the same.
+        // The end of its worth, and of what is worked for now: the aim or, once that is past, the
+        // same.
         final long arrivedAt;
         final long aimAt;
         final long usefulUntil;
@@ -233,7 +265,13 @@
         // The server that a key is brought to.
         Server home;
 
-        Request(RequestArrived e, long number, Settings taken, long arrivedAt, long aimAt, long usefulUntil) {
+        Request(
+                RequestArrived e,
+                long number,
+                Settings taken,
+                long arrivedAt,
+                long aimAt,
+                long usefulUntil) {
             id = e.id();
             type = taken.classes().get(e.requestClass());
             limits = taken.limits();
@@ -247,9 +285,9 @@
     }
 
     private static final Comparator<Request> BY_END =
-        Comparator.comparingLong((Request q) -> q.end).thenComparingLong(q -> q.number);
+            Comparator.comparingLong((Request q) -> q.end).thenComparingLong(q -> q.number);
     private static final Comparator<Request> BY_WORTH =
-        Comparator.comparingDouble((Request q) -> -q.worth).thenComparing(BY_END);
+            Comparator.comparingDouble((Request q) -> -q.worth).thenComparing(BY_END);
 
     private static final class Attempt {
         final Request request;
@@ -280,7 +318,9 @@
     final Ring<Server> ring = new Ring<>();
     // Of the listed servers those that are barred, the first to come back first.
     private final TreeSet<Server> barred =
-        new TreeSet<>(Comparator.comparingLong((Server s) -> s.barredUntil).thenComparingLong(s -> s.id));
+            new TreeSet<>(
+                    Comparator.comparingLong((Server s) -> s.barredUntil)
+                            .thenComparingLong(s -> s.id));
     private final ArrayList<Server> subset = new ArrayList<>();
     private final ArrayList<Attempt> out = new ArrayList<>();
     private double outTime;
@@ -337,8 +377,10 @@
         outTime += this.out.size() * (double) (at - now);
         now = at;
         sink = out;
-        news = !(event instanceof RequestArrived || event instanceof TimerFired
-            || event instanceof ProbeEnded);
+        news =
+                !(event instanceof RequestArrived
+                        || event instanceof TimerFired
+                        || event instanceof ProbeEnded);
         timerAt = now >= timerAt ? Long.MAX_VALUE : timerAt;
         if (now >= windowEnd) {
             endWindow();
@@ -376,20 +418,24 @@
     @Override
     public Standing standing(long at, long server) {
         Server s = ring.get(server);
-        return s == null || s.state != ServerState.UP ? Standing.DRAINING
-            : at < s.barredUntil ? Standing.BARRED : mute(s) ? Standing.MUTE : Standing.USED;
+        return s == null || s.state != ServerState.UP
+                ? Standing.DRAINING
+                : at < s.barredUntil ? Standing.BARRED : mute(s) ? Standing.MUTE : Standing.USED;
     }
 
     @Override
     public boolean mayBegin(long at, String id, int number) {
         Request q = requests.get(id);
         Attempt a = q == null ? null : attempt(q, number);
-        // What waits together would come to a cold server together, out of the spans it was counted for.
+        // What waits together would come to a cold server together, out of the spans it was counted
+        // for.
         return a != null
-            && (warmth(a.server, at) >= 1 || at - a.sentAt <= COLD_WAIT_PART * settings.rules().fallAfter());
+                && (warmth(a.server, at) >= 1
+                        || at - a.sentAt <= COLD_WAIT_PART * settings.rules().fallAfter());
     }
 
-    // ==== Requests: one final answer each ============================================================
+    // ==== Requests: one final answer each
+    // ============================================================
 
     private void arrive(RequestArrived e) {
         askedEvery = askedAt == NEVER ? 0 : blend(askedEvery, Math.min(now - askedAt, SECOND));
@@ -398,9 +444,16 @@
         boolean again = isRepeat(e, type);
         long began = again ? Math.min(now, e.giveUpAt() - type.deadline()) : now;
         long aimAt = began + type.aim() - CLIENT_TRIP;
-        long usefulUntil = Math.max(now, type.lateWorth() > 0 ? e.giveUpAt() : Math.min(aimAt, e.giveUpAt()));
-        Request q = new Request(e, requestNumber++, settings, now,
-            Math.min(Math.max(now, aimAt), usefulUntil), usefulUntil);
+        long usefulUntil =
+                Math.max(now, type.lateWorth() > 0 ? e.giveUpAt() : Math.min(aimAt, e.giveUpAt()));
+        Request q =
+                new Request(
+                        e,
+                        requestNumber++,
+                        settings,
+                        now,
+                        Math.min(Math.max(now, aimAt), usefulUntil),
+                        usefulUntil);
         q.repeat = again;
         q.home = settings.warmKeys() && e.key() != 0 ? homeOf(e.key()) : null;
         requests.put(q.id, q);
@@ -411,16 +464,23 @@
         }
     }
 
-    // Departure "prompt refusal": by Little's law the requests ahead, at the pace of the sends from a
-    // backlog, take longer than this one can wait. Held all the same, it would wait long to be refused.
+    // Departure "prompt refusal": by Little's law the requests ahead, at the pace of the sends from
+    // a
+    // backlog, take longer than this one can wait. Held all the same, it would wait long to be
+    // refused.
     private boolean hopeless(Request q) {
-        return !sounds && pace > 0 && !held.isEmpty()
-            && held.headSet(q).size() * pace > q.end - needed(q) - now;
-    }
-
-    // Departure "repeats": a client's repeat is judged by the aim of its first try, which began one deadline
-    // before the repeat's end. Taken for a new request, it draws work for an answer that is worth nothing.
-    // Not marked, one has less time left and follows one given up on: by time alone, all the impatient are.
+        return !sounds
+                && pace > 0
+                && !held.isEmpty()
+                && held.headSet(q).size() * pace > q.end - needed(q) - now;
+    }
+
+    // Departure "repeats": a client's repeat is judged by the aim of its first try, which began one
+    // deadline
+    // before the repeat's end. Taken for a new request, it draws work for an answer that is worth
+    // nothing.
+    // Not marked, one has less time left and follows one given up on: by time alone, all the
+    // impatient are.
     private boolean isRepeat(RequestArrived e, RequestClass type) {
         if (settings.repeatsMarked()) {
             return e.clientRepeat();
@@ -489,8 +549,10 @@
         }
     }
 
-    // Departure "passing bodies": what is passed on as it comes is sent once, and until its last byte the
-    // server has nothing to do with it. Counted as work, a few slow clients made all servers look full.
+    // Departure "passing bodies": what is passed on as it comes is sent once, and until its last
+    // byte the
+    // server has nothing to do with it. Counted as work, a few slow clients made all servers look
+    // full.
     private void bodyPasses(String id, int number, boolean passing) {
         Request q = requests.get(id);
         Attempt a = q == null ? null : attempt(q, number);
@@ -523,23 +585,29 @@
         a.server.load = Math.max(0, a.server.load - 1);
     }
 
-    // ==== No effect twice ============================================================================
+    // ==== No effect twice
+    // ============================================================================
 
     private static boolean untouched(Request q) {
         return q.out.isEmpty() && q.firstThatMayHaveRun == null;
     }
 
     private static boolean mayRefuse(Request q) {
-        return q.type.repeat() == Repeat.SAFE || untouched(q)
-            || q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL;
+        return q.type.repeat() == Repeat.SAFE
+                || untouched(q)
+                || q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL;
     }
 
-    // Whether the rules let this server have the request's next attempt; no other attempt of it is out.
+    // Whether the rules let this server have the request's next attempt; no other attempt of it is
+    // out.
     private boolean maySend(Request q, Server s) {
         Attempt first = q.firstThatMayHaveRun;
-        boolean harmless = q.type.repeat() == Repeat.SAFE || untouched(q)
-            || q.type.repeat() == Repeat.KEYED && sameGroup(q.type.group(), first.server, s)
-            && now < first.sentAt + q.type.window();
+        boolean harmless =
+                q.type.repeat() == Repeat.SAFE
+                        || untouched(q)
+                        || q.type.repeat() == Repeat.KEYED
+                                && sameGroup(q.type.group(), first.server, s)
+                                && now < first.sentAt + q.type.window();
         return harmless && !q.once && q.attempts < q.limits.maxAttempts();
     }
 
@@ -551,7 +619,8 @@
         };
     }
 
-    // ==== The rotation: Per-Function Auto Weighted Round-Robin =======================================
+    // ==== The rotation: Per-Function Auto Weighted Round-Robin
+    // =======================================
 
     private int rowOf(Request q) {
         return rows.of(q.type.name());
@@ -565,7 +634,9 @@
     private void sample(Server s, int row, long elapsed) {
         if (s.state != ServerState.GONE) {
             s.endWindows(windowsEnded);
-            IntStream.of(row, rows.shared()).distinct().forEach(each -> s.rows.get(each).sample(elapsed));
+            IntStream.of(row, rows.shared())
+                    .distinct()
+                    .forEach(each -> s.rows.get(each).sample(elapsed));
         }
     }
 
@@ -584,14 +655,17 @@
         chooseSubset();
     }
 
-    // Departure "subset": a node rotates over the servers at its points of a ring with arcs by size, an even
+    // Departure "subset": a node rotates over the servers at its points of a ring with arcs by
+    // size, an even
     // part each. All nodes at all servers filled their tables, learnt nothing and used up the CPU.
     private void chooseSubset() {
         int size = subsetSize();
         subset.clear();
         boolean all = size >= ring.count();
         List<Server> servers = all ? ring.first(size) : List.of();
-        for (int k = 0; subset.size() < size && k < (all ? servers.size() : SUBSET_TRIES * size); k++) {
+        for (int k = 0;
+                subset.size() < size && k < (all ? servers.size() : SUBSET_TRIES * size);
+                k++) {
             double point = ((settings.node() + 0.5) / settings.nodes() + k * GOLDEN) % 1;
             Server s = all ? servers.get(k) : ring.at(point);
             if (s.state == ServerState.UP && (all || now >= s.barredUntil) && !subset.contains(s)) {
@@ -617,7 +691,8 @@
         return (int) Math.max(LEAST_SUBSET, Math.max(paid, wanted));
     }
 
-    // Weights of a row: the floor of a server's part of the inverse means, times the total, at least one.
+    // Weights of a row: the floor of a server's part of the inverse means, times the total, at
+    // least one.
     private void weigh(int row) {
         double known = 0;
         int samples = 0;
@@ -626,7 +701,8 @@
             known += s.rows.get(row).mean;
             samples += s.rows.get(row).mean > 0 ? 1 : 0;
         }
-        // A row of a few answers is chance: until it has some of each server, the shared one is borrowed.
+        // A row of a few answers is chance: until it has some of each server, the shared one is
+        // borrowed.
         rowLive[row] = answers >= ROW_ANSWERS * subset.size();
         double others = samples > 0 ? known / samples : 1;
         double raw = 0;
@@ -639,15 +715,20 @@
         }
     }
 
-    // The next server of the rotation for a request, or null if none has room. The turn is not taken yet.
+    // The next server of the rotation for a request, or null if none has room. The turn is not
+    // taken yet.
     private Server next(Request q) {
         double mean = out.size() / (double) Math.max(1, subset.size());
         double least = Double.MAX_VALUE;
         boolean other = false;
         boolean fitting = false;
         for (Server s : subset) {
-            s.candidate = open(s) && maySend(q, s) && s.out.size() <= SKIP_MULTIPLE * mean + 1 && fits(q, s)
-                && (!sounds || known(s) || maySound(q));
+            s.candidate =
+                    open(s)
+                            && maySend(q, s)
+                            && s.out.size() <= SKIP_MULTIPLE * mean + 1
+                            && fits(q, s)
+                            && (!sounds || known(s) || maySound(q));
             other |= s.candidate && s != q.avoid;
             fitting |= s.candidate && known(s);
         }
@@ -671,15 +752,21 @@
         return best;
     }
 
-    // A cold server goes first when its chance has come: parts of a budget kept by many are soon idle.
+    // A cold server goes first when its chance has come: parts of a budget kept by many are soon
+    // idle.
     private double turn(Server s, int row, Request q) {
         boolean chance = sounds && s.coldDrawnAt != NEVER && warmth(s, now) < 1;
-        // A key's server may go a turn early, no more: the rotation gives each the turns of its weight.
-        return s.rows.get(row).current + s.rows.get(row).weight + (chance || s == q.home ? WEIGHT_TOTAL : 0);
+        // A key's server may go a turn early, no more: the rotation gives each the turns of its
+        // weight.
+        return s.rows.get(row).current
+                + s.rows.get(row).weight
+                + (chance || s == q.home ? WEIGHT_TOTAL : 0);
     }
 
-    // Departure "keys": the server of the subset that a key is brought to, by the largest of their hashes
-    // with it: nodes that share servers agree without a word, and a change of the list moves few keys.
+    // Departure "keys": the server of the subset that a key is brought to, by the largest of their
+    // hashes
+    // with it: nodes that share servers agree without a word, and a change of the list moves few
+    // keys.
     private Server homeOf(long key) {
         return subset.stream().max(Comparator.comparingLong(s -> mixed(key, s.id))).orElse(null);
     }
@@ -700,18 +787,25 @@
         chosen.rows.get(row).current -= total;
     }
 
-    // ==== Room: what a server can take within the aim ================================================
+    // ==== Room: what a server can take within the aim
+    // ================================================
 
     private boolean open(Server s) {
-        return s.state == ServerState.UP && now >= s.barredUntil && !mute(s)
-            && (s.strikes == 0 || s.out.isEmpty())
-            && (sounds || hears || s.pace.allows(now, s.out.size(), service)) && coldBudgetLeft(s);
-    }
-
-    // The fleet's service time by how much slower than the fleet this server is. A mean of its own sees too
-    // few answers to follow when everything becomes slow, and work goes on being sent that will be late.
+        return s.state == ServerState.UP
+                && now >= s.barredUntil
+                && !mute(s)
+                && (s.strikes == 0 || s.out.isEmpty())
+                && (sounds || hears || s.pace.allows(now, s.out.size(), service))
+                && coldBudgetLeft(s);
+    }
+
+    // The fleet's service time by how much slower than the fleet this server is. A mean of its own
+    // sees too
+    // few answers to follow when everything becomes slow, and work goes on being sent that will be
+    // late.
     private double serviceOf(Server s) {
-        // Departure "cold server": its own answers tell its speed. Held to the least that it can do, it stood
+        // Departure "cold server": its own answers tell its speed. Held to the least that it can
+        // do, it stood
         // idle for most of its warm-up while a deploy left the others with too much.
         double warmth = warmth(s, now);
         if (warmth >= 1) {
@@ -723,23 +817,29 @@
 
     // Whether the request can be expected to end at this server while its answer still has worth.
     private boolean fits(Request q, Server s) {
-        // With nothing out nothing would be heard any more, and a fleet once full be taken for full for ever.
-        if (!sounds && !hears || service == 0 || hears && out.isEmpty() && now - sentAt >= service) {
+        // With nothing out nothing would be heard any more, and a fleet once full be taken for full
+        // for ever.
+        if (!sounds && !hears
+                || service == 0
+                || hears && out.isEmpty() && now - sentAt >= service) {
             return true;
         }
         double crowd = crowd(s);
-        // What is late has long to wait: let behind others, it fills the servers that others need in time.
+        // What is late has long to wait: let behind others, it fills the servers that others need
+        // in time.
         double room = room(s);
         if (crowd >= room + (q.end > q.aimAt ? 0 : MOST_WAITING * Math.sqrt(room))) {
             return false;
         }
         boolean runsOn = q.usefulUntil > q.aimAt;
         return turns(s, crowd) * serviceOf(s) <= (runsOn ? LATE_FIT_PART : FIT_PART) * (q.end - now)
-            || crowd < room && warmth(s, now) >= 1
-                && (!runsOn || out.isEmpty() || serviceOf(s) <= q.end - now);
+                || crowd < room
+                        && warmth(s, now) >= 1
+                        && (!runsOn || out.isEmpty() || serviceOf(s) <= q.end - now);
     }
 
-    // How many requests of others one would wait for. What was heard is old, and others send meanwhile: there
+    // How many requests of others one would wait for. What was heard is old, and others send
+    // meanwhile: there
     // it is by how much of its room a server is fuller than the root of it leaves free for chance.
     private double behind(Server s) {
         double room = room(s);
@@ -756,21 +856,28 @@
     }
 
     private double crowd(Server s) {
-        return hears ? Math.max(s.out.size(), believed(s))
-            : sounds && known(s) ? Math.max(s.load, s.out.size()) : s.out.size();
+        return hears
+                ? Math.max(s.out.size(), believed(s))
+                : sounds && known(s) ? Math.max(s.load, s.out.size()) : s.out.size();
     }
 
-    // Departure "hearsay": where probes are too dear, what an answer said of its server is believed less and
-    // less, until the server stands at the mean of all. Meanwhile some of it has left, and the others who
-    // share the server have sent: in part as this node did. Uncounted, they all filled the emptiest at once.
+    // Departure "hearsay": where probes are too dear, what an answer said of its server is believed
+    // less and
+    // less, until the server stands at the mean of all. Meanwhile some of it has left, and the
+    // others who
+    // share the server have sent: in part as this node did. Uncounted, they all filled the emptiest
+    // at once.
     private double believed(Server s) {
         if (s.reportedAt == NEVER) {
             return meanLoad;
         }
         double age = (now - s.reportedAt) / Math.max(1, service);
         double trust = Math.exp(-age * service / (FORGET_SERVICES * Math.max(tripTo(s), service)));
-        double others = !fleet.known() ? 0
-            : OTHERS_ALIKE * s.sentSince * (sharing() - 1) - HAVE_LEFT * s.load * (1 - Math.exp(-age));
+        double others =
+                !fleet.known()
+                        ? 0
+                        : OTHERS_ALIKE * s.sentSince * (sharing() - 1)
+                                - HAVE_LEFT * s.load * (1 - Math.exp(-age));
         return Math.max(0, meanLoad + trust * (s.load + others - meanLoad));
     }
 
@@ -782,7 +889,7 @@
     private boolean known(Server s) {
         long age = now - s.reportedAt;
         return age <= FRESH_PART * Math.max(service, tripTo(s))
-            || s.load >= room(s) && age <= BUSY_PART * s.load / room(s) * service;
+                || s.load >= room(s) && age <= BUSY_PART * s.load / room(s) * service;
     }
 
     private boolean mute(Server s) {
@@ -811,34 +918,44 @@
         }
     }
 
-    // Departure "room": what a server holds for each part of its cores that is busy tells how much it holds.
-    // Taken for one, a server with a free core counts as full, and its cold budget is a part of what it is;
-    // and one whose requests mostly wait on others was full with two of the sixty that it holds with ease.
+    // Departure "room": what a server holds for each part of its cores that is busy tells how much
+    // it holds.
+    // Taken for one, a server with a free core counts as full, and its cold budget is a part of
+    // what it is;
+    // and one whose requests mostly wait on others was full with two of the sixty that it holds
+    // with ease.
     private void learnRoom(Server s, LoadReport r, int own) {
         boolean waiting = r.queued() >= 1;
         boolean rate = hears && r.requestsPerSecond() > 0 && service > 0;
         double busy = waiting && !rate ? 1 : r.utilization();
-        // By Little's law, with the time that a request takes where none waits: what waits is left out.
-        double running = rate ? r.requestsPerSecond() * (spareTime > 0 ? spareTime : service) / SECOND
-            : waiting ? r.inFlight() - r.queued() : r.inFlight() - own;
+        // By Little's law, with the time that a request takes where none waits: what waits is left
+        // out.
+        double running =
+                rate
+                        ? r.requestsPerSecond() * (spareTime > 0 ? spareTime : service) / SECOND
+                        : waiting ? r.inFlight() - r.queued() : r.inFlight() - own;
         if (busy > 0 && running >= 0 && (rate || waiting || busy <= SPARE && now >= wokenAt)) {
             fleet.saw(running, busy, rate ? RATE_SAYS : 1);
             s.room.saw(running, busy, rate ? RATE_SAYS : 1);
         }
     }
 
-    // ==== Sending ====================================================================================
+    // ==== Sending
+    // ====================================================================================
 
     private void serveHeld() {
         for (Request q : new ArrayList<>(held)) {
-            // Nothing told frees a server: what waits for its own sounding need not walk the subset again.
+            // Nothing told frees a server: what waits for its own sounding need not walk the subset
+            // again.
             if (!news && q.sounding != null && q.sounding.probing && !mute(q.sounding)) {
                 continue;
             }
             Server s = next(q);
             if (s == null) {
-                // Departure "head of the line": what follows one that may go anywhere finds no server either.
-                // Each with soundings of its own, the held of many nodes all saw and took the same free core.
+                // Departure "head of the line": what follows one that may go anywhere finds no
+                // server either.
+                // Each with soundings of its own, the held of many nodes all saw and took the same
+                // free core.
                 if (!hears && untouched(q) && (!sounds || maySound(q))) {
                     return;
                 }
@@ -873,8 +990,10 @@
         return now + needed(q) >= q.end;
     }
 
-    // Departure "late worth": what was tried in vain until its aim is tried on for what a late answer is
-    // worth, behind all that can still be in time. Untried, a late start only takes the place of another.
+    // Departure "late worth": what was tried in vain until its aim is tried on for what a late
+    // answer is
+    // worth, behind all that can still be in time. Untried, a late start only takes the place of
+    // another.
     private boolean makeLate(Request q) {
         boolean late = q.end < q.usefulUntil && now + needed(q) < q.usefulUntil;
         if (late) {
@@ -885,14 +1004,17 @@
         return late;
     }
 
-    // The time that must be left. With half of its aim left a request is always worth a try: a class refused
+    // The time that must be left. With half of its aim left a request is always worth a try: a
+    // class refused
     // on arrival yields no samples, and would be refused for ever after one bad spell.
     private double needed(Request q) {
         return Math.min(DOOMED_PART * service, q.type.aim() / 2.0);
     }
 
-    // Departure "soundings": half of a request's probes may follow each other, the rest is spread over its
-    // time. In a large fleet that is busy all over, each held request sounded all of it again and again.
+    // Departure "soundings": half of a request's probes may follow each other, the rest is spread
+    // over its
+    // time. In a large fleet that is busy all over, each held request sounded all of it again and
+    // again.
     private boolean maySound(Request q) {
         return q.probes < mostProbes / 2 || q.probes < mostProbes && now >= q.probeAt;
     }
@@ -900,8 +1022,15 @@
     private void send(Request q, Server s) {
         takeTurn(s, weightsFor(q));
         release(q);
-        Attempt a = new Attempt(q, q.attempts++, s, now,
-            hears ? Math.max(s.out.size(), believed(s)) : Math.max(s.load, s.out.size()));
+        Attempt a =
+                new Attempt(
+                        q,
+                        q.attempts++,
+                        s,
+                        now,
+                        hears
+                                ? Math.max(s.out.size(), believed(s))
+                                : Math.max(s.load, s.out.size()));
         q.out.add(a);
         load(a);
         if (subsetSize() > subset.size() && subset.size() < ring.count()) {
@@ -957,24 +1086,29 @@
         forget(q);
     }
 
-    // A further attempt where the rules allow one and it can still be in time; else the final answer.
+    // A further attempt where the rules allow one and it can still be in time; else the final
+    // answer.
     private void again(Request q, Server failed) {
         q.avoid = failed;
-        // What came to no server was no load: where connections fail, the budget would refuse the rest.
-        if ((!doomed(q) || makeLate(q)) && (!q.met || retries.allows(rowOf(q)))
-            && subset.stream().anyMatch(s -> s.state == ServerState.UP && maySend(q, s))) {
+        // What came to no server was no load: where connections fail, the budget would refuse the
+        // rest.
+        if ((!doomed(q) || makeLate(q))
+                && (!q.met || retries.allows(rowOf(q)))
+                && subset.stream().anyMatch(s -> s.state == ServerState.UP && maySend(q, s))) {
             hold(q);
         } else {
             giveUp(q);
         }
     }
 
-    // ==== Health =====================================================================================
+    // ==== Health
+    // =====================================================================================
 
     private void judge(Server s, Attempt a, AttemptEnded e) {
         switch (e.result()) {
             case SERVED -> {
-                // What its server reports, as the design has it, and the node's own where it tells none.
+                // What its server reports, as the design has it, and the node's own where it tells
+                // none.
                 double reported = e.report().latencyMicros();
                 sample(s, rowOf(a.request), reported > 0 ? (long) reported : e.elapsed());
                 if (e.report().utilization() <= SPARE) {
@@ -994,12 +1128,15 @@
             }
             case TIMED_OUT -> {
                 s.pace.congested(now, s.out.size() + 1, service, sharing());
-                // An answer that is lost for good tells nothing of the fleet's speed: taken whole, a few of
+                // An answer that is lost for good tells nothing of the fleet's speed: taken whole,
+                // a few of
                 // them made every server too slow for any request.
-                double most = service > 0 ? SILENT_EACH * service * turns(s, a.loadBefore) : e.elapsed();
+                double most =
+                        service > 0 ? SILENT_EACH * service * turns(s, a.loadBefore) : e.elapsed();
                 learn(s, a, (long) Math.min(e.elapsed(), most));
                 if (hears && fleet.known()) {
-                    // Departure "unheard": what did not end in this time had so many turns before it, and no
+                    // Departure "unheard": what did not end in this time had so many turns before
+                    // it, and no
                     // answer tells of them. Forgotten, the server stood at the mean and drew sends.
                     s.load = Math.max(s.load, room(s) * e.elapsed() / service);
                     s.reportedAt = now;
@@ -1012,19 +1149,22 @@
                 bar(s, Math.max(s.barredUntil, now + (long) (service / 2)));
                 s.pace.congested(now, s.out.size() + 1, service, sharing());
             }
-            default -> { }
+            default -> {}
         }
     }
 
-    // Departure "unreached": where connections fail at all servers, some of a live one fail in a row.
+    // Departure "unreached": where connections fail at all servers, some of a live one fail in a
+    // row.
     // Each server was taken for dead and back, and so held to a cold one's budget.
     private void lose(Server s) {
         s.lost |= Math.pow(unreached, ++s.misses) < CHANCE;
         strike(s);
     }
 
-    // A process that dies breaks all that is out and takes no more connections: one break proves no death.
-    // Where breaks hit all servers at random, each was barred, and then held to a cold one's budget.
+    // A process that dies breaks all that is out and takes no more connections: one break proves no
+    // death.
+    // Where breaks hit all servers at random, each was barred, and then held to a cold one's
+    // budget.
     private void broken(Server s) {
         if (hears || ++s.errors >= ERRORS_IN_A_ROW) {
             lose(s);
@@ -1032,14 +1172,16 @@
     }
 
     private void failed(Server s) {
-        // A node that meets a server once in a while is told by the first error, or it learns of it too late.
+        // A node that meets a server once in a while is told by the first error, or it learns of it
+        // too late.
         if (++s.errors >= (hears ? 1 : ERRORS_IN_A_ROW) && !manyBarred()) {
             s.strikes = hears ? Math.max(s.strikes, HEARD_ERROR) : s.strikes;
             strike(s);
         }
     }
 
-    // What an attempt took, at the least: left out, those that ran out of time hide that all is slow.
+    // What an attempt took, at the least: left out, those that ran out of time hide that all is
+    // slow.
     private void learn(Server s, Attempt a, long elapsed) {
         double alone = elapsed / turns(s, a.loadBefore);
         service = blend(service, alone);
@@ -1054,7 +1196,8 @@
         s.answeredAt = now;
         s.misses = 0;
         if (s.lost) {
-            // A server that was unreachable and answers again has most likely restarted: it is cold.
+            // A server that was unreachable and answers again has most likely restarted: it is
+            // cold.
             s.lost = false;
             s.coldSince = now;
             s.coldDrawnAt = NEVER;
@@ -1065,7 +1208,8 @@
         if (now < s.barredUntil) {
             return;
         }
-        // A bar shorter than the time between two sends to a server is none. Of what is asked for: by what is
+        // A bar shorter than the time between two sends to a server is none. Of what is asked for:
+        // by what is
         // served bars grew with what they kept from being served, until next to nothing was.
         double turn = hears ? Math.max(FIRST_BAR, askedEvery * subset.size()) : FIRST_BAR;
         long span = (long) Math.min(FIRST_BAR << MOST_STRIKES, turn * (1 << s.strikes));
@@ -1090,8 +1234,10 @@
                 report(s, e.report(), 0);
                 sound(sounds && !freshness.stale());
                 if (Double.isNaN(e.report().inFlight())) {
-                    // Departure "mute reports": with no load told the rotation goes on by the node's own
-                    // sends. Taken for unknown, the servers stood idle while all was held and refused.
+                    // Departure "mute reports": with no load told the rotation goes on by the
+                    // node's own
+                    // sends. Taken for unknown, the servers stood idle while all was held and
+                    // refused.
                     s.load = s.out.size();
                     s.reportedAt = now;
                 }
@@ -1101,12 +1247,13 @@
             case ERROR -> failed(s);
             case RESET -> broken(s);
             case CONNECT_FAILED -> lose(s);
-            case NOT_SENT -> { }
+            case NOT_SENT -> {}
             default -> strike(s);
         }
     }
 
-    // Departure "stale loads": asked for again and again they stay as they are. Then it is the rotation, what
+    // Departure "stale loads": asked for again and again they stay as they are. Then it is the
+    // rotation, what
     // the node itself has out and what servers turn away that count.
     private void sound(boolean may) {
         if (sounds && !may) {
@@ -1116,7 +1263,8 @@
         hears &= settings.reportsLoad() && !sounds;
     }
 
-    // Looks for what time alone brings: requests past their use, and servers that have fallen silent.
+    // Looks for what time alone brings: requests past their use, and servers that have fallen
+    // silent.
     private void look() {
         if (now >= askAt) {
             askAt = Long.MAX_VALUE;
@@ -1147,7 +1295,8 @@
         overdue.forEach(this::moveOn);
     }
 
-    // What half of the fleet shows is no single server's trouble, and the rest could not carry the load.
+    // What half of the fleet shows is no single server's trouble, and the rest could not carry the
+    // load.
     private boolean manyBarred() {
         while (!barred.isEmpty() && barred.first().barredUntil <= now) {
             barred.pollFirst();
@@ -1163,19 +1312,28 @@
         }
     }
 
-    // Departure "silence": what is out at a silent server, or out for far too long, is tried anew where a
-    // repeat is allowed and can still be in time. A quiet node seldom has two attempts at one server.
+    // Departure "silence": what is out at a silent server, or out for far too long, is tried anew
+    // where a
+    // repeat is allowed and can still be in time. A quiet node seldom has two attempts at one
+    // server.
     private void moveOn(Attempt a) {
         Request q = a.request;
-        boolean mayRepeat = q.type.repeat() == Repeat.SAFE
-            || q.type.repeat() == Repeat.KEYED && now < a.sentAt + q.type.window() / 2;
-        if (!q.over && !q.started && !q.once && mayRepeat && q.limits.cancel()
-            && q.attempts < q.limits.maxAttempts() && !doomed(q)) {
+        boolean mayRepeat =
+                q.type.repeat() == Repeat.SAFE
+                        || q.type.repeat() == Repeat.KEYED && now < a.sentAt + q.type.window() / 2;
+        if (!q.over
+                && !q.started
+                && !q.once
+                && mayRepeat
+                && q.limits.cancel()
+                && q.attempts < q.limits.maxAttempts()
+                && !doomed(q)) {
             sink.accept(new Cancel(q.id, a.number));
         }
     }
 
-    // ==== Cold servers ===============================================================================
+    // ==== Cold servers
+    // ===============================================================================
 
     // The least part of its capacity that a server can have at an instant.
     private double warmth(Server s, long at) {
@@ -1193,24 +1351,29 @@
             s.coldSends.clear();
             return true;
         }
-        while (!s.coldSends.isEmpty() && now - s.coldSends.peekFirst() >= settings.rules().fallAfter()) {
+        while (!s.coldSends.isEmpty()
+                && now - s.coldSends.peekFirst() >= settings.rules().fallAfter()) {
             s.coldSends.removeFirst();
         }
         double budget = coldBudget(warmth);
         if (budget >= 1 || !s.coldSends.isEmpty()) {
             return s.coldSends.size() < (int) budget;
         }
-        // One send for each of hundreds of nodes pushed the server over: a part of one is kept as a chance.
+        // One send for each of hundreds of nodes pushed the server over: a part of one is kept as a
+        // chance.
         if (s.coldDrawnAt == NEVER) {
             s.coldDrawnAt = now;
             s.coldDraw = -Math.log(1 - random.nextDouble());
         }
         long waited = now - s.coldDrawnAt;
-        return waited * coldBudget(warmth(s, now - waited / 2)) >= s.coldDraw * settings.rules().fallAfter();
+        return waited * coldBudget(warmth(s, now - waited / 2))
+                >= s.coldDraw * settings.rules().fallAfter();
     }
 
-    // This node's part of what a cold server may be sent before it falls over: of what a server does alone
-    // where loads are known, else of what this node sends to the mean server, which that one carries.
+    // This node's part of what a cold server may be sent before it falls over: of what a server
+    // does alone
+    // where loads are known, else of what this node sends to the mean server, which that one
+    // carries.
     private double coldBudget(double warmth) {
         double nodes = sharing();
         double perServer = sounds && service > 0 ? fleet.size(1) / service / nodes : servedRate;
@@ -1219,15 +1382,21 @@
         return Math.max(part, Math.min(1, LEAST_SENDS / nodes));
     }
 
-    // ==== Settings and the server list ===============================================================
+    // ==== Settings and the server list
+    // ===============================================================
 
-    // Settings come in force at one instant. What is learnt of a class stays with its name; what was taken
+    // Settings come in force at one instant. What is learnt of a class stays with its name; what
+    // was taken
     // before keeps what it was taken with, and if its class is gone it goes on by the shared row.
     private void takeOver(Settings next) {
         settings = next;
         double price = next.prices().probe();
         mostProbes = (int) Math.min(FREE_SUBSET, price > 0 ? PROBE_SPEND / price : FREE_SUBSET);
-        sound(next.limits().probes() && next.reportsLoad() && price * 2 <= PROBE_SPEND && !freshness.stale());
+        sound(
+                next.limits().probes()
+                        && next.reportsLoad()
+                        && price * 2 <= PROBE_SPEND
+                        && !freshness.stale());
         List<String> names = next.classes().stream().map(RequestClass::name).toList();
         longestTry.keySet().retainAll(new LinkedHashSet<>(names));
         rows.rename(names);
@@ -1246,7 +1415,8 @@
             boolean known = s != null;
             if (!known) {
                 s = new Server(e);
-                // By the size as it was first told: a weight that follows the load would move all others.
+                // By the size as it was first told: a weight that follows the load would move all
+                // others.
                 ring.put(s.id, Math.max(0.01, e.nominal()), s);
             }
             if (e.zone() != s.entry.zone()) {
@@ -1281,7 +1451,8 @@
         }
     }
 
-    // ==== Time =======================================================================================
+    // ==== Time
+    // =======================================================================================
 
     private void setTimer() {
         long at = Math.min(windowEnd, askAt);
--- a/src/main/java/ottergauge/limits/RetryBudget.java
+++ b/src/main/java/ottergauge/limits/RetryBudget.java
@@ -6,19 +6,21 @@
 import ottergauge.rows.RowTable;
 
 /**
- * How many further attempts a node makes: a part of its first ones, over all classes and by class. Each first
- * attempt puts a part of a token in, each further one takes a token out; at most so many are kept. Under
- * overload most first attempts fail, and what the budget holds back would sustain it (Google's SRE book,
- * chapter 21; "Metastable failures in the wild", OSDI 2022). One server of many that fails spends less than
- * comes in.
+ * How many further attempts a node makes: a part of its first ones, over all classes and by class.
+ * Each first attempt puts a part of a token in, each further one takes a token out; at most so many
+ * are kept. Under overload most first attempts fail, and what the budget holds back would sustain
+ * it (Google's SRE book, chapter 21; "Metastable failures in the wild", OSDI 2022). One server of
+ * many that fails spends less than comes in.
  */
 public final class RetryBudget {
 
     /** The part of first attempts that may be made again, as published for client libraries. */
     private static final double PART = 0.1;
+
     // A class may have more than its part of what all may: a small one's failures come in clusters.
     private static final double CLASS_PART = 0.2;
-    // Tokens that are kept, and there at the start: what a single failing server costs before it is barred.
+    // Tokens that are kept, and there at the start: what a single failing server costs before it is
+    // barred.
     private static final double MOST = 10;
 
     private double tokens = MOST;
--- a/src/main/java/ottergauge/migration/Migration.java
+++ b/src/main/java/ottergauge/migration/Migration.java
@@ -8,25 +8,39 @@
 import java.util.Set;
 
 /**
- * Translates a node's configuration for one deployment into its counterpart for another. What only an
- * operator knows of the new one stands in a shape: settings that take the place of the old ones.
+ * Translates a node's configuration for one deployment into its counterpart for another. What only
+ * an operator knows of the new one stands in a shape: settings that take the place of the old ones.
  */
 public final class Migration {
 
     /** What the new configuration does not say any more, and why. */
-    public record Leftover(String key, Object old, String reason) { }
+    public record Leftover(String key, Object old, String reason) {}
 
     /** The counterpart, and what of the old configuration is not in it. */
-    public record Result(Map<String, Object> config, List<Leftover> left) { }
+    public record Result(Map<String, Object> config, List<Leftover> left) {}
 
-    private static final List<String> PROCESS = List.of("name", "listen", "discovery", "seed", "limits");
+    private static final List<String> PROCESS =
+            List.of("name", "listen", "discovery", "seed", "limits");
     private static final List<String> NEEDED =
-        List.of("balancers", "zones", "zone", "registryMode", "reporting");
+            List.of("balancers", "zones", "zone", "registryMode", "reporting");
     private static final Set<String> OBJECTS =
-        Set.of("ceilings", "rules", "penalties", "clients", "blend", "specifics");
-    private static final Set<String> PLAIN = Set.of("me", "balancers", "zone", "zones", "kinds",
-        "registryMode", "roundMs", "classes", "reporting", "weights", "worthBy",
-        "family", "stages", "tier");
+            Set.of("ceilings", "rules", "penalties", "clients", "blend", "specifics");
+    private static final Set<String> PLAIN =
+            Set.of(
+                    "me",
+                    "balancers",
+                    "zone",
+                    "zones",
+                    "kinds",
+                    "registryMode",
+                    "roundMs",
+                    "classes",
+                    "reporting",
+                    "weights",
+                    "worthBy",
+                    "family",
+                    "stages",
+                    "tier");
 
     // Nodes no longer tell tenants apart; of a file that names none nothing is lost.
     private static final Set<String> TENANTS = Set.of("parties", "overShareWorth");
@@ -43,7 +57,7 @@
 
     /** Translates {@code config}; what {@code shape} names counts in place of the old settings. */
     public static Result translate(Map<String, Object> config, Map<String, Object> shape)
-        throws MigrationException {
+            throws MigrationException {
         Map<String, Object> old = object(config.get("settings"), "settings");
         for (String key : NEEDED) {
             if (shape.get(key) == null) {
@@ -64,15 +78,20 @@
 
     private Map<String, Object> process(Map<String, Object> config) {
         Map<String, Object> result = new LinkedHashMap<>();
-        config.forEach((key, value) -> {
-            if (PROCESS.contains(key)) {
-                result.put(key, value);
-            } else if ("known".equals(key)) {
-                left.add(new Leftover(key, value, "names the old fleet's servers; the node asks discovery"));
-            } else if (!"settings".equals(key)) {
-                left.add(new Leftover(key, value, "is no key of a node's configuration"));
-            }
-        });
+        config.forEach(
+                (key, value) -> {
+                    if (PROCESS.contains(key)) {
+                        result.put(key, value);
+                    } else if ("known".equals(key)) {
+                        left.add(
+                                new Leftover(
+                                        key,
+                                        value,
+                                        "names the old fleet's servers; the node asks discovery"));
+                    } else if (!"settings".equals(key)) {
+                        left.add(new Leftover(key, value, "is no key of a node's configuration"));
+                    }
+                });
         return result;
     }
 
@@ -80,26 +99,48 @@
         for (String key : old.keySet()) {
             if (TENANTS.contains(key)) {
                 if (old.get("parties") instanceof List<?> tenants && !tenants.isEmpty()) {
-                    left.add(new Leftover("settings." + key, old.get(key), "nodes tell no tenants apart"));
+                    left.add(
+                            new Leftover(
+                                    "settings." + key,
+                                    old.get(key),
+                                    "nodes tell no tenants apart"));
                 }
             } else if (!PLAIN.contains(key) && !OBJECTS.contains(key)) {
-                left.add(new Leftover("settings." + key, old.get(key), "is no setting that a node knows"));
+                left.add(
+                        new Leftover(
+                                "settings." + key,
+                                old.get(key),
+                                "is no setting that a node knows"));
             } else if (!shape.containsKey(key) && !"kinds".equals(key)) {
                 settings.put(key, old.get(key));
             }
         }
         for (String key : shape.keySet()) {
             boolean both = OBJECTS.contains(key) && old.get(key) != null;
-            settings.put(key, !both ? shape.get(key)
-                : merged(object(old.get(key), "settings." + key), object(shape.get(key), key)));
+            settings.put(
+                    key,
+                    !both
+                            ? shape.get(key)
+                            : merged(
+                                    object(old.get(key), "settings." + key),
+                                    object(shape.get(key), key)));
         }
         if (!shape.containsKey("kinds") && old.get("kinds") != null) {
-            left.add(new Leftover("settings.kinds", old.get("kinds"), "names the machines of the old fleet"));
+            left.add(
+                    new Leftover(
+                            "settings.kinds",
+                            old.get("kinds"),
+                            "names the machines of the old fleet"));
         }
-        if (settings.get("me") instanceof Double me && settings.get("balancers") instanceof Double nodes
-            && me >= nodes) {
-            throw new MigrationException("me is " + me.longValue() + " and the shape has only "
-                + nodes.longValue() + " balancers: the shape has to say me");
+        if (settings.get("me") instanceof Double me
+                && settings.get("balancers") instanceof Double nodes
+                && me >= nodes) {
+            throw new MigrationException(
+                    "me is "
+                            + me.longValue()
+                            + " and the shape has only "
+                            + nodes.longValue()
+                            + " balancers: the shape has to say me");
         }
         List<?> zones = list(shape.get("zones"), "zones");
         if (!zones.contains(shape.get("zone"))) {
@@ -108,7 +149,9 @@
         if (old.get("zones") != null) {
             for (Object zone : list(old.get("zones"), "settings.zones")) {
                 if (!zones.contains(zone)) {
-                    left.add(new Leftover("settings.zones", zone, "has no counterpart in the shape"));
+                    left.add(
+                            new Leftover(
+                                    "settings.zones", zone, "has no counterpart in the shape"));
                 }
             }
         }
@@ -136,8 +179,12 @@
             Map<String, Object> change = changes.getOrDefault(e.getKey(), Map.of());
             // Which servers drop repeats together was told in zones that are no more: none is safe.
             if ("zone".equals(type.get("group")) && !sameZones && !change.containsKey("group")) {
-                left.add(new Leftover("settings.classes." + e.getKey() + ".group", "zone",
-                    "the zones are others: never repeated until the shape says the group and windowMs"));
+                left.add(
+                        new Leftover(
+                                "settings.classes." + e.getKey() + ".group",
+                                "zone",
+                                "the zones are others: never repeated until the shape says the"
+                                        + " group and windowMs"));
                 type = merged(type, Map.of("windowMs", 0.0));
             }
             result.add(type);
@@ -145,7 +192,8 @@
         return result;
     }
 
-    private static Map<String, Object> merged(Map<String, Object> before, Map<String, Object> over) {
+    private static Map<String, Object> merged(
+            Map<String, Object> before, Map<String, Object> over) {
         Map<String, Object> result = new LinkedHashMap<>(before);
         result.putAll(over);
         return result;
--- a/src/main/java/ottergauge/program/HollowCommand.java
+++ b/src/main/java/ottergauge/program/HollowCommand.java
@@ -26,18 +26,24 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs many nodes without clients, listeners and servers in one process, for tests of scale. It takes its
- * orders from standard input, a word on each line, and ends when that ends: whoever started it may be killed
- * at any time, and leaves none of it running.
+ * Runs many nodes without clients, listeners and servers in one process, for tests of scale. It
+ * takes its orders from standard input, a word on each line, and ends when that ends: whoever
+ * started it may be killed at any time, and leaves none of it running.
  */
-@Command(name = "hollow", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Run many nodes without clients and servers in one process, for tests of scale.",
-    footerHeading = "%nOrders on standard input, one a line:%n",
-    footer = {"  restart   drop all nodes with their connections and state, start them anew at once",
-        "  servers   have each node tell how its servers stand",
-        "  end       end; as the end of standard input does"},
-    exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {" 0:ended as ordered", " 1:bad configuration", " 2:wrong usage"})
+@Command(
+        name = "hollow",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description =
+                "Run many nodes without clients and servers in one process, for tests of scale.",
+        footerHeading = "%nOrders on standard input, one a line:%n",
+        footer = {
+            "  restart   drop all nodes with their connections and state, start them anew at once",
+            "  servers   have each node tell how its servers stand",
+            "  end       end; as the end of standard input does"
+        },
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {" 0:ended as ordered", " 1:bad configuration", " 2:wrong usage"})
 final class HollowCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(HollowCommand.class);
@@ -46,34 +52,58 @@
     // Neighbouring numbers must not give neighbouring seeds.
     private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
-    @Option(names = "--config", paramLabel = "FILE", required = true,
-        description = "A node's configuration; each node takes it with a name, number and seed of its own.")
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            required = true,
+            description =
+                    "A node's configuration; each node takes it with a name, number and seed of its"
+                            + " own.")
     private Path configFile;
 
-    @Option(names = "--count", paramLabel = "N", required = true, description = "How many nodes to run.")
+    @Option(
+            names = "--count",
+            paramLabel = "N",
+            required = true,
+            description = "How many nodes to run.")
     private int count;
 
-    @Option(names = "--from", paramLabel = "K", defaultValue = "1",
-        description = "The first node's number; ${DEFAULT-VALUE} unless given.")
+    @Option(
+            names = "--from",
+            paramLabel = "K",
+            defaultValue = "1",
+            description = "The first node's number; ${DEFAULT-VALUE} unless given.")
     private int from;
 
-    @Option(names = "--name", paramLabel = "PREFIX", defaultValue = "h",
-        description = "What nodes are called, before their number; ${DEFAULT-VALUE} unless given.")
+    @Option(
+            names = "--name",
+            paramLabel = "PREFIX",
+            defaultValue = "h",
+            description =
+                    "What nodes are called, before their number; ${DEFAULT-VALUE} unless given.")
     private String prefix;
 
-    @Option(names = "--loops", paramLabel = "N", defaultValue = "1",
-        description = "The event loops that they share; ${DEFAULT-VALUE} unless given.")
+    @Option(
+            names = "--loops",
+            paramLabel = "N",
+            defaultValue = "1",
+            description = "The event loops that they share; ${DEFAULT-VALUE} unless given.")
     private int loops;
 
-    @Option(names = "--start-over-ms", paramLabel = "MS", defaultValue = "0",
-        description = "Start the nodes one after the other over so many milliseconds.")
+    @Option(
+            names = "--start-over-ms",
+            paramLabel = "MS",
+            defaultValue = "0",
+            description = "Start the nodes one after the other over so many milliseconds.")
     private long startOver;
 
-    @Option(names = "--out", paramLabel = "FILE",
-        description = "Where the report is written, as JSON lines; standard output unless given.")
+    @Option(
+            names = "--out",
+            paramLabel = "FILE",
+            description =
+                    "Where the report is written, as JSON lines; standard output unless given.")
     private Path outFile;
 
     @Override
@@ -105,14 +135,15 @@
 
     private void check(String option, long value, long least, long most) {
         if (value < least || value > most) {
-            throw new ParameterException(spec.commandLine(), option + ": a whole number from " + least
-                + " to " + most + ", not " + value);
+            throw new ParameterException(
+                    spec.commandLine(),
+                    option + ": a whole number from " + least + " to " + most + ", not " + value);
         }
     }
 
     // The template's own values are left as they are.
-    private NodeConfig config(Map<String, Object> template, int number) throws IOException,
-            ProtocolException {
+    private NodeConfig config(Map<String, Object> template, int number)
+            throws IOException, ProtocolException {
         Map<String, Object> tree = new LinkedHashMap<>(template);
         tree.put("name", prefix + number);
         tree.put("seed", Long.toHexString(number * SEED_STEP));
@@ -126,7 +157,8 @@
     }
 
     private static void obey(HollowFleet fleet) throws IOException {
-        BufferedReader orders = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
+        BufferedReader orders =
+                new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String order = orders.readLine(); order != null; order = orders.readLine()) {
             switch (order.trim()) {
                 case "restart" -> fleet.restart();
--- a/src/main/java/ottergauge/program/HollowReport.java
+++ b/src/main/java/ottergauge/program/HollowReport.java
@@ -20,9 +20,9 @@
 import ottergauge.transport.HollowFleet;
 
 /**
- * Writes what hollow nodes tell of themselves as JSON, a line for each event, and each second a line with
- * what the process uses. It never holds up a node: lines that the writer can't keep up with are lost, and the
- * number of those is told.
+ * Writes what hollow nodes tell of themselves as JSON, a line for each event, and each second a
+ * line with what the process uses. It never holds up a node: lines that the writer can't keep up
+ * with are lost, and the number of those is told.
  */
 final class HollowReport {
 
@@ -125,8 +125,10 @@
     private void writeBounds() throws IOException {
         begin("bounds", HollowFleet.wallMicros());
         out.writeFieldName("late_ms");
-        out.writeArray(HollowFleet.latenessBounds().stream().mapToInt(Integer::intValue).toArray(), 0,
-            HollowFleet.latenessBounds().size());
+        out.writeArray(
+                HollowFleet.latenessBounds().stream().mapToInt(Integer::intValue).toArray(),
+                0,
+                HollowFleet.latenessBounds().size());
         end();
     }
 
@@ -138,8 +140,11 @@
         MemoryUsage heap = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage();
         out.writeNumberField("heap", heap.getUsed());
         out.writeNumberField("heap_committed", heap.getCommitted());
-        out.writeNumberField("gc_ms", ManagementFactory.getGarbageCollectorMXBeans().stream()
-            .mapToLong(GarbageCollectorMXBean::getCollectionTime).sum());
+        out.writeNumberField(
+                "gc_ms",
+                ManagementFactory.getGarbageCollectorMXBeans().stream()
+                        .mapToLong(GarbageCollectorMXBean::getCollectionTime)
+                        .sum());
         out.writeNumberField("lost", lost.get());
         end();
     }
--- a/src/main/java/ottergauge/program/Main.java
+++ b/src/main/java/ottergauge/program/Main.java
@@ -9,22 +9,32 @@
 import picocli.CommandLine.Spec;
 
 /** The command line: one subcommand for each way of running the node. */
-@Command(name = "ottergauge", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "A load balancer node.",
-    subcommands = {ServeCommand.class, MigrateCommand.class, RehearseCommand.class, SimHostCommand.class,
-        HollowCommand.class})
+@Command(
+        name = "ottergauge",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description = "A load balancer node.",
+        subcommands = {
+            ServeCommand.class,
+            MigrateCommand.class,
+            RehearseCommand.class,
+            SimHostCommand.class,
+            HollowCommand.class
+        })
 public final class Main implements Runnable {
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     public static void main(String[] args) throws InterruptedException {
         String config = System.getenv("BALANCER_CONFIG");
-        // Building its model of the command line takes picocli 0.24 s of CPU, with half a core half a second
+        // Building its model of the command line takes picocli 0.24 s of CPU, with half a core half
+        // a second
         // by which a restarted node is missed longer: the usual start has nothing to be parsed.
         boolean usual = config != null && args.length == 1 && "serve".equals(args[0]);
-        System.exit(usual ? new ServeCommand(Path.of(config)).call()
-            : new CommandLine(new Main()).execute(args));
+        System.exit(
+                usual
+                        ? new ServeCommand(Path.of(config)).call()
+                        : new CommandLine(new Main()).execute(args));
     }
 
     @Override
--- a/src/main/java/ottergauge/program/MigrateCommand.java
+++ b/src/main/java/ottergauge/program/MigrateCommand.java
@@ -21,27 +21,39 @@
 import picocli.CommandLine.Spec;
 
 /** Writes the counterpart of a node's configuration for a deployment of another shape. */
-@Command(name = "migrate", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Translate a node's configuration for a deployment of another shape.",
-    exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {" 0:written whole", " 3:written, with things left over",
-        " 2:wrong usage or bad input, nothing written"})
+@Command(
+        name = "migrate",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description = "Translate a node's configuration for a deployment of another shape.",
+        exitCodeListHeading = "%nExit codes:%n",
+        exitCodeList = {
+            " 0:written whole",
+            " 3:written, with things left over",
+            " 2:wrong usage or bad input, nothing written"
+        })
 final class MigrateCommand implements Callable<Integer> {
 
     private static final int LEFT_OVER = 3;
     private static final int BAD = 2;
 
-    @Spec
-    private CommandSpec spec;
+    @Spec private CommandSpec spec;
 
     @Parameters(paramLabel = "OLD", description = "The node's configuration as it is.")
     private Path oldFile;
 
-    @Option(names = "--to", paramLabel = "SHAPE", required = true,
-        description = "The settings of the new deployment that differ, as JSON.")
+    @Option(
+            names = "--to",
+            paramLabel = "SHAPE",
+            required = true,
+            description = "The settings of the new deployment that differ, as JSON.")
     private Path shapeFile;
 
-    @Option(names = "--out", paramLabel = "NEW", required = true, description = "The file to write.")
+    @Option(
+            names = "--out",
+            paramLabel = "NEW",
+            required = true,
+            description = "The file to write.")
     private Path newFile;
 
     @Option(names = "--dry-run", description = "Print what would be left over and write nothing.")
@@ -66,13 +78,17 @@
                 write(written);
             }
         } catch (IOException | MigrationException | ProtocolException e) {
-            spec.commandLine().getErr().println("cannot migrate " + oldFile + ": " + e.getMessage());
+            spec.commandLine()
+                    .getErr()
+                    .println("cannot migrate " + oldFile + ": " + e.getMessage());
             return BAD;
         }
         for (Migration.Leftover each : result.left()) {
             out.printf("left over: %s = %s: %s%n", each.key(), each.old(), each.reason());
         }
-        out.printf("%s %s, %d left over%n", dryRun ? "would write" : "wrote", newFile, result.left().size());
+        out.printf(
+                "%s %s, %d left over%n",
+                dryRun ? "would write" : "wrote", newFile, result.left().size());
         return result.left().isEmpty() ? 0 : LEFT_OVER;
     }
 
@@ -90,7 +106,11 @@
         Path beside = Files.createTempFile(folder, ".migrate", ".json");
         try {
             Files.write(beside, content);
-            Files.move(beside, newFile, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+            Files.move(
+                    beside,
+                    newFile,
+                    StandardCopyOption.REPLACE_EXISTING,
+                    StandardCopyOption.ATOMIC_MOVE);
         } finally {
             Files.deleteIfExists(beside);
         }
--- a/src/main/java/ottergauge/program/RehearseCommand.java
+++ b/src/main/java/ottergauge/program/RehearseCommand.java
@@ -20,33 +20,37 @@
 import picocli.CommandLine.Command;
 
 /**
- * Starts a node on a free loopback port, asks it a few things and ends: the build records the classes that
- * this loads in an archive, so that a node need not load them one by one.
+ * Starts a node on a free loopback port, asks it a few things and ends: the build records the
+ * classes that this loads in an archive, so that a node need not load them one by one.
  */
-@Command(name = "rehearse", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Run a node for a moment, so that the classes it loads can be recorded.")
+@Command(
+        name = "rehearse",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description = "Run a node for a moment, so that the classes it loads can be recorded.")
 final class RehearseCommand implements Callable<Integer> {
 
     private static final int READ_WITHIN_MS = 10_000;
     private static final int ASKED = 5;
-    private static final String CONFIG = """
-        {"name":"rehearsal","listen":"127.0.0.1:%1$d","management":"127.0.0.1:%2$d",
-         "discovery":"127.0.0.1:%1$d","seed":"1",
-         "limits":{"sockets":128},
-         "known":{"seq":1,"whole":true,"hosts":[
-          {"host":"itself","dial":"127.0.0.1:%1$d","health":"in_service"}]},
-         "settings":{"ceilings":{"probes":true,"cancel":true,"maxAttempts":2},
-          "registryMode":"on_request","reporting":{"how":"answers","fields":["outstanding"]},
-          "classes":[{"name":"safe","semantics":"free","hardLimitMs":300},
-           {"name":"unsafe","semantics":"single_shot","hardLimitMs":300}]}}
-        """;
+    private static final String CONFIG =
+            """
+            {"name":"rehearsal","listen":"127.0.0.1:%1$d","management":"127.0.0.1:%2$d",
+             "discovery":"127.0.0.1:%1$d","seed":"1",
+             "limits":{"sockets":128},
+             "known":{"seq":1,"whole":true,"hosts":[
+              {"host":"itself","dial":"127.0.0.1:%1$d","health":"in_service"}]},
+             "settings":{"ceilings":{"probes":true,"cancel":true,"maxAttempts":2},
+              "registryMode":"on_request","reporting":{"how":"answers","fields":["outstanding"]},
+              "classes":[{"name":"safe","semantics":"free","hardLimitMs":300},
+               {"name":"unsafe","semantics":"single_shot","hardLimitMs":300}]}}
+            """;
 
     @Override
     public Integer call() throws IOException, ProtocolException {
         int port;
         int door;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-             ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+                ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
             door = other.getLocalPort();
         }
@@ -60,28 +64,53 @@
         }
     }
 
-    private Integer rehearse(int port, int door, Path folder) throws IOException, ProtocolException {
-        NodeConfig config = NodeConfig.read(CONFIG.formatted(port, door).getBytes(StandardCharsets.UTF_8));
+    private Integer rehearse(int port, int door, Path folder)
+            throws IOException, ProtocolException {
+        NodeConfig config =
+                NodeConfig.read(CONFIG.formatted(port, door).getBytes(StandardCharsets.UTF_8));
         Rehearsal.run(config);
         NodeServer node = new NodeServer(config, folder);
         try {
-            node.start().toCompletionStage().toCompletableFuture().orTimeout(READ_WITHIN_MS,
-                TimeUnit.MILLISECONDS).join();
-            // Its own server and discovery, it goes through all that a node does on sockets, and refuses.
+            node.start()
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .orTimeout(READ_WITHIN_MS, TimeUnit.MILLISECONDS)
+                    .join();
+            // Its own server and discovery, it goes through all that a node does on sockets, and
+            // refuses.
             for (int i = 0; i < ASKED; i++) {
                 ask(port, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-                ask(port, "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + i + "\r\nX-Qos: safe\r\n\r\n");
-                ask(port, "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + i + "\r\nX-Qos: unsafe\r\n"
-                    + "Content-Length: 1\r\nConnection: close\r\n\r\nx");
+                ask(
+                        port,
+                        "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: "
+                                + i
+                                + "\r\nX-Qos: safe\r\n\r\n");
+                ask(
+                        port,
+                        "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: "
+                                + i
+                                + "\r\nX-Qos: unsafe\r\n"
+                                + "Content-Length: 1\r\nConnection: close\r\n\r\nx");
                 ask(port, "no request\r\n\r\n");
                 ask(door, "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n");
-                ask(door, "POST /servers/itself/maint HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
-                ask(door, "POST /servers/itself/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
+                ask(
+                        door,
+                        "POST /servers/itself/maint HTTP/1.1\r\n"
+                                + "Host: x\r\n"
+                                + "Content-Length: 0\r\n\r\n");
+                ask(
+                        door,
+                        "POST /servers/itself/ready HTTP/1.1\r\n"
+                                + "Host: x\r\n"
+                                + "Content-Length: 0\r\n\r\n");
                 ask(door, "no call\r\n\r\n");
             }
             node.reconfigure(config);
-            node.stop().toCompletionStage().toCompletableFuture().orTimeout(READ_WITHIN_MS,
-                TimeUnit.MILLISECONDS).join();
+            node.stop()
+                    .toCompletionStage()
+                    .toCompletableFuture()
+                    .orTimeout(READ_WITHIN_MS, TimeUnit.MILLISECONDS)
+                    .join();
             return 0;
         } catch (CompletionException e) {
             throw new IOException("the rehearsal failed", e.getCause());
--- a/src/main/java/ottergauge/program/ServeCommand.java
+++ b/src/main/java/ottergauge/program/ServeCommand.java
@@ -20,22 +20,30 @@
 import sun.misc.SignalHandler;
 
 /** Runs one node until it is told to stop; SIGHUP has it read its configuration again. */
-@Command(name = "serve", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Run one node on sockets, until SIGTERM; SIGHUP reads the configuration again.")
+@Command(
+        name = "serve",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description =
+                "Run one node on sockets, until SIGTERM; SIGHUP reads the configuration again.")
 final class ServeCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
 
-    @Option(names = "--config", paramLabel = "FILE", required = true, defaultValue = "${env:BALANCER_CONFIG}",
-        description = "The node's configuration, as JSON; $BALANCER_CONFIG unless given.")
+    @Option(
+            names = "--config",
+            paramLabel = "FILE",
+            required = true,
+            defaultValue = "${env:BALANCER_CONFIG}",
+            description = "The node's configuration, as JSON; $BALANCER_CONFIG unless given.")
     private Path configFile;
 
     private NodeServer running;
+
     /** Whether a new configuration was announced before the node ran. */
     private boolean reloads;
 
-    ServeCommand() {
-    }
+    ServeCommand() {}
 
     ServeCommand(Path configFile) {
         this.configFile = configFile;
@@ -56,22 +64,27 @@
         CountDownLatch failed = new CountDownLatch(1);
         // Before it listens: what it takes is answered, whenever it is told to stop.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, failed), "stop"));
-        node.start().onFailure(e -> {
-            LOG.error("cannot listen on {}: {}", config.listen(), e.getMessage());
-            failed.countDown();
-        });
+        node.start()
+                .onFailure(
+                        e -> {
+                            LOG.error("cannot listen on {}: {}", config.listen(), e.getMessage());
+                            failed.countDown();
+                        });
         started(node);
         failed.await();
         return 1;
     }
 
-    // Unhandled, the signal would end the virtual machine; a node may be given a new configuration while it
-    // is still starting. One that was ignored when the program was started stays so in the virtual machine.
+    // Unhandled, the signal would end the virtual machine; a node may be given a new configuration
+    // while it
+    // is still starting. One that was ignored when the program was started stays so in the virtual
+    // machine.
     private void handleHangUp() {
         SignalHandler before = Signal.handle(new Signal("HUP"), hangUp -> reload());
         if (before == SignalHandler.SIG_IGN) {
-            LOG.warn("SIGHUP is ignored, as nohup hands it down: this node takes over no new configuration "
-                + "until it is started again, without nohup");
+            LOG.warn(
+                    "SIGHUP is ignored, as nohup hands it down: this node takes over no new"
+                            + " configuration until it is started again, without nohup");
         }
     }
 
@@ -86,14 +99,19 @@
 
     private NodeConfig read() throws IOException, ProtocolException {
         return NodeConfig.read(Files.readAllBytes(configFile))
-            .managedAt(System.getenv("BALANCER_MANAGEMENT"));
+                .managedAt(System.getenv("BALANCER_MANAGEMENT"));
     }
 
     // Kept from one process of a node to the next, and apart from those of other nodes beside it.
     private static Path shared(NodeConfig config) {
         String folder = System.getenv("TMPDIR");
-        return folder == null || folder.isEmpty() ? null : Path.of(folder,
-            "ottergauge-" + UUID.nameUUIDFromBytes(config.name().getBytes(StandardCharsets.UTF_8)));
+        return folder == null || folder.isEmpty()
+                ? null
+                : Path.of(
+                        folder,
+                        "ottergauge-"
+                                + UUID.nameUUIDFromBytes(
+                                        config.name().getBytes(StandardCharsets.UTF_8)));
     }
 
     private synchronized void started(NodeServer node) {
@@ -112,7 +130,10 @@
         try {
             running.reconfigure(read());
         } catch (IOException | ProtocolException | RuntimeException e) {
-            LOG.error("bad configuration {}, the one before stays in force: {}", configFile, e.toString());
+            LOG.error(
+                    "bad configuration {}, the one before stays in force: {}",
+                    configFile,
+                    e.toString());
         }
     }
 
--- a/src/main/java/ottergauge/program/SimHostCommand.java
+++ b/src/main/java/ottergauge/program/SimHostCommand.java
@@ -9,9 +9,15 @@
 import ottergauge.simhost.WireException;
 import picocli.CommandLine.Command;
 
-/** Hosts decision modules on the simulator's wire: batches on standard input, replies on standard output. */
-@Command(name = "simhost", mixinStandardHelpOptions = true, versionProvider = Main.Version.class,
-    description = "Host decision modules on the simulator's wire (standard input and output).")
+/**
+ * Hosts decision modules on the simulator's wire: batches on standard input, replies on standard
+ * output.
+ */
+@Command(
+        name = "simhost",
+        mixinStandardHelpOptions = true,
+        versionProvider = Main.Version.class,
+        description = "Host decision modules on the simulator's wire (standard input and output).")
 final class SimHostCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(SimHostCommand.class);
--- a/src/main/java/ottergauge/protocol/ControlConfig.java
+++ b/src/main/java/ottergauge/protocol/ControlConfig.java
@@ -13,20 +13,29 @@
 import ottergauge.settings.SettingsFault;
 
 /**
- * The {@code control} section of a node's configuration: which control processes it follows, for what, and
- * within which bounds. {@code within} is microseconds; no services means all; {@code folder} is where the
- * last state is kept, if anywhere.
+ * The {@code control} section of a node's configuration: which control processes it follows, for
+ * what, and within which bounds. {@code within} is microseconds; no services means all; {@code
+ * folder} is where the last state is kept, if anywhere.
  */
-public record ControlConfig(List<Endpoint> endpoints, String region, Set<String> services, String settings,
-                            long within, long bytesPerSecond, Optional<String> folder, int mostResources,
-                            long mostBytes) {
+public record ControlConfig(
+        List<Endpoint> endpoints,
+        String region,
+        Set<String> services,
+        String settings,
+        long within,
+        long bytesPerSecond,
+        Optional<String> folder,
+        int mostResources,
+        long mostBytes) {
 
     /** Where a control process is reached, and the region that it runs in. */
-    public record Endpoint(Address address, String region) { }
+    public record Endpoint(Address address, String region) {}
 
     private static final int MOST_ENDPOINTS = 16;
+
     /** Of all services' names together: they go into the head of each call. */
     private static final int MOST_SERVICES_CHARACTERS = 2_000;
+
     private static final long LEAST_WITHIN_MS = 500;
     private static final long MOST_WITHIN_MS = 60_000;
     private static final long DEFAULT_WITHIN_MS = 4_000;
@@ -47,27 +56,48 @@
         if (!(section instanceof Map<?, ?> fields)) {
             throw fault("control", section, "an object");
         }
-        return new ControlConfig(endpoints(fields), text(fields, "region", ""), services(fields),
-            text(fields, "settings", "default"),
-            MICROS_A_MS * whole(fields, "within_ms", LEAST_WITHIN_MS, MOST_WITHIN_MS, DEFAULT_WITHIN_MS),
-            whole(fields, "bytes_per_second", LEAST_BYTES_PER_SECOND, MOST_BYTES_PER_SECOND,
-                DEFAULT_BYTES_PER_SECOND),
-            folder(fields), (int) whole(fields, "most_resources", 1, MOST_RESOURCES, DEFAULT_RESOURCES),
-            BYTES_A_MB * whole(fields, "most_mb", 1, MOST_STATE_MB, DEFAULT_STATE_MB));
+        return new ControlConfig(
+                endpoints(fields),
+                text(fields, "region", ""),
+                services(fields),
+                text(fields, "settings", "default"),
+                MICROS_A_MS
+                        * whole(
+                                fields,
+                                "within_ms",
+                                LEAST_WITHIN_MS,
+                                MOST_WITHIN_MS,
+                                DEFAULT_WITHIN_MS),
+                whole(
+                        fields,
+                        "bytes_per_second",
+                        LEAST_BYTES_PER_SECOND,
+                        MOST_BYTES_PER_SECOND,
+                        DEFAULT_BYTES_PER_SECOND),
+                folder(fields),
+                (int) whole(fields, "most_resources", 1, MOST_RESOURCES, DEFAULT_RESOURCES),
+                BYTES_A_MB * whole(fields, "most_mb", 1, MOST_STATE_MB, DEFAULT_STATE_MB));
     }
 
     private static List<Endpoint> endpoints(Map<?, ?> fields) throws ProtocolException {
         Object addresses = fields.get("addresses");
-        if (!(addresses instanceof List<?> list) || list.isEmpty() || list.size() > MOST_ENDPOINTS) {
-            throw fault("control.addresses", addresses, "a list of 1 to " + MOST_ENDPOINTS + " objects");
+        if (!(addresses instanceof List<?> list)
+                || list.isEmpty()
+                || list.size() > MOST_ENDPOINTS) {
+            throw fault(
+                    "control.addresses",
+                    addresses,
+                    "a list of 1 to " + MOST_ENDPOINTS + " objects");
         }
         List<Endpoint> endpoints = new ArrayList<>();
         Set<Address> seen = new HashSet<>();
         for (int i = 0; i < list.size(); i++) {
             Endpoint endpoint = endpoint("addresses[" + i + "]", list.get(i));
             if (!seen.add(endpoint.address())) {
-                throw fault("control.addresses[" + i + "].address", endpoint.address(),
-                    "an address that is not there twice");
+                throw fault(
+                        "control.addresses[" + i + "].address",
+                        endpoint.address(),
+                        "an address that is not there twice");
             }
             endpoints.add(endpoint);
         }
@@ -78,8 +108,9 @@
         if (!(entry instanceof Map<?, ?> fields)) {
             throw fault("control." + key, entry, "an object");
         }
-        return new Endpoint(address(key + ".address", fields.get("address")),
-            text(fields, key + ".region", "region", ""));
+        return new Endpoint(
+                address(key + ".address", fields.get("address")),
+                text(fields, key + ".region", "region", ""));
     }
 
     private static Address address(String key, Object value) throws ProtocolException {
@@ -105,8 +136,12 @@
             characters += String.valueOf(list.get(i)).length() + 1;
         }
         if (characters > MOST_SERVICES_CHARACTERS) {
-            throw fault("control.services", characters + " characters",
-                "up to " + MOST_SERVICES_CHARACTERS + " characters of names, or none for all services");
+            throw fault(
+                    "control.services",
+                    characters + " characters",
+                    "up to "
+                            + MOST_SERVICES_CHARACTERS
+                            + " characters of names, or none for all services");
         }
         return Collections.unmodifiableSet(names);
     }
@@ -122,12 +157,13 @@
         return Optional.of(text);
     }
 
-    private static String text(Map<?, ?> fields, String key, String absent) throws ProtocolException {
+    private static String text(Map<?, ?> fields, String key, String absent)
+            throws ProtocolException {
         return text(fields, key, key, absent);
     }
 
     private static String text(Map<?, ?> fields, String path, String key, String absent)
-        throws ProtocolException {
+            throws ProtocolException {
         return fields.get(key) == null ? absent : name("control." + path, fields.get(key));
     }
 
@@ -139,19 +175,22 @@
     }
 
     private static long whole(Map<?, ?> fields, String key, long least, long most, long absent)
-        throws ProtocolException {
+            throws ProtocolException {
         Object value = fields.get(key);
         if (value == null) {
             return absent;
         }
-        if (!(value instanceof Double number) || number != Math.rint(number) || number < least
-            || number > most) {
+        if (!(value instanceof Double number)
+                || number != Math.rint(number)
+                || number < least
+                || number > most) {
             throw fault("control." + key, value, "a whole number from " + least + " to " + most);
         }
         return number.longValue();
     }
 
     private static ProtocolException fault(String key, Object value, String allowed) {
-        return new ProtocolException(new SettingsFault(key, String.valueOf(value), allowed).toString());
+        return new ProtocolException(
+                new SettingsFault(key, String.valueOf(value), allowed).toString());
     }
 }
--- a/src/main/java/ottergauge/protocol/Headers.java
+++ b/src/main/java/ottergauge/protocol/Headers.java
@@ -20,9 +20,9 @@
 
     /** The largest body either way that is kept whole; past it a body flows. */
     public static final int MOST_BODY = 64 * 1024;
+
     /** The largest body either way: 32 MB have to pass, and some more do no harm. */
     public static final long MOST_FLOW = 40L << 20;
 
-    private Headers() {
-    }
+    private Headers() {}
 }
--- a/src/main/java/ottergauge/protocol/HostCodec.java
+++ b/src/main/java/ottergauge/protocol/HostCodec.java
@@ -18,17 +18,22 @@
     private static final String TERMINATING = "terminating";
     private static final String TERMINATED = "terminated";
 
-    private HostCodec() {
-    }
+    private HostCodec() {}
 
     /** Reads the fields of the server of this name; a field that is absent takes its default. */
     public static Host read(String name, Map<?, ?> fields) throws ProtocolException {
         String health = text(fields, "health");
-        ServerState state = state(health)
-            .orElseThrow(() -> new ProtocolException("unknown health " + health));
-        return new Host(name, Address.parse(text(fields, "dial")), text(fields, "site"),
-            text(fields, "class"), (int) number(fields, "block", 0), state, number(fields, "share", 1),
-            (long) number(fields, "born_ms", 0));
+        ServerState state =
+                state(health).orElseThrow(() -> new ProtocolException("unknown health " + health));
+        return new Host(
+                name,
+                Address.parse(text(fields, "dial")),
+                text(fields, "site"),
+                text(fields, "class"),
+                (int) number(fields, "block", 0),
+                state,
+                number(fields, "share", 1),
+                (long) number(fields, "born_ms", 0));
     }
 
     /** Writes the fields, without the name, into the object that is open. */
--- a/src/main/java/ottergauge/protocol/HostList.java
+++ b/src/main/java/ottergauge/protocol/HostList.java
@@ -13,8 +13,15 @@
 public record HostList(long seq, boolean whole, List<Host> hosts) {
 
     /** One server: {@code name} is its identity, {@code dial} where this node reaches it. */
-    public record Host(String name, Address dial, String site, String kind, int block, ServerState state,
-                       double share, long bornMs) { }
+    public record Host(
+            String name,
+            Address dial,
+            String site,
+            String kind,
+            int block,
+            ServerState state,
+            double share,
+            long bornMs) {}
 
     public static final HostList EMPTY = new HostList(0, true, List.of());
 
--- a/src/main/java/ottergauge/protocol/HostListReader.java
+++ b/src/main/java/ottergauge/protocol/HostListReader.java
@@ -11,7 +11,10 @@
 import ottergauge.protocol.HostList.Host;
 import ottergauge.settings.JsonTree;
 
-/** Reads a list of servers entry by entry: no more of it is in memory than its bytes and its servers. */
+/**
+ * Reads a list of servers entry by entry: no more of it is in memory than its bytes and its
+ * servers.
+ */
 final class HostListReader {
 
     // The largest whole number that a JSON number tells exactly.
@@ -22,8 +25,7 @@
     private boolean whole;
     private List<Host> hosts;
 
-    private HostListReader() {
-    }
+    private HostListReader() {}
 
     /** Reads a message that is one list and nothing behind it. */
     static HostList read(byte[] body) throws ProtocolException {
@@ -57,7 +59,7 @@
             case "seq" -> seq = in.currentToken().isNumeric() ? in.getDoubleValue() : null;
             case "whole" -> whole = in.currentToken() == JsonToken.VALUE_TRUE;
             case "hosts" -> hosts = in.currentToken() == JsonToken.START_ARRAY ? entries(in) : null;
-            default -> { }
+            default -> {}
         }
         in.skipChildren();
     }
@@ -86,7 +88,8 @@
             throw new ProtocolException("a list needs seq and hosts");
         }
         if (!(seq >= 0 && seq <= MOST_SEQ)) {
-            throw new ProtocolException("seq is a whole number from 0 to " + MOST_SEQ + ", not " + seq);
+            throw new ProtocolException(
+                    "seq is a whole number from 0 to " + MOST_SEQ + ", not " + seq);
         }
         return new HostList(seq.longValue(), whole, hosts);
     }
--- a/src/main/java/ottergauge/protocol/LoadReports.java
+++ b/src/main/java/ottergauge/protocol/LoadReports.java
@@ -4,21 +4,21 @@
 import ottergauge.DecisionApi.LoadReport;
 
 /**
- * Reads load reports in text form: {@code TEXT inflight=7, queue=2, util=0.61}. Servers name the fields as
- * the settings do or as the protocol's page does; both are read.
+ * Reads load reports in text form: {@code TEXT inflight=7, queue=2, util=0.61}. Servers name the
+ * fields as the settings do or as the protocol's page does; both are read.
  */
 public final class LoadReports {
 
-    // No figure of a server is as large: believed, it would keep the server from being sent to for hours.
+    // No figure of a server is as large: believed, it would keep the server from being sent to for
+    // hours.
     private static final double MOST = 1e6;
     private static final String FORM = "TEXT";
 
-    private LoadReports() {
-    }
+    private LoadReports() {}
 
     /**
-     * Reads a report; what it lacks is NaN, names not known are skipped. One with a figure that cannot be
-     * read is none: the rest of it is no more to be trusted.
+     * Reads a report; what it lacks is NaN, names not known are skipped. One with a figure that
+     * cannot be read is none: the rest of it is no more to be trusted.
      */
     public static LoadReport read(String text) {
         if (text == null || !text.startsWith(FORM)) {
@@ -41,7 +41,7 @@
                 case "utilization", "util" -> utilization = value;
                 case "recent_ms", "latency_ms" -> latencyMs = value;
                 case "throughput", "qps" -> served = value;
-                default -> { }
+                default -> {}
             }
         }
         return new LoadReport(inFlight, queued, utilization, latencyMs * 1000, served);
--- a/src/main/java/ottergauge/protocol/NodeConfig.java
+++ b/src/main/java/ottergauge/protocol/NodeConfig.java
@@ -15,16 +15,29 @@
 
 /**
  * What a node is told at its start. Spans are microseconds; {@code sockets} bounds its descriptors;
- * {@code management} is the operators' address, null without one; without {@code control} the list of servers
- * comes from discovery and the settings from here.
+ * {@code management} is the operators' address, null without one; without {@code control} the list
+ * of servers comes from discovery and the settings from here.
  */
-public record NodeConfig(String name, Address listen, Address discovery, long seed, int sockets,
-                         HostList known, Settings settings, List<String> zones, List<String> kinds,
-                         long connectTimeout, long connectionIdle, long askWithin, Address management,
-                         int memoryMb, Optional<ControlConfig> control) {
+public record NodeConfig(
+        String name,
+        Address listen,
+        Address discovery,
+        long seed,
+        int sockets,
+        HostList known,
+        Settings settings,
+        List<String> zones,
+        List<String> kinds,
+        long connectTimeout,
+        long connectionIdle,
+        long askWithin,
+        Address management,
+        int memoryMb,
+        Optional<ControlConfig> control) {
 
     private static final int HEXADECIMAL = 16;
-    // A list may have a sixteenth of the memory while it is read: its servers take some three times as much.
+    // A list may have a sixteenth of the memory while it is read: its servers take some three times
+    // as much.
     private static final int LIST_PART = 16;
     private static final int BYTES_A_MB = 1 << 20;
     // The list as the node had it last: as large as the fleet, it is read entry by entry.
@@ -58,21 +71,33 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static NodeConfig of(Map<String, Object> tree, HostList known) throws ProtocolException {
+    private static NodeConfig of(Map<String, Object> tree, HostList known)
+            throws ProtocolException {
         if (!(tree.get("settings") instanceof Map<?, ?> map)) {
             throw new ProtocolException("the configuration has no settings");
         }
         NodeSettings settings = NodeSettings.of((Map<String, Object>) map);
         SettingsReader root = new SettingsReader(tree);
-        return new NodeConfig(root.text("name", "node"), Address.parse(root.text("listen", null)),
-            Address.parse(root.text("discovery", null)), seed(root.text("seed", "0")),
-            (int) root.child("limits").number("sockets", 1024), known, settings.decisions(),
-            settings.zones(), settings.kinds(), settings.connectTimeout(), settings.connectionIdle(),
-            settings.askWithin(),
-            tree.get("management") == null ? null : Address.parse(root.text("management", null)),
-            (int) root.child("limits").number("memory_mb", 128),
-            tree.get("control") == null ? Optional.empty()
-                : Optional.of(ControlConfig.of(tree.get("control"))));
+        return new NodeConfig(
+                root.text("name", "node"),
+                Address.parse(root.text("listen", null)),
+                Address.parse(root.text("discovery", null)),
+                seed(root.text("seed", "0")),
+                (int) root.child("limits").number("sockets", 1024),
+                known,
+                settings.decisions(),
+                settings.zones(),
+                settings.kinds(),
+                settings.connectTimeout(),
+                settings.connectionIdle(),
+                settings.askWithin(),
+                tree.get("management") == null
+                        ? null
+                        : Address.parse(root.text("management", null)),
+                (int) root.child("limits").number("memory_mb", 128),
+                tree.get("control") == null
+                        ? Optional.empty()
+                        : Optional.of(ControlConfig.of(tree.get("control"))));
     }
 
     /** What of it may be replaced while the node runs. */
@@ -80,22 +105,54 @@
         return new NodeSettings(settings, zones, kinds, connectTimeout, connectionIdle, askWithin);
     }
 
-    /** The largest list of servers, in bytes, that the node reads: it follows from the memory limit. */
+    /**
+     * The largest list of servers, in bytes, that the node reads: it follows from the memory limit.
+     */
     public int mostListBytes() {
-        return (int) Math.min(Integer.MAX_VALUE / 2, Math.max(1L, memoryMb / LIST_PART) * BYTES_A_MB);
+        return (int)
+                Math.min(Integer.MAX_VALUE / 2, Math.max(1L, memoryMb / LIST_PART) * BYTES_A_MB);
     }
 
     /** The same with an operators' address, if it has none yet and there is one. */
     public NodeConfig managedAt(String address) throws ProtocolException {
-        return management != null || address == null || address.isEmpty() ? this
-            : new NodeConfig(name, listen, discovery, seed, sockets, known, settings, zones, kinds,
-                connectTimeout, connectionIdle, askWithin, Address.parse(address), memoryMb, control);
+        return management != null || address == null || address.isEmpty()
+                ? this
+                : new NodeConfig(
+                        name,
+                        listen,
+                        discovery,
+                        seed,
+                        sockets,
+                        known,
+                        settings,
+                        zones,
+                        kinds,
+                        connectTimeout,
+                        connectionIdle,
+                        askWithin,
+                        Address.parse(address),
+                        memoryMb,
+                        control);
     }
 
     /** The same with a list that is newer. */
     public NodeConfig knowing(HostList list) {
-        return new NodeConfig(name, listen, discovery, seed, sockets, list, settings, zones, kinds,
-            connectTimeout, connectionIdle, askWithin, management, memoryMb, control);
+        return new NodeConfig(
+                name,
+                listen,
+                discovery,
+                seed,
+                sockets,
+                list,
+                settings,
+                zones,
+                kinds,
+                connectTimeout,
+                connectionIdle,
+                askWithin,
+                management,
+                memoryMb,
+                control);
     }
 
     private static long seed(String hex) throws ProtocolException {
--- a/src/main/java/ottergauge/protocol/NodeSettings.java
+++ b/src/main/java/ottergauge/protocol/NodeSettings.java
@@ -11,11 +11,17 @@
 import ottergauge.settings.SettingsReader;
 
 /**
- * A deployment's settings as a node goes by them: those of its decisions, and those of its connections and
- * its list. All of them may be replaced while the node runs. Spans are microseconds.
+ * A deployment's settings as a node goes by them: those of its decisions, and those of its
+ * connections and its list. All of them may be replaced while the node runs. Spans are
+ * microseconds.
  */
-public record NodeSettings(Settings decisions, List<String> zones, List<String> kinds, long connectTimeout,
-                           long connectionIdle, long askWithin) {
+public record NodeSettings(
+        Settings decisions,
+        List<String> zones,
+        List<String> kinds,
+        long connectTimeout,
+        long connectionIdle,
+        long askWithin) {
 
     /** The most classes that settings may name. */
     public static final int MOST_CLASSES = 1_024;
@@ -23,7 +29,8 @@
     /** Reads a settings object; what is wrong with it is said in one line. */
     public static NodeSettings of(Map<String, Object> tree) throws ProtocolException {
         Map<String, Object> settings = new LinkedHashMap<>(tree);
-        // Discovery over sockets only answers: a node that waited to be told would never learn of a server.
+        // Discovery over sockets only answers: a node that waited to be told would never learn of a
+        // server.
         settings.put("registryMode", "on_request");
         String fault = SettingsReader.fault(settings);
         if (fault != null) {
@@ -32,10 +39,13 @@
         Settings decisions = SettingsReader.settings(settings);
         checkClasses(decisions.classes());
         SettingsReader ceilings = new SettingsReader(settings).child("ceilings");
-        return new NodeSettings(decisions, SettingsReader.names(settings, "zones"),
-            SettingsReader.names(settings, "kinds"), ceilings.micros("connectTimeoutMs", 1000),
-            ceilings.micros("connIdleMs", 15_000),
-            new SettingsReader(settings).child("rules").micros("mustAskInMs", 10_000));
+        return new NodeSettings(
+                decisions,
+                SettingsReader.names(settings, "zones"),
+                SettingsReader.names(settings, "kinds"),
+                ceilings.micros("connectTimeoutMs", 1000),
+                ceilings.micros("connIdleMs", 15_000),
+                new SettingsReader(settings).child("rules").micros("mustAskInMs", 10_000));
     }
 
     private static void checkClasses(List<RequestClass> classes) throws ProtocolException {
@@ -43,14 +53,14 @@
             throw new ProtocolException("the settings name no classes");
         }
         if (classes.size() > MOST_CLASSES) {
-            throw new ProtocolException("settings: classes are 1 to " + MOST_CLASSES + ", not "
-                + classes.size());
+            throw new ProtocolException(
+                    "settings: classes are 1 to " + MOST_CLASSES + ", not " + classes.size());
         }
         Set<String> names = new HashSet<>();
         for (RequestClass type : classes) {
             if (!names.add(type.name())) {
-                throw new ProtocolException("settings: classes have names of their own, not " + type.name()
-                    + " twice");
+                throw new ProtocolException(
+                        "settings: classes have names of their own, not " + type.name() + " twice");
             }
         }
     }
@@ -58,9 +68,24 @@
     /** The same for the node of this number: settings that all nodes share can't tell it. */
     public NodeSettings forNode(int number) {
         Settings shared = decisions;
-        return new NodeSettings(new Settings(number, shared.nodes(), shared.zone(), shared.round(),
-            shared.discovery(), shared.reportsLoad(), shared.repeatsMarked(), shared.warmKeys(),
-            shared.limits(), shared.rules(), shared.prices(), shared.classes()), zones, kinds, connectTimeout,
-            connectionIdle, askWithin);
+        return new NodeSettings(
+                new Settings(
+                        number,
+                        shared.nodes(),
+                        shared.zone(),
+                        shared.round(),
+                        shared.discovery(),
+                        shared.reportsLoad(),
+                        shared.repeatsMarked(),
+                        shared.warmKeys(),
+                        shared.limits(),
+                        shared.rules(),
+                        shared.prices(),
+                        shared.classes()),
+                zones,
+                kinds,
+                connectTimeout,
+                connectionIdle,
+                askWithin);
     }
 }
--- a/src/main/java/ottergauge/protocol/Outcomes.java
+++ b/src/main/java/ottergauge/protocol/Outcomes.java
@@ -10,8 +10,7 @@
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private Outcomes() {
-    }
+    private Outcomes() {}
 
     /** Only 503 and 504 marked so prove that nothing ran; any other answer but 200 is an error. */
     public static Result of(int status, boolean neverRan) {
--- a/src/main/java/ottergauge/protocol/RequestFields.java
+++ b/src/main/java/ottergauge/protocol/RequestFields.java
@@ -5,21 +5,33 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The fields of a request that the decisions need. {@code expiresInMs} is -1 where the client names none.
+ * The fields of a request that the decisions need. {@code expiresInMs} is -1 where the client names
+ * none.
  */
-public record RequestFields(String traceId, String requestClass, long expiresInMs, boolean secondTry,
-                            String idempotencyKey) {
+public record RequestFields(
+        String traceId,
+        String requestClass,
+        long expiresInMs,
+        boolean secondTry,
+        String idempotencyKey) {
 
     /** The header fields that a request has once at most. */
-    public static final List<String> NAMES = List.of(Headers.TRACE_ID, Headers.REQUEST_CLASS,
-        Headers.EXPIRES_IN_MS, Headers.SECOND_TRY, Headers.IDEMPOTENCY_KEY);
+    public static final List<String> NAMES =
+            List.of(
+                    Headers.TRACE_ID,
+                    Headers.REQUEST_CLASS,
+                    Headers.EXPIRES_IN_MS,
+                    Headers.SECOND_TRY,
+                    Headers.IDEMPOTENCY_KEY);
 
     // Past this a time to wait is no time to wait: an hour.
     private static final long MOST_EXPIRY_MS = 3_600_000;
     private static final int MOST_DIGITS = 18;
     private static final int DELETE = 0x7f;
 
-    /** Reads the fields through a look-up of header values, which gives null for one that is absent. */
+    /**
+     * Reads the fields through a look-up of header values, which gives null for one that is absent.
+     */
     public static RequestFields read(UnaryOperator<String> header) throws ProtocolException {
         String traceId = header.apply(Headers.TRACE_ID);
         String requestClass = header.apply(Headers.REQUEST_CLASS);
@@ -33,11 +45,18 @@
         if (!isVisible(traceId) || !isVisible(requestClass) || key != null && !isVisible(key)) {
             throw new ProtocolException("a field that goes on holds other than visible characters");
         }
-        return new RequestFields(traceId, requestClass, expiry(header.apply(Headers.EXPIRES_IN_MS)),
-            "1".equals(header.apply(Headers.SECOND_TRY)), key);
+        return new RequestFields(
+                traceId,
+                requestClass,
+                expiry(header.apply(Headers.EXPIRES_IN_MS)),
+                "1".equals(header.apply(Headers.SECOND_TRY)),
+                key);
     }
 
-    /** Whether text can be written on as it came: anything else a library may refuse or write otherwise. */
+    /**
+     * Whether text can be written on as it came: anything else a library may refuse or write
+     * otherwise.
+     */
     public static boolean isVisible(String text) {
         return text.chars().allMatch(c -> c > ' ' && c < DELETE);
     }
@@ -47,8 +66,9 @@
             return -1;
         }
         String digits = text.trim();
-        if (digits.isEmpty() || digits.length() > MOST_DIGITS
-            || !digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (digits.isEmpty()
+                || digits.length() > MOST_DIGITS
+                || !digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new ProtocolException(Headers.EXPIRES_IN_MS + " is no whole number");
         }
         return Math.min(MOST_EXPIRY_MS, Long.parseLong(digits));
--- a/src/main/java/ottergauge/replica/CallTimes.java
+++ b/src/main/java/ottergauge/replica/CallTimes.java
@@ -2,17 +2,19 @@
 package ottergauge.replica;
 
 /**
- * The times of calls, reckoned backwards from how soon a change has to be in force once a control process
- * that the node can reach has it. Spans are microseconds.
+ * The times of calls, reckoned backwards from how soon a change has to be in force once a control
+ * process that the node can reach has it. Spans are microseconds.
  *
- * <p>The longest way: the process that is asked falls silent as a call begins that waits as long as any,
- * that is noticed, two more processes are silent, and the fourth one answers: 18 + 4 + 2 * 8 parts of 48. A
- * try to go back to the first process adds 8. After all were away: a call that began just before is never
- * answered, then the longest pause, and the next call is answered: 22 + 18 parts.
+ * <p>The longest way: the process that is asked falls silent as a call begins that waits as long as
+ * any, that is noticed, two more processes are silent, and the fourth one answers: 18 + 4 + 2 * 8
+ * parts of 48. A try to go back to the first process adds 8. After all were away: a call that began
+ * just before is never answered, then the longest pause, and the next call is answered: 22 + 18
+ * parts.
  */
 record CallTimes(long within) {
 
     private static final long PARTS = 48;
+
     /** Control processes answer after this time at the latest, whatever a call asks for. */
     private static final long MOST_WAIT = 10_000_000;
 
@@ -35,7 +37,9 @@
         return parts(4);
     }
 
-    /** For which the first call to a process may wait: its answer says that the process is there. */
+    /**
+     * For which the first call to a process may wait: its answer says that the process is there.
+     */
     long openingWait() {
         return parts(1);
     }
@@ -45,7 +49,10 @@
         return parts(8);
     }
 
-    /** The longest pause after a round in which no process could be used, by how many such came before. */
+    /**
+     * The longest pause after a round in which no process could be used, by how many such came
+     * before.
+     */
     long pause(int failedRounds) {
         return failedRounds == 0 ? parts(6) : parts(18);
     }
--- a/src/main/java/ottergauge/replica/ChangesQuery.java
+++ b/src/main/java/ottergauge/replica/ChangesQuery.java
@@ -5,8 +5,16 @@
 import ottergauge.resources.Subscription;
 
 /**
- * Asks for the changes after a position, to wait so many microseconds for the first one. {@code inForce} and
- * {@code refused} are told with it: the version that the node goes by and the one that it refused last.
+ * Asks for the changes after a position, to wait so many microseconds for the first one. {@code
+ * inForce} and {@code refused} are told with it: the version that the node goes by and the one that
+ * it refused last.
  */
-public record ChangesQuery(LogPosition after, long waits, int maxBytes, Subscription subscription,
-                           String node, String region, long inForce, long refused) { }
+public record ChangesQuery(
+        LogPosition after,
+        long waits,
+        int maxBytes,
+        Subscription subscription,
+        String node,
+        String region,
+        long inForce,
+        long refused) {}
--- a/src/main/java/ottergauge/replica/CheckedChange.java
+++ b/src/main/java/ottergauge/replica/CheckedChange.java
@@ -11,7 +11,9 @@
 import ottergauge.resources.Fault;
 import ottergauge.resources.UnreadableChange;
 
-/** A change of a page, and what is wrong with it; {@code change} is null if it could not be read. */
+/**
+ * A change of a page, and what is wrong with it; {@code change} is null if it could not be read.
+ */
 record CheckedChange(long version, Change change, Optional<Fault> fault) {
 
     /** The changes of a page, in the order of their versions. */
--- a/src/main/java/ottergauge/replica/ControlOrder.java
+++ b/src/main/java/ottergauge/replica/ControlOrder.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Which control process a node asks: those of its region first, then the others, both in the order of a
- * rendezvous hash, so that the nodes of a process that is lost spread over all that are left. A round asks
- * each of them once.
+ * Which control process a node asks: those of its region first, then the others, both in the order
+ * of a rendezvous hash, so that the nodes of a process that is lost spread over all that are left.
+ * A round asks each of them once.
  */
 final class ControlOrder {
 
@@ -20,15 +20,23 @@
     private static final int MIX_SHIFT = 33;
 
     private final List<ControlAddress> order;
+
     /** Those that this round has not asked yet. */
     private final Deque<ControlAddress> left = new ArrayDeque<>();
+
     private ControlAddress current;
     private int failedRounds;
 
     ControlOrder(String node, String region, List<ControlAddress> addresses) {
-        order = addresses.stream().sorted(Comparator
-            .comparing((ControlAddress each) -> !each.region().equals(region))
-            .thenComparing(each -> hash(node, each), Long::compareUnsigned)).toList();
+        order =
+                addresses.stream()
+                        .sorted(
+                                Comparator.comparing(
+                                                (ControlAddress each) ->
+                                                        !each.region().equals(region))
+                                        .thenComparing(
+                                                each -> hash(node, each), Long::compareUnsigned))
+                        .toList();
         beginRound();
     }
 
--- a/src/main/java/ottergauge/replica/PageChecks.java
+++ b/src/main/java/ottergauge/replica/PageChecks.java
@@ -11,11 +11,12 @@
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.UnreadableChange;
 
-/** Says why a page can't be what a log holds: its parts are out of order, or end before they begin. */
+/**
+ * Says why a page can't be what a log holds: its parts are out of order, or end before they begin.
+ */
 final class PageChecks {
 
-    private PageChecks() {
-    }
+    private PageChecks() {}
 
     /** What is wrong with the versions of a page of changes, if anything is. */
     static Optional<String> fault(ChangePage page) {
@@ -36,11 +37,15 @@
             }
             before = change.version();
         }
-        return Math.max(last, before) <= page.upTo().version() ? Optional.empty()
-            : Optional.of("it has changes past its version " + page.upTo().version());
+        return Math.max(last, before) <= page.upTo().version()
+                ? Optional.empty()
+                : Optional.of("it has changes past its version " + page.upTo().version());
     }
 
-    /** What is wrong with the keys and versions of a page that was to begin at a key, if anything is. */
+    /**
+     * What is wrong with the keys and versions of a page that was to begin at a key, if anything
+     * is.
+     */
     static Optional<String> fault(SnapshotPage page, Optional<ResourceKey> from) {
         ResourceKey before = null;
         for (Resource resource : page.resources()) {
--- a/src/main/java/ottergauge/replica/PendingChanges.java
+++ b/src/main/java/ottergauge/replica/PendingChanges.java
@@ -14,16 +14,18 @@
 import ottergauge.resources.Subscription;
 
 /**
- * What a page of changes makes of a state: gathers the newest value of each resource that it touches, so that
- * all of it comes in force at once, and nothing of what it takes back itself.
+ * What a page of changes makes of a state: gathers the newest value of each resource that it
+ * touches, so that all of it comes in force at once, and nothing of what it takes back itself.
  */
 final class PendingChanges {
 
     private final ResourceTable table;
     private final Subscription subscription;
     private final ReplicaLimits limits;
+
     /** Empty for a resource that is deleted. */
     private final Map<ResourceKey, Optional<Resource>> touched = new TreeMap<>();
+
     private int size;
     private long bytes;
 
@@ -42,8 +44,12 @@
         Map<ResourceKey, Optional<Resource>> before = new TreeMap<>();
         for (Change.Put put : change.puts()) {
             boolean followed = subscription.follows(put.key(), put.value().service());
-            set(put.key(), followed ? Optional.of(new Resource(put.key(), change.version(), put.value()))
-                : Optional.empty(), before);
+            set(
+                    put.key(),
+                    followed
+                            ? Optional.of(new Resource(put.key(), change.version(), put.value()))
+                            : Optional.empty(),
+                    before);
         }
         for (Change.Delete delete : change.deletes()) {
             set(delete.key(), Optional.empty(), before);
@@ -57,7 +63,10 @@
         return fault;
     }
 
-    private void set(ResourceKey key, Optional<Resource> value, Map<ResourceKey, Optional<Resource>> before) {
+    private void set(
+            ResourceKey key,
+            Optional<Resource> value,
+            Map<ResourceKey, Optional<Resource>> before) {
         Optional<Resource> old = touched.getOrDefault(key, table.get(key));
         before.putIfAbsent(key, old);
         touched.put(key, value);
@@ -67,7 +76,8 @@
 
     private Optional<Fault> sizeFault(int sizeBefore, long bytesBefore) {
         if (size > limits.resources() && size > sizeBefore) {
-            return Optional.of(new Fault("resources", Integer.toString(size), "up to " + limits.resources()));
+            return Optional.of(
+                    new Fault("resources", Integer.toString(size), "up to " + limits.resources()));
         }
         if (bytes > limits.bytes() && bytes > bytesBefore) {
             return Optional.of(new Fault("bytes", Long.toString(bytes), "up to " + limits.bytes()));
@@ -79,18 +89,19 @@
     StateChange commit(LogPosition position) {
         List<Resource> puts = new ArrayList<>();
         List<Change.Delete> deletes = new ArrayList<>();
-        touched.forEach((key, value) -> {
-            Optional<Resource> old = table.get(key);
-            if (value.isPresent()) {
-                table.put(value.get());
-                if (old.isEmpty() || !old.get().value().equals(value.get().value())) {
-                    puts.add(value.get());
-                }
-            } else if (old.isPresent()) {
-                table.remove(key);
-                deletes.add(new Change.Delete(key, old.get().value().service()));
-            }
-        });
+        touched.forEach(
+                (key, value) -> {
+                    Optional<Resource> old = table.get(key);
+                    if (value.isPresent()) {
+                        table.put(value.get());
+                        if (old.isEmpty() || !old.get().value().equals(value.get().value())) {
+                            puts.add(value.get());
+                        }
+                    } else if (old.isPresent()) {
+                        table.remove(key);
+                        deletes.add(new Change.Delete(key, old.get().value().service()));
+                    }
+                });
         return new StateChange(position, false, puts, deletes);
     }
 }
--- a/src/main/java/ottergauge/replica/Replica.java
+++ b/src/main/java/ottergauge/replica/Replica.java
@@ -20,33 +20,43 @@
 import ottergauge.resources.TooOld;
 
 /**
- * Follows the log of a group of control processes: one call out at a time, at one process, until that is
- * lost. It resumes by the position that it has, and takes a snapshot only where no process can go on from
- * there.
+ * Follows the log of a group of control processes: one call out at a time, at one process, until
+ * that is lost. It resumes by the position that it has, and takes a snapshot only where no process
+ * can go on from there.
  *
- * <p>Within one log it never goes back: a process that has not reached the node's version is not followed.
- * A process with another log is, once none can be reached that has the node's.
+ * <p>Within one log it never goes back: a process that has not reached the node's version is not
+ * followed. A process with another log is, once none can be reached that has the node's.
  */
 public final class Replica {
 
     /** Bytes of changes that a control process sends at once, unless one change has more. */
     static final int MOST_CHANGES_BYTES = 64 * 1024;
+
     static final int LEAST_SNAPSHOT_BYTES = 4 * 1024;
     static final int MOST_SNAPSHOT_BYTES = 64 * 1024;
+
     /** An empty answer that came sooner than it should have is not worth another call at once. */
     static final long LEAST_GAP = 50_000;
+
     /** Control processes pace the pages of all nodes together: an answer may take some seconds. */
     static final long SNAPSHOT_WITHIN = 6_000_000;
+
     static final int MOST_SNAPSHOT_DOUBLINGS = 2;
+
     /** The longest pause before a state is fetched again that was too large. */
     static final long TOO_LARGE_PAUSE = 60_000_000;
+
     /** The longest time at another process before the first one is tried again. */
     static final long RETURN_AFTER = 90_000_000;
 
     private static final long MICROS_A_SECOND = 1_000_000;
     private static final long NONE = 0;
 
-    private enum Phase { FOLLOWING, SNAPSHOT_PAGES, CHANGES_SINCE_SNAPSHOT }
+    private enum Phase {
+        FOLLOWING,
+        SNAPSHOT_PAGES,
+        CHANGES_SINCE_SNAPSHOT
+    }
 
     private final ReplicaConfig config;
     private final Function<Change, Optional<Fault>> check;
@@ -56,32 +66,49 @@
     private final ControlOrder order;
     private final StateInForce state;
     private Phase phase = Phase.FOLLOWING;
+
     /** The state that is being fetched; null before its first page. */
     private SnapshotAssembly assembly;
-    /** A process that has another log than the one that is followed, seen in this round; null for none. */
+
+    /**
+     * A process that has another log than the one that is followed, seen in this round; null for
+     * none.
+     */
     private ControlAddress otherLog;
+
     private long lastCall;
+
     /** The call that is out, if one is. */
     private long current = NONE;
+
     private long calledAt;
     private long waits;
     private long dueAt;
     private boolean graceGiven;
+
     /** Whether the process that is asked has answered before, so that a call there may wait. */
     private boolean answered;
+
     private boolean returnTimerRuns;
+
     /** Snapshots that were begun since changes could be followed. */
     private int snapshotsInARow;
+
     /** Calls for a page of a snapshot that had no answer in time, in a row. */
     private int slowPages;
+
     private long confirmedAt;
     private boolean stopped;
 
     /**
-     * A replica that has not begun; {@code check} says why the node can't take a change over, if it can't.
+     * A replica that has not begun; {@code check} says why the node can't take a change over, if it
+     * can't.
      */
-    public Replica(ReplicaConfig config, long seed, Function<Change, Optional<Fault>> check,
-                   Consumer<ReplicaEffect> effects) {
+    public Replica(
+            ReplicaConfig config,
+            long seed,
+            Function<Change, Optional<Fault>> check,
+            Consumer<ReplicaEffect> effects) {
         this.config = config;
         this.check = check;
         this.effects = effects;
@@ -131,8 +158,12 @@
 
     /** How the replica stands. */
     public ReplicaFigures figures(long now) {
-        return new ReplicaFigures(state.position().orElse(new LogPosition("", 0)), state.refused(),
-            Math.max(0, now - confirmedAt), state.size(), state.bytes());
+        return new ReplicaFigures(
+                state.position().orElse(new LogPosition("", 0)),
+                state.refused(),
+                Math.max(0, now - confirmedAt),
+                state.size(),
+                state.bytes());
     }
 
     // Whether an answer is the one to the call that is out, which it ends.
@@ -150,7 +181,8 @@
         state.keepNow();
     }
 
-    // ---- Calls --------------------------------------------------------------------------------------
+    // ---- Calls
+    // --------------------------------------------------------------------------------------
 
     private void ask(long now) {
         current = ++lastCall;
@@ -160,18 +192,34 @@
         if (phase == Phase.SNAPSHOT_PAGES) {
             waits = 0;
             callWithin(now, SNAPSHOT_WITHIN << Math.min(slowPages, MOST_SNAPSHOT_DOUBLINGS));
-            effects.accept(new CallSnapshot(current, to, new SnapshotQuery(
-                Optional.ofNullable(assembly).map(each -> each.reached().log()),
-                Optional.ofNullable(assembly).flatMap(SnapshotAssembly::next), snapshotBytes(),
-                config.subscription(), config.node())));
+            effects.accept(
+                    new CallSnapshot(
+                            current,
+                            to,
+                            new SnapshotQuery(
+                                    Optional.ofNullable(assembly).map(each -> each.reached().log()),
+                                    Optional.ofNullable(assembly).flatMap(SnapshotAssembly::next),
+                                    snapshotBytes(),
+                                    config.subscription(),
+                                    config.node())));
         } else {
             waits = waitOfCall();
             boolean goesOn = answered && phase == Phase.FOLLOWING;
             callWithin(now, goesOn ? waits + times.silentAfter() : times.openingWithin());
             LogPosition after = followed().orElseThrow();
-            effects.accept(new CallChanges(current, to, new ChangesQuery(after, waits, MOST_CHANGES_BYTES,
-                config.subscription(), config.node(), config.region(), state.versionOf(after.log()),
-                state.refused())));
+            effects.accept(
+                    new CallChanges(
+                            current,
+                            to,
+                            new ChangesQuery(
+                                    after,
+                                    waits,
+                                    MOST_CHANGES_BYTES,
+                                    config.subscription(),
+                                    config.node(),
+                                    config.region(),
+                                    state.versionOf(after.log()),
+                                    state.refused())));
         }
     }
 
@@ -180,8 +228,9 @@
             return 0;
         }
         long shortest = times.shortestWait();
-        return answered ? shortest + random.nextLong(times.longestWait() - shortest + 1)
-            : times.openingWait();
+        return answered
+                ? shortest + random.nextLong(times.longestWait() - shortest + 1)
+                : times.openingWait();
     }
 
     private void callWithin(long now, long within) {
@@ -190,13 +239,17 @@
     }
 
     private int snapshotBytes() {
-        return (int) Math.max(LEAST_SNAPSHOT_BYTES, Math.min(MOST_SNAPSHOT_BYTES, config.bytesPerSecond()));
+        return (int)
+                Math.max(
+                        LEAST_SNAPSHOT_BYTES,
+                        Math.min(MOST_SNAPSHOT_BYTES, config.bytesPerSecond()));
     }
 
     /** The position that is followed: of the state in force or of the one that is being fetched. */
     private Optional<LogPosition> followed() {
-        return phase == Phase.FOLLOWING ? state.position()
-            : Optional.ofNullable(assembly).map(SnapshotAssembly::reached);
+        return phase == Phase.FOLLOWING
+                ? state.position()
+                : Optional.ofNullable(assembly).map(SnapshotAssembly::reached);
     }
 
     private void giveUp() {
@@ -224,7 +277,8 @@
         askElsewhere(now);
     }
 
-    // The process that was asked can't be used now: the next one of the round is, or all after a pause.
+    // The process that was asked can't be used now: the next one of the round is, or all after a
+    // pause.
     private void askElsewhere(long now) {
         answered = false;
         if (order.next()) {
@@ -238,8 +292,10 @@
     }
 
     private void pause(long longest) {
-        effects.accept(new StartTimer(longest / 2 + random.nextLong(longest / 2 + 1),
-            new ReplicaTimer.PauseOver(lastCall)));
+        effects.accept(
+                new StartTimer(
+                        longest / 2 + random.nextLong(longest / 2 + 1),
+                        new ReplicaTimer.PauseOver(lastCall)));
     }
 
     private void refuseAnswer(long now, String why) {
@@ -254,12 +310,15 @@
         order.answered();
         if (!order.isAtFirst() && !returnTimerRuns) {
             returnTimerRuns = true;
-            effects.accept(new StartTimer(RETURN_AFTER / 2 + random.nextLong(RETURN_AFTER / 2 + 1),
-                new ReplicaTimer.ReturnDue()));
+            effects.accept(
+                    new StartTimer(
+                            RETURN_AFTER / 2 + random.nextLong(RETURN_AFTER / 2 + 1),
+                            new ReplicaTimer.ReturnDue()));
         }
     }
 
-    // ---- Timers -------------------------------------------------------------------------------------
+    // ---- Timers
+    // -------------------------------------------------------------------------------------
 
     private void timerFired(long now, ReplicaTimer timer) {
         if (timer instanceof ReplicaTimer.CallDue due) {
@@ -283,7 +342,8 @@
         ask(now);
     }
 
-    // The call that is out is given up for it: the version that the node has is asked from elsewhere.
+    // The call that is out is given up for it: the version that the node has is asked from
+    // elsewhere.
     private void returnToFirst(long now) {
         if (order.isAtFirst() || !answered) {
             return;
@@ -299,7 +359,8 @@
         }
     }
 
-    // ---- Changes ------------------------------------------------------------------------------------
+    // ---- Changes
+    // ------------------------------------------------------------------------------------
 
     private void changesRead(long now, ChangePage page) {
         LogPosition asked = followed().orElseThrow();
@@ -308,8 +369,12 @@
             return;
         }
         if (page.upTo().version() < asked.version()) {
-            refuseAnswer(now, "it has reached " + page.upTo().version() + " only, the node has "
-                + asked.version());
+            refuseAnswer(
+                    now,
+                    "it has reached "
+                            + page.upTo().version()
+                            + " only, the node has "
+                            + asked.version());
             return;
         }
         Optional<String> fault = PageChecks.fault(page);
@@ -375,8 +440,12 @@
         if (followed.isEmpty() || !answer.log().equals(followed.get().log())) {
             otherLogSeen(now);
         } else if (answer.newest() < followed.get().version()) {
-            refuseAnswer(now, "it has reached " + answer.newest() + " only, the node has "
-                + followed.get().version());
+            refuseAnswer(
+                    now,
+                    "it has reached "
+                            + answer.newest()
+                            + " only, the node has "
+                            + followed.get().version());
         } else {
             beginSnapshot(now);
         }
@@ -390,7 +459,8 @@
         askElsewhere(now);
     }
 
-    // ---- Snapshots ----------------------------------------------------------------------------------
+    // ---- Snapshots
+    // ----------------------------------------------------------------------------------
 
     // A snapshot that was begun a moment ago and led to nothing is not begun again at once.
     private void beginSnapshot(long now) {
@@ -414,11 +484,13 @@
         }
         long least = assembly != null ? assembly.firstVersion() : state.versionOf(page.at().log());
         if (page.at().version() < least) {
-            refuseAnswer(now, "it has reached " + page.at().version() + " only, the node has " + least);
+            refuseAnswer(
+                    now, "it has reached " + page.at().version() + " only, the node has " + least);
             return;
         }
-        Optional<String> fault = PageChecks.fault(page,
-            Optional.ofNullable(assembly).flatMap(SnapshotAssembly::next));
+        Optional<String> fault =
+                PageChecks.fault(
+                        page, Optional.ofNullable(assembly).flatMap(SnapshotAssembly::next));
         if (fault.isPresent()) {
             refuseAnswer(now, fault.get());
             return;
@@ -433,8 +505,10 @@
             phase = Phase.CHANGES_SINCE_SNAPSHOT;
             ask(now);
         } else {
-            effects.accept(new StartTimer(bytes * MICROS_A_SECOND / config.bytesPerSecond(),
-                new ReplicaTimer.PauseOver(lastCall)));
+            effects.accept(
+                    new StartTimer(
+                            bytes * MICROS_A_SECOND / config.bytesPerSecond(),
+                            new ReplicaTimer.PauseOver(lastCall)));
         }
     }
 
@@ -446,10 +520,12 @@
     }
 
     private boolean isTooLarge() {
-        return assembly.size() > config.limits().resources() || assembly.bytes() > config.limits().bytes();
+        return assembly.size() > config.limits().resources()
+                || assembly.bytes() > config.limits().bytes();
     }
 
-    // It would be as large a moment later: fetched again at once, it would cost all that it cost before.
+    // It would be as large a moment later: fetched again at once, it would cost all that it cost
+    // before.
     private void giveUpSnapshot() {
         report(new ReplicaReport.StateTooLarge(assembly.size(), assembly.bytes(), config.limits()));
         assembly = null;
--- a/src/main/java/ottergauge/replica/ReplicaConfig.java
+++ b/src/main/java/ottergauge/replica/ReplicaConfig.java
@@ -5,10 +5,16 @@
 import ottergauge.resources.Subscription;
 
 /**
- * What a replica is told at its start. {@code within} is how soon a change is to be in force, {@code
- * keepEvery} the least time between two states that are handed out to be kept, 0 if none is; spans are
- * microseconds. {@code bytesPerSecond} paces the pages of a snapshot.
+ * What a replica is told at its start. {@code within} is how soon a change is to be in force,
+ * {@code keepEvery} the least time between two states that are handed out to be kept, 0 if none is;
+ * spans are microseconds. {@code bytesPerSecond} paces the pages of a snapshot.
  */
-public record ReplicaConfig(String node, String region, List<ControlAddress> addresses,
-                            Subscription subscription, long within, long bytesPerSecond, long keepEvery,
-                            ReplicaLimits limits) { }
+public record ReplicaConfig(
+        String node,
+        String region,
+        List<ControlAddress> addresses,
+        Subscription subscription,
+        long within,
+        long bytesPerSecond,
+        long keepEvery,
+        ReplicaLimits limits) {}
--- a/src/main/java/ottergauge/replica/ReplicaEvent.java
+++ b/src/main/java/ottergauge/replica/ReplicaEvent.java
@@ -9,19 +9,19 @@
 public sealed interface ReplicaEvent {
 
     /** A page of changes was read. */
-    record ChangesRead(long call, ChangePage page) implements ReplicaEvent { }
+    record ChangesRead(long call, ChangePage page) implements ReplicaEvent {}
 
     /** A page of a snapshot was read, of so many bytes. */
-    record SnapshotRead(long call, SnapshotPage page, long bytes) implements ReplicaEvent { }
+    record SnapshotRead(long call, SnapshotPage page, long bytes) implements ReplicaEvent {}
 
     /** The control process can't go on from the position that was asked for. */
-    record TooOldRead(long call, TooOld answer) implements ReplicaEvent { }
+    record TooOldRead(long call, TooOld answer) implements ReplicaEvent {}
 
     /** A call ended with no answer that can be used. */
-    record CallFailed(long call) implements ReplicaEvent { }
+    record CallFailed(long call) implements ReplicaEvent {}
 
-    record TimerFired(ReplicaTimer timer) implements ReplicaEvent { }
+    record TimerFired(ReplicaTimer timer) implements ReplicaEvent {}
 
     /** The node ends: what isn't kept yet is handed out, and nothing more is called. */
-    record Stopped() implements ReplicaEvent { }
+    record Stopped() implements ReplicaEvent {}
 }
--- a/src/main/java/ottergauge/replica/ReplicaLimits.java
+++ b/src/main/java/ottergauge/replica/ReplicaLimits.java
@@ -2,8 +2,8 @@
 package ottergauge.replica;
 
 /**
- * The largest state that a replica takes: by number, and by bytes in memory as {@link ResourceSize} has
- * them.
+ * The largest state that a replica takes: by number, and by bytes in memory as {@link ResourceSize}
+ * has them.
  */
 public record ReplicaLimits(int resources, long bytes) {
 
--- a/src/main/java/ottergauge/replica/ReplicaReport.java
+++ b/src/main/java/ottergauge/replica/ReplicaReport.java
@@ -22,7 +22,9 @@
     record ResourceRefused(Optional<ResourceKey> key, Fault fault) implements ReplicaReport {
         @Override
         public String toString() {
-            return key.map(each -> "resource " + each).orElse("a resource") + " is refused: " + fault;
+            return key.map(each -> "resource " + each).orElse("a resource")
+                    + " is refused: "
+                    + fault;
         }
     }
 
@@ -30,8 +32,15 @@
     record StateTooLarge(int resources, long bytes, ReplicaLimits limits) implements ReplicaReport {
         @Override
         public String toString() {
-            return "the state is refused: it has at least " + resources + " resources and " + bytes
-                + " bytes, " + limits.resources() + " and " + limits.bytes() + " are allowed";
+            return "the state is refused: it has at least "
+                    + resources
+                    + " resources and "
+                    + bytes
+                    + " bytes, "
+                    + limits.resources()
+                    + " and "
+                    + limits.bytes()
+                    + " are allowed";
         }
     }
 
@@ -63,8 +72,15 @@
     record StateInForce(LogPosition position, int puts, int deletes) implements ReplicaReport {
         @Override
         public String toString() {
-            return "version " + position.version() + " of " + position.log() + " is in force: " + puts
-                + " put, " + deletes + " deleted";
+            return "version "
+                    + position.version()
+                    + " of "
+                    + position.log()
+                    + " is in force: "
+                    + puts
+                    + " put, "
+                    + deletes
+                    + " deleted";
         }
     }
 }
--- a/src/main/java/ottergauge/replica/ResourceSize.java
+++ b/src/main/java/ottergauge/replica/ResourceSize.java
@@ -8,15 +8,19 @@
 import ottergauge.resources.ResourceValue;
 
 /**
- * Reckons what a resource takes in memory, its entry in a table included; rather too much than too little.
+ * Reckons what a resource takes in memory, its entry in a table included; rather too much than too
+ * little.
  */
 final class ResourceSize {
 
     /** Resource, key, value, version and entry of a map. */
     private static final int RESOURCE = 200;
+
     private static final int HOST = 104;
+
     /** A string and its array, beside the characters. */
     private static final int TEXT = 48;
+
     private static final int BYTES_A_CHARACTER = 2;
     private static final int MAP_ENTRY = 48;
     private static final int MAP = 112;
@@ -24,8 +28,7 @@
     private static final int LIST = 64;
     private static final int NUMBER = 24;
 
-    private ResourceSize() {
-    }
+    private ResourceSize() {}
 
     /** The bytes of a resource in force. */
     static long of(Resource resource) {
@@ -35,8 +38,11 @@
     private static long value(ResourceValue value) {
         if (value instanceof ResourceValue.Server server) {
             Host host = server.host();
-            return HOST + text(server.service()) + text(host.dial().host()) + text(host.site())
-                + text(host.kind());
+            return HOST
+                    + text(server.service())
+                    + text(host.dial().host())
+                    + text(host.site())
+                    + text(host.kind());
         } else if (value instanceof ResourceValue.Settings settings) {
             return tree(settings.tree());
         } else if (value instanceof ResourceValue.Route route) {
--- a/src/main/java/ottergauge/replica/SnapshotAssembly.java
+++ b/src/main/java/ottergauge/replica/SnapshotAssembly.java
@@ -19,10 +19,11 @@
 import ottergauge.resources.UnreadableResource;
 
 /**
- * A state that is being put together from the pages of a snapshot, which may be of different versions, and
- * from the changes after the first page's version, in their order. A change that is older than the page that
- * its resource came with sets it back for a moment, until the changes that led to the page's value have come:
- * the state is one version's once the changes are in up to the newest page's version.
+ * A state that is being put together from the pages of a snapshot, which may be of different
+ * versions, and from the changes after the first page's version, in their order. A change that is
+ * older than the page that its resource came with sets it back for a moment, until the changes that
+ * led to the page's value have come: the state is one version's once the changes are in up to the
+ * newest page's version.
  */
 final class SnapshotAssembly {
 
@@ -30,16 +31,25 @@
     private final Function<Change, Optional<Fault>> check;
     private final String log;
     private final ResourceTable table = new ResourceTable();
-    /** Resources that keep the value in force, because theirs was refused: by the version of that. */
+
+    /**
+     * Resources that keep the value in force, because theirs was refused: by the version of that.
+     */
     private final Map<ResourceKey, Long> refused = new TreeMap<>();
-    /** The version that all changes are in up to: the first page's, until the first changes are read. */
+
+    /**
+     * The version that all changes are in up to: the first page's, until the first changes are
+     * read.
+     */
     private long reached;
+
     private long newestPage;
     private Optional<ResourceKey> next = Optional.empty();
     private boolean pagesDone;
 
     /** Begins with what the first page is of. */
-    SnapshotAssembly(LogPosition first, Subscription subscription, Function<Change, Optional<Fault>> check) {
+    SnapshotAssembly(
+            LogPosition first, Subscription subscription, Function<Change, Optional<Fault>> check) {
         this.subscription = subscription;
         this.check = check;
         log = first.log();
@@ -99,7 +109,9 @@
                     table.put(resource);
                 } else {
                     refused.put(resource.key(), resource.version());
-                    reports.add(new ReplicaReport.ResourceRefused(Optional.of(resource.key()), fault.get()));
+                    reports.add(
+                            new ReplicaReport.ResourceRefused(
+                                    Optional.of(resource.key()), fault.get()));
                 }
             }
         }
@@ -117,8 +129,8 @@
     }
 
     /**
-     * Takes the changes up to a version; those that were refused count for nothing, also where pages had
-     * them.
+     * Takes the changes up to a version; those that were refused count for nothing, also where
+     * pages had them.
      */
     void apply(List<CheckedChange> changes, long upTo) {
         Set<Long> refusedVersions = new HashSet<>();
@@ -155,8 +167,8 @@
         if (versions.isEmpty()) {
             return;
         }
-        List<Resource> taken = table.all().stream()
-            .filter(each -> versions.contains(each.version())).toList();
+        List<Resource> taken =
+                table.all().stream().filter(each -> versions.contains(each.version())).toList();
         for (Resource resource : taken) {
             table.remove(resource.key());
             refused.put(resource.key(), resource.version());
--- a/src/main/java/ottergauge/replica/StateChange.java
+++ b/src/main/java/ottergauge/replica/StateChange.java
@@ -7,8 +7,8 @@
 import ottergauge.resources.Resource;
 
 /**
- * What changes by going from one state in force to the next: the newest value of each resource that differs,
- * in the order of the keys. {@code whole}: there was none before, and this is all of it.
+ * What changes by going from one state in force to the next: the newest value of each resource that
+ * differs, in the order of the keys. {@code whole}: there was none before, and this is all of it.
  */
-public record StateChange(LogPosition position, boolean whole, List<Resource> puts,
-                          List<Change.Delete> deletes) { }
+public record StateChange(
+        LogPosition position, boolean whole, List<Resource> puts, List<Change.Delete> deletes) {}
--- a/src/main/java/ottergauge/replica/StateInForce.java
+++ b/src/main/java/ottergauge/replica/StateInForce.java
@@ -16,22 +16,31 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 
-/** The state that the node goes by: what comes in force does so whole, and only what differs is told. */
+/**
+ * The state that the node goes by: what comes in force does so whole, and only what differs is
+ * told.
+ */
 final class StateInForce {
 
     private final ReplicaConfig config;
     private final Function<Change, Optional<Fault>> check;
     private final Consumer<ReplicaEffect> effects;
     private ResourceTable table = new ResourceTable();
+
     /** Empty until a first state is in force. */
     private Optional<LogPosition> position = Optional.empty();
+
     private long refused;
+
     /** Whether anything has changed since a state was handed out to be kept. */
     private boolean unkept;
+
     private boolean keepTimerRuns;
 
-    StateInForce(ReplicaConfig config, Function<Change, Optional<Fault>> check,
-                 Consumer<ReplicaEffect> effects) {
+    StateInForce(
+            ReplicaConfig config,
+            Function<Change, Optional<Fault>> check,
+            Consumer<ReplicaEffect> effects) {
         this.config = config;
         this.check = check;
         this.effects = effects;
@@ -63,8 +72,8 @@
     }
 
     /**
-     * Takes over a state that was kept. Changes can follow on it only if nothing is missing from it:
-     * otherwise false is given back.
+     * Takes over a state that was kept. Changes can follow on it only if nothing is missing from
+     * it: otherwise false is given back.
      */
     boolean restore(StoredState stored) {
         boolean complete = stored.subscription().equals(config.subscription());
@@ -79,13 +88,18 @@
     }
 
     private boolean restore(Resource resource) {
-        Optional<Fault> fault = check.apply(new Change(resource.version(),
-            List.of(new Change.Put(resource.key(), resource.value())), List.of()));
+        Optional<Fault> fault =
+                check.apply(
+                        new Change(
+                                resource.version(),
+                                List.of(new Change.Put(resource.key(), resource.value())),
+                                List.of()));
         if (fault.isPresent()) {
             report(new ReplicaReport.ResourceRefused(Optional.of(resource.key()), fault.get()));
             return false;
         }
-        if (table.size() >= config.limits().resources() || table.bytes() >= config.limits().bytes()) {
+        if (table.size() >= config.limits().resources()
+                || table.bytes() >= config.limits().bytes()) {
             return false;
         }
         table.put(resource);
@@ -97,7 +111,8 @@
         PendingChanges pending = new PendingChanges(table, config.subscription(), config.limits());
         for (CheckedChange each : CheckedChange.of(page, check)) {
             if (each.version() > version()) {
-                Optional<Fault> fault = each.fault().isPresent() ? each.fault() : pending.add(each.change());
+                Optional<Fault> fault =
+                        each.fault().isPresent() ? each.fault() : pending.add(each.change());
                 fault.ifPresent(found -> refuse(each.version(), found));
             }
         }
@@ -133,8 +148,8 @@
         ResourceTable before = table;
         table = next;
         position = Optional.of(snapshot.reached());
-        StateChange change = new StateChange(snapshot.reached(), first, putsSince(before),
-            deletesSince(before));
+        StateChange change =
+                new StateChange(snapshot.reached(), first, putsSince(before), deletesSince(before));
         if (first || !change.puts().isEmpty() || !change.deletes().isEmpty()) {
             tell(change);
         }
@@ -164,15 +179,17 @@
 
     private void tell(StateChange change) {
         effects.accept(new TakeOver(change));
-        report(new ReplicaReport.StateInForce(change.position(), change.puts().size(),
-            change.deletes().size()));
+        report(
+                new ReplicaReport.StateInForce(
+                        change.position(), change.puts().size(), change.deletes().size()));
     }
 
     private void report(ReplicaReport report) {
         effects.accept(new Report(report));
     }
 
-    // ---- Kept for the next process -------------------------------------------------------------------
+    // ---- Kept for the next process
+    // -------------------------------------------------------------------
 
     private void keepLater() {
         unkept = true;
@@ -191,8 +208,12 @@
     void keepNow() {
         if (unkept && config.keepEvery() > 0 && position.isPresent()) {
             unkept = false;
-            effects.accept(new Keep(new StoredState(position.get(), config.subscription(),
-                List.copyOf(table.all()))));
+            effects.accept(
+                    new Keep(
+                            new StoredState(
+                                    position.get(),
+                                    config.subscription(),
+                                    List.copyOf(table.all()))));
         }
     }
 }
--- a/src/main/java/ottergauge/replica/StoredState.java
+++ b/src/main/java/ottergauge/replica/StoredState.java
@@ -7,4 +7,5 @@
 import ottergauge.resources.Subscription;
 
 /** A state in force, as it is kept for the next process of the node. */
-public record StoredState(LogPosition position, Subscription subscription, List<Resource> resources) { }
+public record StoredState(
+        LogPosition position, Subscription subscription, List<Resource> resources) {}
--- a/src/main/java/ottergauge/resources/EntryCodec.java
+++ b/src/main/java/ottergauge/resources/EntryCodec.java
@@ -20,8 +20,7 @@
     private static final String VALUE = "value";
     private static final String SERVICE = "service";
 
-    private EntryCodec() {
-    }
+    private EntryCodec() {}
 
     /** Reads the key of an entry; empty if its kind is unknown or its name has a wrong form. */
     static Optional<ResourceKey> key(FieldReader entry) {
@@ -35,8 +34,9 @@
         if (entry.faults().size() == before && !ResourceChecks.isName(name)) {
             entry.fault(NAME, name, ResourceChecks.NAME_FORM);
         }
-        return entry.faults().size() == before ? Optional.of(new ResourceKey(kind.orElseThrow(), name))
-            : Optional.empty();
+        return entry.faults().size() == before
+                ? Optional.of(new ResourceKey(kind.orElseThrow(), name))
+                : Optional.empty();
     }
 
     /** Reads the value of an entry and checks it; empty if anything is wrong with it. */
@@ -56,18 +56,25 @@
         List<Change.Put> puts = new ArrayList<>();
         List<?> entries = change.list(PUT);
         for (int i = 0; i < entries.size() && i < ResourceChecks.MOST_ENTRIES; i++) {
-            change.element(PUT, i, entries.get(i)).ifPresent(entry -> key(entry).ifPresent(key ->
-                value(key, entry).ifPresent(value -> puts.add(new Change.Put(key, value)))));
+            change.element(PUT, i, entries.get(i)).flatMap(EntryCodec::put).ifPresent(puts::add);
         }
         return puts;
     }
 
+    private static Optional<Change.Put> put(FieldReader entry) {
+        return key(entry)
+                .flatMap(key -> value(key, entry).map(value -> new Change.Put(key, value)));
+    }
+
     /** Reads the keys of the entries that a submission deletes. */
     static List<ResourceKey> deletedKeys(FieldReader submission) {
         List<ResourceKey> keys = new ArrayList<>();
         List<?> entries = submission.list(DELETE);
         for (int i = 0; i < entries.size() && i < ResourceChecks.MOST_ENTRIES; i++) {
-            submission.element(DELETE, i, entries.get(i)).flatMap(EntryCodec::key).ifPresent(keys::add);
+            submission
+                    .element(DELETE, i, entries.get(i))
+                    .flatMap(EntryCodec::key)
+                    .ifPresent(keys::add);
         }
         return keys;
     }
@@ -76,10 +83,16 @@
         List<Change.Delete> deletes = new ArrayList<>();
         List<?> entries = change.list(DELETE);
         for (int i = 0; i < entries.size() && i < ResourceChecks.MOST_ENTRIES; i++) {
-            change.element(DELETE, i, entries.get(i)).ifPresent(entry -> {
-                String service = entry.text(SERVICE, "");
-                key(entry).ifPresent(key -> deletes.add(new Change.Delete(key, service)));
-            });
+            change.element(DELETE, i, entries.get(i))
+                    .ifPresent(
+                            entry -> {
+                                String service = entry.text(SERVICE, "");
+                                key(entry)
+                                        .ifPresent(
+                                                key ->
+                                                        deletes.add(
+                                                                new Change.Delete(key, service)));
+                            });
         }
         return deletes;
     }
@@ -88,8 +101,10 @@
     static void checkEntries(FieldReader change) {
         int entries = change.list(PUT).size() + change.list(DELETE).size();
         if (entries > ResourceChecks.MOST_ENTRIES) {
-            change.fault(PUT, entries + " entries",
-                ResourceChecks.MOST_ENTRIES + " entries at most, with those of delete");
+            change.fault(
+                    PUT,
+                    entries + " entries",
+                    ResourceChecks.MOST_ENTRIES + " entries at most, with those of delete");
         }
     }
 
@@ -110,8 +125,9 @@
         long version = entry.whole(VERSION, 1, FieldReader.MOST_WHOLE);
         Optional<ResourceKey> key = key(entry);
         Optional<ResourceValue> value = key.flatMap(each -> value(each, entry));
-        return entry.faults().size() > before ? Optional.empty()
-            : Optional.of(new Resource(key.orElseThrow(), version, value.orElseThrow()));
+        return entry.faults().size() > before
+                ? Optional.empty()
+                : Optional.of(new Resource(key.orElseThrow(), version, value.orElseThrow()));
     }
 
     static void write(JsonGenerator out, Change change) throws IOException {
--- a/src/main/java/ottergauge/resources/Fault.java
+++ b/src/main/java/ottergauge/resources/Fault.java
@@ -7,7 +7,9 @@
     private static final int MOST_VALUE_CHARACTERS = 80;
     private static final int MOST_KEY_CHARACTERS = 200;
 
-    /** Key and value are cut to a length that fits a log line, and control characters are replaced. */
+    /**
+     * Key and value are cut to a length that fits a log line, and control characters are replaced.
+     */
     public Fault {
         key = oneLine(key, MOST_KEY_CHARACTERS);
         value = oneLine(value, MOST_VALUE_CHARACTERS);
--- a/src/main/java/ottergauge/resources/FieldReader.java
+++ b/src/main/java/ottergauge/resources/FieldReader.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Reads the fields of one JSON object, as {@link ottergauge.settings.JsonTree} has them, by type. What has
- * the wrong type or is missing is reported, and a placeholder is given back; null counts as absent.
+ * Reads the fields of one JSON object, as {@link ottergauge.settings.JsonTree} has them, by type.
+ * What has the wrong type or is missing is reported, and a placeholder is given back; null counts
+ * as absent.
  */
 final class FieldReader {
 
@@ -80,8 +81,10 @@
 
     long whole(String key, long least, long most, Long absent) {
         Object value = fields.get(key);
-        if (value instanceof Double number && number == Math.rint(number)
-            && number >= least && number <= most) {
+        if (value instanceof Double number
+                && number == Math.rint(number)
+                && number >= least
+                && number <= most) {
             return number.longValue();
         }
         if (value != null || absent == null) {
--- a/src/main/java/ottergauge/resources/InvalidSubmissionException.java
+++ b/src/main/java/ottergauge/resources/InvalidSubmissionException.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import ottergauge.protocol.ProtocolException;
 
-/** A submission that can be parsed, but not accepted: carries all that is wrong with it, up to a bound. */
+/**
+ * A submission that can be parsed, but not accepted: carries all that is wrong with it, up to a
+ * bound.
+ */
 public final class InvalidSubmissionException extends ProtocolException {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/ottergauge/resources/JsonMessage.java
+++ b/src/main/java/ottergauge/resources/JsonMessage.java
@@ -16,7 +16,10 @@
 import ottergauge.protocol.ProtocolException;
 import ottergauge.settings.JsonTree;
 
-/** Reads and writes messages that are one JSON object each, within bounds on length, depth and texts. */
+/**
+ * Reads and writes messages that are one JSON object each, within bounds on length, depth and
+ * texts.
+ */
 final class JsonMessage {
 
     static final int MOST_DEPTH = 32;
@@ -25,16 +28,23 @@
     static final int MOST_NUMBER_CHARACTERS = 64;
 
     private static final int MOST_CAUSE_CHARACTERS = 200;
-    private static final JsonFactory JSON = JsonFactory.builder()
-        .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MOST_DEPTH)
-            .maxStringLength(MOST_TEXT_CHARACTERS).maxNameLength(MOST_NAME_CHARACTERS)
-            .maxNumberLength(MOST_NUMBER_CHARACTERS).build())
-        .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-        // The names come from outside: they are not kept for the life of the process.
-        .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-        .build();
+    private static final JsonFactory JSON =
+            JsonFactory.builder()
+                    .streamReadConstraints(
+                            StreamReadConstraints.builder()
+                                    .maxNestingDepth(MOST_DEPTH)
+                                    .maxStringLength(MOST_TEXT_CHARACTERS)
+                                    .maxNameLength(MOST_NAME_CHARACTERS)
+                                    .maxNumberLength(MOST_NUMBER_CHARACTERS)
+                                    .build())
+                    .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
+                    // The names come from outside: they are not kept for the life of the process.
+                    .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
+                    .build();
 
-    /** Takes one field of the message: the parser stands at its value and has to be left at its end. */
+    /**
+     * Takes one field of the message: the parser stands at its value and has to be left at its end.
+     */
     interface FieldHandler {
         void read(String name, JsonParser in) throws IOException, ProtocolException;
     }
@@ -49,14 +59,14 @@
         void write(JsonGenerator out) throws IOException;
     }
 
-    private JsonMessage() {
-    }
+    private JsonMessage() {}
 
     /** Reads a message field by field; {@code what} is its name in what is thrown. */
-    static void read(byte[] body, String what, int mostBytes, FieldHandler handler) throws ProtocolException {
+    static void read(byte[] body, String what, int mostBytes, FieldHandler handler)
+            throws ProtocolException {
         if (body.length > mostBytes) {
-            throw new ProtocolException(what + " has " + body.length + " bytes, " + mostBytes
-                + " are allowed");
+            throw new ProtocolException(
+                    what + " has " + body.length + " bytes, " + mostBytes + " are allowed");
         }
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -76,13 +86,16 @@
     }
 
     private static String cause(IOException e) {
-        String message = e instanceof JsonProcessingException json ? json.getOriginalMessage()
-            : e.getMessage();
+        String message =
+                e instanceof JsonProcessingException json
+                        ? json.getOriginalMessage()
+                        : e.getMessage();
         return Fault.oneLine(String.valueOf(message), MOST_CAUSE_CHARACTERS);
     }
 
     /** Reads a message into a tree. */
-    static Map<String, Object> readTree(byte[] body, String what, int mostBytes) throws ProtocolException {
+    static Map<String, Object> readTree(byte[] body, String what, int mostBytes)
+            throws ProtocolException {
         Map<String, Object> tree = new LinkedHashMap<>();
         read(body, what, mostBytes, (name, in) -> tree.put(name, JsonTree.value(in)));
         return tree;
@@ -90,7 +103,7 @@
 
     /** Reads a list of up to so many objects, one by one. */
     static void readList(String name, JsonParser in, int most, ElementHandler handler)
-        throws IOException, ProtocolException {
+            throws IOException, ProtocolException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw new ProtocolException(name + " is a list, not " + in.currentToken());
         }
@@ -99,7 +112,8 @@
                 throw new ProtocolException(name + " has more than " + most + " entries");
             }
             if (in.currentToken() != JsonToken.START_OBJECT) {
-                throw new ProtocolException(name + "[" + i + "] is an object, not " + in.currentToken());
+                throw new ProtocolException(
+                        name + "[" + i + "] is an object, not " + in.currentToken());
             }
             handler.read(i, JsonTree.object(in));
         }
@@ -107,11 +121,12 @@
 
     /** Writes an object that has what the writer puts into it. */
     static byte[] write(Writer fields) {
-        return writeValue(out -> {
-            out.writeStartObject();
-            fields.write(out);
-            out.writeEndObject();
-        });
+        return writeValue(
+                out -> {
+                    out.writeStartObject();
+                    fields.write(out);
+                    out.writeEndObject();
+                });
     }
 
     static byte[] writeValue(Writer value) {
--- a/src/main/java/ottergauge/resources/NumberText.java
+++ b/src/main/java/ottergauge/resources/NumberText.java
@@ -6,12 +6,13 @@
 
     private static final double MOST_PLAIN = 1e15;
 
-    private NumberText() {
-    }
+    private NumberText() {}
 
     static String of(Object value) {
-        boolean whole = value instanceof Double number && number == Math.rint(number)
-            && Math.abs(number) < MOST_PLAIN;
+        boolean whole =
+                value instanceof Double number
+                        && number == Math.rint(number)
+                        && Math.abs(number) < MOST_PLAIN;
         return whole ? Long.toString(((Double) value).longValue()) : String.valueOf(value);
     }
 }
--- a/src/main/java/ottergauge/resources/Resource.java
+++ b/src/main/java/ottergauge/resources/Resource.java
@@ -2,4 +2,4 @@
 package ottergauge.resources;
 
 /** A resource as the change with this version left it. */
-public record Resource(ResourceKey key, long version, ResourceValue value) { }
+public record Resource(ResourceKey key, long version, ResourceValue value) {}
--- a/src/main/java/ottergauge/resources/ResourceChecks.java
+++ b/src/main/java/ottergauge/resources/ResourceChecks.java
@@ -12,7 +12,10 @@
 import ottergauge.resources.ResourceValue.Settings;
 import ottergauge.resources.ResourceValue.Tenant;
 
-/** Says what is wrong with resources and changes, by key, value and allowed form, wherever they come from. */
+/**
+ * Says what is wrong with resources and changes, by key, value and allowed form, wherever they come
+ * from.
+ */
 public final class ResourceChecks {
 
     /** Puts and deletes of one change, together. */
@@ -34,10 +37,13 @@
     private static final Pattern PATH_PREFIX = Pattern.compile("/[\\x21-\\x7e&&[^?#]]*");
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])";
     private static final Pattern NUMERIC_HOST =
-        Pattern.compile(OCTET + "(\\." + OCTET + "){3}|\\[?[0-9A-Fa-f]{0,4}(:[0-9A-Fa-f]{0,4}){2,7}\\]?");
+            Pattern.compile(
+                    OCTET
+                            + "(\\."
+                            + OCTET
+                            + "){3}|\\[?[0-9A-Fa-f]{0,4}(:[0-9A-Fa-f]{0,4}){2,7}\\]?");
 
-    private ResourceChecks() {
-    }
+    private ResourceChecks() {}
 
     /** Whether a text has the form of names. */
     public static boolean isName(String text) {
@@ -64,7 +70,10 @@
         }
     }
 
-    /** All that is wrong with a submission, up to a bound; whether it fits the state is not asked here. */
+    /**
+     * All that is wrong with a submission, up to a bound; whether it fits the state is not asked
+     * here.
+     */
     public static List<Fault> faults(Submission submission) {
         FaultCollector faults = new FaultCollector();
         check(submission, faults);
@@ -79,10 +88,14 @@
         check(submission.puts(), submission.deletes(), faults);
     }
 
-    private static void check(List<Change.Put> puts, List<ResourceKey> deletes, FaultCollector faults) {
+    private static void check(
+            List<Change.Put> puts, List<ResourceKey> deletes, FaultCollector faults) {
         int entries = puts.size() + deletes.size();
         if (entries > MOST_ENTRIES) {
-            faults.add("put", entries + " entries", MOST_ENTRIES + " entries at most, with those of delete");
+            faults.add(
+                    "put",
+                    entries + " entries",
+                    MOST_ENTRIES + " entries at most, with those of delete");
             return;
         }
         Set<ResourceKey> seen = new HashSet<>();
@@ -97,7 +110,8 @@
         }
     }
 
-    private static void checkNew(String path, ResourceKey key, Set<ResourceKey> seen, FaultCollector faults) {
+    private static void checkNew(
+            String path, ResourceKey key, Set<ResourceKey> seen, FaultCollector faults) {
         if (!seen.add(key)) {
             faults.add(path, key + " again", "a resource that the change has no other entry of");
         }
@@ -115,14 +129,22 @@
         String prefix = path.isEmpty() ? "" : path + ".";
         checkName(prefix + "name", key.name(), faults);
         if (key.kind() != value.kind()) {
-            faults.add(prefix + "kind", key.kind().wireName(), value.kind().wireName() + " for its value");
+            faults.add(
+                    prefix + "kind",
+                    key.kind().wireName(),
+                    value.kind().wireName() + " for its value");
         }
         checkValue(prefix + "value", key.name(), value, faults);
     }
 
-    private static void checkValue(String path, String name, ResourceValue value, FaultCollector faults) {
+    private static void checkValue(
+            String path, String name, ResourceValue value, FaultCollector faults) {
         if (value instanceof Service service) {
-            checkText(path + ".description", service.description(), MOST_DESCRIPTION_CHARACTERS, faults);
+            checkText(
+                    path + ".description",
+                    service.description(),
+                    MOST_DESCRIPTION_CHARACTERS,
+                    faults);
         } else if (value instanceof Server server) {
             checkServer(path, name, server, faults);
         } else if (value instanceof Route route) {
@@ -134,7 +156,8 @@
         }
     }
 
-    private static void checkServer(String path, String name, Server server, FaultCollector faults) {
+    private static void checkServer(
+            String path, String name, Server server, FaultCollector faults) {
         checkName(path + ".service", server.service(), faults);
         if (!server.host().name().equals(name)) {
             faults.add(path + ".host", server.host().name(), "the resource's name");
@@ -158,9 +181,13 @@
     private static void checkRoute(String path, Route route, FaultCollector faults) {
         checkName(path + ".service", route.service(), faults);
         if (route.pathPrefix().length() > MOST_PATH_CHARACTERS
-            || !PATH_PREFIX.matcher(route.pathPrefix()).matches()) {
-            faults.add(path + ".path_prefix", route.pathPrefix(), "a path that begins with / and has up to "
-                + MOST_PATH_CHARACTERS + " visible characters, no ? and no #");
+                || !PATH_PREFIX.matcher(route.pathPrefix()).matches()) {
+            faults.add(
+                    path + ".path_prefix",
+                    route.pathPrefix(),
+                    "a path that begins with / and has up to "
+                            + MOST_PATH_CHARACTERS
+                            + " visible characters, no ? and no #");
         }
         checkName(path + ".request_class", route.requestClass(), faults);
     }
@@ -180,21 +207,34 @@
 
     static void checkText(String path, String text, int most, FaultCollector faults) {
         if (text.length() > most || !isPlainText(text)) {
-            faults.add(path, text, "a text of up to " + most + " characters and no control characters");
+            faults.add(
+                    path,
+                    text,
+                    "a text of up to " + most + " characters and no control characters");
         }
     }
 
-    /** Whether a text can be written as UTF-8 and on one line: no control characters, no half characters. */
+    /**
+     * Whether a text can be written as UTF-8 and on one line: no control characters, no half
+     * characters.
+     */
     static boolean isPlainText(String text) {
-        return text.codePoints().noneMatch(point -> Character.isISOControl(point)
-            || point >= Character.MIN_SURROGATE && point <= Character.MAX_SURROGATE);
+        return text.codePoints()
+                .noneMatch(
+                        point ->
+                                Character.isISOControl(point)
+                                        || point >= Character.MIN_SURROGATE
+                                                && point <= Character.MAX_SURROGATE);
     }
 
     // Written so that NaN fails.
-    static void checkRange(String path, double value, double least, double most, FaultCollector faults) {
+    static void checkRange(
+            String path, double value, double least, double most, FaultCollector faults) {
         if (!(value >= least && value <= most)) {
-            faults.add(path, NumberText.of(value), "a number from " + NumberText.of(least) + " to "
-                + NumberText.of(most));
+            faults.add(
+                    path,
+                    NumberText.of(value),
+                    "a number from " + NumberText.of(least) + " to " + NumberText.of(most));
         }
     }
 }
