--- a/src/main/java/ottergauge/resources/ResourceCodec.java
+++ b/src/main/java/ottergauge/resources/ResourceCodec.java
@@ -13,14 +13,18 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * The JSON of the messages between nodes, control processes and operators (docs/control.md). What can't be
- * read ends in a {@link ProtocolException} of one line that names what is wrong; unknown fields are passed
- * over. A change of a page or an entry of a snapshot that can't be made out doesn't spoil the others: it is
- * given back as unreadable, so that a reader can refuse it by name and follow what comes after it.
+ * The JSON of the messages between nodes, control processes and operators (docs/control.md). What
+ * can't be read ends in a {@link ProtocolException} of one line that names what is wrong; unknown
+ * fields are passed over. A change of a page or an entry of a snapshot that can't be made out
+ * doesn't spoil the others: it is given back as unreadable, so that a reader can refuse it by name
+ * and follow what comes after it.
  */
 public final class ResourceCodec {
 
-    /** The longest page or error that is read. A page has one change at least, which may be a long one. */
+    /**
+     * The longest page or error that is read. A page has one change at least, which may be a long
+     * one.
+     */
     public static final int MOST_PAGE_BYTES = 1 << 20;
 
     /** The longest submission that is read. */
@@ -44,33 +48,45 @@
     private static final String VALUE = "value";
     private static final String ALLOWED = "allowed";
 
-    private ResourceCodec() {
-    }
+    private ResourceCodec() {}
 
-    // ---- Pages of changes ---------------------------------------------------------------------------
+    // ---- Pages of changes
+    // ---------------------------------------------------------------------------
 
     public static ChangePage readChanges(byte[] body) throws ProtocolException {
         Map<String, Object> head = new LinkedHashMap<>();
         List<Change> changes = new ArrayList<>();
         List<UnreadableChange> unreadable = new ArrayList<>();
-        JsonMessage.read(body, "a page of changes", MOST_PAGE_BYTES, (name, in) -> {
-            if (name.equals(CHANGES)) {
-                head.put(CHANGES, List.of());
-                JsonMessage.readList(CHANGES, in, MOST_PAGE_ENTRIES, (index, tree) ->
-                    readChange(index, tree, changes, unreadable));
-            } else {
-                readHead(name, in, head);
-            }
-        });
+        JsonMessage.read(
+                body,
+                "a page of changes",
+                MOST_PAGE_BYTES,
+                (name, in) -> {
+                    if (name.equals(CHANGES)) {
+                        head.put(CHANGES, List.of());
+                        JsonMessage.readList(
+                                CHANGES,
+                                in,
+                                MOST_PAGE_ENTRIES,
+                                (index, tree) -> readChange(index, tree, changes, unreadable));
+                    } else {
+                        readHead(name, in, head);
+                    }
+                });
         LogPosition upTo = position(head, CHANGES);
         return new ChangePage(upTo, List.copyOf(changes), List.copyOf(unreadable));
     }
 
-    private static void readChange(int index, Map<String, Object> tree, List<Change> changes,
-                                   List<UnreadableChange> unreadable) throws ProtocolException {
+    private static void readChange(
+            int index,
+            Map<String, Object> tree,
+            List<Change> changes,
+            List<UnreadableChange> unreadable)
+            throws ProtocolException {
         FaultCollector faults = new FaultCollector();
-        long version = new FieldReader(tree, CHANGES + "[" + index + "]", faults)
-            .whole(VERSION, 1, FieldReader.MOST_WHOLE);
+        long version =
+                new FieldReader(tree, CHANGES + "[" + index + "]", faults)
+                        .whole(VERSION, 1, FieldReader.MOST_WHOLE);
         throwFirst(faults);
         Change change = EntryCodec.change(version, tree, faults);
         if (faults.isEmpty()) {
@@ -81,43 +97,62 @@
     }
 
     public static byte[] write(ChangePage page) {
-        return JsonMessage.write(out -> {
-            writePosition(out, page.upTo());
-            out.writeArrayFieldStart(CHANGES);
-            for (Change change : page.changes()) {
-                EntryCodec.write(out, change);
-            }
-            out.writeEndArray();
-        });
+        return JsonMessage.write(
+                out -> {
+                    writePosition(out, page.upTo());
+                    out.writeArrayFieldStart(CHANGES);
+                    for (Change change : page.changes()) {
+                        EntryCodec.write(out, change);
+                    }
+                    out.writeEndArray();
+                });
     }
 
-    // ---- Pages of a snapshot ------------------------------------------------------------------------
+    // ---- Pages of a snapshot
+    // ------------------------------------------------------------------------
 
     public static SnapshotPage readSnapshot(byte[] body) throws ProtocolException {
         Map<String, Object> head = new LinkedHashMap<>();
         List<Resource> resources = new ArrayList<>();
         List<UnreadableResource> unreadable = new ArrayList<>();
-        JsonMessage.read(body, "a page of a snapshot", MOST_PAGE_BYTES, (name, in) -> {
-            if (name.equals(RESOURCES)) {
-                head.put(RESOURCES, List.of());
-                JsonMessage.readList(RESOURCES, in, MOST_PAGE_ENTRIES, (index, tree) ->
-                    readResource(index, tree, resources, unreadable));
-            } else {
-                readHead(name, in, head);
-            }
-        });
+        JsonMessage.read(
+                body,
+                "a page of a snapshot",
+                MOST_PAGE_BYTES,
+                (name, in) -> {
+                    if (name.equals(RESOURCES)) {
+                        head.put(RESOURCES, List.of());
+                        JsonMessage.readList(
+                                RESOURCES,
+                                in,
+                                MOST_PAGE_ENTRIES,
+                                (index, tree) -> readResource(index, tree, resources, unreadable));
+                    } else {
+                        readHead(name, in, head);
+                    }
+                });
         LogPosition at = position(head, RESOURCES);
         return new SnapshotPage(at, List.copyOf(resources), next(head), List.copyOf(unreadable));
     }
 
-    private static void readResource(int index, Map<String, Object> tree, List<Resource> resources,
-                                     List<UnreadableResource> unreadable) {
+    private static void readResource(
+            int index,
+            Map<String, Object> tree,
+            List<Resource> resources,
+            List<UnreadableResource> unreadable) {
         FaultCollector faults = new FaultCollector();
         FieldReader fields = new FieldReader(tree, RESOURCES + "[" + index + "]", faults);
         Optional<Resource> resource = EntryCodec.resource(fields);
         resource.ifPresent(resources::add);
-        faults.first().ifPresent(fault -> unreadable.add(new UnreadableResource(
-            EntryCodec.key(new FieldReader(tree, "", new FaultCollector())), fault)));
+        faults.first()
+                .ifPresent(
+                        fault ->
+                                unreadable.add(
+                                        new UnreadableResource(
+                                                EntryCodec.key(
+                                                        new FieldReader(
+                                                                tree, "", new FaultCollector())),
+                                                fault)));
     }
 
     private static Optional<ResourceKey> next(Map<String, Object> head) throws ProtocolException {
@@ -126,8 +161,8 @@
         }
         FaultCollector faults = new FaultCollector();
         String path = new FieldReader(head, "", faults).text(NEXT);
-        Optional<ResourceKey> key = ResourceKey.ofPath(path)
-            .filter(each -> ResourceChecks.isName(each.name()));
+        Optional<ResourceKey> key =
+                ResourceKey.ofPath(path).filter(each -> ResourceChecks.isName(each.name()));
         if (key.isEmpty()) {
             faults.add(NEXT, path, "a kind, / and a name");
         }
@@ -136,17 +171,18 @@
     }
 
     public static byte[] write(SnapshotPage page) {
-        return JsonMessage.write(out -> {
-            writePosition(out, page.at());
-            out.writeArrayFieldStart(RESOURCES);
-            for (Resource resource : page.resources()) {
-                EntryCodec.write(out, resource);
-            }
-            out.writeEndArray();
-            if (page.next().isPresent()) {
-                out.writeStringField(NEXT, page.next().get().path());
-            }
-        });
+        return JsonMessage.write(
+                out -> {
+                    writePosition(out, page.at());
+                    out.writeArrayFieldStart(RESOURCES);
+                    for (Resource resource : page.resources()) {
+                        EntryCodec.write(out, resource);
+                    }
+                    out.writeEndArray();
+                    if (page.next().isPresent()) {
+                        out.writeStringField(NEXT, page.next().get().path());
+                    }
+                });
     }
 
     /** Writes a value alone, as it stands in an entry: what is encoded once can be told to many. */
@@ -154,7 +190,8 @@
         return JsonMessage.writeValue(out -> ValueCodec.write(out, value));
     }
 
-    // ---- Submissions --------------------------------------------------------------------------------
+    // ---- Submissions
+    // --------------------------------------------------------------------------------
 
     /**
      * Reads and checks what somebody wants changed.
@@ -163,12 +200,14 @@
      * @throws ProtocolException if it is none, or too long
      */
     public static Submission readSubmission(byte[] body) throws ProtocolException {
-        Map<String, Object> tree = JsonMessage.readTree(body, "a submission", MOST_SUBMISSION_BYTES);
+        Map<String, Object> tree =
+                JsonMessage.readTree(body, "a submission", MOST_SUBMISSION_BYTES);
         FaultCollector faults = new FaultCollector();
         FieldReader fields = new FieldReader(tree, "", faults);
         EntryCodec.checkEntries(fields);
-        Submission submission = new Submission(fields.text(ID), EntryCodec.puts(fields),
-            EntryCodec.deletedKeys(fields));
+        Submission submission =
+                new Submission(
+                        fields.text(ID), EntryCodec.puts(fields), EntryCodec.deletedKeys(fields));
         if (faults.isEmpty()) {
             ResourceChecks.check(submission, faults);
         }
@@ -179,14 +218,16 @@
     }
 
     public static byte[] write(Submission submission) {
-        return JsonMessage.write(out -> {
-            out.writeStringField(ID, submission.id());
-            EntryCodec.writePuts(out, submission.puts());
-            EntryCodec.writeDeletedKeys(out, submission.deletes());
-        });
+        return JsonMessage.write(
+                out -> {
+                    out.writeStringField(ID, submission.id());
+                    EntryCodec.writePuts(out, submission.puts());
+                    EntryCodec.writeDeletedKeys(out, submission.deletes());
+                });
     }
 
-    // ---- Answers that are no pages ------------------------------------------------------------------
+    // ---- Answers that are no pages
+    // ------------------------------------------------------------------
 
     /** Reads the position that an accepted submission was given. */
     public static LogPosition readPosition(byte[] body) throws ProtocolException {
@@ -209,12 +250,13 @@
     }
 
     public static byte[] write(TooOld tooOld) {
-        return JsonMessage.write(out -> {
-            out.writeStringField(ERROR, TOO_OLD);
-            out.writeStringField(LOG, tooOld.log());
-            out.writeNumberField(OLDEST, tooOld.oldest());
-            out.writeNumberField(VERSION, tooOld.newest());
-        });
+        return JsonMessage.write(
+                out -> {
+                    out.writeStringField(ERROR, TOO_OLD);
+                    out.writeStringField(LOG, tooOld.log());
+                    out.writeNumberField(OLDEST, tooOld.oldest());
+                    out.writeNumberField(VERSION, tooOld.newest());
+                });
     }
 
     /** Reads why a submission was not accepted. */
@@ -226,31 +268,40 @@
         List<Fault> told = new ArrayList<>();
         List<?> entries = fields.list(FAULTS);
         for (int i = 0; i < entries.size() && i < FaultCollector.MOST_FAULTS; i++) {
-            fields.element(FAULTS, i, entries.get(i)).ifPresent(entry ->
-                told.add(new Fault(entry.text(KEY), entry.text(VALUE), entry.text(ALLOWED))));
+            fields.element(FAULTS, i, entries.get(i))
+                    .ifPresent(
+                            entry ->
+                                    told.add(
+                                            new Fault(
+                                                    entry.text(KEY),
+                                                    entry.text(VALUE),
+                                                    entry.text(ALLOWED))));
         }
         throwFirst(faults);
         return told;
     }
 
     public static byte[] writeFaults(List<Fault> faults) {
-        return JsonMessage.write(out -> {
-            out.writeStringField(ERROR, INVALID);
-            out.writeArrayFieldStart(FAULTS);
-            for (Fault fault : faults) {
-                out.writeStartObject();
-                out.writeStringField(KEY, fault.key());
-                out.writeStringField(VALUE, fault.value());
-                out.writeStringField(ALLOWED, fault.allowed());
-                out.writeEndObject();
-            }
-            out.writeEndArray();
-        });
+        return JsonMessage.write(
+                out -> {
+                    out.writeStringField(ERROR, INVALID);
+                    out.writeArrayFieldStart(FAULTS);
+                    for (Fault fault : faults) {
+                        out.writeStartObject();
+                        out.writeStringField(KEY, fault.key());
+                        out.writeStringField(VALUE, fault.value());
+                        out.writeStringField(ALLOWED, fault.allowed());
+                        out.writeEndObject();
+                    }
+                    out.writeEndArray();
+                });
     }
 
-    // ---- Common fields ------------------------------------------------------------------------------
+    // ---- Common fields
+    // ------------------------------------------------------------------------------
 
-    private static void readHead(String name, JsonParser in, Map<String, Object> head) throws IOException {
+    private static void readHead(String name, JsonParser in, Map<String, Object> head)
+            throws IOException {
         if (name.equals(LOG) || name.equals(VERSION) || name.equals(NEXT)) {
             head.put(name, JsonTree.value(in));
         } else {
@@ -258,7 +309,8 @@
         }
     }
 
-    private static LogPosition position(Map<String, Object> head, String needed) throws ProtocolException {
+    private static LogPosition position(Map<String, Object> head, String needed)
+            throws ProtocolException {
         FaultCollector faults = new FaultCollector();
         FieldReader fields = new FieldReader(head, "", faults);
         String log = fields.text(LOG);
--- a/src/main/java/ottergauge/resources/ResourceKind.java
+++ b/src/main/java/ottergauge/resources/ResourceKind.java
@@ -6,7 +6,11 @@
 
 /** The kinds of resources, in the order in which a snapshot lists them. */
 public enum ResourceKind {
-    SERVICE, SERVER, ROUTE, TENANT, SETTINGS;
+    SERVICE,
+    SERVER,
+    ROUTE,
+    TENANT,
+    SETTINGS;
 
     /** The kind's name in messages. */
     public String wireName() {
--- a/src/main/java/ottergauge/resources/ResourceValue.java
+++ b/src/main/java/ottergauge/resources/ResourceValue.java
@@ -41,14 +41,16 @@
 
     /** A tenant's limits over the whole deployment; a rate of 0 is no limit. */
     record Tenant(double requestsPerSecond, double burst, int openRequests, double weight)
-        implements ResourceValue {
+            implements ResourceValue {
         @Override
         public ResourceKind kind() {
             return ResourceKind.TENANT;
         }
     }
 
-    /** A deployment's settings, as the {@code settings} object of a node's configuration holds them. */
+    /**
+     * A deployment's settings, as the {@code settings} object of a node's configuration holds them.
+     */
     record Settings(Map<String, Object> tree) implements ResourceValue {
         @Override
         public ResourceKind kind() {
--- a/src/main/java/ottergauge/resources/SettingsChecks.java
+++ b/src/main/java/ottergauge/resources/SettingsChecks.java
@@ -8,14 +8,16 @@
 import ottergauge.settings.SettingsReader;
 
 /**
- * Says what is wrong with a settings object. A node reads its own configuration leniently and by the eyes of
- * the person who starts it; settings that reach all nodes at once must not be misread by any.
+ * Says what is wrong with a settings object. A node reads its own configuration leniently and by
+ * the eyes of the person who starts it; settings that reach all nodes at once must not be misread
+ * by any.
  */
 final class SettingsChecks {
 
     static final int MOST_CLASSES = 1_024;
     static final int MOST_VALUES = 20_000;
     static final int MOST_TEXT_CHARACTERS = 1_024;
+
     /** The longest span in settings: a week. */
     static final double MOST_SPAN_MS = 7 * 24 * 3_600_000.0;
 
@@ -24,8 +26,11 @@
 
     /** The types of values, as {@link ottergauge.settings.JsonTree} has them. */
     private enum ValueType {
-        NUMBER("a number", Double.class), FLAG("true or false", Boolean.class), TEXT("a text", String.class),
-        LIST("a list", List.class), OBJECT("an object", Map.class);
+        NUMBER("a number", Double.class),
+        FLAG("true or false", Boolean.class),
+        TEXT("a text", String.class),
+        LIST("a list", List.class),
+        OBJECT("an object", Map.class);
 
         private final String description;
         private final Class<?> type;
@@ -36,32 +41,45 @@
         }
     }
 
-    /** A key that a node reads, and the object that it lies in; empty for the settings themselves. */
-    private record TypedKey(String section, String key, ValueType type) { }
-
-    private static final List<TypedKey> KEYS = List.of(
-        new TypedKey("", "me", ValueType.NUMBER), new TypedKey("", "balancers", ValueType.NUMBER),
-        new TypedKey("", "zone", ValueType.TEXT), new TypedKey("", "zones", ValueType.LIST),
-        new TypedKey("", "kinds", ValueType.LIST), new TypedKey("", "registryMode", ValueType.TEXT),
-        new TypedKey("", CLASSES, ValueType.LIST), new TypedKey("", "reporting", ValueType.OBJECT),
-        new TypedKey("", "clients", ValueType.OBJECT), new TypedKey("", "specifics", ValueType.OBJECT),
-        new TypedKey("", "ceilings", ValueType.OBJECT), new TypedKey("", "rules", ValueType.OBJECT),
-        new TypedKey("", "penalties", ValueType.OBJECT),
-        new TypedKey("reporting", "how", ValueType.TEXT), new TypedKey("reporting", "fields", ValueType.LIST),
-        new TypedKey("clients", "marksRetry", ValueType.FLAG),
-        new TypedKey("specifics", "warmKeys", ValueType.FLAG),
-        new TypedKey("ceilings", "probes", ValueType.FLAG),
-        new TypedKey("ceilings", "cancel", ValueType.FLAG),
-        new TypedKey("ceilings", "retryAfter", ValueType.FLAG),
-        new TypedKey("ceilings", "maxAttempts", ValueType.NUMBER),
-        new TypedKey("rules", "coldFrom", ValueType.NUMBER),
-        new TypedKey("rules", "tipMultiple", ValueType.NUMBER),
-        new TypedKey("penalties", "probe", ValueType.NUMBER),
-        new TypedKey("penalties", "connection", ValueType.NUMBER));
-    private static final List<TypedKey> CLASS_KEYS = List.of(
-        new TypedKey("", "semantics", ValueType.TEXT), new TypedKey("", "group", ValueType.TEXT),
-        new TypedKey("", "value", ValueType.NUMBER), new TypedKey("", "lateWorth", ValueType.NUMBER),
-        new TypedKey("", "streamed", ValueType.FLAG));
+    /**
+     * A key that a node reads, and the object that it lies in; empty for the settings themselves.
+     */
+    private record TypedKey(String section, String key, ValueType type) {}
+
+    private static final List<TypedKey> KEYS =
+            List.of(
+                    new TypedKey("", "me", ValueType.NUMBER),
+                    new TypedKey("", "balancers", ValueType.NUMBER),
+                    new TypedKey("", "zone", ValueType.TEXT),
+                    new TypedKey("", "zones", ValueType.LIST),
+                    new TypedKey("", "kinds", ValueType.LIST),
+                    new TypedKey("", "registryMode", ValueType.TEXT),
+                    new TypedKey("", CLASSES, ValueType.LIST),
+                    new TypedKey("", "reporting", ValueType.OBJECT),
+                    new TypedKey("", "clients", ValueType.OBJECT),
+                    new TypedKey("", "specifics", ValueType.OBJECT),
+                    new TypedKey("", "ceilings", ValueType.OBJECT),
+                    new TypedKey("", "rules", ValueType.OBJECT),
+                    new TypedKey("", "penalties", ValueType.OBJECT),
+                    new TypedKey("reporting", "how", ValueType.TEXT),
+                    new TypedKey("reporting", "fields", ValueType.LIST),
+                    new TypedKey("clients", "marksRetry", ValueType.FLAG),
+                    new TypedKey("specifics", "warmKeys", ValueType.FLAG),
+                    new TypedKey("ceilings", "probes", ValueType.FLAG),
+                    new TypedKey("ceilings", "cancel", ValueType.FLAG),
+                    new TypedKey("ceilings", "retryAfter", ValueType.FLAG),
+                    new TypedKey("ceilings", "maxAttempts", ValueType.NUMBER),
+                    new TypedKey("rules", "coldFrom", ValueType.NUMBER),
+                    new TypedKey("rules", "tipMultiple", ValueType.NUMBER),
+                    new TypedKey("penalties", "probe", ValueType.NUMBER),
+                    new TypedKey("penalties", "connection", ValueType.NUMBER));
+    private static final List<TypedKey> CLASS_KEYS =
+            List.of(
+                    new TypedKey("", "semantics", ValueType.TEXT),
+                    new TypedKey("", "group", ValueType.TEXT),
+                    new TypedKey("", "value", ValueType.NUMBER),
+                    new TypedKey("", "lateWorth", ValueType.NUMBER),
+                    new TypedKey("", "streamed", ValueType.FLAG));
 
     private final FaultCollector faults;
     private int values;
@@ -76,8 +94,11 @@
         checks.checkValues(path, tree);
         checks.checkTypes(path, tree, KEYS);
         checks.checkClasses(path, tree);
-        SettingsReader.firstFault(tree).ifPresent(fault ->
-            faults.add(path + "." + fault.key(), fault.value(), fault.allowed()));
+        SettingsReader.firstFault(tree)
+                .ifPresent(
+                        fault ->
+                                faults.add(
+                                        path + "." + fault.key(), fault.value(), fault.allowed()));
     }
 
     private void checkValues(String path, Object value) {
@@ -103,9 +124,13 @@
     private void checkField(String path, String key, Object value) {
         ResourceChecks.checkText(path, key, MOST_TEXT_CHARACTERS, faults);
         String place = path + "." + key;
-        if (key.endsWith(SPAN_SUFFIX) && value != null
-            && !(value instanceof Double span && span >= 0 && span <= MOST_SPAN_MS)) {
-            faults.add(place, NumberText.of(value), "a number from 0 to " + NumberText.of(MOST_SPAN_MS));
+        if (key.endsWith(SPAN_SUFFIX)
+                && value != null
+                && !(value instanceof Double span && span >= 0 && span <= MOST_SPAN_MS)) {
+            faults.add(
+                    place,
+                    NumberText.of(value),
+                    "a number from 0 to " + NumberText.of(MOST_SPAN_MS));
         }
         checkValues(place, value);
     }
@@ -117,7 +142,8 @@
             Object value = fields instanceof Map<?, ?> map ? map.get(typed.key()) : null;
             if (value != null && !typed.type().type.isInstance(value)) {
                 String place = nested ? path + "." + typed.section() : path;
-                faults.add(place + "." + typed.key(), NumberText.of(value), typed.type().description);
+                faults.add(
+                        place + "." + typed.key(), NumberText.of(value), typed.type().description);
             }
         }
     }
--- a/src/main/java/ottergauge/resources/Subscription.java
+++ b/src/main/java/ottergauge/resources/Subscription.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 
 /**
- * Which resources a node follows: those of its services (of all, if it names none), those that belong to no
- * service, and of the settings those of one name.
+ * Which resources a node follows: those of its services (of all, if it names none), those that
+ * belong to no service, and of the settings those of one name.
  */
 public record Subscription(Set<String> services, String settings) {
 
--- a/src/main/java/ottergauge/resources/ValueCodec.java
+++ b/src/main/java/ottergauge/resources/ValueCodec.java
@@ -30,26 +30,38 @@
     private static final String OPEN_REQUESTS = "open_requests";
     private static final String WEIGHT = "weight";
 
-    private ValueCodec() {
-    }
+    private ValueCodec() {}
 
     /** Reads the value of a resource; empty if it can't be made out, which is reported then. */
     static Optional<ResourceValue> read(ResourceKey key, FieldReader fields) {
         int before = fields.faults().size();
-        ResourceValue value = switch (key.kind()) {
-            case SERVICE -> new Service(fields.text(DESCRIPTION, ""));
-            case SERVER -> server(key.name(), fields);
-            case ROUTE -> new Route(fields.text(SERVICE), fields.text(PATH_PREFIX),
-                fields.text(REQUEST_CLASS));
-            case TENANT -> new Tenant(fields.number(REQUESTS_PER_SECOND, 0), fields.number(BURST, 0),
-                (int) fields.whole(OPEN_REQUESTS, 0, ResourceChecks.MOST_OPEN_REQUESTS, 0L),
-                fields.number(WEIGHT, 1));
-            case SETTINGS -> new Settings(tree(fields.fields()));
-        };
+        ResourceValue value =
+                switch (key.kind()) {
+                    case SERVICE -> new Service(fields.text(DESCRIPTION, ""));
+                    case SERVER -> server(key.name(), fields);
+                    case ROUTE ->
+                            new Route(
+                                    fields.text(SERVICE),
+                                    fields.text(PATH_PREFIX),
+                                    fields.text(REQUEST_CLASS));
+                    case TENANT ->
+                            new Tenant(
+                                    fields.number(REQUESTS_PER_SECOND, 0),
+                                    fields.number(BURST, 0),
+                                    (int)
+                                            fields.whole(
+                                                    OPEN_REQUESTS,
+                                                    0,
+                                                    ResourceChecks.MOST_OPEN_REQUESTS,
+                                                    0L),
+                                    fields.number(WEIGHT, 1));
+                    case SETTINGS -> new Settings(tree(fields.fields()));
+                };
         return fields.faults().size() == before ? Optional.ofNullable(value) : Optional.empty();
     }
 
-    // Types first: the codec that discovery's list is read by takes a default for what it can't read.
+    // Types first: the codec that discovery's list is read by takes a default for what it can't
+    // read.
     private static ResourceValue server(String name, FieldReader fields) {
         int before = fields.faults().size();
         String service = fields.text(SERVICE);
--- a/src/main/java/ottergauge/ring/Ring.java
+++ b/src/main/java/ottergauge/ring/Ring.java
@@ -7,13 +7,14 @@
 import java.util.function.Consumer;
 
 /**
- * Elements side by side on a circle, in the order of a hash of their ids, each with an arc as long as its
- * size. Insertion, removal and both kinds of lookup visit a number of elements that grows with the logarithm
- * of how many there are.
+ * Elements side by side on a circle, in the order of a hash of their ids, each with an arc as long
+ * as its size. Insertion, removal and both kinds of lookup visit a number of elements that grows
+ * with the logarithm of how many there are.
  *
- * <p>It is a treap (Seidel and Aragon, 1996) whose priorities are hashes of the ids too, and which keeps with
- * each subtree the length of its arcs. The same elements make the same tree, whatever was put and removed
- * before: where an arc lies is the same to the last bit at all that hold the same elements.
+ * <p>It is a treap (Seidel and Aragon, 1996) whose priorities are hashes of the ids too, and which
+ * keeps with each subtree the length of its arcs. The same elements make the same tree, whatever
+ * was put and removed before: where an arc lies is the same to the last bit at all that hold the
+ * same elements.
  *
  * @param <E> what is found by an id or a point
  */
@@ -27,6 +28,7 @@
         final E element;
         Node<E> left;
         Node<E> right;
+
         /** The length of all arcs of this subtree. */
         double length;
 
@@ -63,7 +65,10 @@
         return count;
     }
 
-    /** How many elements have been visited by all calls so far: the cost of what was done, as a count. */
+    /**
+     * How many elements have been visited by all calls so far: the cost of what was done, as a
+     * count.
+     */
     public long visits() {
         return visits;
     }
@@ -94,7 +99,10 @@
         }
     }
 
-    /** The element in whose arc a point lies, which is a part of the whole circle; null on an empty ring. */
+    /**
+     * The element in whose arc a point lies, which is a part of the whole circle; null on an empty
+     * ring.
+     */
     public E at(double point) {
         Node<E> node = root;
         double rest = point * lengthOf(root);
--- a/src/main/java/ottergauge/routing/Clients.java
+++ b/src/main/java/ottergauge/routing/Clients.java
@@ -17,29 +17,40 @@
 
     // A body that stands still for so long does not come any more.
     private static final long PATIENCE = 2_000_000;
-    // A head may take 2 s. A bad client is owed an end within 3 s of connecting, and a sweep may come late.
+    // A head may take 2 s. A bad client is owed an end within 3 s of connecting, and a sweep may
+    // come late.
     private static final long HEAD_WITHIN = 2_600_000;
     // What is left for a first body when its head took all of that.
     private static final long BODY_BEGINS_WITHIN = 350_000;
-    // Bytes a second that a body comes with on the whole: a quarter of the slowest that is promised. At a
+    // Bytes a second that a body comes with on the whole: a quarter of the slowest that is
+    // promised. At a
     // byte now and then a connection would be held for as long as its client likes.
     private static final long LEAST_RATE = 16_000;
-    // An answer that flows: the system's own buffers take so much that a slow reader's stand still for long.
+    // An answer that flows: the system's own buffers take so much that a slow reader's stand still
+    // for long.
     private static final long FLOW_PATIENCE = 10_000_000;
-    // A client that is going to ask again does so sooner as a rule; connections kept for nothing only grow.
+    // A client that is going to ask again does so sooner as a rule; connections kept for nothing
+    // only grow.
     private static final long IDLE_FOR = 5_000_000;
     // What connects sends its request at once: this young, a connection is not idle but on its way.
     private static final long FRESH = 250_000;
     // A line for each bad request would let its sender fill the log and the node's time.
     private static final int LINES_A_SECOND = 5;
 
-    private enum Stage { IDLE, READING, OPEN, ANSWERING }
+    private enum Stage {
+        IDLE,
+        READING,
+        OPEN,
+        ANSWERING
+    }
 
     private static final class Client {
         Stage stage = Stage.IDLE;
         long since;
+
         /** When it is closed, should it stay as it is; what is open has its own time. */
         long closeAt;
+
         boolean asked;
         long moved;
         Exchange exchange;
@@ -47,8 +58,10 @@
 
     private final Consumer<Effect> effects;
     private final Map<Long, Client> clients = new LinkedHashMap<>();
+
     /** In the order in which they became idle. */
     private final Map<Long, Client> idle = new LinkedHashMap<>();
+
     private long linesSince;
     private int lines;
     private int linesLeftOut;
@@ -98,8 +111,10 @@
         }
         client.moved += bytes;
         if (client.stage == Stage.READING) {
-            client.closeAt = Math.min(now + PATIENCE,
-                client.since + PATIENCE + client.moved * 1_000_000 / LEAST_RATE);
+            client.closeAt =
+                    Math.min(
+                            now + PATIENCE,
+                            client.since + PATIENCE + client.moved * 1_000_000 / LEAST_RATE);
         } else if (client.stage == Stage.ANSWERING) {
             client.closeAt = now + (client.exchange == null ? PATIENCE : FLOW_PATIENCE);
         }
@@ -111,8 +126,10 @@
             busy(number, client, Stage.READING);
             client.since = now;
             client.moved = 0;
-            client.closeAt = client.asked ? now + PATIENCE
-                : Math.max(client.closeAt, now + BODY_BEGINS_WITHIN);
+            client.closeAt =
+                    client.asked
+                            ? now + PATIENCE
+                            : Math.max(client.closeAt, now + BODY_BEGINS_WITHIN);
         }
     }
 
@@ -157,7 +174,10 @@
         }
     }
 
-    /** Ends a connection whose answer can't be finished: short of its length, so that the client can tell. */
+    /**
+     * Ends a connection whose answer can't be finished: short of its length, so that the client can
+     * tell.
+     */
     void cutShort(long number) {
         if (clients.containsKey(number)) {
             close(number, CloseReason.CUT_SHORT);
@@ -175,16 +195,19 @@
     }
 
     /** Answers what the connection carries, if it is still there. */
-    void respond(long now, long number, int status, long retryAfter, Content content, boolean close) {
+    void respond(
+            long now, long number, int status, long retryAfter, Content content, boolean close) {
         Client client = clients.get(number);
         if (client != null) {
-            // What is answered before it has come whole has no end that a next request could follow.
+            // What is answered before it has come whole has no end that a next request could
+            // follow.
             boolean half = client.stage == Stage.READING && client.exchange != null;
             busy(number, client, Stage.ANSWERING);
             client.exchange = null;
             client.asked = true;
             client.closeAt = now + PATIENCE;
-            effects.accept(new Respond(number, status, retryAfter, content, close || half || stopping));
+            effects.accept(
+                    new Respond(number, status, retryAfter, content, close || half || stopping));
         }
     }
 
@@ -226,7 +249,9 @@
         new ArrayList<>(idle.keySet()).forEach(number -> close(number, reason));
     }
 
-    /** Closes what has been silent, or has not got on with its request or its answer, for too long. */
+    /**
+     * Closes what has been silent, or has not got on with its request or its answer, for too long.
+     */
     void sweep(long now) {
         for (Map.Entry<Long, Client> entry : new ArrayList<>(clients.entrySet())) {
             Client client = entry.getValue();
@@ -234,20 +259,29 @@
                 if (client.exchange != null) {
                     // Its end comes back as an event, and with it what becomes of the request.
                     client.closeAt = Long.MAX_VALUE;
-                    effects.accept(new CloseClient(entry.getKey(), client.stage == Stage.READING
-                        ? CloseReason.SLOW_REQUEST : CloseReason.SLOW_ANSWER));
+                    effects.accept(
+                            new CloseClient(
+                                    entry.getKey(),
+                                    client.stage == Stage.READING
+                                            ? CloseReason.SLOW_REQUEST
+                                            : CloseReason.SLOW_ANSWER));
                     continue;
                 }
-                close(entry.getKey(), switch (client.stage) {
-                    case READING -> CloseReason.SLOW_REQUEST;
-                    case ANSWERING -> CloseReason.SLOW_ANSWER;
-                    default -> client.asked ? CloseReason.IDLE : CloseReason.SILENT;
-                });
+                close(
+                        entry.getKey(),
+                        switch (client.stage) {
+                            case READING -> CloseReason.SLOW_REQUEST;
+                            case ANSWERING -> CloseReason.SLOW_ANSWER;
+                            default -> client.asked ? CloseReason.IDLE : CloseReason.SILENT;
+                        });
             }
         }
     }
 
-    /** Closes the connection that has been idle for longest, if for long enough; false if there is none. */
+    /**
+     * Closes the connection that has been idle for longest, if for long enough; false if there is
+     * none.
+     */
     boolean closeOneIdle(long now, boolean alsoFresh) {
         Iterator<Map.Entry<Long, Client>> oldest = idle.entrySet().iterator();
         if (!oldest.hasNext()) {
--- a/src/main/java/ottergauge/routing/CloseReason.java
+++ b/src/main/java/ottergauge/routing/CloseReason.java
@@ -43,7 +43,10 @@
     WATCH_SILENT,
     /** Another control process is asked now. */
     CONTROL_MOVED,
-    /** A control process did not answer in time on it, or the call on it was given up for another process. */
+    /**
+     * A control process did not answer in time on it, or the call on it was given up for another
+     * process.
+     */
     CONTROL_SILENT,
     /** The node was short of sockets. */
     SOCKETS_SHORT,
--- a/src/main/java/ottergauge/routing/ConnectPatience.java
+++ b/src/main/java/ottergauge/routing/ConnectPatience.java
@@ -2,9 +2,10 @@
 package ottergauge.routing;
 
 /**
- * How long a connection may take to come up: by what earlier ones took, as TCP's retransmission time-out is
- * (RFC 6298). A machine that is cut off refuses nothing. Waited for as long as the settings allow, a request
- * lost all of its time at one such server, though it had never run and could have gone to another.
+ * How long a connection may take to come up: by what earlier ones took, as TCP's retransmission
+ * time-out is (RFC 6298). A machine that is cut off refuses nothing. Waited for as long as the
+ * settings allow, a request lost all of its time at one such server, though it had never run and
+ * could have gone to another.
  */
 final class ConnectPatience {
 
--- a/src/main/java/ottergauge/routing/Exchange.java
+++ b/src/main/java/ottergauge/routing/Exchange.java
@@ -10,24 +10,38 @@
 final class Exchange {
     final String id;
     final long client;
+
     /** The class that it was taken with, whatever its name stands for later. */
     final RequestClass type;
+
     final ClientRequest request;
+
     /** How long the client waits from the last byte of its request. */
     final long waits;
+
     long giveUpAt;
+
     /** It is too large to be kept: passed on as it comes, it can be sent once. */
     final boolean flows;
+
     /** Whether its last byte has come. */
     boolean whole;
+
     /** The attempt whose answer is being passed on. */
     Job passing;
+
     final List<Job> out = new ArrayList<>(1);
     int attempts;
     boolean over;
 
-    Exchange(String id, long client, RequestClass type, ClientRequest request, long giveUpAt, long waits,
-             boolean flows) {
+    Exchange(
+            String id,
+            long client,
+            RequestClass type,
+            ClientRequest request,
+            long giveUpAt,
+            long waits,
+            boolean flows) {
         this.id = id;
         this.client = client;
         this.type = type;
--- a/src/main/java/ottergauge/routing/Figures.java
+++ b/src/main/java/ottergauge/routing/Figures.java
@@ -9,9 +9,9 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * Counts since the start of the process. Each request that was taken ends under one count at the most. A
- * class keeps its counts for as long as the settings name it; what ends after that is no longer pending, and
- * else not counted.
+ * Counts since the start of the process. Each request that was taken ends under one count at the
+ * most. A class keeps its counts for as long as the settings name it; what ends after that is no
+ * longer pending, and else not counted.
  */
 final class Figures {
 
@@ -79,11 +79,12 @@
 
     String text(int members, int unavailable) {
         StringBuilder text = new StringBuilder();
-        byClass.forEach((name, counts) -> {
-            line(text, "completed." + name, counts.completed);
-            line(text, "rejected." + name, counts.rejected);
-            line(text, "failed." + name, counts.failed);
-        });
+        byClass.forEach(
+                (name, counts) -> {
+                    line(text, "completed." + name, counts.completed);
+                    line(text, "rejected." + name, counts.rejected);
+                    line(text, "failed." + name, counts.failed);
+                });
         line(text, "upstream_requests", upstreamRequests);
         line(text, "pending", pending);
         version.ifPresent(position -> line(text, "state_version", position.version()));
--- a/src/main/java/ottergauge/routing/Job.java
+++ b/src/main/java/ottergauge/routing/Job.java
@@ -7,13 +7,18 @@
     final Exchange exchange;
     final int attempt;
     final long server;
+
     /** When it was sent; a request that flows, when its last byte was. */
     long startedAt;
+
     long dueAt;
+
     /** Set once a connection carries it. */
     ServerConnection connection;
+
     /** Whether its first byte is written: until then it can be taken back with nothing lost. */
     boolean begun;
+
     /** Whether its last byte is written: until then it cannot have run. */
     boolean written;
 
--- a/src/main/java/ottergauge/routing/ListDeadline.java
+++ b/src/main/java/ottergauge/routing/ListDeadline.java
@@ -2,15 +2,15 @@
 package ottergauge.routing;
 
 /**
- * How soon a change of the list has to be in hand, and what follows from it, reckoned backwards, for the
- * calls to discovery. A change counts as told this long after discovery had it and could be reached,
- * whatever calls failed, were refused or fell silent meanwhile; where the settings want nodes to ask more
- * often, sooner.
+ * How soon a change of the list has to be in hand, and what follows from it, reckoned backwards,
+ * for the calls to discovery. A change counts as told this long after discovery had it and could be
+ * reached, whatever calls failed, were refused or fell silent meanwhile; where the settings want
+ * nodes to ask more often, sooner.
  *
- * <p>The longest way: a watch falls silent as its call begins, that is noticed, the call that opens it anew
- * is turned away, and the one after it waits for its whole turn. Or, once discovery is back: a call that
- * began just before is never answered, the longest pause, and a call that waits for its whole turn. Either
- * leaves a sixteenth of the time to spare. Spans are microseconds.
+ * <p>The longest way: a watch falls silent as its call begins, that is noticed, the call that opens
+ * it anew is turned away, and the one after it waits for its whole turn. Or, once discovery is
+ * back: a call that began just before is never answered, the longest pause, and a call that waits
+ * for its whole turn. Either leaves a sixteenth of the time to spare. Spans are microseconds.
  */
 record ListDeadline(long within) {
 
@@ -30,12 +30,17 @@
         return parts(21);
     }
 
-    /** And the shortest: nodes that lose their watches together then keep discovery busy from the start. */
+    /**
+     * And the shortest: nodes that lose their watches together then keep discovery busy from the
+     * start.
+     */
     long shortestWait() {
         return parts(2);
     }
 
-    /** A wait that is over is answered after a trip: this is for what makes it late at either end. */
+    /**
+     * A wait that is over is answered after a trip: this is for what makes it late at either end.
+     */
     long silentAfter() {
         return parts(2);
     }
--- a/src/main/java/ottergauge/routing/ListInForce.java
+++ b/src/main/java/ottergauge/routing/ListInForce.java
@@ -14,9 +14,9 @@
 import ottergauge.routing.Effect.KeepList;
 
 /**
- * The list of servers in force: discovery, the log of changes and operators tell what changes of it, and the
- * connections to servers and the decisions follow. Settings pass through here on their way to the decisions,
- * since they come in force together with the list.
+ * The list of servers in force: discovery, the log of changes and operators tell what changes of
+ * it, and the connections to servers and the decisions follow. Settings pass through here on their
+ * way to the decisions, since they come in force together with the list.
  */
 final class ListInForce {
 
@@ -30,11 +30,16 @@
     private ServerLists lists;
 
     /**
-     * {@code learn} takes what the decisions have to know, {@code withdraw} the jobs that waited for a server
-     * which takes nothing new any more: after the list, or the decisions would choose that server again.
+     * {@code learn} takes what the decisions have to know, {@code withdraw} the jobs that waited
+     * for a server which takes nothing new any more: after the list, or the decisions would choose
+     * that server again.
      */
-    ListInForce(NodeConfig config, Upstreams upstreams, Consumer<DecisionApi.Event> learn,
-                Consumer<Job> withdraw, Consumer<Effect> effects) {
+    ListInForce(
+            NodeConfig config,
+            Upstreams upstreams,
+            Consumer<DecisionApi.Event> learn,
+            Consumer<Job> withdraw,
+            Consumer<Effect> effects) {
         this.upstreams = upstreams;
         this.learn = learn;
         this.withdraw = withdraw;
@@ -69,10 +74,12 @@
         }
         HostList list = roster.follow(now, told);
         List<Job> withdrawn = upstreams.follow(list);
-        watch.read(now, call, list).ifPresent(scope -> {
-            learn.accept(lists.list(list, scope));
-            keep();
-        });
+        watch.read(now, call, list)
+                .ifPresent(
+                        scope -> {
+                            learn.accept(lists.list(list, scope));
+                            keep();
+                        });
         withdrawn.forEach(withdraw);
     }
 
@@ -91,13 +98,18 @@
         takeOver(now, new HostList(roster.seq(), false, List.of()), Optional.of(settings));
     }
 
-    /** A change of the list, or a whole one, comes in force, together with other settings if there are. */
+    /**
+     * A change of the list, or a whole one, comes in force, together with other settings if there
+     * are.
+     */
     void takeOver(long now, HostList told, Optional<NodeSettings> settings) {
         HostList list = roster.follow(now, told);
         List<Job> withdrawn = upstreams.follow(list);
         ServerList change = lists.list(list, list.whole() ? ListScope.FULL : ListScope.CHANGES);
         if (settings.isPresent()) {
-            learn.accept(new SettingsChanged(settings.get().decisions(), renumber(settings.get(), change)));
+            learn.accept(
+                    new SettingsChanged(
+                            settings.get().decisions(), renumber(settings.get(), change)));
         } else {
             learn.accept(change);
         }
--- a/src/main/java/ottergauge/routing/OperatorCall.java
+++ b/src/main/java/ottergauge/routing/OperatorCall.java
@@ -5,16 +5,16 @@
 public sealed interface OperatorCall {
 
     /** Whether this process takes clients. */
-    record Health() implements OperatorCall { }
+    record Health() implements OperatorCall {}
 
-    record Stats() implements OperatorCall { }
+    record Stats() implements OperatorCall {}
 
     /** How each server stands. */
-    record Servers() implements OperatorCall { }
+    record Servers() implements OperatorCall {}
 
     /** Takes a server out. */
-    record Maint(String server) implements OperatorCall { }
+    record Maint(String server) implements OperatorCall {}
 
     /** Puts a server back. */
-    record Ready(String server) implements OperatorCall { }
+    record Ready(String server) implements OperatorCall {}
 }
--- a/src/main/java/ottergauge/routing/Operators.java
+++ b/src/main/java/ottergauge/routing/Operators.java
@@ -25,9 +25,15 @@
     private final Consumer<HostList> changed;
     private final Consumer<Effect> effects;
 
-    /** {@code changed} takes what a hand changes of the list; what follows from it happens at once. */
-    Operators(Figures figures, Roster roster, Function<String, Standing> standings,
-              Consumer<HostList> changed, Consumer<Effect> effects) {
+    /**
+     * {@code changed} takes what a hand changes of the list; what follows from it happens at once.
+     */
+    Operators(
+            Figures figures,
+            Roster roster,
+            Function<String, Standing> standings,
+            Consumer<HostList> changed,
+            Consumer<Effect> effects) {
         this.figures = figures;
         this.roster = roster;
         this.standings = standings;
@@ -37,10 +43,16 @@
 
     void asked(long now, boolean serving, long caller, OperatorCall call) {
         if (call instanceof OperatorCall.Health) {
-            tell(caller, serving ? OK : UNAVAILABLE, serving ? "serving\n" : "starting or stopping\n");
+            tell(
+                    caller,
+                    serving ? OK : UNAVAILABLE,
+                    serving ? "serving\n" : "starting or stopping\n");
         } else if (call instanceof OperatorCall.Stats) {
-            int unavailable = (int) roster.names().stream()
-                .filter(name -> standings.apply(name) != Standing.USED).count();
+            int unavailable =
+                    (int)
+                            roster.names().stream()
+                                    .filter(name -> standings.apply(name) != Standing.USED)
+                                    .count();
             tell(caller, OK, figures.text(roster.names().size(), unavailable));
         } else if (call instanceof OperatorCall.Servers) {
             tell(caller, OK, servers());
@@ -53,13 +65,26 @@
 
     private String servers() {
         StringBuilder text = new StringBuilder();
-        roster.names().forEach(name -> text.append(name).append(' ').append(roster.holds(name) ? "held"
-            : standings.apply(name).name().toLowerCase(Locale.ROOT)).append('\n'));
-        roster.heldBeside(roster.names()).forEach(name -> text.append(name).append(" held, unlisted\n"));
+        roster.names()
+                .forEach(
+                        name ->
+                                text.append(name)
+                                        .append(' ')
+                                        .append(
+                                                roster.holds(name)
+                                                        ? "held"
+                                                        : standings
+                                                                .apply(name)
+                                                                .name()
+                                                                .toLowerCase(Locale.ROOT))
+                                        .append('\n'));
+        roster.heldBeside(roster.names())
+                .forEach(name -> text.append(name).append(" held, unlisted\n"));
         return text.toString();
     }
 
-    // What a call brings comes before the yes: from then on nothing new may begin at a server that is out.
+    // What a call brings comes before the yes: from then on nothing new may begin at a server that
+    // is out.
     private void takeOut(long now, long caller, String server) {
         if (!roster.knows(server)) {
             tell(caller, NOT_FOUND, "unknown server\n");
@@ -87,7 +112,8 @@
     /** Another process of this node may have been the one that was told. */
     void heldRead(long now, Map<String, Long> since) {
         since.forEach((name, at) -> changed.accept(roster.hold(name, at)));
-        roster.heldBeside(since.keySet()).forEach(name -> changed.accept(roster.release(now, name)));
+        roster.heldBeside(since.keySet())
+                .forEach(name -> changed.accept(roster.release(now, name)));
     }
 
     private void tell(long caller, int status, String text) {
--- a/src/main/java/ottergauge/routing/RequestClasses.java
+++ b/src/main/java/ottergauge/routing/RequestClasses.java
@@ -11,7 +11,7 @@
 final class RequestClasses {
 
     /** A class, and its number for the decisions for as long as these classes are in force. */
-    record Numbered(int number, RequestClass type) { }
+    record Numbered(int number, RequestClass type) {}
 
     private final Map<String, Numbered> byName = new HashMap<>();
     private final long longestDeadline;
--- a/src/main/java/ottergauge/routing/Roster.java
+++ b/src/main/java/ottergauge/routing/Roster.java
@@ -12,21 +12,25 @@
 import ottergauge.protocol.HostList.Host;
 
 /**
- * The servers that are listed, and over that list what operators hold out: a server held out is a draining
- * one for all that comes after, whatever the list says of it meanwhile. The decision module knows of no hand.
+ * The servers that are listed, and over that list what operators hold out: a server held out is a
+ * draining one for all that comes after, whatever the list says of it meanwhile. The decision
+ * module knows of no hand.
  */
 final class Roster {
 
-    // What operators may hold out at one time: they can name no server that was never listed, so a fleet that
+    // What operators may hold out at one time: they can name no server that was never listed, so a
+    // fleet that
     // replaces its servers under new names is the only way to so many.
     private static final int MOST_HELD = 4096;
 
-    private record Back(long outSince, long backAt) { }
+    private record Back(long outSince, long backAt) {}
 
     private long coldFor;
     private final Map<String, Host> listed = new LinkedHashMap<>();
+
     /** By name, since when: in the order of names, so that all is told in one order. */
     private final Map<String, Long> held = new TreeMap<>();
+
     private final Map<String, Back> back = new TreeMap<>();
     private long seq;
 
@@ -64,21 +68,41 @@
     }
 
     private Host overlaid(Host host) {
-        ServerState state = host.state() != ServerState.GONE && held.containsKey(host.name())
-            ? ServerState.DRAINING : host.state();
+        ServerState state =
+                host.state() != ServerState.GONE && held.containsKey(host.name())
+                        ? ServerState.DRAINING
+                        : host.state();
         Host born = born(host);
-        return new Host(born.name(), born.dial(), born.site(), born.kind(), born.block(), state,
-            born.share(), born.bornMs());
+        return new Host(
+                born.name(),
+                born.dial(),
+                born.site(),
+                born.kind(),
+                born.block(),
+                state,
+                born.share(),
+                born.bornMs());
     }
 
     private Host born(Host host) {
         Back since = back.get(host.name());
-        // Servers are restarted while they are out. The list tells of it seconds late: until it does, one
-        // that was put back counts as started at that moment, and so is not pushed over while it is cold.
-        long born = since == null || host.bornMs() * 1000 >= since.outSince ? host.bornMs()
-            : since.backAt / 1000;
-        return new Host(host.name(), host.dial(), host.site(), host.kind(), host.block(), host.state(),
-            host.share(), born);
+        // Servers are restarted while they are out. The list tells of it seconds late: until it
+        // does, one
+        // that was put back counts as started at that moment, and so is not pushed over while it is
+        // cold.
+        long born =
+                since == null || host.bornMs() * 1000 >= since.outSince
+                        ? host.bornMs()
+                        : since.backAt / 1000;
+        return new Host(
+                host.name(),
+                host.dial(),
+                host.site(),
+                host.kind(),
+                host.block(),
+                host.state(),
+                host.share(),
+                born);
     }
 
     /** Whether an operator may name this server. */
--- a/src/main/java/ottergauge/routing/Router.java
+++ b/src/main/java/ottergauge/routing/Router.java
@@ -19,8 +19,8 @@
 import ottergauge.DecisionApi.Limits;
 import ottergauge.DecisionApi.LoadReport;
 import ottergauge.DecisionApi.ProbeEnded;
-import ottergauge.DecisionApi.RequestArrived;
 import ottergauge.DecisionApi.Repeat;
+import ottergauge.DecisionApi.RequestArrived;
 import ottergauge.DecisionApi.RequestClass;
 import ottergauge.DecisionApi.Result;
 import ottergauge.protocol.Content;
@@ -41,8 +41,8 @@
 import ottergauge.routing.Event.ServerAnswer;
 
 /**
- * The node's one reducer: it owns all state, takes an event and asks for effects. It carries out what the
- * decision module decides and decides nothing itself.
+ * The node's one reducer: it owns all state, takes an event and asks for effects. It carries out
+ * what the decision module decides and decides nothing itself.
  */
 public final class Router {
 
@@ -52,27 +52,32 @@
     private static final int CONFLICT = 409;
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
-    // Descriptors that are no connections of clients or servers: the program's own files, standard streams,
+    // Descriptors that are no connections of clients or servers: the program's own files, standard
+    // streams,
     // selector, listener and discovery, and what the operating system has not yet finished closing.
     private static final int RESERVE = 64;
     // The operators' door: its listener, its calls and the files that it keeps.
     private static final int DOOR_RESERVE = 32;
     // Connections that the listener takes at once before it looks whether it may take more.
     private static final int ACCEPTED_AT_ONCE = 16;
-    // Bodies on their way at once for each MB of the memory limit. Each has a first part of 64 KiB at the
+    // Bodies on their way at once for each MB of the memory limit. Each has a first part of 64 KiB
+    // at the
     // most, or a read's worth and what is not written yet, in memory: all together an eighth of it.
     private static final int FLOWS_A_MB = 2;
     // Of these, requests: an answer that has begun was worked for, and cannot be refused any more.
     private static final double REQUESTS_PART = 0.75;
-    // Clients have this part of the sockets at most, so that there are always some for what they ask.
+    // Clients have this part of the sockets at most, so that there are always some for what they
+    // ask.
     private static final double CLIENT_PART = 2.0 / 3;
     // Of all descriptors: what another process of the node may open between two looks at it.
     private static final double GROWTH_PART = 0.25;
     // Often enough that what is closed after 2 s is closed well within 3 s.
     private static final long SWEEP_EVERY = 250_000;
-    // New connections go on coming for up to 0.4 s after the node is told to stop; 0.1 s for late ones.
+    // New connections go on coming for up to 0.4 s after the node is told to stop; 0.1 s for late
+    // ones.
     private static final long FRONT_QUIET = 500_000;
-    // A process that another one succeeds is killed 0.7 s after the longest deadline: by then all is
+    // A process that another one succeeds is killed 0.7 s after the longest deadline: by then all
+    // is
     // answered, with some time to spare for its end.
     private static final long ANSWERED_AFTER = 500_000;
     // What is asked in its last moments has at least so long.
@@ -89,8 +94,10 @@
     private final Map<String, Exchange> exchanges = new HashMap<>();
     private final Map<String, Exchange> byTraceId = new HashMap<>();
     private final Map<Long, Job> jobs = new HashMap<>();
+
     /** The requests whose body, or whose answer's, is on its way. */
     private final Set<Exchange> flowing = new HashSet<>();
+
     private final Deque<DecisionApi.Event> learnt = new ArrayDeque<>();
     private final Deque<DecisionApi.Action> decided = new ArrayDeque<>();
     private NodeSettings settings;
@@ -107,6 +114,7 @@
     private boolean stopping;
     private boolean frontQuiet;
     private boolean exiting;
+
     /** When the last answer must be out. */
     private long lastAnswer = Long.MAX_VALUE;
 
@@ -117,11 +125,24 @@
         settings = config.nodeSettings();
         classes = new RequestClasses(config.settings().classes());
         clients = new Clients(effects);
-        upstreams = new Upstreams(config.connectTimeout(), config.connectionIdle(), effects, this::carried);
-        list = new ListInForce(config, upstreams, learnt::add, job -> ended(job, Result.NOT_SENT), effects);
+        upstreams =
+                new Upstreams(
+                        config.connectTimeout(), config.connectionIdle(), effects, this::carried);
+        list =
+                new ListInForce(
+                        config,
+                        upstreams,
+                        learnt::add,
+                        job -> ended(job, Result.NOT_SENT),
+                        effects);
         figures = new Figures(config.settings().classes());
-        operators = new Operators(figures, list.roster(), name -> decide.standing(now, ServerIds.of(name)),
-            this::changeByHand, effects);
+        operators =
+                new Operators(
+                        figures,
+                        list.roster(),
+                        name -> decide.standing(now, ServerIds.of(name)),
+                        this::changeByHand,
+                        effects);
     }
 
     /** Begins with the list that the node had last. */
@@ -139,8 +160,9 @@
         if (event instanceof RequestRead e) {
             requestRead(e.client(), e.request(), e.waited(), false);
         } else if (event instanceof AnswerRead e) {
-            upstreams.answered(now, e.connection(), e.answer().reusable())
-                .ifPresent(job -> ended(job, e.answer()));
+            upstreams
+                    .answered(now, e.connection(), e.answer().reusable())
+                    .ifPresent(job -> ended(job, e.answer()));
         } else if (event instanceof Event.RequestBegan e) {
             clients.began(now, e.client());
         } else if (event instanceof Event.HeadBegan e) {
@@ -176,7 +198,9 @@
         } else if (event instanceof Event.ServerConnected e) {
             upstreams.connected(now, e.connection());
         } else if (event instanceof Event.ConnectFailed e) {
-            upstreams.connectFailed(now, e.connection()).ifPresent(job -> ended(job, Result.CONNECT_FAILED));
+            upstreams
+                    .connectFailed(now, e.connection())
+                    .ifPresent(job -> ended(job, Result.CONNECT_FAILED));
         } else if (event instanceof Event.ServerClosed e) {
             upstreams.closed(e.connection()).ifPresent(job -> serverClosed(job, e.spoilt()));
         } else if (event instanceof Event.ListRead e) {
@@ -191,8 +215,13 @@
             changeState(e);
         } else if (event instanceof Event.HealthAsked e) {
             boolean ready = serving && !stopping;
-            clients.respond(now, e.client(), e.readiness() && !ready ? UNAVAILABLE : OK, 0, Content.NONE,
-                false);
+            clients.respond(
+                    now,
+                    e.client(),
+                    e.readiness() && !ready ? UNAVAILABLE : OK,
+                    0,
+                    Content.NONE,
+                    false);
         } else if (event instanceof Event.RequestUnreadable e) {
             unreadable(e);
         } else if (event instanceof Event.OperatorAsked e) {
@@ -212,7 +241,8 @@
         exitIfDone();
     }
 
-    // ---- Clients ------------------------------------------------------------------------------------
+    // ---- Clients
+    // ------------------------------------------------------------------------------------
 
     private void requestRead(long client, ClientRequest request, long waited, boolean flows) {
         RequestFields fields = request.fields();
@@ -237,8 +267,15 @@
         }
         // The client's time runs from the last byte of its request, read late or not.
         long giveUpAt = Math.min(lastAnswer, now - waited + wait);
-        Exchange exchange = new Exchange(Long.toString(++lastExchange), client, type, request, giveUpAt, wait,
-            flows);
+        Exchange exchange =
+                new Exchange(
+                        Long.toString(++lastExchange),
+                        client,
+                        type,
+                        request,
+                        giveUpAt,
+                        wait,
+                        flows);
         exchanges.put(exchange.id, exchange);
         byTraceId.put(fields.traceId(), exchange);
         clients.took(client, exchange);
@@ -248,11 +285,20 @@
             flowing.add(exchange);
         } else {
             Limits limits = settings.decisions().limits();
-            answer(exchange.id, UNAVAILABLE, limits.retryAfter() ? limits.maxRetryAfter() : 0, Content.NONE);
+            answer(
+                    exchange.id,
+                    UNAVAILABLE,
+                    limits.retryAfter() ? limits.maxRetryAfter() : 0,
+                    Content.NONE);
             return;
         }
-        learnt.add(new RequestArrived(exchange.id, numbered.number(), giveUpAt, fields.secondTry(),
-            key(request)));
+        learnt.add(
+                new RequestArrived(
+                        exchange.id,
+                        numbered.number(),
+                        giveUpAt,
+                        fields.secondTry(),
+                        key(request)));
     }
 
     private void unreadable(Event.RequestUnreadable e) {
@@ -305,7 +351,8 @@
         over(exchange);
     }
 
-    // All bodies on their way together have this part of the memory; a process that is accompanied, half.
+    // All bodies on their way together have this part of the memory; a process that is accompanied,
+    // half.
     private int mostFlows() {
         return Math.max(2, config.memoryMb() * FLOWS_A_MB / (accompanied ? 2 : 1));
     }
@@ -320,9 +367,11 @@
         flowing.remove(exchange);
     }
 
-    // ---- Answers that flow ----------------------------------------------------------------------------
+    // ---- Answers that flow
+    // ----------------------------------------------------------------------------
 
-    // Its first bytes are what is timed: for the decisions the attempt ends here, and how fast the client
+    // Its first bytes are what is timed: for the decisions the attempt ends here, and how fast the
+    // client
     // reads is not told of the server. From now on no deadline cuts it.
     private void answerFlows(long connection, ServerAnswer answer, long sinceHead) {
         Job job = upstreams.carriedBy(connection).orElse(null);
@@ -331,10 +380,14 @@
         }
         Exchange exchange = job.exchange;
         // One that comes before its request is whole is no answer to it.
-        Result result = exchange == null || !exchange.whole ? Result.ERROR
-            : Outcomes.of(answer.status(), answer.neverRan());
-        if (result == Result.SERVED && !exchange.over && flowing.size() < mostFlows()
-            && clients.passOn(now, exchange.client, connection)) {
+        Result result =
+                exchange == null || !exchange.whole
+                        ? Result.ERROR
+                        : Outcomes.of(answer.status(), answer.neverRan());
+        if (result == Result.SERVED
+                && !exchange.over
+                && flowing.size() < mostFlows()
+                && clients.passOn(now, exchange.client, connection)) {
             over(exchange);
             exchange.passing = job;
             flowing.add(exchange);
@@ -346,11 +399,14 @@
         ended(job, result, answer.report());
     }
 
-    // It may be as long as any. Over 64 KiB the first bytes are what counts: kept until its time is up, they
+    // It may be as long as any. Over 64 KiB the first bytes are what counts: kept until its time is
+    // up, they
     // would come too late. Half of what is left is enough for one that is short.
     private void answerOpen(Job job) {
         if (!job.isProbe()) {
-            effects.accept(new StartTimer(Math.max(1, (job.dueAt - now) / 2), new Timer.FlowDue(job.number)));
+            effects.accept(
+                    new StartTimer(
+                            Math.max(1, (job.dueAt - now) / 2), new Timer.FlowDue(job.number)));
         }
     }
 
@@ -362,11 +418,14 @@
     }
 
     private void answerEnded(long connection, boolean reusable) {
-        upstreams.answered(now, connection, reusable).ifPresent(job -> {
-            passed(job.exchange);
-            figures.completed(job.exchange.type);
-            clients.passedOn(now, job.exchange.client);
-        });
+        upstreams
+                .answered(now, connection, reusable)
+                .ifPresent(
+                        job -> {
+                            passed(job.exchange);
+                            figures.completed(job.exchange.type);
+                            clients.passedOn(now, job.exchange.client);
+                        });
     }
 
     private void serverClosed(Job job, boolean spoilt) {
@@ -384,7 +443,8 @@
         clients.cutShort(job.exchange.client);
     }
 
-    // What a request is about is its address: requests of one address find each other's work at a server.
+    // What a request is about is its address: requests of one address find each other's work at a
+    // server.
     private static long key(ClientRequest request) {
         return request.uri().hashCode();
     }
@@ -416,7 +476,8 @@
     private void over(Exchange exchange) {
         exchange.over = true;
         flowing.remove(exchange);
-        // What has not begun is not for anybody any more, whether or not the settings allow to cancel.
+        // What has not begun is not for anybody any more, whether or not the settings allow to
+        // cancel.
         List.copyOf(exchange.out).stream().filter(job -> !job.begun).forEach(this::takeBack);
         forgetIfDone(exchange);
     }
@@ -428,17 +489,28 @@
         }
     }
 
-    // ---- Attempts and probes ------------------------------------------------------------------------
+    // ---- Attempts and probes
+    // ------------------------------------------------------------------------
 
     private void send(DecisionApi.Send action) {
         Exchange exchange = exchanges.get(action.id());
         int attempt = exchange == null ? 0 : exchange.attempts++;
         long left = exchange == null ? 0 : exchange.giveUpAt - now;
         long limit = action.timeout() == 0 ? left : Math.min(left, action.timeout());
-        if (exchange == null || exchange.over || limit <= 0 || !upstreams.knows(action.server())
-            || upstreams.needsConnection(action.server()) && !makeRoom(1)) {
-            learnt.add(new AttemptEnded(action.id(), attempt, action.server(), Result.NOT_SENT, 0,
-                exchange == null || exchange.over, LoadReport.NONE));
+        if (exchange == null
+                || exchange.over
+                || limit <= 0
+                || !upstreams.knows(action.server())
+                || upstreams.needsConnection(action.server()) && !makeRoom(1)) {
+            learnt.add(
+                    new AttemptEnded(
+                            action.id(),
+                            attempt,
+                            action.server(),
+                            Result.NOT_SENT,
+                            0,
+                            exchange == null || exchange.over,
+                            LoadReport.NONE));
             return;
         }
         Job job = new Job(++lastJob, exchange, attempt, action.server(), now, now + limit);
@@ -448,20 +520,24 @@
 
     private void probe(DecisionApi.Probe action) {
         if (!upstreams.knows(action.server())
-            || upstreams.needsConnection(action.server()) && !makeRoom(1)) {
+                || upstreams.needsConnection(action.server()) && !makeRoom(1)) {
             learnt.add(new ProbeEnded(action.server(), Result.NOT_SENT, 0, LoadReport.NONE));
             return;
         }
-        // The settings name no time for a probe; what a connection may take is long for so small an answer.
+        // The settings name no time for a probe; what a connection may take is long for so small an
+        // answer.
         start(new Job(++lastJob, null, 0, action.server(), now, now + settings.connectTimeout()));
     }
 
-    // The one guard before the first byte of anything that goes to a server, whatever it is and however long
+    // The one guard before the first byte of anything that goes to a server, whatever it is and
+    // however long
     // ago it was chosen: what fails it goes back to the decisions.
     private void begin(Job job) {
         // A request that is over has no attempt left that has not begun.
-        boolean wanted = job.isProbe() || !list.watch().stale(now)
-            && decide.mayBegin(now, job.exchange.id, job.attempt);
+        boolean wanted =
+                job.isProbe()
+                        || !list.watch().stale(now)
+                                && decide.mayBegin(now, job.exchange.id, job.attempt);
         if (wanted && now < job.dueAt && upstreams.mayCarry(job)) {
             upstreams.begin(now, job);
         } else {
@@ -482,15 +558,21 @@
 
     private void cancel(DecisionApi.Cancel action) {
         Exchange exchange = exchanges.get(action.id());
-        Optional<Job> out = exchange == null ? Optional.empty()
-            : exchange.out.stream().filter(job -> job.attempt == action.attempt()).findFirst();
-        out.ifPresent(job -> {
-            upstreams.giveUp(now, job, CloseReason.CANCELLED);
-            ended(job, job.written ? Result.CANCELLED : Result.NOT_SENT);
-        });
-    }
-
-    // One connection that is late may come up yet, and tells nothing of its server; of two, and none up, it
+        Optional<Job> out =
+                exchange == null
+                        ? Optional.empty()
+                        : exchange.out.stream()
+                                .filter(job -> job.attempt == action.attempt())
+                                .findFirst();
+        out.ifPresent(
+                job -> {
+                    upstreams.giveUp(now, job, CloseReason.CANCELLED);
+                    ended(job, job.written ? Result.CANCELLED : Result.NOT_SENT);
+                });
+    }
+
+    // One connection that is late may come up yet, and tells nothing of its server; of two, and
+    // none up, it
     // is told that it can't be reached.
     private void connectionLate(Job job) {
         ended(job, upstreams.severalLate(job.server) ? Result.CONNECT_FAILED : Result.NOT_SENT);
@@ -529,13 +611,17 @@
         }
     }
 
-    // A server begins a request when its last byte has come: before that is written nothing can have run.
-    // What cannot be read, or a kept connection that breaks, does not tell that the server died. Taken for
-    // one that did and came back, it would be barred and then held to a cold server's budget: on a day of
+    // A server begins a request when its last byte has come: before that is written nothing can
+    // have run.
+    // What cannot be read, or a kept connection that breaks, does not tell that the server died.
+    // Taken for
+    // one that did and came back, it would be barred and then held to a cold server's budget: on a
+    // day of
     // stale connections all servers were. The next attempt's new connection tells.
     private static Result broken(Job job, boolean spoilt) {
-        return !job.written ? Result.CONNECT_FAILED
-            : spoilt || job.connection.kept ? Result.ERROR : Result.RESET;
+        return !job.written
+                ? Result.CONNECT_FAILED
+                : spoilt || job.connection.kept ? Result.ERROR : Result.RESET;
     }
 
     private void ended(Job job, Result result) {
@@ -559,12 +645,20 @@
         }
         Exchange exchange = job.exchange;
         exchange.out.remove(job);
-        learnt.add(new AttemptEnded(exchange.id, job.attempt, job.server, result, elapsed, exchange.over,
-            report));
+        learnt.add(
+                new AttemptEnded(
+                        exchange.id,
+                        job.attempt,
+                        job.server,
+                        result,
+                        elapsed,
+                        exchange.over,
+                        report));
         forgetIfDone(exchange);
     }
 
-    // ---- Sockets ------------------------------------------------------------------------------------
+    // ---- Sockets
+    // ------------------------------------------------------------------------------------
 
     // Two processes of a node have its descriptors together.
     private void limitSockets(int most) {
@@ -588,19 +682,22 @@
         makeRoom(0);
     }
 
-    // Short of sockets, idle connections go before anything is refused. Clients' first: a new connection to
+    // Short of sockets, idle connections go before anything is refused. Clients' first: a new
+    // connection to
     // a server costs it work and the request on it time.
     private boolean makeRoom(int wanted) {
         while (clients.open() + upstreams.open() + wanted > sockets) {
-            if (!clients.closeOneIdle(now, false) && !upstreams.closeOneIdle()
-                && !clients.closeOneIdle(now, true)) {
+            if (!clients.closeOneIdle(now, false)
+                    && !upstreams.closeOneIdle()
+                    && !clients.closeOneIdle(now, true)) {
                 return false;
             }
         }
         return true;
     }
 
-    // ---- List and settings --------------------------------------------------------------------------
+    // ---- List and settings
+    // --------------------------------------------------------------------------
 
     // What follows from what a hand changes happens at once.
     private void changeByHand(HostList changes) {
@@ -623,7 +720,8 @@
         list.watch().end();
         // Settings that all nodes share do not tell which of them this one is.
         int node = config.settings().node();
-        list.takeOver(now, change.servers(), change.settings().map(next -> takeOver(next.forNode(node))));
+        list.takeOver(
+                now, change.servers(), change.settings().map(next -> takeOver(next.forNode(node))));
     }
 
     // From here on: what was taken before has its class, its time and its limits with it.
@@ -640,12 +738,15 @@
         return settings;
     }
 
-    /** The version of what all nodes share that is in force here; none unless it comes from the log. */
+    /**
+     * The version of what all nodes share that is in force here; none unless it comes from the log.
+     */
     public Optional<LogPosition> version() {
         return version;
     }
 
-    // ---- Time and the end ---------------------------------------------------------------------------
+    // ---- Time and the end
+    // ---------------------------------------------------------------------------
 
     private void timerFired(Timer timer) {
         if (timer instanceof Timer.Wake wake) {
@@ -667,7 +768,8 @@
             upstreams.sweep(now);
             clients.sweep(now);
             if (frontQuiet) {
-                // A client that connects this late and sends nothing would keep the node from ending.
+                // A client that connects this late and sends nothing would keep the node from
+                // ending.
                 clients.closeIdle(CloseReason.STOPPING);
             }
             effects.accept(new StartTimer(SWEEP_EVERY, timer));
@@ -679,13 +781,16 @@
             stopping = true;
             clients.stop();
             if (succeeded) {
-                // No connection comes any more. Those that are open end with their next answer: closed while
+                // No connection comes any more. Those that are open end with their next answer:
+                // closed while
                 // they are idle, some would be closed in the face of a request.
                 effects.accept(new StopAccepting());
                 long longest = classes.longestDeadline();
                 lastAnswer = now + longest + ANSWERED_AFTER;
-                effects.accept(new StartTimer(longest + ANSWERED_AFTER - Math.min(LAST_REQUEST, longest),
-                    new Timer.FrontQuiet()));
+                effects.accept(
+                        new StartTimer(
+                                longest + ANSWERED_AFTER - Math.min(LAST_REQUEST, longest),
+                                new Timer.FrontQuiet()));
             } else {
                 effects.accept(new StartTimer(FRONT_QUIET, new Timer.FrontQuiet()));
             }
@@ -699,7 +804,8 @@
         }
     }
 
-    // ---- The decision module ------------------------------------------------------------------------
+    // ---- The decision module
+    // ------------------------------------------------------------------------
 
     private void decideAll() {
         while (!learnt.isEmpty()) {
--- a/src/main/java/ottergauge/routing/ServerConnection.java
+++ b/src/main/java/ottergauge/routing/ServerConnection.java
@@ -7,12 +7,16 @@
     final Upstream upstream;
     final long openedAt;
     boolean up;
+
     /** Whether it is not up yet, and nothing waits for it any more. */
     boolean late;
+
     /** What it carries, or is about to carry, or null. */
     Job job;
+
     /** Whether it has carried an answer before. */
     boolean kept;
+
     long idleSince;
 
     ServerConnection(long number, Upstream upstream, long openedAt) {
--- a/src/main/java/ottergauge/routing/ServerLists.java
+++ b/src/main/java/ottergauge/routing/ServerLists.java
@@ -10,7 +10,10 @@
 import ottergauge.protocol.HostList;
 import ottergauge.protocol.NodeSettings;
 
-/** Puts a list as the decisions take it: zones and kinds by their numbers in the settings, servers by ids. */
+/**
+ * Puts a list as the decisions take it: zones and kinds by their numbers in the settings, servers
+ * by ids.
+ */
 final class ServerLists {
 
     private static final int UNKNOWN = -1;
@@ -45,8 +48,13 @@
     }
 
     private ListedServer listed(HostList.Host host) {
-        return new ListedServer(ServerIds.of(host.name()), zoneNumbers.getOrDefault(host.site(), UNKNOWN),
-            kindNumbers.getOrDefault(host.kind(), UNKNOWN), host.block(), host.state(), host.share(),
-            host.bornMs() * 1000);
+        return new ListedServer(
+                ServerIds.of(host.name()),
+                zoneNumbers.getOrDefault(host.site(), UNKNOWN),
+                kindNumbers.getOrDefault(host.kind(), UNKNOWN),
+                host.block(),
+                host.state(),
+                host.share(),
+                host.bornMs() * 1000);
     }
 }
--- a/src/main/java/ottergauge/routing/Upstream.java
+++ b/src/main/java/ottergauge/routing/Upstream.java
@@ -10,15 +10,21 @@
     final long server;
     Address dial;
     boolean listed = true;
+
     /** Whether anything new may be sent; what drains keeps no connections for later. */
     boolean usable = true;
+
     /** Most recently used first, so that those in excess grow old. */
     final Deque<ServerConnection> idle = new ArrayDeque<>();
+
     final Deque<Job> waiting = new ArrayDeque<>();
+
     /** Connections on their way that jobs wait for. */
     int connecting;
+
     /** Connections on their way past the patience of jobs. */
     int late;
+
     /** When its process started, as far as the list tells. */
     long bornMs;
 
--- a/src/main/java/ottergauge/routing/Upstreams.java
+++ b/src/main/java/ottergauge/routing/Upstreams.java
@@ -22,19 +22,24 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * The connections to all servers: each carries one job at a time, is kept while idle, and a job that finds
- * none idle waits for a new one or for the next that comes free. A job that has a connection begins only once
- * all that has come by then is read, and the router has looked whether it still may.
+ * The connections to all servers: each carries one job at a time, is kept while idle, and a job
+ * that finds none idle waits for a new one or for the next that comes free. A job that has a
+ * connection begins only once all that has come by then is read, and the router has looked whether
+ * it still may.
  */
 final class Upstreams {
 
-    // Of the time after which a server closes an idle connection: sooner, so that none is closed under a
+    // Of the time after which a server closes an idle connection: sooner, so that none is closed
+    // under a
     // request that is being written, which would end as a reset.
     private static final double IDLE_PART = 0.75;
-    // A connection whose first segment is lost comes up after 1 s, or after 3 s if the second one is lost
-    // too (RFC 6298). Jobs wait by far less; once up it serves the next ones: its handshake is not in vain.
+    // A connection whose first segment is lost comes up after 1 s, or after 3 s if the second one
+    // is lost
+    // too (RFC 6298). Jobs wait by far less; once up it serves the next ones: its handshake is not
+    // in vain.
     private static final long UP_WITHIN = 3_200_000;
-    // At a server that is cut off none comes up: with so many on their way others are given up by then.
+    // At a server that is cut off none comes up: with so many on their way others are given up by
+    // then.
     private static final int MOST_LATE = 2;
 
     private final ConnectPatience patience;
@@ -44,12 +49,15 @@
     private final Consumer<Job> carried;
     private final Map<Long, Upstream> byServer = new HashMap<>();
     private final Map<Long, ServerConnection> connections = new HashMap<>();
+
     /** In the order in which they became idle. */
     private final Set<ServerConnection> idle = new LinkedHashSet<>();
+
     private long lastNumber;
 
     /** {@code carried} hears of each job whose first byte is written. */
-    Upstreams(long connectTimeout, long serverIdle, Consumer<Effect> effects, Consumer<Job> carried) {
+    Upstreams(
+            long connectTimeout, long serverIdle, Consumer<Effect> effects, Consumer<Job> carried) {
         this.carried = carried;
         patience = new ConnectPatience(connectTimeout);
         this.effects = effects;
@@ -76,7 +84,10 @@
         return byServer.get(server).idle.isEmpty();
     }
 
-    /** Takes a list; gives back the jobs that were waiting for servers which drain, are gone or moved. */
+    /**
+     * Takes a list; gives back the jobs that were waiting for servers which drain, are gone or
+     * moved.
+     */
     List<Job> follow(HostList list) {
         List<Job> withdrawn = new ArrayList<>();
         Set<Long> named = new HashSet<>();
@@ -90,8 +101,11 @@
             }
         }
         if (list.whole()) {
-            new ArrayList<>(byServer.keySet()).stream().filter(server -> !named.contains(server)).sorted()
-                .forEach(server -> remove(server, withdrawn));
+            new ArrayList<>(byServer.keySet())
+                    .stream()
+                            .filter(server -> !named.contains(server))
+                            .sorted()
+                            .forEach(server -> remove(server, withdrawn));
         }
         return withdrawn;
     }
@@ -146,9 +160,13 @@
             connections.put(connection.number, connection);
             upstream.connecting++;
             boolean keeps = upstream.connecting + upstream.late <= MOST_LATE;
-            effects.accept(new Connect(connection.number, upstream.dial,
-                keeps ? Math.max(UP_WITHIN, connectTimeout) : patience.limit()));
-            effects.accept(new StartTimer(patience.limit(), new Timer.ConnectDue(connection.number)));
+            effects.accept(
+                    new Connect(
+                            connection.number,
+                            upstream.dial,
+                            keeps ? Math.max(UP_WITHIN, connectTimeout) : patience.limit()));
+            effects.accept(
+                    new StartTimer(patience.limit(), new Timer.ConnectDue(connection.number)));
         }
     }
 
@@ -163,7 +181,10 @@
         return carriedBy(number).filter(job -> !job.begun);
     }
 
-    /** Whether a job's server is listed, takes what is new, and is the one that the job was chosen for. */
+    /**
+     * Whether a job's server is listed, takes what is new, and is the one that the job was chosen
+     * for.
+     */
     boolean mayCarry(Job job) {
         return job.connection.upstream.listed && job.connection.upstream.usable;
     }
@@ -175,8 +196,9 @@
         if (job.isProbe()) {
             effects.accept(new AskLoad(number));
         } else if (job.exchange.flows) {
-            effects.accept(new ForwardFlow(number, job.exchange.request, job.dueAt - now,
-                job.exchange.client));
+            effects.accept(
+                    new ForwardFlow(
+                            number, job.exchange.request, job.dueAt - now, job.exchange.client));
         } else {
             effects.accept(new Forward(number, job.exchange.request, job.dueAt - now));
         }
@@ -184,8 +206,8 @@
     }
 
     /**
-     * Ends a job that is not waited for any more: what carries it is closed, as the protocol says. A
-     * connection that has nothing of it yet serves the next one.
+     * Ends a job that is not waited for any more: what carries it is closed, as the protocol says.
+     * A connection that has nothing of it yet serves the next one.
      */
     void giveUp(long now, Job job, CloseReason reason) {
         if (job.begun) {
@@ -247,8 +269,9 @@
         patience.failed(now - connection.openedAt);
         Upstream upstream = connection.upstream;
         upstream.connecting--;
-        return upstream.waiting.size() > upstream.connecting ? Optional.of(upstream.waiting.poll())
-            : Optional.empty();
+        return upstream.waiting.size() > upstream.connecting
+                ? Optional.of(upstream.waiting.poll())
+                : Optional.empty();
     }
 
     /** Notes that a job's last byte is written, and gives it back. */
--- a/src/main/java/ottergauge/routing/Watch.java
+++ b/src/main/java/ottergauge/routing/Watch.java
@@ -13,17 +13,20 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * The node's copy of discovery's list: the version it has, and the chain of calls that is a watch. It owns
- * how old that copy may be ({@link ListDeadline}): each call has a time by which its answer has to be there.
- * A watch that breaks or passes it is opened anew at once; what can't be opened is asked again after a pause.
+ * The node's copy of discovery's list: the version it has, and the chain of calls that is a watch.
+ * It owns how old that copy may be ({@link ListDeadline}): each call has a time by which its answer
+ * has to be there. A watch that breaks or passes it is opened anew at once; what can't be opened is
+ * asked again after a pause.
  */
 final class Watch {
 
-    // An answer sooner than this that brings nothing is not worth another call at once; the pause still lies
+    // An answer sooner than this that brings nothing is not worth another call at once; the pause
+    // still lies
     // well within the 200 ms in which a watch goes on.
     private static final long LEAST_GAP = 50_000;
 
-    // A list that can't be taken is asked for again after the deadline, and each time after twice as long, up
+    // A list that can't be taken is asked for again after the deadline, and each time after twice
+    // as long, up
     // to this many doublings: six minutes where the deadline is six seconds.
     private static final int MOST_DOUBLINGS = 6;
     // An answer that was spoilt on its way is sound the next time: so many in a row are no chance.
@@ -39,20 +42,29 @@
     private Address address;
     private long seq;
     private long lastCall;
+
     /** The call whose answer goes on with the watch, if one is out. */
     private long current = NONE;
+
     /** A call that fell silent: still read until the one after it is answered. */
     private long former = NONE;
+
     private long calledAt;
+
     /** The version that the call that is out asks from. */
     private long calledFrom;
+
     /** Whether a call of this watch was answered: it is open, and not only asked for. */
     private boolean answered;
+
     private int failures;
+
     /** How many lists in a row could not be taken. */
     private int notTaken;
+
     /** Another source than discovery tells of the list. */
     private boolean ended;
+
     /** When the newest list was in hand. */
     private long heardAt = Long.MAX_VALUE;
 
@@ -65,8 +77,8 @@
     }
 
     /**
-     * Whether the list is older than it may be. It is not while discovery is known to be away: then there is
-     * none newer. It is after the node itself has stood still.
+     * Whether the list is older than it may be. It is not while discovery is known to be away: then
+     * there is none newer. It is after the node itself has stood still.
      */
     boolean stale(long now) {
         return failures == 0 && now - heardAt > deadline.within();
@@ -100,8 +112,8 @@
     }
 
     /**
-     * Discovery is at another address from now on. The call that is out is not waited for: its address takes
-     * no further calls, and what it does not tell any more counts as told soon.
+     * Discovery is at another address from now on. The call that is out is not waited for: its
+     * address takes no further calls, and what it does not tell any more counts as told soon.
      */
     void move(long now, Address to) {
         if (!to.equals(address) && !ended) {
@@ -128,7 +140,8 @@
     private void next(long now) {
         if (answered) {
             long shortest = deadline.shortestWait();
-            // Nodes that lose their watches together must not ask anew together: discovery answers in turn.
+            // Nodes that lose their watches together must not ask anew together: discovery answers
+            // in turn.
             long waits = shortest + random.nextLong(deadline.longestWait() - shortest + 1);
             call(now, waits, deadline.silentAfter());
         } else {
@@ -139,7 +152,10 @@
     // The first call of a watch hardly waits: its answer says that the watch is alive.
     private void open(long now) {
         answered = false;
-        call(now, seq < 0 ? 0 : deadline.silentAfter(), deadline.answerWithin() - deadline.silentAfter());
+        call(
+                now,
+                seq < 0 ? 0 : deadline.silentAfter(),
+                deadline.answerWithin() - deadline.silentAfter());
     }
 
     private void call(long now, long waits, long within) {
@@ -153,7 +169,8 @@
     /** A call's time is over: discovery is slow or away, or the watch has fallen silent. */
     void due(long now, long call) {
         if (call == current) {
-            // What it may still bring counts as told when it is written: it is read until the next answers.
+            // What it may still bring counts as told when it is written: it is read until the next
+            // answers.
             giveUp(former, CloseReason.WATCH_SILENT);
             former = current;
             lost(now);
@@ -170,7 +187,8 @@
         }
     }
 
-    // What was a watch is opened anew at once. What could not be opened would not be helped by that:
+    // What was a watch is opened anew at once. What could not be opened would not be helped by
+    // that:
     // discovery is away, or has too many callers.
     private void lost(long now) {
         current = NONE;
@@ -178,14 +196,16 @@
             open(now);
         } else {
             long longest = deadline.pause(failures++);
-            effects.accept(new StartTimer(longest / 2 + random.nextLong(longest / 2 + 1),
-                new Timer.NextCall(lastCall)));
+            effects.accept(
+                    new StartTimer(
+                            longest / 2 + random.nextLong(longest / 2 + 1),
+                            new Timer.NextCall(lastCall)));
         }
     }
 
     /**
-     * A call was answered by a list that can't be taken: the one before stays in force. Asked for again at
-     * once it would come again at its full size, from each node and for ever.
+     * A call was answered by a list that can't be taken: the one before stays in force. Asked for
+     * again at once it would come again at its full size, from each node and for ever.
      */
     void notTaken(long now, long call) {
         if (call != current || ++notTaken <= SPOILT_BY_CHANCE) {
@@ -195,8 +215,10 @@
             failures++;
             int doublings = Math.min(notTaken - SPOILT_BY_CHANCE - 1, MOST_DOUBLINGS);
             long longest = deadline.within() << doublings;
-            effects.accept(new StartTimer(longest / 2 + random.nextLong(longest / 2 + 1),
-                new Timer.NextCall(lastCall)));
+            effects.accept(
+                    new StartTimer(
+                            longest / 2 + random.nextLong(longest / 2 + 1),
+                            new Timer.NextCall(lastCall)));
         }
     }
 
@@ -207,13 +229,15 @@
     }
 
     /**
-     * Whether an answer of this call counts. One that is older than what a call beside it brought would undo
-     * that; one that is older than what was asked for tells that discovery has begun its versions anew.
+     * Whether an answer of this call counts. One that is older than what a call beside it brought
+     * would undo that; one that is older than what was asked for tells that discovery has begun its
+     * versions anew.
      */
     boolean takes(long call, HostList list) {
         if (call == current) {
-            return calledFrom < 0 ? list.whole()
-                : list.seq() >= seq || list.whole() && list.seq() < calledFrom;
+            return calledFrom < 0
+                    ? list.whole()
+                    : list.seq() >= seq || list.whole() && list.seq() < calledFrom;
         }
         return call == former && list.seq() > seq;
     }
@@ -234,7 +258,10 @@
         }
     }
 
-    /** Takes an answer that counts and goes on with the watch; says what of the list is news, if any is. */
+    /**
+     * Takes an answer that counts and goes on with the watch; says what of the list is news, if any
+     * is.
+     */
     Optional<ListScope> read(long now, long call, HostList list) {
         boolean news = list.whole() || !list.hosts().isEmpty();
         seq = list.seq();
@@ -244,7 +271,9 @@
             news |= !answered;
             goOn(now, news);
         }
-        return news ? Optional.of(list.whole() ? ListScope.FULL : ListScope.CHANGES) : Optional.empty();
+        return news
+                ? Optional.of(list.whole() ? ListScope.FULL : ListScope.CHANGES)
+                : Optional.empty();
     }
 
     // The call that is out was answered: the watch is open, and goes on from what is known now.
--- a/src/main/java/ottergauge/rows/RowTable.java
+++ b/src/main/java/ottergauge/rows/RowTable.java
@@ -11,9 +11,10 @@
 import java.util.function.Supplier;
 
 /**
- * Numbers the rows of a table: one for each name, as far as there are any, and a last one that all names
- * without a row of their own share. When the names change, a name that stays keeps its row, though its number
- * may be another one; what is kept by row elsewhere is then laid out anew with {@link #lay}.
+ * Numbers the rows of a table: one for each name, as far as there are any, and a last one that all
+ * names without a row of their own share. When the names change, a name that stays keeps its row,
+ * though its number may be another one; what is kept by row elsewhere is then laid out anew with
+ * {@link #lay}.
  */
 public final class RowTable {
 
@@ -21,6 +22,7 @@
 
     private final int mostOwn;
     private final Map<String, Integer> own = new HashMap<>();
+
     /** For each row the number that it had before the names changed last. */
     private final List<Integer> before = new ArrayList<>(List.of(NEW));
 
@@ -60,8 +62,8 @@
     }
 
     /**
-     * What belongs to the rows, by row: what belonged to a row before the names changed last, or something
-     * new where there was none. Nothing at all before makes all of it new.
+     * What belongs to the rows, by row: what belonged to a row before the names changed last, or
+     * something new where there was none. Nothing at all before makes all of it new.
      */
     public <T> List<T> lay(List<T> belonged, Supplier<T> fresh) {
         List<T> belongs = new ArrayList<>(before.size());
--- a/src/main/java/ottergauge/settings/JsonTree.java
+++ b/src/main/java/ottergauge/settings/JsonTree.java
@@ -12,11 +12,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads the JSON value at a parser's current token as maps, lists, doubles, booleans and strings. */
+/**
+ * Reads the JSON value at a parser's current token as maps, lists, doubles, booleans and strings.
+ */
 public final class JsonTree {
 
-    private JsonTree() {
-    }
+    private JsonTree() {}
 
     /** Reads a file's content, which is one object and nothing behind it. */
     public static Map<String, Object> read(byte[] content) throws IOException {
@@ -57,7 +58,9 @@
                 write(out, each);
             }
             out.writeEndArray();
-        } else if (value instanceof Double number && number == Math.rint(number) && Math.abs(number) < 1e15) {
+        } else if (value instanceof Double number
+                && number == Math.rint(number)
+                && Math.abs(number) < 1e15) {
             out.writeNumber(number.longValue());
         } else if (value instanceof Double number) {
             out.writeNumber(number);
--- a/src/main/java/ottergauge/settings/SettingsReader.java
+++ b/src/main/java/ottergauge/settings/SettingsReader.java
@@ -14,10 +14,13 @@
 import ottergauge.DecisionApi.Rules;
 import ottergauge.DecisionApi.Settings;
 
-/** Reads a deployment's settings object; an optional key that is missing takes the cautious value. */
+/**
+ * Reads a deployment's settings object; an optional key that is missing takes the cautious value.
+ */
 public final class SettingsReader {
 
-    // A node that hears of things once a minute decides nothing in time; under a microsecond is no span here.
+    // A node that hears of things once a minute decides nothing in time; under a microsecond is no
+    // span here.
     private static final double LEAST_ROUND_MS = 0.001;
     private static final double MOST_ROUND_MS = 60_000;
     // Far more than any fleet; a node's part of a cold server's budget is divided by it.
@@ -36,19 +39,32 @@
         SettingsReader prices = root.child("penalties");
         List<?> fields = root.child("reporting").list("fields");
         boolean reports = !"off".equals(root.child("reporting").text("how", "off"));
-        return new Settings((int) root.number("me", 0), Math.max(1, (int) root.number("balancers", 1)),
-            root.list("zones").indexOf(root.text("zone", "")), root.micros("roundMs", 1),
-            "pushed".equals(root.text("registryMode", "")) ? Discovery.PUSHED : Discovery.ON_REQUEST,
-            reports && fields.contains("outstanding"), root.child("clients").flag("marksRetry"),
-            root.child("specifics").flag("warmKeys"),
-            new Limits(limits.flag("probes"), limits.flag("cancel"),
-                limits.flag("retryAfter"),
-                Math.max(1, (int) limits.number("maxAttempts", 1)), limits.micros("maxRetryAfterMs", 0)),
-            new Rules(rules.micros("answerSlackMs", 0), rules.micros("stopSendingWithinMs", 0),
-                rules.number("coldFrom", 0.1), rules.micros("coldMs", 30_000),
-                rules.number("tipMultiple", 1), rules.micros("fallMs", 1000)),
-            new Prices(prices.number("probe", 0), prices.number("connection", 0)),
-            root.children("classes").stream().map(SettingsReader::requestClass).toList());
+        return new Settings(
+                (int) root.number("me", 0),
+                Math.max(1, (int) root.number("balancers", 1)),
+                root.list("zones").indexOf(root.text("zone", "")),
+                root.micros("roundMs", 1),
+                "pushed".equals(root.text("registryMode", ""))
+                        ? Discovery.PUSHED
+                        : Discovery.ON_REQUEST,
+                reports && fields.contains("outstanding"),
+                root.child("clients").flag("marksRetry"),
+                root.child("specifics").flag("warmKeys"),
+                new Limits(
+                        limits.flag("probes"),
+                        limits.flag("cancel"),
+                        limits.flag("retryAfter"),
+                        Math.max(1, (int) limits.number("maxAttempts", 1)),
+                        limits.micros("maxRetryAfterMs", 0)),
+                new Rules(
+                        rules.micros("answerSlackMs", 0),
+                        rules.micros("stopSendingWithinMs", 0),
+                        rules.number("coldFrom", 0.1),
+                        rules.micros("coldMs", 30_000),
+                        rules.number("tipMultiple", 1),
+                        rules.micros("fallMs", 1000)),
+                new Prices(prices.number("probe", 0), prices.number("connection", 0)),
+                root.children("classes").stream().map(SettingsReader::requestClass).toList());
     }
 
     /** What is wrong with settings that a person wrote, in one line; null if nothing is. */
@@ -77,27 +93,40 @@
 
     private void checkRange(String key, double least, double most, List<SettingsFault> faults) {
         Object value = config.get(key);
-        if (value != null && !(value instanceof Double number && number >= least && number <= most)) {
-            String range = most < Double.MAX_VALUE ? "from " + least + " to " + most : "not below " + least;
+        if (value != null
+                && !(value instanceof Double number && number >= least && number <= most)) {
+            String range =
+                    most < Double.MAX_VALUE
+                            ? "from " + least + " to " + most
+                            : "not below " + least;
             faults.add(new SettingsFault(key, String.valueOf(value), "a number " + range));
         }
     }
 
     private static RequestClass requestClass(SettingsReader c) {
-        Repeat repeat = switch (c.text("semantics", "single_shot")) {
-            case "free" -> Repeat.SAFE;
-            case "guarded" -> Repeat.KEYED;
-            default -> Repeat.UNSAFE;
-        };
-        Group group = switch (c.text("group", "cell")) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            default -> Group.CELL;
-        };
+        Repeat repeat =
+                switch (c.text("semantics", "single_shot")) {
+                    case "free" -> Repeat.SAFE;
+                    case "guarded" -> Repeat.KEYED;
+                    default -> Repeat.UNSAFE;
+                };
+        Group group =
+                switch (c.text("group", "cell")) {
+                    case "all" -> Group.ALL;
+                    case "zone" -> Group.ZONE;
+                    default -> Group.CELL;
+                };
         long deadline = c.micros("hardLimitMs", 30_000);
-        return new RequestClass(c.text("name", ""), repeat, group, c.micros("aimMs", deadline / 1000.0),
-            deadline, c.micros("windowMs", 0), c.number("value", 1), c.number("lateWorth", 0),
-            c.flag("streamed"));
+        return new RequestClass(
+                c.text("name", ""),
+                repeat,
+                group,
+                c.micros("aimMs", deadline / 1000.0),
+                deadline,
+                c.micros("windowMs", 0),
+                c.number("value", 1),
+                c.number("lateWorth", 0),
+                c.flag("streamed"));
     }
 
     public static List<String> names(Map<String, Object> config, String key) {
@@ -111,7 +140,8 @@
     @SuppressWarnings("unchecked")
     public SettingsReader child(String key) {
         Object child = config.get(key);
-        return new SettingsReader(child instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of());
+        return new SettingsReader(
+                child instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of());
     }
 
     @SuppressWarnings("unchecked")
--- a/src/main/java/ottergauge/simhost/ActionWriter.java
+++ b/src/main/java/ottergauge/simhost/ActionWriter.java
@@ -14,7 +14,10 @@
 import ottergauge.DecisionApi.SetTimer;
 import ottergauge.DecisionApi.Subscribe;
 
-/** Writes actions as messages; a part is opened by its first action, so that idle instances are left out. */
+/**
+ * Writes actions as messages; a part is opened by its first action, so that idle instances are left
+ * out.
+ */
 final class ActionWriter implements ActionSink {
 
     private final JsonGenerator out;
--- a/src/main/java/ottergauge/simhost/Instance.java
+++ b/src/main/java/ottergauge/simhost/Instance.java
@@ -53,11 +53,23 @@
     private Event event(Message m, List<Message.Entry> entries) {
         return switch (m.name) {
             case "BackendsChanged" -> list(m, entries);
-            case "Query" -> new RequestArrived(id(m), requestClass(m),
-                micros(m.giveUpAtMs), (m.attributes & CLIENT_REPEAT) != 0, m.key);
+            case "Query" ->
+                    new RequestArrived(
+                            id(m),
+                            requestClass(m),
+                            micros(m.giveUpAtMs),
+                            (m.attributes & CLIENT_REPEAT) != 0,
+                            m.key);
             case "Headers" -> new AnswerStarted(id(m), m.attempt);
-            case "Verdict" -> new AttemptEnded(id(m), m.attempt, m.server, result(m), micros(m.elapsedMs),
-                m.over, m.report);
+            case "Verdict" ->
+                    new AttemptEnded(
+                            id(m),
+                            m.attempt,
+                            m.server,
+                            result(m),
+                            micros(m.elapsedMs),
+                            m.over,
+                            m.report);
             case "Aborted" -> new ClientGone(id(m));
             case "Echo" -> new ProbeEnded(m.server, result(m), micros(m.elapsedMs), m.report);
             case "Due" -> new TimerFired(m.token);
@@ -69,12 +81,13 @@
         if ("X".equals(m.mode)) {
             return new ListFailed();
         }
-        ListScope scope = switch (String.valueOf(m.mode)) {
-            case "D" -> ListScope.CHANGES;
-            case "F" -> ListScope.FULL;
-            case "C" -> ListScope.LAST_KNOWN;
-            default -> throw new WireException("unknown list mode " + m.mode);
-        };
+        ListScope scope =
+                switch (String.valueOf(m.mode)) {
+                    case "D" -> ListScope.CHANGES;
+                    case "F" -> ListScope.FULL;
+                    case "C" -> ListScope.LAST_KNOWN;
+                    default -> throw new WireException("unknown list mode " + m.mode);
+                };
         if (entries == null) {
             throw new WireException("list " + m.listNumber + " was never given");
         }
@@ -82,14 +95,21 @@
     }
 
     private ListedServer server(Message.Entry e) {
-        ServerState state = switch (String.valueOf(e.state())) {
-            case "on" -> ServerState.UP;
-            case "fading" -> ServerState.DRAINING;
-            case "off" -> ServerState.GONE;
-            default -> throw new WireException("unknown availability " + e.state());
-        };
-        return new ListedServer(e.server(), zones.indexOf(e.zone()), kinds.indexOf(e.kind()), e.cell(), state,
-            e.nominal(), micros(e.sinceMs()));
+        ServerState state =
+                switch (String.valueOf(e.state())) {
+                    case "on" -> ServerState.UP;
+                    case "fading" -> ServerState.DRAINING;
+                    case "off" -> ServerState.GONE;
+                    default -> throw new WireException("unknown availability " + e.state());
+                };
+        return new ListedServer(
+                e.server(),
+                zones.indexOf(e.zone()),
+                kinds.indexOf(e.kind()),
+                e.cell(),
+                state,
+                e.nominal(),
+                micros(e.sinceMs()));
     }
 
     private int requestClass(Message m) {
--- a/src/main/java/ottergauge/simhost/Message.java
+++ b/src/main/java/ottergauge/simhost/Message.java
@@ -27,6 +27,12 @@
     Map<String, Object> config;
 
     /** A line of a server list, with its names not yet resolved against an instance's settings. */
-    record Entry(long server, String zone, String kind, int cell, String state, double nominal,
-                 double sinceMs) { }
+    record Entry(
+            long server,
+            String zone,
+            String kind,
+            int cell,
+            String state,
+            double nominal,
+            double sinceMs) {}
 }
--- a/src/main/java/ottergauge/simhost/MessageReader.java
+++ b/src/main/java/ottergauge/simhost/MessageReader.java
@@ -10,14 +10,17 @@
 import ottergauge.DecisionApi.LoadReport;
 import ottergauge.settings.JsonTree;
 
-/** Reads batches from a JSON stream; unknown keys are skipped, and the order of keys does not matter. */
+/**
+ * Reads batches from a JSON stream; unknown keys are skipped, and the order of keys does not
+ * matter.
+ */
 final class MessageReader {
 
     /** The messages of one instance in a batch. */
-    record Part(long instance, List<Message> messages) { }
+    record Part(long instance, List<Message> messages) {}
 
     /** A batch: the clock in milliseconds and its parts. */
-    record Batch(double timeMs, List<Part> parts) { }
+    record Batch(double timeMs, List<Part> parts) {}
 
     private static final int HEXADECIMAL = 16;
 
@@ -217,7 +220,9 @@
 
     private boolean bool() throws IOException {
         JsonToken token = in.currentToken();
-        require(token.isBoolean() || token == JsonToken.VALUE_NULL, in.currentName() + " is a bool");
+        require(
+                token.isBoolean() || token == JsonToken.VALUE_NULL,
+                in.currentName() + " is a bool");
         return token == JsonToken.VALUE_TRUE;
     }
 
--- a/src/main/java/ottergauge/simhost/SimHost.java
+++ b/src/main/java/ottergauge/simhost/SimHost.java
@@ -15,7 +15,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Hosts many isolated decision modules on the simulator's wire. It translates and decides nothing. */
+/**
+ * Hosts many isolated decision modules on the simulator's wire. It translates and decides nothing.
+ */
 public final class SimHost {
 
     private static final Logger LOG = LoggerFactory.getLogger(SimHost.class);
--- a/src/main/java/ottergauge/transport/AcceptGate.java
+++ b/src/main/java/ottergauge/transport/AcceptGate.java
@@ -5,7 +5,10 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
-/** Accepts no connection past a number: the rest waits in the system's queue and takes no descriptor. */
+/**
+ * Accepts no connection past a number: the rest waits in the system's queue and takes no
+ * descriptor.
+ */
 final class AcceptGate extends ChannelInboundHandlerAdapter {
 
     /** How many connections are accepted in one round of the loop. */
@@ -17,8 +20,10 @@
     private long accepted;
     private int inRound;
     private long since;
+
     /** The last round accepted all that it may: there may be more that have waited for as long. */
     private boolean more;
+
     private Channel listener;
 
     AcceptGate(LoopWatch watch) {
@@ -40,8 +45,9 @@
     }
 
     /**
-     * When, at the earliest, the connection that is being accepted can have come up, by the loop's watch. Of
-     * those that wait because the gate is full nothing is known: they count as having come now.
+     * When, at the earliest, the connection that is being accepted can have come up, by the loop's
+     * watch. Of those that wait because the gate is full nothing is known: they count as having
+     * come now.
      */
     long since() {
         return since;
@@ -61,10 +67,13 @@
         if (inRound++ == 0 && !more) {
             since = watch.since();
         }
-        ((Channel) connection).closeFuture().addListener(closed -> {
-            open--;
-            update();
-        });
+        ((Channel) connection)
+                .closeFuture()
+                .addListener(
+                        closed -> {
+                            open--;
+                            update();
+                        });
         update();
         ctx.fireChannelRead(connection);
     }
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -43,10 +43,20 @@
 import ottergauge.routing.Event.RequestRead;
 import ottergauge.routing.Event.RequestUnreadable;
 
-/** A client's connection: one request at a time, each reported once it has come whole and nothing with it. */
+/**
+ * A client's connection: one request at a time, each reported once it has come whole and nothing
+ * with it.
+ */
 final class ClientConnection extends Connection {
 
-    private enum Stage { HEAD, BODY, FLOWING, WHOLE, OPEN, UNREADABLE }
+    private enum Stage {
+        HEAD,
+        BODY,
+        FLOWING,
+        WHOLE,
+        OPEN,
+        UNREADABLE
+    }
 
     private static final double MICROS = 1e6;
     // Twice between two looks at what stands still.
@@ -57,18 +67,26 @@
     private final long number;
     private final Framing.Requests decoder;
     private final LoopWatch watch;
+
     /** When it came up at the earliest, and the loop's round in which it was accepted. */
     private final long since;
+
     private final long acceptedIn;
     private final Consumer<Event> events;
     private Stage stage = Stage.HEAD;
     private HttpRequest head;
     private RequestFields fields;
     private MessageBody body;
-    /** The body of a request too large to be kept, and the last part that is held until it came alone. */
+
+    /**
+     * The body of a request too large to be kept, and the last part that is held until it came
+     * alone.
+     */
     private Flow flow;
+
     /** Whether all of that body has come, though it may not have passed on yet. */
     private boolean flowWhole;
+
     private HttpContent last;
     private long flowed;
     private boolean closes;
@@ -77,8 +95,13 @@
     private long moved;
     private long toldAt;
 
-    ClientConnection(String side, long number, Framing.Requests decoder, LoopWatch watch, long since,
-                     Consumer<Event> events) {
+    ClientConnection(
+            String side,
+            long number,
+            Framing.Requests decoder,
+            LoopWatch watch,
+            long since,
+            Consumer<Event> events) {
         super(side);
         this.watch = watch;
         this.since = since;
@@ -105,7 +128,9 @@
 
     private void begin(HttpRequest request) {
         if (stage != Stage.HEAD) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "a request before the one before it was answered");
+            refuse(
+                    HttpResponseStatus.BAD_REQUEST,
+                    "a request before the one before it was answered");
             return;
         }
         head = request;
@@ -130,15 +155,19 @@
 
     private static HttpResponseStatus status(HttpRequest request) {
         Throwable cause = request.decoderResult().cause();
-        return cause instanceof TooLongHttpLineException ? HttpResponseStatus.REQUEST_URI_TOO_LONG
-            : cause instanceof TooLongHttpHeaderException ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-            : cause == null && !HttpVersion.HTTP_1_1.equals(request.protocolVersion())
-            ? HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED : HttpResponseStatus.BAD_REQUEST;
+        return cause instanceof TooLongHttpLineException
+                ? HttpResponseStatus.REQUEST_URI_TOO_LONG
+                : cause instanceof TooLongHttpHeaderException
+                        ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
+                        : cause == null && !HttpVersion.HTTP_1_1.equals(request.protocolVersion())
+                                ? HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED
+                                : HttpResponseStatus.BAD_REQUEST;
     }
 
     private static boolean isHealth(HttpRequest request) {
         return HttpMethod.GET.equals(request.method())
-            && (Headers.READY_PATH.equals(request.uri()) || Headers.LIVE_PATH.equals(request.uri()));
+                && (Headers.READY_PATH.equals(request.uri())
+                        || Headers.LIVE_PATH.equals(request.uri()));
     }
 
     private void check(HttpRequest request) {
@@ -160,7 +189,8 @@
         if (!get && !HttpMethod.POST.equals(request.method())) {
             refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, request.method().name());
         } else if (HttpUtil.getContentLength(request, 0L) > Headers.MOST_FLOW) {
-            // Read to its end, 60 MB that nobody wants would cost the node's other clients their time.
+            // Read to its end, 60 MB that nobody wants would cost the node's other clients their
+            // time.
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
         }
     }
@@ -190,9 +220,11 @@
         flowed = first.length;
         flow.take(new DefaultHttpContent(Unpooled.wrappedBuffer(first)));
         body = null;
-        Content type = new Content(head.headers().get(HttpHeaderNames.CONTENT_TYPE), Content.NONE.bytes());
-        events.accept(new RequestFlows(number,
-            new ClientRequest(fields, head.method().name(), head.uri(), type)));
+        Content type =
+                new Content(head.headers().get(HttpHeaderNames.CONTENT_TYPE), Content.NONE.bytes());
+        events.accept(
+                new RequestFlows(
+                        number, new ClientRequest(fields, head.method().name(), head.uri(), type)));
         if (stage == Stage.FLOWING) {
             flow(content);
         }
@@ -231,11 +263,16 @@
             long length = HttpUtil.getContentLength(head, -1L);
             Flow whole = flow;
             flow = flowWhole ? null : flow;
-            whole.on(server, server.open(ServerSide.head(request, waitsMs, server.address(), length)));
+            whole.on(
+                    server,
+                    server.open(ServerSide.head(request, waitsMs, server.address(), length)));
         }
     }
 
-    /** A request goes on only when nothing has come behind it: what has would be read as another one. */
+    /**
+     * A request goes on only when nothing has come behind it: what has would be read as another
+     * one.
+     */
     @Override
     void taken() {
         if (flow != null) {
@@ -261,10 +298,20 @@
             last = null;
         } else if (stage == Stage.WHOLE) {
             stage = Stage.OPEN;
-            events.accept(fields == null
-                ? new HealthAsked(number, Headers.READY_PATH.equals(head.uri()))
-                : new RequestRead(number, new ClientRequest(fields, head.method().name(), head.uri(),
-                    new Content(head.headers().get(HttpHeaderNames.CONTENT_TYPE), body.bytes())), waited()));
+            events.accept(
+                    fields == null
+                            ? new HealthAsked(number, Headers.READY_PATH.equals(head.uri()))
+                            : new RequestRead(
+                                    number,
+                                    new ClientRequest(
+                                            fields,
+                                            head.method().name(),
+                                            head.uri(),
+                                            new Content(
+                                                    head.headers()
+                                                            .get(HttpHeaderNames.CONTENT_TYPE),
+                                                    body.bytes())),
+                                    waited()));
             head = null;
             body = null;
         }
@@ -294,12 +341,14 @@
     }
 
     void respond(Respond effect) {
-        FullHttpResponse response = answer(HttpResponseStatus.valueOf(effect.status()), effect.content());
+        FullHttpResponse response =
+                answer(HttpResponseStatus.valueOf(effect.status()), effect.content());
         HttpHeaders headers = response.headers();
         headers.set(HttpHeaderNames.CONTENT_LENGTH, effect.content().bytes().length);
         if (effect.retryAfter() > 0) {
-            headers.set(HttpHeaderNames.RETRY_AFTER,
-                String.format(Locale.ROOT, "%.3f", effect.retryAfter() / MICROS));
+            headers.set(
+                    HttpHeaderNames.RETRY_AFTER,
+                    String.format(Locale.ROOT, "%.3f", effect.retryAfter() / MICROS));
         }
         boolean ends = effect.last() || closes;
         if (ends) {
@@ -312,7 +361,9 @@
             flow.drop();
             dropFlow();
         }
-        context().writeAndFlush(response).addListener(written -> answered(ends, written.isSuccess()));
+        context()
+                .writeAndFlush(response)
+                .addListener(written -> answered(ends, written.isSuccess()));
         next(ends);
     }
 
@@ -331,9 +382,9 @@
     }
 
     /**
-     * Ends the connection when all is written. Its client may be sending: closed over bytes that are not
-     * read, the connection would be reset, and what was written last be lost with it. So the client hears of
-     * the end first, and what it sends meanwhile is passed over.
+     * Ends the connection when all is written. Its client may be sending: closed over bytes that
+     * are not read, the connection would be reset, and what was written last be lost with it. So
+     * the client hears of the end first, and what it sends meanwhile is passed over.
      */
     void finish(CloseReason why) {
         if (finishing) {
@@ -355,9 +406,11 @@
     void passOn(Outbound server, boolean ends) {
         boolean closing = ends || closes;
         Outbound.Answer answer = server.flowing();
-        HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
-            HttpResponseStatus.valueOf(answer.status()));
-        Content content = new Content(answer.headers().get(HttpHeaderNames.CONTENT_TYPE), answer.body());
+        HttpResponse response =
+                new DefaultHttpResponse(
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()));
+        Content content =
+                new Content(answer.headers().get(HttpHeaderNames.CONTENT_TYPE), answer.body());
         if (content.type() != null) {
             response.headers().set(HttpHeaderNames.CONTENT_TYPE, content.type());
         }
@@ -371,15 +424,18 @@
         }
         context().write(response);
         moved = 0;
-        server.flowTo(this, this::moved, written -> {
-            next(closing);
-            answered(closing, written.isSuccess());
-        });
+        server.flowTo(
+                this,
+                this::moved,
+                written -> {
+                    next(closing);
+                    answered(closing, written.isSuccess());
+                });
     }
 
     private static FullHttpResponse answer(HttpResponseStatus status, Content content) {
-        return new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-            Unpooled.wrappedBuffer(content.bytes()));
+        return new DefaultFullHttpResponse(
+                HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(content.bytes()));
     }
 
     @Override
--- a/src/main/java/ottergauge/transport/ClientSide.java
+++ b/src/main/java/ottergauge/transport/ClientSide.java
@@ -40,8 +40,8 @@
     }
 
     Future<Listener> listen(EventLoop loop, Address address, boolean shared, AcceptGate gate) {
-        return Listener.open(loop, address, BACKLOG, shared, gate,
-            pipeline -> adopt(pipeline, gate.since()));
+        return Listener.open(
+                loop, address, BACKLOG, shared, gate, pipeline -> adopt(pipeline, gate.since()));
     }
 
     /** The node takes clients: from now on it is they who connect. */
@@ -49,12 +49,14 @@
         side = "client";
     }
 
-    /** Takes a new connection that came up at {@code since} at the earliest, by the loop's watch. */
+    /**
+     * Takes a new connection that came up at {@code since} at the earliest, by the loop's watch.
+     */
     void adopt(ChannelPipeline pipeline, long since) {
         long number = ++lastNumber;
         Framing.Requests decoder = new Framing.Requests();
-        ClientConnection connection = new ClientConnection(side, number, decoder, watch, since,
-            this::report);
+        ClientConnection connection =
+                new ClientConnection(side, number, decoder, watch, since, this::report);
         connections.put(number, connection);
         pipeline.addFirst(decoder, new HttpResponseEncoder(), connection);
         events.accept(new ClientConnected(number));
@@ -75,9 +77,11 @@
         if (effect.before() > 0) {
             LOG.warn("{} more were no requests", effect.before());
         }
-        LOG.warn("no request from {}, answered {}: {}",
-            connection == null ? "a client that has gone" : connection.address(), effect.status(),
-            effect.why());
+        LOG.warn(
+                "no request from {}, answered {}: {}",
+                connection == null ? "a client that has gone" : connection.address(),
+                effect.status(),
+                effect.why());
     }
 
     void respond(Respond effect) {
--- a/src/main/java/ottergauge/transport/Clock.java
+++ b/src/main/java/ottergauge/transport/Clock.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.transport;
 
-/** Unix time in microseconds that only goes forward: read once, then carried on by the monotonic clock. */
+/**
+ * Unix time in microseconds that only goes forward: read once, then carried on by the monotonic
+ * clock.
+ */
 final class Clock {
 
     private final long startedAt = System.currentTimeMillis() * 1000;
--- a/src/main/java/ottergauge/transport/Connection.java
+++ b/src/main/java/ottergauge/transport/Connection.java
@@ -9,10 +9,13 @@
 import java.io.IOException;
 import ottergauge.routing.CloseReason;
 
-/** An open connection that carries HTTP, and why it is going to end: the first reason given counts. */
+/**
+ * An open connection that carries HTTP, and why it is going to end: the first reason given counts.
+ */
 abstract class Connection extends ChannelInboundHandlerAdapter {
 
-    // How much waits to be written before the other side is not read any more, and from when it is again:
+    // How much waits to be written before the other side is not read any more, and from when it is
+    // again:
     // this much of each flow is in memory.
     static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
@@ -20,7 +23,7 @@
     private ChannelHandlerContext context;
     private String address;
     private CloseReason reason;
-    private Runnable whenTakes = () -> { };
+    private Runnable whenTakes = () -> {};
 
     Connection(String side) {
         this.side = side;
--- a/src/main/java/ottergauge/transport/ConnectionLog.java
+++ b/src/main/java/ottergauge/transport/ConnectionLog.java
@@ -13,8 +13,7 @@
     /** The side of connections that the node has with itself. */
     static final String UNTOLD = "itself";
 
-    private ConnectionLog() {
-    }
+    private ConnectionLog() {}
 
     static void ended(String side, Object peer, CloseReason reason) {
         if (!UNTOLD.equals(side)) {
--- a/src/main/java/ottergauge/transport/DiscoverySide.java
+++ b/src/main/java/ottergauge/transport/DiscoverySide.java
@@ -33,11 +33,15 @@
     private static final long CONNECT_WITHIN_MS = 2_000;
 
     private final Outbound.Dialer dialer;
+
     /** The largest list that is read, in bytes. */
     private final int mostListBytes;
+
     private final Consumer<Event> events;
+
     /** The calls that are out; those whose connection is not up yet have none. */
     private final Map<Long, Optional<Outbound>> out = new HashMap<>();
+
     private Outbound idle;
     private Address idleAt;
 
@@ -49,7 +53,8 @@
 
     void call(CallDiscovery effect) {
         if (!out.isEmpty()) {
-            LOG.warn("{} calls to discovery are not answered in time, it is asked anew", out.size());
+            LOG.warn(
+                    "{} calls to discovery are not answered in time, it is asked anew", out.size());
         }
         Outbound kept = idle;
         idle = null;
@@ -62,8 +67,9 @@
         }
         out.put(effect.call(), Optional.empty());
         dialer.dial("discovery", effect.address(), CONNECT_WITHIN_MS, mostListBytes)
-            .onComplete(opened -> connected(effect, opened), failure -> fail(effect.call(),
-                failure.toString()));
+                .onComplete(
+                        opened -> connected(effect, opened),
+                        failure -> fail(effect.call(), failure.toString()));
     }
 
     private void connected(CallDiscovery effect, Outbound opened) {
@@ -79,8 +85,11 @@
         if (connection == idle) {
             idle = null;
         }
-        List<Long> calls = out.entrySet().stream()
-            .filter(each -> each.getValue().orElse(null) == connection).map(Map.Entry::getKey).toList();
+        List<Long> calls =
+                out.entrySet().stream()
+                        .filter(each -> each.getValue().orElse(null) == connection)
+                        .map(Map.Entry::getKey)
+                        .toList();
         for (long call : calls) {
             if (why == CloseReason.TOO_LARGE) {
                 tooLarge(call, connection.announced());
@@ -92,18 +101,29 @@
 
     private void tooLarge(long call, long announced) {
         out.remove(call);
-        LOG.error("the list of {} bytes is over the bound of {} bytes, which follows from memory_mb: the one "
-            + "before stays in force", announced > 0 ? announced : "more", mostListBytes);
+        LOG.error(
+                "the list of {} bytes is over the bound of {} bytes, which follows from memory_mb:"
+                        + " the one before stays in force",
+                announced > 0 ? announced : "more",
+                mostListBytes);
         events.accept(new ListNotTaken(call));
     }
 
     private void ask(CallDiscovery effect, Outbound connection) {
         out.put(effect.call(), Optional.of(connection));
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET,
-            Headers.LIST_PATH + (effect.after() < 0 ? ""
-                : "?after=" + effect.after() + "&wait_ms=" + effect.waits() / 1000));
+        FullHttpRequest request =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1,
+                        HttpMethod.GET,
+                        Headers.LIST_PATH
+                                + (effect.after() < 0
+                                        ? ""
+                                        : "?after="
+                                                + effect.after()
+                                                + "&wait_ms="
+                                                + effect.waits() / 1000));
         request.headers().set(HttpHeaderNames.HOST, effect.address().toString());
-        connection.send(request, () -> { }, answer -> answered(effect, connection, answer));
+        connection.send(request, () -> {}, answer -> answered(effect, connection, answer));
     }
 
     private void answered(CallDiscovery effect, Outbound connection, Outbound.Answer answer) {
--- a/src/main/java/ottergauge/transport/Door.java
+++ b/src/main/java/ottergauge/transport/Door.java
@@ -17,8 +17,8 @@
 import ottergauge.routing.OperatorCall;
 
 /**
- * The operators' door: an address of its own, with a small number of connections of its own that no flood of
- * clients uses up.
+ * The operators' door: an address of its own, with a small number of connections of its own that no
+ * flood of clients uses up.
  */
 final class Door {
 
@@ -27,7 +27,8 @@
     private static final int BACKLOG = 256;
     // A call is one small message: what has not come whole by now does not come any more.
     private static final long CALL_WITHIN_MS = 2_000;
-    // What connects sends its call at once: what is older and silent gives way to what waits outside.
+    // What connects sends its call at once: what is older and silent gives way to what waits
+    // outside.
     private static final long FRESH_MS = 50;
 
     private final EventLoop loop;
@@ -57,10 +58,14 @@
 
     private void adopt(ChannelPipeline pipeline) {
         long number = ++lastNumber;
-        DoorConnection connection = new DoorConnection(side, (from, call) -> asked(number, call), () -> {
-            open.remove(number);
-            since.remove(number);
-        });
+        DoorConnection connection =
+                new DoorConnection(
+                        side,
+                        (from, call) -> asked(number, call),
+                        () -> {
+                            open.remove(number);
+                            since.remove(number);
+                        });
         open.put(number, connection);
         since.put(number, System.nanoTime());
         pipeline.addLast(new Framing.Requests(), new HttpResponseEncoder(), connection);
@@ -80,11 +85,14 @@
         if (connection != null) {
             connection.late();
             // A caller that does not read keeps nothing open.
-            loop.schedule(() -> {
-                if (open.containsKey(number)) {
-                    connection.close(CloseReason.SLOW_ANSWER);
-                }
-            }, CALL_WITHIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (open.containsKey(number)) {
+                            connection.close(CloseReason.SLOW_ANSWER);
+                        }
+                    },
+                    CALL_WITHIN_MS,
+                    TimeUnit.MILLISECONDS);
         }
     }
 
@@ -94,11 +102,13 @@
             return;
         }
         long old = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(FRESH_MS);
-        new LinkedHashMap<>(since).forEach((number, at) -> {
-            if (at <= old && open.get(number).waits()) {
-                open.get(number).close(CloseReason.SOCKETS_SHORT);
-            }
-        });
+        new LinkedHashMap<>(since)
+                .forEach(
+                        (number, at) -> {
+                            if (at <= old && open.get(number).waits()) {
+                                open.get(number).close(CloseReason.SOCKETS_SHORT);
+                            }
+                        });
         makingRoom = true;
         loop.schedule(this::makeRoom, FRESH_MS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/ottergauge/transport/DoorConnection.java
+++ b/src/main/java/ottergauge/transport/DoorConnection.java
@@ -34,7 +34,8 @@
     private int body;
     private boolean answered;
 
-    DoorConnection(String side, BiConsumer<DoorConnection, OperatorCall> asked, Runnable whenEnded) {
+    DoorConnection(
+            String side, BiConsumer<DoorConnection, OperatorCall> asked, Runnable whenEnded) {
         super(side);
         this.asked = asked;
         this.whenEnded = whenEnded;
@@ -71,8 +72,10 @@
         }
         head = request;
         if (HttpUtil.is100ContinueExpected(request)) {
-            context().writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                HttpResponseStatus.CONTINUE));
+            context()
+                    .writeAndFlush(
+                            new DefaultFullHttpResponse(
+                                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
         }
         if (request instanceof LastHttpContent) {
             call();
@@ -81,12 +84,13 @@
 
     private void call() {
         String path = head.uri().replaceFirst("\\?.*", "");
-        OperatorCall get = switch (path) {
-            case HEALTH -> new OperatorCall.Health();
-            case "/stats" -> new OperatorCall.Stats();
-            case "/servers" -> new OperatorCall.Servers();
-            default -> null;
-        };
+        OperatorCall get =
+                switch (path) {
+                    case HEALTH -> new OperatorCall.Health();
+                    case "/stats" -> new OperatorCall.Stats();
+                    case "/servers" -> new OperatorCall.Servers();
+                    default -> null;
+                };
         OperatorCall post = get == null ? change(path) : null;
         if (get == null && post == null) {
             answer(HttpResponseStatus.NOT_FOUND, "no such call");
@@ -128,11 +132,13 @@
         }
         answered = true;
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
-            Unpooled.wrappedBuffer(bytes));
-        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.length)
-            .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN)
-            .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        FullHttpResponse response =
+                new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(bytes));
+        response.headers()
+                .set(HttpHeaderNames.CONTENT_LENGTH, bytes.length)
+                .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.TEXT_PLAIN)
+                .set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         context().writeAndFlush(response).addListener(written -> close(CloseReason.NOT_REUSABLE));
     }
 
@@ -148,7 +154,7 @@
 
     // A call is answered as soon as it is whole: what comes behind it has no answer.
     @Override
-    void taken() { }
+    void taken() {}
 
     @Override
     void ended(CloseReason why) {
--- a/src/main/java/ottergauge/transport/EventQueue.java
+++ b/src/main/java/ottergauge/transport/EventQueue.java
@@ -6,7 +6,10 @@
 import java.util.function.Consumer;
 import ottergauge.routing.Event;
 
-/** Handles events in turn: one that an effect brings at once waits until the event before it is handled. */
+/**
+ * Handles events in turn: one that an effect brings at once waits until the event before it is
+ * handled.
+ */
 final class EventQueue {
 
     private final Deque<Event> events = new ArrayDeque<>();
--- a/src/main/java/ottergauge/transport/Flow.java
+++ b/src/main/java/ottergauge/transport/Flow.java
@@ -11,8 +11,8 @@
 import java.util.function.Consumer;
 
 /**
- * A body on its way from one connection to another, part by part: it is read no faster than the other side
- * takes it. Until that side is known the source is not read.
+ * A body on its way from one connection to another, part by part: it is read no faster than the
+ * other side takes it. Until that side is known the source is not read.
  */
 final class Flow {
 
@@ -34,9 +34,10 @@
             return;
         }
         // Trailers belong to one hop here.
-        HttpContent own = part instanceof LastHttpContent
-            ? new DefaultLastHttpContent(part.content().retain())
-            : new DefaultHttpContent(part.content().retain());
+        HttpContent own =
+                part instanceof LastHttpContent
+                        ? new DefaultLastHttpContent(part.content().retain())
+                        : new DefaultHttpContent(part.content().retain());
         if (to == null) {
             waiting.add(own);
         } else {
@@ -49,7 +50,9 @@
         return to != null;
     }
 
-    /** Goes on to this connection; the handler hears once the last part is written, or could not be. */
+    /**
+     * Goes on to this connection; the handler hears once the last part is written, or could not be.
+     */
     void on(Connection destination, Consumer<ChannelFuture> whenPassed) {
         to = destination;
         passed = whenPassed;
@@ -70,8 +73,9 @@
     private void write(HttpContent part) {
         ChannelFuture written = to.context().write(part);
         if (part instanceof LastHttpContent) {
-            // The source carries other messages from now on, however slowly this one's end is taken.
-            to.whenTakes(() -> { });
+            // The source carries other messages from now on, however slowly this one's end is
+            // taken.
+            to.whenTakes(() -> {});
             from.resume();
             written.addListener(done -> passed.accept((ChannelFuture) done));
         } else if (!to.takes()) {
--- a/src/main/java/ottergauge/transport/Framing.java
+++ b/src/main/java/ottergauge/transport/Framing.java
@@ -11,17 +11,18 @@
 import java.util.List;
 
 /**
- * How messages are told apart on a connection. Netty's decoders repair what can be read in two ways; a server
- * behind may read it in the other one and find a request inside a body. Here such a message is no message.
+ * How messages are told apart on a connection. Netty's decoders repair what can be read in two
+ * ways; a server behind may read it in the other one and find a request inside a body. Here such a
+ * message is no message.
  */
 final class Framing {
 
     // A part as large as one read, so that a large body is not cut smaller than it came.
     private static final int MOST_PART = 64 * 1024;
-    private static final HttpDecoderConfig CONFIG = new HttpDecoderConfig().setMaxChunkSize(MOST_PART);
+    private static final HttpDecoderConfig CONFIG =
+            new HttpDecoderConfig().setMaxChunkSize(MOST_PART);
 
-    private Framing() {
-    }
+    private Framing() {}
 
     /** Says what is wrong with the head's framing, or null. */
     static String fault(HttpMessage head) {
@@ -32,15 +33,16 @@
             return "the version is " + head.protocolVersion();
         }
         List<String> encodings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        boolean chunked = encodings.size() == 1
-            && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
+        boolean chunked =
+                encodings.size() == 1
+                        && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
         return encodings.isEmpty() || chunked ? null : "the transfer encoding is " + encodings;
     }
 
     /** Whether the head says where its body ends. */
     static boolean hasLength(HttpMessage head) {
         return head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
-            || head.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
+                || head.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
     private static IllegalArgumentException twoLengths() {
@@ -72,8 +74,10 @@
 
         private boolean inHeaders;
 
-        // As strict about header lines as for requests. For answers Netty takes a line without a colon for a
-        // field: a head that could not be read was served to 33 clients in half a minute. Only there: a
+        // As strict about header lines as for requests. For answers Netty takes a line without a
+        // colon for a
+        // field: a head that could not be read was served to 33 clients in half a minute. Only
+        // there: a
         // status line may have no reason, and an answer without a length lasts until the close.
         @Override
         protected boolean isDecodingRequest() {
--- a/src/main/java/ottergauge/transport/HeldStore.java
+++ b/src/main/java/ottergauge/transport/HeldStore.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The servers held out by hand, a file each, in the folder that the node's processes share: each process sees
- * what the other was told, and the next one begins with it. Files are made and deleted whole, so that no
- * process needs to wait for another.
+ * The servers held out by hand, a file each, in the folder that the node's processes share: each
+ * process sees what the other was told, and the next one begins with it. Files are made and deleted
+ * whole, so that no process needs to wait for another.
  */
 final class HeldStore {
 
@@ -27,7 +27,7 @@
     // A name of any server, with the time before it.
     private static final int MOST_BYTES = 64 * 1024;
 
-    private record Held(String server, long since) { }
+    private record Held(String server, long since) {}
 
     private final Path folder;
     private final Map<String, Held> read = new HashMap<>();
@@ -41,7 +41,11 @@
             Path whole = folder.resolve(name(server));
             Path part = folder.resolve("part-" + ProcessHandle.current().pid());
             Files.write(part, (since + " " + server).getBytes(StandardCharsets.UTF_8));
-            Files.move(part, whole, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    part,
+                    whole,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             LOG.error("{} is held out by this process only: {}", server, e.toString());
         }
@@ -76,8 +80,9 @@
         read.clear();
         read.putAll(now);
         Map<String, Long> since = new TreeMap<>();
-        now.values().stream().filter(Objects::nonNull)
-            .forEach(held -> since.put(held.server(), held.since()));
+        now.values().stream()
+                .filter(Objects::nonNull)
+                .forEach(held -> since.put(held.server(), held.since()));
         return since;
     }
 
--- a/src/main/java/ottergauge/transport/HollowFleet.java
+++ b/src/main/java/ottergauge/transport/HollowFleet.java
@@ -10,8 +10,9 @@
 import ottergauge.protocol.NodeConfig;
 
 /**
- * Many hollow nodes in one process, on few loops. Nodes of one loop wait for each other: the observer is told
- * how late each loop came round, and by that whether what it is told is the nodes' doing or the process's.
+ * Many hollow nodes in one process, on few loops. Nodes of one loop wait for each other: the
+ * observer is told how late each loop came round, and by that whether what it is told is the nodes'
+ * doing or the process's.
  */
 public final class HollowFleet implements AutoCloseable {
 
@@ -21,7 +22,10 @@
     private final int nodes;
     private final Consumer<HollowEvent> observer;
 
-    /** One node for each configuration; {@code observer} is told on the loops and must not block them. */
+    /**
+     * One node for each configuration; {@code observer} is told on the loops and must not block
+     * them.
+     */
     public HollowFleet(List<NodeConfig> configs, int loops, Consumer<HollowEvent> observer) {
         this.observer = observer;
         nodes = configs.size();
@@ -57,7 +61,7 @@
 
     private CompletableFuture<Void> whenAll(List<CompletableFuture<Void>> parts) {
         return CompletableFuture.allOf(parts.toArray(new CompletableFuture<?>[0]))
-            .thenRun(() -> observer.accept(new HollowEvent.Started(nodes, wallMicros())));
+                .thenRun(() -> observer.accept(new HollowEvent.Started(nodes, wallMicros())));
     }
 
     /** Has each node tell how its servers stand. */
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -30,7 +30,11 @@
     private final LoopLateness lateness = new LoopLateness(System.nanoTime());
     private final List<HollowNode> nodes = new ArrayList<>();
 
-    HollowLoop(int number, List<NodeConfig> configs, LongSupplier wall, Consumer<HollowEvent> observer) {
+    HollowLoop(
+            int number,
+            List<NodeConfig> configs,
+            LongSupplier wall,
+            Consumer<HollowEvent> observer) {
         this.number = number;
         this.configs = configs;
         this.wall = wall;
@@ -41,11 +45,12 @@
     /** Starts its nodes one after the other over so many milliseconds; completes with the last. */
     CompletableFuture<Void> start(long overMs) {
         CompletableFuture<Void> started = new CompletableFuture<>();
-        context.runOnContext(run -> {
-            look();
-            vertx.setPeriodic(TELL_EVERY_MS, due -> tell());
-            startNext(overMs, started);
-        });
+        context.runOnContext(
+                run -> {
+                    look();
+                    vertx.setPeriodic(TELL_EVERY_MS, due -> tell());
+                    startNext(overMs, started);
+                });
         return started;
     }
 
@@ -62,7 +67,8 @@
     }
 
     private void add(NodeConfig config) {
-        HollowNode node = new HollowNode(config, vertx, Outbound.dialer(client), wall, calls, observer);
+        HollowNode node =
+                new HollowNode(config, vertx, Outbound.dialer(client), wall, calls, observer);
         nodes.add(node);
         node.start();
     }
@@ -70,11 +76,12 @@
     /** Drops all nodes with their connections and state, and starts them anew at once. */
     CompletableFuture<Void> restart() {
         CompletableFuture<Void> started = new CompletableFuture<>();
-        context.runOnContext(run -> {
-            nodes.forEach(HollowNode::drop);
-            nodes.clear();
-            startNext(0, started);
-        });
+        context.runOnContext(
+                run -> {
+                    nodes.forEach(HollowNode::drop);
+                    nodes.clear();
+                    startNext(0, started);
+                });
         return started;
     }
 
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -27,9 +27,9 @@
 import ottergauge.transport.HollowEvent.Source;
 
 /**
- * One node without clients, listener and servers: the reducer, the decisions, the codecs and the connections
- * by which it follows its list are those of a real one. It lives from {@link #start} to {@link #drop}; what
- * comes for it after that is passed over. All of it is used on one loop.
+ * One node without clients, listener and servers: the reducer, the decisions, the codecs and the
+ * connections by which it follows its list are those of a real one. It lives from {@link #start} to
+ * {@link #drop}; what comes for it after that is passed over. All of it is used on one loop.
  */
 final class HollowNode {
 
@@ -50,22 +50,35 @@
     private final DiscoverySide discovery;
     private final Router router;
     private boolean dropped;
+
     /** The version of the list in force, and the one that the event in hand may bring in force. */
     private long inForce;
+
     private long next;
 
     /** {@code wall} is the clock that the observer is told instants of. */
-    HollowNode(NodeConfig config, Vertx vertx, Outbound.Dialer dialer, LongSupplier wall, HollowCalls calls,
-               Consumer<HollowEvent> observer) {
+    HollowNode(
+            NodeConfig config,
+            Vertx vertx,
+            Outbound.Dialer dialer,
+            LongSupplier wall,
+            HollowCalls calls,
+            Consumer<HollowEvent> observer) {
         this.config = config;
         this.wall = wall;
         this.observer = observer;
         this.calls = calls;
         traffic = new HollowTraffic(config.name(), Source.DISCOVERY, wall, observer);
-        timers = new Timers(clock::micros, (millis, task) -> vertx.setTimer(millis, fired -> task.run()));
-        discovery = new DiscoverySide((side, address, timeoutMs, mostBody) ->
-            dialer.dial(side, address, timeoutMs, mostBody).map(this::counted), config.mostListBytes(),
-            this::take);
+        timers =
+                new Timers(
+                        clock::micros,
+                        (millis, task) -> vertx.setTimer(millis, fired -> task.run()));
+        discovery =
+                new DiscoverySide(
+                        (side, address, timeoutMs, mostBody) ->
+                                dialer.dial(side, address, timeoutMs, mostBody).map(this::counted),
+                        config.mostListBytes(),
+                        this::take);
         router = new Router(config, this::carryOut);
         inForce = config.known().seq();
     }
@@ -82,7 +95,10 @@
         router.start(clock.micros());
     }
 
-    /** Ends it as if its process were killed: its connections are closed and it does nothing any more. */
+    /**
+     * Ends it as if its process were killed: its connections are closed and it does nothing any
+     * more.
+     */
     void drop() {
         dropped = true;
         List.copyOf(open).forEach(Channel::close);
@@ -115,8 +131,14 @@
         if (next != inForce) {
             inForce = next;
             HostList list = event instanceof Event.ListRead read ? read.list() : HostList.EMPTY;
-            observer.accept(new InForce(config.name(), Source.DISCOVERY, inForce, list.whole(),
-                list.hosts().size(), wall.getAsLong()));
+            observer.accept(
+                    new InForce(
+                            config.name(),
+                            Source.DISCOVERY,
+                            inForce,
+                            list.whole(),
+                            list.hosts().size(),
+                            wall.getAsLong()));
         }
     }
 
@@ -138,7 +160,8 @@
         }
     }
 
-    // A call that goes on from a version asks for what is newer: what it names is in force once the event in
+    // A call that goes on from a version asks for what is newer: what it names is in force once the
+    // event in
     // hand is handled.
     private void call(Effect.CallDiscovery effect) {
         next = effect.after();
@@ -147,11 +170,13 @@
     }
 
     private void leftOut(Effect effect) {
-        observer.accept(new HollowEvent.LeftOut(config.name(), effect.getClass().getSimpleName(),
-            wall.getAsLong()));
+        observer.accept(
+                new HollowEvent.LeftOut(
+                        config.name(), effect.getClass().getSimpleName(), wall.getAsLong()));
     }
 
-    // The order of names is that in which they were heard of first, which differs from node to node.
+    // The order of names is that in which they were heard of first, which differs from node to
+    // node.
     private Servers servers(String text) {
         List<String> lines = new ArrayList<>(text.lines().toList());
         lines.sort(null);
--- a/src/main/java/ottergauge/transport/HollowTraffic.java
+++ b/src/main/java/ottergauge/transport/HollowTraffic.java
@@ -12,8 +12,8 @@
 import ottergauge.transport.HollowEvent.Traffic;
 
 /**
- * Counts the bytes of one node's connections to one source of its state, as they pass their sockets, in spans
- * of equal length. What the system adds to them on the way is not in it.
+ * Counts the bytes of one node's connections to one source of its state, as they pass their
+ * sockets, in spans of equal length. What the system adds to them on the way is not in it.
  */
 final class HollowTraffic {
 
@@ -35,7 +35,10 @@
         this.observer = observer;
     }
 
-    /** A handler that counts a connection's bytes; it belongs in front of all that reads or writes them. */
+    /**
+     * A handler that counts a connection's bytes; it belongs in front of all that reads or writes
+     * them.
+     */
     ChannelDuplexHandler counter() {
         return new ChannelDuplexHandler() {
             @Override
@@ -45,7 +48,8 @@
             }
 
             @Override
-            public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
+            public void write(
+                    ChannelHandlerContext context, Object message, ChannelPromise promise) {
                 count(0, length(message));
                 context.write(message, promise);
             }
--- a/src/main/java/ottergauge/transport/ListStore.java
+++ b/src/main/java/ottergauge/transport/ListStore.java
@@ -29,7 +29,11 @@
     void keep(HostList list) {
         try {
             Files.write(part, list.json());
-            Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+            Files.move(
+                    part,
+                    file,
+                    StandardCopyOption.ATOMIC_MOVE,
+                    StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
             LOG.warn("the list is not kept: {}", e.toString());
         }
@@ -40,7 +44,8 @@
         try {
             if (Files.exists(file) && Files.size(file) <= mostBytes) {
                 HostList kept = HostList.read(Files.readAllBytes(file));
-                // Beside a process that lives it is up to date; left by one that has gone it may be older.
+                // Beside a process that lives it is up to date; left by one that has gone it may be
+                // older.
                 if (accompanied || kept.seq() > config.known().seq()) {
                     return config.knowing(kept);
                 }
--- a/src/main/java/ottergauge/transport/Listener.java
+++ b/src/main/java/ottergauge/transport/Listener.java
@@ -21,8 +21,9 @@
 import ottergauge.protocol.Address;
 
 /**
- * An address that the node listens on, with a gate of its own. It is Netty's and not Vert.x's: a server of
- * Vert.x closes all of its connections when it closes, and an old process has to end the one before the rest.
+ * An address that the node listens on, with a gate of its own. It is Netty's and not Vert.x's: a
+ * server of Vert.x closes all of its connections when it closes, and an old process has to end the
+ * one before the rest.
  */
 final class Listener {
 
@@ -38,35 +39,55 @@
     }
 
     /** Listens; {@code shared} lets a second process of this node listen on the same address. */
-    static Future<Listener> open(EventLoop loop, Address address, int backlog, boolean shared,
-                                 AcceptGate gate, Consumer<ChannelPipeline> adopt) {
-        ServerBootstrap bootstrap = new ServerBootstrap().group(loop).channel(NioServerSocketChannel.class)
-            .option(ChannelOption.SO_BACKLOG, backlog).option(ChannelOption.SO_REUSEADDR, true)
-            .option(ChannelOption.RECVBUF_ALLOCATOR,
-                new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(AcceptGate.AT_ONCE))
-            .childOption(ChannelOption.TCP_NODELAY, true)
-            // Read to the end of what has come: a client that asked and left has left when it is heard.
-            .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false)
-                    .maxMessagesPerRead(MOST_READS))
-            .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Connection.WATER_MARK).handler(gate)
-            .childHandler(new ChannelInitializer<>() {
-                @Override
-                protected void initChannel(Channel accepted) {
-                    adopt.accept(accepted.pipeline());
-                }
-            });
+    static Future<Listener> open(
+            EventLoop loop,
+            Address address,
+            int backlog,
+            boolean shared,
+            AcceptGate gate,
+            Consumer<ChannelPipeline> adopt) {
+        ServerBootstrap bootstrap =
+                new ServerBootstrap()
+                        .group(loop)
+                        .channel(NioServerSocketChannel.class)
+                        .option(ChannelOption.SO_BACKLOG, backlog)
+                        .option(ChannelOption.SO_REUSEADDR, true)
+                        .option(
+                                ChannelOption.RECVBUF_ALLOCATOR,
+                                new ServerChannelRecvByteBufAllocator()
+                                        .maxMessagesPerRead(AcceptGate.AT_ONCE))
+                        .childOption(ChannelOption.TCP_NODELAY, true)
+                        // Read to the end of what has come: a client that asked and left has left
+                        // when it is heard.
+                        .childOption(
+                                ChannelOption.RECVBUF_ALLOCATOR,
+                                new AdaptiveRecvByteBufAllocator()
+                                        .respectMaybeMoreData(false)
+                                        .maxMessagesPerRead(MOST_READS))
+                        .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Connection.WATER_MARK)
+                        .handler(gate)
+                        .childHandler(
+                                new ChannelInitializer<>() {
+                                    @Override
+                                    protected void initChannel(Channel accepted) {
+                                        adopt.accept(accepted.pipeline());
+                                    }
+                                });
         if (shared) {
             bootstrap.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
         }
         Promise<Listener> opened = Promise.promise();
-        bootstrap.bind(new InetSocketAddress(address.host(), address.port())).addListener(bound -> {
-            if (bound.isSuccess()) {
-                opened.complete(new Listener(((ChannelFuture) bound).channel(), gate));
-            } else {
-                opened.fail(bound.cause());
-            }
-        });
+        bootstrap
+                .bind(new InetSocketAddress(address.host(), address.port()))
+                .addListener(
+                        bound -> {
+                            if (bound.isSuccess()) {
+                                opened.complete(
+                                        new Listener(((ChannelFuture) bound).channel(), gate));
+                            } else {
+                                opened.fail(bound.cause());
+                            }
+                        });
         return opened.future();
     }
 
--- a/src/main/java/ottergauge/transport/MessageBody.java
+++ b/src/main/java/ottergauge/transport/MessageBody.java
@@ -4,7 +4,10 @@
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
 
-/** Collects a message's body up to a limit; it grows with what has come, not with what was announced. */
+/**
+ * Collects a message's body up to a limit; it grows with what has come, not with what was
+ * announced.
+ */
 final class MessageBody {
 
     private static final byte[] NONE = {};
@@ -25,7 +28,8 @@
             return false;
         }
         if (length + more > bytes.length) {
-            // Twice as much each time: a body that comes byte by byte is not copied with each of them.
+            // Twice as much each time: a body that comes byte by byte is not copied with each of
+            // them.
             int wanted = Math.max(length + more, Math.max(FIRST, 2 * length));
             bytes = Arrays.copyOf(bytes, Math.min(most, wanted));
         }
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -21,11 +21,15 @@
 import ottergauge.routing.Event;
 import ottergauge.routing.Router;
 
-/** One node on sockets: brings the router every event in turn, on one thread, and carries out its effects. */
+/**
+ * One node on sockets: brings the router every event in turn, on one thread, and carries out its
+ * effects.
+ */
 public final class NodeServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(NodeServer.class);
-    // What another process of this node was told is followed so soon: well within what a drain allows.
+    // What another process of this node was told is followed so soon: well within what a drain
+    // allows.
     private static final long LOOK_EVERY_MS = 100;
 
     private final NodeConfig config;
@@ -50,17 +54,28 @@
 
     /** A node; without a folder that its processes share, it has one process at a time. */
     public NodeServer(NodeConfig told, Path folder) {
-        shared = told.management() == null || folder == null ? null : open(folder, told.mostListBytes());
+        shared =
+                told.management() == null || folder == null
+                        ? null
+                        : open(folder, told.mostListBytes());
         config = shared == null ? told : shared.freshest(told);
         vertx = OneLoopTransport.vertx(watch);
         context = (ContextInternal) vertx.getOrCreateContext();
-        timers = new Timers(clock::micros, (millis, task) -> vertx.setTimer(millis, fired -> task.run()));
+        timers =
+                new Timers(
+                        clock::micros,
+                        (millis, task) -> vertx.setTimer(millis, fired -> task.run()));
         router = new Router(config, this::carryOut);
         clients = new ClientSide(watch, events::take);
         client = vertx.createNetClient();
-        servers = new ServerSide((address, timeoutMs) ->
-            Outbound.connect(client, "server", address, timeoutMs, Headers.MOST_BODY), events::take);
-        discovery = new DiscoverySide(Outbound.dialer(client), config.mostListBytes(), events::take);
+        servers =
+                new ServerSide(
+                        (address, timeoutMs) ->
+                                Outbound.connect(
+                                        client, "server", address, timeoutMs, Headers.MOST_BODY),
+                        events::take);
+        discovery =
+                new DiscoverySide(Outbound.dialer(client), config.mostListBytes(), events::take);
         door = new Door(context.nettyEventLoop(), watch, events::take);
     }
 
@@ -69,7 +84,10 @@
         try {
             return new SharedFolder(folder, mostListBytes);
         } catch (IOException e) {
-            LOG.error("{} cannot be shared with a next process: {}", folder.getFileName(), e.toString());
+            LOG.error(
+                    "{} cannot be shared with a next process: {}",
+                    folder.getFileName(),
+                    e.toString());
             return null;
         }
     }
@@ -77,35 +95,53 @@
     /** Starts to serve; the future says whether its addresses could be had. */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
-        context.runOnContext(run -> {
-            router.start(clock.micros());
-            look();
-            boolean shares = config.management() != null;
-            openDoor()
-                .compose(warm -> clients.listen(context.nettyEventLoop(), config.listen(), shares, gate))
-                .onSuccess(this::listening)
-                .compose(listening -> shares ? Future.succeededFuture(0)
-                    : warmUp(config.listen(), Headers.LIVE_PATH))
-                .onSuccess(warm -> serves())
-                .<Void>mapEmpty().onComplete(started);
-        });
+        context.runOnContext(
+                run -> {
+                    router.start(clock.micros());
+                    look();
+                    boolean shares = config.management() != null;
+                    openDoor()
+                            .compose(
+                                    warm ->
+                                            clients.listen(
+                                                    context.nettyEventLoop(),
+                                                    config.listen(),
+                                                    shares,
+                                                    gate))
+                            .onSuccess(this::listening)
+                            .compose(
+                                    listening ->
+                                            shares
+                                                    ? Future.succeededFuture(0)
+                                                    : warmUp(config.listen(), Headers.LIVE_PATH))
+                            .onSuccess(warm -> serves())
+                            .<Void>mapEmpty()
+                            .onComplete(started);
+                });
         return started.future();
     }
 
     // The door comes first, and says no until clients are taken.
     private Future<Integer> openDoor() {
-        return config.management() == null ? Future.succeededFuture(0)
-            : door.listen(config.management()).compose(listening -> {
-                LOG.info("{} answers operators on {}", config.name(), config.management());
-                return warmUp(config.management(), DoorConnection.HEALTH);
-            });
+        return config.management() == null
+                ? Future.succeededFuture(0)
+                : door.listen(config.management())
+                        .compose(
+                                listening -> {
+                                    LOG.info(
+                                            "{} answers operators on {}",
+                                            config.name(),
+                                            config.management());
+                                    return warmUp(config.management(), DoorConnection.HEALTH);
+                                });
     }
 
-    // With no door it is the clients' address that is called, and the node is not ready before that is done.
+    // With no door it is the clients' address that is called, and the node is not ready before that
+    // is done.
     private Future<Integer> warmUp(Address own, String path) {
         boolean away = config.management() == null;
         return WarmUp.run(client, own, path, config.settings().nodes(), away, accompanied)
-            .onSuccess(calls -> LOG.info("{} called itself {} times", config.name(), calls));
+                .onSuccess(calls -> LOG.info("{} called itself {} times", config.name(), calls));
     }
 
     private void listening(Listener listening) {
@@ -133,7 +169,10 @@
         Siblings.Company company = shared.siblings().look();
         if (company.lives() != accompanied) {
             accompanied = company.lives();
-            LOG.info("{} runs {}", config.name(), accompanied ? "beside another process" : "alone again");
+            LOG.info(
+                    "{} runs {}",
+                    config.name(),
+                    accompanied ? "beside another process" : "alone again");
             events.take(new Event.CompanySeen(accompanied, company.connections()));
         } else if (accompanied) {
             events.take(new Event.CompanySeen(true, company.connections()));
@@ -143,32 +182,47 @@
 
     /** Begins to stop: what has been taken is still answered. The future completes when all is. */
     public Future<Void> stop() {
-        context.runOnContext(run -> {
-            boolean succeeded = shared != null && shared.siblings().look().serves();
-            LOG.info("{} was told to stop{}", config.name(),
-                succeeded ? ", another process takes its clients" : "");
-            events.take(new Event.StopAsked(succeeded));
-        });
+        context.runOnContext(
+                run -> {
+                    boolean succeeded = shared != null && shared.siblings().look().serves();
+                    LOG.info(
+                            "{} was told to stop{}",
+                            config.name(),
+                            succeeded ? ", another process takes its clients" : "");
+                    events.take(new Event.StopAsked(succeeded));
+                });
         return ended.future();
     }
 
     /** Goes on with another configuration: with what of it can change while the node runs. */
     public void reconfigure(NodeConfig next) {
-        context.runOnContext(run -> {
-            LOG.info("{} goes on with discovery at {} and {} descriptors", config.name(), next.discovery(),
-                next.sockets());
-            if (router.version().isPresent()) {
-                LOG.info("{} keeps the settings of the log of changes, not those of the file", config.name());
-            } else if (!next.nodeSettings().equals(router.settings())) {
-                LOG.info("{} goes on with other settings, of {} classes", config.name(),
-                    next.settings().classes().size());
-            }
-            if (!next.listen().equals(config.listen()) || next.memoryMb() != config.memoryMb()
-                || !Objects.equals(next.management(), config.management())) {
-                LOG.warn("the new configuration's addresses and memory count from the next start on");
-            }
-            events.take(new Event.Reconfigured(next));
-        });
+        context.runOnContext(
+                run -> {
+                    LOG.info(
+                            "{} goes on with discovery at {} and {} descriptors",
+                            config.name(),
+                            next.discovery(),
+                            next.sockets());
+                    if (router.version().isPresent()) {
+                        LOG.info(
+                                "{} keeps the settings of the log of changes, not those of the"
+                                        + " file",
+                                config.name());
+                    } else if (!next.nodeSettings().equals(router.settings())) {
+                        LOG.info(
+                                "{} goes on with other settings, of {} classes",
+                                config.name(),
+                                next.settings().classes().size());
+                    }
+                    if (!next.listen().equals(config.listen())
+                            || next.memoryMb() != config.memoryMb()
+                            || !Objects.equals(next.management(), config.management())) {
+                        LOG.warn(
+                                "the new configuration's addresses and memory count from the next"
+                                        + " start on");
+                    }
+                    events.take(new Event.Reconfigured(next));
+                });
     }
 
     private void handle(Event event) {
@@ -180,7 +234,8 @@
         }
     }
 
-    // The router is in the middle of an event: an effect that fails may not tear it. The connection that it
+    // The router is in the middle of an event: an effect that fails may not tear it. The connection
+    // that it
     // was for is closed, which tells the router.
     private void carryOut(Effect effect) {
         try {
@@ -235,11 +290,13 @@
         }
     }
 
-    // What has come by now is read before the loop runs tasks, and the end of a connection that was read is
+    // What has come by now is read before the loop runs tasks, and the end of a connection that was
+    // read is
     // told by a task: so it is the second one from now. After a long round more has come since.
     private void readAll(Effect.ReadAll effect) {
         EventLoop loop = context.nettyEventLoop();
-        Runnable read = () -> loop.execute(() -> events.take(new Event.AllRead(effect.connection())));
+        Runnable read =
+                () -> loop.execute(() -> events.take(new Event.AllRead(effect.connection())));
         if (watch.behind()) {
             loop.schedule(read, 1, TimeUnit.MILLISECONDS);
         } else {
--- a/src/main/java/ottergauge/transport/OneLoopTransport.java
+++ b/src/main/java/ottergauge/transport/OneLoopTransport.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Has one loop do everything. A thread of its own accepted hundreds while the loop was busy, until no
- * descriptor was left; the library then accepts nothing for a second, and all that had piled up meanwhile
- * used up the descriptors again: the node served nobody for the rest of the day.
+ * Has one loop do everything. A thread of its own accepted hundreds while the loop was busy, until
+ * no descriptor was left; the library then accepts nothing for a second, and all that had piled up
+ * meanwhile used up the descriptors again: the node served nobody for the rest of the day.
  */
 final class OneLoopTransport extends NioTransport {
 
@@ -32,10 +32,20 @@
         // Addresses are numbers: nothing is asked of DNS.
         System.setProperty("vertx.disableDnsResolver", "true");
         // The pools for blocking work have nothing to do. No files: they count as memory.
-        VertxOptions options = new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-            .setInternalBlockingPoolSize(1).setFileSystemOptions(new FileSystemOptions()
-                .setClassPathResolvingEnabled(false).setFileCachingEnabled(false));
-        return VertxBootstrap.create().options(options).transport(new OneLoopTransport(watch)).init().vertx();
+        VertxOptions options =
+                new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1)
+                        .setFileSystemOptions(
+                                new FileSystemOptions()
+                                        .setClassPathResolvingEnabled(false)
+                                        .setFileCachingEnabled(false));
+        return VertxBootstrap.create()
+                .options(options)
+                .transport(new OneLoopTransport(watch))
+                .init()
+                .vertx();
     }
 
     @Override
@@ -44,7 +54,8 @@
     }
 
     @Override
-    public EventLoopGroup eventLoopGroup(int type, int threads, ThreadFactory factory, int ioRatio) {
+    public EventLoopGroup eventLoopGroup(
+            int type, int threads, ThreadFactory factory, int ioRatio) {
         if (group == null) {
             group = super.eventLoopGroup(type, 1, factory, ioRatio);
         }
--- a/src/main/java/ottergauge/transport/Outbound.java
+++ b/src/main/java/ottergauge/transport/Outbound.java
@@ -34,10 +34,11 @@
 final class Outbound extends Connection {
 
     /**
-     * An answer, whole or as far as it has come when it begins to flow; {@code length} is what its head says
-     * of its body or negative, {@code reusable} says that the connection may carry another request.
+     * An answer, whole or as far as it has come when it begins to flow; {@code length} is what its
+     * head says of its body or negative, {@code reusable} says that the connection may carry
+     * another request.
      */
-    record Answer(int status, HttpHeaders headers, byte[] body, long length, boolean reusable) { }
+    record Answer(int status, HttpHeaders headers, byte[] body, long length, boolean reusable) {}
 
     /** Opens connections; {@code side} is what the log calls the other end. */
     @FunctionalInterface
@@ -45,7 +46,14 @@
         Future<Outbound> dial(String side, Address address, long timeoutMs, int mostBody);
     }
 
-    private enum Stage { QUIET, ASKED, BODY, WHOLE, FLOWING, FLOWED }
+    private enum Stage {
+        QUIET,
+        ASKED,
+        BODY,
+        WHOLE,
+        FLOWING,
+        FLOWED
+    }
 
     private final Framing.Answers decoder;
     private final int mostBody;
@@ -62,13 +70,13 @@
     private boolean more;
     private Answer flowing;
     private Flow flow;
-    private LongConsumer moved = bytes -> { };
+    private LongConsumer moved = bytes -> {};
     private HttpContent last;
     private long flowed;
     private long headAt;
     private int reads;
     private long announced;
-    private Runnable openEnded = () -> { };
+    private Runnable openEnded = () -> {};
 
     private Outbound(String side, Framing.Answers decoder, int mostBody) {
         super(side);
@@ -77,18 +85,34 @@
     }
 
     static Dialer dialer(NetClient client) {
-        return (side, address, timeoutMs, mostBody) -> connect(client, side, address, timeoutMs, mostBody);
+        return (side, address, timeoutMs, mostBody) ->
+                connect(client, side, address, timeoutMs, mostBody);
     }
 
     /** Opens a connection; one that does not come up leaves its log line here. */
-    static Future<Outbound> connect(NetClient client, String side, Address address, long timeoutMs,
-                                    int mostBody) {
-        return client.connect(new ConnectOptions().setHost(address.host()).setPort(address.port())
-                .setTimeout((int) timeoutMs))
-            .map(socket -> over(((NetSocketInternal) socket).channelHandlerContext().pipeline(), side,
-                mostBody))
-            .onFailure(failure -> ConnectionLog.ended(side, address, isTimeout(failure)
-                ? CloseReason.CONNECT_TIMEOUT : CloseReason.CONNECT_FAILED));
+    static Future<Outbound> connect(
+            NetClient client, String side, Address address, long timeoutMs, int mostBody) {
+        return client.connect(
+                        new ConnectOptions()
+                                .setHost(address.host())
+                                .setPort(address.port())
+                                .setTimeout((int) timeoutMs))
+                .map(
+                        socket ->
+                                over(
+                                        ((NetSocketInternal) socket)
+                                                .channelHandlerContext()
+                                                .pipeline(),
+                                        side,
+                                        mostBody))
+                .onFailure(
+                        failure ->
+                                ConnectionLog.ended(
+                                        side,
+                                        address,
+                                        isTimeout(failure)
+                                                ? CloseReason.CONNECT_TIMEOUT
+                                                : CloseReason.CONNECT_FAILED));
     }
 
     /** Carries messages over a connection that is open. */
@@ -110,12 +134,16 @@
     }
 
     /**
-     * Lets bodies flow that are too large to be kept: the handlers hear that the head of an answer has come
-     * which does not tell its length, that an answer has begun to flow, that its last byte has come, that a
-     * request's is written, and of the answer to such a request.
+     * Lets bodies flow that are too large to be kept: the handlers hear that the head of an answer
+     * has come which does not tell its length, that an answer has begun to flow, that its last byte
+     * has come, that a request's is written, and of the answer to such a request.
      */
-    void whenFlows(Runnable open, Consumer<Answer> began, Consumer<Boolean> ended, Runnable written,
-                   Consumer<Answer> answered) {
+    void whenFlows(
+            Runnable open,
+            Consumer<Answer> began,
+            Consumer<Boolean> ended,
+            Runnable written,
+            Consumer<Answer> answered) {
         openEnded = open;
         flowBegan = began;
         flowEnded = ended;
@@ -127,7 +155,9 @@
     void send(FullHttpRequest request, Runnable whenWritten, Consumer<Answer> answered) {
         whenAnswered = answered;
         stage = Stage.ASKED;
-        context().writeAndFlush(request).addListener(written -> written(written.isSuccess(), whenWritten));
+        context()
+                .writeAndFlush(request)
+                .addListener(written -> written(written.isSuccess(), whenWritten));
     }
 
     /** Sends the head of a request whose body flows; what is given back takes the end of that. */
@@ -149,7 +179,8 @@
     @Override
     void take(HttpObject part) {
         if (stage == Stage.QUIET) {
-            // Bytes that nothing was asked for: taken for the next request's answer, they would serve a
+            // Bytes that nothing was asked for: taken for the next request's answer, they would
+            // serve a
             // client with another's.
             close(CloseReason.MALFORMED);
         } else if (stage == Stage.WHOLE || stage == Stage.FLOWED) {
@@ -165,8 +196,10 @@
     }
 
     private void begin(HttpResponse response) {
-        interim = response.status().codeClass() == HttpStatusClass.INFORMATIONAL
-            && response.status().code() != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
+        interim =
+                response.status().codeClass() == HttpStatusClass.INFORMATIONAL
+                        && response.status().code()
+                                != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
         head = response;
         body = new MessageBody(mostBody);
         stage = interim ? Stage.ASKED : Stage.BODY;
@@ -223,8 +256,9 @@
     }
 
     /**
-     * What has come of an answer goes on now, though it might still be small enough to be kept. One that came
-     * at one go and stands still is not long but spoilt: its server has forgotten to say where it ends.
+     * What has come of an answer goes on now, though it might still be small enough to be kept. One
+     * that came at one go and stands still is not long but spoilt: its server has forgotten to say
+     * where it ends.
      */
     void flowNow() {
         if (stage == Stage.BODY && head != null && reads > 1) {
@@ -256,7 +290,9 @@
         return flowing;
     }
 
-    /** Passes the answer that flows on; the first handler hears of its bytes, the second of its end. */
+    /**
+     * Passes the answer that flows on; the first handler hears of its bytes, the second of its end.
+     */
     void flowTo(Connection client, LongConsumer bytes, Consumer<ChannelFuture> written) {
         moved = bytes;
         flow.on(client, written);
@@ -274,11 +310,18 @@
 
     private Answer answer(boolean alone) {
         boolean keeps = HttpUtil.isKeepAlive(head) && Framing.hasLength(head);
-        return new Answer(head.status().code(), head.headers(), body.bytes(),
-            HttpUtil.getContentLength(head, -1L), alone && keeps);
+        return new Answer(
+                head.status().code(),
+                head.headers(),
+                body.bytes(),
+                HttpUtil.getContentLength(head, -1L),
+                alone && keeps);
     }
 
-    /** An answer counts when all that came with it is taken: only then is it known whether it came alone. */
+    /**
+     * An answer counts when all that came with it is taken: only then is it known whether it came
+     * alone.
+     */
     @Override
     void taken() {
         if (flow != null) {
@@ -314,14 +357,19 @@
         body = null;
         flowing = null;
         flow = null;
-        moved = bytes -> { };
+        moved = bytes -> {};
     }
 
-    /** An answer without a length is whole once its connection is closed, and not if that is reset. */
+    /**
+     * An answer without a length is whole once its connection is closed, and not if that is reset.
+     */
     @Override
     void ended(CloseReason why) {
-        boolean whole = why == CloseReason.PEER_CLOSED && head != null && !interim
-            && !Framing.hasLength(head);
+        boolean whole =
+                why == CloseReason.PEER_CLOSED
+                        && head != null
+                        && !interim
+                        && !Framing.hasLength(head);
         if (whole && stage == Stage.BODY) {
             stage = Stage.WHOLE;
             taken();
