--- a/src/main/java/ottergauge/transport/Rehearsal.java
+++ b/src/main/java/ottergauge/transport/Rehearsal.java
@@ -25,25 +25,30 @@
 import ottergauge.routing.Timer;
 
 /**
- * Serves made-up requests in memory before the node is ready: what it is made of, without a socket. A
- * virtual machine that has just started runs the first requests many times slower than later ones. With
- * part of a core a node that began cold lost half of its first five seconds' requests.
+ * Serves made-up requests in memory before the node is ready: what it is made of, without a socket.
+ * A virtual machine that has just started runs the first requests many times slower than later
+ * ones. With part of a core a node that began cold lost half of its first five seconds' requests.
  */
 public final class Rehearsal {
 
-    // Past this many requests little gets quicker: the compiler takes up a method after some hundred calls.
+    // Past this many requests little gets quicker: the compiler takes up a method after some
+    // hundred calls.
     private static final int MOST = 1_000;
     // Fewer leave most classes to be loaded under the first client's request.
     private static final int LEAST = 100;
-    // What all nodes rehearse together. One of three that starts cold spoils a third of all requests: better
-    // it is away for some time more. Of many, each counts for little, and what hurts is that most are away
+    // What all nodes rehearse together. One of three that starts cold spoils a third of all
+    // requests: better
+    // it is away for some time more. Of many, each counts for little, and what hurts is that most
+    // are away
     // at once.
     private static final int BY_ALL = 3_000;
-    // Longer than this, being away costs a restarted node's peers more than its being warm spares them.
+    // Longer than this, being away costs a restarted node's peers more than its being warm spares
+    // them.
     private static final long LONGEST = TimeUnit.MILLISECONDS.toNanos(3_000);
     private static final int OK = 200;
     private static final int SERVERS = 4;
-    // Made-up time that passes with each exchange and between requests: some of the module's windows end too.
+    // Made-up time that passes with each exchange and between requests: some of the module's
+    // windows end too.
     private static final long TRIP = 1_000;
     private static final long PACE = 20_000;
     // Every so many answers one is of another kind.
@@ -51,7 +56,7 @@
     private static final String REPORT = "TEXT inflight=0, queue=0, util=0.1";
     private static final byte[] SERVED = answer("200 OK", Headers.LOAD + ": " + REPORT + "\r\n");
     private static final byte[] TURNED_AWAY =
-        answer("503 Service Unavailable", Headers.NEVER_RAN + ": 1\r\n");
+            answer("503 Service Unavailable", Headers.NEVER_RAN + ": 1\r\n");
 
     private final EventQueue events = new EventQueue(this::handle);
     private final ClientSide clients = new ClientSide(new LoopWatch(() -> 0), events::take);
@@ -59,8 +64,10 @@
     private final List<EmbeddedChannel> opened = new ArrayList<>();
     private final List<RequestClass> classes;
     private final Router router;
+
     /** When the decision module wants to be woken. */
     private final PriorityQueue<Long> wakes = new PriorityQueue<>();
+
     private long now = new Clock().micros();
     private long answers;
     private int served;
@@ -69,17 +76,40 @@
         classes = config.settings().classes();
         List<Host> hosts = new ArrayList<>();
         for (int i = 1; i <= SERVERS; i++) {
-            hosts.add(new Host("rehearsal-" + i, new Address("rehearsal", i), null, null, i,
-                ServerState.UP, 1, 0));
+            hosts.add(
+                    new Host(
+                            "rehearsal-" + i,
+                            new Address("rehearsal", i),
+                            null,
+                            null,
+                            i,
+                            ServerState.UP,
+                            1,
+                            0));
         }
-        router = new Router(new NodeConfig(config.name(), config.listen(), config.discovery(), config.seed(),
-            config.sockets(), new HostList(0, true, hosts), config.settings(), config.zones(), config.kinds(),
-            config.connectTimeout(), config.connectionIdle(), config.askWithin(), null,
-            config.memoryMb(), Optional.empty()), this::carryOut);
+        router =
+                new Router(
+                        new NodeConfig(
+                                config.name(),
+                                config.listen(),
+                                config.discovery(),
+                                config.seed(),
+                                config.sockets(),
+                                new HostList(0, true, hosts),
+                                config.settings(),
+                                config.zones(),
+                                config.kinds(),
+                                config.connectTimeout(),
+                                config.connectionIdle(),
+                                config.askWithin(),
+                                null,
+                                config.memoryMb(),
+                                Optional.empty()),
+                        this::carryOut);
     }
 
     /** How many requests were made, and how many of them were served. */
-    public record Played(int requests, int served) { }
+    public record Played(int requests, int served) {}
 
     /** Runs until nothing gets much quicker any more, or it has taken too long. */
     public static Played run(NodeConfig config) {
@@ -104,7 +134,8 @@
             now += PACE;
             RequestClass type = classes.get(requests % classes.size());
             client.writeInbound(Unpooled.wrappedBuffer(request(type, ++requests)));
-            // A probe's answer brings the request that it was for. One that is held is answered in time: what
+            // A probe's answer brings the request that it was for. One that is held is answered in
+            // time: what
             // came behind it would end the connection, and a node of a large fleet holds many.
             while (client.outboundMessages().isEmpty() && (answerAll() || wake())) {
                 now += TRIP;
@@ -130,7 +161,8 @@
             if (!server.outboundMessages().isEmpty()) {
                 any = true;
                 drain(server);
-                server.writeInbound(Unpooled.wrappedBuffer(++answers % ODD == 0 ? TURNED_AWAY : SERVED));
+                server.writeInbound(
+                        Unpooled.wrappedBuffer(++answers % ODD == 0 ? TURNED_AWAY : SERVED));
             }
         }
         return any;
@@ -144,17 +176,37 @@
 
     private static byte[] request(RequestClass type, int id) {
         boolean safe = type.repeat() == Repeat.SAFE;
-        return ((safe ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: rehearsal\r\n"
-            + Headers.TRACE_ID + ": " + id + "\r\n" + Headers.REQUEST_CLASS + ": " + type.name() + "\r\n"
-            + Headers.EXPIRES_IN_MS + ": "
-            + type.deadline() / 1000 + "\r\n"
-            + (type.repeat() == Repeat.KEYED ? Headers.IDEMPOTENCY_KEY + ": " + id + "\r\n" : "")
-            + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody")).getBytes(StandardCharsets.ISO_8859_1);
+        return ((safe ? "GET" : "POST")
+                        + " /api HTTP/1.1\r\nHost: rehearsal\r\n"
+                        + Headers.TRACE_ID
+                        + ": "
+                        + id
+                        + "\r\n"
+                        + Headers.REQUEST_CLASS
+                        + ": "
+                        + type.name()
+                        + "\r\n"
+                        + Headers.EXPIRES_IN_MS
+                        + ": "
+                        + type.deadline() / 1000
+                        + "\r\n"
+                        + (type.repeat() == Repeat.KEYED
+                                ? Headers.IDEMPOTENCY_KEY + ": " + id + "\r\n"
+                                : "")
+                        + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody"))
+                .getBytes(StandardCharsets.ISO_8859_1);
     }
 
     private static byte[] answer(String status, String field) {
-        return ("HTTP/1.1 " + status + "\r\nContent-Length: " + REPORT.length() + "\r\n" + field
-            + "\r\n" + REPORT).getBytes(StandardCharsets.ISO_8859_1);
+        return ("HTTP/1.1 "
+                        + status
+                        + "\r\nContent-Length: "
+                        + REPORT.length()
+                        + "\r\n"
+                        + field
+                        + "\r\n"
+                        + REPORT)
+                .getBytes(StandardCharsets.ISO_8859_1);
     }
 
     private Future<Outbound> connect(Address address, long timeoutMs) {
@@ -168,7 +220,8 @@
         router.handle(now, event);
     }
 
-    // Discovery, the listener and other timers have no part in it; what is closed leaves no log line.
+    // Discovery, the listener and other timers have no part in it; what is closed leaves no log
+    // line.
     private void carryOut(Effect effect) {
         if (effect instanceof Effect.Respond e) {
             served += e.status() == OK ? 1 : 0;
--- a/src/main/java/ottergauge/transport/ServerSide.java
+++ b/src/main/java/ottergauge/transport/ServerSide.java
@@ -42,8 +42,9 @@
 import ottergauge.routing.Event.ServerConnected;
 
 /**
- * The side that connects to servers. The connections are not pooled here: which one carries what is the
- * router's state, so that nothing waits in a queue it does not see and nothing is sent again unasked.
+ * The side that connects to servers. The connections are not pooled here: which one carries what is
+ * the router's state, so that nothing waits in a queue it does not see and nothing is sent again
+ * unasked.
  */
 final class ServerSide {
 
@@ -53,7 +54,8 @@
     }
 
     // What came was read as far as it could be: the server is there, and its answer is none.
-    private static final Set<CloseReason> SPOILT = EnumSet.of(CloseReason.MALFORMED, CloseReason.TOO_LARGE);
+    private static final Set<CloseReason> SPOILT =
+            EnumSet.of(CloseReason.MALFORMED, CloseReason.TOO_LARGE);
 
     private final Connector connector;
     private final Consumer<Event> events;
@@ -66,28 +68,42 @@
 
     void connect(Connect effect) {
         long number = effect.connection();
-        connector.connect(effect.address(), millis(effect.timeout())).onComplete(connection -> {
-            connections.put(number, connection);
-            connection.whenFlows(() -> events.accept(new AnswerOpen(number)),
-                answer -> events.accept(new AnswerFlows(number, read(answer, false),
-                    connection.microsSinceHead())),
-                reusable -> events.accept(new AnswerEnded(number, reusable)),
-                () -> events.accept(new RequestWritten(number)),
-                answer -> events.accept(new AnswerRead(number, read(answer, false))));
-            connection.whenEnded(why -> {
-                connections.remove(number);
-                events.accept(new ServerClosed(number, SPOILT.contains(why)));
-            });
-            events.accept(new ServerConnected(number));
-        }, failure -> events.accept(new ConnectFailed(number)));
+        connector
+                .connect(effect.address(), millis(effect.timeout()))
+                .onComplete(
+                        connection -> {
+                            connections.put(number, connection);
+                            connection.whenFlows(
+                                    () -> events.accept(new AnswerOpen(number)),
+                                    answer ->
+                                            events.accept(
+                                                    new AnswerFlows(
+                                                            number,
+                                                            read(answer, false),
+                                                            connection.microsSinceHead())),
+                                    reusable -> events.accept(new AnswerEnded(number, reusable)),
+                                    () -> events.accept(new RequestWritten(number)),
+                                    answer ->
+                                            events.accept(
+                                                    new AnswerRead(number, read(answer, false))));
+                            connection.whenEnded(
+                                    why -> {
+                                        connections.remove(number);
+                                        events.accept(
+                                                new ServerClosed(number, SPOILT.contains(why)));
+                                    });
+                            events.accept(new ServerConnected(number));
+                        },
+                        failure -> events.accept(new ConnectFailed(number)));
     }
 
     void forward(Forward effect) {
         ClientRequest request = effect.request();
         byte[] body = request.content().bytes();
         HttpMethod method = HttpMethod.valueOf(request.method());
-        FullHttpRequest message = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, request.uri(),
-            Unpooled.wrappedBuffer(body));
+        FullHttpRequest message =
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, method, request.uri(), Unpooled.wrappedBuffer(body));
         set(message.headers(), request, millis(effect.waits()));
         if (body.length > 0 || !HttpMethod.GET.equals(method)) {
             message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
@@ -97,8 +113,9 @@
 
     /** The head of a request whose body flows; a length that is not known is negative. */
     static HttpRequest head(ClientRequest request, long waitsMs, String host, long length) {
-        HttpRequest head = new DefaultHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.valueOf(request.method()),
-            request.uri());
+        HttpRequest head =
+                new DefaultHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.valueOf(request.method()), request.uri());
         set(head.headers(), request, waitsMs);
         head.headers().set(HttpHeaderNames.HOST, host);
         if (length >= 0) {
@@ -112,8 +129,8 @@
     private static void set(HttpHeaders headers, ClientRequest request, long waitsMs) {
         RequestFields fields = request.fields();
         headers.set(Headers.TRACE_ID, fields.traceId())
-            .set(Headers.REQUEST_CLASS, fields.requestClass())
-            .set(Headers.EXPIRES_IN_MS, Long.toString(waitsMs));
+                .set(Headers.REQUEST_CLASS, fields.requestClass())
+                .set(Headers.EXPIRES_IN_MS, Long.toString(waitsMs));
         if (fields.idempotencyKey() != null) {
             headers.set(Headers.IDEMPOTENCY_KEY, fields.idempotencyKey());
         }
@@ -123,16 +140,21 @@
     }
 
     void askLoad(AskLoad effect) {
-        exchange(effect.connection(),
-            new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, Headers.STATS_PATH), true);
+        exchange(
+                effect.connection(),
+                new DefaultFullHttpRequest(
+                        HttpVersion.HTTP_1_1, HttpMethod.GET, Headers.STATS_PATH),
+                true);
     }
 
     private void exchange(long number, FullHttpRequest message, boolean probe) {
         Outbound connection = connections.get(number);
         if (connection != null) {
             message.headers().set(HttpHeaderNames.HOST, connection.address());
-            connection.send(message, () -> events.accept(new RequestWritten(number)),
-                answer -> events.accept(new AnswerRead(number, read(answer, probe))));
+            connection.send(
+                    message,
+                    () -> events.accept(new RequestWritten(number)),
+                    answer -> events.accept(new AnswerRead(number, read(answer, probe))));
         }
     }
 
@@ -141,10 +163,12 @@
         if (report == null && probe) {
             report = new String(answer.body(), StandardCharsets.UTF_8);
         }
-        return new ServerAnswer(answer.status(), "1".equals(answer.headers().get(Headers.NEVER_RAN)),
-            LoadReports.read(report),
-            new Content(answer.headers().get(HttpHeaderNames.CONTENT_TYPE), answer.body()),
-            answer.reusable());
+        return new ServerAnswer(
+                answer.status(),
+                "1".equals(answer.headers().get(Headers.NEVER_RAN)),
+                LoadReports.read(report),
+                new Content(answer.headers().get(HttpHeaderNames.CONTENT_TYPE), answer.body()),
+                answer.reusable());
     }
 
     void flowNow(FlowNow effect) {
--- a/src/main/java/ottergauge/transport/Siblings.java
+++ b/src/main/java/ottergauge/transport/Siblings.java
@@ -14,8 +14,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The processes of this node. Each has a file in the folder that they share and keeps it locked while it
- * lives: the lock goes with the process, however that ends, and a file without one is a leftover.
+ * The processes of this node. Each has a file in the folder that they share and keeps it locked
+ * while it lives: the lock goes with the process, however that ends, and a file without one is a
+ * leftover.
  */
 final class Siblings {
 
@@ -24,13 +25,17 @@
     // A byte that says whether the process takes clients, and the number of its connections.
     private static final int TOLD = 5;
 
-    /** Whether another process lives and takes clients, and how many connections others have open. */
-    record Company(boolean lives, boolean serves, int connections) { }
+    /**
+     * Whether another process lives and takes clients, and how many connections others have open.
+     */
+    record Company(boolean lives, boolean serves, int connections) {}
 
     private final Path folder;
     private final Path own;
+
     /** Open for as long as the process lives: closed, it would give up the lock. */
     private FileChannel file;
+
     private FileLock lock;
 
     Siblings(Path folder) {
@@ -42,16 +47,27 @@
     void appear() throws IOException {
         // Locked before it has its name: seen without its lock, it would be taken for a leftover.
         Path part = folder.resolve("new-" + ProcessHandle.current().pid());
-        file = FileChannel.open(part, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-            StandardOpenOption.WRITE);
+        file =
+                FileChannel.open(
+                        part,
+                        StandardOpenOption.CREATE,
+                        StandardOpenOption.TRUNCATE_EXISTING,
+                        StandardOpenOption.WRITE);
         lock = file.lock();
         Files.move(part, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /** Tells others whether this process takes clients by now, and how many connections it has open. */
+    /**
+     * Tells others whether this process takes clients by now, and how many connections it has open.
+     */
     void tell(boolean serves, int connections) {
         try {
-            file.write(ByteBuffer.allocate(TOLD).put((byte) (serves ? 1 : 0)).putInt(connections).flip(), 0);
+            file.write(
+                    ByteBuffer.allocate(TOLD)
+                            .put((byte) (serves ? 1 : 0))
+                            .putInt(connections)
+                            .flip(),
+                    0);
         } catch (IOException e) {
             LOG.warn("the node's other processes are not told of this one: {}", e.toString());
         }
@@ -81,7 +97,7 @@
 
     private static boolean lives(Path each) throws IOException {
         try (FileChannel other = FileChannel.open(each, StandardOpenOption.WRITE);
-             FileLock free = other.tryLock()) {
+                FileLock free = other.tryLock()) {
             if (free == null) {
                 return true;
             }
--- a/src/main/java/ottergauge/transport/Timers.java
+++ b/src/main/java/ottergauge/transport/Timers.java
@@ -4,11 +4,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * Timers that are never early by the clock that events are stamped with, and that let what has come go first
- * when they are late. The library's run on a reading of their own; one that came before its time would be
- * taken for an old one and passed over, and what it was to end would wait for ever. And a process that stood
- * still may be given its timers before its sockets: connections were closed as idle with a request in them,
- * and attempts given up whose answers were there.
+ * Timers that are never early by the clock that events are stamped with, and that let what has come
+ * go first when they are late. The library's run on a reading of their own; one that came before
+ * its time would be taken for an old one and passed over, and what it was to end would wait for
+ * ever. And a process that stood still may be given its timers before its sockets: connections were
+ * closed as idle with a request in them, and attempts given up whose answers were there.
  */
 final class Timers {
 
@@ -19,7 +19,8 @@
     }
 
     private static final long MICROS = 1_000;
-    // Later than this the loop has not come round in time: it reads once more before it goes by the clock.
+    // Later than this the loop has not come round in time: it reads once more before it goes by the
+    // clock.
     private static final long LATE = 10_000;
 
     private final LongSupplier clock;
@@ -38,15 +39,17 @@
 
     private void waitUntil(long due, Runnable task) {
         long left = due - clock.getAsLong();
-        library.start(Math.max(1, (left + MICROS - 1) / MICROS), () -> {
-            long late = clock.getAsLong() - due;
-            if (late < 0) {
-                waitUntil(due, task);
-            } else if (late > LATE) {
-                library.start(1, task);
-            } else {
-                task.run();
-            }
-        });
+        library.start(
+                Math.max(1, (left + MICROS - 1) / MICROS),
+                () -> {
+                    long late = clock.getAsLong() - due;
+                    if (late < 0) {
+                        waitUntil(due, task);
+                    } else if (late > LATE) {
+                        library.start(1, task);
+                    } else {
+                        task.run();
+                    }
+                });
     }
 }
--- a/src/main/java/ottergauge/transport/WarmUp.java
+++ b/src/main/java/ottergauge/transport/WarmUp.java
@@ -14,14 +14,16 @@
 import ottergauge.routing.CloseReason;
 
 /**
- * Calls the node itself before it takes clients: both ends of a connection on real sockets. The rehearsal
- * runs in memory; with the socket path cold a node refused 500 requests in its first second.
+ * Calls the node itself before it takes clients: both ends of a connection on real sockets. The
+ * rehearsal runs in memory; with the socket path cold a node refused 500 requests in its first
+ * second.
  */
 final class WarmUp {
 
     // As for the rehearsal: the compiler takes up a method after some hundred calls.
     private static final int MOST = 400;
-    // Without a door the node is away meanwhile: what a restart loses by that is more than what it gains.
+    // Without a door the node is away meanwhile: what a restart loses by that is more than what it
+    // gains.
     private static final int MOST_AWAY = 100;
     // Beside a process that serves, whose CPU it shares, and whose clients come to it one by one.
     private static final int MOST_BESIDE = 100;
@@ -50,8 +52,8 @@
     }
 
     /** Gives back how many calls there were, whatever became of them. */
-    static Future<Integer> run(NetClient client, Address own, String path, int nodes, boolean away,
-                               boolean beside) {
+    static Future<Integer> run(
+            NetClient client, Address own, String path, int nodes, boolean away, boolean beside) {
         int most = Math.min(away ? MOST_AWAY : beside ? MOST_BESIDE : MOST, BY_ALL / nodes);
         WarmUp warmUp = new WarmUp(client, own, path, most);
         for (int i = 0; i < AT_ONCE; i++) {
@@ -65,7 +67,7 @@
             begun++;
             open++;
             Outbound.connect(client, ConnectionLog.UNTOLD, own, CALL_WITHIN_MS, 1 << 10)
-                .onComplete(this::call, failure -> over());
+                    .onComplete(this::call, failure -> over());
         } else if (open == 0) {
             done.tryComplete(ended);
         }
@@ -74,9 +76,9 @@
     private void call(Outbound connection) {
         connection.whenEnded(why -> over());
         FullHttpRequest request =
-            new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         request.headers().set(HttpHeaderNames.HOST, connection.address());
-        connection.send(request, () -> { }, answer -> connection.close(CloseReason.NOT_REUSABLE));
+        connection.send(request, () -> {}, answer -> connection.close(CloseReason.NOT_REUSABLE));
     }
 
     private void over() {
--- a/src/test/java/ottergauge/ArchitectureTest.java
+++ b/src/test/java/ottergauge/ArchitectureTest.java
@@ -14,84 +14,155 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** Holds the decision module to the JDK and its interface, and keeps clock, threads and I/O out of it. */
+/**
+ * Holds the decision module to the JDK and its interface, and keeps clock, threads and I/O out of
+ * it.
+ */
 class ArchitectureTest {
 
-    private final JavaClasses all = new ClassFileImporter()
-        .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("ottergauge");
+    private final JavaClasses all =
+            new ClassFileImporter()
+                    .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+                    .importPackages("ottergauge");
 
     @Test
     void theModuleKnowsOnlyTheJdkAndItsInterface() {
-        classes().that(belongToAnyOf(Decide.class, DecisionApi.class))
-            .should(onlyDependOnClassesThat(resideInAnyPackage("java.lang..", "java.util",
-                "java.util.function", "java.util.stream", "ottergauge", "ottergauge.limits",
-                "ottergauge.ring", "ottergauge.rows")))
-            .check(all);
+        classes()
+                .that(belongToAnyOf(Decide.class, DecisionApi.class))
+                .should(
+                        onlyDependOnClassesThat(
+                                resideInAnyPackage(
+                                        "java.lang..",
+                                        "java.util",
+                                        "java.util.function",
+                                        "java.util.stream",
+                                        "ottergauge",
+                                        "ottergauge.limits",
+                                        "ottergauge.ring",
+                                        "ottergauge.rows")))
+                .check(all);
     }
 
     @Test
     void dataStructuresStandOnTheJdkAlone() {
         for (String structure : new String[] {"ottergauge.ring", "ottergauge.rows"}) {
-            classes().that(resideInAnyPackage(structure))
-                .should(onlyDependOnClassesThat(resideInAnyPackage("java.lang..", "java.util",
-                    "java.util.function", structure)))
-                .check(all);
-            noClasses().that(resideInAnyPackage(structure)).should().dependOnClassesThat()
-                .belongToAnyOf(System.class, Thread.class, java.util.Random.class).check(all);
+            classes()
+                    .that(resideInAnyPackage(structure))
+                    .should(
+                            onlyDependOnClassesThat(
+                                    resideInAnyPackage(
+                                            "java.lang..",
+                                            "java.util",
+                                            "java.util.function",
+                                            structure)))
+                    .check(all);
+            noClasses()
+                    .that(resideInAnyPackage(structure))
+                    .should()
+                    .dependOnClassesThat()
+                    .belongToAnyOf(System.class, Thread.class, java.util.Random.class)
+                    .check(all);
         }
     }
 
     @Test
     void limitsAreNumbersAndNothingElse() {
-        classes().that(resideInAnyPackage("ottergauge.limits"))
-            .should(onlyDependOnClassesThat(resideInAnyPackage("java.lang..", "java.util",
-                "java.util.function", "java.util.stream", "ottergauge", "ottergauge.limits",
-                "ottergauge.rows")))
-            .check(all);
-        noClasses().that(resideInAnyPackage("ottergauge.limits")).should().dependOnClassesThat()
-            .belongToAnyOf(Decide.class, System.class, Thread.class, java.util.Random.class).check(all);
+        classes()
+                .that(resideInAnyPackage("ottergauge.limits"))
+                .should(
+                        onlyDependOnClassesThat(
+                                resideInAnyPackage(
+                                        "java.lang..",
+                                        "java.util",
+                                        "java.util.function",
+                                        "java.util.stream",
+                                        "ottergauge",
+                                        "ottergauge.limits",
+                                        "ottergauge.rows")))
+                .check(all);
+        noClasses()
+                .that(resideInAnyPackage("ottergauge.limits"))
+                .should()
+                .dependOnClassesThat()
+                .belongToAnyOf(Decide.class, System.class, Thread.class, java.util.Random.class)
+                .check(all);
     }
 
     @Test
     void theModuleHasNoClockNoThreadsAndNoIo() {
-        noClasses().that(belongToAnyOf(Decide.class, DecisionApi.class))
-            .should().accessClassesThat().belongToAnyOf(System.class, Thread.class, java.util.Random.class,
-                java.util.Timer.class)
-            .check(all);
-        noClasses().that(belongToAnyOf(Decide.class)).should().callMethod(Math.class, "random").check(all);
+        noClasses()
+                .that(belongToAnyOf(Decide.class, DecisionApi.class))
+                .should()
+                .accessClassesThat()
+                .belongToAnyOf(
+                        System.class, Thread.class, java.util.Random.class, java.util.Timer.class)
+                .check(all);
+        noClasses()
+                .that(belongToAnyOf(Decide.class))
+                .should()
+                .callMethod(Math.class, "random")
+                .check(all);
     }
 
     @Test
     void theModuleHasNoStaticsThatChange() {
-        fields().that().areDeclaredInClassesThat(belongToAnyOf(Decide.class, DecisionApi.class))
-            .and().areStatic().should().beFinal().check(all);
+        fields().that()
+                .areDeclaredInClassesThat(belongToAnyOf(Decide.class, DecisionApi.class))
+                .and()
+                .areStatic()
+                .should()
+                .beFinal()
+                .check(all);
     }
 
     @Test
     void theNodesLayersDependOneWay() {
-        layeredArchitecture().consideringOnlyDependenciesInAnyPackage("ottergauge..")
-            .layer("decisions").definedBy("ottergauge", "ottergauge.limits..", "ottergauge.ring..",
-                "ottergauge.rows..")
-            .layer("settings").definedBy("ottergauge.settings..")
-            .layer("migration").definedBy("ottergauge.migration..")
-            .layer("simhost").definedBy("ottergauge.simhost..")
-            .layer("protocol").definedBy("ottergauge.protocol..")
-            .layer("resources").definedBy("ottergauge.resources..")
-            .optionalLayer("replica").definedBy("ottergauge.replica..")
-            .layer("routing").definedBy("ottergauge.routing..")
-            .layer("transport").definedBy("ottergauge.transport..")
-            .layer("program").definedBy("ottergauge.program..")
-            .whereLayer("program").mayNotBeAccessedByAnyLayer()
-            .whereLayer("transport").mayOnlyBeAccessedByLayers("program")
-            .whereLayer("simhost").mayOnlyBeAccessedByLayers("program")
-            .whereLayer("routing").mayOnlyBeAccessedByLayers("transport")
-            .whereLayer("replica").mayOnlyBeAccessedByLayers("transport", "program")
-            .whereLayer("resources").mayOnlyBeAccessedByLayers("replica", "routing", "transport", "program")
-            .whereLayer("protocol").mayOnlyBeAccessedByLayers("resources", "replica", "routing", "transport",
-                "program")
-            .whereLayer("migration").mayOnlyBeAccessedByLayers("program")
-            .whereLayer("settings").mayOnlyBeAccessedByLayers("protocol", "resources", "simhost", "program")
-            .check(all);
+        layeredArchitecture()
+                .consideringOnlyDependenciesInAnyPackage("ottergauge..")
+                .layer("decisions")
+                .definedBy(
+                        "ottergauge",
+                        "ottergauge.limits..",
+                        "ottergauge.ring..",
+                        "ottergauge.rows..")
+                .layer("settings")
+                .definedBy("ottergauge.settings..")
+                .layer("migration")
+                .definedBy("ottergauge.migration..")
+                .layer("simhost")
+                .definedBy("ottergauge.simhost..")
+                .layer("protocol")
+                .definedBy("ottergauge.protocol..")
+                .layer("resources")
+                .definedBy("ottergauge.resources..")
+                .optionalLayer("replica")
+                .definedBy("ottergauge.replica..")
+                .layer("routing")
+                .definedBy("ottergauge.routing..")
+                .layer("transport")
+                .definedBy("ottergauge.transport..")
+                .layer("program")
+                .definedBy("ottergauge.program..")
+                .whereLayer("program")
+                .mayNotBeAccessedByAnyLayer()
+                .whereLayer("transport")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("simhost")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("routing")
+                .mayOnlyBeAccessedByLayers("transport")
+                .whereLayer("replica")
+                .mayOnlyBeAccessedByLayers("transport", "program")
+                .whereLayer("resources")
+                .mayOnlyBeAccessedByLayers("replica", "routing", "transport", "program")
+                .whereLayer("protocol")
+                .mayOnlyBeAccessedByLayers(
+                        "resources", "replica", "routing", "transport", "program")
+                .whereLayer("migration")
+                .mayOnlyBeAccessedByLayers("program")
+                .whereLayer("settings")
+                .mayOnlyBeAccessedByLayers("protocol", "resources", "simhost", "program")
+                .check(all);
     }
 
     @Test
@@ -102,25 +173,42 @@
         onlyUses("ottergauge.replica..", "java.lang..", "java.util..");
         onlyUses("ottergauge.settings..", "java..", "com.fasterxml.jackson.core..");
         onlyUses("ottergauge.migration..", "java.lang..", "java.util..");
-        onlyUses("ottergauge.transport..", "java..", "io.vertx.core..", "io.netty..", "org.slf4j..");
+        onlyUses(
+                "ottergauge.transport..", "java..", "io.vertx.core..", "io.netty..", "org.slf4j..");
     }
 
     @Test
     void valuesAndStateDoNoIo() {
-        noClasses().that(resideInAnyPackage("ottergauge.protocol..", "ottergauge.routing..",
-                "ottergauge.resources..", "ottergauge.replica.."))
-            .should().accessClassesThat().resideInAnyPackage("java.net..", "java.nio.file..",
-                "java.nio.channels..")
-            .check(all);
-        noClasses().that(resideInAnyPackage("ottergauge.protocol..", "ottergauge.routing..",
-                "ottergauge.resources..", "ottergauge.replica.."))
-            .should().accessClassesThat().belongToAnyOf(System.class, Thread.class).check(all);
+        noClasses()
+                .that(
+                        resideInAnyPackage(
+                                "ottergauge.protocol..",
+                                "ottergauge.routing..",
+                                "ottergauge.resources..",
+                                "ottergauge.replica.."))
+                .should()
+                .accessClassesThat()
+                .resideInAnyPackage("java.net..", "java.nio.file..", "java.nio.channels..")
+                .check(all);
+        noClasses()
+                .that(
+                        resideInAnyPackage(
+                                "ottergauge.protocol..",
+                                "ottergauge.routing..",
+                                "ottergauge.resources..",
+                                "ottergauge.replica.."))
+                .should()
+                .accessClassesThat()
+                .belongToAnyOf(System.class, Thread.class)
+                .check(all);
     }
 
     private void onlyUses(String layer, String... packages) {
         String[] allowed = java.util.Arrays.copyOf(packages, packages.length + 1);
         allowed[packages.length] = "ottergauge..";
-        classes().that(resideInAnyPackage(layer)).should(onlyDependOnClassesThat(resideInAnyPackage(allowed)))
-            .check(all);
+        classes()
+                .that(resideInAnyPackage(layer))
+                .should(onlyDependOnClassesThat(resideInAnyPackage(allowed)))
+                .check(all);
     }
 }
--- a/src/test/java/ottergauge/BarredServersTest.java
+++ b/src/test/java/ottergauge/BarredServersTest.java
@@ -13,7 +13,9 @@
 import ottergauge.DecisionApi.ServerState;
 import ottergauge.DecisionApi.Standing;
 
-/** Errors bar a server only while the barred ones of the list are under half of the node's servers. */
+/**
+ * Errors bar a server only while the barred ones of the list are under half of the node's servers.
+ */
 class BarredServersTest {
 
     private static final long MS = Node.MS;
@@ -41,8 +43,10 @@
     }
 
     private List<Long> barred() {
-        return LongStream.rangeClosed(1, SERVERS).boxed()
-            .filter(id -> node.decide.standing(node.now, id) == Standing.BARRED).toList();
+        return LongStream.rangeClosed(1, SERVERS)
+                .boxed()
+                .filter(id -> node.decide.standing(node.now, id) == Standing.BARRED)
+                .toList();
     }
 
     @Test
--- a/src/test/java/ottergauge/ColdFleetTest.java
+++ b/src/test/java/ottergauge/ColdFleetTest.java
@@ -32,8 +32,9 @@
 import ottergauge.DecisionApi.SetTimer;
 
 /**
- * Cold servers under the sum of what all nodes send, each of which knows only its own sends: twenty to thirty
- * modules on made-up time before servers of one core, some of which start anew while the fleet is busy.
+ * Cold servers under the sum of what all nodes send, each of which knows only its own sends: twenty
+ * to thirty modules on made-up time before servers of one core, some of which start anew while the
+ * fleet is busy.
  */
 class ColdFleetTest {
     private static final long MS = Node.MS;
@@ -43,7 +44,7 @@
     private static final long STARTS = 8 * SECOND;
     private static final long LENGTH = 20 * SECOND;
 
-    private record Due(long at, long order, Runnable what) { }
+    private record Due(long at, long order, Runnable what) {}
 
     private static final class Server {
         long freeAt;
@@ -54,7 +55,7 @@
     }
 
     private final PriorityQueue<Due> queue =
-        new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private final List<Node> nodes = new ArrayList<>();
     private final Map<Long, Server> servers = new HashMap<>();
     private SplittableRandom random;
@@ -77,16 +78,24 @@
                 send(node, send);
             } else if (action instanceof Probe probe) {
                 Server s = servers.get(probe.server());
-                at(now + MS, () -> tell(node, new ProbeEnded(probe.server(), Result.SERVED, MS, load(s))));
+                at(
+                        now + MS,
+                        () ->
+                                tell(
+                                        node,
+                                        new ProbeEnded(
+                                                probe.server(), Result.SERVED, MS, load(s))));
             } else if (action instanceof SetTimer timer) {
-                at(now + timer.delay(), () -> tell(node, new DecisionApi.TimerFired(timer.token())));
+                at(
+                        now + timer.delay(),
+                        () -> tell(node, new DecisionApi.TimerFired(timer.token())));
             }
         }
     }
 
     private static LoadReport load(Server s) {
-        return new LoadReport(s.holds, Math.max(0, s.holds - 1), s.holds > 0 ? 0.8 : 0.1, Double.NaN,
-            Double.NaN);
+        return new LoadReport(
+                s.holds, Math.max(0, s.holds - 1), s.holds > 0 ? 0.8 : 0.1, Double.NaN, Double.NaN);
     }
 
     private double warmth(Server s) {
@@ -100,17 +109,31 @@
         long began = now;
         s.holds++;
         long begins = Math.max(now, s.freeAt);
-        long ends = begins + (long) ((service / 2 + random.nextLong(service)) / Math.min(1, 1.2 * warmth(s)));
+        long ends =
+                begins
+                        + (long)
+                                ((service / 2 + random.nextLong(service))
+                                        / Math.min(1, 1.2 * warmth(s)));
         boolean late = ends > now + send.timeout();
         // What is overdue before it begins is no work.
         s.freeAt = begins > now + send.timeout() ? s.freeAt : ends;
-        at(Math.min(ends, now + send.timeout()), () -> {
-            s.holds--;
-            Result result = late ? Result.TIMED_OUT : Result.SERVED;
-            served += late ? 0 : 1;
-            tell(node, new AttemptEnded(send.id(), 0, send.server(), result, now - began, !late,
-                late ? LoadReport.NONE : load(s)));
-        });
+        at(
+                Math.min(ends, now + send.timeout()),
+                () -> {
+                    s.holds--;
+                    Result result = late ? Result.TIMED_OUT : Result.SERVED;
+                    served += late ? 0 : 1;
+                    tell(
+                            node,
+                            new AttemptEnded(
+                                    send.id(),
+                                    0,
+                                    send.server(),
+                                    result,
+                                    now - began,
+                                    !late,
+                                    late ? LoadReport.NONE : load(s)));
+                });
     }
 
     // The strict rule: beyond what is allowed only two roots of it and two are put down to chance.
@@ -124,13 +147,21 @@
         }
         double allowed = rules.tipMultiple() * warmth(s) * rules.fallAfter() / service;
         if (s.sends.size() > allowed + 2 * Math.sqrt(allowed) + 2) {
-            s.over = s.sends.size() + " requests in " + rules.fallAfter() / MS + " ms where " + allowed
-                + " are allowed, " + (now - s.startedAt) / MS + " ms after its start";
+            s.over =
+                    s.sends.size()
+                            + " requests in "
+                            + rules.fallAfter() / MS
+                            + " ms where "
+                            + allowed
+                            + " are allowed, "
+                            + (now - s.startedAt) / MS
+                            + " ms after its start";
         }
     }
 
     private static TestSettings settings(String loads) {
-        TestSettings settings = "heard".equals(loads) ? TestSettings.hearing(1) : new TestSettings();
+        TestSettings settings =
+                "heard".equals(loads) ? TestSettings.hearing(1) : new TestSettings();
         settings.probes |= "probed".equals(loads);
         return settings;
     }
@@ -153,8 +184,8 @@
 
     @ParameterizedTest
     @MethodSource("fleets")
-    void aColdServerGetsNoMoreThanItMayFromAllNodesTogether(String loads, int count, double load, long time,
-                                                            long seed) {
+    void aColdServerGetsNoMoreThanItMayFromAllNodesTogether(
+            String loads, int count, double load, long time, long seed) {
         service = time;
         random = new SplittableRandom(seed);
         for (int i = 0; i < count; i++) {
@@ -169,10 +200,11 @@
         }
         from = nodes.get(0).now;
         now = from;
-        nodes.forEach(node -> {
-            node.now = now;
-            node.servers(SERVERS);
-        });
+        nodes.forEach(
+                node -> {
+                    node.now = now;
+                    node.servers(SERVERS);
+                });
         double perNode = load * SERVERS / service / count;
         for (int i = 0; i < count; i++) {
             // Uneven: some nodes have several times as much as others.
@@ -192,24 +224,39 @@
             assertTrue(servers.get(id).over == null, servers.get(id).over);
             assertTrue(!servers.get(id).sends.isEmpty(), "it was used at all");
         }
-        assertTrue(served > 0.25 * Math.min(1, 1 / load) * asked, served + " of " + asked + " were served");
+        assertTrue(
+                served > 0.25 * Math.min(1, 1 / load) * asked,
+                served + " of " + asked + " were served");
     }
 
     private void starts(long id) {
         Server s = servers.get(id);
         s.startedAt = now;
         s.freeAt = now;
-        nodes.forEach(node -> tell(node, new ServerList(ListScope.CHANGES,
-            List.of(Node.server(id, ServerState.UP, now)))));
+        nodes.forEach(
+                node ->
+                        tell(
+                                node,
+                                new ServerList(
+                                        ListScope.CHANGES,
+                                        List.of(Node.server(id, ServerState.UP, now)))));
     }
 
     private void arrive(Node node, String prefix, int number, double share) {
         long gap = (long) (-Math.log(1 - random.nextDouble()) / share);
-        at(now + gap, () -> {
-            asked++;
-            tell(node, new RequestArrived(prefix + number, 0,
-                now + node.settings.classes().get(0).deadline(), false, 0));
-            arrive(node, prefix, number + 1, share);
-        });
+        at(
+                now + gap,
+                () -> {
+                    asked++;
+                    tell(
+                            node,
+                            new RequestArrived(
+                                    prefix + number,
+                                    0,
+                                    now + node.settings.classes().get(0).deadline(),
+                                    false,
+                                    0));
+                    arrive(node, prefix, number + 1, share);
+                });
     }
 }
--- a/src/test/java/ottergauge/DeparturesTest.java
+++ b/src/test/java/ottergauge/DeparturesTest.java
@@ -28,8 +28,8 @@
 import ottergauge.DecisionApi.RequestClass;
 import ottergauge.DecisionApi.Result;
 import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.SetTimer;
 import ottergauge.DecisionApi.ServerState;
+import ottergauge.DecisionApi.SetTimer;
 import ottergauge.DecisionApi.Subscribe;
 
 /** Each departure from the design, and each failure that was found, by example. */
@@ -57,8 +57,15 @@
         }
         Send send = Node.only(Send.class, actions);
         node.now += elapsed;
-        node.on(new AttemptEnded(id, 0, send.server(), Result.SERVED, elapsed, true,
-            new LoadReport(1, 0, 0.5, Double.NaN, Double.NaN)));
+        node.on(
+                new AttemptEnded(
+                        id,
+                        0,
+                        send.server(),
+                        Result.SERVED,
+                        elapsed,
+                        true,
+                        new LoadReport(1, 0, 0.5, Double.NaN, Double.NaN)));
         return send.server();
     }
 
@@ -76,7 +83,8 @@
         return settings;
     }
 
-    // ---- Giving up ----------------------------------------------------------------------------------
+    // ---- Giving up
+    // ----------------------------------------------------------------------------------
 
     @Test
     void aClassIsNotLockedOutByASpellOfTimeOuts() {
@@ -101,7 +109,8 @@
         List<Action> actions = node.arrive("a");
         while (Node.those(Refuse.class, actions).isEmpty() && node.now < start + 2_000 * MS) {
             node.now += MS;
-            actions = Node.those(Probe.class, actions).isEmpty() ? node.after(0) : node.probed(1, 5);
+            actions =
+                    Node.those(Probe.class, actions).isEmpty() ? node.after(0) : node.probed(1, 5);
         }
         assertTrue(node.now < start + 998 * MS, "given up after " + (node.now - start));
         assertTrue(node.now > start + 500 * MS, "given up after " + (node.now - start));
@@ -123,7 +132,8 @@
         for (int i = 0; i < 40; i++) {
             refused += Node.those(Refuse.class, node.arrive("c" + i)).size();
         }
-        // At a send each 100 ms about nine of those that come now can be reached within their second.
+        // At a send each 100 ms about nine of those that come now can be reached within their
+        // second.
         assertTrue(refused >= 25, "refused on arrival: " + refused);
     }
 
@@ -133,7 +143,9 @@
         // 900 ms of the 2 s are left: the first try began 1.1 s ago, past its aim of 1 s.
         Refuse refuse = Node.only(Refuse.class, node.arrive("late", 0, node.now + 900 * MS, true));
         assertEquals(600 * MS, refuse.retryAfter());
-        assertEquals(1, Node.those(Send.class, node.arrive("soon", 0, node.now + 1_900 * MS, true)).size());
+        assertEquals(
+                1,
+                Node.those(Send.class, node.arrive("soon", 0, node.now + 1_900 * MS, true)).size());
     }
 
     @Test
@@ -143,19 +155,26 @@
         Node node = warm(settings, 2, 10, 50 * MS);
         // Nothing was given up on: these are first tries of clients that will not wait for long.
         for (int i = 0; i < 2; i++) {
-            assertEquals(1, Node.those(Send.class,
-                node.arrive("short" + i, 0, node.now + 900 * MS, false)).size());
+            assertEquals(
+                    1,
+                    Node.those(Send.class, node.arrive("short" + i, 0, node.now + 900 * MS, false))
+                            .size());
             node.on(new ClientGone("short" + i));
         }
         // Two were: one that comes with less time left has most likely been here before.
-        assertEquals(1, Node.those(Refuse.class, node.arrive("late", 0, node.now + 900 * MS, false)).size());
+        assertEquals(
+                1,
+                Node.those(Refuse.class, node.arrive("late", 0, node.now + 900 * MS, false))
+                        .size());
     }
 
     @Test
     void heldRequestsGoByWorth() {
         TestSettings settings = probing();
-        settings.classes = List.of(TestSettings.type("cheap", Repeat.SAFE, Group.ALL, 1),
-            TestSettings.type("dear", Repeat.SAFE, Group.ALL, 10));
+        settings.classes =
+                List.of(
+                        TestSettings.type("cheap", Repeat.SAFE, Group.ALL, 1),
+                        TestSettings.type("dear", Repeat.SAFE, Group.ALL, 10));
         Node node = warm(settings, 1, 30, 100 * MS);
         node.now += 1_000 * MS;
         node.arrive("cheap");
@@ -168,16 +187,30 @@
         assertEquals("dear", Node.those(Send.class, node.probed(1, 0)).get(0).id());
     }
 
-    // ---- Another shape of deployment ------------------------------------------------------------------
+    // ---- Another shape of deployment
+    // ------------------------------------------------------------------
 
     private static TestSettings late(double lateWorth) {
         TestSettings settings = probing();
-        settings.classes = List.of(new RequestClass("work", Repeat.SAFE, Group.ALL, 1_000_000, 2_000_000,
-            0, 1, lateWorth, false));
+        settings.classes =
+                List.of(
+                        new RequestClass(
+                                "work",
+                                Repeat.SAFE,
+                                Group.ALL,
+                                1_000_000,
+                                2_000_000,
+                                0,
+                                1,
+                                lateWorth,
+                                false));
         return settings;
     }
 
-    /** With rounds of 5 ms every server was mute before its answer could be heard, and all were sounded. */
+    /**
+     * With rounds of 5 ms every server was mute before its answer could be heard, and all were
+     * sounded.
+     */
     @Test
     void aServerIsNotMuteBeforeItsAnswerCanBeHeard() {
         int[] probes = new int[2];
@@ -186,8 +219,9 @@
             settings.round = i == 0 ? MS : 5 * MS;
             Node node = warm(settings, 4, 30, 50 * MS);
             node.now += 1_000 * MS;
-            probes[i] = Node.those(Probe.class, node.arrive("q")).size()
-                + Node.those(Probe.class, node.after(5 * MS)).size();
+            probes[i] =
+                    Node.those(Probe.class, node.arrive("q")).size()
+                            + Node.those(Probe.class, node.after(5 * MS)).size();
         }
         assertEquals(2, probes[0], "rounds of 1 ms: the next one is sounded");
         assertEquals(1, probes[1], "rounds of 5 ms: the answer is not due yet");
@@ -219,7 +253,9 @@
         assertEquals(Set.of(), mute);
     }
 
-    /** With late worth requests queued for as long as clients waited, and three quarters came late. */
+    /**
+     * With late worth requests queued for as long as clients waited, and three quarters came late.
+     */
     @Test
     void aFirstTryIsRefusedWhenItsAimIsLostAndNotWhenItsClientLeaves() {
         Node node = warm(late(0.5), 1, 30, 200 * MS);
@@ -228,12 +264,16 @@
         List<Action> actions = node.arrive("a");
         while (Node.those(Refuse.class, actions).isEmpty() && node.now < start + 2_000 * MS) {
             node.now += MS;
-            actions = Node.those(Probe.class, actions).isEmpty() ? node.after(0) : node.probed(1, 5);
+            actions =
+                    Node.those(Probe.class, actions).isEmpty() ? node.after(0) : node.probed(1, 5);
         }
         assertTrue(node.now < start + 1_000 * MS, "refused after " + (node.now - start));
     }
 
-    /** What was tried in vain is tried on for its late worth, but only where it takes nobody's place. */
+    /**
+     * What was tried in vain is tried on for its late worth, but only where it takes nobody's
+     * place.
+     */
     @Test
     void whatWasTriedInVainGoesOnPastItsAimAtAFreeCoreOnly() {
         for (int held : new int[] {0, 1}) {
@@ -257,9 +297,12 @@
         for (boolean queues : new boolean[] {false, true}) {
             Node node = new Node(probing().build());
             node.servers(1);
-            LoadReport busy = queues ? new LoadReport(5, 2, 1, Double.NaN, Double.NaN)
-                : new LoadReport(1.5, Double.NaN, 0.5, Double.NaN, Double.NaN);
-            // Sooner the part that is busy is not believed: it lags behind a burst on a fleet at rest.
+            LoadReport busy =
+                    queues
+                            ? new LoadReport(5, 2, 1, Double.NaN, Double.NaN)
+                            : new LoadReport(1.5, Double.NaN, 0.5, Double.NaN, Double.NaN);
+            // Sooner the part that is busy is not believed: it lags behind a burst on a fleet at
+            // rest.
             node.now += 2_000 * MS;
             for (int i = 0; i < 40; i++) {
                 node.on(new ProbeEnded(1, Result.SERVED, MS, busy));
@@ -282,7 +325,9 @@
         }
     }
 
-    /** Without loads in the probes' answers no server was known; all was refused beside idle ones. */
+    /**
+     * Without loads in the probes' answers no server was known; all was refused beside idle ones.
+     */
     @Test
     void whereReportsDryUpTheRotationGoesOnByItself() {
         Node node = warm(probing(), 3, 30, 50 * MS);
@@ -309,12 +354,17 @@
             Node node = warm(probing(), 1, 30, 10 * MS);
             node.now += 1_000 * MS;
             node.arrive("q");
-            assertEquals(held == 1 ? 1 : 0, Node.those(Send.class, node.probed(1, held)).size(),
-                "held " + held);
+            assertEquals(
+                    held == 1 ? 1 : 0,
+                    Node.those(Send.class, node.probed(1, held)).size(),
+                    "held " + held);
         }
     }
 
-    /** A free core is no reason where the attempt would run on past its aim, unless nothing else is out. */
+    /**
+     * A free core is no reason where the attempt would run on past its aim, unless nothing else is
+     * out.
+     */
     @Test
     void aFreeCoreIsNotTakenForWhatWouldEndLate() {
         Node node = warm(late(0.5), 3, 60, 900 * MS);
@@ -325,7 +375,10 @@
         }
         int sent = 0;
         for (int i = 0; i < 40; i++) {
-            actions = i == 0 ? node.arrive("q", 0, node.now + 2_000 * MS, false) : node.after(10 * MS);
+            actions =
+                    i == 0
+                            ? node.arrive("q", 0, node.now + 2_000 * MS, false)
+                            : node.after(10 * MS);
             for (Probe probe : Node.those(Probe.class, actions)) {
                 sent += Node.those(Send.class, node.probed(probe.server(), 0)).size();
             }
@@ -333,7 +386,10 @@
         assertTrue(sent <= 1, "sent " + sent);
     }
 
-    /** Requests of a key at many servers had all of its work at each; and the rotation must stay even. */
+    /**
+     * Requests of a key at many servers had all of its work at each; and the rotation must stay
+     * even.
+     */
     @Test
     void aKeyComesToOneServerAndAllServersKeepTheirTurns() {
         for (boolean warm : new boolean[] {true, false}) {
@@ -356,20 +412,24 @@
                 }
             }
             // A key's most used server: a third of its requests by chance.
-            assertTrue(warm ? together > 180 : together < 160, "at their keys' servers: " + together);
+            assertTrue(
+                    warm ? together > 180 : together < 160, "at their keys' servers: " + together);
             for (int s = 1; s <= 4; s++) {
                 assertTrue(turns[s] >= 80 && turns[s] <= 120, "turns of " + s + ": " + turns[s]);
             }
         }
     }
 
-    /** With a backlog each held request had the subset walked twice at each event: 15 us a request. */
+    /**
+     * With a backlog each held request had the subset walked twice at each event: 15 us a request.
+     */
     @Test
     void behindABusyFleetOnlyTheHeadOfTheLineSounds() {
         Node node = warm(probing(), 2, 30, 100 * MS);
         node.now += 1_000 * MS;
         for (Probe probe : Node.those(Probe.class, node.arrive("head"))) {
-            Node.those(Probe.class, node.probed(probe.server(), 5)).forEach(p -> node.probed(p.server(), 5));
+            Node.those(Probe.class, node.probed(probe.server(), 5))
+                    .forEach(p -> node.probed(p.server(), 5));
         }
         int probes = 0;
         for (int i = 0; i < 20; i++) {
@@ -378,7 +438,9 @@
         assertEquals(0, probes, "every server is known to be busy");
     }
 
-    /** Looking on for an emptier server used up the time in which a request still fitted anywhere. */
+    /**
+     * Looking on for an emptier server used up the time in which a request still fitted anywhere.
+     */
     @Test
     void aRequestThatHasLookedForLongSettlesForAServerThatItFitsAt() {
         for (boolean longAgo : new boolean[] {false, true}) {
@@ -418,7 +480,12 @@
                 actions = node.probed(Node.only(Probe.class, actions).server(), 0);
             }
             node.now += 1_990 * MS;
-            node.ended("lost" + i, 0, Node.only(Send.class, actions).server(), Result.TIMED_OUT, 1_990 * MS);
+            node.ended(
+                    "lost" + i,
+                    0,
+                    Node.only(Send.class, actions).server(),
+                    Result.TIMED_OUT,
+                    1_990 * MS);
         }
         node.now += 1_000 * MS;
         List<Action> actions = node.arrive("q", 0, node.now + 2_000 * MS, false);
@@ -428,7 +495,10 @@
         assertEquals(1, Node.those(Send.class, actions).size(), "behind one there is time enough");
     }
 
-    /** A quiet node has one attempt at a server: while answers are lost it waited for each until the end. */
+    /**
+     * A quiet node has one attempt at a server: while answers are lost it waited for each until the
+     * end.
+     */
     @Test
     void whileAnswersAreLostAnOverdueAttemptIsTriedAnew() {
         for (boolean losing : new boolean[] {true, false}) {
@@ -441,14 +511,19 @@
             node.arrive("q");
             int cancels = 0;
             for (int i = 0; i < 20; i++) {
-                cancels += (int) Node.those(Cancel.class, node.after(25 * MS)).stream()
-                    .filter(c -> "q".equals(c.id())).count();
+                cancels +=
+                        (int)
+                                Node.those(Cancel.class, node.after(25 * MS)).stream()
+                                        .filter(c -> "q".equals(c.id()))
+                                        .count();
             }
             assertEquals(losing, cancels > 0, "cancels " + cancels);
         }
     }
 
-    /** Connections broken at random had every server barred and then held to a cold one's budget. */
+    /**
+     * Connections broken at random had every server barred and then held to a cold one's budget.
+     */
     @Test
     void oneBreakIsChanceAndTwoInARowAreADeadServer() {
         for (int breaks = 1; breaks <= 2; breaks++) {
@@ -461,15 +536,17 @@
                 node.ended("broken" + i, 0, 1, Result.RESET, 10 * MS);
             }
             List<Action> next = node.arrive("q");
-            boolean used = !Node.those(Probe.class, next).isEmpty()
-                || !Node.those(Send.class, next).isEmpty();
+            boolean used =
+                    !Node.those(Probe.class, next).isEmpty()
+                            || !Node.those(Send.class, next).isEmpty();
             assertEquals(breaks == 1, used, "after " + breaks);
         }
     }
 
     /**
-     * Guards against a fleet refused to death: where a third of all connections failed, their further tries
-     * used up the budget, and each server was taken for one that died and came back cold.
+     * Guards against a fleet refused to death: where a third of all connections failed, their
+     * further tries used up the budget, and each server was taken for one that died and came back
+     * cold.
      */
     @Test
     void connectionsThatFailEverywhereSpendNoBudgetAndMakeNoServerCold() {
@@ -497,8 +574,9 @@
     }
 
     /**
-     * Guards against a fleet that stands as cold by chance: where one attempt in seven fails, two in a row
-     * come at each server every few seconds, and each was held to a cold one's budget in turn.
+     * Guards against a fleet that stands as cold by chance: where one attempt in seven fails, two
+     * in a row come at each server every few seconds, and each was held to a cold one's budget in
+     * turn.
      */
     @Test
     void twoFailuresInARowMakeNoServerColdWhereManyFail() {
@@ -525,7 +603,12 @@
             if (send != null) {
                 sends += send.server() == twice.server() ? 1 : 0;
                 node.now += 5 * MS;
-                node.ended("b" + i, 0, send.server(), fails ? Result.CONNECT_FAILED : Result.SERVED, 5 * MS);
+                node.ended(
+                        "b" + i,
+                        0,
+                        send.server(),
+                        fails ? Result.CONNECT_FAILED : Result.SERVED,
+                        5 * MS);
             }
         }
         assertTrue(sends >= 40, sends + " of 400, an eighth is 50: held to a cold one's budget");
@@ -563,7 +646,8 @@
         return Node.only(Send.class, actions).server();
     }
 
-    // ---- Silence ------------------------------------------------------------------------------------
+    // ---- Silence
+    // ------------------------------------------------------------------------------------
 
     @Test
     void oneCostlyRequestDoesNotMakeAServerSilent() {
@@ -593,9 +677,13 @@
         for (int i = 0; i < 20; i++) {
             Node.those(Cancel.class, node.after(25 * MS)).forEach(c -> cancelled.add(c.id()));
         }
-        assertTrue(cancelled.containsAll(stuck.stream().map(Send::id).toList()), "cancelled " + cancelled);
+        assertTrue(
+                cancelled.containsAll(stuck.stream().map(Send::id).toList()),
+                "cancelled " + cancelled);
         for (Send s : stuck) {
-            Send again = Node.only(Send.class, node.ended(s.id(), 0, silent, Result.CANCELLED, 500 * MS));
+            Send again =
+                    Node.only(
+                            Send.class, node.ended(s.id(), 0, silent, Result.CANCELLED, 500 * MS));
             assertNotEquals(silent, again.server());
         }
     }
@@ -613,7 +701,8 @@
                     List<Send> sends = Node.those(Send.class, actions);
                     if (sends.isEmpty()) {
                         List<Probe> asked = Node.those(Probe.class, actions);
-                        actions = asked.isEmpty() ? List.of() : node.probed(asked.get(0).server(), 0);
+                        actions =
+                                asked.isEmpty() ? List.of() : node.probed(asked.get(0).server(), 0);
                     } else if (sends.get(0).server() == 1) {
                         onFailing++;
                         node.now += 2 * MS;
@@ -625,11 +714,13 @@
                     }
                 }
             }
-            assertTrue(onFailing >= 2 && onFailing <= 16, "sent to the failing server: " + onFailing);
+            assertTrue(
+                    onFailing >= 2 && onFailing <= 16, "sent to the failing server: " + onFailing);
         }
     }
 
-    // ---- Reported loads -----------------------------------------------------------------------------
+    // ---- Reported loads
+    // -----------------------------------------------------------------------------
 
     @Test
     void aServerReportedBusyIsSkippedAndAnIdleOneTaken() {
@@ -650,7 +741,8 @@
         Probe second = Node.only(Probe.class, node.after(20 * MS));
         assertNotEquals(first.server(), second.server());
         node.on(new ProbeEnded(first.server(), Result.CONNECT_FAILED, 20 * MS, LoadReport.NONE));
-        assertEquals(second.server(), Node.only(Send.class, node.probed(second.server(), 0)).server());
+        assertEquals(
+                second.server(), Node.only(Send.class, node.probed(second.server(), 0)).server());
     }
 
     @Test
@@ -674,10 +766,14 @@
         for (int i = 0; i < 2; i++) {
             actions = node.probed(Node.only(Probe.class, actions).server(), 1);
         }
-        assertEquals(0, Node.those(Send.class, actions).size(), "700 ms behind 700 ms do not fit in 1 s");
+        assertEquals(
+                0,
+                Node.those(Send.class, actions).size(),
+                "700 ms behind 700 ms do not fit in 1 s");
     }
 
-    // ---- The rules by example -----------------------------------------------------------------------
+    // ---- The rules by example
+    // -----------------------------------------------------------------------
 
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndOneThatNeverRanIsSentAgain() {
@@ -687,7 +783,10 @@
         Send first = Node.only(Send.class, node.arrive("a"));
         Send again = Node.only(Send.class, node.ended("a", 0, first.server(), Result.REJECTED, MS));
         assertNotEquals(first.server(), again.server());
-        assertEquals(1, Node.those(Fail.class, node.ended("a", 1, again.server(), Result.RESET, MS)).size());
+        assertEquals(
+                1,
+                Node.those(Fail.class, node.ended("a", 1, again.server(), Result.RESET, MS))
+                        .size());
     }
 
     @Test
@@ -699,7 +798,10 @@
         Send again = Node.only(Send.class, node.ended("a", 0, first.server(), Result.ERROR, MS));
         assertEquals(first.server() % 2, again.server() % 2);
         node.now += 800 * MS;
-        assertEquals(1, Node.those(Fail.class, node.ended("a", 1, again.server(), Result.ERROR, MS)).size());
+        assertEquals(
+                1,
+                Node.those(Fail.class, node.ended("a", 1, again.server(), Result.ERROR, MS))
+                        .size());
     }
 
     @Test
@@ -737,14 +839,17 @@
             // By age alone the server can do a fifth to two fifths of a warm one's work.
             node.now += 3_000 * MS;
             for (int i = 0; i < 40; i++) {
-                sent[quick] += coldServe(node, "q" + i, quick == 1 ? 100 * MS : 450 * MS) == 1 ? 1 : 0;
+                sent[quick] +=
+                        coldServe(node, "q" + i, quick == 1 ? 100 * MS : 450 * MS) == 1 ? 1 : 0;
                 node.now += 100 * MS;
             }
         }
         assertTrue(sent[1] > sent[0], "slow when cold " + sent[0] + ", quick " + sent[1]);
     }
 
-    /** Serves a request with the other server busy and little time left; returns the server, or 0. */
+    /**
+     * Serves a request with the other server busy and little time left; returns the server, or 0.
+     */
     private static long coldServe(Node node, String id, long elapsed) {
         List<Action> actions = node.arrive(id, 0, node.now + 1_500 * MS, true);
         while (Node.those(Send.class, actions).isEmpty()) {
@@ -756,8 +861,15 @@
         }
         Send send = Node.only(Send.class, actions);
         node.now += elapsed;
-        node.on(new AttemptEnded(id, 0, send.server(), Result.SERVED, elapsed, true,
-            new LoadReport(1, 0, 0.5, Double.NaN, Double.NaN)));
+        node.on(
+                new AttemptEnded(
+                        id,
+                        0,
+                        send.server(),
+                        Result.SERVED,
+                        elapsed,
+                        true,
+                        new LoadReport(1, 0, 0.5, Double.NaN, Double.NaN)));
         return send.server();
     }
 
@@ -767,7 +879,8 @@
         Send send = Node.only(Send.class, node.arrive("a"));
         node.on(new ClientGone("a"));
         List<Action> later = node.ended("a", 0, send.server(), Result.RESET, 50 * MS);
-        assertEquals(0, Node.those(Send.class, later).size() + Node.those(Refuse.class, later).size());
+        assertEquals(
+                0, Node.those(Send.class, later).size() + Node.those(Refuse.class, later).size());
     }
 
     @Test
@@ -776,7 +889,8 @@
         settings.maxAttempts = 2;
         Node node = warm(settings, 4, 10, 50 * MS);
         Send first = Node.only(Send.class, node.arrive("a"));
-        Send second = Node.only(Send.class, node.ended("a", 0, first.server(), Result.REJECTED, MS));
+        Send second =
+                Node.only(Send.class, node.ended("a", 0, first.server(), Result.REJECTED, MS));
         List<Action> last = node.ended("a", 1, second.server(), Result.REJECTED, MS);
         assertEquals(1, Node.those(Refuse.class, last).size());
     }
@@ -792,10 +906,13 @@
             List<SetTimer> timers = Node.those(SetTimer.class, node.all);
             actions = node.after(timers.get(timers.size() - 1).delay());
         }
-        assertTrue(node.now <= giveUpAt + 5 * MS, "answered " + (node.now - giveUpAt) + " after the end");
+        assertTrue(
+                node.now <= giveUpAt + 5 * MS,
+                "answered " + (node.now - giveUpAt) + " after the end");
     }
 
-    // ---- The server list ----------------------------------------------------------------------------
+    // ---- The server list
+    // ----------------------------------------------------------------------------
 
     @Test
     void aFailedListCallIsRepeatedAfterAGrowingWait() {
--- a/src/test/java/ottergauge/HearsayTest.java
+++ b/src/test/java/ottergauge/HearsayTest.java
@@ -25,7 +25,9 @@
     private static final long MS = Node.MS;
     private static final long SERVICE = 100 * MS;
 
-    /** Sends to each server once; the answers come in the same order and say what each still holds. */
+    /**
+     * Sends to each server once; the answers come in the same order and say what each still holds.
+     */
     private static Node told(int... left) {
         Node node = new Node(TestSettings.hearing(2).build());
         node.servers(left.length);
@@ -40,7 +42,10 @@
         return node;
     }
 
-    /** By its own attempts a node of many knows nothing of a server: they queued behind others' requests. */
+    /**
+     * By its own attempts a node of many knows nothing of a server: they queued behind others'
+     * requests.
+     */
     @Test
     void theServerThatWasLeftIdleIsNext() {
         for (int idle = 0; idle < 4; idle++) {
@@ -58,7 +63,9 @@
         assertEquals(3 - first, Node.only(Send.class, node.arrive("b")).server());
     }
 
-    /** A report that counted for ever would keep a server that was busy once out of the rotation. */
+    /**
+     * A report that counted for ever would keep a server that was busy once out of the rotation.
+     */
     @Test
     void whatWasHeardLongAgoCountsNoMore() {
         Node node = told(2, 0, 0, 0);
@@ -74,8 +81,8 @@
     }
 
     /**
-     * A part of a room under one is kept by pauses. One of fourteen nodes used a server once in the time of
-     * seven answers, and refused a third of its requests next to idle servers.
+     * A part of a room under one is kept by pauses. One of fourteen nodes used a server once in the
+     * time of seven answers, and refused a third of its requests next to idle servers.
      */
     @Test
     void serversThatReportRoomNeedNoRest() {
@@ -93,7 +100,10 @@
         }
     }
 
-    /** With the whole fleet full, work is held; but one attempt is always out, or nothing would be heard. */
+    /**
+     * With the whole fleet full, work is held; but one attempt is always out, or nothing would be
+     * heard.
+     */
     @Test
     void aFullFleetGetsNoMoreThanItTakesToHearOfIt() {
         Node node = told(9, 9, 9, 9);
@@ -115,8 +125,9 @@
     }
 
     /**
-     * One that fails at once looks idle. With two errors in a row to learn it by, at a request a second, each
-     * node sent it some before it was barred, and a bar of 0.1 s was over before the next one came.
+     * One that fails at once looks idle. With two errors in a row to learn it by, at a request a
+     * second, each node sent it some before it was barred, and a bar of 0.1 s was over before the
+     * next one came.
      */
     @Test
     void oneErrorKeepsAServerOutForItsTurn() {
@@ -130,8 +141,9 @@
     }
 
     /**
-     * Guards against bars that feed on themselves: by the rate of what was served, a server was barred for
-     * longer the more of its requests were refused, and in the end nearly all servers were, for seconds.
+     * Guards against bars that feed on themselves: by the rate of what was served, a server was
+     * barred for longer the more of its requests were refused, and in the end nearly all servers
+     * were, for seconds.
      */
     @ParameterizedTest
     @ValueSource(ints = {8, 100})
@@ -149,7 +161,9 @@
             node.now += 100 * MS;
         }
         Send last = Node.only(Send.class, node.arrive("last"));
-        node.on(new AttemptEnded("last", 0, last.server(), Result.CONNECT_FAILED, MS, true, Node.IDLE));
+        node.on(
+                new AttemptEnded(
+                        "last", 0, last.server(), Result.CONNECT_FAILED, MS, true, Node.IDLE));
         long barred = node.now;
         // A server's turn comes each 0.4 s: a bar is 1.5 times that at the most.
         while (node.decide.standing(node.now, last.server()) == Standing.BARRED) {
--- a/src/test/java/ottergauge/History.java
+++ b/src/test/java/ottergauge/History.java
@@ -35,13 +35,15 @@
 import ottergauge.DecisionApi.Subscribe;
 import ottergauge.DecisionApi.TimerFired;
 
-/** A random but legal history of events for one module, which checks the four rules at every action. */
+/**
+ * A random but legal history of events for one module, which checks the four rules at every action.
+ */
 final class History {
     private static final int SERVERS = 8;
     private static final long SERVICE = 100_000;
     private static final ServerList NO_CHANGE = new ServerList(ListScope.CHANGES, List.of());
 
-    private record Planned(long at, long number, Event event, Attempt attempt) { }
+    private record Planned(long at, long number, Event event, Attempt attempt) {}
 
     private static final class Attempt {
         final Request request;
@@ -65,6 +67,7 @@
     private static final class Request {
         /** The settings that it was taken with; they hold for it to its end. */
         final Settings taken;
+
         final RequestClass type;
         final long giveUpAt;
         final List<Attempt> attempts = new ArrayList<>();
@@ -82,13 +85,16 @@
     int finals;
     int again;
     int settingsChanges;
+
     /** The longest time from one arrival to the next. */
     int mostGap = 60_000;
+
     private Settings settings;
     private final List<Settings> others;
     private final SplittableRandom random;
     private final PriorityQueue<Planned> plan =
-        new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::number));
+            new PriorityQueue<>(
+                    Comparator.comparingLong(Planned::at).thenComparingLong(Planned::number));
     private final Map<String, Request> requests = new HashMap<>();
     private final Map<Long, Long> toldToStop = new HashMap<>();
     private final Map<Long, Long> startedAt = new HashMap<>();
@@ -101,7 +107,10 @@
         this(with, seed, List.of());
     }
 
-    /** At random instants one of the other settings comes in force, alone or with a change of the list. */
+    /**
+     * At random instants one of the other settings comes in force, alone or with a change of the
+     * list.
+     */
     History(TestSettings with, long seed, List<Settings> others) {
         settings = with.build();
         this.others = others;
@@ -115,9 +124,13 @@
         for (int i = 0; i < arrivals; i++) {
             at += random.nextLong(mostGap);
             int type = random.nextInt(settings.classes().size());
-            long left = settings.classes().get(type).deadline() * (random.nextInt(4) == 0 ? 1 : 2) / 2;
-            plan(at, new RequestArrived("q" + i, type, at + left,
-                random.nextInt(10) == 0, random.nextInt(5)), null);
+            long left =
+                    settings.classes().get(type).deadline() * (random.nextInt(4) == 0 ? 1 : 2) / 2;
+            plan(
+                    at,
+                    new RequestArrived(
+                            "q" + i, type, at + left, random.nextInt(10) == 0, random.nextInt(5)),
+                    null);
             if (random.nextInt(20) == 0) {
                 plan(at + random.nextLong(left), new ClientGone("q" + i), null);
             }
@@ -126,9 +139,13 @@
             }
             if (!others.isEmpty() && random.nextInt(40) == 0) {
                 Settings other = others.get(random.nextInt(others.size()));
-                plan(at, new SettingsChanged(other, random.nextBoolean() ? change(at) : NO_CHANGE), null);
+                plan(
+                        at,
+                        new SettingsChanged(other, random.nextBoolean() ? change(at) : NO_CHANGE),
+                        null);
             }
-            if (settings.discovery() == DecisionApi.Discovery.ON_REQUEST && random.nextInt(300) == 0) {
+            if (settings.discovery() == DecisionApi.Discovery.ON_REQUEST
+                    && random.nextInt(300) == 0) {
                 plan(at, new ListFailed(), null);
             }
         }
@@ -140,16 +157,20 @@
 
     private ServerList change(long at) {
         long id = 1 + random.nextLong(nextServer - 1);
-        ServerState state = switch (random.nextInt(6)) {
-            case 0 -> ServerState.DRAINING;
-            case 1 -> ServerState.GONE;
-            default -> ServerState.UP;
-        };
+        ServerState state =
+                switch (random.nextInt(6)) {
+                    case 0 -> ServerState.DRAINING;
+                    case 1 -> ServerState.GONE;
+                    default -> ServerState.UP;
+                };
         if (random.nextInt(3) == 0) {
             id = nextServer++;
             state = ServerState.UP;
         }
-        long started = state == ServerState.UP && random.nextBoolean() ? at - random.nextLong(3_000_000) : 0;
+        long started =
+                state == ServerState.UP && random.nextBoolean()
+                        ? at - random.nextLong(3_000_000)
+                        : 0;
         return new ServerList(ListScope.CHANGES, List.of(Node.server(id, state, started)));
     }
 
@@ -159,8 +180,11 @@
 
     private void step(Planned next) {
         node.now = next.at;
-        requests.forEach((id, q) -> check(q.over || node.now <= q.giveUpAt + q.taken.rules().answerSlack(),
-            id + " is overdue"));
+        requests.forEach(
+                (id, q) ->
+                        check(
+                                q.over || node.now <= q.giveUpAt + q.taken.rules().answerSlack(),
+                                id + " is overdue"));
         Event event = next.event;
         if (event instanceof AttemptEnded e) {
             if (next.attempt.ended != null) {
@@ -170,14 +194,27 @@
             Request q = next.attempt.request;
             boolean over = q.over || e.result() == Result.SERVED;
             q.over = over;
-            event = new AttemptEnded(e.id(), e.attempt(), e.server(), e.result(),
-                node.now - next.attempt.sentAt, over, e.report());
+            event =
+                    new AttemptEnded(
+                            e.id(),
+                            e.attempt(),
+                            e.server(),
+                            e.result(),
+                            node.now - next.attempt.sentAt,
+                            over,
+                            e.report());
         } else if (event instanceof ClientGone e && requests.containsKey(e.id())) {
             requests.get(e.id()).over = true;
         } else if (event instanceof RequestArrived e) {
-            // Planned by the number of a class of the first settings: it is one of those that are in force.
-            RequestArrived arrives = new RequestArrived(e.id(), e.requestClass() % settings.classes().size(),
-                e.giveUpAt(), e.clientRepeat(), e.key());
+            // Planned by the number of a class of the first settings: it is one of those that are
+            // in force.
+            RequestArrived arrives =
+                    new RequestArrived(
+                            e.id(),
+                            e.requestClass() % settings.classes().size(),
+                            e.giveUpAt(),
+                            e.clientRepeat(),
+                            e.key());
             requests.put(e.id(), new Request(settings, arrives));
             event = arrives;
         } else if (event instanceof ServerList e) {
@@ -213,10 +250,14 @@
             } else if (action instanceof Fail a) {
                 ended(a.id(), requests.get(a.id()));
             } else if (action instanceof Cancel a) {
-                check(requests.get(a.id()).taken.limits().cancel(), a.id() + " may not be cancelled");
+                check(
+                        requests.get(a.id()).taken.limits().cancel(),
+                        a.id() + " may not be cancelled");
                 Attempt attempt = requests.get(a.id()).attempts.get(a.attempt());
-                plan(node.now + random.nextLong(2_000), outcome(a.id(), attempt, Result.CANCELLED,
-                    node.now - attempt.sentAt), attempt);
+                plan(
+                        node.now + random.nextLong(2_000),
+                        outcome(a.id(), attempt, Result.CANCELLED, node.now - attempt.sentAt),
+                        attempt);
             } else if (action instanceof Probe a) {
                 check(settings.limits().probes(), "probes are not allowed");
                 Result result = random.nextInt(10) == 0 ? Result.CONNECT_FAILED : Result.SERVED;
@@ -228,7 +269,9 @@
                     plan(node.now + a.delay(), new TimerFired(a.token()), null);
                 }
             } else if (action instanceof Subscribe) {
-                check(settings.discovery() == DecisionApi.Discovery.ON_REQUEST, "nobody is to be asked");
+                check(
+                        settings.discovery() == DecisionApi.Discovery.ON_REQUEST,
+                        "nobody is to be asked");
             }
         }
     }
@@ -245,30 +288,38 @@
     }
 
     private static boolean mayRefuse(Request q) {
-        return q.type.repeat() == Repeat.SAFE || q.attempts.stream().noneMatch(Attempt::mayHaveRun)
-            || q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL;
+        return q.type.repeat() == Repeat.SAFE
+                || q.attempts.stream().noneMatch(Attempt::mayHaveRun)
+                || q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL;
     }
 
     private void sent(Send send) {
         Request q = requests.get(send.id());
         check(!q.over, send.id() + " was sent after its end");
-        check(q.attempts.size() < q.taken.limits().maxAttempts(), send.id() + " was sent too often");
-        check(q.attempts.stream().noneMatch(a -> a.ended == null), send.id() + " has two attempts out");
+        check(
+                q.attempts.size() < q.taken.limits().maxAttempts(),
+                send.id() + " was sent too often");
+        check(
+                q.attempts.stream().noneMatch(a -> a.ended == null),
+                send.id() + " has two attempts out");
         for (Attempt earlier : q.attempts) {
             if (!earlier.mayHaveRun()) {
                 continue;
             }
             check(q.type.repeat() != Repeat.UNSAFE, send.id() + " may have run and was sent again");
             if (q.type.repeat() == Repeat.KEYED) {
-                check(q.type.group() == Group.ALL || earlier.server % 2 == send.server() % 2,
-                    send.id() + " was sent again outside its group");
-                check(node.now <= earlier.sentAt + q.type.window(),
-                    send.id() + " was sent again past its window");
+                check(
+                        q.type.group() == Group.ALL || earlier.server % 2 == send.server() % 2,
+                        send.id() + " was sent again outside its group");
+                check(
+                        node.now <= earlier.sentAt + q.type.window(),
+                        send.id() + " was sent again past its window");
             }
         }
         Long told = toldToStop.get(send.server());
-        check(told == null || node.now <= told + settings.rules().drainGrace(),
-            "sent to a server that drains");
+        check(
+                told == null || node.now <= told + settings.rules().drainGrace(),
+                "sent to a server that drains");
         cold(send);
         again += q.attempts.isEmpty() ? 0 : 1;
         sends++;
@@ -277,8 +328,10 @@
         long left = q.giveUpAt - node.now;
         long limit = send.timeout() == 0 ? left : Math.min(send.timeout(), left);
         Result result = Result.SERVED;
-        // One after the other, as a server of one core does: what a cold one can do is reckoned from that.
-        // Served side by side all took as long as one, and the module's time for a request was too short.
+        // One after the other, as a server of one core does: what a cold one can do is reckoned
+        // from that.
+        // Served side by side all took as long as one, and the module's time for a request was too
+        // short.
         long begins = Math.max(node.now, freeAt.getOrDefault(send.server(), 0L));
         long wait = begins - node.now + SERVICE / 2 + random.nextLong(SERVICE);
         freeAt.put(send.server(), node.now + wait);
@@ -288,7 +341,7 @@
             case 2 -> result = Result.REJECTED;
             case 3 -> result = Result.CONNECT_FAILED;
             case 4, 5 -> wait = Long.MAX_VALUE;
-            default -> { }
+            default -> {}
         }
         if (wait >= limit) {
             result = Result.TIMED_OUT;
@@ -298,10 +351,14 @@
     }
 
     private Event outcome(String id, Attempt attempt, Result result, long elapsed) {
-        return new AttemptEnded(id, attempt.number, attempt.server, result, elapsed, false, report());
+        return new AttemptEnded(
+                id, attempt.number, attempt.server, result, elapsed, false, report());
     }
 
-    /** Rule 4, as a budget for this node: its part of what tips a server over; one send is always allowed. */
+    /**
+     * Rule 4, as a budget for this node: its part of what tips a server over; one send is always
+     * allowed.
+     */
     private void cold(Send send) {
         long started = startedAt.getOrDefault(send.server(), 0L);
         long age = node.now - started;
@@ -310,11 +367,17 @@
         }
         List<Long> sent = coldSends.get(send.server());
         sent.add(node.now);
-        long inSpan = sent.stream().filter(at -> at > node.now - settings.rules().fallAfter()).count();
-        double warmth = settings.rules().coldFrom()
-            + (1 - settings.rules().coldFrom()) * age / settings.rules().coldFor();
-        double budget = settings.rules().tipMultiple() * warmth * settings.rules().fallAfter() / SERVICE
-            / settings.nodes();
+        long inSpan =
+                sent.stream().filter(at -> at > node.now - settings.rules().fallAfter()).count();
+        double warmth =
+                settings.rules().coldFrom()
+                        + (1 - settings.rules().coldFrom()) * age / settings.rules().coldFor();
+        double budget =
+                settings.rules().tipMultiple()
+                        * warmth
+                        * settings.rules().fallAfter()
+                        / SERVICE
+                        / settings.nodes();
         check(inSpan <= Math.max(1, budget), "a cold server was sent " + inSpan + " of " + budget);
     }
 
--- a/src/test/java/ottergauge/HistoryTest.java
+++ b/src/test/java/ottergauge/HistoryTest.java
@@ -12,16 +12,20 @@
 import ottergauge.DecisionApi.Group;
 import ottergauge.DecisionApi.Repeat;
 
-/** The four rules as invariants over seeded random histories; {@link History} checks every action. */
+/**
+ * The four rules as invariants over seeded random histories; {@link History} checks every action.
+ */
 class HistoryTest {
 
     private static TestSettings mixed() {
         TestSettings settings = new TestSettings();
-        settings.classes = List.of(TestSettings.type("safe", Repeat.SAFE, Group.ALL, 1),
-            TestSettings.type("keyed-all", Repeat.KEYED, Group.ALL, 2),
-            TestSettings.type("keyed-zone", Repeat.KEYED, Group.ZONE, 3),
-            TestSettings.type("keyed-cell", Repeat.KEYED, Group.CELL, 4),
-            TestSettings.type("unsafe", Repeat.UNSAFE, Group.ALL, 5));
+        settings.classes =
+                List.of(
+                        TestSettings.type("safe", Repeat.SAFE, Group.ALL, 1),
+                        TestSettings.type("keyed-all", Repeat.KEYED, Group.ALL, 2),
+                        TestSettings.type("keyed-zone", Repeat.KEYED, Group.ZONE, 3),
+                        TestSettings.type("keyed-cell", Repeat.KEYED, Group.CELL, 4),
+                        TestSettings.type("unsafe", Repeat.UNSAFE, Group.ALL, 5));
         settings.nodes = 3;
         return settings;
     }
@@ -30,7 +34,8 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void theRulesHoldWithoutProbes(long seed) {
         TestSettings settings = mixed();
-        // Made-up servers serve all that comes: what this node had served is what a server does for it.
+        // Made-up servers serve all that comes: what this node had served is what a server does for
+        // it.
         settings.nodes = 1;
         History history = new History(settings, seed);
         history.run(1500);
--- a/src/test/java/ottergauge/ListCostTest.java
+++ b/src/test/java/ottergauge/ListCostTest.java
@@ -15,8 +15,8 @@
 import ottergauge.DecisionApi.ServerState;
 
 /**
- * What happens once costs by what happened and not by the list: the number of servers looked at, as a
- * count. Eight times as many servers are three more halvings of them.
+ * What happens once costs by what happened and not by the list: the number of servers looked at, as
+ * a count. Eight times as many servers are three more halvings of them.
  */
 class ListCostTest {
 
@@ -51,11 +51,15 @@
     private static void hardlyGrows(ObjIntConsumer<Node> done) {
         double small = visits(SMALL, done);
         double large = visits(LARGE, done);
-        assertTrue(large <= MOST_GROWTH * small + 1, "looked at " + small + " of " + SMALL + ", at " + large
-            + " of " + LARGE);
+        assertTrue(
+                large <= MOST_GROWTH * small + 1,
+                "looked at " + small + " of " + SMALL + ", at " + large + " of " + LARGE);
     }
 
-    /** Guards against counts that miss what a list is held in: a whole list does look at all of them. */
+    /**
+     * Guards against counts that miss what a list is held in: a whole list does look at all of
+     * them.
+     */
     @Test
     void theCountSeesAWalkOverAllServers() {
         Node node = node(LARGE);
@@ -75,13 +79,14 @@
     /** A lost zone: what it costs goes by how many are named, wherever the others are. */
     @Test
     void aChangeOfManyServersAtOnce() {
-        hardlyGrows((node, i) -> {
-            List<ListedServer> lost = new ArrayList<>();
-            for (int k = 0; k < 5; k++) {
-                lost.add(Node.server(1 + 5 * i + k, ServerState.GONE, 0));
-            }
-            node.on(new ServerList(ListScope.CHANGES, lost));
-        });
+        hardlyGrows(
+                (node, i) -> {
+                    List<ListedServer> lost = new ArrayList<>();
+                    for (int k = 0; k < 5; k++) {
+                        lost.add(Node.server(1 + 5 * i + k, ServerState.GONE, 0));
+                    }
+                    node.on(new ServerList(ListScope.CHANGES, lost));
+                });
     }
 
     @Test
@@ -101,19 +106,21 @@
 
     @Test
     void theEndOfAWindow() {
-        hardlyGrows((node, i) -> {
-            node.serve("r" + i, MS);
-            node.after(5_000 * MS);
-        });
+        hardlyGrows(
+                (node, i) -> {
+                    node.serve("r" + i, MS);
+                    node.after(5_000 * MS);
+                });
     }
 
     /** Attempts that stay unanswered make the node look for silent servers. */
     @Test
     void silence() {
-        hardlyGrows((node, i) -> {
-            node.arrive("r" + i);
-            node.after(300 * MS);
-            node.after(300 * MS);
-        });
+        hardlyGrows(
+                (node, i) -> {
+                    node.arrive("r" + i);
+                    node.after(300 * MS);
+                    node.after(300 * MS);
+                });
     }
 }
--- a/src/test/java/ottergauge/Node.java
+++ b/src/test/java/ottergauge/Node.java
@@ -92,7 +92,10 @@
         return on(new ProbeEnded(server, Result.SERVED, MS, new LoadReport(inFlight, 0, 0, 0, 0)));
     }
 
-    /** Sends a request, lets it be served after {@code elapsed}, and returns the server that served it. */
+    /**
+     * Sends a request, lets it be served after {@code elapsed}, and returns the server that served
+     * it.
+     */
     long serve(String id, long elapsed) {
         Send send = only(Send.class, arrive(id));
         now += elapsed;
@@ -100,10 +103,19 @@
         return send.server();
     }
 
-    /** Ends an attempt as served; the answer says how many requests its server still holds besides. */
+    /**
+     * Ends an attempt as served; the answer says how many requests its server still holds besides.
+     */
     List<Action> answered(String id, long server, long elapsed, int left) {
-        return on(new AttemptEnded(id, 0, server, Result.SERVED, elapsed, true,
-            new LoadReport(left + 1, left, 0.5, Double.NaN, Double.NaN)));
+        return on(
+                new AttemptEnded(
+                        id,
+                        0,
+                        server,
+                        Result.SERVED,
+                        elapsed,
+                        true,
+                        new LoadReport(left + 1, left, 0.5, Double.NaN, Double.NaN)));
     }
 
     static <T extends Action> List<T> those(Class<T> type, List<Action> actions) {
--- a/src/test/java/ottergauge/OverloadTest.java
+++ b/src/test/java/ottergauge/OverloadTest.java
@@ -16,7 +16,10 @@
 import ottergauge.DecisionApi.Result;
 import ottergauge.DecisionApi.Send;
 
-/** What the limits of overload change in the module's decisions: each test fails with its guard taken out. */
+/**
+ * What the limits of overload change in the module's decisions: each test fails with its guard
+ * taken out.
+ */
 class OverloadTest {
 
     private static final long MS = Node.MS;
@@ -30,7 +33,10 @@
         return node;
     }
 
-    /** Guards against further tries that sustain an overload: with each request tried five times 91% were. */
+    /**
+     * Guards against further tries that sustain an overload: with each request tried five times 91%
+     * were.
+     */
     @Test
     void whenAllIsTurnedAwayFurtherTriesAreAPartOfFirstOnes() {
         Node node = blind(12);
@@ -44,16 +50,29 @@
             while (!out.isEmpty()) {
                 Send send = out.poll();
                 sends++;
-                int attempt = (int) node.all.stream()
-                    .filter(a -> a instanceof Send s && s.id().equals(send.id())).count() - 1;
-                out.addAll(Node.those(Send.class,
-                    node.ended(send.id(), attempt, send.server(), Result.REJECTED, MS)));
+                int attempt =
+                        (int)
+                                        node.all.stream()
+                                                .filter(
+                                                        a ->
+                                                                a instanceof Send s
+                                                                        && s.id().equals(send.id()))
+                                                .count()
+                                - 1;
+                out.addAll(
+                        Node.those(
+                                Send.class,
+                                node.ended(
+                                        send.id(), attempt, send.server(), Result.REJECTED, MS)));
             }
         }
         assertTrue(sends <= 1.1 * requests + 11, sends + " attempts for " + requests + " requests");
     }
 
-    /** Guards against servers that are kept full: what waits there is late, and nothing can overtake it. */
+    /**
+     * Guards against servers that are kept full: what waits there is late, and nothing can overtake
+     * it.
+     */
     @Test
     void aServerThatTurnsAwayIsOfferedLessAtOnceAndMoreSlowly() {
         Node node = blind(1);
@@ -68,7 +87,8 @@
         for (int i = 0; i < 8; i++) {
             more.addAll(node.arrive("b" + i));
         }
-        assertEquals(List.of(), Node.those(Send.class, more), "seven are out, and 0.7 of eight may be");
+        assertEquals(
+                List.of(), Node.those(Send.class, more), "seven are out, and 0.7 of eight may be");
         for (int i = 0; i < 4; i++) {
             more.addAll(node.ended("a" + i, 0, sends.get(i).server(), Result.SERVED, 28 * MS));
         }
@@ -76,7 +96,8 @@
     }
 
     /**
-     * Guards against loads that are renewed once in several service times: all nodes chased the same server.
+     * Guards against loads that are renewed once in several service times: all nodes chased the
+     * same server.
      */
     @Test
     void loadsThatStayAsTheyAreAreNotAskedForAnyMore() {
--- a/src/test/java/ottergauge/RoomTest.java
+++ b/src/test/java/ottergauge/RoomTest.java
@@ -16,14 +16,19 @@
 import ottergauge.DecisionApi.Result;
 import ottergauge.DecisionApi.Send;
 
-/** Servers whose requests mostly wait on others, and that answer with their rate and their busy part. */
+/**
+ * Servers whose requests mostly wait on others, and that answer with their rate and their busy
+ * part.
+ */
 class RoomTest {
 
     private static final long MS = Node.MS;
     private static final long SERVICE = 500 * MS;
     private static final long WORK = 40 * MS;
 
-    /** A server that holds {@code held} and serves {@code perSecond} with this part of its cores. */
+    /**
+     * A server that holds {@code held} and serves {@code perSecond} with this part of its cores.
+     */
     private static LoadReport report(double held, double perSecond, double busy, double latency) {
         return new LoadReport(held, Double.NaN, busy, latency, perSecond);
     }
@@ -39,8 +44,18 @@
     private static List<Send> answered(Node node, List<Send> sends, LoadReport report) {
         List<Send> next = new ArrayList<>();
         for (Send send : sends) {
-            next.addAll(Node.those(Send.class, node.on(new AttemptEnded(send.id(), 0, send.server(),
-                Result.SERVED, SERVICE, true, report))));
+            next.addAll(
+                    Node.those(
+                            Send.class,
+                            node.on(
+                                    new AttemptEnded(
+                                            send.id(),
+                                            0,
+                                            send.server(),
+                                            Result.SERVED,
+                                            SERVICE,
+                                            true,
+                                            report))));
         }
         return next;
     }
@@ -55,7 +70,10 @@
         return node;
     }
 
-    /** Taken for a core each, a server was full with two requests, and a quiet day refused nine in ten. */
+    /**
+     * Taken for a core each, a server was full with two requests, and a quiet day refused nine in
+     * ten.
+     */
     @Test
     void aServerHoldsWhatPassesThroughItInTheTimeOfARequest() {
         assertEquals(15, burst(told(1, 1, 20), "q", 15).size());
@@ -77,7 +95,9 @@
         assertTrue(burst(node, "r", 5).size() <= 1, "and one to hear of it");
     }
 
-    /** Weights by the node's own timings were level where most of a time is spent waiting on others. */
+    /**
+     * Weights by the node's own timings were level where most of a time is spent waiting on others.
+     */
     @Test
     void reportedTimesDecideTheWeights() {
         Node node = new Node(TestSettings.hearing(1).build());
@@ -92,26 +112,49 @@
             }
         }
         double part = turns.get(1L) / (double) (turns.get(1L) + turns.get(2L));
-        assertTrue(part > 0.75 && part < 0.85, "four times as fast has four of five turns, not " + part);
+        assertTrue(
+                part > 0.75 && part < 0.85,
+                "four times as fast has four of five turns, not " + part);
     }
 
-    /** No answer came from an overrun server, so it stood at the mean of all and drew as many as before. */
+    /**
+     * No answer came from an overrun server, so it stood at the mean of all and drew as many as
+     * before.
+     */
     @Test
     void whatRunsOutOfTimeTellsThatItsServerIsFull() {
         Node node = told(1, 2, 5);
-        // One each: two that are out for long would show that it is silent, which is another guard's.
+        // One each: two that are out for long would show that it is silent, which is another
+        // guard's.
         List<Send> sends = burst(node, "q", 2);
         node.now += SERVICE;
-        answered(node, sends.stream().filter(send -> send.server() == 2).toList(), report(5, 40, 0.5, WORK));
+        answered(
+                node,
+                sends.stream().filter(send -> send.server() == 2).toList(),
+                report(5, 40, 0.5, WORK));
         node.now += SERVICE;
-        sends.stream().filter(send -> send.server() == 1).forEach(send -> node.on(new AttemptEnded(send.id(),
-            0, 1, Result.TIMED_OUT, 2 * SERVICE, true, LoadReport.NONE)));
+        sends.stream()
+                .filter(send -> send.server() == 1)
+                .forEach(
+                        send ->
+                                node.on(
+                                        new AttemptEnded(
+                                                send.id(),
+                                                0,
+                                                1,
+                                                Result.TIMED_OUT,
+                                                2 * SERVICE,
+                                                true,
+                                                LoadReport.NONE)));
         Set<Long> used = new HashSet<>();
         burst(node, "r", 8).forEach(send -> used.add(send.server()));
         assertEquals(Set.of(2L), used);
     }
 
-    /** Each of twenty filled the free part of the one server that had some, and together they overran it. */
+    /**
+     * Each of twenty filled the free part of the one server that had some, and together they
+     * overran it.
+     */
     @Test
     void manyNodesTogetherDoNotOverrunTheOneServerThatHasRoom() {
         int sent = 0;
@@ -121,7 +164,10 @@
         assertTrue(sent >= 20 && sent <= 60, "five are free, and twenty nodes send " + sent);
     }
 
-    /** A full server turns requests away at once: with nothing out the next trial followed in the instant. */
+    /**
+     * A full server turns requests away at once: with nothing out the next trial followed in the
+     * instant.
+     */
     @Test
     void aFullFleetIsTriedOnceInTheTimeOfARequest() {
         Node node = told(1, 6, 60);
@@ -132,9 +178,18 @@
             sent += sends.size();
             List<Send> next = new ArrayList<>();
             for (Send send : sends) {
-                next.addAll(Node.those(Send.class, node.on(new AttemptEnded(send.id(),
-                    attempts.merge(send.id(), 1, Integer::sum) - 1, send.server(), Result.REJECTED, MS, false,
-                    LoadReport.NONE))));
+                next.addAll(
+                        Node.those(
+                                Send.class,
+                                node.on(
+                                        new AttemptEnded(
+                                                send.id(),
+                                                attempts.merge(send.id(), 1, Integer::sum) - 1,
+                                                send.server(),
+                                                Result.REJECTED,
+                                                MS,
+                                                false,
+                                                LoadReport.NONE))));
             }
             node.now += 10 * MS;
             next.addAll(Node.those(Send.class, node.after(0)));
@@ -143,7 +198,10 @@
         assertTrue(sent <= 3, "sent " + sent + " to a fleet that is full");
     }
 
-    /** With dozens out for each server a node spread them over the fleet, and heard of each too seldom. */
+    /**
+     * With dozens out for each server a node spread them over the fleet, and heard of each too
+     * seldom.
+     */
     @Test
     void manyOutAtRoomyServersNeedNoMoreServers() {
         Node node = told(60, 30, 2);
--- a/src/test/java/ottergauge/RotationTest.java
+++ b/src/test/java/ottergauge/RotationTest.java
@@ -96,8 +96,10 @@
     @Test
     void eachClassHasItsOwnRowAndBorrowsTheSharedOneUntilItHasSamples() {
         TestSettings settings = new TestSettings();
-        settings.classes = List.of(TestSettings.type("a", Repeat.SAFE, Group.ALL, 1),
-            TestSettings.type("b", Repeat.SAFE, Group.ALL, 1));
+        settings.classes =
+                List.of(
+                        TestSettings.type("a", Repeat.SAFE, Group.ALL, 1),
+                        TestSettings.type("b", Repeat.SAFE, Group.ALL, 1));
         Node two = new Node(settings.build());
         two.servers(2);
         shares(two, 100, 20 * MS, 60 * MS);
--- a/src/test/java/ottergauge/ScaleTest.java
+++ b/src/test/java/ottergauge/ScaleTest.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.LoadReport;
 import ottergauge.DecisionApi.AttemptEnded;
+import ottergauge.DecisionApi.LoadReport;
 import ottergauge.DecisionApi.Probe;
 import ottergauge.DecisionApi.Result;
 import ottergauge.DecisionApi.Send;
@@ -47,7 +47,10 @@
         return settings;
     }
 
-    /** Sends a request, waiting for the node's own pauses, lets it be served, and returns its server. */
+    /**
+     * Sends a request, waiting for the node's own pauses, lets it be served, and returns its
+     * server.
+     */
     private static long serve(Node node, String id, long elapsed) {
         Send send = sendOf(node, node.arrive(id));
         answer(node, id, send.server(), elapsed);
@@ -61,7 +64,9 @@
         return Node.only(Send.class, actions);
     }
 
-    /** The server that the node's next request ends up at; probed servers answer that they are idle. */
+    /**
+     * The server that the node's next request ends up at; probed servers answer that they are idle.
+     */
     private static long sentTo(Node node, String id) {
         List<Action> actions = node.arrive(id);
         while (Node.those(Send.class, actions).isEmpty()) {
@@ -75,7 +80,8 @@
         node.on(new AttemptEnded(id, 0, server, Result.SERVED, elapsed, true, LoadReport.NONE));
     }
 
-    // ---- The subset ---------------------------------------------------------------------------------
+    // ---- The subset
+    // ---------------------------------------------------------------------------------
 
     @Test
     void whereConnectionsCostEachNodeUsesFewServersAndAllNodesUseAll() {
@@ -110,12 +116,15 @@
             boolean down = before.contains(send.server());
             node.now += 5 * MS;
             if (down) {
-                List<Action> next = node.ended("b" + i, 0, send.server(), Result.CONNECT_FAILED, 5 * MS);
-                Node.those(Send.class, next).forEach(s -> {
-                    after.add(s.server());
-                    node.now += 50 * MS;
-                    node.ended(s.id(), 1, s.server(), Result.SERVED, 50 * MS);
-                });
+                List<Action> next =
+                        node.ended("b" + i, 0, send.server(), Result.CONNECT_FAILED, 5 * MS);
+                Node.those(Send.class, next)
+                        .forEach(
+                                s -> {
+                                    after.add(s.server());
+                                    node.now += 50 * MS;
+                                    node.ended(s.id(), 1, s.server(), Result.SERVED, 50 * MS);
+                                });
             } else {
                 after.add(send.server());
                 node.ended("b" + i, 0, send.server(), Result.SERVED, 5 * MS);
@@ -134,7 +143,8 @@
             first.merge(sentTo(node, "a"), 1, Integer::sum);
         }
         int most = first.values().stream().max(Integer::compare).orElseThrow();
-        // Every node has all thirty. Ten a server at the mean; by chance alone one has about seventeen.
+        // Every node has all thirty. Ten a server at the mean; by chance alone one has about
+        // seventeen.
         assertTrue(first.size() >= 28 && most <= 22, first.size() + " servers, most " + most);
     }
 
@@ -152,7 +162,8 @@
             for (int k = 0; k < 60; k++) {
                 used.add(serve(node, "a" + k, 50 * MS));
             }
-            assertTrue(used.size() >= 8 && used.size() <= 12, "servers of one node: " + used.size());
+            assertTrue(
+                    used.size() >= 8 && used.size() <= 12, "servers of one node: " + used.size());
             used.forEach(s -> users.merge(s, 1, Integer::sum));
         }
         assertEquals(SERVERS, users.size(), "servers in use");
@@ -160,7 +171,8 @@
         assertTrue(most <= 18, "nodes at one server: " + most);
     }
 
-    // ---- Cold servers -------------------------------------------------------------------------------
+    // ---- Cold servers
+    // -------------------------------------------------------------------------------
 
     @Test
     void aColdServerGetsItsBudgetFromAllNodesInTheSum() {
@@ -186,7 +198,8 @@
         assertTrue(cold >= 1 && cold <= 9, "sent to the cold server: " + cold);
     }
 
-    // ---- Probes -------------------------------------------------------------------------------------
+    // ---- Probes
+    // -------------------------------------------------------------------------------------
 
     @Test
     void aRequestSoundsABoundedPartOfABusyFleet() {
--- a/src/test/java/ottergauge/SettingsChangeTest.java
+++ b/src/test/java/ottergauge/SettingsChangeTest.java
@@ -39,7 +39,8 @@
 
     private static final long MS = Node.MS;
     private static final RequestClass READ = TestSettings.type("read", Repeat.SAFE, Group.ALL, 1);
-    private static final RequestClass GRANT = TestSettings.type("grant", Repeat.UNSAFE, Group.ALL, 1);
+    private static final RequestClass GRANT =
+            TestSettings.type("grant", Repeat.UNSAFE, Group.ALL, 1);
     private static final RequestClass PAY = TestSettings.type("pay", Repeat.KEYED, Group.ALL, 1);
 
     private final TestSettings settings = new TestSettings();
@@ -60,17 +61,24 @@
     }
 
     private static List<Action> arrive(Node node, String id, int requestClass) {
-        return node.arrive(id, requestClass, node.now + node.settings.classes().get(requestClass).deadline(),
-            false);
+        return node.arrive(
+                id,
+                requestClass,
+                node.now + node.settings.classes().get(requestClass).deadline(),
+                false);
     }
 
     private static Send sent(List<Action> actions) {
         return Node.only(Send.class, actions);
     }
 
-    // ---- What was taken before ----------------------------------------------------------------------
+    // ---- What was taken before
+    // ----------------------------------------------------------------------
 
-    /** With two attempts allowed when it was taken it has a second one, though now there would be none. */
+    /**
+     * With two attempts allowed when it was taken it has a second one, though now there would be
+     * none.
+     */
     @Test
     void aRequestThatIsOutIsTriedAgainAsOftenAsWhenItWasTaken() {
         Node node = node(READ);
@@ -84,7 +92,10 @@
         Node.only(Refuse.class, node.ended("after", 0, after.server(), Result.CONNECT_FAILED, MS));
     }
 
-    /** Guards against an effect that happens twice: the class that it was taken with says that it may not. */
+    /**
+     * Guards against an effect that happens twice: the class that it was taken with says that it
+     * may not.
+     */
     @Test
     void aRequestKeepsItsClassThoughTheNameNowStandsForAnother() {
         Node node = node(GRANT);
@@ -112,14 +123,25 @@
         Node node = node(READ);
         arrive(node, "before", 0);
         Settings build = with(READ);
-        node.takeOver(new Settings(build.node(), build.nodes(), build.zone(), build.round(),
-            build.discovery(), build.reportsLoad(), build.repeatsMarked(), build.warmKeys(),
-            new DecisionApi.Limits(false, false, true, 5, 900_000), build.rules(), build.prices(),
-            build.classes()));
+        node.takeOver(
+                new Settings(
+                        build.node(),
+                        build.nodes(),
+                        build.zone(),
+                        build.round(),
+                        build.discovery(),
+                        build.reportsLoad(),
+                        build.repeatsMarked(),
+                        build.warmKeys(),
+                        new DecisionApi.Limits(false, false, true, 5, 900_000),
+                        build.rules(),
+                        build.prices(),
+                        build.classes()));
         arrive(node, "after", 0);
         List<Refuse> refused = Node.those(Refuse.class, node.after(1_500 * MS));
         assertEquals(List.of("before", "after"), refused.stream().map(Refuse::id).toList());
-        assertEquals(List.of(600_000L, 900_000L), refused.stream().map(Refuse::retryAfter).toList());
+        assertEquals(
+                List.of(600_000L, 900_000L), refused.stream().map(Refuse::retryAfter).toList());
     }
 
     /** Where it may no longer be cancelled a request that was taken when it might still is. */
@@ -129,16 +151,27 @@
         node.servers(3);
         sent(arrive(node, "before", 0));
         Settings build = with(READ);
-        node.takeOver(new Settings(build.node(), build.nodes(), build.zone(), build.round(),
-            build.discovery(), build.reportsLoad(), build.repeatsMarked(), build.warmKeys(),
-            new DecisionApi.Limits(false, false, true, 5, 600_000), build.rules(), build.prices(),
-            build.classes()));
+        node.takeOver(
+                new Settings(
+                        build.node(),
+                        build.nodes(),
+                        build.zone(),
+                        build.round(),
+                        build.discovery(),
+                        build.reportsLoad(),
+                        build.repeatsMarked(),
+                        build.warmKeys(),
+                        new DecisionApi.Limits(false, false, true, 5, 600_000),
+                        build.rules(),
+                        build.prices(),
+                        build.classes()));
         sent(arrive(node, "after", 0));
         assertEquals("before", Node.only(Cancel.class, node.on(new ClientGone("before"))).id());
         assertEquals(List.of(), Node.those(Cancel.class, node.on(new ClientGone("after"))));
     }
 
-    // ---- Classes that come, go and move -------------------------------------------------------------
+    // ---- Classes that come, go and move
+    // -------------------------------------------------------------
 
     @Test
     void whatWaitsOfAClassThatIsRemovedIsServedAllTheSame() {
@@ -185,15 +218,36 @@
         node.change(1, ServerState.UP, node.now);
         assertEquals(List.of(), Node.those(Send.class, arrive(node, "held", 0)));
         Settings cold = with(READ, GRANT);
-        Settings warm = new Settings(cold.node(), cold.nodes(), cold.zone(), cold.round(), cold.discovery(),
-            cold.reportsLoad(), cold.repeatsMarked(), cold.warmKeys(), cold.limits(),
-            new Rules(5_000, 500_000, 0.2, 0, 3, 1_000_000), cold.prices(), cold.classes());
-        List<Action> actions = node.on(new SettingsChanged(warm, new ServerList(ListScope.CHANGES,
-            List.of(Node.server(1, ServerState.GONE, 0), Node.server(2, ServerState.UP, 0)))));
+        Settings warm =
+                new Settings(
+                        cold.node(),
+                        cold.nodes(),
+                        cold.zone(),
+                        cold.round(),
+                        cold.discovery(),
+                        cold.reportsLoad(),
+                        cold.repeatsMarked(),
+                        cold.warmKeys(),
+                        cold.limits(),
+                        new Rules(5_000, 500_000, 0.2, 0, 3, 1_000_000),
+                        cold.prices(),
+                        cold.classes());
+        List<Action> actions =
+                node.on(
+                        new SettingsChanged(
+                                warm,
+                                new ServerList(
+                                        ListScope.CHANGES,
+                                        List.of(
+                                                Node.server(1, ServerState.GONE, 0),
+                                                Node.server(2, ServerState.UP, 0)))));
         assertEquals(2, sent(actions).server());
     }
 
-    /** Serves requests of one class, quickly at one server, slowly at the other; how many the first got. */
+    /**
+     * Serves requests of one class, quickly at one server, slowly at the other; how many the first
+     * got.
+     */
     private int turns(Node node, int requestClass, long quickAt, int requests) {
         int quick = 0;
         for (int i = 0; i < requests; i++) {
@@ -207,7 +261,9 @@
         return quick;
     }
 
-    /** The rows are kept by name: each class goes on to have most of its turns where it is quick. */
+    /**
+     * The rows are kept by name: each class goes on to have most of its turns where it is quick.
+     */
     @Test
     void aClassKeepsItsWeightsWhereverItStandsAmongTheOthers() {
         Node node = node(READ, GRANT);
@@ -238,20 +294,26 @@
         assertTrue(quick <= 7, "by the shared row: " + quick);
     }
 
-    /** Lets a class spend all that its budget of further attempts has; true once it has none left. */
+    /**
+     * Lets a class spend all that its budget of further attempts has; true once it has none left.
+     */
     private boolean spent(Node node, int requestClass) {
         String id = "s" + ++lastRequest;
         long server = sent(arrive(node, id, requestClass)).server();
         List<Action> actions = node.ended(id, 0, server, Result.REJECTED, 0);
         node.now += 200 * MS;
-        boolean again = !Node.those(Send.class, actions).isEmpty()
-            || !Node.those(Send.class, node.after(0)).isEmpty();
+        boolean again =
+                !Node.those(Send.class, actions).isEmpty()
+                        || !Node.those(Send.class, node.after(0)).isEmpty();
         node.on(new ClientGone(id));
         node.on(new AttemptEnded(id, 1, server, Result.CANCELLED, 0, true, LoadReport.NONE));
         return !again;
     }
 
-    /** One class spends what it may have, while another one sees to it that all together have enough. */
+    /**
+     * One class spends what it may have, while another one sees to it that all together have
+     * enough.
+     */
     private void spend(Node node, int requestClass, int other) {
         node.servers(8);
         while (!spent(node, requestClass)) {
@@ -280,9 +342,10 @@
     /** Guards against tables that end: 64 classes have rows of their own, the others share one. */
     @Test
     void moreClassesThanThereAreRowsComeAndGo() {
-        RequestClass[] many = IntStream.range(0, 1024)
-            .mapToObj(i -> TestSettings.type("c" + i, Repeat.SAFE, Group.ALL, 1))
-            .toArray(RequestClass[]::new);
+        RequestClass[] many =
+                IntStream.range(0, 1024)
+                        .mapToObj(i -> TestSettings.type("c" + i, Repeat.SAFE, Group.ALL, 1))
+                        .toArray(RequestClass[]::new);
         Node node = node(READ);
         node.servers(4);
         arrive(node, "read", 0);
@@ -298,7 +361,8 @@
         assertEquals(1, Node.those(Send.class, arrive(node, "last", 0)).size());
     }
 
-    // ---- What is in force for servers ---------------------------------------------------------------
+    // ---- What is in force for servers
+    // ---------------------------------------------------------------
 
     private static Set<Long> used(Node node, int requests) {
         Set<Long> used = new HashSet<>();
@@ -330,7 +394,9 @@
         assertNotEquals(few, used(node, 100));
     }
 
-    /** What one of so many nodes may send to a cold server: its part follows their number at once. */
+    /**
+     * What one of so many nodes may send to a cold server: its part follows their number at once.
+     */
     @Test
     void theColdBudgetFollowsTheNumberOfNodes() {
         settings.probes = true;
@@ -340,7 +406,9 @@
         long sentAlone = toTheColdServer(alone, 1);
         settings.nodes = 50;
         long sentAmong = toTheColdServer(among, 50);
-        assertTrue(sentAlone >= 3 && sentAmong <= 1, "alone " + sentAlone + ", among fifty " + sentAmong);
+        assertTrue(
+                sentAlone >= 3 && sentAmong <= 1,
+                "alone " + sentAlone + ", among fifty " + sentAmong);
     }
 
     private long toTheColdServer(Node node, int nodes) {
@@ -387,8 +455,10 @@
     }
 
     private static void listOnly(Node node, long id, int zone) {
-        node.on(new ServerList(ListScope.FULL,
-            List.of(new ListedServer(id, zone, 0, 0, ServerState.UP, 1, 0))));
+        node.on(
+                new ServerList(
+                        ListScope.FULL,
+                        List.of(new ListedServer(id, zone, 0, 0, ServerState.UP, 1, 0))));
     }
 
     /** A request has the one server probed, whose answer takes so long; it is served. */
@@ -402,7 +472,10 @@
         node.ended(id, 0, server, Result.SERVED, MS);
     }
 
-    /** Guards against a far zone whose servers are taken for mute since a near one had its number before. */
+    /**
+     * Guards against a far zone whose servers are taken for mute since a near one had its number
+     * before.
+     */
     @Test
     void tripsAreLearntAnewWhereZonesAreNumberedAnew() {
         settings.probes = true;
@@ -447,7 +520,9 @@
         Result result = i % 11 == 0 ? Result.REJECTED : i % 13 == 0 ? Result.ERROR : Result.SERVED;
         for (Send send : Node.those(Send.class, actions)) {
             node.now += (20 + send.server() * 10) * MS;
-            actions.addAll(node.ended(send.id(), 0, send.server(), result, (20 + send.server() * 10) * MS));
+            actions.addAll(
+                    node.ended(
+                            send.id(), 0, send.server(), result, (20 + send.server() * 10) * MS));
         }
         // Timers are set anew at each event: what matters is what is sent and answered.
         actions.removeIf(DecisionApi.SetTimer.class::isInstance);
--- a/src/test/java/ottergauge/SettingsHistoryTest.java
+++ b/src/test/java/ottergauge/SettingsHistoryTest.java
@@ -19,9 +19,10 @@
 import ottergauge.DecisionApi.Settings;
 
 /**
- * The four rules over random histories in which settings change at random instants: each request by the class
- * and the limits that it was taken with, servers by the rules in force. Not varied are how long a server is
- * cold and the span of its budget: after a change of these its sends count from then on.
+ * The four rules over random histories in which settings change at random instants: each request by
+ * the class and the limits that it was taken with, servers by the rules in force. Not varied are
+ * how long a server is cold and the span of its budget: after a change of these its sends count
+ * from then on.
  */
 class SettingsHistoryTest {
 
@@ -35,7 +36,10 @@
         return settings;
     }
 
-    /** Some classes out of nine names, in any order; what a name may do differs from settings to settings. */
+    /**
+     * Some classes out of nine names, in any order; what a name may do differs from settings to
+     * settings.
+     */
     private static List<RequestClass> classes(SplittableRandom random) {
         List<String> names = new ArrayList<>(List.of("a", "b", "c", "d", "e", "f", "g", "h", "i"));
         Collections.shuffle(names, new Random(random.nextLong()));
@@ -43,28 +47,60 @@
         for (String name : names.subList(0, 1 + random.nextInt(names.size()))) {
             Repeat repeat = Repeat.values()[random.nextInt(Repeat.values().length)];
             Group group = Group.values()[random.nextInt(Group.values().length)];
-            classes.add(new RequestClass(name, repeat, group, 400_000 + random.nextLong(800_000),
-                1_000_000 + random.nextLong(2_000_000), 400_000 + random.nextLong(800_000),
-                1 + random.nextInt(5), random.nextInt(3) == 0 ? 0.5 : 0, false));
+            classes.add(
+                    new RequestClass(
+                            name,
+                            repeat,
+                            group,
+                            400_000 + random.nextLong(800_000),
+                            1_000_000 + random.nextLong(2_000_000),
+                            400_000 + random.nextLong(800_000),
+                            1 + random.nextInt(5),
+                            random.nextInt(3) == 0 ? 0.5 : 0,
+                            false));
         }
         return classes;
     }
 
-    private static Settings other(Settings from, SplittableRandom random, boolean nodes, boolean reports) {
-        Limits limits = new Limits(reports ? random.nextBoolean() : from.limits().probes(),
-            random.nextBoolean(), random.nextBoolean(), 1 + random.nextInt(5), random.nextLong(900_000));
-        Rules rules = new Rules(from.rules().answerSlack(), from.rules().drainGrace(),
-            0.1 + random.nextDouble() / 2, from.rules().coldFor(), 1 + 3 * random.nextDouble(),
-            from.rules().fallAfter());
-        Prices prices = new Prices(reports && random.nextBoolean() ? 0.08 : from.prices().probe(),
-            random.nextBoolean() ? 0.03 : 0);
+    private static Settings other(
+            Settings from, SplittableRandom random, boolean nodes, boolean reports) {
+        Limits limits =
+                new Limits(
+                        reports ? random.nextBoolean() : from.limits().probes(),
+                        random.nextBoolean(),
+                        random.nextBoolean(),
+                        1 + random.nextInt(5),
+                        random.nextLong(900_000));
+        Rules rules =
+                new Rules(
+                        from.rules().answerSlack(),
+                        from.rules().drainGrace(),
+                        0.1 + random.nextDouble() / 2,
+                        from.rules().coldFor(),
+                        1 + 3 * random.nextDouble(),
+                        from.rules().fallAfter());
+        Prices prices =
+                new Prices(
+                        reports && random.nextBoolean() ? 0.08 : from.prices().probe(),
+                        random.nextBoolean() ? 0.03 : 0);
         int count = nodes ? 1 + random.nextInt(4) : from.nodes();
-        return new Settings(random.nextInt(count), count, from.zone(), from.round(), from.discovery(),
-            reports ? random.nextBoolean() : from.reportsLoad(), random.nextBoolean(), random.nextBoolean(),
-            limits, rules, prices, classes(random));
+        return new Settings(
+                random.nextInt(count),
+                count,
+                from.zone(),
+                from.round(),
+                from.discovery(),
+                reports ? random.nextBoolean() : from.reportsLoad(),
+                random.nextBoolean(),
+                random.nextBoolean(),
+                limits,
+                rules,
+                prices,
+                classes(random));
     }
 
-    private static void play(TestSettings first, long seed, int mostGap, boolean nodes, boolean reports) {
+    private static void play(
+            TestSettings first, long seed, int mostGap, boolean nodes, boolean reports) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Settings> others = new ArrayList<>();
         for (int i = 0; i < OTHERS; i++) {
@@ -75,8 +111,9 @@
         History history = new History(first, seed, others);
         history.mostGap = mostGap;
         history.run(ARRIVALS);
-        assertTrue(history.settingsChanges > 0 && history.sends > ARRIVALS / 10,
-            history.settingsChanges + " changes, " + history.sends + " sends");
+        assertTrue(
+                history.settingsChanges > 0 && history.sends > ARRIVALS / 10,
+                history.settingsChanges + " changes, " + history.sends + " sends");
     }
 
     @Property(tries = 150, seed = "81")
@@ -85,9 +122,10 @@
     }
 
     /**
-     * So few requests that hardly one waits for another. With more of them the module takes what waited for
-     * quicker than it was, by up to a half, and its part of a cold budget for larger: by that alone one
-     * of seventy histories of several nodes goes past the budget, with no change of settings at all.
+     * So few requests that hardly one waits for another. With more of them the module takes what
+     * waited for quicker than it was, by up to a half, and its part of a cold budget for larger: by
+     * that alone one of seventy histories of several nodes goes past the budget, with no change of
+     * settings at all.
      */
     @Property(tries = 150, seed = "82")
     void theRulesHoldWhereServersAreProbedAndTheNumberOfNodesChanges(@ForAll long seed) {
--- a/src/test/java/ottergauge/SubsetTest.java
+++ b/src/test/java/ottergauge/SubsetTest.java
@@ -25,8 +25,9 @@
 import ottergauge.ring.PlainRing;
 
 /**
- * The subset that a node serves from, held to the plain computation: all listed servers in the order of the
- * ring, the node's points on it, one server after the other. What the subset is shows by where requests go.
+ * The subset that a node serves from, held to the plain computation: all listed servers in the
+ * order of the ring, the node's points on it, one server after the other. What the subset is shows
+ * by where requests go.
  */
 class SubsetTest {
 
@@ -36,30 +37,40 @@
     private static final int TRIES = 4;
 
     /** One entry of a list, and whether it comes alone, as one of a change, or in a whole list. */
-    record Told(ListScope scope, List<ListedServer> servers) { }
+    record Told(ListScope scope, List<ListedServer> servers) {}
 
-    record History(int node, int nodes, List<Told> told) { }
+    record History(int node, int nodes, List<Told> told) {}
 
     @Provide
     Arbitrary<History> histories() {
-        Arbitrary<ListedServer> servers = Combinators.combine(Arbitraries.longs().between(1, 150),
-                Arbitraries.of(ServerState.UP, ServerState.UP, ServerState.UP, ServerState.DRAINING,
-                    ServerState.GONE))
-            // The size is the server's own: lists do not change it.
-            .as((id, state) -> new ListedServer(id, 0, 0, 0, state, size(id), 0));
-        Arbitrary<Told> changes = servers.list().ofMaxSize(6).map(s -> new Told(ListScope.CHANGES, s));
-        Arbitrary<Told> wholes = servers.list().ofMinSize(1).ofMaxSize(120)
-            .map(s -> new Told(ListScope.FULL, s));
-        Arbitrary<Told> all = Arbitraries.frequencyOf(
-            Tuple.of(6, changes), Tuple.of(1, wholes));
-        return Combinators.combine(Arbitraries.integers().between(0, 299),
-                Arbitraries.integers().between(1, 300), wholes, all.list().ofMaxSize(25))
-            .as((node, nodes, first, then) -> {
-                List<Told> told = new ArrayList<>();
-                told.add(first);
-                told.addAll(then);
-                return new History(node % nodes, nodes, told);
-            });
+        Arbitrary<ListedServer> servers =
+                Combinators.combine(
+                                Arbitraries.longs().between(1, 150),
+                                Arbitraries.of(
+                                        ServerState.UP,
+                                        ServerState.UP,
+                                        ServerState.UP,
+                                        ServerState.DRAINING,
+                                        ServerState.GONE))
+                        // The size is the server's own: lists do not change it.
+                        .as((id, state) -> new ListedServer(id, 0, 0, 0, state, size(id), 0));
+        Arbitrary<Told> changes =
+                servers.list().ofMaxSize(6).map(s -> new Told(ListScope.CHANGES, s));
+        Arbitrary<Told> wholes =
+                servers.list().ofMinSize(1).ofMaxSize(120).map(s -> new Told(ListScope.FULL, s));
+        Arbitrary<Told> all = Arbitraries.frequencyOf(Tuple.of(6, changes), Tuple.of(1, wholes));
+        return Combinators.combine(
+                        Arbitraries.integers().between(0, 299),
+                        Arbitraries.integers().between(1, 300),
+                        wholes,
+                        all.list().ofMaxSize(25))
+                .as(
+                        (node, nodes, first, then) -> {
+                            List<Told> told = new ArrayList<>();
+                            told.add(first);
+                            told.addAll(then);
+                            return new History(node % nodes, nodes, told);
+                        });
     }
 
     private static double size(long id) {
@@ -95,7 +106,8 @@
         listed.forEach((id, server) -> sizes.put(id, size(id)));
         PlainRing ring = new PlainRing(sizes);
         int count = listed.size();
-        int size = (int) Math.min(FREE_SUBSET, DOZEN * Math.max(1, count / (double) history.nodes()));
+        int size =
+                (int) Math.min(FREE_SUBSET, DOZEN * Math.max(1, count / (double) history.nodes()));
         boolean all = size >= count;
         Set<Long> subset = new HashSet<>();
         for (int k = 0; subset.size() < size && k < (all ? count : TRIES * size); k++) {
@@ -112,7 +124,10 @@
         node.on(new ServerList(told.scope(), told.servers()));
     }
 
-    /** The servers that requests go to, one at a time: in two rounds of the rotation all of the subset. */
+    /**
+     * The servers that requests go to, one at a time: in two rounds of the rotation all of the
+     * subset.
+     */
     private static Set<Long> used(Node node, int subset) {
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 2 * subset; i++) {
@@ -130,7 +145,8 @@
     }
 
     @Property(tries = 300, seed = "72")
-    void aChainOfChangesGivesTheSameSubsetAsTheWholeListAtOnce(@ForAll("histories") History history) {
+    void aChainOfChangesGivesTheSameSubsetAsTheWholeListAtOnce(
+            @ForAll("histories") History history) {
         Node chain = node(history);
         history.told().forEach(told -> tell(chain, told));
         Node whole = node(history);
@@ -143,8 +159,8 @@
     @Property(tries = 300, seed = "71")
     void mostHistoriesEndWithServersBesideTheSubset(@ForAll("histories") History history) {
         Statistics.label("servers beside the subset")
-            .collect(listed(history).size() > plainSubset(history).size())
-            .coverage(checker -> checker.check(true).percentage(p -> p >= 50));
+                .collect(listed(history).size() > plainSubset(history).size())
+                .coverage(checker -> checker.check(true).percentage(p -> p >= 50));
         assertTrue(history.told().size() >= 1);
     }
 }
--- a/src/test/java/ottergauge/TestSettings.java
+++ b/src/test/java/ottergauge/TestSettings.java
@@ -39,13 +39,23 @@
     }
 
     static RequestClass type(String name, Repeat repeat, Group group, double worth) {
-        return new RequestClass(name, repeat, group, 1_000_000, 2_000_000, 800_000, worth, 0, false);
+        return new RequestClass(
+                name, repeat, group, 1_000_000, 2_000_000, 800_000, worth, 0, false);
     }
 
     Settings build() {
-        return new Settings(node, nodes, 0, round, discovery, probes, repeatsMarked, warmKeys,
-            new Limits(probes, true, true, maxAttempts, 600_000),
-            new Rules(5_000, 500_000, 0.2, 10_000_000, 3, 1_000_000), new Prices(probePrice, connectionPrice),
-            classes);
+        return new Settings(
+                node,
+                nodes,
+                0,
+                round,
+                discovery,
+                probes,
+                repeatsMarked,
+                warmKeys,
+                new Limits(probes, true, true, maxAttempts, 600_000),
+                new Rules(5_000, 500_000, 0.2, 10_000_000, 3, 1_000_000),
+                new Prices(probePrice, connectionPrice),
+                classes);
     }
 }
--- a/src/test/java/ottergauge/limits/LimitsTest.java
+++ b/src/test/java/ottergauge/limits/LimitsTest.java
@@ -59,7 +59,8 @@
     }
 
     /**
-     * The sum over nodes: what is let out at one server must not grow with the number of those who share it.
+     * The sum over nodes: what is let out at one server must not grow with the number of those who
+     * share it.
      */
     @ParameterizedTest
     @ValueSource(ints = {4, 16, 64, 256})
@@ -101,7 +102,9 @@
             }
         }
         double served = (offered - away) / 40.0;
-        assertTrue(away < 0.35 * offered, nodes + " nodes: " + away + " of " + offered + " turned away");
+        assertTrue(
+                away < 0.35 * offered,
+                nodes + " nodes: " + away + " of " + offered + " turned away");
         assertTrue(served > 0.7 * holds * 10, nodes + " nodes: " + served + " a second of 80");
     }
 
@@ -143,7 +146,8 @@
         Freshness renewed = new Freshness();
         Freshness old = new Freshness();
         for (int i = 0; i < 20; i++) {
-            renewed.saw(report(3, Double.NaN, 17 + i), report(3, Double.NaN, 18 + i), 50_000, SERVICE);
+            renewed.saw(
+                    report(3, Double.NaN, 17 + i), report(3, Double.NaN, 18 + i), 50_000, SERVICE);
             old.saw(report(3, Double.NaN, 17), report(3, Double.NaN, 17), 50_000, SERVICE);
         }
         assertFalse(renewed.stale());
@@ -151,13 +155,15 @@
     }
 
     /**
-     * Guards against a server that nodes keep full, or leave idle, being taken for one that tells old loads.
+     * Guards against a server that nodes keep full, or leave idle, being taken for one that tells
+     * old loads.
      */
     @Test
     void aServerThatStandsStillProvesNothing() {
         Freshness freshness = new Freshness();
         for (int i = 0; i < 50; i++) {
-            freshness.saw(report(2, 0.999, Double.NaN), report(2, 0.999, Double.NaN), 50_000, SERVICE);
+            freshness.saw(
+                    report(2, 0.999, Double.NaN), report(2, 0.999, Double.NaN), 50_000, SERVICE);
             freshness.saw(report(0, 0, 0), report(0, 0, 0), 50_000, SERVICE);
             freshness.saw(report(3, Double.NaN, 17), report(3, Double.NaN, 17), 150_000, SERVICE);
         }
--- a/src/test/java/ottergauge/migration/MigrationTest.java
+++ b/src/test/java/ottergauge/migration/MigrationTest.java
@@ -17,22 +17,25 @@
 
 class MigrationTest {
 
-    private static final String SHAPE = """
-        {"balancers":98,"me":3,"zones":["room"],"zone":"room","registryMode":"pushed","roundMs":5,
-         "reporting":{"how":"on_probe","fields":["outstanding"]},"ceilings":{"maxAttempts":3}%s}
-        """;
+    private static final String SHAPE =
+            """
+            {"balancers":98,"me":3,"zones":["room"],"zone":"room","registryMode":"pushed","roundMs":5,
+             "reporting":{"how":"on_probe","fields":["outstanding"]},"ceilings":{"maxAttempts":3}%s}
+            """;
 
     private static Map<String, Object> json(String text) throws IOException {
         return JsonTree.read(text.getBytes(StandardCharsets.UTF_8));
     }
 
     private static Map<String, Object> old(String settings) throws IOException {
-        return json("""
-            {"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"1",
-             "settings":{"me":7,"balancers":9,"zones":["a","b"],"zone":"a","registryMode":"on_request",
-              "ceilings":{"maxAttempts":5,"cancel":true},
-              "classes":[{"name":"pay","semantics":"guarded","group":"zone","windowMs":800}]%s}}
-            """.formatted(settings));
+        return json(
+                """
+                {"name":"n1","listen":"127.0.0.1:3000","discovery":"127.0.0.1:8500","seed":"1",
+                 "settings":{"me":7,"balancers":9,"zones":["a","b"],"zone":"a","registryMode":"on_request",
+                  "ceilings":{"maxAttempts":5,"cancel":true},
+                  "classes":[{"name":"pay","semantics":"guarded","group":"zone","windowMs":800}]%s}}
+                """
+                        .formatted(settings));
     }
 
     private static Result translate(String settings, String shape) throws Exception {
@@ -66,28 +69,50 @@
 
     @Test
     void whatHasNoCounterpartIsListedWithItsValue() throws Exception {
-        Map<String, Object> old = old(",\"parties\":[{\"name\":\"t\"}],\"flavour\":\"x\",\"kinds\":[\"m1\"]");
+        Map<String, Object> old =
+                old(",\"parties\":[{\"name\":\"t\"}],\"flavour\":\"x\",\"kinds\":[\"m1\"]");
         old.put("known", Map.of("seq", 1.0));
         old.put("colour", "red");
         Result result = Migration.translate(old, json(SHAPE.formatted("")));
-        assertTrue(keys(result).containsAll(List.of("known", "colour", "settings.flavour", "settings.kinds",
-            "settings.zones", "settings.parties")), keys(result).toString());
+        assertTrue(
+                keys(result)
+                        .containsAll(
+                                List.of(
+                                        "known",
+                                        "colour",
+                                        "settings.flavour",
+                                        "settings.kinds",
+                                        "settings.zones",
+                                        "settings.parties")),
+                keys(result).toString());
         assertFalse(result.config().containsKey("known"));
         assertFalse(settings(result).containsKey("flavour"));
-        assertTrue(result.left().contains(
-            new Leftover("colour", "red", "is no key of a node's configuration")));
+        assertTrue(
+                result.left()
+                        .contains(
+                                new Leftover(
+                                        "colour", "red", "is no key of a node's configuration")));
     }
 
-    /** Guards against an effect twice: who drops repeats together was told in zones that are no more. */
+    /**
+     * Guards against an effect twice: who drops repeats together was told in zones that are no
+     * more.
+     */
     @Test
     void aKeyedClassOfOldZonesIsNeverRepeatedUntilTheShapeSaysItsGroup() throws Exception {
         Result result = translate("", "");
         assertTrue(keys(result).contains("settings.classes.pay.group"));
-        assertEquals(0.0, ((Map<?, ?>) ((List<?>) settings(result).get("classes")).get(0)).get("windowMs"));
-        Result said = translate("",
-            ",\"classes\":[{\"name\":\"pay\",\"group\":\"cell\",\"windowMs\":15000}]");
+        assertEquals(
+                0.0,
+                ((Map<?, ?>) ((List<?>) settings(result).get("classes")).get(0)).get("windowMs"));
+        Result said =
+                translate(
+                        "",
+                        ",\"classes\":[{\"name\":\"pay\",\"group\":\"cell\",\"windowMs\":15000}]");
         assertFalse(keys(said).contains("settings.classes.pay.group"));
-        assertEquals(15000.0, ((Map<?, ?>) ((List<?>) settings(said).get("classes")).get(0)).get("windowMs"));
+        assertEquals(
+                15000.0,
+                ((Map<?, ?>) ((List<?>) settings(said).get("classes")).get(0)).get("windowMs"));
     }
 
     @Test
@@ -101,8 +126,11 @@
         };
         for (String[] each : bad) {
             Map<String, Object> shape = json(each[0]);
-            MigrationException e = assertThrows(MigrationException.class,
-                () -> Migration.translate(old(""), shape), each[0]);
+            MigrationException e =
+                    assertThrows(
+                            MigrationException.class,
+                            () -> Migration.translate(old(""), shape),
+                            each[0]);
             assertTrue(e.getMessage().contains(each[1]), e.getMessage());
         }
     }
--- a/src/test/java/ottergauge/program/CrossingIT.java
+++ b/src/test/java/ottergauge/program/CrossingIT.java
@@ -27,37 +27,44 @@
 import ottergauge.protocol.TestConfig;
 
 /**
- * What crosses on the wire, forced: the program stands still while a request and what undoes it both arrive,
- * and finds them together when it goes on. docs/crossings.md lists them.
+ * What crosses on the wire, forced: the program stands still while a request and what undoes it
+ * both arrive, and finds them together when it goes on. docs/crossings.md lists them.
  */
 @Timeout(120)
 class CrossingIT {
 
     private static final String NOWHERE = "127.0.0.1:1";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private RunningNode nodeBefore(StubServer server) throws Exception {
-        return RunningNode.ready(folder, new TestConfig().knows(host("s-1", server.address(), "in_service")),
-            NOWHERE);
+        return RunningNode.ready(
+                folder,
+                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                NOWHERE);
     }
 
     /** A server that keeps its connections for the test to write on and to end. */
     private static StubServer held(BlockingQueue<Socket> connections) throws Exception {
-        return new StubServer((request, connection) -> {
-            connections.add(connection);
-            connection.getOutputStream().write(HttpMessage.response(200, "", "served " + request.body()));
-            return true;
-        });
+        return new StubServer(
+                (request, connection) -> {
+                    connections.add(connection);
+                    connection
+                            .getOutputStream()
+                            .write(HttpMessage.response(200, "", "served " + request.body()));
+                    return true;
+                });
     }
 
-    /** Guards against work for clients that have left: their end lay unread behind their request. */
+    /**
+     * Guards against work for clients that have left: their end lay unread behind their request.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"end", "half-close", "reset"})
     void aRequestWhoseClientHasLeftIsNotSentOn(String how) throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client client = node.client()) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
             assertEquals(200, client.ask(Client.request("grant", "ok", "")).status());
             server.requests.clear();
             Client leaving = node.client();
@@ -75,8 +82,9 @@
             }
             node.goOn();
             assertEquals(200, client.ask(Client.request("grant", "last", "")).status());
-            assertTrue(server.requests.poll(10, TimeUnit.SECONDS).target().endsWith("last"),
-                "sent on though its client had left");
+            assertTrue(
+                    server.requests.poll(10, TimeUnit.SECONDS).target().endsWith("last"),
+                    "sent on though its client had left");
             leaving.close();
         }
     }
@@ -87,26 +95,47 @@
         int many = 8;
         CountDownLatch change = new CountDownLatch(1);
         CountDownLatch changed = new CountDownLatch(1);
-        try (StubServer leaves = StubServer.obedient(); StubServer stays = StubServer.obedient();
-             StubServer discovery = new StubServer((request, connection) -> {
-                 if (request.target().contains("after=41&")) {
-                     change.await();
-                     connection.getOutputStream().write(HttpMessage.response(200, "", list(42, false,
-                         host("s-1", leaves.address(), "terminating"))));
-                     changed.countDown();
-                 }
-                 return true;
-             });
-             RunningNode node = RunningNode.ready(folder, new TestConfig()
-                 .knows(host("s-1", leaves.address(), "in_service"),
-                     host("s-2", stays.address(), "in_service")), discovery.address())) {
+        try (StubServer leaves = StubServer.obedient();
+                StubServer stays = StubServer.obedient();
+                StubServer discovery =
+                        new StubServer(
+                                (request, connection) -> {
+                                    if (request.target().contains("after=41&")) {
+                                        change.await();
+                                        connection
+                                                .getOutputStream()
+                                                .write(
+                                                        HttpMessage.response(
+                                                                200,
+                                                                "",
+                                                                list(
+                                                                        42,
+                                                                        false,
+                                                                        host(
+                                                                                "s-1",
+                                                                                leaves.address(),
+                                                                                "terminating"))));
+                                        changed.countDown();
+                                    }
+                                    return true;
+                                });
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig()
+                                        .knows(
+                                                host("s-1", leaves.address(), "in_service"),
+                                                host("s-2", stays.address(), "in_service")),
+                                discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             List<Client> clients = new ArrayList<>();
             for (int i = 0; i < many; i++) {
                 clients.add(node.client());
                 assertEquals(200, clients.get(i).ask(Client.request("read", "ok", "")).status());
             }
-            assertTrue(!leaves.requests.isEmpty() && !stays.requests.isEmpty(), "both are in use before");
+            assertTrue(
+                    !leaves.requests.isEmpty() && !stays.requests.isEmpty(),
+                    "both are in use before");
             leaves.requests.clear();
             node.standStill();
             for (Client each : clients) {
@@ -119,7 +148,9 @@
                 assertEquals(200, each.read().status());
                 each.close();
             }
-            assertTrue(leaves.requests.isEmpty(), leaves.requests.size() + " went to the server that leaves");
+            assertTrue(
+                    leaves.requests.isEmpty(),
+                    leaves.requests.size() + " went to the server that leaves");
         }
     }
 
@@ -127,8 +158,9 @@
     @Test
     void anAnswerThatNobodyAskedForIsNotTheNextRequests() throws Exception {
         BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
-        try (StubServer server = held(connections); RunningNode node = nodeBefore(server);
-             Client client = node.client()) {
+        try (StubServer server = held(connections);
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
             assertEquals("served one", client.ask(Client.request("grant", "x", "one")).body());
             Socket resting = connections.poll(10, TimeUnit.SECONDS);
             node.standStill();
@@ -140,13 +172,17 @@
         }
     }
 
-    /** Guards against a request that may have run for all one knows: its connection had ended before it. */
+    /**
+     * Guards against a request that may have run for all one knows: its connection had ended before
+     * it.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset", "half a line"})
     void aRestingConnectionThatEndsAsARequestComesCarriesNothing(String how) throws Exception {
         BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
-        try (StubServer server = held(connections); RunningNode node = nodeBefore(server);
-             Client client = node.client()) {
+        try (StubServer server = held(connections);
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
             assertEquals(200, client.ask(Client.request("grant", "x", "one")).status());
             Socket resting = connections.poll(10, TimeUnit.SECONDS);
             node.standStill();
@@ -163,19 +199,27 @@
         }
     }
 
-    /** Guards against an answer lost with its connection, reset over bytes that the node had not read. */
+    /**
+     * Guards against an answer lost with its connection, reset over bytes that the node had not
+     * read.
+     */
     @Test
     void aConnectionEndsInOrderThoughItsClientStillSends() throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client client = node.client()) {
-            client.write(Client.request("grant", "ok", "x").replace("Host:", "Connection: close\r\nHost:"));
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
+            client.write(
+                    Client.request("grant", "ok", "x")
+                            .replace("Host:", "Connection: close\r\nHost:"));
             assertEquals(200, client.read().status());
             assertTrue(client.socket().getInputStream().read() < 0);
-            assertDoesNotThrow(() -> {
-                for (int i = 0; i < 3; i++) {
-                    client.write(Client.request("grant", "ok", "stray"));
-                }
-            }, "reset over bytes that it had not read");
+            assertDoesNotThrow(
+                    () -> {
+                        for (int i = 0; i < 3; i++) {
+                            client.write(Client.request("grant", "ok", "stray"));
+                        }
+                    },
+                    "reset over bytes that it had not read");
             client.close();
             try (Client next = node.client()) {
                 assertEquals(200, next.ask(Client.request("grant", "last", "")).status());
@@ -184,21 +228,29 @@
         }
     }
 
-    /** Guards against requests read after the shutdown: sent on, their answers would have nowhere to go. */
+    /**
+     * Guards against requests read after the shutdown: sent on, their answers would have nowhere to
+     * go.
+     */
     @Test
     void whatComesOnAConnectionThatTheNodeIsEndingIsNeverTaken() throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client idle = node.client(); Client open = node.client()) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client idle = node.client();
+                Client open = node.client()) {
             assertEquals(200, idle.ask(Client.request("grant", "ok", "")).status());
             open.write(Client.request("grant", "silence", ""));
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             node.signal("TERM");
-            assertTrue(idle.socket().getInputStream().read() < 0, "ended once the front has been quiet");
-            assertDoesNotThrow(() -> {
-                idle.write(Client.request("grant", "ok", ""));
-                idle.write(Client.request("grant", "ok", ""));
-            });
+            assertTrue(
+                    idle.socket().getInputStream().read() < 0,
+                    "ended once the front has been quiet");
+            assertDoesNotThrow(
+                    () -> {
+                        idle.write(Client.request("grant", "ok", ""));
+                        idle.write(Client.request("grant", "ok", ""));
+                    });
             assertNull(idle.read());
             idle.close();
             assertEquals(502, open.read().status());
@@ -208,11 +260,16 @@
         }
     }
 
-    /** A request whose last byte comes after the node was told to stop, twice, is answered all the same. */
+    /**
+     * A request whose last byte comes after the node was told to stop, twice, is answered all the
+     * same.
+     */
     @Test
     void aRequestHalfReadWhenTheNodeIsToldToStopIsAnswered() throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client client = node.client(); Client idle = node.client()) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client client = node.client();
+                Client idle = node.client()) {
             assertEquals(200, idle.ask(Client.request("read", "ok", "")).status());
             String request = Client.request("grant", "ok", "12345678");
             client.write(request.substring(0, request.length() - 4));
@@ -234,10 +291,13 @@
     @Test
     void aHangUpWhileTheNodeStartsIsFollowedOnceItRuns() throws Exception {
         try (StubServer server = StubServer.obedient();
-             StubServer discovery = new StubServer((request, connection) -> true)) {
+                StubServer discovery = new StubServer((request, connection) -> true)) {
             int port = RunningNode.freePort();
-            String config = new TestConfig().knows(host("s-1", server.address(), "in_service"))
-                .at("127.0.0.1:" + port, NOWHERE).json();
+            String config =
+                    new TestConfig()
+                            .knows(host("s-1", server.address(), "in_service"))
+                            .at("127.0.0.1:" + port, NOWHERE)
+                            .json();
             String moved = config.replace(NOWHERE, discovery.address());
             try (RunningNode node = RunningNode.fromPipe(folder, port)) {
                 try (var pipe = node.configPipe()) {
@@ -255,21 +315,31 @@
         }
     }
 
-    /** Guards against a node that cannot reach discovery any more once its clients hold all descriptors. */
+    /**
+     * Guards against a node that cannot reach discovery any more once its clients hold all
+     * descriptors.
+     */
     @Test
     void clientsAtRestLeaveDescriptorsForDiscoveryAndForServers() throws Exception {
         int discoveryPort = RunningNode.freePort();
         List<Client> resting = new ArrayList<>();
-        try (StubServer server = StubServer.obedient(); RunningNode node = RunningNode.ready(folder,
-                 new TestConfig().sockets(100).knows(host("s-1", server.address(), "in_service")),
-                 "127.0.0.1:" + discoveryPort)) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig()
+                                        .sockets(100)
+                                        .knows(host("s-1", server.address(), "in_service")),
+                                "127.0.0.1:" + discoveryPort)) {
             for (int i = 0; i < 200; i++) {
                 Client each = node.client();
                 resting.add(each);
-                assertEquals(200, each.ask("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                assertEquals(
+                        200, each.ask("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n").status());
             }
-            try (StubServer discovery = new StubServer(discoveryPort, (request, connection) -> true);
-                 Client client = node.client()) {
+            try (StubServer discovery =
+                            new StubServer(discoveryPort, (request, connection) -> true);
+                    Client client = node.client()) {
                 assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS), node.log());
                 assertEquals(200, client.ask(Client.request("grant", "ok", "")).status());
                 assertTrue(resting.get(0).atEnd(), "the oldest gives way");
--- a/src/test/java/ottergauge/program/DoorIT.java
+++ b/src/test/java/ottergauge/program/DoorIT.java
@@ -29,8 +29,7 @@
 
     private static final String NOWHERE = "127.0.0.1:1";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final List<AutoCloseable> open = new ArrayList<>();
     private int port;
 
@@ -48,8 +47,12 @@
 
     private RunningNode process(int door, String... hosts) throws Exception {
         port = port == 0 ? RunningNode.freePort() : port;
-        return closing(RunningNode.ready(folder,
-            new TestConfig().managed("127.0.0.1:" + door).knows(hosts), NOWHERE, port));
+        return closing(
+                RunningNode.ready(
+                        folder,
+                        new TestConfig().managed("127.0.0.1:" + door).knows(hosts),
+                        NOWHERE,
+                        port));
     }
 
     private static HttpMessage call(int door, String call) throws IOException {
@@ -61,17 +64,26 @@
     }
 
     private static long figure(int door, String name) throws IOException {
-        return call(door, "GET /stats").body().lines()
-            .filter(line -> line.startsWith("balancer." + name + "="))
-            .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1))).sum();
+        return call(door, "GET /stats")
+                .body()
+                .lines()
+                .filter(line -> line.startsWith("balancer." + name + "="))
+                .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1)))
+                .sum();
     }
 
     /** A call that is none gets its answer, and the node goes on for others. */
     @ParameterizedTest
-    @CsvSource({"no call at all,400", "GET /nothing HTTP/1.1,404", "GET /servers/s-1/maint HTTP/1.1,405",
-        "POST /stats HTTP/1.1,405", "POST /servers/s-9/maint HTTP/1.1,404",
-        "POST /servers/%zz/maint HTTP/1.1,404", "POST /servers//maint HTTP/1.1,404",
-        "GET /stats HTTP/1.0,400"})
+    @CsvSource({
+        "no call at all,400",
+        "GET /nothing HTTP/1.1,404",
+        "GET /servers/s-1/maint HTTP/1.1,405",
+        "POST /stats HTTP/1.1,405",
+        "POST /servers/s-9/maint HTTP/1.1,404",
+        "POST /servers/%zz/maint HTTP/1.1,404",
+        "POST /servers//maint HTTP/1.1,404",
+        "GET /stats HTTP/1.0,400"
+    })
     void aBadCallGetsItsNo(String line, int status) throws Exception {
         int door = RunningNode.freePort();
         process(door, host("s-1", "127.0.0.1:2", "in_service"));
@@ -127,8 +139,13 @@
     void aFloodOfClientsLeavesTheDoorOpen() throws Exception {
         int door = RunningNode.freePort();
         port = RunningNode.freePort();
-        RunningNode node = closing(RunningNode.ready(folder, new TestConfig().sockets(160)
-            .managed("127.0.0.1:" + door), NOWHERE, port));
+        RunningNode node =
+                closing(
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig().sockets(160).managed("127.0.0.1:" + door),
+                                NOWHERE,
+                                port));
         for (int i = 0; i < 300; i++) {
             closing(node.client().socket());
         }
@@ -151,21 +168,28 @@
         assertEquals(1, figure(door, "members"));
     }
 
-    /** Two processes are one node: a server stays out over the upgrade, and no client is turned back. */
+    /**
+     * Two processes are one node: a server stays out over the upgrade, and no client is turned
+     * back.
+     */
     @Test
     void anUpgradeKeepsClientsAndServersHeldOut() throws Exception {
         StubServer server = closing(StubServer.obedient());
         int before = RunningNode.freePort();
         int after = RunningNode.freePort();
-        RunningNode old = process(before, host("s-1", server.address(), "in_service"),
-            host("s-2", "127.0.0.1:2", "in_service"));
+        RunningNode old =
+                process(
+                        before,
+                        host("s-1", server.address(), "in_service"),
+                        host("s-2", "127.0.0.1:2", "in_service"));
         assertEquals(200, call(before, "POST /servers/s-2/maint").status());
         assertEquals(200, call(before, "POST /servers/s-2/maint").status());
         RunningNode next = process(after);
         assertEquals(200, call(after, "GET /healthcheck").status());
         assertEquals("s-1 used\ns-2 held\n", call(after, "GET /servers").body());
         old.awaitLog("runs beside another process");
-        try (Client kept = old.client(); Client other = old.client()) {
+        try (Client kept = old.client();
+                Client other = old.client()) {
             assertEquals(200, kept.ask(Client.request("read", "ok", "")).status());
             assertEquals(200, other.ask(Client.request("read", "ok", "")).status());
             old.process.destroy();
--- a/src/test/java/ottergauge/program/FlowIT.java
+++ b/src/test/java/ottergauge/program/FlowIT.java
@@ -41,11 +41,11 @@
 
     /** What a server does once it has read a head; the body, if any, is still to be read. */
     private interface Behaviour {
-        void answer(String head, InputStream in, OutputStream out) throws IOException, InterruptedException;
+        void answer(String head, InputStream in, OutputStream out)
+                throws IOException, InterruptedException;
     }
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final List<AutoCloseable> open = new ArrayList<>();
     private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
 
@@ -59,14 +59,23 @@
     private RunningNode nodeBefore(Behaviour behaviour) throws Exception {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         open.add(listener);
-        thread(() -> {
-            while (!listener.isClosed()) {
-                Socket connection = listener.accept();
-                thread(() -> serve(connection, behaviour));
-            }
-        });
-        RunningNode node = RunningNode.ready(folder, new TestConfig().knows(host("s-1",
-            "127.0.0.1:" + listener.getLocalPort(), "in_service")), NOWHERE);
+        thread(
+                () -> {
+                    while (!listener.isClosed()) {
+                        Socket connection = listener.accept();
+                        thread(() -> serve(connection, behaviour));
+                    }
+                });
+        RunningNode node =
+                RunningNode.ready(
+                        folder,
+                        new TestConfig()
+                                .knows(
+                                        host(
+                                                "s-1",
+                                                "127.0.0.1:" + listener.getLocalPort(),
+                                                "in_service")),
+                        NOWHERE);
         open.add(0, node);
         return node;
     }
@@ -93,13 +102,15 @@
     }
 
     private static void thread(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
-                work.run();
-            } catch (Exception e) {
-                // The other side has gone, or the test is over.
-            }
-        });
+        Thread thread =
+                new Thread(
+                        () -> {
+                            try {
+                                work.run();
+                            } catch (Exception e) {
+                                // The other side has gone, or the test is over.
+                            }
+                        });
         thread.setDaemon(true);
         thread.start();
     }
@@ -184,13 +195,22 @@
     }
 
     // A server that tells what came, and answers with as much as it was asked for.
-    private static final Behaviour ECHO = (head, in, out) -> {
-        byte[] body = body(head, in);
-        String told = sum(body);
-        out.write(text("HTTP/1.1 200 OK\r\nContent-Length: " + told.length() + "\r\n\r\n" + told));
-    };
-
-    /** Guards against a request that came whole before its server's connection was up, and went nowhere. */
+    private static final Behaviour ECHO =
+            (head, in, out) -> {
+                byte[] body = body(head, in);
+                String told = sum(body);
+                out.write(
+                        text(
+                                "HTTP/1.1 200 OK\r\nContent-Length: "
+                                        + told.length()
+                                        + "\r\n\r\n"
+                                        + told));
+            };
+
+    /**
+     * Guards against a request that came whole before its server's connection was up, and went
+     * nowhere.
+     */
     @Test
     void aRequestJustTooLargeToBeKeptWaitsWholeForItsServer() throws Exception {
         RunningNode node = nodeBefore(ECHO);
@@ -212,9 +232,12 @@
             if ("length".equals(framing)) {
                 write(client.socket(), ask("ok", "Content-Length: " + LARGE + "\r\n"), body);
             } else {
-                write(client.socket(), ask("ok", "Transfer-Encoding: CHUNKED\r\n"), text(
-                    Integer.toHexString(LARGE) + ";name=value\r\n"), body,
-                    text("\r\n0\r\nTrailer: x\r\n\r\n"));
+                write(
+                        client.socket(),
+                        ask("ok", "Transfer-Encoding: CHUNKED\r\n"),
+                        text(Integer.toHexString(LARGE) + ";name=value\r\n"),
+                        body,
+                        text("\r\n0\r\nTrailer: x\r\n\r\n"));
             }
             HttpMessage answer = client.read();
             assertEquals(200, answer.status());
@@ -229,18 +252,29 @@
     @ValueSource(strings = {"ok", "chunked", "close"})
     void aLargeAnswerComesThroughUnchangedHoweverSlowlyItIsRead(String wish) throws Exception {
         byte[] body = bytes(LARGE);
-        RunningNode node = nodeBefore((head, in, out) -> {
-            body(head, in);
-            out.write(text("HTTP/1.1 200 \r\n" + switch (wish) {
-                case "chunked" -> "transfer-encoding: Chunked\r\n\r\n" + Integer.toHexString(LARGE) + "\r\n";
-                case "close" -> "\r\n";
-                default -> "CONTENT-LENGTH: " + LARGE + "\r\n\r\n";
-            }));
-            out.write(body);
-            if ("chunked".equals(wish)) {
-                out.write(text("\r\n0\r\n\r\n"));
-            }
-        });
+        RunningNode node =
+                nodeBefore(
+                        (head, in, out) -> {
+                            body(head, in);
+                            out.write(
+                                    text(
+                                            "HTTP/1.1 200 \r\n"
+                                                    + switch (wish) {
+                                                        case "chunked" ->
+                                                                "transfer-encoding: Chunked\r\n\r\n"
+                                                                        + Integer.toHexString(LARGE)
+                                                                        + "\r\n";
+                                                        case "close" -> "\r\n";
+                                                        default ->
+                                                                "CONTENT-LENGTH: "
+                                                                        + LARGE
+                                                                        + "\r\n\r\n";
+                                                    }));
+                            out.write(body);
+                            if ("chunked".equals(wish)) {
+                                out.write(text("\r\n0\r\n\r\n"));
+                            }
+                        });
         try (Client client = node.client()) {
             write(client.socket(), ask(wish, "Content-Length: 0\r\n"));
             InputStream in = new BufferedInputStream(client.socket().getInputStream(), 1 << 14);
@@ -254,18 +288,27 @@
         }
     }
 
-    /** The node's memory is bounded: a dozen answers of 32 MB that nobody reads for a while fit in it. */
+    /**
+     * The node's memory is bounded: a dozen answers of 32 MB that nobody reads for a while fit in
+     * it.
+     */
     @Test
     void answersThatAreNotReadWaitAtTheServer() throws Exception {
         int length = 32 << 20;
         byte[] body = bytes(1 << 20);
-        RunningNode node = nodeBefore((head, in, out) -> {
-            body(head, in);
-            out.write(text("HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n"));
-            for (int i = 0; i < length / body.length; i++) {
-                out.write(body);
-            }
-        });
+        RunningNode node =
+                nodeBefore(
+                        (head, in, out) -> {
+                            body(head, in);
+                            out.write(
+                                    text(
+                                            "HTTP/1.1 200 OK\r\nContent-Length: "
+                                                    + length
+                                                    + "\r\n\r\n"));
+                            for (int i = 0; i < length / body.length; i++) {
+                                out.write(body);
+                            }
+                        });
         List<Client> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             Client client = node.client();
@@ -290,11 +333,17 @@
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset"})
     void anAnswerThatBreaksOffIsNoWholeAnswer(String wish) throws Exception {
-        RunningNode node = nodeBefore((head, in, out) -> {
-            body(head, in);
-            out.write(text("HTTP/1.1 200 OK\r\nContent-Length: " + LARGE + "\r\n\r\n"));
-            out.write(bytes(1 << 18));
-        });
+        RunningNode node =
+                nodeBefore(
+                        (head, in, out) -> {
+                            body(head, in);
+                            out.write(
+                                    text(
+                                            "HTTP/1.1 200 OK\r\nContent-Length: "
+                                                    + LARGE
+                                                    + "\r\n\r\n"));
+                            out.write(bytes(1 << 18));
+                        });
         try (Client client = node.client()) {
             write(client.socket(), ask(wish, "Content-Length: 0\r\n"));
             InputStream in = client.socket().getInputStream();
@@ -312,18 +361,23 @@
         }
     }
 
-    /** Without a length an answer ends with its connection, but not with a reset: that one failed. */
+    /**
+     * Without a length an answer ends with its connection, but not with a reset: that one failed.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset"})
     void aShortAnswerWithoutALengthEndsWithTheClose(String wish) throws Exception {
-        RunningNode node = nodeBefore((head, in, out) -> {
-            body(head, in);
-            out.write(text("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200\r\n\r\nhello"));
-            if ("reset".equals(wish)) {
-                // The bytes are to arrive before the reset.
-                Thread.sleep(100);
-            }
-        });
+        RunningNode node =
+                nodeBefore(
+                        (head, in, out) -> {
+                            body(head, in);
+                            out.write(
+                                    text("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200\r\n\r\nhello"));
+                            if ("reset".equals(wish)) {
+                                // The bytes are to arrive before the reset.
+                                Thread.sleep(100);
+                            }
+                        });
         try (Client client = node.client()) {
             HttpMessage answer = client.ask(ask(wish, "Content-Length: 0\r\n"));
             assertEquals("close".equals(wish) ? 200 : 502, answer.status());
@@ -331,13 +385,16 @@
         }
     }
 
-    /** A head may take two seconds, and its client is served; half a head alone ends the connection. */
+    /**
+     * A head may take two seconds, and its client is served; half a head alone ends the connection.
+     */
     @Test
     void aSlowHeadIsServedAndHalfAHeadIsNot() throws Exception {
         RunningNode node = nodeBefore(ECHO);
         String request = ask("ok", "Content-Length: 0\r\n");
         long from = System.nanoTime();
-        try (Client slow = node.client(); Client half = node.client()) {
+        try (Client slow = node.client();
+                Client half = node.client()) {
             half.write("POST /api HT");
             int steps = 20;
             for (int i = 0; i < steps; i++) {
@@ -347,23 +404,31 @@
             }
             assertEquals(200, slow.read().status());
             assertTrue(half.atEnd());
-            assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(3), "within 3 s of connecting");
+            assertTrue(
+                    System.nanoTime() - from < TimeUnit.SECONDS.toNanos(3),
+                    "within 3 s of connecting");
         }
     }
 
-    /** The client's time runs from its last byte: a body of two seconds is served though it waits 0.9 s. */
+    /**
+     * The client's time runs from its last byte: a body of two seconds is served though it waits
+     * 0.9 s.
+     */
     @Test
     void aBodyThatComesSlowlyIsServed() throws Exception {
         RunningNode node = nodeBefore(ECHO);
         byte[] body = bytes(160 * 1024);
         try (Client client = node.client()) {
-            write(client.socket(), ask("ok",
-                "Content-Length: " + body.length + "\r\nExpect: 100-continue\r\n"));
+            write(
+                    client.socket(),
+                    ask("ok", "Content-Length: " + body.length + "\r\nExpect: 100-continue\r\n"));
             assertTrue(head(client.socket().getInputStream()).startsWith("HTTP/1.1 100"));
             int steps = 25;
             for (int i = 0; i < steps; i++) {
                 int begin = body.length * i / steps;
-                client.socket().getOutputStream().write(body, begin, body.length * (i + 1) / steps - begin);
+                client.socket()
+                        .getOutputStream()
+                        .write(body, begin, body.length * (i + 1) / steps - begin);
                 Thread.sleep(100);
             }
             HttpMessage answer = client.read();
@@ -372,7 +437,10 @@
         }
     }
 
-    /** Announced longer than it comes, a body that stands still ends; the server never sees it whole. */
+    /**
+     * Announced longer than it comes, a body that stands still ends; the server never sees it
+     * whole.
+     */
     @Test
     void aBodyThatStandsStillEnds() throws Exception {
         RunningNode node = nodeBefore(ECHO);
@@ -380,7 +448,9 @@
             long from = System.nanoTime();
             write(client.socket(), ask("ok", "Content-Length: 200000\r\n"), bytes(100_000));
             assertTrue(client.atEnd());
-            assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(3), "within 3 s of connecting");
+            assertTrue(
+                    System.nanoTime() - from < TimeUnit.SECONDS.toNanos(3),
+                    "within 3 s of connecting");
         }
     }
 
@@ -397,7 +467,8 @@
     void aListInConnectionIsRead() throws Exception {
         RunningNode node = nodeBefore(ECHO);
         try (Client client = node.client()) {
-            HttpMessage answer = client.ask(ask("ok", "Content-Length: 0\r\nCONNECTION: x-mine, Close\r\n"));
+            HttpMessage answer =
+                    client.ask(ask("ok", "Content-Length: 0\r\nCONNECTION: x-mine, Close\r\n"));
             assertEquals(200, answer.status());
             assertEquals("close", answer.headers().get("connection"));
             assertTrue(client.atEnd());
