--- a/src/test/java/ottergauge/program/HollowIT.java
+++ b/src/test/java/ottergauge/program/HollowIT.java
@@ -39,8 +39,7 @@
     private static final long PATIENCE_S = 30;
     private static final int NODES = 3;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     /** A process of hollow nodes: what it tells, by events. */
     private final class Fleet implements AutoCloseable {
@@ -50,8 +49,16 @@
 
         Fleet(String config, String... options) throws IOException {
             Path file = Files.writeString(folder.resolve("config.json"), config);
-            List<String> command = new ArrayList<>(List.of("java", "-Xmx96m", "-jar",
-                "target/ottergauge.jar", "hollow", "--config", file.toString()));
+            List<String> command =
+                    new ArrayList<>(
+                            List.of(
+                                    "java",
+                                    "-Xmx96m",
+                                    "-jar",
+                                    "target/ottergauge.jar",
+                                    "hollow",
+                                    "--config",
+                                    file.toString()));
             command.addAll(List.of(options));
             process = new ProcessBuilder(command).redirectError(log.toFile()).start();
             Thread reader = new Thread(this::read, "reader");
@@ -60,8 +67,10 @@
         }
 
         private void read() {
-            try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                    StandardCharsets.UTF_8))) {
+            try (BufferedReader in =
+                    new BufferedReader(
+                            new InputStreamReader(
+                                    process.getInputStream(), StandardCharsets.UTF_8))) {
                 for (String line = in.readLine(); line != null; line = in.readLine()) {
                     lines.add(JsonTree.read(line.getBytes(StandardCharsets.UTF_8)));
                 }
@@ -76,7 +85,8 @@
         }
 
         /** Waits for an event that fits, and passes over the others. */
-        Map<String, Object> await(String event, Predicate<Map<String, Object>> fits) throws Exception {
+        Map<String, Object> await(String event, Predicate<Map<String, Object>> fits)
+                throws Exception {
             long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
             while (System.nanoTime() < until) {
                 Map<String, Object> line = lines.poll(100, TimeUnit.MILLISECONDS);
@@ -94,8 +104,10 @@
     }
 
     private static String config(StubServer discovery) {
-        return new TestConfig().at("127.0.0.1:1", discovery.address()).json().replace("\"seq\":41",
-            "\"seq\":0");
+        return new TestConfig()
+                .at("127.0.0.1:1", discovery.address())
+                .json()
+                .replace("\"seq\":41", "\"seq\":0");
     }
 
     /** Discovery that has two servers at version 41, of which one drains at 42; no more comes. */
@@ -105,18 +117,28 @@
 
     /** The same; {@code answersAll} says that it answers calls that bring nothing at once. */
     private static StubServer discovery(AtomicLong bytes, boolean answersAll) throws IOException {
-        return new StubServer((request, connection) -> {
-            if (request.target().contains("after=0&")) {
-                send(connection, bytes, TestConfig.list(41, true, host("s-1", "127.0.0.1:1", "in_service"),
-                    host("s-2", "127.0.0.1:2", "in_service")));
-            } else if (request.target().contains("after=41&")) {
-                send(connection, bytes, TestConfig.list(42, false, host("s-2", "127.0.0.1:2",
-                    "terminating")));
-            } else if (answersAll) {
-                send(connection, bytes, TestConfig.list(42, false));
-            }
-            return true;
-        });
+        return new StubServer(
+                (request, connection) -> {
+                    if (request.target().contains("after=0&")) {
+                        send(
+                                connection,
+                                bytes,
+                                TestConfig.list(
+                                        41,
+                                        true,
+                                        host("s-1", "127.0.0.1:1", "in_service"),
+                                        host("s-2", "127.0.0.1:2", "in_service")));
+                    } else if (request.target().contains("after=41&")) {
+                        send(
+                                connection,
+                                bytes,
+                                TestConfig.list(
+                                        42, false, host("s-2", "127.0.0.1:2", "terminating")));
+                    } else if (answersAll) {
+                        send(connection, bytes, TestConfig.list(42, false));
+                    }
+                    return true;
+                });
     }
 
     private static void send(Socket connection, AtomicLong bytes, String list) throws IOException {
@@ -126,7 +148,8 @@
     }
 
     private static String digest(String text) throws Exception {
-        byte[] digest = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+        byte[] digest =
+                MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
         return HexFormat.of().formatHex(digest, 0, 8);
     }
 
@@ -134,19 +157,33 @@
     void eachNodeFollowsTheListAndTellsWhatIsInForce() throws Exception {
         AtomicLong bytes = new AtomicLong();
         try (StubServer discovery = discovery(bytes);
-             Fleet fleet = new Fleet(config(discovery), "--count", "" + NODES, "--from", "5", "--loops",
-                 "2")) {
+                Fleet fleet =
+                        new Fleet(
+                                config(discovery),
+                                "--count",
+                                "" + NODES,
+                                "--from",
+                                "5",
+                                "--loops",
+                                "2")) {
             assertEquals((double) NODES, fleet.await("started", line -> true).get("nodes"));
             Map<Object, List<Double>> versions = new HashMap<>();
             while (versions.values().stream().filter(each -> each.contains(42.0)).count() < NODES) {
                 Map<String, Object> line = fleet.await("in-force", each -> true);
                 versions.computeIfAbsent(line.get("node"), each -> new ArrayList<>())
-                    .add((Double) line.get("version"));
+                        .add((Double) line.get("version"));
                 assertEquals(line.get("version").equals(41.0), line.get("whole"));
                 assertEquals(line.get("version").equals(41.0) ? 2.0 : 1.0, line.get("entries"));
             }
-            assertEquals(Map.of("h5", List.of(41.0, 42.0), "h6", List.of(41.0, 42.0), "h7",
-                List.of(41.0, 42.0)), versions);
+            assertEquals(
+                    Map.of(
+                            "h5",
+                            List.of(41.0, 42.0),
+                            "h6",
+                            List.of(41.0, 42.0),
+                            "h7",
+                            List.of(41.0, 42.0)),
+                    versions);
             fleet.order("servers");
             for (int i = 0; i < NODES; i++) {
                 Map<String, Object> servers = fleet.await("servers", line -> true);
@@ -160,7 +197,7 @@
     void allBytesAndCallsAreCounted() throws Exception {
         AtomicLong bytes = new AtomicLong();
         try (StubServer discovery = discovery(bytes);
-             Fleet fleet = new Fleet(config(discovery), "--count", "1")) {
+                Fleet fleet = new Fleet(config(discovery), "--count", "1")) {
             long in = 0;
             long out = 0;
             double calls = 0;
@@ -171,11 +208,16 @@
                 calls = discovery.requests.size();
             }
             assertEquals(bytes.get(), in);
-            long asked = discovery.requests.stream().limit(3)
-                .mapToLong(each -> each.target().length()).sum();
+            long asked =
+                    discovery.requests.stream()
+                            .limit(3)
+                            .mapToLong(each -> each.target().length())
+                            .sum();
             assertTrue(out > asked, out + " bytes out for " + asked + " of targets");
             fleet.order("restart");
-            fleet.await("calls", line -> "whole".equals(line.get("kind")) && line.get("count").equals(1.0));
+            fleet.await(
+                    "calls",
+                    line -> "whole".equals(line.get("kind")) && line.get("count").equals(1.0));
         }
     }
 
@@ -184,17 +226,22 @@
     void aRestartDropsConnectionsAndState() throws Exception {
         // No call is ever given up here: only the restart ends connections.
         try (StubServer discovery = discovery(new AtomicLong(), true);
-             Fleet fleet = new Fleet(config(discovery), "--count", "" + NODES)) {
+                Fleet fleet = new Fleet(config(discovery), "--count", "" + NODES)) {
             for (int i = 0; i < NODES; i++) {
                 fleet.await("in-force", line -> line.get("version").equals(42.0));
             }
             fleet.order("restart");
             for (int i = 0; i < NODES; i++) {
-                assertNotNull(discovery.ended.poll(PATIENCE_S, TimeUnit.SECONDS), "a connection was kept");
+                assertNotNull(
+                        discovery.ended.poll(PATIENCE_S, TimeUnit.SECONDS),
+                        "a connection was kept");
             }
             for (int i = 0; i < NODES; i++) {
-                fleet.await("in-force", line -> line.get("version").equals(41.0)
-                    && Boolean.TRUE.equals(line.get("whole")));
+                fleet.await(
+                        "in-force",
+                        line ->
+                                line.get("version").equals(41.0)
+                                        && Boolean.TRUE.equals(line.get("whole")));
             }
         }
     }
@@ -203,7 +250,7 @@
     @Test
     void itEndsWithItsOrdersAndListensNowhere() throws Exception {
         try (StubServer discovery = discovery(new AtomicLong());
-             Fleet fleet = new Fleet(config(discovery), "--count", "" + NODES)) {
+                Fleet fleet = new Fleet(config(discovery), "--count", "" + NODES)) {
             fleet.await("in-force", line -> line.get("version").equals(42.0));
             assertFalse(listens(fleet.process.pid()));
             assertTrue(listens(ProcessHandle.current().pid()), "the look itself sees no listener");
@@ -224,8 +271,12 @@
         }
         List<String> connections = new ArrayList<>(Files.readAllLines(Path.of("/proc/net/tcp")));
         connections.addAll(Files.readAllLines(Path.of("/proc/net/tcp6")));
-        return connections.stream().map(line -> line.trim().split("\\s+"))
-            .anyMatch(fields -> "0A".equals(fields[3]) && sockets.contains("socket:[" + fields[9] + "]"));
+        return connections.stream()
+                .map(line -> line.trim().split("\\s+"))
+                .anyMatch(
+                        fields ->
+                                "0A".equals(fields[3])
+                                        && sockets.contains("socket:[" + fields[9] + "]"));
     }
 
     @Test
@@ -233,7 +284,9 @@
         try (StubServer discovery = discovery(new AtomicLong())) {
             try (Fleet fleet = new Fleet(config(discovery), "--count", "0")) {
                 assertEquals(2, fleet.process.waitFor());
-                assertTrue(Files.readString(fleet.log).contains("--count: a whole number from 1 to 2000"));
+                assertTrue(
+                        Files.readString(fleet.log)
+                                .contains("--count: a whole number from 1 to 2000"));
             }
             try (Fleet fleet = new Fleet("{}", "--count", "1")) {
                 assertEquals(1, fleet.process.waitFor());
--- a/src/test/java/ottergauge/program/HttpMessage.java
+++ b/src/test/java/ottergauge/program/HttpMessage.java
@@ -20,12 +20,16 @@
         Map<String, String> headers = new TreeMap<>();
         for (String line = line(in); line != null && !line.isEmpty(); line = line(in)) {
             int colon = line.indexOf(':');
-            headers.put(line.substring(0, colon).toLowerCase(Locale.ROOT), line.substring(colon + 1).trim());
+            headers.put(
+                    line.substring(0, colon).toLowerCase(Locale.ROOT),
+                    line.substring(colon + 1).trim());
         }
         int length = Integer.parseInt(headers.getOrDefault("content-length", "0"));
         byte[] body = in.readNBytes(length);
-        return body.length < length ? null
-            : new HttpMessage(startLine, headers, new String(body, StandardCharsets.ISO_8859_1));
+        return body.length < length
+                ? null
+                : new HttpMessage(
+                        startLine, headers, new String(body, StandardCharsets.ISO_8859_1));
     }
 
     private static String line(InputStream in) throws IOException {
@@ -50,7 +54,8 @@
     }
 
     static byte[] response(int status, String headers, String body) {
-        String head = "HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length();
+        String head =
+                "HTTP/1.1 " + status + " x\r\n" + headers + "Content-Length: " + body.length();
         return (head + "\r\n\r\n" + body).getBytes(StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/test/java/ottergauge/program/MainTest.java
+++ b/src/test/java/ottergauge/program/MainTest.java
@@ -15,8 +15,10 @@
     private final StringWriter err = new StringWriter();
 
     private int execute(String... args) {
-        return new CommandLine(new Main()).setOut(new PrintWriter(out)).setErr(new PrintWriter(err))
-            .execute(args);
+        return new CommandLine(new Main())
+                .setOut(new PrintWriter(out))
+                .setErr(new PrintWriter(err))
+                .execute(args);
     }
 
     @Test
@@ -29,7 +31,8 @@
 
     @Test
     void noCommandAnUnknownCommandOrOptionGivesUsageAndTwo() {
-        for (String[] args : new String[][] {{}, {"serve"}, {"fly"}, {"--fast"}, {"simhost", "--fast"}}) {
+        for (String[] args :
+                new String[][] {{}, {"serve"}, {"fly"}, {"--fast"}, {"simhost", "--fast"}}) {
             err.getBuffer().setLength(0);
             assertEquals(2, execute(args), String.join(" ", args));
             assertTrue(err.toString().contains("Usage:"), err.toString());
--- a/src/test/java/ottergauge/program/ManyServersIT.java
+++ b/src/test/java/ottergauge/program/ManyServersIT.java
@@ -28,50 +28,78 @@
     // What the platform's days allow at the most; the settings of the test say so too.
     private static final long MEMORY_KB = 192 * 1024;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private static String[] all(String dial) {
         return all(MANY, dial);
     }
 
     private static String[] all(int servers, String dial) {
-        return IntStream.range(0, servers).mapToObj(i -> host("server-of-some-longer-name-" + i, dial,
-            "in_service")).toArray(String[]::new);
+        return IntStream.range(0, servers)
+                .mapToObj(i -> host("server-of-some-longer-name-" + i, dial, "in_service"))
+                .toArray(String[]::new);
     }
 
-    /** A line for each field and a blank after each colon, as a registry writes it for people to read. */
+    /**
+     * A line for each field and a blank after each colon, as a registry writes it for people to
+     * read.
+     */
     private static String indented(String json) {
         return json.replace(",", ",\n        ").replace(":[", " : [\n    ").replace("\":", "\" : ");
     }
 
-    /** Guards against a bound on lists below what 1,024 servers take, and a list that comes in odd pieces. */
+    /**
+     * Guards against a bound on lists below what 1,024 servers take, and a list that comes in odd
+     * pieces.
+     */
     @Test
     void aListOf1024ServersIsReadIndentedInOddPiecesAndServedFrom() throws Exception {
         try (StubServer server = StubServer.obedient();
-             StubServer discovery = new StubServer((request, connection) -> {
-                 if (!request.target().contains("after=42")) {
-                     byte[] answer = HttpMessage.response(200, "",
-                         indented(TestConfig.list(42, true, all(server.address()))));
-                     OutputStream out = connection.getOutputStream();
-                     int piece = 1;
-                     for (int at = 0; at < answer.length; at += piece, piece = piece * 5 % 16_381) {
-                         out.write(answer, at, Math.min(piece, answer.length - at));
-                         out.flush();
-                     }
-                 }
-                 return true;
-             });
-             RunningNode node = RunningNode.ready(folder,
-                 new TestConfig().fleet(MANY, 0.002).knows(all(NOWHERE)), discovery.address());
-             Client client = node.client()) {
+                StubServer discovery =
+                        new StubServer(
+                                (request, connection) -> {
+                                    if (!request.target().contains("after=42")) {
+                                        byte[] answer =
+                                                HttpMessage.response(
+                                                        200,
+                                                        "",
+                                                        indented(
+                                                                TestConfig.list(
+                                                                        42,
+                                                                        true,
+                                                                        all(server.address()))));
+                                        OutputStream out = connection.getOutputStream();
+                                        int piece = 1;
+                                        for (int at = 0;
+                                                at < answer.length;
+                                                at += piece, piece = piece * 5 % 16_381) {
+                                            out.write(
+                                                    answer,
+                                                    at,
+                                                    Math.min(piece, answer.length - at));
+                                            out.flush();
+                                        }
+                                    }
+                                    return true;
+                                });
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig().fleet(MANY, 0.002).knows(all(NOWHERE)),
+                                discovery.address());
+                Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
-            assertTrue(discovery.requests.take().target().contains("after=42"), "the list was not read");
+            assertTrue(
+                    discovery.requests.take().target().contains("after=42"),
+                    "the list was not read");
             for (int i = 0; i < 100; i++) {
                 assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             }
             assertTrue(peakMemoryKb(node) < MEMORY_KB, "needs " + peakMemoryKb(node) + " KB");
-            assertEquals(0, node.log().lines().filter(line -> line.contains("ERROR")).count(), node.log());
+            assertEquals(
+                    0,
+                    node.log().lines().filter(line -> line.contains("ERROR")).count(),
+                    node.log());
         }
     }
 
@@ -79,44 +107,80 @@
     @Test
     void aListOf8000ServersIsReadAndServedFrom() throws Exception {
         try (StubServer server = StubServer.obedient();
-             StubServer discovery = new StubServer((request, connection) -> {
-                 if (!request.target().contains("after=42")) {
-                     connection.getOutputStream().write(HttpMessage.response(200, "",
-                         TestConfig.list(42, true, all(FLEET_AHEAD, server.address()))));
-                 }
-                 return true;
-             });
-             RunningNode node = RunningNode.ready(folder, new TestConfig().fleet(780, 0.002)
-                 .knows(host("s-1", NOWHERE, "in_service")), discovery.address());
-             Client client = node.client()) {
+                StubServer discovery =
+                        new StubServer(
+                                (request, connection) -> {
+                                    if (!request.target().contains("after=42")) {
+                                        connection
+                                                .getOutputStream()
+                                                .write(
+                                                        HttpMessage.response(
+                                                                200,
+                                                                "",
+                                                                TestConfig.list(
+                                                                        42,
+                                                                        true,
+                                                                        all(
+                                                                                FLEET_AHEAD,
+                                                                                server
+                                                                                        .address()))));
+                                    }
+                                    return true;
+                                });
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig()
+                                        .fleet(780, 0.002)
+                                        .knows(host("s-1", NOWHERE, "in_service")),
+                                discovery.address());
+                Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
-            assertTrue(discovery.requests.take().target().contains("after=42"), "the list was not read");
+            assertTrue(
+                    discovery.requests.take().target().contains("after=42"),
+                    "the list was not read");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertTrue(peakMemoryKb(node) < MEMORY_KB, "needs " + peakMemoryKb(node) + " KB");
         }
     }
 
-    /** A list that there is no room for is told of with its size and the bound, and the one before stays. */
+    /**
+     * A list that there is no room for is told of with its size and the bound, and the one before
+     * stays.
+     */
     @Test
     void aListOverTheBoundLeavesTheOneBeforeInForceAndIsToldOfOnce() throws Exception {
         long size = 1L << 30;
         try (StubServer server = StubServer.obedient();
-             StubServer discovery = new StubServer((request, connection) -> {
-                 connection.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + size
-                     + "\r\n\r\n{").getBytes(StandardCharsets.US_ASCII));
-                 return true;
-             });
-             RunningNode node = RunningNode.ready(folder, new TestConfig()
-                 .knows(host("s-1", server.address(), "in_service")), discovery.address());
-             Client client = node.client()) {
+                StubServer discovery =
+                        new StubServer(
+                                (request, connection) -> {
+                                    connection
+                                            .getOutputStream()
+                                            .write(
+                                                    ("HTTP/1.1 200 OK\r\nContent-Length: "
+                                                                    + size
+                                                                    + "\r\n\r\n{")
+                                                            .getBytes(StandardCharsets.US_ASCII));
+                                    return true;
+                                });
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                                discovery.address());
+                Client client = node.client()) {
             node.awaitLog("the list of " + size + " bytes is over the bound of 12582912 bytes");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
         }
     }
 
     private static long peakMemoryKb(RunningNode node) throws IOException {
-        String resident = Files.readAllLines(Path.of("/proc/" + node.process.pid() + "/status")).stream()
-            .filter(line -> line.startsWith("VmHWM")).findFirst().orElseThrow();
+        String resident =
+                Files.readAllLines(Path.of("/proc/" + node.process.pid() + "/status")).stream()
+                        .filter(line -> line.startsWith("VmHWM"))
+                        .findFirst()
+                        .orElseThrow();
         return Long.parseLong(resident.replaceAll("\\D", ""));
     }
 }
--- a/src/test/java/ottergauge/program/MigrateCommandTest.java
+++ b/src/test/java/ottergauge/program/MigrateCommandTest.java
@@ -19,13 +19,13 @@
 
 class MigrateCommandTest {
 
-    private static final String SHAPE = """
-        {"balancers":98,"zones":["a","b"],"zone":"a","registryMode":"pushed","roundMs":5,
-         "kinds":["m1","m2"],"reporting":{"how":"on_probe","fields":["outstanding"]}}
-        """;
+    private static final String SHAPE =
+            """
+            {"balancers":98,"zones":["a","b"],"zone":"a","registryMode":"pushed","roundMs":5,
+             "kinds":["m1","m2"],"reporting":{"how":"on_probe","fields":["outstanding"]}}
+            """;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
@@ -36,15 +36,27 @@
     private int migrate(String old, String shape, String... more) throws IOException {
         file("old.json", old);
         file("shape.json", shape);
-        return new CommandLine(new Main()).setOut(new PrintWriter(out)).setErr(new PrintWriter(err))
-            .execute(Stream.concat(Stream.of("migrate", folder.resolve("old.json").toString(), "--to",
-                folder.resolve("shape.json").toString(), "--out", folder.resolve("new.json").toString()),
-                Stream.of(more)).toArray(String[]::new));
+        return new CommandLine(new Main())
+                .setOut(new PrintWriter(out))
+                .setErr(new PrintWriter(err))
+                .execute(
+                        Stream.concat(
+                                        Stream.of(
+                                                "migrate",
+                                                folder.resolve("old.json").toString(),
+                                                "--to",
+                                                folder.resolve("shape.json").toString(),
+                                                "--out",
+                                                folder.resolve("new.json").toString()),
+                                        Stream.of(more))
+                                .toArray(String[]::new));
     }
 
     private static String whole() {
-        return new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8500").json()
-            .replaceAll("\"known\":.*\n", "");
+        return new TestConfig()
+                .at("127.0.0.1:3000", "127.0.0.1:8500")
+                .json()
+                .replaceAll("\"known\":.*\n", "");
     }
 
     private List<String> files() throws IOException {
@@ -64,7 +76,8 @@
 
     @Test
     void whatIsLeftOverIsPrintedAndTheExitCodeSaysSo() throws Exception {
-        assertEquals(3, migrate(new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8500").json(), SHAPE));
+        assertEquals(
+                3, migrate(new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8500").json(), SHAPE));
         assertTrue(out.toString().contains("left over: known"), out.toString());
     }
 
@@ -91,8 +104,11 @@
     @Test
     void badInputWritesNothingAndNamesFileAndFault() throws Exception {
         String[][] bad = {
-            {"{", SHAPE, "old.json"}, {whole(), "[]", "shape.json"}, {whole(), "{} {}", "shape.json"},
-            {"{}", SHAPE, "settings"}, {whole(), SHAPE.replace("\"roundMs\":5", "\"roundMs\":-5"), "roundMs"},
+            {"{", SHAPE, "old.json"},
+            {whole(), "[]", "shape.json"},
+            {whole(), "{} {}", "shape.json"},
+            {"{}", SHAPE, "settings"},
+            {whole(), SHAPE.replace("\"roundMs\":5", "\"roundMs\":-5"), "roundMs"},
             {whole().replace("127.0.0.1:3000", "nowhere"), SHAPE, "nowhere"},
             {whole(), SHAPE.replace("\"balancers\":98", "\"balancers\":\"98\""), "balancers"},
             {whole(), SHAPE.replace("\"balancers\":98", "\"balancers\":0,\"me\":-1"), "balancers"},
@@ -103,6 +119,7 @@
             assertTrue(err.toString().contains(each[2]), err.toString());
             assertEquals(List.of("old.json", "shape.json"), files());
         }
-        assertEquals(2, new CommandLine(new Main()).setErr(new PrintWriter(err)).execute("migrate"));
+        assertEquals(
+                2, new CommandLine(new Main()).setErr(new PrintWriter(err)).execute("migrate"));
     }
 }
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -38,20 +38,23 @@
 
     private static final String NOWHERE = "127.0.0.1:1";
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     private RunningNode nodeBefore(StubServer server) throws Exception {
-        return RunningNode.ready(folder, new TestConfig().knows(host("s-1", server.address(), "in_service")),
-            NOWHERE);
+        return RunningNode.ready(
+                folder,
+                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                NOWHERE);
     }
 
     @Test
     void aRequestAndItsAnswerPassUnchangedOverKeptConnections() throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client client = node.client()) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
             for (int i = 0; i < 2; i++) {
-                HttpMessage answer = client.ask(Client.request("pay", "9b1f03aa" + i, "ok&n=1", "amount=7"));
+                HttpMessage answer =
+                        client.ask(Client.request("pay", "9b1f03aa" + i, "ok&n=1", "amount=7"));
                 assertEquals(200, answer.status());
                 assertEquals("served amount=7", answer.body());
                 HttpMessage seen = server.requests.poll(5, TimeUnit.SECONDS);
@@ -64,34 +67,42 @@
             }
             assertTrue(server.ended.isEmpty());
             HttpMessage read =
-                client.ask("GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: read\r\n\r\n");
+                    client.ask(
+                            "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: read\r\n\r\n");
             assertEquals(200, read.status());
             assertNull(server.requests.poll(5, TimeUnit.SECONDS).headers().get("content-length"));
         }
     }
 
-    /** An unsafe request: what may have run is sent once and fails, what never ran may be refused. */
+    /**
+     * An unsafe request: what may have run is sent once and fails, what never ran may be refused.
+     */
     @ParameterizedTest
     @CsvSource({"error,502,once", "break,502,once", "silence,502,once", "busy,503,any"})
     void whatComesBackDecidesTheAnswer(String wish, int status, String sent) throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client client = node.client()) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
             assertEquals(200, client.ask(Client.request("grant", "ok", "")).status());
             assertEquals(status, client.ask(Client.request("grant", wish, "")).status());
             assertEquals(200, client.ask(Client.request("grant", "ok", "")).status());
-            long times = server.requests.stream().filter(r -> r.target().endsWith("do=" + wish)).count();
+            long times =
+                    server.requests.stream().filter(r -> r.target().endsWith("do=" + wish)).count();
             assertTrue(times == 1 || "any".equals(sent), wish + " was sent " + times + " times");
         }
     }
 
     @Test
     void anAttemptGivenUpHasItsConnectionClosed() throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server)) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server)) {
             try (Client client = node.client()) {
                 client.write(Client.request("pay", "silence", ""));
                 assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             }
-            assertNotNull(server.ended.poll(10, TimeUnit.SECONDS), "the client left and nothing was closed");
+            assertNotNull(
+                    server.ended.poll(10, TimeUnit.SECONDS),
+                    "the client left and nothing was closed");
             node.awaitLog("side=server");
             node.awaitLog("code=CANCELLED");
         }
@@ -100,9 +111,13 @@
     @Test
     void noServerMeansARefusal() throws Exception {
         int nobody = RunningNode.freePort();
-        try (RunningNode node = RunningNode.ready(folder,
-                 new TestConfig().knows(host("s-1", "127.0.0.1:" + nobody, "in_service")), NOWHERE);
-             Client client = node.client()) {
+        try (RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig()
+                                        .knows(host("s-1", "127.0.0.1:" + nobody, "in_service")),
+                                NOWHERE);
+                Client client = node.client()) {
             HttpMessage answer = client.ask(Client.request("grant", "ok", ""));
             assertEquals(503, answer.status());
             assertEquals("0.600", answer.headers().get("retry-after"));
@@ -112,31 +127,45 @@
 
     /** Each tilde stands for the end of a line, LARGE for 70,000 characters. */
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "400|NONSENSE~~",
-        "400|GET /api HTTP/1.1~Host: x~~",
-        "400|GET /api HTTP/1.1~Host: x~X-Trace-Id: 1 2~X-Qos: read~~",
-        "400|GET /api?q=\u00e9 HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~~",
-        "400|GET /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~X-Expires-In-Ms: x~~",
-        "505|PRI * HTTP/2.0~~SM~~",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: unheard-of~Content-Length: 0~~",
-        "405|DELETE /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~~",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~Content-Length: 70000~~LARGE",
-        "400|POST /api HTTP/1.1~X-Trace-Id: 1~X-Qos: grant~Content-Length: 4~Transfer-Encoding: chunked~~0~~",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: 2~Content-Length: 3~~abc",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: +3~~abc",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: -3~~abc",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Transfer-Encoding: identity~~",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Transfer-Encoding: gzip, chunked~~0~~",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Trace-Id: 2~X-Qos: grant~Content-Length: 0~~",
-        "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: 0~~NOISE",
-        "400|GET /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~~GET /api HTTP/1.1~Host: x~X-Trace-Id: 2~~",
-        "413|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: 60000000~~",
-        "505|POST /api HTTP/1.0~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: 0~~",
-        "414|GET /LARGE HTTP/1.1~Host: x~~",
-        "431|GET /api HTTP/1.1~Host: LARGE~~"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "400|NONSENSE~~",
+                "400|GET /api HTTP/1.1~Host: x~~",
+                "400|GET /api HTTP/1.1~Host: x~X-Trace-Id: 1 2~X-Qos: read~~",
+                "400|GET /api?q=\u00e9 HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~~",
+                "400|GET /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~X-Expires-In-Ms: x~~",
+                "505|PRI * HTTP/2.0~~SM~~",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: unheard-of~Content-Length:"
+                        + " 0~~",
+                "405|DELETE /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~~",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~Content-Length:"
+                        + " 70000~~LARGE",
+                "400|POST /api HTTP/1.1~X-Trace-Id: 1~X-Qos: grant~Content-Length:"
+                        + " 4~Transfer-Encoding: chunked~~0~~",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length:"
+                        + " 2~Content-Length: 3~~abc",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: +3~~abc",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: -3~~abc",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Transfer-Encoding:"
+                        + " identity~~",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Transfer-Encoding: gzip,"
+                        + " chunked~~0~~",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Trace-Id: 2~X-Qos:"
+                        + " grant~Content-Length: 0~~",
+                "400|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length:"
+                        + " 0~~NOISE",
+                "400|GET /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: read~~GET /api HTTP/1.1~Host:"
+                        + " x~X-Trace-Id: 2~~",
+                "413|POST /api HTTP/1.1~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length:"
+                        + " 60000000~~",
+                "505|POST /api HTTP/1.0~Host: x~X-Trace-Id: 1~X-Qos: grant~Content-Length: 0~~",
+                "414|GET /LARGE HTTP/1.1~Host: x~~",
+                "431|GET /api HTTP/1.1~Host: LARGE~~"
+            })
     void badInputGetsAStatusAndItsConnectionClosed(int status, String request) throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server)) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server)) {
             try (Client client = node.client()) {
                 client.write(request.replace("~", "\r\n").replace("LARGE", "x".repeat(70_000)));
                 assertEquals(status, client.read().status());
@@ -151,10 +180,13 @@
 
     @Test
     void aBodyThatIsNoneEndsItsConnectionAlone() throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client bad = node.client(); Client client = node.client()) {
-            bad.write("POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: read\r\n"
-                + "Transfer-Encoding: chunked\r\n\r\nno size\r\n\r\n");
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client bad = node.client();
+                Client client = node.client()) {
+            bad.write(
+                    "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: read\r\n"
+                            + "Transfer-Encoding: chunked\r\n\r\nno size\r\n\r\n");
             assertEquals(400, bad.read().status());
             assertTrue(bad.atEnd());
             node.awaitLog("code=MALFORMED");
@@ -164,11 +196,17 @@
 
     @Test
     void aServerThatTalksNonsenseIsTakenForOneThatBroke() throws Exception {
-        StubServer server = new StubServer((request, connection) -> {
-            connection.getOutputStream().write("nonsense\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            return true;
-        });
-        try (server; RunningNode node = nodeBefore(server); Client client = node.client()) {
+        StubServer server =
+                new StubServer(
+                        (request, connection) -> {
+                            connection
+                                    .getOutputStream()
+                                    .write("nonsense\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+                            return true;
+                        });
+        try (server;
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
             assertEquals(502, client.ask(Client.request("grant", "ok", "")).status());
             assertNotNull(server.ended.poll(10, TimeUnit.SECONDS));
             node.awaitLog("code=MALFORMED");
@@ -176,48 +214,76 @@
         }
     }
 
-    /** What a server sends for one request, each tilde the end of a line; none of it may be served. */
+    /**
+     * What a server sends for one request, each tilde the end of a line; none of it may be served.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "HTTP/1.1 200 OK~a line without its mark~Content-Length: 2~~ok",
-        "HTTP/1.1 200 OK~Content-Length: 2~Content-Length: 3~~ok",
-        "HTTP/1.1 200 OK~Content-Length: -1~~ok",
-        "HTTP/1.1 200 OK~Content-Length: 2~Transfer-Encoding: chunked~~2~ok~0~~",
-        "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~2~ok~x~~",
-        "HTTP/1.1 200 OK~Transfer-Encoding: identity~~ok",
-        "HTTP/1.1 200 OK~Content-Length: 3000000000~~ok",
-        "HTTP/1.1 200 OK~~ok",
-        "HTTP/1.1 2x0 OK~Content-Length: 2~~ok",
-        "ICY 200 OK~Content-Length: 2~~ok",
-        "HTTP/1.1 101 Switching Protocols~~ok"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK~a line without its mark~Content-Length: 2~~ok",
+                "HTTP/1.1 200 OK~Content-Length: 2~Content-Length: 3~~ok",
+                "HTTP/1.1 200 OK~Content-Length: -1~~ok",
+                "HTTP/1.1 200 OK~Content-Length: 2~Transfer-Encoding: chunked~~2~ok~0~~",
+                "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~2~ok~x~~",
+                "HTTP/1.1 200 OK~Transfer-Encoding: identity~~ok",
+                "HTTP/1.1 200 OK~Content-Length: 3000000000~~ok",
+                "HTTP/1.1 200 OK~~ok",
+                "HTTP/1.1 2x0 OK~Content-Length: 2~~ok",
+                "ICY 200 OK~Content-Length: 2~~ok",
+                "HTTP/1.1 101 Switching Protocols~~ok"
+            })
     void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws Exception {
-        StubServer server = new StubServer((request, connection) -> {
-            connection.getOutputStream()
-                .write(answer.replace("~", "\r\n").getBytes(StandardCharsets.US_ASCII));
-            return true;
-        });
-        try (server; RunningNode node = nodeBefore(server); Client client = node.client()) {
+        StubServer server =
+                new StubServer(
+                        (request, connection) -> {
+                            connection
+                                    .getOutputStream()
+                                    .write(
+                                            answer.replace("~", "\r\n")
+                                                    .getBytes(StandardCharsets.US_ASCII));
+                            return true;
+                        });
+        try (server;
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
             assertEquals(502, client.ask(Client.request("grant", "ok", "")).status());
             assertNotNull(server.ended.poll(10, TimeUnit.SECONDS), "a useless connection was kept");
             assertEquals(1, server.requests.size());
         }
     }
 
-    /** What comes with a good answer: the answer is served, and what came with it reaches nobody. */
+    /**
+     * What comes with a good answer: the answer is served, and what came with it reaches nobody.
+     */
     @ParameterizedTest
-    @ValueSource(strings = {
-        "HTTP/1.1 200 OK~Content-Length: 6~~served|HTTP/1.1 200 OK~Content-Length: 5~~other",
-        "HTTP/1.1 200 OK~Content-Length: 6~~served|noise", "HTTP/1.1 200 OK~Content-Length: 6~~served|"})
+    @ValueSource(
+            strings = {
+                "HTTP/1.1 200 OK~Content-Length: 6~~served|HTTP/1.1 200 OK~Content-Length:"
+                        + " 5~~other",
+                "HTTP/1.1 200 OK~Content-Length: 6~~served|noise",
+                "HTTP/1.1 200 OK~Content-Length: 6~~served|"
+            })
     void whatComesBehindAnAnswerIsNotTheNextOne(String written) throws Exception {
         String[] parts = written.replace("~", "\r\n").split("\\|", -1);
-        StubServer server = new StubServer((request, connection) -> {
-            boolean first = request.target().endsWith("first");
-            connection.getOutputStream().write((first ? parts[0] + parts[1]
-                : "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nsecond")
-                .getBytes(StandardCharsets.US_ASCII));
-            return true;
-        });
-        try (server; RunningNode node = nodeBefore(server); Client client = node.client()) {
+        StubServer server =
+                new StubServer(
+                        (request, connection) -> {
+                            boolean first = request.target().endsWith("first");
+                            connection
+                                    .getOutputStream()
+                                    .write(
+                                            (first
+                                                            ? parts[0] + parts[1]
+                                                            : "HTTP/1.1 102 Processing\r\n\r\n"
+                                                                    + "HTTP/1.1 200 OK\r\n"
+                                                                    + "Content-Length: 6\r\n\r\n"
+                                                                    + "second")
+                                                    .getBytes(StandardCharsets.US_ASCII));
+                            return true;
+                        });
+        try (server;
+                RunningNode node = nodeBefore(server);
+                Client client = node.client()) {
             assertEquals("served", client.ask(Client.request("grant", "first", "")).body());
             for (int i = 0; i < 3; i++) {
                 assertEquals("second", client.ask(Client.request("grant", "next", "")).body());
@@ -229,8 +295,14 @@
     @Test
     void moreConnectionsThanDescriptorsLeaveTheNodeServing() throws Exception {
         List<Client> silent = new ArrayList<>();
-        try (StubServer server = StubServer.obedient(); RunningNode node = RunningNode.ready(folder,
-                 new TestConfig().sockets(100).knows(host("s-1", server.address(), "in_service")), NOWHERE)) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig()
+                                        .sockets(100)
+                                        .knows(host("s-1", server.address(), "in_service")),
+                                NOWHERE)) {
             for (int i = 0; i < 300; i++) {
                 silent.add(node.client());
             }
@@ -247,8 +319,10 @@
 
     @Test
     void clientsThatStopHalfwayHurtNobody() throws Exception {
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client slow = node.client(); Client client = node.client()) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client slow = node.client();
+                Client client = node.client()) {
             try (Client gone = node.client()) {
                 gone.write("POST /api HTTP/1.1\r\nHost: x\r\nContent-Le");
             }
@@ -262,27 +336,58 @@
 
     @Test
     void discoveryIsWatchedAndFollowed() throws Exception {
-        try (StubServer first = StubServer.obedient(); StubServer second = StubServer.obedient()) {
+        try (StubServer first = StubServer.obedient();
+                StubServer second = StubServer.obedient()) {
             CountDownLatch change = new CountDownLatch(1);
-            StubServer discovery = new StubServer((request, connection) -> {
-                if (request.target().contains("after=41&")) {
-                    change.await();
-                    connection.getOutputStream().write(HttpMessage.response(200, "", list(42, false,
-                        host("s-1", first.address(), "terminating"),
-                        host("s-2", second.address(), "in_service"))));
-                }
-                // Later versions do not come: the watch hangs.
-                return true;
-            });
-            try (discovery; RunningNode node = RunningNode.ready(folder, new TestConfig()
-                     .knows(host("s-1", first.address(), "in_service")), discovery.address());
-                 Client client = node.client()) {
+            StubServer discovery =
+                    new StubServer(
+                            (request, connection) -> {
+                                if (request.target().contains("after=41&")) {
+                                    change.await();
+                                    connection
+                                            .getOutputStream()
+                                            .write(
+                                                    HttpMessage.response(
+                                                            200,
+                                                            "",
+                                                            list(
+                                                                    42,
+                                                                    false,
+                                                                    host(
+                                                                            "s-1",
+                                                                            first.address(),
+                                                                            "terminating"),
+                                                                    host(
+                                                                            "s-2",
+                                                                            second.address(),
+                                                                            "in_service"))));
+                                }
+                                // Later versions do not come: the watch hangs.
+                                return true;
+                            });
+            try (discovery;
+                    RunningNode node =
+                            RunningNode.ready(
+                                    folder,
+                                    new TestConfig()
+                                            .knows(host("s-1", first.address(), "in_service")),
+                                    discovery.address());
+                    Client client = node.client()) {
                 assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
                 assertEquals(1, first.requests.size());
                 change.countDown();
-                assertTrue(discovery.requests.poll(10, TimeUnit.SECONDS).target()
-                    .startsWith("/registry/instances?after=41&wait_ms="));
-                assertTrue(discovery.requests.poll(10, TimeUnit.SECONDS).target().contains("after=42&"));
+                assertTrue(
+                        discovery
+                                .requests
+                                .poll(10, TimeUnit.SECONDS)
+                                .target()
+                                .startsWith("/registry/instances?after=41&wait_ms="));
+                assertTrue(
+                        discovery
+                                .requests
+                                .poll(10, TimeUnit.SECONDS)
+                                .target()
+                                .contains("after=42&"));
                 assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
                 assertEquals(1, first.requests.size());
                 assertEquals(1, second.requests.size());
@@ -293,7 +398,9 @@
     @Test
     void aCallThatDiscoveryLeavesHangingIsClosedAndMadeAgain() throws Exception {
         try (StubServer discovery = new StubServer((request, connection) -> true);
-             RunningNode node = RunningNode.ready(folder, new TestConfig().askMs(200), discovery.address())) {
+                RunningNode node =
+                        RunningNode.ready(
+                                folder, new TestConfig().askMs(200), discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.ended.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -304,14 +411,22 @@
 
     @Test
     void discoverysNonsenseIsPassedOverAndAskedAgain() throws Exception {
-        StubServer discovery = new StubServer((request, connection) -> {
-            connection.getOutputStream().write(HttpMessage.response(200, "", "{\"seq\":42"));
-            return true;
-        });
-        try (discovery; StubServer server = StubServer.obedient();
-             RunningNode node = RunningNode.ready(folder, new TestConfig()
-                 .knows(host("s-1", server.address(), "in_service")), discovery.address());
-             Client client = node.client()) {
+        StubServer discovery =
+                new StubServer(
+                        (request, connection) -> {
+                            connection
+                                    .getOutputStream()
+                                    .write(HttpMessage.response(200, "", "{\"seq\":42"));
+                            return true;
+                        });
+        try (discovery;
+                StubServer server = StubServer.obedient();
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                                discovery.address());
+                Client client = node.client()) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
@@ -320,18 +435,35 @@
 
     @Test
     void aHangUpMovesTheWatchToAnotherAddressAndABadFileChangesNothing() throws Exception {
-        try (StubServer first = StubServer.obedient(); StubServer second = StubServer.obedient();
-             StubServer before = new StubServer((request, connection) -> true);
-             StubServer after = new StubServer((request, connection) -> {
-                 if (!request.target().contains("?")) {
-                     connection.getOutputStream().write(HttpMessage.response(200, "", list(1, true,
-                         host("s-2", second.address(), "in_service"))));
-                 }
-                 return true;
-             });
-             RunningNode node = RunningNode.ready(folder, new TestConfig()
-                 .knows(host("s-1", first.address(), "in_service")), before.address());
-             Client client = node.client()) {
+        try (StubServer first = StubServer.obedient();
+                StubServer second = StubServer.obedient();
+                StubServer before = new StubServer((request, connection) -> true);
+                StubServer after =
+                        new StubServer(
+                                (request, connection) -> {
+                                    if (!request.target().contains("?")) {
+                                        connection
+                                                .getOutputStream()
+                                                .write(
+                                                        HttpMessage.response(
+                                                                200,
+                                                                "",
+                                                                list(
+                                                                        1,
+                                                                        true,
+                                                                        host(
+                                                                                "s-2",
+                                                                                second.address(),
+                                                                                "in_service"))));
+                                    }
+                                    return true;
+                                });
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig().knows(host("s-1", first.address(), "in_service")),
+                                before.address());
+                Client client = node.client()) {
             assertNotNull(before.requests.poll(10, TimeUnit.SECONDS));
             node.hangUp("{\"settings\":");
             node.awaitLog("stays in force");
@@ -350,18 +482,27 @@
     @Test
     void aHangUpTakesSettingsOverWithoutARestart() throws Exception {
         String one;
-        try (StubServer server = StubServer.obedient(); RunningNode node = nodeBefore(server);
-             Client client = node.client(); Client other = node.client()) {
+        try (StubServer server = StubServer.obedient();
+                RunningNode node = nodeBefore(server);
+                Client client = node.client();
+                Client other = node.client()) {
             one = host("s-1", server.address(), "in_service");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(400, other.ask(Client.request("audit", "ok", "x")).status());
             TestConfig next = new TestConfig().knows(one).at(node.address(), NOWHERE);
-            node.hangUp(next.classes(TestConfig.requestClass("audit", "single_shot", 1000), TestConfig.READ,
-                TestConfig.requestClass("read", "free", 500)).json());
+            node.hangUp(
+                    next.classes(
+                                    TestConfig.requestClass("audit", "single_shot", 1000),
+                                    TestConfig.READ,
+                                    TestConfig.requestClass("read", "free", 500))
+                            .json());
             node.awaitLog("not read twice");
             assertEquals(200, client.ask(Client.request("pay", "ok", "x")).status());
-            node.hangUp(next.classes(TestConfig.requestClass("audit", "single_shot", 1000), TestConfig.READ)
-                .json());
+            node.hangUp(
+                    next.classes(
+                                    TestConfig.requestClass("audit", "single_shot", 1000),
+                                    TestConfig.READ)
+                            .json());
             node.awaitLog("goes on with other settings, of 2 classes");
             assertEquals(200, client.ask(Client.request("audit", "ok", "x")).status());
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
@@ -375,36 +516,72 @@
         }
     }
 
-    /** The whole way of the move: an old file translated, a node started with it that asks for its list. */
+    /**
+     * The whole way of the move: an old file translated, a node started with it that asks for its
+     * list.
+     */
     @Test
     void aMigratedConfigurationStartsANodeThatAsksThoughItsListIsSaidToBePushed() throws Exception {
-        Path shape = Files.writeString(folder.resolve("shape.json"), """
-            {"balancers":98,"me":3,"zones":["room"],"zone":"room","registryMode":"pushed","roundMs":5,
-             "specifics":{"warmKeys":true},"reporting":{"how":"on_probe","fields":["outstanding"]}}
-            """);
+        Path shape =
+                Files.writeString(
+                        folder.resolve("shape.json"),
+                        """
+                        {"balancers":98,"me":3,"zones":["room"],"zone":"room",
+                        "registryMode":"pushed","roundMs":5,
+                         "specifics":{"warmKeys":true},"reporting":{"how":"on_probe",
+                         "fields":["outstanding"]}}
+                        """);
         try (StubServer server = StubServer.obedient();
-             StubServer discovery = new StubServer((request, connection) -> {
-                 if (!request.target().contains("after=1&")) {
-                     connection.getOutputStream().write(HttpMessage.response(200, "", list(1, true,
-                         host("s-1", server.address(), "in_service"))));
-                 }
-                 return true;
-             })) {
+                StubServer discovery =
+                        new StubServer(
+                                (request, connection) -> {
+                                    if (!request.target().contains("after=1&")) {
+                                        connection
+                                                .getOutputStream()
+                                                .write(
+                                                        HttpMessage.response(
+                                                                200,
+                                                                "",
+                                                                list(
+                                                                        1,
+                                                                        true,
+                                                                        host(
+                                                                                "s-1",
+                                                                                server.address(),
+                                                                                "in_service"))));
+                                    }
+                                    return true;
+                                })) {
             int port = RunningNode.freePort();
-            Path old = Files.writeString(folder.resolve("old.json"), new TestConfig()
-                .knows(host("gone", NOWHERE, "in_service"))
-                .at("127.0.0.1:" + port, discovery.address()).json());
+            Path old =
+                    Files.writeString(
+                            folder.resolve("old.json"),
+                            new TestConfig()
+                                    .knows(host("gone", NOWHERE, "in_service"))
+                                    .at("127.0.0.1:" + port, discovery.address())
+                                    .json());
             Path migrated = folder.resolve("new.json");
-            assertEquals(3, new CommandLine(new Main()).setOut(new PrintWriter(new StringWriter()))
-                .execute("migrate", old.toString(), "--to", shape.toString(), "--out", migrated.toString()));
+            assertEquals(
+                    3,
+                    new CommandLine(new Main())
+                            .setOut(new PrintWriter(new StringWriter()))
+                            .execute(
+                                    "migrate",
+                                    old.toString(),
+                                    "--to",
+                                    shape.toString(),
+                                    "--out",
+                                    migrated.toString()));
             try (RunningNode node = RunningNode.start(folder, Files.readString(migrated), port)) {
-                node.await("served", () -> {
-                    try (Client client = node.client()) {
-                        return client.ask(Client.request("read", "ok", "")).status() == 200;
-                    } catch (IOException e) {
-                        return false;
-                    }
-                });
+                node.await(
+                        "served",
+                        () -> {
+                            try (Client client = node.client()) {
+                                return client.ask(Client.request("read", "ok", "")).status() == 200;
+                            } catch (IOException e) {
+                                return false;
+                            }
+                        });
                 String good = Files.readString(migrated);
                 node.hangUp(good.replaceAll("\"roundMs\" : 5", "\"roundMs\" : \"five\""));
                 node.awaitLog("roundMs");
@@ -417,11 +594,20 @@
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"\"roundMs\":-1", "\"roundMs\":\"5\"", "\"roundMs\":1e9",
-        "\"specifics\":{\"warmKeys\":1}", "\"penalties\":{\"probe\":-2}"})
+    @ValueSource(
+            strings = {
+                "\"roundMs\":-1",
+                "\"roundMs\":\"5\"",
+                "\"roundMs\":1e9",
+                "\"specifics\":{\"warmKeys\":1}",
+                "\"penalties\":{\"probe\":-2}"
+            })
     void aBadSettingEndsTheStartWithItsKeyNamed(String bad) throws Exception {
-        String config = new TestConfig().json().replace("\"settings\":{", "\"settings\":{" + bad + ",")
-            .replace("\"penalties\":{\"probe\":0.002},", "");
+        String config =
+                new TestConfig()
+                        .json()
+                        .replace("\"settings\":{", "\"settings\":{" + bad + ",")
+                        .replace("\"penalties\":{\"probe\":0.002},", "");
         try (RunningNode node = RunningNode.start(folder, config, 1)) {
             assertEquals(1, node.exitCode());
             String key = bad.replaceAll("\"[^\"]*\":\\{", "").replaceAll("^\"|\".*", "");
@@ -432,27 +618,37 @@
     @Test
     void aNodeToldToStopAnswersWhatItHasTakenAndEnds() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
-        StubServer server = new StubServer((request, connection) -> {
-            if (request.target().endsWith("wait")) {
-                release.await();
-            }
-            connection.getOutputStream().write(HttpMessage.response(200, "", "served"));
-            return true;
-        });
-        try (server; RunningNode node = nodeBefore(server); Client idle = node.client();
-             Client waiting = node.client()) {
+        StubServer server =
+                new StubServer(
+                        (request, connection) -> {
+                            if (request.target().endsWith("wait")) {
+                                release.await();
+                            }
+                            connection
+                                    .getOutputStream()
+                                    .write(HttpMessage.response(200, "", "served"));
+                            return true;
+                        });
+        try (server;
+                RunningNode node = nodeBefore(server);
+                Client idle = node.client();
+                Client waiting = node.client()) {
             assertEquals(200, idle.ask(Client.request("read", "ok", "")).status());
             waiting.write(Client.request("grant", "wait", ""));
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             node.process.toHandle().destroy();
-            node.await("not ready", () -> {
-                try (Client client = node.client()) {
-                    return client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 503;
-                } catch (java.io.IOException e) {
-                    return false;
-                }
-            });
+            node.await(
+                    "not ready",
+                    () -> {
+                        try (Client client = node.client()) {
+                            return client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                                            .status()
+                                    == 503;
+                        } catch (java.io.IOException e) {
+                            return false;
+                        }
+                    });
             try (Client late = node.client()) {
                 HttpMessage answer = late.ask(Client.request("read", "ok", ""));
                 assertEquals(200, answer.status());
@@ -500,7 +696,10 @@
         }
     }
 
-    /** Guards against a node that never reloads and says nothing: nohup hands down an ignored SIGHUP. */
+    /**
+     * Guards against a node that never reloads and says nothing: nohup hands down an ignored
+     * SIGHUP.
+     */
     @Test
     void anIgnoredHangUpIsToldOfAtTheStart() throws Exception {
         int port = RunningNode.freePort();
--- a/src/test/java/ottergauge/program/RunningNode.java
+++ b/src/test/java/ottergauge/program/RunningNode.java
@@ -21,7 +21,10 @@
 import java.util.stream.Stream;
 import ottergauge.protocol.TestConfig;
 
-/** The program, started by the line {@code run} of deploy/balancer.toml, with its log kept in a file. */
+/**
+ * The program, started by the line {@code run} of deploy/balancer.toml, with its log kept in a
+ * file.
+ */
 final class RunningNode implements AutoCloseable {
 
     private static final long PATIENCE_S = 30;
@@ -52,16 +55,20 @@
     }
 
     /** The same at a port that another process of this node may share. */
-    static RunningNode ready(Path folder, TestConfig config, String discovery, int port) throws Exception {
+    static RunningNode ready(Path folder, TestConfig config, String discovery, int port)
+            throws Exception {
         RunningNode node = start(folder, config.at("127.0.0.1:" + port, discovery).json(), port);
         node.awaitLog("listens on");
-        node.await("ready", () -> {
-            try (Client client = node.client()) {
-                return client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        node.await(
+                "ready",
+                () -> {
+                    try (Client client = node.client()) {
+                        return client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status()
+                                == 200;
+                    } catch (IOException e) {
+                        return false;
+                    }
+                });
         return node;
     }
 
@@ -83,7 +90,7 @@
 
     /** Starts a node by a shell that runs this first. */
     static RunningNode startAfter(String first, Path folder, String config, int port)
-        throws IOException {
+            throws IOException {
         return start(first, folder, Files.writeString(folder.resolve("config.json"), config), port);
     }
 
@@ -91,15 +98,19 @@
         return start("", folder, file, port);
     }
 
-    private static RunningNode start(String first, Path folder, Path file, int port) throws IOException {
+    private static RunningNode start(String first, Path folder, Path file, int port)
+            throws IOException {
         Path log = folder.resolve("log-" + START.incrementAndGet());
-        Matcher run = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
-            .matcher(Files.readString(Path.of("deploy/balancer.toml")));
+        Matcher run =
+                Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
+                        .matcher(Files.readString(Path.of("deploy/balancer.toml")));
         if (!run.find()) {
             return fail("no run line");
         }
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", first + run.group(1))
-            .redirectErrorStream(true).redirectOutput(log.toFile());
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", first + run.group(1))
+                        .redirectErrorStream(true)
+                        .redirectOutput(log.toFile());
         builder.environment().put("BALANCER_CONFIG", file.toString());
         // Of the node and not of the process, as the platform has it.
         builder.environment().put("TMPDIR", folder.toString());
@@ -147,13 +158,15 @@
     void standStill() throws Exception {
         signal("STOP");
         Path tasks = Path.of("/proc", Long.toString(process.pid()), "task");
-        await("stopped", () -> {
-            try (Stream<Path> each = Files.list(tasks)) {
-                return each.allMatch(RunningNode::isStopped);
-            } catch (IOException e) {
-                return false;
-            }
-        });
+        await(
+                "stopped",
+                () -> {
+                    try (Stream<Path> each = Files.list(tasks)) {
+                        return each.allMatch(RunningNode::isStopped);
+                    } catch (IOException e) {
+                        return false;
+                    }
+                });
     }
 
     private static boolean isStopped(Path task) {
@@ -214,11 +227,23 @@
         }
 
         static String request(String requestClass, String id, String wish, String body) {
-            String head = " /api?do=" + wish + " HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: " + id
-                + "\r\nX-Qos: " + requestClass + "\r\nX-Expires-In-Ms: 900\r\n";
-            return "read".equals(requestClass) ? "GET" + head + "\r\n"
-                : "POST" + head + ("pay".equals(requestClass) ? "Idempotency-Key: 5c0f\r\n" : "")
-                + "Content-Length: " + body.length() + "\r\n\r\n" + body;
+            String head =
+                    " /api?do="
+                            + wish
+                            + " HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
+                            + id
+                            + "\r\nX-Qos: "
+                            + requestClass
+                            + "\r\nX-Expires-In-Ms: 900\r\n";
+            return "read".equals(requestClass)
+                    ? "GET" + head + "\r\n"
+                    : "POST"
+                            + head
+                            + ("pay".equals(requestClass) ? "Idempotency-Key: 5c0f\r\n" : "")
+                            + "Content-Length: "
+                            + body.length()
+                            + "\r\n\r\n"
+                            + body;
         }
 
         boolean atEnd() throws IOException {
--- a/src/test/java/ottergauge/program/StallIT.java
+++ b/src/test/java/ottergauge/program/StallIT.java
@@ -22,19 +22,22 @@
     // As RunningNode.Client.request has it, and a tenth more.
     private static final long REQUEST_OVER_MS = 1_000;
 
-    @TempDir
-    private Path folder;
+    @TempDir private Path folder;
 
     /**
-     * Guards against a request whose time ran out while the node stood still being taken for a new one: sent
-     * on and waited for once more, it was answered a whole deadline late, which the operators count as lost.
+     * Guards against a request whose time ran out while the node stood still being taken for a new
+     * one: sent on and waited for once more, it was answered a whole deadline late, which the
+     * operators count as lost.
      */
     @Test
     void whatCameWhileTheNodeStoodStillIsJudgedByWhenItCame() throws Exception {
         try (StubServer server = StubServer.obedient();
-             RunningNode node = RunningNode.ready(folder,
-                 new TestConfig().knows(host("s-1", server.address(), "in_service")), "127.0.0.1:1");
-             Client known = node.client()) {
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                                "127.0.0.1:1");
+                Client known = node.client()) {
             assertEquals(200, known.ask(Client.request("grant", "ok", "")).status());
             server.requests.clear();
             node.standStill();
@@ -52,16 +55,19 @@
     }
 
     /**
-     * Guards against a node that goes by its clock before it reads: continued, it closed as idle what a
-     * request had come on meanwhile, and gave up attempts whose answers were there.
+     * Guards against a node that goes by its clock before it reads: continued, it closed as idle
+     * what a request had come on meanwhile, and gave up attempts whose answers were there.
      */
     @Test
     void whatCameWhileTheNodeStoodStillIsReadBeforeTimeIsUp() throws Exception {
         CountDownLatch answered = new CountDownLatch(1);
         try (StubServer server = StubServer.obedient(answered);
-             RunningNode node = RunningNode.ready(folder,
-                 new TestConfig().knows(host("s-1", server.address(), "in_service")), "127.0.0.1:1");
-             Client idle = node.client()) {
+                RunningNode node =
+                        RunningNode.ready(
+                                folder,
+                                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                                "127.0.0.1:1");
+                Client idle = node.client()) {
             assertEquals(200, idle.ask(Client.request("grant", "ok", "")).status());
             // Idle connections are closed after five seconds.
             park(4_400);
--- a/src/test/java/ottergauge/program/StubServer.java
+++ b/src/test/java/ottergauge/program/StubServer.java
@@ -9,17 +9,22 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Stands in for a server or for discovery: does with each connection's requests what the test says. */
+/**
+ * Stands in for a server or for discovery: does with each connection's requests what the test says.
+ */
 final class StubServer implements AutoCloseable {
 
     /** What to do with a request; the connection goes on if it gives true. */
     interface Behaviour {
-        boolean answer(HttpMessage request, Socket connection) throws IOException, InterruptedException;
+        boolean answer(HttpMessage request, Socket connection)
+                throws IOException, InterruptedException;
     }
 
     final BlockingQueue<HttpMessage> requests = new LinkedBlockingQueue<>();
+
     /** Gets an entry each time that the node ends a connection. */
     final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+
     private final ServerSocket listener;
     private final Behaviour behaviour;
 
@@ -40,22 +45,32 @@
 
     /** The same; "late" is answered once the latch is down. */
     static StubServer obedient(CountDownLatch late) throws IOException {
-        return new StubServer((request, connection) -> {
-            String wish = request.target().replaceAll(".*do=", "");
-            if ("late".equals(wish)) {
-                late.await();
-            }
-            switch (wish) {
-                case "error" -> connection.getOutputStream().write(HttpMessage.response(500, "", "no"));
-                case "busy" -> connection.getOutputStream()
-                    .write(HttpMessage.response(503, "X-Never-Ran: 1\r\n", ""));
-                case "break" -> connection.close();
-                case "silence" -> { }
-                default -> connection.getOutputStream()
-                    .write(HttpMessage.response(200, "", "served " + request.body()));
-            }
-            return !connection.isClosed();
-        });
+        return new StubServer(
+                (request, connection) -> {
+                    String wish = request.target().replaceAll(".*do=", "");
+                    if ("late".equals(wish)) {
+                        late.await();
+                    }
+                    switch (wish) {
+                        case "error" ->
+                                connection
+                                        .getOutputStream()
+                                        .write(HttpMessage.response(500, "", "no"));
+                        case "busy" ->
+                                connection
+                                        .getOutputStream()
+                                        .write(HttpMessage.response(503, "X-Never-Ran: 1\r\n", ""));
+                        case "break" -> connection.close();
+                        case "silence" -> {}
+                        default ->
+                                connection
+                                        .getOutputStream()
+                                        .write(
+                                                HttpMessage.response(
+                                                        200, "", "served " + request.body()));
+                    }
+                    return !connection.isClosed();
+                });
     }
 
     String address() {
--- a/src/test/java/ottergauge/protocol/CodecsTest.java
+++ b/src/test/java/ottergauge/protocol/CodecsTest.java
@@ -25,10 +25,19 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"200,false,SERVED", "200,true,SERVED", "500,false,ERROR", "500,true,ERROR",
-        "503,true,REJECTED", "504,true,REJECTED", "503,false,ERROR", "504,false,ERROR",
-        "404,false,ERROR", "204,false,ERROR",
-        "302,true,ERROR"})
+    @CsvSource({
+        "200,false,SERVED",
+        "200,true,SERVED",
+        "500,false,ERROR",
+        "500,true,ERROR",
+        "503,true,REJECTED",
+        "504,true,REJECTED",
+        "503,false,ERROR",
+        "504,false,ERROR",
+        "404,false,ERROR",
+        "204,false,ERROR",
+        "302,true,ERROR"
+    })
     void onlyMarked503And504ProveThatNothingRan(int status, boolean neverRan, Result expected) {
         assertEquals(expected, Outcomes.of(status, neverRan));
     }
@@ -37,23 +46,47 @@
     void aLoadReportIsReadUnderEitherSpellingOfItsFields() {
         LoadReport expected = new LoadReport(7, 2, 0.61, Double.NaN, Double.NaN);
         assertEquals(expected, LoadReports.read("TEXT inflight=7, queue=2, util=0.61"));
-        assertEquals(expected, LoadReports.read("TEXT outstanding=7,backlog=2, x0=9, utilization=0.61"));
+        assertEquals(
+                expected, LoadReports.read("TEXT outstanding=7,backlog=2, x0=9, utilization=0.61"));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "TEXT", "TEXT inflight", "TEXT inflight=many", "TEXT inflight=-1",
-        "TEXT inflight=Infinity",
-        "TEXT inflight=3, util", "TEXT inflight=1e300",
-        "TEXT ?", "TEXT =,=", "JSON {\"inflight\":7}", "inflight=7"})
+    @ValueSource(
+            strings = {
+                "",
+                "TEXT",
+                "TEXT inflight",
+                "TEXT inflight=many",
+                "TEXT inflight=-1",
+                "TEXT inflight=Infinity",
+                "TEXT inflight=3, util",
+                "TEXT inflight=1e300",
+                "TEXT ?",
+                "TEXT =,=",
+                "JSON {\"inflight\":7}",
+                "inflight=7"
+            })
     void whatIsNoReportSaysNothing(String text) {
         assertEquals(LoadReport.NONE, LoadReports.read(text));
     }
 
     @Test
     void aRequestsFieldsAreReadAndItsTimeIsBounded() throws ProtocolException {
-        Map<String, String> headers = Map.of("X-Trace-Id", "9b1f", "X-Qos", "pay", "X-Expires-In-Ms", "480",
-            "X-Second-Try", "1", "Idempotency-Key", "5c0f");
-        assertEquals(new RequestFields("9b1f", "pay", 480, true, "5c0f"), RequestFields.read(headers::get));
+        Map<String, String> headers =
+                Map.of(
+                        "X-Trace-Id",
+                        "9b1f",
+                        "X-Qos",
+                        "pay",
+                        "X-Expires-In-Ms",
+                        "480",
+                        "X-Second-Try",
+                        "1",
+                        "Idempotency-Key",
+                        "5c0f");
+        assertEquals(
+                new RequestFields("9b1f", "pay", 480, true, "5c0f"),
+                RequestFields.read(headers::get));
         RequestFields bare = RequestFields.read(Map.of("X-Trace-Id", "9b1f", "X-Qos", "pay")::get);
         assertEquals(-1, bare.expiresInMs());
         assertNull(bare.idempotencyKey());
@@ -63,42 +96,74 @@
 
     private static long expiry(String text) throws ProtocolException {
         return RequestFields.read(
-            Map.of("X-Trace-Id", "9b1f", "X-Qos", "pay", "X-Expires-In-Ms", text)::get).expiresInMs();
+                        Map.of("X-Trace-Id", "9b1f", "X-Qos", "pay", "X-Expires-In-Ms", text)::get)
+                .expiresInMs();
     }
 
     @Test
     void aRequestWithoutAnIdOrClassOrWithNoNumberForItsTimeIsRefused() {
-        assertThrows(ProtocolException.class, () -> RequestFields.read(Map.of("X-Qos", "pay")::get));
-        assertThrows(ProtocolException.class, () -> RequestFields.read(Map.of("X-Trace-Id", "9b1f")::get));
-        for (String text : List.of("soon", "", "-5", "+5", "4.5", "1e3", "0x10", "99999999999999999999")) {
+        assertThrows(
+                ProtocolException.class, () -> RequestFields.read(Map.of("X-Qos", "pay")::get));
+        assertThrows(
+                ProtocolException.class,
+                () -> RequestFields.read(Map.of("X-Trace-Id", "9b1f")::get));
+        for (String text :
+                List.of("soon", "", "-5", "+5", "4.5", "1e3", "0x10", "99999999999999999999")) {
             assertThrows(ProtocolException.class, () -> expiry(text), text);
         }
     }
 
     @Test
     void aListIsReadWithItsServers() throws ProtocolException {
-        HostList list = HostList.read(bytes(TestConfig.list(43, false,
-            TestConfig.host("s-1", "10.1.0.18:3000", "terminating"))));
+        HostList list =
+                HostList.read(
+                        bytes(
+                                TestConfig.list(
+                                        43,
+                                        false,
+                                        TestConfig.host("s-1", "10.1.0.18:3000", "terminating"))));
         assertEquals(43, list.seq());
-        assertEquals(new HostList.Host("s-1", new Address("10.1.0.18", 3000), "a", "m2", 3,
-            ServerState.DRAINING, 1.0, 0), list.hosts().get(0));
+        assertEquals(
+                new HostList.Host(
+                        "s-1",
+                        new Address("10.1.0.18", 3000),
+                        "a",
+                        "m2",
+                        3,
+                        ServerState.DRAINING,
+                        1.0,
+                        0),
+                list.hosts().get(0));
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"", "[]", "{\"seq\":1", "{\"seq\":1}", "{\"hosts\":[]}",
-        "{\"seq\":-1,\"hosts\":[]}", "{\"seq\":1e300,\"hosts\":[]}", "{\"seq\":1,\"hosts\":[]}{\"seq\":2}",
-        "{\"seq\":1,\"hosts\":[7]}", "{\"seq\":1,\"hosts\":[{}]}",
-        "{\"seq\":1,\"hosts\":[{\"host\":\"s\",\"dial\":\"nowhere\",\"health\":\"in_service\"}]}",
-        "{\"seq\":1,\"hosts\":[{\"host\":\"s\",\"dial\":\"10.0.0.1:99999\",\"health\":\"in_service\"}]}",
-        "{\"seq\":1,\"hosts\":[{\"host\":\"s\",\"dial\":\"10.0.0.1:80\",\"health\":\"fine\"}]}"})
+    @ValueSource(
+            strings = {
+                "",
+                "[]",
+                "{\"seq\":1",
+                "{\"seq\":1}",
+                "{\"hosts\":[]}",
+                "{\"seq\":-1,\"hosts\":[]}",
+                "{\"seq\":1e300,\"hosts\":[]}",
+                "{\"seq\":1,\"hosts\":[]}{\"seq\":2}",
+                "{\"seq\":1,\"hosts\":[7]}",
+                "{\"seq\":1,\"hosts\":[{}]}",
+                "{\"seq\":1,\"hosts\":[{\"host\":\"s\",\"dial\":\"nowhere\",\"health\":\"in_service\"}]}",
+                "{\"seq\":1,\"hosts\":[{\"host\":\"s\",\"dial\":\"10.0.0.1:99999\","
+                        + "\"health\":\"in_service\"}]}",
+                "{\"seq\":1,\"hosts\":[{\"host\":\"s\",\"dial\":\"10.0.0.1:80\",\"health\":\"fine\"}]}"
+            })
     void whatIsNoListIsRefusedWhole(String text) {
         assertThrows(ProtocolException.class, () -> HostList.read(bytes(text)));
     }
 
     @Test
     void theConfigurationCarriesSettingsAndTheNodesOwnFigures() {
-        NodeConfig config = new TestConfig()
-            .knows(TestConfig.host("s-1", "10.1.0.18:3000", "in_service")).build();
+        NodeConfig config =
+                new TestConfig()
+                        .knows(TestConfig.host("s-1", "10.1.0.18:3000", "in_service"))
+                        .build();
         assertEquals("n1", config.name());
         assertEquals(new Address("127.0.0.1", 3000), config.listen());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
@@ -118,7 +183,8 @@
     @Test
     void theMessageSaysWhatIsWrong() {
         String bad = new TestConfig().at("nowhere", "127.0.0.1:1").json();
-        ProtocolException e = assertThrows(ProtocolException.class, () -> NodeConfig.read(bytes(bad)));
+        ProtocolException e =
+                assertThrows(ProtocolException.class, () -> NodeConfig.read(bytes(bad)));
         assertTrue(e.getMessage().contains("nowhere"), e.getMessage());
     }
 }
--- a/src/test/java/ottergauge/protocol/NodeSettingsTest.java
+++ b/src/test/java/ottergauge/protocol/NodeSettingsTest.java
@@ -16,8 +16,9 @@
 class NodeSettingsTest {
 
     private static NodeSettings of(String... classes) throws ProtocolException {
-        return NodeConfig.read(new TestConfig().classes(classes).json().getBytes(StandardCharsets.UTF_8))
-            .nodeSettings();
+        return NodeConfig.read(
+                        new TestConfig().classes(classes).json().getBytes(StandardCharsets.UTF_8))
+                .nodeSettings();
     }
 
     private static String fault(String... classes) {
@@ -25,8 +26,9 @@
     }
 
     private static String[] many(int count) {
-        return IntStream.range(0, count).mapToObj(i -> requestClass("c" + i, "free", 1000))
-            .toArray(String[]::new);
+        return IntStream.range(0, count)
+                .mapToObj(i -> requestClass("c" + i, "free", 1000))
+                .toArray(String[]::new);
     }
 
     @Test
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -10,8 +10,10 @@
 
     /** The classes that settings name unless others are given. */
     public static final String READ = requestClass("read", "free", 1000);
-    public static final String PAY = requestClass("pay", "guarded", 1000).replace("}",
-        ",\"group\":\"zone\",\"windowMs\":800.0}");
+
+    public static final String PAY =
+            requestClass("pay", "guarded", 1000)
+                    .replace("}", ",\"group\":\"zone\",\"windowMs\":800.0}");
     public static final String GRANT = requestClass("grant", "single_shot", 1000);
 
     private final List<String> hosts = new ArrayList<>();
@@ -33,16 +35,18 @@
     /** One entry of a list. */
     public static String host(String name, String dial, String health) {
         return """
-            {"host":"%s","dial":"%s","site":"a","class":"m2","block":3,"health":"%s",
-             "share":1.0,"born_ms":0}"""
-            .formatted(name, dial, health);
+        {"host":"%s","dial":"%s","site":"a","class":"m2","block":3,"health":"%s",
+         "share":1.0,"born_ms":0}\
+        """
+                .formatted(name, dial, health);
     }
 
     /** A class whose clients wait for so long, as settings name it. */
     public static String requestClass(String name, String semantics, long limitMs) {
         return """
-            {"name":"%s","semantics":"%s","aimMs":800.0,"hardLimitMs":%d.0,"value":1.0}"""
-            .formatted(name, semantics, limitMs);
+        {"name":"%s","semantics":"%s","aimMs":800.0,"hardLimitMs":%d.0,"value":1.0}\
+        """
+                .formatted(name, semantics, limitMs);
     }
 
     /** One entry of a list, of a server that started at this Unix time. */
@@ -52,7 +56,8 @@
 
     /** A list as discovery answers it. */
     public static String list(long seq, boolean whole, String... entries) {
-        return "{\"seq\":%d,\"whole\":%b,\"hosts\":[%s]}".formatted(seq, whole, String.join(",", entries));
+        return "{\"seq\":%d,\"whole\":%b,\"hosts\":[%s]}"
+                .formatted(seq, whole, String.join(",", entries));
     }
 
     public TestConfig knows(String... entries) {
@@ -134,24 +139,37 @@
 
     public String json() {
         return """
-            {"name":"n1","listen":"%s","discovery":"%s",%s"seed":"8c1f30d27a5be964",
-             "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
-             "known":%s,
-             "settings":{"me":%d,"balancers":%d,"zone":"a","zones":[%s],"kinds":["m1","m2"],
-              "registryMode":"on_request","clients":{"marksRetry":true},
-              "reporting":{"how":"%s","fields":["outstanding"]},
-              "ceilings":{"probes":%b,"cancel":%b,"retryAfter":true,"maxAttempts":%d,
-               "maxRetryAfterMs":600.0,"connectTimeoutMs":200.0,"connIdleMs":%d},
-              "rules":{"answerSlackMs":5.0,"stopSendingWithinMs":250.0,"coldFrom":0.3,"coldMs":9000.0,
-               "tipMultiple":3.0,"fallMs":1000.0,"mustAskInMs":%d},
-              "penalties":{"probe":%s},
-              "classes":[%s],
-              "parties":[]}}
-            """.formatted(listen, discovery,
-            management == null ? "" : "\"management\":\"" + management + "\",", sockets,
-            list(41, true, hosts.toArray(new String[0])),
-            me, nodes, zones, probes ? "inline" : "off", probes, cancel, maxAttempts, idleMs, askMs,
-            probePrice, String.join(",", classes));
+        {"name":"n1","listen":"%s","discovery":"%s",%s"seed":"8c1f30d27a5be964",
+         "limits":{"cores":1.0,"memory_mb":192,"sockets":%d},
+         "known":%s,
+         "settings":{"me":%d,"balancers":%d,"zone":"a","zones":[%s],"kinds":["m1","m2"],
+          "registryMode":"on_request","clients":{"marksRetry":true},
+          "reporting":{"how":"%s","fields":["outstanding"]},
+          "ceilings":{"probes":%b,"cancel":%b,"retryAfter":true,"maxAttempts":%d,
+           "maxRetryAfterMs":600.0,"connectTimeoutMs":200.0,"connIdleMs":%d},
+          "rules":{"answerSlackMs":5.0,"stopSendingWithinMs":250.0,"coldFrom":0.3,"coldMs":9000.0,
+           "tipMultiple":3.0,"fallMs":1000.0,"mustAskInMs":%d},
+          "penalties":{"probe":%s},
+          "classes":[%s],
+          "parties":[]}}
+        """
+                .formatted(
+                        listen,
+                        discovery,
+                        management == null ? "" : "\"management\":\"" + management + "\",",
+                        sockets,
+                        list(41, true, hosts.toArray(new String[0])),
+                        me,
+                        nodes,
+                        zones,
+                        probes ? "inline" : "off",
+                        probes,
+                        cancel,
+                        maxAttempts,
+                        idleMs,
+                        askMs,
+                        probePrice,
+                        String.join(",", classes));
     }
 
     public NodeConfig build() {
--- a/src/test/java/ottergauge/replica/ControlOrderTest.java
+++ b/src/test/java/ottergauge/replica/ControlOrderTest.java
@@ -43,13 +43,16 @@
             ControlOrder order = new ControlOrder("n" + i, "a", addresses("a", "b", "c", "d"));
             order.next();
             seconds.merge(order.current(), 1, Integer::sum);
-            firsts.merge(new ControlOrder("n" + i, "a", addresses("a", "a", "a", "a")).current(), 1,
-                Integer::sum);
+            firsts.merge(
+                    new ControlOrder("n" + i, "a", addresses("a", "a", "a", "a")).current(),
+                    1,
+                    Integer::sum);
         }
         assertEquals(4, firsts.size());
         firsts.values().forEach(nodes -> assertTrue(nodes > 140 && nodes < 250, firsts.toString()));
         assertEquals(3, seconds.size());
-        seconds.values().forEach(nodes -> assertTrue(nodes > 200 && nodes < 320, seconds.toString()));
+        seconds.values()
+                .forEach(nodes -> assertTrue(nodes > 200 && nodes < 320, seconds.toString()));
     }
 
     @Test
--- a/src/test/java/ottergauge/replica/ModelChanges.java
+++ b/src/test/java/ottergauge/replica/ModelChanges.java
@@ -16,18 +16,21 @@
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.ResourceValue;
 
-/** Draws changes of few resources, so that they often touch the same ones, and take each other back. */
+/**
+ * Draws changes of few resources, so that they often touch the same ones, and take each other back.
+ */
 final class ModelChanges {
 
     private static final int NAMES = 4;
     private static final int VALUES = 3;
     private static final int MOST_ENTRIES = 4;
+
     /** One in so many changes deletes what it touches. */
     private static final int DELETES = 3;
+
     private static final double BAD_WEIGHT = -1;
 
-    private ModelChanges() {
-    }
+    private ModelChanges() {}
 
     /** Appends a change to a log; {@code bad} gives it a value that every reader refuses. */
     static void append(ModelLog log, SplittableRandom random, boolean bad) {
@@ -78,8 +81,18 @@
         String service = service(key.name().charAt(key.name().length() - 1));
         return switch (key.kind()) {
             case SERVICE -> new ResourceValue.Service("description " + value);
-            case SERVER -> new ResourceValue.Server(service, new Host(key.name(),
-                new Address("10.0.0.1", 1 + value), null, null, 0, ServerState.UP, 1, 0));
+            case SERVER ->
+                    new ResourceValue.Server(
+                            service,
+                            new Host(
+                                    key.name(),
+                                    new Address("10.0.0.1", 1 + value),
+                                    null,
+                                    null,
+                                    0,
+                                    ServerState.UP,
+                                    1,
+                                    0));
             case ROUTE -> new ResourceValue.Route(service, "/" + value, "class");
             case TENANT -> new ResourceValue.Tenant(value, 0, 0, 1);
             case SETTINGS -> settings(value);
--- a/src/test/java/ottergauge/replica/ModelLog.java
+++ b/src/test/java/ottergauge/replica/ModelLog.java
@@ -15,7 +15,10 @@
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
 
-/** A log of changes and what its control processes answer, by the plainest means: a fold of all changes. */
+/**
+ * A log of changes and what its control processes answer, by the plainest means: a fold of all
+ * changes.
+ */
 final class ModelLog {
 
     private final String id;
@@ -43,8 +46,13 @@
         Map<ResourceKey, Resource> state = new TreeMap<>();
         for (Change change : changes.subList(0, (int) version)) {
             if (!skipBad || ResourceChecks.fault(change).isEmpty()) {
-                change.puts().forEach(put ->
-                    state.put(put.key(), new Resource(put.key(), change.version(), put.value())));
+                change.puts()
+                        .forEach(
+                                put ->
+                                        state.put(
+                                                put.key(),
+                                                new Resource(
+                                                        put.key(), change.version(), put.value())));
                 change.deletes().forEach(delete -> state.remove(delete.key()));
             }
         }
@@ -83,25 +91,40 @@
     }
 
     private static Optional<Change> followed(Change change, Subscription subscription) {
-        List<Change.Put> puts = change.puts().stream()
-            .filter(put -> subscription.follows(put.key(), put.value().service())).toList();
-        List<Change.Delete> deletes = change.deletes().stream()
-            .filter(delete -> subscription.follows(delete.key(), delete.service())).toList();
-        return puts.isEmpty() && deletes.isEmpty() ? Optional.empty()
-            : Optional.of(new Change(change.version(), puts, deletes));
+        List<Change.Put> puts =
+                change.puts().stream()
+                        .filter(put -> subscription.follows(put.key(), put.value().service()))
+                        .toList();
+        List<Change.Delete> deletes =
+                change.deletes().stream()
+                        .filter(delete -> subscription.follows(delete.key(), delete.service()))
+                        .toList();
+        return puts.isEmpty() && deletes.isEmpty()
+                ? Optional.empty()
+                : Optional.of(new Change(change.version(), puts, deletes));
     }
 
-    /** Whether a process that has reached a version has anything for a subscription after another. */
+    /**
+     * Whether a process that has reached a version has anything for a subscription after another.
+     */
     boolean hasNews(long after, long reached, Subscription subscription) {
         return !changes(after, reached, subscription, 1).changes().isEmpty();
     }
 
-    /** A page of the state that a process has which has reached a version: so many resources at the most. */
-    SnapshotPage snapshot(Optional<ResourceKey> from, long reached, Subscription subscription, int most) {
-        List<Resource> rest = stateAt(reached, subscription, false).values().stream()
-            .filter(each -> from.isEmpty() || each.key().compareTo(from.get()) >= 0).toList();
+    /**
+     * A page of the state that a process has which has reached a version: so many resources at the
+     * most.
+     */
+    SnapshotPage snapshot(
+            Optional<ResourceKey> from, long reached, Subscription subscription, int most) {
+        List<Resource> rest =
+                stateAt(reached, subscription, false).values().stream()
+                        .filter(each -> from.isEmpty() || each.key().compareTo(from.get()) >= 0)
+                        .toList();
         boolean last = rest.size() <= most;
-        return new SnapshotPage(new LogPosition(id, reached), last ? rest : rest.subList(0, most),
-            last ? Optional.empty() : Optional.of(rest.get(most).key()));
+        return new SnapshotPage(
+                new LogPosition(id, reached),
+                last ? rest : rest.subList(0, most),
+                last ? Optional.empty() : Optional.of(rest.get(most).key()));
     }
 }
--- a/src/test/java/ottergauge/replica/ModelProcess.java
+++ b/src/test/java/ottergauge/replica/ModelProcess.java
@@ -13,7 +13,9 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.TooOld;
 
-/** A control process on made-up time: what it has of a log, what befalls it, and what it answers. */
+/**
+ * A control process on made-up time: what it has of a log, what befalls it, and what it answers.
+ */
 final class ModelProcess {
 
     /** What may befall a process for a while. */
@@ -33,7 +35,7 @@
     }
 
     /** A trouble of a process, from an instant until another. */
-    record TroubleSpan(int process, Trouble trouble, long from, long until) { }
+    record TroubleSpan(int process, Trouble trouble, long from, long until) {}
 
     static final int MOST_CHANGES = 3;
     static final int MOST_RESOURCES = 3;
@@ -76,14 +78,17 @@
 
     /** Why it can't tell the changes after a position, if it can't. */
     Optional<TooOld> tooOld(LogPosition after) {
-        boolean told = after.log().equals(log.id()) && after.version() >= oldest() - 1
-            && after.version() <= reached;
+        boolean told =
+                after.log().equals(log.id())
+                        && after.version() >= oldest() - 1
+                        && after.version() <= reached;
         return told ? Optional.empty() : Optional.of(new TooOld(log.id(), oldest(), reached));
     }
 
     boolean hasNews(LogPosition after, Subscription subscription) {
-        return !after.log().equals(log.id()) || after.version() > reached
-            || log.hasNews(after.version(), reached, subscription);
+        return !after.log().equals(log.id())
+                || after.version() > reached
+                || log.hasNews(after.version(), reached, subscription);
     }
 
     ChangePage changes(LogPosition after, Subscription subscription) {
@@ -106,12 +111,17 @@
                 changes.addAll(page.changes());
                 yield new ChangePage(page.upTo(), changes);
             }
-            case 2 -> new ChangePage(new LogPosition(page.upTo().log(), page.upTo().version() - 1), changes);
+            case 2 ->
+                    new ChangePage(
+                            new LogPosition(page.upTo().log(), page.upTo().version() - 1), changes);
             default -> new ChangePage(new LogPosition("nobodys", page.upTo().version()), changes);
         };
     }
 
-    /** The same of a page of a snapshot; nobody could tell that a first one is of a log that is none. */
+    /**
+     * The same of a page of a snapshot; nobody could tell that a first one is of a log that is
+     * none.
+     */
     static SnapshotPage garbled(SnapshotPage page, boolean first, int drawn) {
         var resources = new ArrayList<>(page.resources());
         return switch (drawn % 4) {
@@ -120,10 +130,20 @@
                 yield new SnapshotPage(page.at(), resources, page.next());
             }
             case 1 -> new SnapshotPage(new LogPosition(page.at().log(), 0), resources, page.next());
-            case 2 -> new SnapshotPage(page.at(), resources, resources.isEmpty() ? page.next()
-                : Optional.of(resources.get(0).key()));
-            default -> first ? page : new SnapshotPage(new LogPosition("nobodys", page.at().version()),
-                resources, page.next());
+            case 2 ->
+                    new SnapshotPage(
+                            page.at(),
+                            resources,
+                            resources.isEmpty()
+                                    ? page.next()
+                                    : Optional.of(resources.get(0).key()));
+            default ->
+                    first
+                            ? page
+                            : new SnapshotPage(
+                                    new LogPosition("nobodys", page.at().version()),
+                                    resources,
+                                    page.next());
         };
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaDriver.java
+++ b/src/test/java/ottergauge/replica/ReplicaDriver.java
@@ -22,7 +22,9 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.TooOld;
 
-/** Drives a replica by hand: answers its calls, lets its timers fire, and keeps what it asked for. */
+/**
+ * Drives a replica by hand: answers its calls, lets its timers fire, and keeps what it asked for.
+ */
 final class ReplicaDriver {
 
     static final long WITHIN = 4_800_000;
@@ -42,8 +44,20 @@
         for (int i = 0; i < 3; i++) {
             addresses.add(new ControlAddress(new Address("127.0.0.1", 9001 + i), "r" + i));
         }
-        replica = new Replica(new ReplicaConfig("n1", "r1", addresses, subscription, WITHIN, BYTES_PER_SECOND,
-            30_000_000, limits), 7, ResourceChecks::fault, effects::add);
+        replica =
+                new Replica(
+                        new ReplicaConfig(
+                                "n1",
+                                "r1",
+                                addresses,
+                                subscription,
+                                WITHIN,
+                                BYTES_PER_SECOND,
+                                30_000_000,
+                                limits),
+                        7,
+                        ResourceChecks::fault,
+                        effects::add);
     }
 
     /** A replica that goes by version 10, of these tenants. */
@@ -94,27 +108,38 @@
 
     /** The call that was made last. */
     ReplicaEffect lastCall() {
-        return effects.stream().filter(each -> each instanceof ReplicaEffect.CallChanges
-            || each instanceof ReplicaEffect.CallSnapshot).reduce((one, other) -> other).orElseThrow();
+        return effects.stream()
+                .filter(
+                        each ->
+                                each instanceof ReplicaEffect.CallChanges
+                                        || each instanceof ReplicaEffect.CallSnapshot)
+                .reduce((one, other) -> other)
+                .orElseThrow();
     }
 
     long callNumber() {
-        return lastCall() instanceof ReplicaEffect.CallChanges call ? call.call()
-            : ((ReplicaEffect.CallSnapshot) lastCall()).call();
+        return lastCall() instanceof ReplicaEffect.CallChanges call
+                ? call.call()
+                : ((ReplicaEffect.CallSnapshot) lastCall()).call();
     }
 
     Address calledAddress() {
-        return lastCall() instanceof ReplicaEffect.CallChanges call ? call.to()
-            : ((ReplicaEffect.CallSnapshot) lastCall()).to();
+        return lastCall() instanceof ReplicaEffect.CallChanges call
+                ? call.to()
+                : ((ReplicaEffect.CallSnapshot) lastCall()).to();
     }
 
     ChangesQuery query() {
-        assertTrue(lastCall() instanceof ReplicaEffect.CallChanges, "calls for changes: " + lastCall());
+        assertTrue(
+                lastCall() instanceof ReplicaEffect.CallChanges,
+                "calls for changes: " + lastCall());
         return ((ReplicaEffect.CallChanges) lastCall()).query();
     }
 
     SnapshotQuery snapshotQuery() {
-        assertTrue(lastCall() instanceof ReplicaEffect.CallSnapshot, "calls for a snapshot: " + lastCall());
+        assertTrue(
+                lastCall() instanceof ReplicaEffect.CallSnapshot,
+                "calls for a snapshot: " + lastCall());
         return ((ReplicaEffect.CallSnapshot) lastCall()).query();
     }
 
@@ -136,8 +161,14 @@
     }
 
     void snapshotRead(String log, long version, String next, Resource... resources) {
-        handle(new ReplicaEvent.SnapshotRead(callNumber(), new SnapshotPage(new LogPosition(log, version),
-            List.of(resources), Optional.ofNullable(next).map(ReplicaDriver::key)), 2_000));
+        handle(
+                new ReplicaEvent.SnapshotRead(
+                        callNumber(),
+                        new SnapshotPage(
+                                new LogPosition(log, version),
+                                List.of(resources),
+                                Optional.ofNullable(next).map(ReplicaDriver::key)),
+                        2_000));
     }
 
     static Resource resource(String tenant, long version, double weight) {
@@ -160,23 +191,32 @@
     }
 
     <T extends ReplicaTimer> ReplicaEffect.StartTimer timer(Class<T> type) {
-        return all(ReplicaEffect.StartTimer.class).stream().filter(each -> type.isInstance(each.timer()))
-            .reduce((one, other) -> other).orElseThrow();
+        return all(ReplicaEffect.StartTimer.class).stream()
+                .filter(each -> type.isInstance(each.timer()))
+                .reduce((one, other) -> other)
+                .orElseThrow();
     }
 
     /** The tenants in force, by name and weight: what all changes so far have made of nothing. */
     TreeMap<String, Double> inForce() {
         TreeMap<String, Double> tenants = new TreeMap<>();
         for (ReplicaEffect.TakeOver takeOver : all(ReplicaEffect.TakeOver.class)) {
-            takeOver.change().puts().forEach(each -> tenants.put(each.key().name(),
-                ((ResourceValue.Tenant) each.value()).weight()));
+            takeOver.change()
+                    .puts()
+                    .forEach(
+                            each ->
+                                    tenants.put(
+                                            each.key().name(),
+                                            ((ResourceValue.Tenant) each.value()).weight()));
             takeOver.change().deletes().forEach(each -> tenants.remove(each.key().name()));
         }
         return tenants;
     }
 
     List<String> reports() {
-        return all(ReplicaEffect.Report.class).stream().map(each -> each.report().toString()).toList();
+        return all(ReplicaEffect.Report.class).stream()
+                .map(each -> each.report().toString())
+                .toList();
     }
 
     void assertInForce(long version, String tenants) {
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -39,15 +39,26 @@
     }
 
     private static Arbitrary<TroubleSpan> troubles() {
-        return Combinators.combine(Arbitraries.integers().between(0, PROCESSES - 1),
-            Arbitraries.of(Trouble.values()), instants(), Arbitraries.longs().between(1, 20 * SECOND))
-            .as((process, trouble, from, length) ->
-                new TroubleSpan(process, trouble, from, Math.min(TROUBLES_END, from + length)));
+        return Combinators.combine(
+                        Arbitraries.integers().between(0, PROCESSES - 1),
+                        Arbitraries.of(Trouble.values()),
+                        instants(),
+                        Arbitraries.longs().between(1, 20 * SECOND))
+                .as(
+                        (process, trouble, from, length) ->
+                                new TroubleSpan(
+                                        process,
+                                        trouble,
+                                        from,
+                                        Math.min(TROUBLES_END, from + length)));
     }
 
     private static Arbitrary<Subscription> subscriptions() {
-        return Arbitraries.of(ALL, new Subscription(Set.of("even"), "other"),
-            new Subscription(Set.of("odd", "even"), "default"), new Subscription(Set.of("none"), "none"));
+        return Arbitraries.of(
+                ALL,
+                new Subscription(Set.of("even"), "other"),
+                new Subscription(Set.of("odd", "even"), "default"),
+                new Subscription(Set.of("none"), "none"));
     }
 
     private static Arbitrary<Optional<Long>> seldom() {
@@ -55,15 +66,42 @@
     }
 
     private static Arbitrary<Script> scripts(int badChanges) {
-        Arbitrary<List<Stall>> stalls = instants().list().ofMaxSize(1).map(list -> list.stream()
-            .map(at -> new Stall(at, at + 10 * SECOND)).toList());
-        Arbitrary<List<List<Long>>> changes = Combinators.combine(instants().list().ofMaxSize(30),
-            instants().list().ofMaxSize(badChanges)).as(List::of);
-        return Combinators.combine(troubles().list().ofMaxSize(8), changes, stalls, seldom(), seldom(),
-            subscriptions(), Arbitraries.integers().between(2, 40), Arbitraries.longs())
-            .as((spans, at, still, newLog, clockBack, subscription, retained, seed) ->
-                new Script(spans, at.get(0), at.get(1), still, newLog, clockBack, subscription, true,
-                    retained, seed));
+        Arbitrary<List<Stall>> stalls =
+                instants()
+                        .list()
+                        .ofMaxSize(1)
+                        .map(
+                                list ->
+                                        list.stream()
+                                                .map(at -> new Stall(at, at + 10 * SECOND))
+                                                .toList());
+        Arbitrary<List<List<Long>>> changes =
+                Combinators.combine(
+                                instants().list().ofMaxSize(30),
+                                instants().list().ofMaxSize(badChanges))
+                        .as(List::of);
+        return Combinators.combine(
+                        troubles().list().ofMaxSize(8),
+                        changes,
+                        stalls,
+                        seldom(),
+                        seldom(),
+                        subscriptions(),
+                        Arbitraries.integers().between(2, 40),
+                        Arbitraries.longs())
+                .as(
+                        (spans, at, still, newLog, clockBack, subscription, retained, seed) ->
+                                new Script(
+                                        spans,
+                                        at.get(0),
+                                        at.get(1),
+                                        still,
+                                        newLog,
+                                        clockBack,
+                                        subscription,
+                                        true,
+                                        retained,
+                                        seed));
     }
 
     @Provide
@@ -73,13 +111,17 @@
 
     @Property(tries = 2000, seed = "61")
     void whateverHappensTheStateInForceIsOneVersionsAndInTheEndTheNewest(
-        @ForAll("anything") Script script) {
+            @ForAll("anything") Script script) {
         // The play itself holds each state that comes in force against the log.
         ReplicaPlay play = new ReplicaPlay(script);
         play.run(LENGTH, TROUBLES_END, Optional.empty());
         assertEquals(play.newest().id(), play.figures().position().log(), play.journal.toString());
-        assertEquals(ReplicaPlay.values(play.newest().stateAt(play.newest().version(), script.subscription(),
-            false)), ReplicaPlay.values(play.state()), play.journal.toString());
+        assertEquals(
+                ReplicaPlay.values(
+                        play.newest()
+                                .stateAt(play.newest().version(), script.subscription(), false)),
+                ReplicaPlay.values(play.state()),
+                play.journal.toString());
     }
 
     @Provide
@@ -88,11 +130,14 @@
     }
 
     @Property(tries = 1000, seed = "62")
-    void whatIsRefusedNeverComesInForceAndWhatComesAfterItDoes(@ForAll("withBadChanges") Script script) {
+    void whatIsRefusedNeverComesInForceAndWhatComesAfterItDoes(
+            @ForAll("withBadChanges") Script script) {
         ReplicaPlay play = new ReplicaPlay(script);
         play.run(LENGTH, TROUBLES_END, Optional.empty());
-        Map<ResourceKey, Object> newest = ReplicaPlay.values(play.newest().stateAt(
-            play.newest().version(), script.subscription(), false));
+        Map<ResourceKey, Object> newest =
+                ReplicaPlay.values(
+                        play.newest()
+                                .stateAt(play.newest().version(), script.subscription(), false));
         Map<ResourceKey, Object> state = ReplicaPlay.values(play.state());
         Set<ResourceKey> spoilt = new HashSet<>();
         for (long version = 1; version <= play.newest().version(); version++) {
@@ -108,9 +153,10 @@
     }
 
     @Property(tries = 1000, seed = "63")
-    void aNodeThatStartsAgainGoesOnFromWhatWasKept(@ForAll("anything") Script script,
-                                                   @ForAll("anything") Script after,
-                                                   @ForAll boolean endsWell) {
+    void aNodeThatStartsAgainGoesOnFromWhatWasKept(
+            @ForAll("anything") Script script,
+            @ForAll("anything") Script after,
+            @ForAll boolean endsWell) {
         ReplicaPlay first = new ReplicaPlay(script);
         first.run(LENGTH, TROUBLES_END, Optional.empty());
         if (endsWell) {
@@ -118,41 +164,78 @@
         }
         ReplicaPlay second = new ReplicaPlay(after, first.newest());
         second.run(LENGTH, TROUBLES_END, Optional.ofNullable(first.kept));
-        assertEquals(second.newest().id(), second.figures().position().log(), second.journal.toString());
-        assertEquals(ReplicaPlay.values(second.newest().stateAt(second.newest().version(),
-            after.subscription(), false)), ReplicaPlay.values(second.state()), second.journal.toString());
+        assertEquals(
+                second.newest().id(), second.figures().position().log(), second.journal.toString());
+        assertEquals(
+                ReplicaPlay.values(
+                        second.newest()
+                                .stateAt(second.newest().version(), after.subscription(), false)),
+                ReplicaPlay.values(second.state()),
+                second.journal.toString());
     }
 
     /** Up to three processes are in trouble at a time, often from the same instant on. */
     @Provide
     Arbitrary<Script> threeInTrouble() {
         Arbitrary<Trouble> kinds = Arbitraries.of(Trouble.SILENT, Trouble.KILLED, Trouble.CUT_OFF);
-        Arbitrary<List<TroubleSpan>> together = Combinators.combine(kinds.list().ofSize(3), instants(),
-            Arbitraries.longs().between(1, 20 * SECOND), Arbitraries.longs().between(0, 50_000))
-            .as((three, from, length, apart) -> {
-                List<TroubleSpan> spans = new ArrayList<>();
-                for (int i = 0; i < three.size(); i++) {
-                    spans.add(new TroubleSpan(i, three.get(i), from + i * apart, from + length));
-                }
-                return spans;
-            });
-        return Combinators.combine(together.list().ofMinSize(1).ofMaxSize(3),
-            instants().list().ofMaxSize(10), Arbitraries.integers().between(0, PROCESSES - 1),
-            Arbitraries.longs()).as((drawn, changes, well, seed) -> {
-                List<Long> all = new ArrayList<>(changes);
-                List<TroubleSpan> spans = new ArrayList<>();
-                drawn.forEach(each -> each.forEach(span -> {
-                    all.add(span.from());
-                    spans.add(new TroubleSpan((span.process() + well + 1) % PROCESSES, span.trouble(),
-                        span.from(), span.until()));
-                }));
-                return new Script(spans, all, List.of(), List.of(), Optional.empty(), Optional.empty(), ALL,
-                    false, 1000, seed);
-            });
+        Arbitrary<List<TroubleSpan>> together =
+                Combinators.combine(
+                                kinds.list().ofSize(3),
+                                instants(),
+                                Arbitraries.longs().between(1, 20 * SECOND),
+                                Arbitraries.longs().between(0, 50_000))
+                        .as(
+                                (three, from, length, apart) -> {
+                                    List<TroubleSpan> spans = new ArrayList<>();
+                                    for (int i = 0; i < three.size(); i++) {
+                                        spans.add(
+                                                new TroubleSpan(
+                                                        i,
+                                                        three.get(i),
+                                                        from + i * apart,
+                                                        from + length));
+                                    }
+                                    return spans;
+                                });
+        return Combinators.combine(
+                        together.list().ofMinSize(1).ofMaxSize(3),
+                        instants().list().ofMaxSize(10),
+                        Arbitraries.integers().between(0, PROCESSES - 1),
+                        Arbitraries.longs())
+                .as(
+                        (drawn, changes, well, seed) -> {
+                            List<Long> all = new ArrayList<>(changes);
+                            List<TroubleSpan> spans = new ArrayList<>();
+                            drawn.forEach(
+                                    each ->
+                                            each.forEach(
+                                                    span -> {
+                                                        all.add(span.from());
+                                                        spans.add(
+                                                                new TroubleSpan(
+                                                                        (span.process() + well + 1)
+                                                                                % PROCESSES,
+                                                                        span.trouble(),
+                                                                        span.from(),
+                                                                        span.until()));
+                                                    }));
+                            return new Script(
+                                    spans,
+                                    all,
+                                    List.of(),
+                                    List.of(),
+                                    Optional.empty(),
+                                    Optional.empty(),
+                                    ALL,
+                                    false,
+                                    1000,
+                                    seed);
+                        });
     }
 
     @Property(tries = 3000, seed = "64")
-    void aChangeIsInForceInTimeThoughThreeProcessesFallSilent(@ForAll("threeInTrouble") Script script) {
+    void aChangeIsInForceInTimeThoughThreeProcessesFallSilent(
+            @ForAll("threeInTrouble") Script script) {
         ReplicaPlay play = new ReplicaPlay(script);
         play.run(LENGTH, TROUBLES_END, Optional.empty());
         assertEachInForceWithin(play, ReplicaPlay.WITHIN);
@@ -161,31 +244,54 @@
     private static void assertEachInForceWithin(ReplicaPlay play, long within) {
         // The first state is fetched in pages, at its own rate.
         long begins = play.inForceAt.get((long) ReplicaPlay.FIRST_CHANGES);
-        play.publishedAt.forEach((version, published) -> {
-            Long at = play.inForceAt.get(version);
-            long due = Math.max(published, begins) + within;
-            assertTrue(play.isNothing(version) || at != null && at <= due, "version " + version + " of "
-                + published + " in force at " + at + ": " + play.journal);
-        });
+        play.publishedAt.forEach(
+                (version, published) -> {
+                    Long at = play.inForceAt.get(version);
+                    long due = Math.max(published, begins) + within;
+                    assertTrue(
+                            play.isNothing(version) || at != null && at <= due,
+                            "version "
+                                    + version
+                                    + " of "
+                                    + published
+                                    + " in force at "
+                                    + at
+                                    + ": "
+                                    + play.journal);
+                });
     }
 
     /** All four are away together for a while. */
     @Provide
     Arbitrary<Script> allInTrouble() {
         Arbitrary<List<Trouble>> mixed =
-            Arbitraries.of(Trouble.SILENT, Trouble.KILLED, Trouble.CUT_OFF).list().ofSize(PROCESSES);
+                Arbitraries.of(Trouble.SILENT, Trouble.KILLED, Trouble.CUT_OFF)
+                        .list()
+                        .ofSize(PROCESSES);
         Arbitrary<List<Trouble>> killed = Arbitraries.of(Trouble.KILLED).list().ofSize(PROCESSES);
-        return Combinators.combine(Arbitraries.oneOf(mixed, killed),
-            Arbitraries.longs().between(6 * SECOND, 20 * SECOND),
-            Arbitraries.longs().between(1, 15 * SECOND), Arbitraries.longs())
-            .as((kinds, from, length, seed) -> {
-                List<TroubleSpan> spans = new ArrayList<>();
-                for (int i = 0; i < PROCESSES; i++) {
-                    spans.add(new TroubleSpan(i, kinds.get(i), from, from + length));
-                }
-                return new Script(spans, List.of(from + length / 2), List.of(), List.of(), Optional.empty(),
-                    Optional.empty(), ALL, false, 1000, seed);
-            });
+        return Combinators.combine(
+                        Arbitraries.oneOf(mixed, killed),
+                        Arbitraries.longs().between(6 * SECOND, 20 * SECOND),
+                        Arbitraries.longs().between(1, 15 * SECOND),
+                        Arbitraries.longs())
+                .as(
+                        (kinds, from, length, seed) -> {
+                            List<TroubleSpan> spans = new ArrayList<>();
+                            for (int i = 0; i < PROCESSES; i++) {
+                                spans.add(new TroubleSpan(i, kinds.get(i), from, from + length));
+                            }
+                            return new Script(
+                                    spans,
+                                    List.of(from + length / 2),
+                                    List.of(),
+                                    List.of(),
+                                    Optional.empty(),
+                                    Optional.empty(),
+                                    ALL,
+                                    false,
+                                    1000,
+                                    seed);
+                        });
     }
 
     @Property(tries = 1000, seed = "65")
@@ -195,15 +301,26 @@
         long healed = script.troubles().get(0).until();
         long version = play.newest().version();
         Long at = play.inForceAt.get(version);
-        assertTrue(play.isNothing(version) || at != null && at <= healed + ReplicaPlay.WITHIN,
-            "healed at " + healed + ", in force at " + at + ": " + play.journal);
+        assertTrue(
+                play.isNothing(version) || at != null && at <= healed + ReplicaPlay.WITHIN,
+                "healed at " + healed + ", in force at " + at + ": " + play.journal);
     }
 
     @Property(tries = 1000, seed = "66")
     void controlIsNotCalledByTheDozen(@ForAll("anything") Script script) {
-        ReplicaPlay play = new ReplicaPlay(new Script(script.troubles(), List.of(), List.of(),
-            script.stalls(), Optional.empty(), script.clockBackAt(), script.subscription(), false, 1000,
-            script.seed()));
+        ReplicaPlay play =
+                new ReplicaPlay(
+                        new Script(
+                                script.troubles(),
+                                List.of(),
+                                List.of(),
+                                script.stalls(),
+                                Optional.empty(),
+                                script.clockBackAt(),
+                                script.subscription(),
+                                false,
+                                1000,
+                                script.seed()));
         play.run(LENGTH, TROUBLES_END, Optional.empty());
         assertCallsWithinFourSeconds(play, MOST_CALLS);
     }
@@ -217,8 +334,14 @@
 
     private static void assertCallsWithinFourSeconds(ReplicaPlay play, int most) {
         for (int i = most; i < play.calls.size(); i++) {
-            assertTrue(play.calls.get(i) - play.calls.get(i - most) >= 4 * SECOND,
-                "called " + most + " times from " + play.calls.get(i - most) + ": " + play.journal);
+            assertTrue(
+                    play.calls.get(i) - play.calls.get(i - most) >= 4 * SECOND,
+                    "called "
+                            + most
+                            + " times from "
+                            + play.calls.get(i - most)
+                            + ": "
+                            + play.journal);
         }
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaPlay.java
+++ b/src/test/java/ottergauge/replica/ReplicaPlay.java
@@ -31,9 +31,9 @@
 import ottergauge.resources.TooOld;
 
 /**
- * One replica before four control processes in three regions, on made-up time, over a network that loses,
- * delays, doubles and reorders. Each state that comes in force is held against the log: it is one version's,
- * whole, and told by its differences.
+ * One replica before four control processes in three regions, on made-up time, over a network that
+ * loses, delays, doubles and reorders. Each state that comes in force is held against the log: it
+ * is one version's, whole, and told by its differences.
  */
 final class ReplicaPlay {
 
@@ -41,12 +41,20 @@
     static final long WITHIN = 4 * SECOND;
 
     /** The node stands still, and what comes meanwhile is handled after it in any order. */
-    record Stall(long from, long until) { }
+    record Stall(long from, long until) {}
 
     /** All that is drawn for a play. */
-    record Script(List<TroubleSpan> troubles, List<Long> changes, List<Long> badChanges, List<Stall> stalls,
-                  Optional<Long> newLogAt, Optional<Long> clockBackAt, Subscription subscription,
-                  boolean networkIsBad, int retained, long seed) { }
+    record Script(
+            List<TroubleSpan> troubles,
+            List<Long> changes,
+            List<Long> badChanges,
+            List<Stall> stalls,
+            Optional<Long> newLogAt,
+            Optional<Long> clockBackAt,
+            Subscription subscription,
+            boolean networkIsBad,
+            int retained,
+            long seed) {}
 
     private static final List<String> REGIONS = List.of("r1", "r1", "r2", "r3");
     static final int FIRST_CHANGES = 6;
@@ -60,16 +68,19 @@
     private static final long BYTES_PER_SECOND = 20_000;
 
     /** What happens at an instant, and in which order if several do. */
-    private record Task(long at, long number, Runnable job) { }
+    private record Task(long at, long number, Runnable job) {}
 
     /** A call that a process keeps until it has news. */
-    private record Poll(long call, ModelProcess process, LogPosition after) { }
+    private record Poll(long call, ModelProcess process, LogPosition after) {}
 
     final List<String> journal = new ArrayList<>();
+
     /** When the node had each version of the newest log, or a later one. */
     final Map<Long, Long> inForceAt = new HashMap<>();
+
     /** When each version of the newest log was published. */
     final Map<Long, Long> publishedAt = new HashMap<>();
+
     final List<Long> calls = new ArrayList<>();
     StoredState kept;
 
@@ -79,7 +90,7 @@
     private final Map<String, ModelLog> logs = new HashMap<>();
     private final List<ModelProcess> processes = new ArrayList<>();
     private final PriorityQueue<Task> tasks =
-        new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
+            new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
     private final Map<Long, Poll> polls = new TreeMap<>();
     private final Replica replica;
     private Map<ResourceKey, Resource> state;
@@ -88,8 +99,10 @@
     private long now;
     private long lastTask;
     private long callOut;
+
     /** Until when messages are lost, delayed and doubled. */
     private long networkIsBadUntil;
+
     private boolean restoresOther;
 
     /** A node that begins with nothing, before a log with a few changes in it. */
@@ -109,30 +122,49 @@
         newest = log;
         logs.put(newest.id(), newest);
         for (int i = 0; i < REGIONS.size(); i++) {
-            processes.add(new ModelProcess(new ControlAddress(new Address("127.0.0.1", 9001 + i),
-                REGIONS.get(i)), newest, script.retained()));
+            processes.add(
+                    new ModelProcess(
+                            new ControlAddress(new Address("127.0.0.1", 9001 + i), REGIONS.get(i)),
+                            newest,
+                            script.retained()));
         }
-        replica = new Replica(new ReplicaConfig("n1", "r1",
-            processes.stream().map(ModelProcess::address).toList(), script.subscription(), WITHIN,
-            BYTES_PER_SECOND, SECOND, ReplicaLimits.DEFAULT), script.seed(), ResourceChecks::fault,
-            this::carryOut);
+        replica =
+                new Replica(
+                        new ReplicaConfig(
+                                "n1",
+                                "r1",
+                                processes.stream().map(ModelProcess::address).toList(),
+                                script.subscription(),
+                                WITHIN,
+                                BYTES_PER_SECOND,
+                                SECOND,
+                                ReplicaLimits.DEFAULT),
+                        script.seed(),
+                        ResourceChecks::fault,
+                        this::carryOut);
     }
 
     /**
-     * Plays until an instant, the last part with a good network, from a state that was kept if there is
-     * one.
+     * Plays until an instant, the last part with a good network, from a state that was kept if
+     * there is one.
      */
     void run(long length, long goodFrom, Optional<StoredState> stored) {
         networkIsBadUntil = script.networkIsBad() ? goodFrom : 0;
-        restoresOther = stored.filter(each -> !each.subscription().equals(script.subscription())
-            || !logs.containsKey(each.position().log())).isPresent();
+        restoresOther =
+                stored.filter(
+                                each ->
+                                        !each.subscription().equals(script.subscription())
+                                                || !logs.containsKey(each.position().log()))
+                        .isPresent();
         script.changes().forEach(at -> schedule(at, () -> publish(false)));
         script.badChanges().forEach(at -> schedule(at, () -> publish(true)));
         script.newLogAt().ifPresent(at -> schedule(at, this::beginNewLog));
-        script.troubles().forEach(span -> {
-            schedule(span.from(), () -> begin(span));
-            schedule(span.until(), () -> end(span));
-        });
+        script.troubles()
+                .forEach(
+                        span -> {
+                            schedule(span.from(), () -> begin(span));
+                            schedule(span.until(), () -> end(span));
+                        });
         replica.start(now, stored);
         while (!tasks.isEmpty() && tasks.peek().at() <= length) {
             Task task = tasks.poll();
@@ -167,7 +199,8 @@
         tasks.add(new Task(Math.max(now, at), lastTask++, job));
     }
 
-    // ---- The log and its processes --------------------------------------------------------------------
+    // ---- The log and its processes
+    // --------------------------------------------------------------------
 
     private void publish(boolean bad) {
         ModelChanges.append(newest, changes, bad);
@@ -175,13 +208,17 @@
         publishedAt.put(newest.version(), now);
         ModelLog log = newest;
         long version = newest.version();
-        processes.forEach(each ->
-            schedule(now + random.nextLong(MOST_TRIP), () -> learn(each, log, version)));
+        processes.forEach(
+                each ->
+                        schedule(
+                                now + random.nextLong(MOST_TRIP), () -> learn(each, log, version)));
     }
 
     private void learn(ModelProcess process, ModelLog log, long version) {
-        if (!isIn(process, Trouble.CUT_OFF) && !isIn(process, Trouble.LAGGING)
-            && !isIn(process, Trouble.KILLED) && log == newest) {
+        if (!isIn(process, Trouble.CUT_OFF)
+                && !isIn(process, Trouble.LAGGING)
+                && !isIn(process, Trouble.KILLED)
+                && log == newest) {
             process.learn(log, version);
             answerPolls(process);
         }
@@ -197,18 +234,26 @@
     }
 
     private boolean isIn(ModelProcess process, Trouble trouble) {
-        return script.troubles().stream().anyMatch(span -> span.trouble() == trouble && span.from() <= now
-            && now < span.until() && processes.get(span.process()) == process);
+        return script.troubles().stream()
+                .anyMatch(
+                        span ->
+                                span.trouble() == trouble
+                                        && span.from() <= now
+                                        && now < span.until()
+                                        && processes.get(span.process()) == process);
     }
 
     private void begin(TroubleSpan span) {
         journal.add(now + " " + span);
         ModelProcess process = processes.get(span.process());
         if (span.trouble() == Trouble.KILLED) {
-            List.copyOf(polls.values()).stream().filter(poll -> poll.process() == process).forEach(poll -> {
-                polls.remove(poll.call());
-                deliver(process, new ReplicaEvent.CallFailed(poll.call()));
-            });
+            List.copyOf(polls.values()).stream()
+                    .filter(poll -> poll.process() == process)
+                    .forEach(
+                            poll -> {
+                                polls.remove(poll.call());
+                                deliver(process, new ReplicaEvent.CallFailed(poll.call()));
+                            });
         }
     }
 
@@ -217,11 +262,16 @@
     }
 
     private void answerPolls(ModelProcess process) {
-        List.copyOf(polls.values()).stream().filter(poll -> poll.process() == process
-            && process.hasNews(poll.after(), script.subscription())).forEach(this::answer);
+        List.copyOf(polls.values()).stream()
+                .filter(
+                        poll ->
+                                poll.process() == process
+                                        && process.hasNews(poll.after(), script.subscription()))
+                .forEach(this::answer);
     }
 
-    // ---- Calls ----------------------------------------------------------------------------------------
+    // ---- Calls
+    // ----------------------------------------------------------------------------------------
 
     private void carryOut(ReplicaEffect effect) {
         if (effect instanceof ReplicaEffect.CallChanges call) {
@@ -257,18 +307,24 @@
 
     /** Brings a call to the process at an address, or not. */
     private void reach(long call, Address to, Consumer<ModelProcess> arrives) {
-        ModelProcess process = processes.stream().filter(each -> each.address().address().equals(to))
-            .findFirst().orElseThrow();
+        ModelProcess process =
+                processes.stream()
+                        .filter(each -> each.address().address().equals(to))
+                        .findFirst()
+                        .orElseThrow();
         if (isIn(process, Trouble.KILLED)) {
             deliver(process, new ReplicaEvent.CallFailed(call));
         } else if (!isLost(process)) {
-            schedule(now + trip(process), () -> {
-                if (isIn(process, Trouble.KILLED)) {
-                    deliver(process, new ReplicaEvent.CallFailed(call));
-                } else if (!isIn(process, Trouble.SILENT) && !isIn(process, Trouble.CUT_OFF)) {
-                    arrives.accept(process);
-                }
-            });
+            schedule(
+                    now + trip(process),
+                    () -> {
+                        if (isIn(process, Trouble.KILLED)) {
+                            deliver(process, new ReplicaEvent.CallFailed(call));
+                        } else if (!isIn(process, Trouble.SILENT)
+                                && !isIn(process, Trouble.CUT_OFF)) {
+                            arrives.accept(process);
+                        }
+                    });
         }
     }
 
@@ -283,11 +339,13 @@
         if (process.hasNews(after, script.subscription())) {
             answer(polls.get(call.call()));
         } else {
-            schedule(now + call.query().waits(), () -> {
-                if (polls.containsKey(call.call())) {
-                    answer(polls.get(call.call()));
-                }
-            });
+            schedule(
+                    now + call.query().waits(),
+                    () -> {
+                        if (polls.containsKey(call.call())) {
+                            answer(polls.get(call.call()));
+                        }
+                    });
         }
     }
 
@@ -299,27 +357,39 @@
             return;
         }
         ChangePage page = poll.process().changes(poll.after(), script.subscription());
-        deliver(poll.process(), new ReplicaEvent.ChangesRead(poll.call(),
-            isIn(poll.process(), Trouble.GARBLED) ? ModelProcess.garbled(page, random.nextInt(100)) : page));
+        deliver(
+                poll.process(),
+                new ReplicaEvent.ChangesRead(
+                        poll.call(),
+                        isIn(poll.process(), Trouble.GARBLED)
+                                ? ModelProcess.garbled(page, random.nextInt(100))
+                                : page));
     }
 
     private void snapshotAsked(ModelProcess process, ReplicaEffect.CallSnapshot call) {
         SnapshotPage page = process.snapshot(call.query().from(), script.subscription());
-        SnapshotPage sent = isIn(process, Trouble.GARBLED)
-            ? ModelProcess.garbled(page, call.query().from().isEmpty(), random.nextInt(100)) : page;
-        deliver(process, new ReplicaEvent.SnapshotRead(call.call(), sent,
-            (long) BYTES_A_RESOURCE * page.resources().size()));
+        SnapshotPage sent =
+                isIn(process, Trouble.GARBLED)
+                        ? ModelProcess.garbled(
+                                page, call.query().from().isEmpty(), random.nextInt(100))
+                        : page;
+        deliver(
+                process,
+                new ReplicaEvent.SnapshotRead(
+                        call.call(), sent, (long) BYTES_A_RESOURCE * page.resources().size()));
     }
 
-    // ---- The network ----------------------------------------------------------------------------------
+    // ---- The network
+    // ----------------------------------------------------------------------------------
 
     private long trip(ModelProcess process) {
         return 1_000 + random.nextLong(isIn(process, Trouble.SLOW) ? SLOW_TRIP : MOST_TRIP);
     }
 
     private boolean isLost(ModelProcess process) {
-        return isIn(process, Trouble.SILENT) || isIn(process, Trouble.CUT_OFF)
-            || now < networkIsBadUntil && random.nextInt(LOSES) == 0;
+        return isIn(process, Trouble.SILENT)
+                || isIn(process, Trouble.CUT_OFF)
+                || now < networkIsBadUntil && random.nextInt(LOSES) == 0;
     }
 
     private void deliver(ModelProcess process, ReplicaEvent answer) {
@@ -331,18 +401,23 @@
         }
     }
 
-    // ---- The node -------------------------------------------------------------------------------------
+    // ---- The node
+    // -------------------------------------------------------------------------------------
 
     private void tell(long at, ReplicaEvent event) {
-        schedule(at, () -> {
-            Optional<Stall> stall = script.stalls().stream()
-                .filter(each -> each.from() <= now && now < each.until()).findFirst();
-            if (stall.isPresent()) {
-                schedule(stall.get().until() + random.nextLong(1_000), () -> handle(event));
-            } else {
-                handle(event);
-            }
-        });
+        schedule(
+                at,
+                () -> {
+                    Optional<Stall> stall =
+                            script.stalls().stream()
+                                    .filter(each -> each.from() <= now && now < each.until())
+                                    .findFirst();
+                    if (stall.isPresent()) {
+                        schedule(stall.get().until() + random.nextLong(1_000), () -> handle(event));
+                    } else {
+                        handle(event);
+                    }
+                });
     }
 
     private void handle(ReplicaEvent event) {
@@ -351,16 +426,18 @@
         }
         replica.handle(nodesClock(), event);
         LogPosition reached = replica.figures(now).position();
-        for (long version = 1; reached.log().equals(newest.id()) && version <= reached.version(); version++) {
+        for (long version = 1;
+                reached.log().equals(newest.id()) && version <= reached.version();
+                version++) {
             inForceAt.putIfAbsent(version, now);
         }
     }
 
     private boolean endsCall(ReplicaEvent event) {
         return event instanceof ReplicaEvent.ChangesRead e && e.call() == callOut
-            || event instanceof ReplicaEvent.SnapshotRead e2 && e2.call() == callOut
-            || event instanceof ReplicaEvent.TooOldRead e3 && e3.call() == callOut
-            || event instanceof ReplicaEvent.CallFailed e4 && e4.call() == callOut;
+                || event instanceof ReplicaEvent.SnapshotRead e2 && e2.call() == callOut
+                || event instanceof ReplicaEvent.TooOldRead e3 && e3.call() == callOut
+                || event instanceof ReplicaEvent.CallFailed e4 && e4.call() == callOut;
     }
 
     private long nodesClock() {
@@ -374,23 +451,30 @@
             state = new TreeMap<>();
         }
         assertNotNull(state, "a difference to no state");
-        assertFalse(!change.whole() && change.puts().isEmpty() && change.deletes().isEmpty(),
-            "nothing is taken over");
+        assertFalse(
+                !change.whole() && change.puts().isEmpty() && change.deletes().isEmpty(),
+                "nothing is taken over");
         assertGoesForward(change.position());
         for (Resource resource : change.puts()) {
             Resource before = state.put(resource.key(), resource);
-            assertNotEquals(resource.value(), before == null ? null : before.value(), "no difference");
+            assertNotEquals(
+                    resource.value(), before == null ? null : before.value(), "no difference");
         }
         for (Change.Delete delete : change.deletes()) {
             assertNotNull(state.remove(delete.key()), "deletes what is not there");
         }
         position = change.position();
         if (script.badChanges().isEmpty() && !(change.whole() && restoresOther)) {
-            assertEquals(values(logs.get(position.log()).stateAt(position.version(), script.subscription(),
-                false)), values(state), "not the state of " + position + ": " + journal);
+            assertEquals(
+                    values(
+                            logs.get(position.log())
+                                    .stateAt(position.version(), script.subscription(), false)),
+                    values(state),
+                    "not the state of " + position + ": " + journal);
         }
-        assertTrue(state.values().stream().noneMatch(each -> ModelChanges.isBad(each.value())),
-            "a refused value is in force");
+        assertTrue(
+                state.values().stream().noneMatch(each -> ModelChanges.isBad(each.value())),
+                "a refused value is in force");
     }
 
     private void assertGoesForward(LogPosition next) {
--- a/src/test/java/ottergauge/replica/ReplicaTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaTest.java
@@ -39,7 +39,8 @@
 
 class ReplicaTest {
 
-    // ---- Snapshots ----------------------------------------------------------------------------------
+    // ---- Snapshots
+    // ----------------------------------------------------------------------------------
 
     @Test
     void aNodeWithNothingTakesASnapshotOfItsOwnRegionInPacedPages() {
@@ -98,7 +99,10 @@
         node.fire(ReplicaTimer.PauseOver.class);
         // The one that sent the first page, the two others, and that one again.
         for (int i = 0; i < 4; i++) {
-            assertEquals(Optional.of(LOG), node.snapshotQuery().log(), "all are asked for the rest first");
+            assertEquals(
+                    Optional.of(LOG),
+                    node.snapshotQuery().log(),
+                    "all are asked for the rest first");
             node.snapshotRead("new", 2, null, resource("b", 1, 7));
         }
         assertEquals(Optional.empty(), node.snapshotQuery().log());
@@ -113,7 +117,10 @@
         ReplicaDriver node = new ReplicaDriver();
         node.replica.start(node.now, Optional.empty());
         node.snapshotRead(10, "b", resource("b", 5, 1));
-        assertEquals(Optional.empty(), node.snapshotQuery().from(), "the page ends before its last entry");
+        assertEquals(
+                Optional.empty(),
+                node.snapshotQuery().from(),
+                "the page ends before its last entry");
         node.snapshotRead(10, "c", resource("b", 5, 1), resource("a", 5, 1));
         assertEquals(Optional.empty(), node.snapshotQuery().from(), "the page is out of order");
         node.snapshotRead(10, "c", resource("b", 11, 1));
@@ -123,7 +130,8 @@
         node.fire(ReplicaTimer.PauseOver.class);
         node.snapshotRead(10, "c", resource("c", 5, 1));
         node.snapshotRead(10, null, resource("b", 5, 1));
-        assertTrue(node.all(TakeOver.class).isEmpty(), "pages that begin before what was asked for");
+        assertTrue(
+                node.all(TakeOver.class).isEmpty(), "pages that begin before what was asked for");
     }
 
     @Test
@@ -131,15 +139,24 @@
         ReplicaDriver node = ReplicaDriver.following("a", "b", "c");
         node.tooOld(LOG, 90, 100);
         Resource fine = resource("d", 80, 4);
-        UnreadableResource unreadable = new UnreadableResource(Optional.of(key("b")),
-            new Fault("resources[1].value", "x", "an object"));
-        SnapshotPage page = new SnapshotPage(new LogPosition(LOG, 100),
-            List.of(resource("a", 80, -1), fine), Optional.empty(), List.of(unreadable));
+        UnreadableResource unreadable =
+                new UnreadableResource(
+                        Optional.of(key("b")), new Fault("resources[1].value", "x", "an object"));
+        SnapshotPage page =
+                new SnapshotPage(
+                        new LogPosition(LOG, 100),
+                        List.of(resource("a", 80, -1), fine),
+                        Optional.empty(),
+                        List.of(unreadable));
         node.handle(new ReplicaEvent.SnapshotRead(node.callNumber(), page, 100));
         node.assertInForce(100, "{a=1.0, b=1.0, d=4.0}");
         assertEquals(100, node.query().refused());
-        assertTrue(node.reports().contains("resource tenant a is refused: put[0].value.weight is a number "
-            + "from 0 to 1000000, not -1"), node.reports().toString());
+        assertTrue(
+                node.reports()
+                        .contains(
+                                "resource tenant a is refused: put[0].value.weight is a number "
+                                        + "from 0 to 1000000, not -1"),
+                node.reports().toString());
         node.changesRead(101, change(101, put("a", 3)));
         assertEquals("{a=3.0, b=1.0, d=4.0}", node.inForce().toString());
     }
@@ -158,15 +175,20 @@
 
     @Test
     void aStateThatIsTooLargeIsNotTakenAndNotFetchedAgainAtOnce() {
-        ReplicaDriver node = new ReplicaDriver(new ReplicaLimits(2, 1 << 20),
-            new Subscription(Set.of(), "default"));
+        ReplicaDriver node =
+                new ReplicaDriver(
+                        new ReplicaLimits(2, 1 << 20), new Subscription(Set.of(), "default"));
         node.follow("a");
         node.tooOld(LOG, 90, 100);
-        node.snapshotRead(100, null, resource("a", 80, 2), resource("b", 80, 2), resource("c", 80, 2));
+        node.snapshotRead(
+                100, null, resource("a", 80, 2), resource("b", 80, 2), resource("c", 80, 2));
         node.assertInForce(10, "{a=1.0}");
         assertTrue(node.timer(ReplicaTimer.PauseOver.class).delay() >= 30_000_000);
-        assertTrue(node.reports().get(node.reports().size() - 1).startsWith(
-            "the state is refused: it has at least 3 resources"), node.reports().toString());
+        assertTrue(
+                node.reports()
+                        .get(node.reports().size() - 1)
+                        .startsWith("the state is refused: it has at least 3 resources"),
+                node.reports().toString());
         node.fire(ReplicaTimer.PauseOver.class);
         node.snapshotRead(100, null, resource("a", 80, 2), resource("b", 80, 2));
         node.assertInForce(100, "{a=2.0, b=2.0}");
@@ -174,11 +196,16 @@
 
     @Test
     void aStateWithTooManyBytesIsNotTaken() {
-        ReplicaDriver node = new ReplicaDriver(new ReplicaLimits(1000, 1_000),
-            new Subscription(Set.of(), "default"));
+        ReplicaDriver node =
+                new ReplicaDriver(
+                        new ReplicaLimits(1000, 1_000), new Subscription(Set.of(), "default"));
         node.replica.start(node.now, Optional.empty());
-        node.snapshotRead(100, null, resource("a".repeat(128), 80, 2), resource("b".repeat(128), 80, 2),
-            resource("c".repeat(128), 80, 2));
+        node.snapshotRead(
+                100,
+                null,
+                resource("a".repeat(128), 80, 2),
+                resource("b".repeat(128), 80, 2),
+                resource("c".repeat(128), 80, 2));
         assertTrue(node.all(TakeOver.class).isEmpty());
     }
 
@@ -194,19 +221,26 @@
         assertEquals(calls + 1, node.all(CallSnapshot.class).size());
     }
 
-    // ---- Changes ------------------------------------------------------------------------------------
+    // ---- Changes
+    // ------------------------------------------------------------------------------------
 
     @Test
     void aPageOfChangesComesInForceAtOnce() {
         ReplicaDriver node = ReplicaDriver.following("a", "b");
-        node.changesRead(13, change(11, put("a", 2), put("c", 1)), change(12, put("a", 3)),
-            new Change(13, List.of(), List.of(delete("b"))));
+        node.changesRead(
+                13,
+                change(11, put("a", 2), put("c", 1)),
+                change(12, put("a", 3)),
+                new Change(13, List.of(), List.of(delete("b"))));
         node.assertInForce(13, "{a=3.0, c=1.0}");
         assertEquals(2, node.all(TakeOver.class).size());
         StateChange change = node.last(TakeOver.class).change();
         assertFalse(change.whole());
-        assertEquals(List.of(new Resource(key("a"), 12, ReplicaDriver.tenant(3)),
-            new Resource(key("c"), 11, ReplicaDriver.tenant(1))), change.puts());
+        assertEquals(
+                List.of(
+                        new Resource(key("a"), 12, ReplicaDriver.tenant(3)),
+                        new Resource(key("c"), 11, ReplicaDriver.tenant(1))),
+                change.puts());
         assertEquals(List.of(delete("b")), change.deletes());
         assertEquals(13, node.query().inForce());
         assertEquals(new LogPosition(LOG, 13), node.query().after());
@@ -215,8 +249,12 @@
     @Test
     void aChangeAndItsReverseInOnePageAreNotTakenOver() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.changesRead(14, change(11, put("a", 2)), change(12, put("a", 1)), change(13, put("b", 1)),
-            new Change(14, List.of(), List.of(delete("b"))));
+        node.changesRead(
+                14,
+                change(11, put("a", 2)),
+                change(12, put("a", 1)),
+                change(13, put("b", 1)),
+                new Change(14, List.of(), List.of(delete("b"))));
         node.assertInForce(14, "{a=1.0}");
         assertEquals(1, node.all(TakeOver.class).size());
         assertEquals(14, node.query().after().version());
@@ -226,7 +264,8 @@
     void changesThatTheNodeHasAreNotTakenAgain() {
         ReplicaDriver node = ReplicaDriver.following("a");
         node.changesRead(11, change(11, put("a", 2)));
-        node.changesRead(12, change(10, put("a", 9)), change(11, put("a", 8)), change(12, put("b", 1)));
+        node.changesRead(
+                12, change(10, put("a", 9)), change(11, put("a", 8)), change(12, put("b", 1)));
         node.assertInForce(12, "{a=2.0, b=1.0}");
     }
 
@@ -246,7 +285,8 @@
     @Test
     void anAnswerToAnotherCallIsNotTaken() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        ChangePage page = new ChangePage(new LogPosition(LOG, 11), List.of(change(11, put("a", 2))));
+        ChangePage page =
+                new ChangePage(new LogPosition(LOG, 11), List.of(change(11, put("a", 2))));
         long call = node.callNumber();
         node.fire(ReplicaTimer.CallDue.class);
         node.handle(new ReplicaEvent.ChangesRead(call, page));
@@ -260,13 +300,17 @@
     @Test
     void aBadChangeIsRefusedWholeAndALaterOneSetsWhatItTouched() {
         ReplicaDriver node = ReplicaDriver.following("a", "b", "c");
-        node.changesRead(12, new Change(11, List.of(put("a", 2), put("b", -1)), List.of(delete("c"))),
-            change(12, put("d", 1)));
+        node.changesRead(
+                12,
+                new Change(11, List.of(put("a", 2), put("b", -1)), List.of(delete("c"))),
+                change(12, put("d", 1)));
         node.assertInForce(12, "{a=1.0, b=1.0, c=1.0, d=1.0}");
         assertEquals(11, node.query().refused());
-        assertEquals(List.of("change 11 is refused: put[1].value.weight is a number from 0 to 1000000, "
-            + "not -1"),
-            node.reports().stream().filter(each -> each.contains("refused")).toList());
+        assertEquals(
+                List.of(
+                        "change 11 is refused: put[1].value.weight is a number from 0 to 1000000, "
+                                + "not -1"),
+                node.reports().stream().filter(each -> each.contains("refused")).toList());
         node.changesRead(13, change(13, put("b", 4)));
         assertEquals("{a=1.0, b=4.0, c=1.0, d=1.0}", node.inForce().toString());
     }
@@ -274,22 +318,38 @@
     @Test
     void aChangeThatCouldNotBeReadIsRefusedByItsVersion() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.changesRead(new ChangePage(new LogPosition(LOG, 13), List.of(change(11, put("a", 2)),
-            change(13, put("b", 1))), List.of(new UnreadableChange(12, new Fault("put[0].kind", "star",
-                "service, server, route, tenant or settings")))));
+        node.changesRead(
+                new ChangePage(
+                        new LogPosition(LOG, 13),
+                        List.of(change(11, put("a", 2)), change(13, put("b", 1))),
+                        List.of(
+                                new UnreadableChange(
+                                        12,
+                                        new Fault(
+                                                "put[0].kind",
+                                                "star",
+                                                "service, server, route, tenant or settings")))));
         node.assertInForce(13, "{a=2.0, b=1.0}");
         assertEquals(12, node.query().refused());
-        assertTrue(node.reports().contains("change 12 is refused: put[0].kind is service, server, route, "
-            + "tenant or settings, not star"), node.reports().toString());
+        assertTrue(
+                node.reports()
+                        .contains(
+                                "change 12 is refused: put[0].kind is service, server, route, "
+                                        + "tenant or settings, not star"),
+                node.reports().toString());
     }
 
     @Test
     void aChangeThatMakesTheStateTooLargeIsRefused() {
-        ReplicaDriver node = new ReplicaDriver(new ReplicaLimits(2, 1 << 20),
-            new Subscription(Set.of(), "default"));
+        ReplicaDriver node =
+                new ReplicaDriver(
+                        new ReplicaLimits(2, 1 << 20), new Subscription(Set.of(), "default"));
         node.follow("a");
-        node.changesRead(13, change(11, put("b", 1), put("c", 1)), change(12, put("b", 2)),
-            change(13, put("a", 3)));
+        node.changesRead(
+                13,
+                change(11, put("b", 1), put("c", 1)),
+                change(12, put("b", 2)),
+                change(13, put("a", 3)));
         node.assertInForce(13, "{a=3.0, b=2.0}");
         assertEquals(11, node.query().refused());
         node.changesRead(14, new Change(14, List.of(put("c", 1)), List.of(delete("a"))));
@@ -302,15 +362,18 @@
         ReplicaDriver node = new ReplicaDriver(ReplicaLimits.DEFAULT, one);
         node.follow("a");
         ResourceKey route = new ResourceKey(ResourceKind.ROUTE, "r");
-        node.changesRead(11, change(11, new Change.Put(route,
-            new ResourceValue.Route("mine", "/", "c"))));
+        node.changesRead(
+                11, change(11, new Change.Put(route, new ResourceValue.Route("mine", "/", "c"))));
         assertEquals(1, node.last(TakeOver.class).change().puts().size());
-        node.changesRead(12, change(12, new Change.Put(route,
-            new ResourceValue.Route("other", "/", "c"))));
-        assertEquals(List.of(new Change.Delete(route, "mine")), node.last(TakeOver.class).change().deletes());
+        node.changesRead(
+                12, change(12, new Change.Put(route, new ResourceValue.Route("other", "/", "c"))));
+        assertEquals(
+                List.of(new Change.Delete(route, "mine")),
+                node.last(TakeOver.class).change().deletes());
     }
 
-    // ---- Which process is asked -----------------------------------------------------------------------
+    // ---- Which process is asked
+    // -----------------------------------------------------------------------
 
     @Test
     void aProcessThatLagsBehindTheNodeIsNotFollowed() {
@@ -363,8 +426,9 @@
         assertEquals(call, node.last(GiveUpCall.class).call());
         assertNotEquals(first, node.calledAddress());
         assertTrue(node.query().waits() < 200_000, "the first call there hardly waits");
-        assertEquals("a call to " + first + " had no answer in time",
-            node.reports().get(node.reports().size() - 1));
+        assertEquals(
+                "a call to " + first + " had no answer in time",
+                node.reports().get(node.reports().size() - 1));
     }
 
     @Test
@@ -378,7 +442,9 @@
                 node.failed();
             }
             StartTimer pause = node.timer(ReplicaTimer.PauseOver.class);
-            assertTrue(node.all(StartTimer.class).indexOf(pause) >= timers, "a pause after each round");
+            assertTrue(
+                    node.all(StartTimer.class).indexOf(pause) >= timers,
+                    "a pause after each round");
             assertTrue(pause.delay() >= 300_000, "a pause of " + pause.delay());
             assertTrue(pause.delay() <= 1_800_000, "a pause of " + pause.delay());
             longest = Math.max(longest, pause.delay());
@@ -406,7 +472,8 @@
         assertEquals(first, node.calledAddress());
     }
 
-    // ---- Time ---------------------------------------------------------------------------------------
+    // ---- Time
+    // ---------------------------------------------------------------------------------------
 
     @Test
     void anEmptyAnswerThatComesAtOnceIsNotFollowedByACallAtOnce() {
@@ -467,15 +534,19 @@
         assertTrue(figures.bytes() > 100);
     }
 
-    // ---- What is kept -------------------------------------------------------------------------------
+    // ---- What is kept
+    // -------------------------------------------------------------------------------
 
     @Test
     void theStateIsHandedOutOnceInAnIntervalAndAtTheEnd() {
         ReplicaDriver node = ReplicaDriver.following("a");
         node.changesRead(11, change(11, put("a", 2)));
         assertTrue(node.all(Keep.class).isEmpty());
-        assertEquals(1, node.all(StartTimer.class).stream()
-            .filter(each -> each.timer() instanceof ReplicaTimer.KeepDue).count());
+        assertEquals(
+                1,
+                node.all(StartTimer.class).stream()
+                        .filter(each -> each.timer() instanceof ReplicaTimer.KeepDue)
+                        .count());
         node.fire(ReplicaTimer.KeepDue.class);
         assertEquals(new LogPosition(LOG, 11), node.last(Keep.class).state().position());
         node.handle(new ReplicaEvent.Stopped());
@@ -495,8 +566,11 @@
     void aNodeThatStartsAgainResumesByVersion() {
         ReplicaDriver node = new ReplicaDriver();
         Subscription all = new Subscription(Set.of(), "default");
-        node.replica.start(node.now, Optional.of(new StoredState(new LogPosition(LOG, 42), all,
-            List.of(resource("a", 40, 1)))));
+        node.replica.start(
+                node.now,
+                Optional.of(
+                        new StoredState(
+                                new LogPosition(LOG, 42), all, List.of(resource("a", 40, 1)))));
         node.assertInForce(42, "{a=1.0}");
         assertTrue(node.last(TakeOver.class).change().whole());
         assertEquals(new LogPosition(LOG, 42), node.query().after());
@@ -508,9 +582,13 @@
         Subscription other = new Subscription(Set.of("one"), "default");
         LogPosition position = new LogPosition(LOG, 42);
         Subscription all = new Subscription(Set.of(), "default");
-        for (StoredState stored : List.of(
-            new StoredState(position, other, List.of(resource("a", 40, 1))),
-            new StoredState(position, all, List.of(resource("a", 40, 1), resource("b", 40, -1))))) {
+        for (StoredState stored :
+                List.of(
+                        new StoredState(position, other, List.of(resource("a", 40, 1))),
+                        new StoredState(
+                                position,
+                                all,
+                                List.of(resource("a", 40, 1), resource("b", 40, -1))))) {
             ReplicaDriver node = new ReplicaDriver();
             node.replica.start(node.now, Optional.of(stored));
             node.assertInForce(42, "{a=1.0}");
@@ -529,7 +607,10 @@
         node.failed();
         node.failed();
         assertFalse(node.all(Report.class).isEmpty());
-        node.reports().forEach(each ->
-            assertFalse(each.contains("\n") || each.contains("LogPosition"), each));
+        node.reports()
+                .forEach(
+                        each ->
+                                assertFalse(
+                                        each.contains("\n") || each.contains("LogPosition"), each));
     }
 }
--- a/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
@@ -17,7 +17,9 @@
 import ottergauge.protocol.ProtocolException;
 import ottergauge.settings.SettingsReader;
 
-/** What is written is read again as the same; bytes that are spoilt end in one kind of exception. */
+/**
+ * What is written is read again as the same; bytes that are spoilt end in one kind of exception.
+ */
 class ResourceCodecPropertyTest {
 
     private static final int MOST_MESSAGE_CHARACTERS = 1_000;
@@ -54,34 +56,36 @@
 
     @Property(tries = 500, seed = "51")
     void pagesOfChangesAreReadAsTheyWereWritten(@ForAll("changePages") ChangePage page)
-        throws ProtocolException {
+            throws ProtocolException {
         assertEquals(page, ResourceCodec.readChanges(ResourceCodec.write(page)));
     }
 
     @Property(tries = 500, seed = "52")
     void pagesOfSnapshotsAreReadAsTheyWereWritten(@ForAll("snapshotPages") SnapshotPage page)
-        throws ProtocolException {
+            throws ProtocolException {
         assertEquals(page, ResourceCodec.readSnapshot(ResourceCodec.write(page)));
     }
 
     @Property(tries = 500, seed = "53")
     void submissionsAreReadAsTheyWereWritten(@ForAll("submissions") Submission submission)
-        throws ProtocolException {
+            throws ProtocolException {
         assertEquals(submission, ResourceCodec.readSubmission(ResourceCodec.write(submission)));
     }
 
     @Property(tries = 200, seed = "54")
-    void positionsAndAnswersThatAreTooOldAreReadAsTheyWereWritten(@ForAll("positions") LogPosition position)
-        throws ProtocolException {
+    void positionsAndAnswersThatAreTooOldAreReadAsTheyWereWritten(
+            @ForAll("positions") LogPosition position) throws ProtocolException {
         assertEquals(position, ResourceCodec.readPosition(ResourceCodec.write(position)));
         TooOld tooOld = new TooOld(position.log(), position.version() / 2, position.version());
         assertEquals(tooOld, ResourceCodec.readTooOld(ResourceCodec.write(tooOld)));
     }
 
     @Property(tries = 300, seed = "55")
-    void aMessageThatIsCutIsRefused(@ForAll("changePages") ChangePage page,
-                                    @ForAll("snapshotPages") SnapshotPage snapshot,
-                                    @ForAll("submissions") Submission submission, @ForAll int seed) {
+    void aMessageThatIsCutIsRefused(
+            @ForAll("changePages") ChangePage page,
+            @ForAll("snapshotPages") SnapshotPage snapshot,
+            @ForAll("submissions") Submission submission,
+            @ForAll int seed) {
         cutIsRefused(ResourceCodec.write(page), ResourceCodec::readChanges, seed);
         cutIsRefused(ResourceCodec.write(snapshot), ResourceCodec::readSnapshot, seed);
         cutIsRefused(ResourceCodec.write(submission), ResourceCodec::readSubmission, seed);
@@ -89,19 +93,23 @@
 
     private static void cutIsRefused(byte[] whole, Reader reader, int seed) {
         int length = new SplittableRandom(seed).nextInt(whole.length);
-        assertIsOneLine(assertThrows(ProtocolException.class,
-            () -> reader.read(Arrays.copyOf(whole, length))));
+        assertIsOneLine(
+                assertThrows(
+                        ProtocolException.class, () -> reader.read(Arrays.copyOf(whole, length))));
     }
 
     @Property(tries = 500, seed = "56")
-    void bytesThatAreFlippedEndInOneKindOfException(@ForAll("changePages") ChangePage page,
-                                                    @ForAll("snapshotPages") SnapshotPage snapshot,
-                                                    @ForAll("submissions") Submission submission,
-                                                    @ForAll int seed) {
+    void bytesThatAreFlippedEndInOneKindOfException(
+            @ForAll("changePages") ChangePage page,
+            @ForAll("snapshotPages") SnapshotPage snapshot,
+            @ForAll("submissions") Submission submission,
+            @ForAll int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         isReadOrRefused(flipped(ResourceCodec.write(page), random), ResourceCodec::readChanges);
-        isReadOrRefused(flipped(ResourceCodec.write(snapshot), random), ResourceCodec::readSnapshot);
-        isReadOrRefused(flipped(ResourceCodec.write(submission), random), ResourceCodec::readSubmission);
+        isReadOrRefused(
+                flipped(ResourceCodec.write(snapshot), random), ResourceCodec::readSnapshot);
+        isReadOrRefused(
+                flipped(ResourceCodec.write(submission), random), ResourceCodec::readSubmission);
     }
 
     private static byte[] flipped(byte[] whole, SplittableRandom random) {
@@ -116,12 +124,42 @@
     @Provide
     Arbitrary<byte[]> garbage() {
         Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(400);
-        Arbitrary<String> pieces = Arbitraries.of("{", "}", "[", "]", ",", ":", "\"log\"", "\"version\"", "1",
-            "-7", "1e999", "null", "true", "\"a\"", "\"changes\"", "\"put\"", "\"delete\"", "\"kind\"",
-            "\"server\"", "\"name\"", "\"value\"", "\"resources\"", "\"next\"", "\"id\"", "\"\\ud800\"",
-            "{\"kind\":\"tenant\",\"name\":\"t\",\"value\":{}}", "{\"version\":3}", " ", "\"error\"");
-        return Arbitraries.oneOf(bytes, pieces.list().ofMaxSize(40).map(list ->
-            String.join("", list).getBytes(StandardCharsets.UTF_8)));
+        Arbitrary<String> pieces =
+                Arbitraries.of(
+                        "{",
+                        "}",
+                        "[",
+                        "]",
+                        ",",
+                        ":",
+                        "\"log\"",
+                        "\"version\"",
+                        "1",
+                        "-7",
+                        "1e999",
+                        "null",
+                        "true",
+                        "\"a\"",
+                        "\"changes\"",
+                        "\"put\"",
+                        "\"delete\"",
+                        "\"kind\"",
+                        "\"server\"",
+                        "\"name\"",
+                        "\"value\"",
+                        "\"resources\"",
+                        "\"next\"",
+                        "\"id\"",
+                        "\"\\ud800\"",
+                        "{\"kind\":\"tenant\",\"name\":\"t\",\"value\":{}}",
+                        "{\"version\":3}",
+                        " ",
+                        "\"error\"");
+        return Arbitraries.oneOf(
+                bytes,
+                pieces.list()
+                        .ofMaxSize(40)
+                        .map(list -> String.join("", list).getBytes(StandardCharsets.UTF_8)));
     }
 
     @Property(tries = 5000, seed = "57")
@@ -134,7 +172,8 @@
         isReadOrRefused(body, ResourceCodec::readFaults);
     }
 
-    // Any other exception fails the property. What is read can be written, and is then read as the same.
+    // Any other exception fails the property. What is read can be written, and is then read as the
+    // same.
     private static void isReadOrRefused(byte[] body, Reader reader) {
         Object read;
         try {
@@ -154,7 +193,9 @@
 
     private static void assertIsOneLine(ProtocolException refusal) {
         assertFalse(refusal.getMessage().isBlank());
-        assertTrue(refusal.getMessage().chars().noneMatch(Character::isISOControl), refusal.getMessage());
+        assertTrue(
+                refusal.getMessage().chars().noneMatch(Character::isISOControl),
+                refusal.getMessage());
         assertTrue(refusal.getMessage().length() < MOST_MESSAGE_CHARACTERS, refusal.getMessage());
     }
 
--- a/src/test/java/ottergauge/ring/PlainRing.java
+++ b/src/test/java/ottergauge/ring/PlainRing.java
@@ -8,7 +8,10 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** The plain way to lay out a ring, as a reference: all ids are sorted and all arcs added up each time. */
+/**
+ * The plain way to lay out a ring, as a reference: all ids are sorted and all arcs added up each
+ * time.
+ */
 public final class PlainRing {
 
     private final List<Long> ids;
--- a/src/test/java/ottergauge/ring/RingTest.java
+++ b/src/test/java/ottergauge/ring/RingTest.java
@@ -22,16 +22,21 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** A ring gives what the plain computation gives, whatever was inserted and removed before, at less cost. */
+/**
+ * A ring gives what the plain computation gives, whatever was inserted and removed before, at less
+ * cost.
+ */
 class RingTest {
 
     private static final int POINTS = 64;
     private static final int CHANGES = 200;
 
     /** An element is put with a size, or removed (size 0). */
-    record Step(long id, double size) { }
+    record Step(long id, double size) {}
 
-    /** Sizes that add up exactly in any order, so that the very beginning of an arc is told apart. */
+    /**
+     * Sizes that add up exactly in any order, so that the very beginning of an arc is told apart.
+     */
     @Provide
     Arbitrary<List<Step>> exactSteps() {
         return steps(Arbitraries.integers().between(0, 64).map(sixteenths -> sixteenths / 16.0));
@@ -39,12 +44,15 @@
 
     @Provide
     Arbitrary<List<Step>> anySteps() {
-        return steps(Arbitraries.oneOf(Arbitraries.just(0.0), Arbitraries.doubles().between(0.01, 50)));
+        return steps(
+                Arbitraries.oneOf(Arbitraries.just(0.0), Arbitraries.doubles().between(0.01, 50)));
     }
 
     private static Arbitrary<List<Step>> steps(Arbitrary<Double> sizes) {
-        return Combinators.combine(Arbitraries.longs().between(0, 40), sizes).as(Step::new).list()
-            .ofMaxSize(120);
+        return Combinators.combine(Arbitraries.longs().between(0, 40), sizes)
+                .as(Step::new)
+                .list()
+                .ofMaxSize(120);
     }
 
     private static void take(Ring<Long> ring, Map<Long, Double> sizes, Step step) {
@@ -58,7 +66,8 @@
     }
 
     @Property(tries = 400, seed = "61")
-    void afterEachChangeItGivesWhatThePlainComputationGives(@ForAll("exactSteps") List<Step> steps) {
+    void afterEachChangeItGivesWhatThePlainComputationGives(
+            @ForAll("exactSteps") List<Step> steps) {
         Ring<Long> ring = new Ring<>();
         Map<Long, Double> sizes = new LinkedHashMap<>();
         for (Step step : steps) {
@@ -90,8 +99,8 @@
 
     /** Guards against nodes whose rings differ by what each has gone through: to the last bit. */
     @Property(tries = 400, seed = "63")
-    void aChainOfChangesGivesTheSameAsAllAtOnceInAnyOrder(@ForAll("anySteps") List<Step> steps,
-                                                          @ForAll long shuffle) {
+    void aChainOfChangesGivesTheSameAsAllAtOnceInAnyOrder(
+            @ForAll("anySteps") List<Step> steps, @ForAll long shuffle) {
         Ring<Long> chain = new Ring<>();
         Map<Long, Double> sizes = new LinkedHashMap<>();
         steps.forEach(step -> take(chain, sizes, step));
@@ -106,11 +115,16 @@
         }
     }
 
-    /** The first point from a half of this one on, to the last bit, at which this one's element is found. */
+    /**
+     * The first point from a half of this one on, to the last bit, at which this one's element is
+     * found.
+     */
     private static double boundary(Ring<Long> ring, double point) {
         double outside = point / 2;
         double inside = point;
-        while (outside < inside && (outside + inside) / 2 > outside && (outside + inside) / 2 < inside) {
+        while (outside < inside
+                && (outside + inside) / 2 > outside
+                && (outside + inside) / 2 < inside) {
             double middle = (outside + inside) / 2;
             if (ring.at(middle).equals(ring.at(point))) {
                 inside = middle;
@@ -156,9 +170,10 @@
         growsByTheLogarithm((ring, id) -> ring.at(id / (double) ring.count()));
         growsByTheLogarithm((ring, id) -> ring.first(12));
         growsByTheLogarithm((ring, id) -> ring.put(id, 2, id));
-        growsByTheLogarithm((ring, id) -> {
-            ring.remove(id);
-            ring.put(id + ring.count() + 1, 1, id);
-        });
+        growsByTheLogarithm(
+                (ring, id) -> {
+                    ring.remove(id);
+                    ring.put(id + ring.count() + 1, 1, id);
+                });
     }
 }
--- a/src/test/java/ottergauge/routing/ConnectPatienceTest.java
+++ b/src/test/java/ottergauge/routing/ConnectPatienceTest.java
@@ -64,8 +64,12 @@
     }
 
     private static RouterDriver usedToQuickConnections() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(host("s-1", "10.0.0.1:80", "in_service"),
-            host("s-2", "10.0.0.2:80", "in_service")));
+        RouterDriver node =
+                new RouterDriver(
+                        new TestConfig()
+                                .knows(
+                                        host("s-1", "10.0.0.1:80", "in_service"),
+                                        host("s-2", "10.0.0.2:80", "in_service")));
         for (int i = 0; i < 8; i++) {
             long client = node.request("read");
             Connect connect = node.expect(Connect.class);
@@ -86,12 +90,13 @@
         node.request("read");
         Connect slow = node.expect(Connect.class);
         node.pass(MOST / 1000 / 2);
-        assertNotEquals(slow.address(), node.expect(Connect.class).address(), "it goes to another server");
+        assertNotEquals(
+                slow.address(), node.expect(Connect.class).address(), "it goes to another server");
     }
 
     /**
-     * Guards against handshakes for nothing: where a third of the connections came up late, each was closed
-     * as it came up, and the next request had to wait for another one.
+     * Guards against handshakes for nothing: where a third of the connections came up late, each
+     * was closed as it came up, and the next request had to wait for another one.
      */
     @Test
     void aConnectionThatComesUpLateIsKeptAndServesTheNextRequest() {
@@ -110,8 +115,9 @@
         boolean used = false;
         for (int i = 0; i < 8; i++) {
             node.request("read");
-            used |= node.has(Effect.Forward.class)
-                && node.expect(Effect.Forward.class).connection() == slow.connection();
+            used |=
+                    node.has(Effect.Forward.class)
+                            && node.expect(Effect.Forward.class).connection() == slow.connection();
         }
         assertTrue(used, "it stands idle while others are opened");
     }
@@ -135,7 +141,9 @@
         return tried;
     }
 
-    /** Guards against live servers barred in turn, each for one connection that had not come up yet. */
+    /**
+     * Guards against live servers barred in turn, each for one connection that had not come up yet.
+     */
     @Test
     void oneLateConnectionBarsNoServerAndTwoDo() {
         RouterDriver node = usedToQuickConnections();
@@ -160,7 +168,10 @@
         int kept = 0;
         for (int i = 0; i < 20; i++) {
             node.request("grant");
-            kept += node.has(Connect.class) && node.expect(Connect.class).timeout() > 1_000_000 ? 1 : 0;
+            kept +=
+                    node.has(Connect.class) && node.expect(Connect.class).timeout() > 1_000_000
+                            ? 1
+                            : 0;
             node.pass(100);
         }
         assertTrue(kept > 0 && kept <= 3, kept + " are kept on their way");
--- a/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
+++ b/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
@@ -20,13 +20,23 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * One node's watch and a discovery that troubles befall, on made-up time. New watches stand in a line for up
- * to two seconds; one that goes on is answered as soon as there is something newer, or its wait is over.
+ * One node's watch and a discovery that troubles befall, on made-up time. New watches stand in a
+ * line for up to two seconds; one that goes on is answered as soon as there is something newer, or
+ * its wait is over.
  */
 final class DiscoveryOnMadeUpTime {
 
-    /** What may befall discovery: it is away, turns away, swallows new calls, or open calls fall silent. */
-    enum Trouble { AWAY, TURNS_AWAY, SWALLOWS, SILENT, MOVES }
+    /**
+     * What may befall discovery: it is away, turns away, swallows new calls, or open calls fall
+     * silent.
+     */
+    enum Trouble {
+        AWAY,
+        TURNS_AWAY,
+        SWALLOWS,
+        SILENT,
+        MOVES
+    }
 
     /** A trouble and its time; silence and moves happen at an instant. */
     record Fault(Trouble what, long from, long length) {
@@ -35,9 +45,9 @@
         }
     }
 
-    private record Due(long at, long order, Runnable what) { }
+    private record Due(long at, long order, Runnable what) {}
 
-    private record Had(long at, long address, long version) { }
+    private record Had(long at, long address, long version) {}
 
     private static final long LINE = 2_000_000;
     private static final long TRIP = 2_000;
@@ -47,7 +57,7 @@
     private final List<Long> changes;
     private final SplittableRandom random;
     private final PriorityQueue<Due> queue =
-        new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private final Map<Long, CallDiscovery> open = new HashMap<>();
     private final List<Had> had = new ArrayList<>();
     private final List<Long> calls = new ArrayList<>();
@@ -67,8 +77,11 @@
 
     private static NodeConfig config(long seed) {
         try {
-            return NodeConfig.read(new TestConfig().json()
-                .replace("8c1f30d27a5be964", Long.toHexString(seed)).getBytes());
+            return NodeConfig.read(
+                    new TestConfig()
+                            .json()
+                            .replace("8c1f30d27a5be964", Long.toHexString(seed))
+                            .getBytes());
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
@@ -97,7 +110,8 @@
         log.append(System.lineSeparator()).append(now).append(' ').append(what);
     }
 
-    // ---- Discovery ----------------------------------------------------------------------------------
+    // ---- Discovery
+    // ----------------------------------------------------------------------------------
 
     private long changesBy(long instant) {
         return changes.stream().filter(change -> change <= instant).count();
@@ -109,7 +123,8 @@
     }
 
     private boolean is(Trouble what) {
-        return faults.stream().anyMatch(f -> f.what() == what && f.from() <= now && now < f.until());
+        return faults.stream()
+                .anyMatch(f -> f.what() == what && f.from() <= now && now < f.until());
     }
 
     private void begins(Fault fault) {
@@ -121,7 +136,7 @@
                 address++;
                 watch.move(now, new Address("127.0.0.1", 9000 + (int) address));
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -153,11 +168,13 @@
             open.remove(call.call());
         } else {
             long line = now - answeredAt <= GOES_ON ? 0 : random.nextLong(LINE);
-            at(now + line + TRIP, () -> {
-                if (open.containsKey(call.call())) {
-                    turn(call);
-                }
-            });
+            at(
+                    now + line + TRIP,
+                    () -> {
+                        if (open.containsKey(call.call())) {
+                            turn(call);
+                        }
+                    });
         }
     }
 
@@ -172,16 +189,19 @@
     // A change is there: all watches that wait for it are answered.
     private void tell() {
         note("change");
-        List.copyOf(open.values()).stream().filter(call -> call.after() >= 0 && call.after() < version(now))
-            .forEach(this::answer);
+        List.copyOf(open.values()).stream()
+                .filter(call -> call.after() >= 0 && call.after() < version(now))
+                .forEach(this::answer);
     }
 
     private void fail(CallDiscovery call, long after) {
         open.remove(call.call());
-        at(now + after, () -> {
-            note("failed " + call.call());
-            watch.failed(now, call.call());
-        });
+        at(
+                now + after,
+                () -> {
+                    note("failed " + call.call());
+                    watch.failed(now, call.call());
+                });
     }
 
     private void answer(CallDiscovery call) {
@@ -191,30 +211,37 @@
         boolean whole = call.after() < 0;
         HostList list = list(version(now), whole, whole || version(now) > call.after());
         long from = address;
-        at(now + TRIP, () -> {
-            note("answer " + call.call() + " seq=" + list.seq());
-            if (watch.takes(call.call(), list)) {
-                had.add(new Had(now, from, list.seq()));
-                answeredAt = now;
-                watch.read(now, call.call(), list);
-            } else {
-                watch.passOver(now, call.call(), list);
-            }
-        });
+        at(
+                now + TRIP,
+                () -> {
+                    note("answer " + call.call() + " seq=" + list.seq());
+                    if (watch.takes(call.call(), list)) {
+                        had.add(new Had(now, from, list.seq()));
+                        answeredAt = now;
+                        watch.read(now, call.call(), list);
+                    } else {
+                        watch.passOver(now, call.call(), list);
+                    }
+                });
     }
 
     private static HostList list(long seq, boolean whole, boolean news) {
         try {
-            String[] hosts = news ? new String[] {host("s-1", "10.0.0.1:80", "terminating")} : new String[0];
+            String[] hosts =
+                    news ? new String[] {host("s-1", "10.0.0.1:80", "terminating")} : new String[0];
             return HostList.read(TestConfig.list(seq, whole, hosts).getBytes());
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    // ---- What came of it ----------------------------------------------------------------------------
+    // ---- What came of it
+    // ----------------------------------------------------------------------------
 
-    /** From when on discovery could be reached by a node that is to know what was changed at this instant. */
+    /**
+     * From when on discovery could be reached by a node that is to know what was changed at this
+     * instant.
+     */
     long reachable(long change, long within) {
         long from = change;
         boolean moved = true;
@@ -233,8 +260,11 @@
     /** When the node first had a list with this change. */
     long hadAt(long change) {
         long count = changesBy(change);
-        return had.stream().filter(h -> h.version() - (h.address() == 0 ? 41 : 3) >= count)
-            .mapToLong(Had::at).findFirst().orElse(Long.MAX_VALUE);
+        return had.stream()
+                .filter(h -> h.version() - (h.address() == 0 ? 41 : 3) >= count)
+                .mapToLong(Had::at)
+                .findFirst()
+                .orElse(Long.MAX_VALUE);
     }
 
     List<Long> calls() {
