--- a/src/test/java/ottergauge/routing/FirstByteTest.java
+++ b/src/test/java/ottergauge/routing/FirstByteTest.java
@@ -14,8 +14,9 @@
 import ottergauge.routing.Effect.Forward;
 
 /**
- * What comes between the choice of a server and the first byte to it: a client that leaves, a list, the end
- * of the request's time, the end of the connection. None of them may be found out after that byte.
+ * What comes between the choice of a server and the first byte to it: a client that leaves, a list,
+ * the end of the request's time, the end of the connection. None of them may be found out after
+ * that byte.
  */
 class FirstByteTest {
 
@@ -35,7 +36,10 @@
         return node;
     }
 
-    /** Guards against attempts for clients that have left: the FIN was read in the same round as the list. */
+    /**
+     * Guards against attempts for clients that have left: the FIN was read in the same round as the
+     * list.
+     */
     @Test
     void aClientThatLeavesBeforeTheFirstByteIsNotSentOnAndItsConnectionServesTheNext() {
         RouterDriver node = one();
@@ -74,10 +78,14 @@
         String chosen = connect.address().host();
         node.holdReads();
         node.tell(new Event.ServerConnected(connect.connection()));
-        node.list(42, false, host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
+        node.list(
+                42,
+                false,
+                host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.readAll();
         node.expectNo(Forward.class);
-        assertNotEquals(chosen, node.expect(Connect.class).address().host(), "it goes to the other server");
+        assertNotEquals(
+                chosen, node.expect(Connect.class).address().host(), "it goes to the other server");
     }
 
     @Test
@@ -91,7 +99,9 @@
         assertEquals(503, node.status(client));
     }
 
-    /** Guards against a connection's end being taken for its server's, with nothing written to it. */
+    /**
+     * Guards against a connection's end being taken for its server's, with nothing written to it.
+     */
     @Test
     void aConnectionThatEndsBeforeTheFirstByteIsReplacedAndTellsNothingOfItsServer() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
@@ -104,7 +114,9 @@
         assertEquals(200, node.status(client));
     }
 
-    /** Guards against requests by a list from before the node stood still: servers have left since. */
+    /**
+     * Guards against requests by a list from before the node stood still: servers have left since.
+     */
     @Test
     void aNodeThatStoodStillSendsNothingBeforeItsListIsRenewed() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
@@ -142,11 +154,14 @@
         assertEquals(connect.connection(), node.expect(CloseServer.class).connection());
     }
 
-    /** Guards against sends to a cold server that were counted in one span and come in another, at once. */
+    /**
+     * Guards against sends to a cold server that were counted in one span and come in another, at
+     * once.
+     */
     @Test
     void aColdServerGetsNothingThatHasWaitedForLongSinceItWasCounted() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(
-            born("s-1", "10.0.0.1:80", 999_992_000L)));
+        RouterDriver node =
+                new RouterDriver(new TestConfig().knows(born("s-1", "10.0.0.1:80", 999_992_000L)));
         node.request("grant");
         Connect connect = node.expect(Connect.class);
         node.standStill(300);
@@ -163,7 +178,10 @@
         String chosen = connect.address().host();
         node.holdReads();
         node.tell(new Event.ServerConnected(connect.connection()));
-        node.list(42, false, host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
+        node.list(
+                42,
+                false,
+                host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.readAll();
         node.expectNo(AskLoad.class);
     }
--- a/src/test/java/ottergauge/routing/FlowsTest.java
+++ b/src/test/java/ottergauge/routing/FlowsTest.java
@@ -22,15 +22,20 @@
 /** Bodies that flow, with no socket. */
 class FlowsTest {
 
-    private final RouterDriver node = new RouterDriver(new TestConfig()
-        .knows(host("s-1", "10.1.0.1:3000", "in_service"), host("s-2", "10.1.0.2:3000", "in_service")));
+    private final RouterDriver node =
+            new RouterDriver(
+                    new TestConfig()
+                            .knows(
+                                    host("s-1", "10.1.0.1:3000", "in_service"),
+                                    host("s-2", "10.1.0.2:3000", "in_service")));
     private int lastId;
 
     private long flows(String requestClass, long expiresInMs) {
         long client = node.client();
         node.tell(new Event.RequestBegan(client));
-        node.tell(new Event.RequestFlows(client,
-            RouterDriver.ask(requestClass, "flow-" + ++lastId, expiresInMs)));
+        node.tell(
+                new Event.RequestFlows(
+                        client, RouterDriver.ask(requestClass, "flow-" + ++lastId, expiresInMs)));
         return client;
     }
 
@@ -40,14 +45,18 @@
     }
 
     private static Event answerFlows(long connection) {
-        return new Event.AnswerFlows(connection,
-            new ServerAnswer(200, false, LoadReport.NONE, Content.NONE, false), 0);
+        return new Event.AnswerFlows(
+                connection, new ServerAnswer(200, false, LoadReport.NONE, Content.NONE, false), 0);
     }
 
-    /** Before its last byte is written nothing can have run, and there is nothing left to send again. */
+    /**
+     * Before its last byte is written nothing can have run, and there is nothing left to send
+     * again.
+     */
     @ParameterizedTest
     @CsvSource({"grant,false,503", "pay,false,503", "grant,true,502", "pay,true,502"})
-    void aBreakIsJudgedByWhetherTheLastByteWasWritten(String requestClass, boolean whole, int status) {
+    void aBreakIsJudgedByWhetherTheLastByteWasWritten(
+            String requestClass, boolean whole, int status) {
         long client = flows(requestClass, 1000);
         ForwardFlow forward = connected();
         assertEquals(client, forward.client());
@@ -68,7 +77,9 @@
         connected();
     }
 
-    /** Its time runs from its last byte: counted from the first, all that comes slowly is given up. */
+    /**
+     * Its time runs from its last byte: counted from the first, all that comes slowly is given up.
+     */
     @Test
     void timeRunsFromTheLastByte() {
         long client = flows("grant", 900);
@@ -105,11 +116,14 @@
         assertEquals(forward.connection(), node.expect(CloseServer.class).connection());
     }
 
-    /** Begun, an answer is its client's: no deadline cuts it, and the connection is kept after it. */
+    /**
+     * Begun, an answer is its client's: no deadline cuts it, and the connection is kept after it.
+     */
     @Test
     void noDeadlineCutsAnAnswerThatFlows() {
-        RouterDriver node = new RouterDriver(new TestConfig()
-            .knows(host("s-1", "10.1.0.1:3000", "in_service")));
+        RouterDriver node =
+                new RouterDriver(
+                        new TestConfig().knows(host("s-1", "10.1.0.1:3000", "in_service")));
         Effect.Forward forward = node.connectToNew("grant");
         node.written(forward);
         node.tell(answerFlows(forward.connection()));
@@ -132,7 +146,8 @@
         node.tell(answerFlows(forward.connection()));
         long client = node.expect(PassOn.class).client();
         node.tell(new Event.ServerClosed(forward.connection(), false));
-        assertEquals(new CloseClient(client, CloseReason.CUT_SHORT), node.expect(CloseClient.class));
+        assertEquals(
+                new CloseClient(client, CloseReason.CUT_SHORT), node.expect(CloseClient.class));
         node.expectNo(Respond.class);
     }
 
@@ -142,11 +157,15 @@
         node.written(forward);
         node.tell(answerFlows(forward.connection()));
         node.tell(new Event.ClientClosed(node.expect(PassOn.class).client()));
-        assertEquals(new CloseServer(forward.connection(), CloseReason.CLIENT_GONE),
-            node.expect(CloseServer.class));
+        assertEquals(
+                new CloseServer(forward.connection(), CloseReason.CLIENT_GONE),
+                node.expect(CloseServer.class));
     }
 
-    /** An answer that does not tell its length flows before its time is up: its first bytes are in time. */
+    /**
+     * An answer that does not tell its length flows before its time is up: its first bytes are in
+     * time.
+     */
     @Test
     void anOpenEndedAnswerFlowsBeforeItsTimeIsUp() {
         Effect.Forward forward = node.connectToNew("grant");
@@ -158,7 +177,10 @@
         assertEquals(forward.connection(), node.expect(Effect.FlowNow.class).connection());
     }
 
-    /** All flows together are bounded by the memory that there is; what is over that is refused at once. */
+    /**
+     * All flows together are bounded by the memory that there is; what is over that is refused at
+     * once.
+     */
     @Test
     void requestsThatFlowAreBounded() {
         int taken = 0;
--- a/src/test/java/ottergauge/routing/OperatorsTest.java
+++ b/src/test/java/ottergauge/routing/OperatorsTest.java
@@ -36,9 +36,12 @@
     }
 
     private long figure(String name) {
-        return ask(new OperatorCall.Stats()).text().lines()
-            .filter(line -> line.startsWith("balancer." + name + "="))
-            .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1))).sum();
+        return ask(new OperatorCall.Stats())
+                .text()
+                .lines()
+                .filter(line -> line.startsWith("balancer." + name + "="))
+                .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1)))
+                .sum();
     }
 
     private boolean uses(Address server, int requests) {
@@ -56,7 +59,9 @@
         return any;
     }
 
-    /** From the yes on it drains, whatever the list says of it; one call back undoes two calls out. */
+    /**
+     * From the yes on it drains, whatever the list says of it; one call back undoes two calls out.
+     */
     @Test
     void aServerHeldOutGetsNothingUntilItIsPutBack() {
         assertTrue(uses(FIRST, 8));
@@ -79,7 +84,10 @@
         assertEquals(0, figure("members_unavailable"));
     }
 
-    /** What waits for a connection to it goes elsewhere, and idle connections end: it is going to restart. */
+    /**
+     * What waits for a connection to it goes elsewhere, and idle connections end: it is going to
+     * restart.
+     */
     @Test
     void whatWaitedForAServerThatIsTakenOutGoesToAnother() {
         node.request("grant");
@@ -134,8 +142,10 @@
     }
 
     private static HostList list(long bornMs) {
-        return new HostList(1, true, List.of(new HostList.Host("s-1", FIRST, "a", "m1", 0, ServerState.UP, 1,
-            bornMs)));
+        return new HostList(
+                1,
+                true,
+                List.of(new HostList.Host("s-1", FIRST, "a", "m1", 0, ServerState.UP, 1, bornMs)));
     }
 
     /** Each request ends under one count, and what its client left under none. */
@@ -156,7 +166,10 @@
         assertEquals(2, figure("upstream_requests"));
     }
 
-    /** With another process taking clients none is closed while it may ask; each ends with its answer. */
+    /**
+     * With another process taking clients none is closed while it may ask; each ends with its
+     * answer.
+     */
     @Test
     void aProcessThatIsSucceededAnswersWhatItsClientsStillAsk() {
         long idle = node.client();
--- a/src/test/java/ottergauge/routing/RouterDriver.java
+++ b/src/test/java/ottergauge/routing/RouterDriver.java
@@ -27,14 +27,17 @@
 import ottergauge.routing.Event.ClientRequest;
 import ottergauge.routing.Event.ServerAnswer;
 
-/** Drives a router with no socket: gives it events, keeps its timers, and hands out its effects in order. */
+/**
+ * Drives a router with no socket: gives it events, keeps its timers, and hands out its effects in
+ * order.
+ */
 final class RouterDriver {
 
-    private record Due(long at, long order, Timer timer) { }
+    private record Due(long at, long order, Timer timer) {}
 
     private final List<Effect> effects = new ArrayList<>();
     private final PriorityQueue<Due> timers =
-        new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private final Deque<Effect.ReadAll> reads = new ArrayDeque<>();
     private final Router router;
     private boolean holdsReads;
@@ -139,15 +142,24 @@
 
     void request(long client, String requestClass, long expiresInMs) {
         tell(new Event.RequestBegan(client));
-        tell(new Event.RequestRead(client, ask(requestClass, "id-" + ++lastRequest, expiresInMs), 0));
+        tell(
+                new Event.RequestRead(
+                        client, ask(requestClass, "id-" + ++lastRequest, expiresInMs), 0));
     }
 
     /** A request as its class wants it. */
     static ClientRequest ask(String requestClass, String traceId, long expiresInMs) {
         boolean safe = "read".equals(requestClass);
-        return new ClientRequest(new RequestFields(traceId, requestClass, expiresInMs, false,
-            "pay".equals(requestClass) ? "key" : null), safe ? "GET" : "POST", "/api?x=1",
-            safe ? Content.NONE : text("ask"));
+        return new ClientRequest(
+                new RequestFields(
+                        traceId,
+                        requestClass,
+                        expiresInMs,
+                        false,
+                        "pay".equals(requestClass) ? "key" : null),
+                safe ? "GET" : "POST",
+                "/api?x=1",
+                safe ? Content.NONE : text("ask"));
     }
 
     /** Lets the next connection that was asked for come up and gives back what is written to it. */
@@ -181,8 +193,11 @@
     }
 
     void answer(Forward forward, int status, boolean neverRan, boolean reusable) {
-        tell(new Event.AnswerRead(forward.connection(), new ServerAnswer(status, neverRan, LoadReport.NONE,
-            text("answer"), reusable)));
+        tell(
+                new Event.AnswerRead(
+                        forward.connection(),
+                        new ServerAnswer(
+                                status, neverRan, LoadReport.NONE, text("answer"), reusable)));
     }
 
     private static Content text(String body) {
@@ -207,13 +222,21 @@
         tell(new Event.Reconfigured(config.build()));
     }
 
-    /** Another version of what all nodes share: a list as discovery tells it, and settings if there are. */
+    /**
+     * Another version of what all nodes share: a list as discovery tells it, and settings if there
+     * are.
+     */
     void state(long version, Optional<TestConfig> settings, boolean whole, String... entries) {
         try {
-            HostList servers = HostList.read(
-                TestConfig.list(version, whole, entries).getBytes(StandardCharsets.UTF_8));
-            tell(new Event.StateChanged(servers, settings.map(config -> config.build().nodeSettings()),
-                new LogPosition("log", version)));
+            HostList servers =
+                    HostList.read(
+                            TestConfig.list(version, whole, entries)
+                                    .getBytes(StandardCharsets.UTF_8));
+            tell(
+                    new Event.StateChanged(
+                            servers,
+                            settings.map(config -> config.build().nodeSettings()),
+                            new LogPosition("log", version)));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
@@ -233,8 +256,12 @@
             pass(200);
         }
         try {
-            tell(new Event.ListRead(lastCall, HostList.read(
-                TestConfig.list(seq, whole, entries).getBytes(StandardCharsets.UTF_8))));
+            tell(
+                    new Event.ListRead(
+                            lastCall,
+                            HostList.read(
+                                    TestConfig.list(seq, whole, entries)
+                                            .getBytes(StandardCharsets.UTF_8))));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/ottergauge/routing/RouterTest.java
+++ b/src/test/java/ottergauge/routing/RouterTest.java
@@ -49,7 +49,8 @@
         return new RouterDriver(new TestConfig().knows(ONE, TWO));
     }
 
-    // ---- The ordinary path --------------------------------------------------------------------------
+    // ---- The ordinary path
+    // --------------------------------------------------------------------------
 
     @Test
     void aRequestGoesOnUnchangedAndItsAnswerComesBackUnchanged() {
@@ -58,7 +59,8 @@
         Forward forward = node.connectNext();
         assertEquals("/api?x=1", forward.request().uri());
         assertEquals("POST", forward.request().method());
-        assertEquals("ask", new String(forward.request().content().bytes(), StandardCharsets.UTF_8));
+        assertEquals(
+                "ask", new String(forward.request().content().bytes(), StandardCharsets.UTF_8));
         assertTrue(forward.waits() > 0 && forward.waits() <= 1_000_000, "waits " + forward.waits());
         node.serve(forward);
         Respond respond = node.expect(Respond.class);
@@ -138,8 +140,15 @@
         long late = other.client();
         other.tell(new Event.RequestBegan(late));
         other.pass(300);
-        other.tell(new Event.RequestRead(late, new Event.ClientRequest(
-            new RequestFields("id", "read", 200, false, null), "GET", "/api", Content.NONE), 0));
+        other.tell(
+                new Event.RequestRead(
+                        late,
+                        new Event.ClientRequest(
+                                new RequestFields("id", "read", 200, false, null),
+                                "GET",
+                                "/api",
+                                Content.NONE),
+                        0));
         // It took longer to come than it waits: its time only begins now.
         other.expectNo(Respond.class);
         other.pass(200);
@@ -167,42 +176,56 @@
         return forward.waits();
     }
 
-    // ---- What comes back, and whether it has run ----------------------------------------------------
+    // ---- What comes back, and whether it has run
+    // ----------------------------------------------------
 
     /** The rows of the protocol's table of outcomes that prove that an attempt never ran. */
     static Stream<Arguments> neverRan() {
         return Stream.of(
-            row("503 marked", (node, f) -> {
-                node.written(f);
-                node.answer(f, 503, true);
-            }),
-            row("504 marked", (node, f) -> {
-                node.written(f);
-                node.answer(f, 504, true);
-            }),
-            row("broken before the last byte was written",
-                (node, f) -> node.tell(new Event.ServerClosed(f.connection(), false))));
+                row(
+                        "503 marked",
+                        (node, f) -> {
+                            node.written(f);
+                            node.answer(f, 503, true);
+                        }),
+                row(
+                        "504 marked",
+                        (node, f) -> {
+                            node.written(f);
+                            node.answer(f, 504, true);
+                        }),
+                row(
+                        "broken before the last byte was written",
+                        (node, f) -> node.tell(new Event.ServerClosed(f.connection(), false))));
     }
 
     /** The rows after which it may have run. */
     static Stream<Arguments> mayHaveRun() {
         return Stream.of(
-            row("500", (node, f) -> {
-                node.written(f);
-                node.answer(f, 500, false);
-            }),
-            row("503 with no mark", (node, f) -> {
-                node.written(f);
-                node.answer(f, 503, false);
-            }),
-            row("broken after the last byte was written", (node, f) -> {
-                node.written(f);
-                node.tell(new Event.ServerClosed(f.connection(), false));
-            }),
-            row("nothing", (node, f) -> {
-                node.written(f);
-                node.pass(1000);
-            }));
+                row(
+                        "500",
+                        (node, f) -> {
+                            node.written(f);
+                            node.answer(f, 500, false);
+                        }),
+                row(
+                        "503 with no mark",
+                        (node, f) -> {
+                            node.written(f);
+                            node.answer(f, 503, false);
+                        }),
+                row(
+                        "broken after the last byte was written",
+                        (node, f) -> {
+                            node.written(f);
+                            node.tell(new Event.ServerClosed(f.connection(), false));
+                        }),
+                row(
+                        "nothing",
+                        (node, f) -> {
+                            node.written(f);
+                            node.pass(1000);
+                        }));
     }
 
     private static Arguments row(String name, BiConsumer<RouterDriver, Forward> what) {
@@ -222,7 +245,8 @@
 
     @ParameterizedTest
     @MethodSource("mayHaveRun")
-    void anUnsafeRequestThatMayHaveRunIsNotSentAgainAndFails(BiConsumer<RouterDriver, Forward> what) {
+    void anUnsafeRequestThatMayHaveRunIsNotSentAgainAndFails(
+            BiConsumer<RouterDriver, Forward> what) {
         RouterDriver node = two();
         long client = node.request("grant");
         what.accept(node, node.connectNext());
@@ -269,7 +293,8 @@
         assertEquals(CloseReason.NOT_REUSABLE, node.expect(CloseServer.class).reason());
     }
 
-    // ---- One final answer, nothing after it ---------------------------------------------------------
+    // ---- One final answer, nothing after it
+    // ---------------------------------------------------------
 
     @Test
     void givingUpClosesTheConnectionAndAnswersAtOnce() {
@@ -278,8 +303,9 @@
         Forward forward = node.connectNext();
         node.written(forward);
         node.pass(799);
-        assertEquals(new CloseServer(forward.connection(), CloseReason.TIMED_OUT),
-            node.expect(CloseServer.class));
+        assertEquals(
+                new CloseServer(forward.connection(), CloseReason.TIMED_OUT),
+                node.expect(CloseServer.class));
         assertEquals(502, node.status(client));
         node.answer(forward, 200, false);
         node.tell(new Event.ServerClosed(forward.connection(), false));
@@ -293,8 +319,9 @@
         Forward forward = node.connectNext();
         node.written(forward);
         node.tell(new Event.ClientClosed(client));
-        assertEquals(new CloseServer(forward.connection(), CloseReason.CANCELLED),
-            node.expect(CloseServer.class));
+        assertEquals(
+                new CloseServer(forward.connection(), CloseReason.CANCELLED),
+                node.expect(CloseServer.class));
         node.pass(2000);
         node.expectNo(Respond.class);
         node.expectNo(Forward.class);
@@ -334,7 +361,8 @@
         long client = node.client();
         node.tell(new Event.RequestBegan(client));
         node.pass(3000);
-        assertEquals(new CloseClient(client, CloseReason.SLOW_REQUEST), node.expect(CloseClient.class));
+        assertEquals(
+                new CloseClient(client, CloseReason.SLOW_REQUEST), node.expect(CloseClient.class));
     }
 
     @Test
@@ -358,15 +386,27 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"read,POST,,0", "read,GET,,3", "pay,POST,,3", "pay,GET,key,0",
-        "grant,POST,key,3", "grant,GET,,0"})
-    void aRequestThatIsNotOfItsClassesKindIsNotTaken(String requestClass, String method, String key,
-                                                     int length) {
+    @CsvSource({
+        "read,POST,,0",
+        "read,GET,,3",
+        "pay,POST,,3",
+        "pay,GET,key,0",
+        "grant,POST,key,3",
+        "grant,GET,,0"
+    })
+    void aRequestThatIsNotOfItsClassesKindIsNotTaken(
+            String requestClass, String method, String key, int length) {
         RouterDriver node = one();
         long client = node.client();
-        node.tell(new Event.RequestRead(client, new Event.ClientRequest(
-            new RequestFields("id", requestClass, 1000, false, key), method, "/api",
-            new Content(null, new byte[length])), 0));
+        node.tell(
+                new Event.RequestRead(
+                        client,
+                        new Event.ClientRequest(
+                                new RequestFields("id", requestClass, 1000, false, key),
+                                method,
+                                "/api",
+                                new Content(null, new byte[length])),
+                        0));
         assertEquals(400, node.status(client));
         node.expectNo(Connect.class);
     }
@@ -427,7 +467,8 @@
         node.expect(Connect.class);
     }
 
-    // ---- The list and drains ------------------------------------------------------------------------
+    // ---- The list and drains
+    // ------------------------------------------------------------------------
 
     @Test
     void whatWaitsForADrainingServersConnectionGoesElsewhere() {
@@ -466,7 +507,8 @@
         assertEquals("10.0.0.9:80", node.expect(Connect.class).address().toString());
     }
 
-    // ---- Discovery ----------------------------------------------------------------------------------
+    // ---- Discovery
+    // ----------------------------------------------------------------------------------
 
     private static RouterDriver watching() {
         RouterDriver node = one();
@@ -501,18 +543,29 @@
         node.expectNo(Connect.class);
     }
 
-    /** Guards against a list that names a server twice being read in two ways: what it says last counts. */
+    /**
+     * Guards against a list that names a server twice being read in two ways: what it says last
+     * counts.
+     */
     @Test
     void aServerThatIsNamedTwiceIsWhatItIsNamedLast() {
         RouterDriver node = watching();
-        node.list(42, true, host("s-1", "127.0.0.1:4000", "in_service"),
-            host("s-1", "127.0.0.1:4000", "terminating"), TWO);
+        node.list(
+                42,
+                true,
+                host("s-1", "127.0.0.1:4000", "in_service"),
+                host("s-1", "127.0.0.1:4000", "terminating"),
+                TWO);
         for (int i = 0; i < 3; i++) {
             node.request("read");
             assertEquals(TWO_DIAL, node.expect(Connect.class).address().toString());
         }
-        node.list(43, false, host("s-1", "127.0.0.1:4000", "terminated"),
-            host("s-1", "127.0.0.1:4009", "in_service"), host("s-2", "127.0.0.1:4001", "terminating"));
+        node.list(
+                43,
+                false,
+                host("s-1", "127.0.0.1:4000", "terminated"),
+                host("s-1", "127.0.0.1:4009", "in_service"),
+                host("s-2", "127.0.0.1:4001", "terminating"));
         node.request("read");
         assertEquals("127.0.0.1:4009", node.expect(Connect.class).address().toString());
     }
@@ -544,9 +597,20 @@
     @Test
     void a1024ServersAreAllInUseAtOnce() {
         int many = 1024;
-        RouterDriver node = new RouterDriver(new TestConfig().sockets(16 * many)
-            .knows(IntStream.range(0, many).mapToObj(i -> host("s-" + i, "10.0." + i / 256 + "."
-                + i % 256 + ":80", "in_service")).toArray(String[]::new)));
+        RouterDriver node =
+                new RouterDriver(
+                        new TestConfig()
+                                .sockets(16 * many)
+                                .knows(
+                                        IntStream.range(0, many)
+                                                .mapToObj(
+                                                        i ->
+                                                                host(
+                                                                        "s-" + i,
+                                                                        "10.0." + i / 256 + "."
+                                                                                + i % 256 + ":80",
+                                                                        "in_service"))
+                                                .toArray(String[]::new)));
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 2 * many; i++) {
             node.request("grant");
@@ -569,7 +633,9 @@
         node.tell(new Event.Reconfigured(discoveryAt("127.0.0.1:8600")));
         CallDiscovery call = node.expect(CallDiscovery.class);
         assertEquals(8600, call.address().port());
-        assertTrue(call.after() < 0 && call.waits() == 0, "waits where it was to ask at once: " + call);
+        assertTrue(
+                call.after() < 0 && call.waits() == 0,
+                "waits where it was to ask at once: " + call);
         // What the call that was given up still brings, or that it failed, changes nothing.
         node.tell(new Event.ListRead(old.call(), HostList.EMPTY));
         node.tell(new Event.ListCallFailed(old.call()));
@@ -608,7 +674,8 @@
         node.expectNo(Connect.class);
     }
 
-    // ---- Idle connections and sockets ---------------------------------------------------------------
+    // ---- Idle connections and sockets
+    // ---------------------------------------------------------------
 
     @Test
     void anIdleConnectionIsClosedWellBeforeItsServerWould() {
@@ -644,7 +711,8 @@
         node.pass(1500);
         node.tell(new Event.RequestBegan(client));
         node.pass(1400);
-        assertEquals(new CloseClient(client, CloseReason.SLOW_REQUEST), node.expect(CloseClient.class));
+        assertEquals(
+                new CloseClient(client, CloseReason.SLOW_REQUEST), node.expect(CloseClient.class));
     }
 
     @Test
@@ -654,7 +722,8 @@
         node.serve(node.connectNext());
         node.expect(Respond.class);
         node.pass(2300);
-        assertEquals(new CloseClient(client, CloseReason.SLOW_ANSWER), node.expect(CloseClient.class));
+        assertEquals(
+                new CloseClient(client, CloseReason.SLOW_ANSWER), node.expect(CloseClient.class));
     }
 
     @Test
@@ -678,7 +747,8 @@
         node.request(second, "read", 1000);
         Forward forward = node.expect(Forward.class);
         long third = node.client();
-        assertEquals(new CloseClient(first, CloseReason.SOCKETS_SHORT), node.expect(CloseClient.class));
+        assertEquals(
+                new CloseClient(first, CloseReason.SOCKETS_SHORT), node.expect(CloseClient.class));
         node.serve(forward);
         assertEquals(200, node.status(second));
         node.pass(300);
@@ -722,13 +792,15 @@
 
     @Test
     void withNoSocketAtAllNothingIsOpenedAndTheRequestIsRefused() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 1).attempts(1));
+        RouterDriver node =
+                new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 1).attempts(1));
         long client = node.request("grant");
         node.expectNo(Connect.class);
         assertEquals(503, node.status(client));
     }
 
-    // ---- Probes -------------------------------------------------------------------------------------
+    // ---- Probes
+    // -------------------------------------------------------------------------------------
 
     @Test
     void aProbeThatIsNotAnsweredIsGivenUp() {
@@ -739,11 +811,13 @@
         assertEquals(connect.connection(), node.expect(AskLoad.class).connection());
         node.tell(new Event.RequestWritten(connect.connection()));
         node.pass(250);
-        assertEquals(new CloseServer(connect.connection(), CloseReason.TIMED_OUT),
-            node.expect(CloseServer.class));
+        assertEquals(
+                new CloseServer(connect.connection(), CloseReason.TIMED_OUT),
+                node.expect(CloseServer.class));
     }
 
-    // ---- Stopping -----------------------------------------------------------------------------------
+    // ---- Stopping
+    // -----------------------------------------------------------------------------------
 
     @Test
     void aNodeToldToStopTakesWhatComesAnswersAllAndEnds() {
--- a/src/test/java/ottergauge/routing/SettingsTakeoverTest.java
+++ b/src/test/java/ottergauge/routing/SettingsTakeoverTest.java
@@ -34,7 +34,10 @@
 import ottergauge.routing.Effect.Respond;
 import ottergauge.routing.Effect.TellOperator;
 
-/** Settings and state that come in force while the node serves, on SIGHUP and from the log of changes. */
+/**
+ * Settings and state that come in force while the node serves, on SIGHUP and from the log of
+ * changes.
+ */
 class SettingsTakeoverTest {
 
     private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
@@ -57,15 +60,20 @@
 
     /** Both ways on which settings come. */
     static Stream<Named<BiConsumer<RouterDriver, TestConfig>>> ways() {
-        return Stream.of(Named.of("SIGHUP", RouterDriver::reconfigure),
-            Named.of("log of changes", (node, config) -> node.state(120, Optional.of(config), false)));
+        return Stream.of(
+                Named.of("SIGHUP", RouterDriver::reconfigure),
+                Named.of(
+                        "log of changes",
+                        (node, config) -> node.state(120, Optional.of(config), false)));
     }
 
-    // ---- Classes ------------------------------------------------------------------------------------
+    // ---- Classes
+    // ------------------------------------------------------------------------------------
 
     @ParameterizedTest
     @MethodSource("ways")
-    void aNewClassIsServedFromThatInstantOnOverKeptConnections(BiConsumer<RouterDriver, TestConfig> way) {
+    void aNewClassIsServedFromThatInstantOnOverKeptConnections(
+            BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         Forward first = node.connectToNew("read");
         node.serve(first);
@@ -97,7 +105,10 @@
         assertEquals(0, figure(node, "pending"));
     }
 
-    /** Its semantics are those that it was taken with: what may have had an effect is not tried again. */
+    /**
+     * Its semantics are those that it was taken with: what may have had an effect is not tried
+     * again.
+     */
     @ParameterizedTest
     @MethodSource("ways")
     void whatIsInFlightKeepsTheClassThatItsNameStoodFor(BiConsumer<RouterDriver, TestConfig> way) {
@@ -116,8 +127,15 @@
     void whatIsAboutToBeTriedAgainKeepsItsTime(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         long client = node.client();
-        node.tell(new Event.RequestRead(client, new Event.ClientRequest(
-            new RequestFields("id", "read", -1, false, null), "GET", "/api", Content.NONE), 0));
+        node.tell(
+                new Event.RequestRead(
+                        client,
+                        new Event.ClientRequest(
+                                new RequestFields("id", "read", -1, false, null),
+                                "GET",
+                                "/api",
+                                Content.NONE),
+                        0));
         Connect connect = node.expect(Connect.class);
         way.accept(node, classes(requestClass("read", "free", 200)));
         node.pass(100);
@@ -130,22 +148,34 @@
         assertEquals(200, node.status(client));
     }
 
-    /** Each name stands for its class wherever it is listed: what is no request of that is not taken. */
+    /**
+     * Each name stands for its class wherever it is listed: what is no request of that is not
+     * taken.
+     */
     @ParameterizedTest
     @MethodSource("ways")
-    void classesThatAreListedInAnotherOrderStayWhatTheyAre(BiConsumer<RouterDriver, TestConfig> way) {
+    void classesThatAreListedInAnotherOrderStayWhatTheyAre(
+            BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         way.accept(node, classes(GRANT, READ, PAY));
         for (String name : new String[] {"read", "pay", "grant"}) {
             long client = node.request(name);
-            Forward forward = node.has(Connect.class) ? node.connectNext() : node.expect(Forward.class);
+            Forward forward =
+                    node.has(Connect.class) ? node.connectNext() : node.expect(Forward.class);
             node.serve(forward);
             assertEquals(200, node.status(client), name);
             assertEquals(1, figure(node, "completed." + name));
         }
         long keyless = node.client();
-        node.tell(new Event.RequestRead(keyless, new Event.ClientRequest(
-            new RequestFields("id", "pay", 500, false, null), "POST", "/api", Content.NONE), 0));
+        node.tell(
+                new Event.RequestRead(
+                        keyless,
+                        new Event.ClientRequest(
+                                new RequestFields("id", "pay", 500, false, null),
+                                "POST",
+                                "/api",
+                                Content.NONE),
+                        0));
         assertEquals(400, node.status(keyless));
     }
 
@@ -181,15 +211,19 @@
     }
 
     private static long figure(RouterDriver node, String name) {
-        return figures(node).lines().filter(line -> line.startsWith("balancer." + name + "="))
-            .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1))).sum();
+        return figures(node)
+                .lines()
+                .filter(line -> line.startsWith("balancer." + name + "="))
+                .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1)))
+                .sum();
     }
 
-    // ---- What is in force for servers and connections -----------------------------------------------
+    // ---- What is in force for servers and connections
+    // -----------------------------------------------
 
     /**
-     * Guards against an effect that happens in two zones: under the new numbers of zones the one's was the
-     * other's.
+     * Guards against an effect that happens in two zones: under the new numbers of zones the one's
+     * was the other's.
      */
     @ParameterizedTest
     @MethodSource("ways")
@@ -210,12 +244,16 @@
         assertEquals(502, node.status(client));
     }
 
-    /** Zones that no settings name are taken for one; from the change on that names them they are two. */
+    /**
+     * Zones that no settings name are taken for one; from the change on that names them they are
+     * two.
+     */
     @ParameterizedTest
     @MethodSource("ways")
-    void zonesThatAreAddedAreToldApartAtServersThatAreListed(BiConsumer<RouterDriver, TestConfig> way) {
+    void zonesThatAreAddedAreToldApartAtServersThatAreListed(
+            BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node =
-            new RouterDriver(new TestConfig().knows(inZone(ONE, "c"), inZone(TWO, "d")));
+                new RouterDriver(new TestConfig().knows(inZone(ONE, "c"), inZone(TWO, "d")));
         way.accept(node, new TestConfig().zones("a", "b", "c", "d"));
         long client = node.request("pay");
         Connect first = node.expect(Connect.class);
@@ -257,16 +295,21 @@
         }
     }
 
-    // ---- State from the log of changes --------------------------------------------------------------
+    // ---- State from the log of changes
+    // --------------------------------------------------------------
 
     /**
-     * What is held goes where the new list has a server. It has one attempt: chosen by the new settings out
-     * of the old list, it would be lost at the server that goes.
+     * What is held goes where the new list has a server. It has one attempt: chosen by the new
+     * settings out of the old list, it would be lost at the server that goes.
      */
     @Test
     void serversAndSettingsComeInForceAtOneInstant() {
-        RouterDriver node = new RouterDriver(new TestConfig().attempts(1).balancers(50_000)
-            .knows(born("s-1", "10.0.0.1:80", 1_000_000_000)));
+        RouterDriver node =
+                new RouterDriver(
+                        new TestConfig()
+                                .attempts(1)
+                                .balancers(50_000)
+                                .knows(born("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
         node.expectNo(Connect.class);
         node.state(120, Optional.of(new TestConfig().balancers(1)), false, ONE_GONE, TWO);
@@ -275,7 +318,9 @@
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
     }
 
-    /** What waited for a connection to a server that goes with the change is taken to another one. */
+    /**
+     * What waited for a connection to a server that goes with the change is taken to another one.
+     */
     @Test
     void whatWaitedForAServerThatGoesIsTakenToAnother() {
         RouterDriver node = one();
@@ -320,14 +365,21 @@
         assertEquals(200, node.expect(Respond.class).status());
     }
 
-    /** Guards against nodes that all take the place of one: settings that they share can't number them. */
+    /**
+     * Guards against nodes that all take the place of one: settings that they share can't number
+     * them.
+     */
     @Test
     void aNodeKeepsItsNumberUnderSharedSettings() {
-        String[] servers = IntStream.range(0, 50)
-            .mapToObj(i -> host("s-" + i, "10.0.1." + i + ":80", "in_service")).toArray(String[]::new);
-        RouterDriver node = new RouterDriver(new TestConfig().me(7).fleet(1000, 0.08).knows(servers));
+        String[] servers =
+                IntStream.range(0, 50)
+                        .mapToObj(i -> host("s-" + i, "10.0.1." + i + ":80", "in_service"))
+                        .toArray(String[]::new);
+        RouterDriver node =
+                new RouterDriver(new TestConfig().me(7).fleet(1000, 0.08).knows(servers));
         Set<String> before = used(node);
-        node.state(120, Optional.of(new TestConfig().fleet(1000, 0.08).classes(READ, AUDIT)), false);
+        node.state(
+                120, Optional.of(new TestConfig().fleet(1000, 0.08).classes(READ, AUDIT)), false);
         assertEquals(before, used(node));
     }
 
@@ -348,7 +400,9 @@
         return used;
     }
 
-    /** A hang-up for another reason must not bring back the settings that the node was started with. */
+    /**
+     * A hang-up for another reason must not bring back the settings that the node was started with.
+     */
     @Test
     void theFilesSettingsCountNoMoreOnceTheyComeFromTheLog() {
         RouterDriver node = one();
--- a/src/test/java/ottergauge/routing/WatchTest.java
+++ b/src/test/java/ottergauge/routing/WatchTest.java
@@ -22,8 +22,9 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * A watch that falls silent, and one that can't be opened. What is missed counts as told six seconds after
- * discovery had it and could be reached, so by then the list has to be there, whatever the other nodes ask.
+ * A watch that falls silent, and one that can't be opened. What is missed counts as told six
+ * seconds after discovery had it and could be reached, so by then the list has to be there,
+ * whatever the other nodes ask.
  */
 class WatchTest {
 
@@ -37,14 +38,16 @@
 
     private static HostList list(long seq, boolean whole, String health) {
         try {
-            return HostList.read(TestConfig.list(seq, whole, host("s-1", "10.0.0.1:80", health)).getBytes());
+            return HostList.read(
+                    TestConfig.list(seq, whole, host("s-1", "10.0.0.1:80", health)).getBytes());
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private <E> E expect(Class<E> kind) {
-        E found = effects.stream().filter(kind::isInstance).map(kind::cast).findFirst().orElseThrow();
+        E found =
+                effects.stream().filter(kind::isInstance).map(kind::cast).findFirst().orElseThrow();
         effects.remove(found);
         return found;
     }
@@ -58,7 +61,10 @@
         return expect(CallDiscovery.class);
     }
 
-    /** Guards against requests to servers that leave: noticed when it counted as told, it was too late. */
+    /**
+     * Guards against requests to servers that leave: noticed when it counted as told, it was too
+     * late.
+     */
     @Test
     void aSilentWatchIsOpenedAnewAtOnceAndSoonAfterItsWait() {
         CallDiscovery silent = watching();
@@ -67,13 +73,18 @@
         watch.due(SECOND + timer.delay(), silent.call());
         CallDiscovery again = expect(CallDiscovery.class);
         assertEquals(41, again.after());
-        assertTrue(effects.stream().noneMatch(GiveUpCall.class::isInstance), "the old call is still read");
+        assertTrue(
+                effects.stream().noneMatch(GiveUpCall.class::isInstance),
+                "the old call is still read");
         assertTrue(watch.takes(again.call(), DRAINS));
         assertTrue(watch.read(14 * SECOND, again.call(), DRAINS).isPresent());
         assertEquals(silent.call(), expect(GiveUpCall.class).call());
     }
 
-    /** Guards against an answer that counts as told and is dropped, since its call was given up meanwhile. */
+    /**
+     * Guards against an answer that counts as told and is dropped, since its call was given up
+     * meanwhile.
+     */
     @Test
     void aLateAnswerOfASilentWatchCountsUntilTheNextOneIsThere() {
         CallDiscovery silent = watching();
@@ -91,15 +102,24 @@
         assertEquals(42, expect(CallDiscovery.class).after());
     }
 
-    /** Guards against an answer that counts as told and is dropped: it may come to a call given up on. */
+    /**
+     * Guards against an answer that counts as told and is dropped: it may come to a call given up
+     * on.
+     */
     @Test
     void aFirstCallThatIsNotAnsweredIsReadOnWhileTheNextOneIsPausedFor() {
         watch.begin(0);
         CallDiscovery first = expect(CallDiscovery.class);
         watch.due(3 * SECOND, first.call());
-        assertTrue(effects.stream().noneMatch(CallDiscovery.class::isInstance), "asked with no pause");
-        StartTimer pause = effects.stream().filter(StartTimer.class::isInstance).map(StartTimer.class::cast)
-            .filter(timer -> timer.timer() instanceof Timer.NextCall).findFirst().orElseThrow();
+        assertTrue(
+                effects.stream().noneMatch(CallDiscovery.class::isInstance), "asked with no pause");
+        StartTimer pause =
+                effects.stream()
+                        .filter(StartTimer.class::isInstance)
+                        .map(StartTimer.class::cast)
+                        .filter(timer -> timer.timer() instanceof Timer.NextCall)
+                        .findFirst()
+                        .orElseThrow();
         assertTrue(pause.delay() <= SECOND / 2, "paused for " + pause.delay());
         assertTrue(watch.takes(first.call(), DRAINS));
         watch.resume(4 * SECOND, first.call());
@@ -128,7 +148,10 @@
         assertEquals(41, expect(CallDiscovery.class).after());
     }
 
-    /** Guards against a node that waits for news of versions which discovery, begun anew, never reaches. */
+    /**
+     * Guards against a node that waits for news of versions which discovery, begun anew, never
+     * reaches.
+     */
     @Test
     void versionsThatBeginAnewAreAskedForWhole() {
         CallDiscovery call = watching();
@@ -157,7 +180,9 @@
         assertEquals(42, expect(CallDiscovery.class).after());
     }
 
-    /** Guards against a list that can't be taken and is sent whole about once a second, for ever. */
+    /**
+     * Guards against a list that can't be taken and is sent whole about once a second, for ever.
+     */
     @Test
     void aListThatIsNeverTakenIsAskedForLessAndLessOften() {
         watch.begin(0);
@@ -173,11 +198,13 @@
             now += pause.delay();
             watch.resume(now, call.call());
         }
-        assertTrue(pauses.subList(0, 3).stream().allMatch(pause -> pause < 2 * SECOND),
-            "spoilt by chance it is sound the next time: " + pauses);
+        assertTrue(
+                pauses.subList(0, 3).stream().allMatch(pause -> pause < 2 * SECOND),
+                "spoilt by chance it is sound the next time: " + pauses);
         assertTrue(pauses.get(3) >= 3 * SECOND, pauses.toString());
-        assertTrue(pauses.subList(10, 20).stream().allMatch(pause -> pause >= 100 * SECOND),
-            pauses.toString());
+        assertTrue(
+                pauses.subList(10, 20).stream().allMatch(pause -> pause >= 100 * SECOND),
+                pauses.toString());
         assertTrue(pauses.stream().allMatch(pause -> pause <= 400 * SECOND), pauses.toString());
         assertFalse(watch.stale(now), "the list before stays in force");
     }
@@ -195,14 +222,18 @@
         CallDiscovery next = expect(CallDiscovery.class);
         effects.clear();
         watch.notTaken(5 * SECOND, next.call());
-        assertEquals(42, expect(CallDiscovery.class).after(), "a watch that breaks is opened anew at once");
+        assertEquals(
+                42,
+                expect(CallDiscovery.class).after(),
+                "a watch that breaks is opened anew at once");
     }
 
-    private record Asked(int node, long at, CallDiscovery call) { }
+    private record Asked(int node, long at, CallDiscovery call) {}
 
     /**
-     * All watches of a fleet fall silent at one moment, soon after the same change woke them all; discovery
-     * takes this long for one call of every node, one by one, and turns away who would wait for over 2 s.
+     * All watches of a fleet fall silent at one moment, soon after the same change woke them all;
+     * discovery takes this long for one call of every node, one by one, and turns away who would
+     * wait for over 2 s.
      */
     @ParameterizedTest
     @CsvSource({"30, 5000", "100, 5000", "120, 5000"})
@@ -242,19 +273,31 @@
     }
 
     private static long lastTimer(List<Effect> effects) {
-        return effects.stream().filter(StartTimer.class::isInstance).map(StartTimer.class::cast)
-            .reduce((first, last) -> last).orElseThrow().delay();
+        return effects.stream()
+                .filter(StartTimer.class::isInstance)
+                .map(StartTimer.class::cast)
+                .reduce((first, last) -> last)
+                .orElseThrow()
+                .delay();
     }
 
     private static CallDiscovery last(List<Effect> effects) {
-        return effects.stream().filter(CallDiscovery.class::isInstance).map(CallDiscovery.class::cast)
-            .reduce((first, last) -> last).orElseThrow();
+        return effects.stream()
+                .filter(CallDiscovery.class::isInstance)
+                .map(CallDiscovery.class::cast)
+                .reduce((first, last) -> last)
+                .orElseThrow();
     }
 
     private static NodeConfig seeded(int seed) {
         try {
-            return NodeConfig.read(new TestConfig().json().replace("8c1f30d27a5be964",
-                Long.toHexString(0x9e3779b97f4a7c15L * (seed + 1))).getBytes());
+            return NodeConfig.read(
+                    new TestConfig()
+                            .json()
+                            .replace(
+                                    "8c1f30d27a5be964",
+                                    Long.toHexString(0x9e3779b97f4a7c15L * (seed + 1)))
+                            .getBytes());
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/ottergauge/rows/RowTableTest.java
+++ b/src/test/java/ottergauge/rows/RowTableTest.java
@@ -25,8 +25,11 @@
 
     @Provide
     Arbitrary<List<List<String>>> renamings() {
-        return Arbitraries.of("a", "b", "c", "d", "e", "f", "g", "h", "i").list().ofMaxSize(12).list()
-            .ofMaxSize(20);
+        return Arbitraries.of("a", "b", "c", "d", "e", "f", "g", "h", "i")
+                .list()
+                .ofMaxSize(12)
+                .list()
+                .ofMaxSize(20);
     }
 
     @Property(tries = 500, seed = "91")
@@ -45,14 +48,16 @@
             for (String name : distinct) {
                 int row = table.of(name);
                 if (row != table.shared()) {
-                    assertEquals(owned.getOrDefault(name, belongs.get(row)), belongs.get(row), name);
+                    assertEquals(
+                            owned.getOrDefault(name, belongs.get(row)), belongs.get(row), name);
                     owned.put(name, belongs.get(row));
                 } else {
                     assertTrue(!owned.containsKey(name), name + " has lost its row");
                 }
             }
             assertEquals(Math.min(MOST_OWN, distinct.size()), owned.size(), "rows of their own");
-            assertEquals(owned.size(), new HashSet<>(owned.values()).size(), "one row for two names");
+            assertEquals(
+                    owned.size(), new HashSet<>(owned.values()).size(), "one row for two names");
             assertEquals(owned.size() + 1, belongs.size());
         }
     }
@@ -61,8 +66,9 @@
     void theFirstNamesHaveRowsAndAnUnknownOneSharesTheLast() {
         RowTable table = new RowTable(2);
         table.rename(List.of("a", "b", "c"));
-        assertEquals(List.of(0, 1, 2, 2),
-            List.of(table.of("a"), table.of("b"), table.of("c"), table.of("unknown")));
+        assertEquals(
+                List.of(0, 1, 2, 2),
+                List.of(table.of("a"), table.of("b"), table.of("c"), table.of("unknown")));
         table.rename(List.of("c", "d", "b"));
         assertEquals(List.of(0, 2, 1), List.of(table.of("c"), table.of("d"), table.of("b")));
     }
--- a/src/test/java/ottergauge/transport/LoopWatchTest.java
+++ b/src/test/java/ottergauge/transport/LoopWatchTest.java
@@ -43,7 +43,9 @@
         assertEquals(900, round(900, 0));
     }
 
-    /** Guards against the system ending the wait of a continued process before what came is ready. */
+    /**
+     * Guards against the system ending the wait of a continued process before what came is ready.
+     */
     @Test
     void whatComesAfterAWaitThatEndedWithNothingIsAsOldAsThat() throws Exception {
         round(40, 0);
@@ -55,7 +57,10 @@
         assertEquals(800, round(0, 0));
     }
 
-    /** Guards against the same where the machine is busy: what had come was ready 5 ms after the asking. */
+    /**
+     * Guards against the same where the machine is busy: what had come was ready 5 ms after the
+     * asking.
+     */
     @Test
     void whatComesALittleAfterAStandstillIsAsOldAsThat() throws Exception {
         round(40, 0);
--- a/src/test/java/ottergauge/transport/RehearsalTest.java
+++ b/src/test/java/ottergauge/transport/RehearsalTest.java
@@ -13,14 +13,16 @@
     /** One that is refused goes through a part of the node alone, and leaves the rest cold. */
     @Test
     void nearlyAllThatIsRehearsedIsServed() {
-        Rehearsal.Played played = Rehearsal.run(new TestConfig().probes().build(), 1_000, Long.MAX_VALUE);
+        Rehearsal.Played played =
+                Rehearsal.run(new TestConfig().probes().build(), 1_000, Long.MAX_VALUE);
         assertEquals(1_000, played.requests());
         assertTrue(played.served() > 900, played.toString());
     }
 
     /**
-     * One of many nodes, with probes that are dear, holds a request while its part of the servers is used up.
-     * The next one came on the same connection, which ended it, and every node of the fleet crashed at start.
+     * One of many nodes, with probes that are dear, holds a request while its part of the servers
+     * is used up. The next one came on the same connection, which ended it, and every node of the
+     * fleet crashed at start.
      */
     @Test
     void whatIsHeldIsAnsweredBeforeTheNextRequest() {
@@ -31,8 +33,8 @@
     }
 
     /**
-     * With up to 1,000 requests each, ten of fourteen nodes restarted together were away for 4.5 s; with 60
-     * each, the nodes of a small fleet lost most of their first seconds' requests.
+     * With up to 1,000 requests each, ten of fourteen nodes restarted together were away for 4.5 s;
+     * with 60 each, the nodes of a small fleet lost most of their first seconds' requests.
      */
     @Test
     void oneOfManyRehearsesLessThanOneOfFew() {
--- a/src/test/java/ottergauge/transport/TimersTest.java
+++ b/src/test/java/ottergauge/transport/TimersTest.java
@@ -11,15 +11,18 @@
 
 class TimersTest {
 
-    private record Started(long millis, Runnable task) { }
+    private record Started(long millis, Runnable task) {}
 
     private final List<Started> started = new ArrayList<>();
     private final List<Long> ran = new ArrayList<>();
     private long now = 5_000_000;
     private final Timers timers =
-        new Timers(() -> now, (millis, task) -> started.add(new Started(millis, task)));
+            new Timers(() -> now, (millis, task) -> started.add(new Started(millis, task)));
 
-    /** Guards against a time-out that is lost: a timer that fires 2 ms early was passed over for good. */
+    /**
+     * Guards against a time-out that is lost: a timer that fires 2 ms early was passed over for
+     * good.
+     */
     @Test
     void aTimerThatTheLibraryFiresEarlyWaitsForTheRest() {
         timers.start(100_000, () -> ran.add(now));
@@ -43,7 +46,10 @@
         assertEquals(List.of(1L, 2L), started.stream().map(Started::millis).toList());
     }
 
-    /** Guards against connections closed as idle, and attempts given up, before what has come is read. */
+    /**
+     * Guards against connections closed as idle, and attempts given up, before what has come is
+     * read.
+     */
     @Test
     void aLateTimerLetsTheLoopReadFirst() {
         boolean[] ran = new boolean[1];
