--- a/capacity/src/main/java/ottergauge/capacity/program/ReducerSections.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/ReducerSections.java
@@ -230,6 +230,6 @@
     }
 
     private static Cell exactly(long value) {
-        return new Cell.Measured(Spread.of(value));
+        return new Cell.Measured(Spread.of((double) value));
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -163,7 +163,7 @@
 
     private HostList list(long after) {
         long oldest = changes.isEmpty() ? version + 1 : changes.peek().seq();
-        if (after < 0 || after > version || after < version && after < oldest - 1) {
+        if (after < 0 || after > version || (after < version && after < oldest - 1)) {
             return fleet.whole();
         }
         Map<String, Host> newest = new LinkedHashMap<>();
--- a/control/src/main/java/ottergauge/control/config/ConfigFields.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigFields.java
@@ -43,7 +43,7 @@
     /** A text that may be absent, which is null then. */
     String text(String key) {
         Object value = value(key);
-        if (value == null || value instanceof String text && !text.isEmpty()) {
+        if (value == null || (value instanceof String text && !text.isEmpty())) {
             return (String) value;
         }
         fault(key, "a text of one character at least");
--- a/control/src/main/java/ottergauge/control/log/SubmissionCheck.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionCheck.java
@@ -82,7 +82,7 @@
 
     private boolean existsAfterwards(String service) {
         ResourceKey key = new ResourceKey(ResourceKind.SERVICE, service);
-        return newServices.contains(service) || state.get(key) != null && !deleted.contains(key);
+        return newServices.contains(service) || (state.get(key) != null && !deleted.contains(key));
     }
 
     private void checkDeletes() {
@@ -109,7 +109,7 @@
 
     private void checkSizes(List<StoredResource> puts) {
         long changeBytes = 0;
-        long resources = state.size() - submission.deletes().size();
+        long resources = (long) state.size() - submission.deletes().size();
         long stateBytes = state.bytes();
         for (StoredResource put : puts) {
             StoredResource before = state.get(put.key());
--- a/control/src/main/java/ottergauge/control/server/CallBody.java
+++ b/control/src/main/java/ottergauge/control/server/CallBody.java
@@ -21,7 +21,7 @@
     static void refuseAny(HttpServerRequest request) throws CallException {
         String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
         boolean chunked = request.headers().contains(HttpHeaders.TRANSFER_ENCODING);
-        if (chunked || length != null && !length.equals("0")) {
+        if (chunked || (length != null && !length.equals("0"))) {
             throw new CallException(Status.BAD_REQUEST, "this call has no body");
         }
     }
--- a/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
@@ -202,8 +202,8 @@
         }
 
         private boolean isOutOfRange(Change.Put put) {
-            return put.value() instanceof Tenant tenant && tenant.requestsPerSecond() < 0
-                    || put.value() instanceof Server server && server.host().share() < 0;
+            return (put.value() instanceof Tenant tenant && tenant.requestsPerSecond() < 0)
+                    || (put.value() instanceof Server server && server.host().share() < 0);
         }
     }
 
--- a/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -362,13 +363,19 @@
         accepted(Submissions.of("b").delete(ResourceKind.SERVER, "s-1").service("checkout"));
         Answer answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, ALL_BYTES);
         EncodedChanges changes = assertInstanceOf(Answer.Changes.class, answer).page();
-        assertEquals(new String(ResourceCodec.write(changes.page())), new String(changes.json()));
+        assertEquals(
+                new String(ResourceCodec.write(changes.page()), UTF_8),
+                new String(changes.json(), UTF_8));
         assertEquals(changes.page(), ResourceCodec.readChanges(changes.json()));
         EncodedSnapshot last = log.snapshot(Optional.empty(), EVERYTHING, ALL_BYTES);
-        assertEquals(new String(ResourceCodec.write(last.page())), new String(last.json()));
+        assertEquals(
+                new String(ResourceCodec.write(last.page()), UTF_8),
+                new String(last.json(), UTF_8));
         EncodedSnapshot first = log.snapshot(Optional.empty(), EVERYTHING, 200);
         assertTrue(first.next().isPresent());
-        assertEquals(new String(ResourceCodec.write(first.page())), new String(first.json()));
+        assertEquals(
+                new String(ResourceCodec.write(first.page()), UTF_8),
+                new String(first.json(), UTF_8));
         assertEquals(first.page(), ResourceCodec.readSnapshot(first.json()));
     }
 
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -97,10 +98,12 @@
             HttpResponse<String> old = control.get(changes(positions.get(1), "&wait_ms=10000"));
             assertEquals(410, old.statusCode());
             String log = positions.get(0).log();
-            assertEquals(new TooOld(log, 4, 6), ResourceCodec.readTooOld(old.body().getBytes()));
+            assertEquals(
+                    new TooOld(log, 4, 6), ResourceCodec.readTooOld(old.body().getBytes(UTF_8)));
             HttpResponse<String> other =
                     control.get(changes(new LogPosition("other", 5), "&wait_ms=10000"));
-            assertEquals(new TooOld(log, 4, 6), ResourceCodec.readTooOld(other.body().getBytes()));
+            assertEquals(
+                    new TooOld(log, 4, 6), ResourceCodec.readTooOld(other.body().getBytes(UTF_8)));
             HttpResponse<String> ahead = control.get(changes(new LogPosition(log, 7), ""));
             assertRefused(503, "behind", ahead);
             assertEquals(Optional.of("1"), ahead.headers().firstValue("Retry-After"));
@@ -141,7 +144,7 @@
                                 + from.map(key -> "&from=" + key.path()).orElse("");
                 SnapshotPage page =
                         ResourceCodec.readSnapshot(
-                                control.get("/control/v1/snapshot" + query).body().getBytes());
+                                control.get("/control/v1/snapshot" + query).body().getBytes(UTF_8));
                 begin = Optional.of(begin.orElse(page.at()));
                 page.resources().forEach(each -> copy.put(each.key(), each));
                 from = page.next();
@@ -166,7 +169,9 @@
             }
             SnapshotPage whole =
                     ResourceCodec.readSnapshot(
-                            control.get("/control/v1/snapshot?max_bytes=524288").body().getBytes());
+                            control.get("/control/v1/snapshot?max_bytes=524288")
+                                    .body()
+                                    .getBytes(UTF_8));
             assertEquals(Optional.empty(), whole.next());
             assertEquals(whole.resources(), List.copyOf(copy.values()));
         }
@@ -185,18 +190,19 @@
             HttpResponse<String> bad =
                     control.post(tenant.replace("\"x\"", "\"y\"").replace("RATE", "-3"));
             assertEquals(400, bad.statusCode());
-            Fault fault = ResourceCodec.readFaults(bad.body().getBytes()).get(0);
+            Fault fault = ResourceCodec.readFaults(bad.body().getBytes(UTF_8)).get(0);
             assertEquals("put[0].value.requests_per_second", fault.key());
             assertEquals("-3", fault.value());
             HttpResponse<String> unfit =
                     control.post(
                             new String(
                                     ResourceCodec.write(
-                                            Submissions.of("z").server("s-1", "none").build())));
+                                            Submissions.of("z").server("s-1", "none").build()),
+                                    UTF_8));
             assertEquals(400, unfit.statusCode());
             assertEquals(
                     "put[0].value.service",
-                    ResourceCodec.readFaults(unfit.body().getBytes()).get(0).key());
+                    ResourceCodec.readFaults(unfit.body().getBytes(UTF_8)).get(0).key());
             assertEquals(1, control.position().version());
         }
     }
@@ -263,9 +269,12 @@
             assertTrue(
                     raw(
                                     control,
-                                    "GET /control/v1/status HTTP/1.1\r\n"
-                                            + "Content-Length: 5\r\n\r\n"
-                                            + "hello")
+                                    """
+                                    GET /control/v1/status HTTP/1.1
+                                    Content-Length: 5
+
+                                    hello\
+                                    """)
                             .startsWith("HTTP/1.1 400"));
             assertTrue(
                     raw(control, "PUT /control/v1/changes HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
@@ -273,8 +282,11 @@
             assertTrue(
                     raw(
                                     control,
-                                    "POST /control/v1/changes HTTP/1.1\r\n"
-                                            + "Content-Length: 99999999\r\n\r\n")
+                                    """
+                                    POST /control/v1/changes HTTP/1.1
+                                    Content-Length: 99999999
+
+                                    """)
                             .startsWith("HTTP/1.1 413"));
             assertTrue(
                     raw(control, "POST /control/v1/changes HTTP/1.1\r\nContent-Length: x\r\n\r\n")
@@ -319,9 +331,9 @@
             String status = "GET /control/v1/status HTTP/1.1\r\n\r\n";
             try (Socket first = control.connect();
                     Socket second = control.connect()) {
-                first.getOutputStream().write(status.getBytes());
+                first.getOutputStream().write(status.getBytes(UTF_8));
                 assertEquals('H', first.getInputStream().read());
-                second.getOutputStream().write(status.getBytes());
+                second.getOutputStream().write(status.getBytes(UTF_8));
                 assertEquals('H', second.getInputStream().read());
                 assertEquals("", raw(control, status));
             }
@@ -374,13 +386,13 @@
                 slow.getOutputStream()
                         .write(
                                 "GET /control/v1/snapshot?max_bytes=524288 HTTP/1.1\r\n\r\n"
-                                        .getBytes());
+                                        .getBytes(UTF_8));
                 control.await(
                         "closed",
                         () -> {
                             try {
                                 // Writing to a connection that the other side has closed fails.
-                                slow.getOutputStream().write("\r\n".getBytes());
+                                slow.getOutputStream().write("\r\n".getBytes(UTF_8));
                                 return false;
                             } catch (IOException e) {
                                 return true;
@@ -406,7 +418,7 @@
         try (RunningControl control = RunningControl.serving(folder, ",\"slow_reader_ms\":60000")) {
             publishMuch(control);
             String call = "GET /control/v1/snapshot?max_bytes=524288 HTTP/1.1\r\n\r\n";
-            byte[] calls = call.repeat(1_000).getBytes();
+            byte[] calls = call.repeat(1_000).getBytes(UTF_8);
             long most = 64 << 20;
             try (Socket flood = control.connect()) {
                 Thread writer = new Thread(() -> writeUpTo(flood, calls, most));
--- a/control/src/test/java/ottergauge/control/program/RunningControl.java
+++ b/control/src/test/java/ottergauge/control/program/RunningControl.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.fail;
 
@@ -166,13 +167,13 @@
     /** Publishes and expects that it is accepted. */
     LogPosition publish(Submission submission)
             throws IOException, InterruptedException, ProtocolException {
-        HttpResponse<String> answer = post(new String(ResourceCodec.write(submission)));
+        HttpResponse<String> answer = post(new String(ResourceCodec.write(submission), UTF_8));
         assertEquals(200, answer.statusCode(), answer.body());
-        return ResourceCodec.readPosition(answer.body().getBytes());
+        return ResourceCodec.readPosition(answer.body().getBytes(UTF_8));
     }
 
     LogPosition position() throws IOException, InterruptedException {
-        var status = JsonTree.read(get("/control/v1/status").body().getBytes());
+        var status = JsonTree.read(get("/control/v1/status").body().getBytes(UTF_8));
         return new LogPosition(
                 (String) status.get("log"), ((Double) status.get("version")).longValue());
     }
--- a/control/src/test/java/ottergauge/control/program/ToolsIT.java
+++ b/control/src/test/java/ottergauge/control/program/ToolsIT.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -139,7 +140,7 @@
         try {
             for (Resource resource :
                     ResourceCodec.readSnapshot(
-                                    control.get("/control/v1/snapshot").body().getBytes())
+                                    control.get("/control/v1/snapshot").body().getBytes(UTF_8))
                             .resources()) {
                 if (resource.key().kind() == ResourceKind.SERVER) {
                     names.add(resource.key().name());
--- a/lab/src/main/java/ottergauge/lab/client/Plan.java
+++ b/lab/src/main/java/ottergauge/lab/client/Plan.java
@@ -83,7 +83,7 @@
         LogNormalSampler sampler =
                 new LogNormalSampler(
                         ZigguratSampler.NormalizedGaussian.of(random),
-                        Math.log(type.work()) - variance / 2,
+                        Math.log((double) type.work()) - variance / 2,
                         Math.sqrt(variance));
         return sampler::sample;
     }
--- a/lab/src/main/java/ottergauge/lab/discovery/Registry.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/Registry.java
@@ -38,8 +38,8 @@
     public boolean set(
             String id, String place, String zone, String kind, Health health, long bornMs) {
         Line before = lines.get(id);
-        if (before != null && before.health() == health && before.bornMs() == bornMs
-                || before == null && health == Health.TERMINATED) {
+        if ((before != null && before.health() == health && before.bornMs() == bornMs)
+                || (before == null && health == Health.TERMINATED)) {
             return false;
         }
         Line line = new Line(id, place, zone, kind, health, bornMs, ++version);
--- a/lab/src/main/java/ottergauge/lab/net/Lane.java
+++ b/lab/src/main/java/ottergauge/lab/net/Lane.java
@@ -112,7 +112,7 @@
     }
 
     boolean loses() {
-        return gone || lost > 0 && random.nextDouble() < lost;
+        return gone || (lost > 0 && random.nextDouble() < lost);
     }
 
     boolean doubles() {
--- a/lab/src/main/java/ottergauge/lab/net/Links.java
+++ b/lab/src/main/java/ottergauge/lab/net/Links.java
@@ -34,9 +34,10 @@
         return links.entrySet().stream()
                 .filter(
                         e ->
-                                some.contains(e.getKey().from()) && others.contains(e.getKey().to())
-                                        || others.contains(e.getKey().from())
-                                                && some.contains(e.getKey().to()))
+                                (some.contains(e.getKey().from())
+                                                && others.contains(e.getKey().to()))
+                                        || (others.contains(e.getKey().from())
+                                                && some.contains(e.getKey().to())))
                 .map(Map.Entry::getValue)
                 .toList();
     }
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
@@ -185,10 +185,10 @@
         String who = e.text("who", "discovery");
         boolean known =
                 "discovery".equals(who)
-                        || what == What.STALL
+                        || (what == What.STALL
                                 && who.matches("hollow-[1-9][0-9]?")
                                 && Integer.parseInt(who.substring("hollow-".length()))
-                                        <= nodes.processes();
+                                        <= nodes.processes());
         if (!known) {
             throw e.fault(
                     "who",
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
@@ -192,7 +192,7 @@
             LoadStep step = new LoadStep(e.span("from", 0), e.number("rate", Range.ANY));
             e.done();
             if (step.from() >= length
-                    || !steps.isEmpty() && step.from() <= steps.get(steps.size() - 1).from()) {
+                    || (!steps.isEmpty() && step.from() <= steps.get(steps.size() - 1).from())) {
                 throw e.fault("from", "a time after the step before and before the play's end");
             }
             steps.add(step);
--- a/lab/src/main/java/ottergauge/lab/server/ServerHost.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerHost.java
@@ -238,7 +238,8 @@
     }
 
     boolean fails() {
-        return ailment == Ailment.FAILS || kind.errors() > 0 && random.nextDouble() < kind.errors();
+        return ailment == Ailment.FAILS
+                || (kind.errors() > 0 && random.nextDouble() < kind.errors());
     }
 
     boolean full() {
--- a/lab/src/main/java/ottergauge/lab/server/ServerModel.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerModel.java
@@ -118,7 +118,7 @@
         }
         if (running.size() >= kind.slots()
                 && (waiting.size() >= kind.queue()
-                        || kind.earlyFull() > 0 && held() / capacity(now) > kind.earlyFull())) {
+                        || (kind.earlyFull() > 0 && held() / capacity(now) > kind.earlyFull()))) {
             return Offer.FULL;
         }
         waiting.add(job);
--- a/lab/src/test/java/ottergauge/lab/net/LinkTest.java
+++ b/lab/src/test/java/ottergauge/lab/net/LinkTest.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.lab.net;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -126,8 +127,8 @@
 
     private static String ask(Socket socket, String text, int within) throws IOException {
         socket.setSoTimeout(within);
-        socket.getOutputStream().write(text.getBytes());
-        return new String(socket.getInputStream().readNBytes(text.length()));
+        socket.getOutputStream().write(text.getBytes(UTF_8));
+        return new String(socket.getInputStream().readNBytes(text.length()), UTF_8);
     }
 
     /**
@@ -169,9 +170,8 @@
             assertThrows(
                     SocketException.class,
                     () -> {
-                        while (socket.getInputStream().read() >= 0) {
-                            continue;
-                        }
+                        while (socket.getInputStream().read() >= 0) {}
+
                         throw new SocketException("ended");
                     });
         }
@@ -181,9 +181,8 @@
                 () -> {
                     try (Socket socket = connect()) {
                         socket.getOutputStream().write(1);
-                        while (socket.getInputStream().read() >= 0) {
-                            continue;
-                        }
+                        while (socket.getInputStream().read() >= 0) {}
+
                         throw new SocketException("ended");
                     }
                 });
@@ -196,7 +195,7 @@
             assertThrows(SocketTimeoutException.class, () -> ask(socket, "held", SOON_MS));
             heal();
             socket.setSoTimeout(PATIENCE_MS);
-            assertEquals("held", new String(socket.getInputStream().readNBytes(4)));
+            assertEquals("held", new String(socket.getInputStream().readNBytes(4), UTF_8));
         }
     }
 
@@ -235,8 +234,8 @@
     void aCutEndsAConnectionInTheMiddleOfAMessage() throws Exception {
         fault(What.LINK_CUT, Way.BACK, 3, 0);
         try (Socket socket = connect()) {
-            socket.getOutputStream().write("message".getBytes());
-            assertEquals("mes", new String(socket.getInputStream().readNBytes(3)));
+            socket.getOutputStream().write("message".getBytes(UTF_8));
+            assertEquals("mes", new String(socket.getInputStream().readNBytes(3), UTF_8));
             assertThrows(
                     SocketException.class,
                     () -> {
--- a/lab/src/test/java/ottergauge/lab/play/PlayIT.java
+++ b/lab/src/test/java/ottergauge/lab/play/PlayIT.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.lab.play;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -93,7 +94,8 @@
                                                         Path.of(
                                                                 "/proc/"
                                                                         + process.pid()
-                                                                        + "/environ")))
+                                                                        + "/environ")),
+                                                UTF_8)
                                         .contains(folder.toString());
                             } catch (IOException e) {
                                 return false;
--- a/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.lab.scale.link;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -68,8 +69,8 @@
 
     private static void assertCarries(Socket from, Socket to, String text) throws IOException {
         to.setSoTimeout(LATER_MS);
-        from.getOutputStream().write(text.getBytes());
-        assertArrayEquals(text.getBytes(), to.getInputStream().readNBytes(text.length()));
+        from.getOutputStream().write(text.getBytes(UTF_8));
+        assertArrayEquals(text.getBytes(UTF_8), to.getInputStream().readNBytes(text.length()));
     }
 
     private static void assertBringsNothing(Socket socket) throws IOException {
@@ -93,10 +94,10 @@
     void theEndOfOneSideIsTheEndOfTheOther() throws Exception {
         try (Socket near = connect(LATER_MS);
                 Socket far = target.accept()) {
-            far.getOutputStream().write("last".getBytes());
+            far.getOutputStream().write("last".getBytes(UTF_8));
             far.close();
             near.setSoTimeout(LATER_MS);
-            assertEquals("last", new String(near.getInputStream().readAllBytes()));
+            assertEquals("last", new String(near.getInputStream().readAllBytes(), UTF_8));
         }
     }
 
@@ -107,16 +108,16 @@
                 Socket far = target.accept()) {
             assertCarries(near, far, "open");
             cut(true);
-            near.getOutputStream().write("held there".getBytes());
-            far.getOutputStream().write("held back".getBytes());
+            near.getOutputStream().write("held there".getBytes(UTF_8));
+            far.getOutputStream().write("held back".getBytes(UTF_8));
             assertBringsNothing(far);
             assertBringsNothing(near);
             assertThrows(SocketTimeoutException.class, () -> connect(SOON_MS).close());
             cut(false);
             far.setSoTimeout(LATER_MS);
             near.setSoTimeout(LATER_MS);
-            assertEquals("held there", new String(far.getInputStream().readNBytes(10)));
-            assertEquals("held back", new String(near.getInputStream().readNBytes(9)));
+            assertEquals("held there", new String(far.getInputStream().readNBytes(10), UTF_8));
+            assertEquals("held back", new String(near.getInputStream().readNBytes(9), UTF_8));
             try (Socket again = connect(LATER_MS);
                     Socket other = target.accept()) {
                 assertCarries(again, other, "anew");
--- a/src/main/java/ottergauge/Decide.java
+++ b/src/main/java/ottergauge/Decide.java
@@ -438,7 +438,10 @@
     // ============================================================
 
     private void arrive(RequestArrived e) {
-        askedEvery = askedAt == NEVER ? 0 : blend(askedEvery, Math.min(now - askedAt, SECOND));
+        askedEvery =
+                askedAt == NEVER
+                        ? 0
+                        : blend(askedEvery, Math.min((double) (now - askedAt), SECOND));
         askedAt = now;
         RequestClass type = settings.classes().get(e.requestClass());
         boolean again = isRepeat(e, type);
@@ -595,7 +598,7 @@
     private static boolean mayRefuse(Request q) {
         return q.type.repeat() == Repeat.SAFE
                 || untouched(q)
-                || q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL;
+                || (q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL);
     }
 
     // Whether the rules let this server have the request's next attempt; no other attempt of it is
@@ -605,9 +608,9 @@
         boolean harmless =
                 q.type.repeat() == Repeat.SAFE
                         || untouched(q)
-                        || q.type.repeat() == Repeat.KEYED
+                        || (q.type.repeat() == Repeat.KEYED
                                 && sameGroup(q.type.group(), first.server, s)
-                                && now < first.sentAt + q.type.window();
+                                && now < first.sentAt + q.type.window());
         return harmless && !q.once && q.attempts < q.limits.maxAttempts();
     }
 
@@ -744,7 +747,7 @@
         double margin = hears ? HEARD_MARGIN : 1;
         for (Server s : subset) {
             // Departure "reported skip": a server known to hold more than the least is skipped.
-            s.candidate &= !sounds && !hears || behind(s) < least + margin;
+            s.candidate &= (!sounds && !hears) || behind(s) < least + margin;
             if (s.candidate && (best == null || turn(s, row, q) > turn(best, row, q))) {
                 best = s;
             }
@@ -819,9 +822,9 @@
     private boolean fits(Request q, Server s) {
         // With nothing out nothing would be heard any more, and a fleet once full be taken for full
         // for ever.
-        if (!sounds && !hears
+        if ((!sounds && !hears)
                 || service == 0
-                || hears && out.isEmpty() && now - sentAt >= service) {
+                || (hears && out.isEmpty() && now - sentAt >= service)) {
             return true;
         }
         double crowd = crowd(s);
@@ -833,9 +836,9 @@
         }
         boolean runsOn = q.usefulUntil > q.aimAt;
         return turns(s, crowd) * serviceOf(s) <= (runsOn ? LATE_FIT_PART : FIT_PART) * (q.end - now)
-                || crowd < room
+                || (crowd < room
                         && warmth(s, now) >= 1
-                        && (!runsOn || out.isEmpty() || serviceOf(s) <= q.end - now);
+                        && (!runsOn || out.isEmpty() || serviceOf(s) <= q.end - now));
     }
 
     // How many requests of others one would wait for. What was heard is old, and others send
@@ -889,7 +892,7 @@
     private boolean known(Server s) {
         long age = now - s.reportedAt;
         return age <= FRESH_PART * Math.max(service, tripTo(s))
-                || s.load >= room(s) && age <= BUSY_PART * s.load / room(s) * service;
+                || (s.load >= room(s) && age <= BUSY_PART * s.load / room(s) * service);
     }
 
     private boolean mute(Server s) {
@@ -934,7 +937,7 @@
                 rate
                         ? r.requestsPerSecond() * (spareTime > 0 ? spareTime : service) / SECOND
                         : waiting ? r.inFlight() - r.queued() : r.inFlight() - own;
-        if (busy > 0 && running >= 0 && (rate || waiting || busy <= SPARE && now >= wokenAt)) {
+        if (busy > 0 && running >= 0 && (rate || waiting || (busy <= SPARE && now >= wokenAt))) {
             fleet.saw(running, busy, rate ? RATE_SAYS : 1);
             s.room.saw(running, busy, rate ? RATE_SAYS : 1);
         }
@@ -1016,7 +1019,7 @@
     // time. In a large fleet that is busy all over, each held request sounded all of it again and
     // again.
     private boolean maySound(Request q) {
-        return q.probes < mostProbes / 2 || q.probes < mostProbes && now >= q.probeAt;
+        return q.probes < mostProbes / 2 || (q.probes < mostProbes && now >= q.probeAt);
     }
 
     private void send(Request q, Server s) {
@@ -1037,7 +1040,7 @@
             chooseSubset();
         }
         if (!held.isEmpty()) {
-            pace = blend(pace, now - sentAt);
+            pace = blend(pace, (double) (now - sentAt));
         }
         sentAt = now;
         s.pace.sent(now);
@@ -1071,7 +1074,8 @@
         judge(s, a, e);
         unreached += UNREACHED_BLEND * ((e.result() == Result.CONNECT_FAILED ? 1 : 0) - unreached);
         q.met |= e.result() != Result.CONNECT_FAILED && e.result() != Result.NOT_SENT;
-        boolean given = e.result() == Result.TIMED_OUT || e.result() == Result.CANCELLED && !q.over;
+        boolean given =
+                e.result() == Result.TIMED_OUT || (e.result() == Result.CANCELLED && !q.over);
         if (given || e.result() == Result.SERVED) {
             unanswered += BLEND * ((given ? 1 : 0) - unanswered);
         }
@@ -1112,7 +1116,7 @@
                 double reported = e.report().latencyMicros();
                 sample(s, rowOf(a.request), reported > 0 ? (long) reported : e.elapsed());
                 if (e.report().utilization() <= SPARE) {
-                    spareTime = blend(spareTime, e.elapsed());
+                    spareTime = blend(spareTime, (double) e.elapsed());
                 }
                 served++;
                 if (e.elapsed() > QUEUED_PART * a.request.type.aim()) {
@@ -1133,7 +1137,7 @@
                 // them made every server too slow for any request.
                 double most =
                         service > 0 ? SILENT_EACH * service * turns(s, a.loadBefore) : e.elapsed();
-                learn(s, a, (long) Math.min(e.elapsed(), most));
+                learn(s, a, (long) Math.min((double) e.elapsed(), most));
                 if (hears && fleet.known()) {
                     // Departure "unheard": what did not end in this time had so many turns before
                     // it, and no
@@ -1320,7 +1324,8 @@
         Request q = a.request;
         boolean mayRepeat =
                 q.type.repeat() == Repeat.SAFE
-                        || q.type.repeat() == Repeat.KEYED && now < a.sentAt + q.type.window() / 2;
+                        || (q.type.repeat() == Repeat.KEYED
+                                && now < a.sentAt + q.type.window() / 2);
         if (!q.over
                 && !q.started
                 && !q.once
--- a/src/main/java/ottergauge/limits/Freshness.java
+++ b/src/main/java/ottergauge/limits/Freshness.java
@@ -37,7 +37,7 @@
         return report.inFlight() > 0
                 && (report.requestsPerSecond() > 0
                         || report.latencyMicros() > 0
-                        || report.utilization() > 0 && report.utilization() < FULL);
+                        || (report.utilization() > 0 && report.utilization() < FULL));
     }
 
     /** Whether reports are too old to choose a server by. */
--- a/src/main/java/ottergauge/protocol/RequestFields.java
+++ b/src/main/java/ottergauge/protocol/RequestFields.java
@@ -42,7 +42,7 @@
             throw new ProtocolException("no " + Headers.REQUEST_CLASS);
         }
         String key = header.apply(Headers.IDEMPOTENCY_KEY);
-        if (!isVisible(traceId) || !isVisible(requestClass) || key != null && !isVisible(key)) {
+        if (!isVisible(traceId) || !isVisible(requestClass) || (key != null && !isVisible(key))) {
             throw new ProtocolException("a field that goes on holds other than visible characters");
         }
         return new RequestFields(
--- a/src/main/java/ottergauge/replica/PageChecks.java
+++ b/src/main/java/ottergauge/replica/PageChecks.java
@@ -50,7 +50,7 @@
         ResourceKey before = null;
         for (Resource resource : page.resources()) {
             ResourceKey key = resource.key();
-            if (before != null && key.compareTo(before) <= 0 || isBefore(key, from)) {
+            if ((before != null && key.compareTo(before) <= 0) || isBefore(key, from)) {
                 return Optional.of(key + " is out of order");
             }
             if (resource.version() > page.at().version()) {
@@ -61,7 +61,7 @@
         if (page.next().isPresent()) {
             ResourceKey next = page.next().get();
             boolean advances = from.isEmpty() || next.compareTo(from.get()) > 0;
-            if (!advances || before != null && next.compareTo(before) <= 0) {
+            if (!advances || (before != null && next.compareTo(before) <= 0)) {
                 return Optional.of("the next page would begin at " + next);
             }
         }
--- a/src/main/java/ottergauge/resources/ResourceChecks.java
+++ b/src/main/java/ottergauge/resources/ResourceChecks.java
@@ -175,7 +175,12 @@
         }
         checkRange(path + ".block", server.host().block(), 0, MOST_BLOCK, faults);
         checkRange(path + ".share", server.host().share(), 0, MOST_SHARE, faults);
-        checkRange(path + ".born_ms", server.host().bornMs(), 0, FieldReader.MOST_WHOLE, faults);
+        checkRange(
+                path + ".born_ms",
+                (double) server.host().bornMs(),
+                0,
+                FieldReader.MOST_WHOLE,
+                faults);
     }
 
     private static void checkRoute(String path, Route route, FaultCollector faults) {
@@ -223,8 +228,8 @@
                 .noneMatch(
                         point ->
                                 Character.isISOControl(point)
-                                        || point >= Character.MIN_SURROGATE
-                                                && point <= Character.MAX_SURROGATE);
+                                        || (point >= Character.MIN_SURROGATE
+                                                && point <= Character.MAX_SURROGATE));
     }
 
     // Written so that NaN fails.
--- a/src/main/java/ottergauge/ring/Ring.java
+++ b/src/main/java/ottergauge/ring/Ring.java
@@ -43,12 +43,12 @@
         }
 
         boolean precedes(Node<E> other) {
-            return order < other.order || order == other.order && id < other.id;
+            return order < other.order || (order == other.order && id < other.id);
         }
 
         /** Whether this is to stand above another node in the tree. */
         boolean outranks(Node<E> other) {
-            return priority > other.priority || priority == other.priority && id < other.id;
+            return priority > other.priority || (priority == other.priority && id < other.id);
         }
 
         void addUp() {
--- a/src/main/java/ottergauge/routing/ConnectPatience.java
+++ b/src/main/java/ottergauge/routing/ConnectPatience.java
@@ -53,6 +53,7 @@
             return most;
         }
         double usual = Math.max(LEAST, SPARE * (mean + DEVIATIONS * deviation));
-        return (long) Math.min(most, usual * (1 << Math.min(givenUp / GIVEN_UP_IN_A_ROW, 10)));
+        return (long)
+                Math.min((double) most, usual * (1 << Math.min(givenUp / GIVEN_UP_IN_A_ROW, 10)));
     }
 }
--- a/src/main/java/ottergauge/routing/Router.java
+++ b/src/main/java/ottergauge/routing/Router.java
@@ -252,7 +252,7 @@
             return;
         }
         RequestClass type = numbered.type();
-        if (flows && type.repeat() == Repeat.SAFE || !fits(request, type.repeat())) {
+        if ((flows && type.repeat() == Repeat.SAFE) || !fits(request, type.repeat())) {
             clients.reject(now, client, BAD_REQUEST, "method, key or body are not the class's");
             return;
         }
@@ -501,7 +501,7 @@
                 || exchange.over
                 || limit <= 0
                 || !upstreams.knows(action.server())
-                || upstreams.needsConnection(action.server()) && !makeRoom(1)) {
+                || (upstreams.needsConnection(action.server()) && !makeRoom(1))) {
             learnt.add(
                     new AttemptEnded(
                             action.id(),
@@ -520,7 +520,7 @@
 
     private void probe(DecisionApi.Probe action) {
         if (!upstreams.knows(action.server())
-                || upstreams.needsConnection(action.server()) && !makeRoom(1)) {
+                || (upstreams.needsConnection(action.server()) && !makeRoom(1))) {
             learnt.add(new ProbeEnded(action.server(), Result.NOT_SENT, 0, LoadReport.NONE));
             return;
         }
@@ -536,8 +536,8 @@
         // A request that is over has no attempt left that has not begun.
         boolean wanted =
                 job.isProbe()
-                        || !list.watch().stale(now)
-                                && decide.mayBegin(now, job.exchange.id, job.attempt);
+                        || (!list.watch().stale(now)
+                                && decide.mayBegin(now, job.exchange.id, job.attempt));
         if (wanted && now < job.dueAt && upstreams.mayCarry(job)) {
             upstreams.begin(now, job);
         } else {
--- a/src/main/java/ottergauge/routing/Watch.java
+++ b/src/main/java/ottergauge/routing/Watch.java
@@ -237,7 +237,7 @@
         if (call == current) {
             return calledFrom < 0
                     ? list.whole()
-                    : list.seq() >= seq || list.whole() && list.seq() < calledFrom;
+                    : list.seq() >= seq || (list.whole() && list.seq() < calledFrom);
         }
         return call == former && list.seq() > seq;
     }
--- a/src/main/java/ottergauge/settings/JsonTree.java
+++ b/src/main/java/ottergauge/settings/JsonTree.java
@@ -96,8 +96,8 @@
                 yield list;
             }
             case VALUE_NUMBER_INT, VALUE_NUMBER_FLOAT -> in.getDoubleValue();
-            case VALUE_TRUE -> Boolean.TRUE;
-            case VALUE_FALSE -> Boolean.FALSE;
+            case VALUE_TRUE -> true;
+            case VALUE_FALSE -> false;
             case VALUE_NULL -> null;
             default -> in.getText();
         };
--- a/src/test/java/ottergauge/History.java
+++ b/src/test/java/ottergauge/History.java
@@ -290,7 +290,7 @@
     private static boolean mayRefuse(Request q) {
         return q.type.repeat() == Repeat.SAFE
                 || q.attempts.stream().noneMatch(Attempt::mayHaveRun)
-                || q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL;
+                || (q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL);
     }
 
     private void sent(Send send) {
--- a/src/test/java/ottergauge/RoomTest.java
+++ b/src/test/java/ottergauge/RoomTest.java
@@ -107,7 +107,10 @@
             List<Send> sends = burst(node, "q" + i + "-", 1);
             node.now += 50 * MS;
             for (Send send : sends) {
-                answered(node, sends, report(2, 40, 0.1, send.server() == 1 ? WORK : 4 * WORK));
+                answered(
+                        node,
+                        sends,
+                        report(2, 40, 0.1, (double) (send.server() == 1 ? WORK : 4 * WORK)));
                 turns.merge(send.server(), node.now > 7_000 * MS ? 1 : 0, Integer::sum);
             }
         }
--- a/src/test/java/ottergauge/ScaleTest.java
+++ b/src/test/java/ottergauge/ScaleTest.java
@@ -187,7 +187,7 @@
         }
         for (int round = 0; round < 10; round++) {
             for (Node node : nodes) {
-                node.now = start + 100 * MS + (round + 1) * 100 * MS;
+                node.now = start + 100 * MS + (round + 1) * 100L * MS;
                 String id = "r" + round;
                 long server = sentTo(node, id);
                 cold += server == 1 ? 1 : 0;
--- a/src/test/java/ottergauge/SettingsChangeTest.java
+++ b/src/test/java/ottergauge/SettingsChangeTest.java
@@ -433,7 +433,7 @@
             node.now += 100 * MS;
             node.ended(id, 0, 1, Result.SERVED, 100 * MS);
         }
-        return Node.those(Send.class, node.all).size() - before;
+        return (long) Node.those(Send.class, node.all).size() - before;
     }
 
     @Test
--- a/src/test/java/ottergauge/limits/LimitsTest.java
+++ b/src/test/java/ottergauge/limits/LimitsTest.java
@@ -48,7 +48,7 @@
     void aLimitUnderOneIsAPace() {
         ServerPace pace = new ServerPace();
         for (int i = 1; i <= 4; i++) {
-            pace.congested(i * 1_000_000, 1, SERVICE, 50);
+            pace.congested(i * 1_000_000L, 1, SERVICE, 50);
         }
         double limit = pace.limit();
         assertTrue(limit > 0.2 && limit < 0.3, "limit " + limit);
--- a/src/test/java/ottergauge/program/FlowIT.java
+++ b/src/test/java/ottergauge/program/FlowIT.java
@@ -18,6 +18,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Random;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
@@ -131,8 +132,8 @@
 
     /** Reads the body that a head tells of; null if it was cut short. */
     private static byte[] body(String head, InputStream in) throws IOException {
-        if (!head.toLowerCase().contains("transfer-encoding: chunked")) {
-            int at = head.toLowerCase().indexOf("content-length:");
+        if (!head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
+            int at = head.toLowerCase(Locale.ROOT).indexOf("content-length:");
             String field = at < 0 ? "0" : head.substring(at + 15, head.indexOf('\r', at)).trim();
             int length = Integer.parseInt(field);
             byte[] body = in.readNBytes(length);
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -249,7 +249,7 @@
                     Long at = play.inForceAt.get(version);
                     long due = Math.max(published, begins) + within;
                     assertTrue(
-                            play.isNothing(version) || at != null && at <= due,
+                            play.isNothing(version) || (at != null && at <= due),
                             "version "
                                     + version
                                     + " of "
@@ -302,7 +302,7 @@
         long version = play.newest().version();
         Long at = play.inForceAt.get(version);
         assertTrue(
-                play.isNothing(version) || at != null && at <= healed + ReplicaPlay.WITHIN,
+                play.isNothing(version) || (at != null && at <= healed + ReplicaPlay.WITHIN),
                 "healed at " + healed + ", in force at " + at + ": " + play.journal);
     }
 
--- a/src/test/java/ottergauge/replica/ReplicaPlay.java
+++ b/src/test/java/ottergauge/replica/ReplicaPlay.java
@@ -389,7 +389,7 @@
     private boolean isLost(ModelProcess process) {
         return isIn(process, Trouble.SILENT)
                 || isIn(process, Trouble.CUT_OFF)
-                || now < networkIsBadUntil && random.nextInt(LOSES) == 0;
+                || (now < networkIsBadUntil && random.nextInt(LOSES) == 0);
     }
 
     private void deliver(ModelProcess process, ReplicaEvent answer) {
@@ -434,10 +434,10 @@
     }
 
     private boolean endsCall(ReplicaEvent event) {
-        return event instanceof ReplicaEvent.ChangesRead e && e.call() == callOut
-                || event instanceof ReplicaEvent.SnapshotRead e2 && e2.call() == callOut
-                || event instanceof ReplicaEvent.TooOldRead e3 && e3.call() == callOut
-                || event instanceof ReplicaEvent.CallFailed e4 && e4.call() == callOut;
+        return (event instanceof ReplicaEvent.ChangesRead e && e.call() == callOut)
+                || (event instanceof ReplicaEvent.SnapshotRead e2 && e2.call() == callOut)
+                || (event instanceof ReplicaEvent.TooOldRead e3 && e3.call() == callOut)
+                || (event instanceof ReplicaEvent.CallFailed e4 && e4.call() == callOut);
     }
 
     private long nodesClock() {
--- a/src/test/java/ottergauge/routing/ConnectPatienceTest.java
+++ b/src/test/java/ottergauge/routing/ConnectPatienceTest.java
@@ -50,7 +50,7 @@
         }
         assertTrue(patience.limit() >= 2 * before);
         patience.connected(1_000);
-        assertEquals(before, patience.limit(), before / 4.0);
+        assertEquals((double) before, (double) patience.limit(), before / 4.0);
     }
 
     @Test
--- a/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
+++ b/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static ottergauge.protocol.TestConfig.host;
 
 import java.util.ArrayList;
@@ -81,7 +82,7 @@
                     new TestConfig()
                             .json()
                             .replace("8c1f30d27a5be964", Long.toHexString(seed))
-                            .getBytes());
+                            .getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
@@ -229,7 +230,7 @@
         try {
             String[] hosts =
                     news ? new String[] {host("s-1", "10.0.0.1:80", "terminating")} : new String[0];
-            return HostList.read(TestConfig.list(seq, whole, hosts).getBytes());
+            return HostList.read(TestConfig.list(seq, whole, hosts).getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/ottergauge/routing/RouterTest.java
+++ b/src/test/java/ottergauge/routing/RouterTest.java
@@ -135,7 +135,7 @@
         node.tell(new Event.RequestBegan(client));
         node.pass(300);
         node.request(client, "read", -1);
-        assertEquals(1_000_000, forwarded(node, 1_000_000), 300_000);
+        assertEquals(1_000_000, (float) forwarded(node, 1_000_000), 300_000);
         RouterDriver other = new RouterDriver(new TestConfig());
         long late = other.client();
         other.tell(new Event.RequestBegan(late));
--- a/src/test/java/ottergauge/routing/WatchTest.java
+++ b/src/test/java/ottergauge/routing/WatchTest.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -39,7 +40,8 @@
     private static HostList list(long seq, boolean whole, String health) {
         try {
             return HostList.read(
-                    TestConfig.list(seq, whole, host("s-1", "10.0.0.1:80", health)).getBytes());
+                    TestConfig.list(seq, whole, host("s-1", "10.0.0.1:80", health))
+                            .getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
@@ -297,7 +299,7 @@
                             .replace(
                                     "8c1f30d27a5be964",
                                     Long.toHexString(0x9e3779b97f4a7c15L * (seed + 1)))
-                            .getBytes());
+                            .getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
