--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # SPDX-License-Identifier: Apache-2.0
-.PHONY: build test lint run capacity clean
+.PHONY: build test lint format run capacity clean
 
 build:
 	mvn -q -DskipTests package
@@ -8,7 +8,11 @@
 	mvn -B -f reactor/pom.xml verify
 
 lint:
-	mvn -q -B -f reactor/pom.xml checkstyle:check test -Dtest=ArchitectureTest -Dsurefire.failIfNoSpecifiedTests=false
+	mvn -q -B -f reactor/pom.xml spotless:check checkstyle:check test -Dtest=ArchitectureTest -Dsurefire.failIfNoSpecifiedTests=false
+
+# Formats all Java sources as verify expects them.
+format:
+	mvn -q -B -f reactor/pom.xml spotless:apply
 
 # One node by the line of deploy/balancer.toml: make run CONFIG=/path/to/config.json
 run: build
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
@@ -10,12 +10,12 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import ottergauge.DecisionApi.Settings;
 import ottergauge.capacity.workload.DecisionDriver;
 import ottergauge.capacity.workload.Fleet;
 import ottergauge.capacity.workload.ListedServers;
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.capacity.workload.NodeConfiguration;
+import ottergauge.decision.api.DecisionSettings;
 
 /** The decisions for one request from its arrival to its answer, and the end of a window. */
 @State(Scope.Benchmark)
@@ -39,7 +39,7 @@
     /** Starts a module that has served for two windows. */
     @Setup
     public void start() {
-        Settings settings =
+        DecisionSettings settings =
                 new NodeConfiguration(
                                 Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.unknown())
                         .read()
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
@@ -10,13 +10,13 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.Settings;
 import ottergauge.capacity.workload.DecisionDriver;
 import ottergauge.capacity.workload.Fleet;
 import ottergauge.capacity.workload.ListedServers;
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.capacity.workload.NodeConfiguration;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.DecisionSettings;
 
 /** A list that is taken over by the decision module alone. */
 @State(Scope.Benchmark)
@@ -37,13 +37,13 @@
     public long seed;
 
     private ListedServers listed;
-    private ServerList whole;
+    private EndpointUpdate whole;
     private DecisionDriver driver;
 
     /** Starts a module that has served for two windows. */
     @Setup
     public void start() {
-        Settings settings =
+        DecisionSettings settings =
                 new NodeConfiguration(
                                 Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.unknown())
                         .read()
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
@@ -12,7 +12,7 @@
 import org.openjdk.jmh.annotations.State;
 import ottergauge.capacity.workload.Fleet;
 import ottergauge.capacity.workload.Loopback;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.ProtocolException;
 
 /** Reading and writing discovery's list: whole, and one change. */
@@ -27,8 +27,8 @@
     @Param("1")
     public long seed;
 
-    private HostList whole;
-    private HostList change;
+    private EndpointList whole;
+    private EndpointList change;
     private byte[] wholeBytes;
     private byte[] changeBytes;
 
@@ -43,16 +43,16 @@
     }
 
     @Benchmark
-    public HostList readWhole() throws ProtocolException {
-        HostList read = HostList.read(wholeBytes);
-        Check.equal(servers, read.hosts().size());
+    public EndpointList readWhole() throws ProtocolException {
+        EndpointList read = EndpointList.read(wholeBytes);
+        Check.equal(servers, read.endpoints().size());
         return read;
     }
 
     @Benchmark
-    public HostList readChange() throws ProtocolException {
-        HostList read = HostList.read(changeBytes);
-        Check.equal(1, read.hosts().size());
+    public EndpointList readChange() throws ProtocolException {
+        EndpointList read = EndpointList.read(changeBytes);
+        Check.equal(1, read.endpoints().size());
         return read;
     }
 
--- a/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
+++ b/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
@@ -8,7 +8,7 @@
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.capacity.workload.NodeConfiguration;
 import ottergauge.capacity.workload.RouterDriver;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.ProtocolException;
 
 /**
@@ -56,15 +56,15 @@
     }
 
     // As it comes over a socket: its strings are shared with nothing else.
-    private static HostList readAgain(HostList list) {
+    private static EndpointList readAgain(EndpointList list) {
         try {
-            return HostList.read(list.json());
+            return EndpointList.read(list.json());
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    private static NodeConfiguration configuration(int classes, long seed, HostList known) {
+    private static NodeConfiguration configuration(int classes, long seed, EndpointList known) {
         return new NodeConfiguration(Loopback.UNUSED, Loopback.UNUSED, seed, classes, known);
     }
 
--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -17,9 +17,9 @@
 import java.util.concurrent.TimeUnit;
 import ottergauge.capacity.workload.Fleet;
 import ottergauge.protocol.Address;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.Headers;
-import ottergauge.protocol.HostList;
-import ottergauge.protocol.HostList.Host;
 
 /**
  * Stands in for discovery: tells a fleet's list whole, or the changes after a version, and keeps a
@@ -38,7 +38,7 @@
     private final EventLoop loop;
     private final Fleet fleet;
     private final HttpListener listener;
-    private final Deque<HostList> changes = new ArrayDeque<>();
+    private final Deque<EndpointList> changes = new ArrayDeque<>();
 
     /** The call that waits on each connection. */
     private final Map<Channel, Waiting> waiting = new HashMap<>();
@@ -51,7 +51,7 @@
     public DiscoveryStandIn(EventLoop loop, Fleet fleet) {
         this.loop = loop;
         this.fleet = fleet;
-        version = fleet.whole().seq();
+        version = fleet.whole().version();
         listener =
                 new HttpListener(
                         loop,
@@ -110,8 +110,8 @@
     }
 
     private Void change() {
-        HostList change = fleet.change();
-        version = change.seq();
+        EndpointList change = fleet.change();
+        version = change.version();
         changes.add(change);
         if (changes.size() > MOST_KEPT) {
             changes.remove();
@@ -161,16 +161,18 @@
         connection.writeAndFlush(HttpListener.response(HttpResponseStatus.OK, list(after).json()));
     }
 
-    private HostList list(long after) {
-        long oldest = changes.isEmpty() ? version + 1 : changes.peek().seq();
+    private EndpointList list(long after) {
+        long oldest = changes.isEmpty() ? version + 1 : changes.peek().version();
         if (after < 0 || after > version || (after < version && after < oldest - 1)) {
             return fleet.whole();
         }
-        Map<String, Host> newest = new LinkedHashMap<>();
+        Map<String, DiscoveredEndpoint> newest = new LinkedHashMap<>();
         changes.stream()
-                .filter(change -> change.seq() > after)
-                .forEach(change -> change.hosts().forEach(host -> newest.put(host.name(), host)));
-        return new HostList(version, false, new ArrayList<>(newest.values()));
+                .filter(change -> change.version() > after)
+                .forEach(
+                        change ->
+                                change.endpoints().forEach(host -> newest.put(host.name(), host)));
+        return new EndpointList(version, false, new ArrayList<>(newest.values()));
     }
 
     @Override
--- a/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.capacity.workload;
 
-import ottergauge.Decide;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.ActionSink;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.Fail;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Refuse;
-import ottergauge.DecisionApi.RequestArrived;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.Settings;
-import ottergauge.DecisionApi.TimerFired;
+import ottergauge.decision.DecisionEngine;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.FailRequest;
+import ottergauge.decision.api.DecisionAction.RejectRequest;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionActionSink;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.DecisionEvent.RequestArrived;
+import ottergauge.decision.api.DecisionEvent.TimerFired;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.LoadReport;
 
 /** Lets a decision module serve requests one after the other, at the rate of one of 780 nodes. */
 public final class DecisionDriver {
@@ -28,35 +28,35 @@
     private static final LoadReport REPORT = new LoadReport(1, 0, 0.1, SERVICE, Double.NaN);
 
     /** Keeps the last send, and whether a request was given up. */
-    private static final class Sends implements ActionSink {
-        private Send last;
+    private static final class Sends implements DecisionActionSink {
+        private SendAttempt last;
         private int given;
 
         @Override
-        public void accept(Action action) {
-            if (action instanceof Send send) {
+        public void accept(DecisionAction action) {
+            if (action instanceof SendAttempt send) {
                 last = send;
-            } else if (action instanceof Refuse || action instanceof Fail) {
+            } else if (action instanceof RejectRequest || action instanceof FailRequest) {
                 given++;
             }
         }
     }
 
-    private final Decide decide;
+    private final DecisionEngine decide;
     private final Sends sends = new Sends();
     private final int classes;
     private long now = SECOND;
     private long requests;
 
     /** A module that has been told of these servers. */
-    public DecisionDriver(Settings settings, long seed, ServerList servers) {
-        decide = new Decide(settings, seed);
-        classes = settings.classes().size();
+    public DecisionDriver(DecisionSettings settings, long seed, EndpointUpdate servers) {
+        decide = new DecisionEngine(settings, seed);
+        classes = settings.requestClasses().size();
         decide.handle(now, servers, sends);
     }
 
     /** Tells the module of a list at once. */
-    public void follow(ServerList list) {
+    public void follow(EndpointUpdate list) {
         now++;
         decide.handle(now, list, sends);
     }
@@ -68,13 +68,13 @@
         sends.last = null;
         decide.handle(
                 now, new RequestArrived(id, requestClass, now + GIVE_UP_AFTER, false, 0), sends);
-        Send send = sends.last;
+        SendAttempt send = sends.last;
         if (send == null || !send.id().equals(id)) {
             throw new IllegalStateException("request " + id + " was not sent");
         }
         decide.handle(
                 now + SERVICE,
-                new AttemptEnded(id, 0, send.server(), Result.SERVED, SERVICE, true, REPORT),
+                new AttemptEnded(id, 0, send.server(), AttemptResult.SERVED, SERVICE, true, REPORT),
                 sends);
         now += SECOND / REQUESTS_A_SECOND;
         if (sends.given > 0) {
@@ -97,7 +97,7 @@
     }
 
     /** The module, for a look at what it retains. */
-    public Decide decide() {
+    public DecisionEngine decide() {
         return decide;
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/workload/Fleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/Fleet.java
@@ -4,10 +4,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 
 /**
  * A list of servers as discovery tells it, and changes of it; the same seed gives the same lists.
@@ -28,11 +28,11 @@
     private static final long EPOCH_MS = 1_760_000_000_000L;
     private static final long DAY_MS = 86_400_000L;
 
-    private final List<Host> hosts;
+    private final List<DiscoveredEndpoint> hosts;
     private long version = 1;
     private int nextChanged;
 
-    private Fleet(List<Host> hosts) {
+    private Fleet(List<DiscoveredEndpoint> hosts) {
         this.hosts = hosts;
     }
 
@@ -41,19 +41,19 @@
      */
     public static Fleet draw(int servers, long seed, Address dial) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Host> hosts = new ArrayList<>(servers);
+        List<DiscoveredEndpoint> hosts = new ArrayList<>(servers);
         for (int number = 0; number < servers; number++) {
             int kind = random.nextInt(KINDS.size());
             long bornMs =
                     random.nextInt(STARTED_LATELY) == 0 ? EPOCH_MS + random.nextLong(DAY_MS) : 0;
             hosts.add(
-                    new Host(
+                    new DiscoveredEndpoint(
                             "server-%05d.example".formatted(number),
                             dial,
                             ZONES.get(random.nextInt(ZONES.size())),
                             KINDS.get(kind),
                             random.nextInt(BLOCKS),
-                            ServerState.UP,
+                            EndpointState.UP,
                             SHARES[kind],
                             bornMs));
         }
@@ -66,39 +66,41 @@
     }
 
     /** The whole list at its present version. */
-    public HostList whole() {
-        return new HostList(version, true, List.copyOf(hosts));
+    public EndpointList whole() {
+        return new EndpointList(version, true, List.copyOf(hosts));
     }
 
     /** An empty list, which a node has that is to be told all by discovery. */
-    public static HostList unknown() {
-        return new HostList(0, true, List.of());
+    public static EndpointList unknown() {
+        return new EndpointList(0, true, List.of());
     }
 
     /** Makes the next change: one server begins to drain, or is in service again; each in turn. */
-    public HostList change() {
-        Host before = hosts.get(nextChanged);
-        Host after =
-                new Host(
+    public EndpointList change() {
+        DiscoveredEndpoint before = hosts.get(nextChanged);
+        DiscoveredEndpoint after =
+                new DiscoveredEndpoint(
                         before.name(),
-                        before.dial(),
-                        before.site(),
+                        before.address(),
+                        before.zone(),
                         before.kind(),
-                        before.block(),
-                        before.state() == ServerState.UP ? ServerState.DRAINING : ServerState.UP,
-                        before.share(),
-                        before.bornMs());
+                        before.cell(),
+                        before.state() == EndpointState.UP
+                                ? EndpointState.DRAINING
+                                : EndpointState.UP,
+                        before.weight(),
+                        before.startedAtMs());
         hosts.set(nextChanged, after);
         // First it drains, then it is in service again: no more than one is out at a time.
-        if (after.state() == ServerState.UP) {
+        if (after.state() == EndpointState.UP) {
             nextChanged = (nextChanged + 1) % hosts.size();
         }
         version++;
-        return new HostList(version, false, List.of(after));
+        return new EndpointList(version, false, List.of(after));
     }
 
     /** Goes on to a new version without a change. */
-    public HostList wholeAgain() {
+    public EndpointList wholeAgain() {
         version++;
         return whole();
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/ListedServers.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/ListedServers.java
@@ -4,19 +4,19 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.ListedServer;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.UpdateScope;
+import ottergauge.protocol.DiscoveredEndpoint;
 
 /** A fleet in the form in which the decision module is told of it, with changes made in turn. */
 public final class ListedServers {
 
-    private final List<ListedServer> servers;
+    private final List<Endpoint> servers;
     private int nextChanged;
 
-    private ListedServers(List<ListedServer> servers) {
+    private ListedServers(List<Endpoint> servers) {
         this.servers = servers;
     }
 
@@ -26,42 +26,45 @@
      */
     public static ListedServers draw(int servers, long seed) {
         SplittableRandom numbers = new SplittableRandom(~seed);
-        List<ListedServer> listed = new ArrayList<>(servers);
-        for (Host host : Fleet.draw(servers, seed, Loopback.UNUSED).whole().hosts()) {
+        List<Endpoint> listed = new ArrayList<>(servers);
+        for (DiscoveredEndpoint host :
+                Fleet.draw(servers, seed, Loopback.UNUSED).whole().endpoints()) {
             listed.add(
-                    new ListedServer(
+                    new Endpoint(
                             numbers.nextLong(),
-                            Fleet.ZONES.indexOf(host.site()),
+                            Fleet.ZONES.indexOf(host.zone()),
                             Fleet.KINDS.indexOf(host.kind()),
-                            host.block(),
+                            host.cell(),
                             host.state(),
-                            host.share(),
-                            host.bornMs() * 1000));
+                            host.weight(),
+                            host.startedAtMs() * 1000));
         }
         return new ListedServers(listed);
     }
 
     /** The whole list, as discovery's answer to a first call brings it. */
-    public ServerList whole() {
-        return new ServerList(ListScope.FULL, List.copyOf(servers));
+    public EndpointUpdate whole() {
+        return new EndpointUpdate(UpdateScope.FULL, List.copyOf(servers));
     }
 
     /** The next change: one server begins to drain, or is in service again; each in turn. */
-    public ServerList change() {
-        ListedServer before = servers.get(nextChanged);
-        ListedServer after =
-                new ListedServer(
+    public EndpointUpdate change() {
+        Endpoint before = servers.get(nextChanged);
+        Endpoint after =
+                new Endpoint(
                         before.id(),
                         before.zone(),
                         before.kind(),
                         before.cell(),
-                        before.state() == ServerState.UP ? ServerState.DRAINING : ServerState.UP,
-                        before.nominal(),
+                        before.state() == EndpointState.UP
+                                ? EndpointState.DRAINING
+                                : EndpointState.UP,
+                        before.nominalWeight(),
                         before.startedAt());
         servers.set(nextChanged, after);
-        if (after.state() == ServerState.UP) {
+        if (after.state() == EndpointState.UP) {
             nextChanged = (nextChanged + 1) % servers.size();
         }
-        return new ServerList(ListScope.CHANGES, List.of(after));
+        return new EndpointUpdate(UpdateScope.INCREMENTAL, List.of(after));
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 
@@ -18,7 +18,7 @@
  * tell loads, probes cost more than they are worth, and all classes may be repeated.
  */
 public record NodeConfiguration(
-        Address listen, Address discovery, long seed, int classes, HostList known) {
+        Address listen, Address discovery, long seed, int classes, EndpointList known) {
 
     /** Nodes in the fleet that the measured one is part of. */
     public static final int NODES = 780;
--- a/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
@@ -2,7 +2,7 @@
 package ottergauge.capacity.workload;
 
 import java.util.function.Consumer;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.routing.Effect;
 import ottergauge.routing.Effect.CallDiscovery;
@@ -53,7 +53,7 @@
     }
 
     /** Answers the call that is out; gives back how many calls were made since the start. */
-    public long answer(HostList list) {
+    public long answer(EndpointList list) {
         long before = calls.made;
         now += TICK;
         router.handle(now, new Event.ListRead(calls.current, list));
--- a/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
@@ -61,7 +61,8 @@
                     serviceName(number),
                     new ResourceValue.Service("service"));
         }
-        for (Host host : Fleet.draw(servers, seed, Loopback.UNUSED).whole().hosts()) {
+        for (DiscoveredEndpoint host :
+                Fleet.draw(servers, seed, Loopback.UNUSED).whole().endpoints()) {
             fleet.servers.add(
                     fleet.put(
                             ResourceKind.SERVER,
@@ -119,22 +120,23 @@
     public Change change() {
         ResourceKey key = servers.get(nextChanged);
         ResourceValue.Server before = (ResourceValue.Server) state.get(key).value();
-        Host host = before.host();
-        ServerState next = host.state() == ServerState.UP ? ServerState.DRAINING : ServerState.UP;
+        DiscoveredEndpoint host = before.host();
+        EndpointState next =
+                host.state() == EndpointState.UP ? EndpointState.DRAINING : EndpointState.UP;
         ResourceValue after =
                 new ResourceValue.Server(
                         before.service(),
-                        new Host(
+                        new DiscoveredEndpoint(
                                 host.name(),
-                                host.dial(),
-                                host.site(),
+                                host.address(),
+                                host.zone(),
                                 host.kind(),
-                                host.block(),
+                                host.cell(),
                                 next,
-                                host.share(),
-                                host.bornMs()));
+                                host.weight(),
+                                host.startedAtMs()));
         put(key.kind(), key.name(), after);
-        if (next == ServerState.UP) {
+        if (next == EndpointState.UP) {
             nextChanged = (nextChanged + 1) % servers.size();
         }
         return new Change(version, List.of(new Change.Put(key, after)), List.of());
--- a/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import ottergauge.capacity.workload.Fleet;
 import ottergauge.capacity.workload.Loopback;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.ProtocolException;
 
 class DiscoveryStandInTest {
@@ -46,15 +46,16 @@
                 .build();
     }
 
-    private HostList ask(String query) throws IOException, InterruptedException, ProtocolException {
-        return HostList.read(client.send(call(query), BodyHandlers.ofByteArray()).body());
+    private EndpointList ask(String query)
+            throws IOException, InterruptedException, ProtocolException {
+        return EndpointList.read(client.send(call(query), BodyHandlers.ofByteArray()).body());
     }
 
     @Test
     void aCallWithoutAVersionIsToldTheWholeList() throws Exception {
-        HostList list = ask("");
+        EndpointList list = ask("");
         assertTrue(list.whole());
-        assertEquals(20, list.hosts().size());
+        assertEquals(20, list.endpoints().size());
         assertEquals(-1, discovery.askedAfter());
     }
 
@@ -67,10 +68,10 @@
         }
         assertFalse(waiting.isDone());
         discovery.changeNow();
-        HostList change = HostList.read(waiting.get(PATIENCE_S, TimeUnit.SECONDS).body());
+        EndpointList change = EndpointList.read(waiting.get(PATIENCE_S, TimeUnit.SECONDS).body());
         assertFalse(change.whole());
-        assertEquals(2, change.seq());
-        assertEquals(1, change.hosts().size());
+        assertEquals(2, change.version());
+        assertEquals(1, change.endpoints().size());
     }
 
     @Test
@@ -78,11 +79,11 @@
         discovery.changeNow();
         discovery.changeNow();
         discovery.changeNow();
-        HostList missed = ask("?after=1&wait_ms=0");
-        assertEquals(4, missed.seq());
+        EndpointList missed = ask("?after=1&wait_ms=0");
+        assertEquals(4, missed.version());
         assertFalse(missed.whole());
         // The first server drained and came back; the second drains.
-        assertEquals(2, missed.hosts().size());
+        assertEquals(2, missed.endpoints().size());
     }
 
     @Test
@@ -92,10 +93,10 @@
 
     @Test
     void aWaitThatIsOverIsToldNothing() throws Exception {
-        HostList nothing = ask("?after=1&wait_ms=1");
-        assertEquals(1, nothing.seq());
+        EndpointList nothing = ask("?after=1&wait_ms=1");
+        assertEquals(1, nothing.version());
         assertFalse(nothing.whole());
-        assertTrue(nothing.hosts().isEmpty());
+        assertTrue(nothing.endpoints().isEmpty());
     }
 
     @Test
--- a/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
@@ -9,8 +9,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.protocol.HostList;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 
@@ -27,23 +28,23 @@
 
     @Test
     void aListIsReadAsItWasDrawn() throws ProtocolException {
-        HostList drawn = Fleet.draw(50, 3, Loopback.UNUSED).whole();
-        assertEquals(drawn, HostList.read(drawn.json()));
+        EndpointList drawn = Fleet.draw(50, 3, Loopback.UNUSED).whole();
+        assertEquals(drawn, EndpointList.read(drawn.json()));
     }
 
     @Test
     void changesTakeOneServerOutAndBackWithARisingVersion() {
         Fleet fleet = Fleet.draw(2, 3, Loopback.UNUSED);
         List<String> told = new ArrayList<>();
-        long version = fleet.whole().seq();
+        long version = fleet.whole().version();
         for (int i = 0; i < 5; i++) {
-            HostList change = fleet.change();
+            EndpointList change = fleet.change();
             assertFalse(change.whole());
-            assertEquals(++version, change.seq());
-            HostList.Host host = change.hosts().get(0);
+            assertEquals(++version, change.version());
+            DiscoveredEndpoint host = change.endpoints().get(0);
             told.add(
                     host.name().substring(7, 12)
-                            + (host.state() == ServerState.UP ? " up" : " drains"));
+                            + (host.state() == EndpointState.UP ? " up" : " drains"));
         }
         assertEquals(
                 List.of("00000 drains", "00000 up", "00001 drains", "00001 up", "00000 drains"),
@@ -58,7 +59,7 @@
                                 Loopback.port(3000), Loopback.port(8500), 5, 500, fleet.whole())
                         .read();
         assertEquals(fleet.whole(), config.known());
-        assertEquals(500, config.settings().classes().size());
-        assertEquals(NodeConfiguration.NODES, config.settings().nodes());
+        assertEquals(500, config.settings().requestClasses().size());
+        assertEquals(NodeConfiguration.NODES, config.settings().nodeCount());
     }
 }
--- a/control/src/main/java/ottergauge/control/client/ControlClient.java
+++ b/control/src/main/java/ottergauge/control/client/ControlClient.java
@@ -12,7 +12,7 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ChangePage;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
@@ -95,7 +95,7 @@
                     Optional.of(
                             new PublishResult.Refused(
                                     List.of(
-                                            new Fault(
+                                            new FieldError(
                                                     "the submission",
                                                     submission.length + " bytes",
                                                     ResourceCodec.MOST_SUBMISSION_BYTES
@@ -104,12 +104,12 @@
         };
     }
 
-    private static List<Fault> faults(byte[] body) {
+    private static List<FieldError> faults(byte[] body) {
         try {
             return ResourceCodec.readFaults(body);
         } catch (ProtocolException e) {
             return List.of(
-                    new Fault(
+                    new FieldError(
                             "the submission",
                             new String(body, StandardCharsets.UTF_8),
                             "one that can be read"));
--- a/control/src/main/java/ottergauge/control/client/PublishResult.java
+++ b/control/src/main/java/ottergauge/control/client/PublishResult.java
@@ -2,7 +2,7 @@
 package ottergauge.control.client;
 
 import java.util.List;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 
 /** What became of a submission that was published. */
@@ -12,7 +12,7 @@
     record Accepted(LogPosition position) implements PublishResult {}
 
     /** Nothing of it is taken, and won't be. */
-    record Refused(List<Fault> faults) implements PublishResult {}
+    record Refused(List<FieldError> faults) implements PublishResult {}
 
     /**
      * It was not accepted in time, or is not known to be; it may be published again under the same
--- a/control/src/main/java/ottergauge/control/config/ConfigException.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigException.java
@@ -3,21 +3,21 @@
 
 import java.util.List;
 import java.util.stream.Collectors;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 
 /** A configuration that isn't taken; carries all that is wrong with it. */
 public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    private final transient List<Fault> faults;
+    private final transient List<FieldError> faults;
 
-    ConfigException(List<Fault> faults) {
-        super(faults.stream().map(Fault::toString).collect(Collectors.joining("; ")));
+    ConfigException(List<FieldError> faults) {
+        super(faults.stream().map(FieldError::toString).collect(Collectors.joining("; ")));
         this.faults = List.copyOf(faults);
     }
 
-    public List<Fault> faults() {
+    public List<FieldError> faults() {
         return faults;
     }
 }
--- a/control/src/main/java/ottergauge/control/config/ConfigFields.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigFields.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.ProtocolException;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.ResourceChecks;
 
 /**
@@ -19,10 +19,10 @@
 
     private final Map<?, ?> fields;
     private final String path;
-    private final List<Fault> faults;
+    private final List<FieldError> faults;
     private final Set<String> known = new HashSet<>();
 
-    ConfigFields(Map<?, ?> fields, String path, List<Fault> faults) {
+    ConfigFields(Map<?, ?> fields, String path, List<FieldError> faults) {
         this.fields = fields;
         this.path = path;
         this.faults = faults;
@@ -116,7 +116,7 @@
         for (Object key : fields.keySet()) {
             if (!known.contains(key)) {
                 faults.add(
-                        new Fault(
+                        new FieldError(
                                 path + key,
                                 String.valueOf(fields.get(key)),
                                 "no key of this object"));
@@ -132,7 +132,7 @@
                         : value instanceof Map
                                 ? "an object"
                                 : value instanceof List ? "a list" : String.valueOf(value);
-        faults.add(new Fault(path + key, found, allowed));
+        faults.add(new FieldError(path + key, found, allowed));
     }
 
     private Object value(String key) {
--- a/control/src/main/java/ottergauge/control/config/ControlConfig.java
+++ b/control/src/main/java/ottergauge/control/config/ControlConfig.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import ottergauge.control.log.LogLimits;
 import ottergauge.protocol.Address;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.settings.JsonTree;
 
 /**
@@ -39,12 +39,12 @@
         } catch (IOException e) {
             throw new ConfigException(
                     List.of(
-                            new Fault(
+                            new FieldError(
                                     "the file",
                                     String.valueOf(e.getMessage()),
                                     "one JSON object")));
         }
-        List<Fault> faults = new ArrayList<>();
+        List<FieldError> faults = new ArrayList<>();
         ControlConfig config = of(new ConfigFields(tree, "", faults));
         if (!faults.isEmpty()) {
             throw new ConfigException(faults);
--- a/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
+++ b/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
@@ -6,8 +6,8 @@
 import ottergauge.control.client.HttpCalls;
 import ottergauge.control.client.HttpCalls.HttpAnswer;
 import ottergauge.protocol.Address;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.Headers;
-import ottergauge.protocol.HostList;
 import ottergauge.protocol.ProtocolException;
 
 /** Follows discovery's list by a watch: whole at first, then what has changed. */
@@ -31,15 +31,15 @@
      * Asks for what has changed since the last call and waits some time for it; the list may be
      * empty.
      */
-    public HostList next() throws IOException, ProtocolException, InterruptedException {
+    public EndpointList next() throws IOException, ProtocolException, InterruptedException {
         String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + WAIT_MS;
         HttpAnswer answer =
                 calls.get(address, Headers.LIST_PATH + query, CALL_WITHIN, MOST_LIST_BYTES);
         if (answer.status() != OK) {
             throw new IOException("discovery answers with status " + answer.status());
         }
-        HostList list = HostList.read(answer.body());
-        if (!list.whole() && list.seq() < version) {
+        EndpointList list = EndpointList.read(answer.body());
+        if (!list.whole() && list.version() < version) {
             version = NO_VERSION;
             throw new ProtocolException(
                     "discovery has begun its versions anew, it is asked for all");
@@ -47,7 +47,7 @@
         if (!list.whole() && version < 0) {
             throw new ProtocolException("discovery was asked for all and told of changes only");
         }
-        version = list.seq();
+        version = list.version();
         return list;
     }
 }
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -11,11 +11,11 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.protocol.HostList;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 import ottergauge.resources.Change;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceCodec;
@@ -42,11 +42,11 @@
     private static final Pattern ENTRY_OF_FAULT = Pattern.compile("(put|delete)\\[(\\d+)\\].*");
 
     private final String service;
-    private final Map<String, Host> listed = new HashMap<>();
-    private final Map<String, Host> published = new HashMap<>();
+    private final Map<String, DiscoveredEndpoint> listed = new HashMap<>();
+    private final Map<String, DiscoveredEndpoint> published = new HashMap<>();
 
     /** Values that were refused: not published again until they change. */
-    private final Map<String, Host> refused = new HashMap<>();
+    private final Map<String, DiscoveredEndpoint> refused = new HashMap<>();
 
     /** The names of which the two sides may differ. */
     private final Set<String> toCompare = new LinkedHashSet<>();
@@ -61,15 +61,15 @@
     }
 
     /** Takes discovery's list, or what has changed in it. */
-    public void takeList(HostList list) {
+    public void takeList(EndpointList list) {
         heard |= list.whole();
         if (list.whole()) {
             listed.clear();
             toCompare.addAll(published.keySet());
         }
-        for (Host host : list.hosts()) {
+        for (DiscoveredEndpoint host : list.endpoints()) {
             toCompare.add(host.name());
-            if (host.state() == ServerState.GONE) {
+            if (host.state() == EndpointState.REMOVED) {
                 listed.remove(host.name());
             } else {
                 listed.put(host.name(), host);
@@ -137,7 +137,7 @@
                 && puts.size() + deletes.size() < MOST_ENTRIES
                 && bytes < MOST_BYTES) {
             String name = names.next();
-            Host wanted = listed.get(name);
+            DiscoveredEndpoint wanted = listed.get(name);
             if (wanted == null ? !published.containsKey(name) : isSettled(name, wanted)) {
                 names.remove();
             } else if (wanted == null) {
@@ -161,7 +161,7 @@
         return Optional.of(new Submission(id, puts, deletes));
     }
 
-    private boolean isSettled(String name, Host wanted) {
+    private boolean isSettled(String name, DiscoveredEndpoint wanted) {
         return wanted.equals(published.get(name)) || wanted.equals(refused.get(name));
     }
 
@@ -169,10 +169,10 @@
      * What is wrong with servers of the list that can't be published; they are left out from now
      * on.
      */
-    public List<Fault> refuseMalformed(Submission submission) {
-        List<Fault> faults = new ArrayList<>();
+    public List<FieldError> refuseMalformed(Submission submission) {
+        List<FieldError> faults = new ArrayList<>();
         for (Change.Put put : submission.puts()) {
-            Optional<Fault> fault = ResourceChecks.fault(put.key(), put.value());
+            Optional<FieldError> fault = ResourceChecks.fault(put.key(), put.value());
             fault.ifPresent(
                     found -> {
                         faults.add(found);
@@ -183,9 +183,9 @@
     }
 
     /** The log has refused a submission: what its faults name is left out from now on. */
-    public void refuse(Submission submission, List<Fault> faults) {
+    public void refuse(Submission submission, List<FieldError> faults) {
         boolean named = false;
-        for (Fault fault : faults) {
+        for (FieldError fault : faults) {
             Matcher entry = ENTRY_OF_FAULT.matcher(fault.key());
             if (!entry.matches()) {
                 continue;
--- a/control/src/main/java/ottergauge/control/log/Answer.java
+++ b/control/src/main/java/ottergauge/control/log/Answer.java
@@ -12,7 +12,7 @@
     /**
      * Another log, or changes after the version that aren't kept any more: a snapshot is needed.
      */
-    record TooOld(LogPosition newest, long oldest) implements Answer {}
+    record VersionTooOld(LogPosition newest, long oldest) implements Answer {}
 
     /** A version of this log that this copy of it has not reached yet. */
     record Ahead(LogPosition newest) implements Answer {}
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceCodec;
@@ -78,7 +78,7 @@
     }
 
     private Outcome decide(Submission submission) {
-        List<Fault> faults = ResourceChecks.faults(submission);
+        List<FieldError> faults = ResourceChecks.faults(submission);
         if (!faults.isEmpty()) {
             return new Outcome.Invalid(faults);
         }
@@ -118,7 +118,7 @@
      */
     public Answer changesAfter(LogPosition after, Subscription subscription, int mostBytes) {
         if (!after.log().equals(log) || after.version() < changes.oldest() - 1) {
-            return new Answer.TooOld(position(), changes.oldest());
+            return new Answer.VersionTooOld(position(), changes.oldest());
         }
         if (after.version() > version) {
             return new Answer.Ahead(position());
--- a/control/src/main/java/ottergauge/control/log/LogImage.java
+++ b/control/src/main/java/ottergauge/control/log/LogImage.java
@@ -16,7 +16,7 @@
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceChecks;
@@ -132,7 +132,7 @@
         } else if (remembered.outcome() instanceof Outcome.Invalid invalid) {
             out.writeBoolean(false);
             out.writeInt(invalid.faults().size());
-            for (Fault fault : invalid.faults()) {
+            for (FieldError fault : invalid.faults()) {
                 out.writeUTF(fault.key());
                 out.writeUTF(fault.value());
                 out.writeUTF(fault.allowed());
@@ -234,12 +234,12 @@
         return outcomes;
     }
 
-    private static List<Fault> readFaults(DataInputStream in)
+    private static List<FieldError> readFaults(DataInputStream in)
             throws IOException, ProtocolException {
-        List<Fault> faults = new ArrayList<>();
+        List<FieldError> faults = new ArrayList<>();
         int entries = readCount(in, SubmissionCheck.MOST_FAULTS);
         for (int i = 0; i < entries; i++) {
-            faults.add(new Fault(in.readUTF(), in.readUTF(), in.readUTF()));
+            faults.add(new FieldError(in.readUTF(), in.readUTF(), in.readUTF()));
         }
         return faults;
     }
--- a/control/src/main/java/ottergauge/control/log/Outcome.java
+++ b/control/src/main/java/ottergauge/control/log/Outcome.java
@@ -2,7 +2,7 @@
 package ottergauge.control.log;
 
 import java.util.List;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 
 /** What became of a submission. */
@@ -12,5 +12,5 @@
     record Accepted(LogPosition position) implements Outcome {}
 
     /** Nothing of it was taken. */
-    record Invalid(List<Fault> faults) implements Outcome {}
+    record Invalid(List<FieldError> faults) implements Outcome {}
 }
--- a/control/src/main/java/ottergauge/control/log/SubmissionCheck.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionCheck.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import ottergauge.resources.Change;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.Submission;
@@ -23,7 +23,7 @@
 
     private final ResourceState state;
     private final Submission submission;
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<FieldError> faults = new ArrayList<>();
     private final Set<ResourceKey> deleted;
     private final Set<String> newServices = new HashSet<>();
 
@@ -37,7 +37,7 @@
     }
 
     /** All that doesn't fit, up to a bound; empty if it may be applied. */
-    static List<Fault> faults(
+    static List<FieldError> faults(
             ResourceState state, Submission submission, List<StoredResource> puts) {
         SubmissionCheck check = new SubmissionCheck(state, submission);
         check.countServices();
@@ -130,7 +130,7 @@
 
     private void fault(String key, String value, String allowed) {
         if (faults.size() < MOST_FAULTS) {
-            faults.add(new Fault(key, value, allowed));
+            faults.add(new FieldError(key, value, allowed));
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -19,7 +19,7 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ChangePage;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceChecks;
@@ -150,7 +150,7 @@
         Optional<Submission> next = reconciler.next(UUID.randomUUID().toString());
         while (next.isPresent()) {
             long begun = System.nanoTime();
-            List<Fault> malformed = reconciler.refuseMalformed(next.get());
+            List<FieldError> malformed = reconciler.refuseMalformed(next.get());
             if (malformed.isEmpty()) {
                 publish(next.get());
                 long spentMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
@@ -181,7 +181,7 @@
         }
     }
 
-    private static void tell(List<Fault> faults) {
+    private static void tell(List<FieldError> faults) {
         faults.stream().limit(MOST_FAULTS_TOLD).forEach(fault -> LOG.warn("left out: {}", fault));
         if (faults.size() > MOST_FAULTS_TOLD) {
             LOG.warn("left out: {} more", faults.size() - MOST_FAULTS_TOLD);
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -14,7 +14,7 @@
 import ottergauge.control.consensus.InMemoryConsensus;
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.control.server.ControlServer;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -43,7 +43,7 @@
         try {
             config = ControlConfig.read(Files.readAllBytes(configFile));
         } catch (ConfigException e) {
-            for (Fault fault : e.faults()) {
+            for (FieldError fault : e.faults()) {
                 LOG.error("bad configuration {}: {}", configFile, fault);
             }
             return 1;
--- a/control/src/main/java/ottergauge/control/server/Parameters.java
+++ b/control/src/main/java/ottergauge/control/server/Parameters.java
@@ -7,7 +7,7 @@
 import java.util.HashSet;
 import java.util.Optional;
 import java.util.Set;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceKey;
@@ -62,7 +62,8 @@
             throw new CallException(
                     Status.BAD_REQUEST,
                     "the query can't be decoded: "
-                            + new Fault("it", String.valueOf(e.getMessage()), "percent-encoded")
+                            + new FieldError(
+                                            "it", String.valueOf(e.getMessage()), "percent-encoded")
                                     .value());
         }
     }
@@ -153,6 +154,7 @@
     }
 
     private static CallException bad(String key, String value, String allowed) {
-        return new CallException(Status.BAD_REQUEST, new Fault(key, value, allowed).toString());
+        return new CallException(
+                Status.BAD_REQUEST, new FieldError(key, value, allowed).toString());
     }
 }
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -8,7 +8,7 @@
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.TooOld;
+import ottergauge.resources.VersionTooOld;
 
 /**
  * Writes pages of snapshots at a rate for all callers together, in the order in which they called.
@@ -96,7 +96,8 @@
                     .answer(
                             Status.GONE,
                             ResourceCodec.write(
-                                    new TooOld(position.log(), log.oldest(), position.version())));
+                                    new VersionTooOld(
+                                            position.log(), log.oldest(), position.version())));
             return 0;
         }
         byte[] page = log.snapshot(call.from(), call.subscription(), call.mostBytes()).json();
--- a/control/src/main/java/ottergauge/control/server/WaitingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/WaitingPolls.java
@@ -9,7 +9,7 @@
 import ottergauge.control.log.Answer;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.TooOld;
+import ottergauge.resources.VersionTooOld;
 
 /**
  * The calls for changes. One for which there is nothing yet waits for the change that it follows,
@@ -118,7 +118,7 @@
         Answer answer =
                 log.changesAfter(poll.reached, poll.call.subscription(), poll.call.mostBytes());
         poll.ahead = answer instanceof Answer.Ahead;
-        if (answer instanceof Answer.TooOld tooOld) {
+        if (answer instanceof Answer.VersionTooOld tooOld) {
             tellTooOld(poll, tooOld);
             return true;
         }
@@ -142,18 +142,18 @@
                 log.changesAfter(poll.reached, poll.call.subscription(), poll.call.mostBytes());
         if (answer instanceof Answer.Changes changes) {
             poll.responder.answer(Status.OK, changes.page().json());
-        } else if (answer instanceof Answer.TooOld tooOld) {
+        } else if (answer instanceof Answer.VersionTooOld tooOld) {
             tellTooOld(poll, tooOld);
         } else {
             poll.responder.unavailable(ErrorJson.BEHIND);
         }
     }
 
-    private static void tellTooOld(Poll poll, Answer.TooOld tooOld) {
+    private static void tellTooOld(Poll poll, Answer.VersionTooOld tooOld) {
         poll.responder.answer(
                 Status.GONE,
                 ResourceCodec.write(
-                        new TooOld(
+                        new VersionTooOld(
                                 tooOld.newest().log(),
                                 tooOld.oldest(),
                                 tooOld.newest().version())));
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -19,14 +19,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.ServerState;
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.LogLimits;
 import ottergauge.control.log.Outcome;
 import ottergauge.control.log.Submissions;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 import ottergauge.resources.Change;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKind;
@@ -43,16 +43,17 @@
     private final ChangeLog log = new ChangeLog("a1", LogLimits.DEFAULT);
     private int ids;
 
-    private static Host host(String name, ServerState state, double share) {
-        return new Host(name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, state, share, 0);
+    private static DiscoveredEndpoint host(String name, EndpointState state, double share) {
+        return new DiscoveredEndpoint(
+                name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, state, share, 0);
     }
 
-    private static Host up(String name) {
-        return host(name, ServerState.UP, 1);
+    private static DiscoveredEndpoint up(String name) {
+        return host(name, EndpointState.UP, 1);
     }
 
-    private void list(boolean whole, Host... hosts) {
-        reconciler.takeList(new HostList(1, whole, List.of(hosts)));
+    private void list(boolean whole, DiscoveredEndpoint... hosts) {
+        reconciler.takeList(new EndpointList(1, whole, List.of(hosts)));
     }
 
     private static List<Resource> state(ChangeLog log) {
@@ -61,7 +62,7 @@
                 .resources();
     }
 
-    private static Map<String, Host> servers(ChangeLog log) {
+    private static Map<String, DiscoveredEndpoint> servers(ChangeLog log) {
         return state(log).stream()
                 .filter(each -> each.key().kind() == ResourceKind.SERVER)
                 .collect(
@@ -124,18 +125,18 @@
         list(
                 false,
                 up("s-1"),
-                host("s-2", ServerState.DRAINING, 1),
-                host("s-3", ServerState.GONE, 1));
+                host("s-2", EndpointState.DRAINING, 1),
+                host("s-3", EndpointState.REMOVED, 1));
         Submission next = next().orElseThrow();
         assertEquals(
                 List.of(
                         new Change.Put(
                                 Submissions.key(ResourceKind.SERVER, "s-2"),
-                                new Server(SERVICE, host("s-2", ServerState.DRAINING, 1)))),
+                                new Server(SERVICE, host("s-2", EndpointState.DRAINING, 1)))),
                 next.puts());
         assertEquals(List.of(Submissions.key(ResourceKind.SERVER, "s-3")), next.deletes());
         publishAll();
-        list(true, up("s-1"), host("s-2", ServerState.DRAINING, 1));
+        list(true, up("s-1"), host("s-2", EndpointState.DRAINING, 1));
         assertEquals(Optional.empty(), next());
     }
 
@@ -175,7 +176,11 @@
     @Test
     void longListsArePublishedInSeveralChanges() {
         reconciler.takeState(state(log));
-        list(true, IntStream.range(0, 1_200).mapToObj(i -> up("s-" + i)).toArray(Host[]::new));
+        list(
+                true,
+                IntStream.range(0, 1_200)
+                        .mapToObj(i -> up("s-" + i))
+                        .toArray(DiscoveredEndpoint[]::new));
         assertEquals(3, publishAll());
         assertEquals(1_200, servers(log).size());
         list(true);
@@ -190,14 +195,14 @@
         list(true, up("s-1"), up("s-2"), up("s-3"));
         publishAll();
         assertEquals(Map.of("s-1", up("s-1"), "s-3", up("s-3")), servers(log));
-        list(false, host("s-2", ServerState.UP, 2));
+        list(false, host("s-2", EndpointState.UP, 2));
         assertTrue(next().isPresent(), "a new value is tried again");
     }
 
     @Test
     void aMalformedEntryIsLeftOutAlone() {
         reconciler.takeState(state(log));
-        list(true, up("s-1"), up("no name"), host("s-2", ServerState.UP, -1));
+        list(true, up("s-1"), up("no name"), host("s-2", EndpointState.UP, -1));
         Submission all = next().orElseThrow();
         assertEquals(2, reconciler.refuseMalformed(all).size());
         assertEquals(1, publishAll());
@@ -222,26 +227,26 @@
     void inTheEndTheLogHasWhatDiscoveryLists(@ForAll("histories") List<Step> history) {
         ServiceReconcilerTest play = new ServiceReconcilerTest();
         play.reconciler.takeState(List.of());
-        Map<String, Host> listed = new HashMap<>();
+        Map<String, DiscoveredEndpoint> listed = new HashMap<>();
         for (Step step : history) {
-            Host host = host("s-" + step.name(), ServerState.UP, step.share());
+            DiscoveredEndpoint host = host("s-" + step.name(), EndpointState.UP, step.share());
             switch (step.kind()) {
                 case 0 -> play.tell(listed, host);
-                case 1 -> play.tell(listed, host(host.name(), ServerState.GONE, 1));
-                case 2 -> play.list(true, listed.values().toArray(Host[]::new));
+                case 1 -> play.tell(listed, host(host.name(), EndpointState.REMOVED, 1));
+                case 2 -> play.list(true, listed.values().toArray(DiscoveredEndpoint[]::new));
                 case 3 -> play.publishAll();
                 case 4 -> play.meddle(host);
                 default -> play.reconciler.takeState(state(play.log));
             }
         }
-        play.list(true, listed.values().toArray(Host[]::new));
+        play.list(true, listed.values().toArray(DiscoveredEndpoint[]::new));
         play.publishAll();
         assertEquals(listed, servers(play.log));
         assertFalse(play.next().isPresent());
     }
 
-    private void tell(Map<String, Host> listed, Host host) {
-        if (host.state() == ServerState.GONE) {
+    private void tell(Map<String, DiscoveredEndpoint> listed, DiscoveredEndpoint host) {
+        if (host.state() == EndpointState.REMOVED) {
             listed.remove(host.name());
         } else {
             listed.put(host.name(), host);
@@ -250,11 +255,11 @@
     }
 
     // Somebody else puts a server of this service, and the reconciler hears of it.
-    private void meddle(Host host) {
+    private void meddle(DiscoveredEndpoint host) {
         Submission other =
                 Submissions.of("meddled-" + ids++)
                         .service(SERVICE)
-                        .server(host.name(), SERVICE, host.share() + 10)
+                        .server(host.name(), SERVICE, host.weight() + 10)
                         .build();
         log.apply(other);
         reconciler.takeChange(new Change(1, other.puts(), List.of()));
--- a/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
@@ -203,7 +203,7 @@
 
         private boolean isOutOfRange(Change.Put put) {
             return (put.value() instanceof Tenant tenant && tenant.requestsPerSecond() < 0)
-                    || (put.value() instanceof Server server && server.host().share() < 0);
+                    || (put.value() instanceof Server server && server.host().weight() < 0);
         }
     }
 
--- a/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
@@ -17,7 +17,7 @@
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceChecks;
@@ -44,15 +44,16 @@
                 .version();
     }
 
-    private List<Fault> refused(Submissions submission) {
+    private List<FieldError> refused(Submissions submission) {
         LogPosition before = log.position();
         Outcome outcome = log.apply(submission.build());
         assertEquals(before, log.position(), "something of it was taken");
         return assertInstanceOf(Outcome.Invalid.class, outcome).faults();
     }
 
-    private static void assertFault(String key, String value, String allowed, List<Fault> faults) {
-        assertEquals(List.of(new Fault(key, value, allowed)), faults);
+    private static void assertFault(
+            String key, String value, String allowed, List<FieldError> faults) {
+        assertEquals(List.of(new FieldError(key, value, allowed)), faults);
     }
 
     private ChangePage changesAfter(long version, Subscription subscription) {
@@ -154,7 +155,7 @@
         for (int i = 0; i < 150; i++) {
             many.server("s-" + i, "checkout");
         }
-        List<Fault> faults = refused(many);
+        List<FieldError> faults = refused(many);
         assertEquals(100, faults.size());
         assertEquals("put[99].value.service", faults.get(99).key());
     }
@@ -233,7 +234,7 @@
         assertEquals(2, accepted(Submissions.of("b").tenant("gold", 2)));
         assertEquals(1, accepted(Submissions.of("a").tenant("gold", 1)));
         assertEquals(2, log.position().version());
-        List<Fault> faults = refused(Submissions.of("c").server("s-1", "checkout"));
+        List<FieldError> faults = refused(Submissions.of("c").server("s-1", "checkout"));
         accepted(Submissions.of("d").service("checkout"));
         assertEquals(faults, refused(Submissions.of("c").server("s-1", "checkout")));
     }
@@ -324,13 +325,13 @@
         }
         LogPosition newest = new LogPosition(LOG, 10);
         assertEquals(
-                new Answer.TooOld(newest, 8),
+                new Answer.VersionTooOld(newest, 8),
                 small.changesAfter(new LogPosition(LOG, 6), EVERYTHING, ALL_BYTES));
         assertInstanceOf(
                 Answer.Changes.class,
                 small.changesAfter(new LogPosition(LOG, 7), EVERYTHING, ALL_BYTES));
         assertEquals(
-                new Answer.TooOld(newest, 8),
+                new Answer.VersionTooOld(newest, 8),
                 small.changesAfter(new LogPosition("other", 9), EVERYTHING, ALL_BYTES));
         assertEquals(
                 new Answer.Ahead(newest),
--- a/control/src/test/java/ottergauge/control/log/Submissions.java
+++ b/control/src/test/java/ottergauge/control/log/Submissions.java
@@ -5,9 +5,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.resources.Change;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
@@ -43,7 +43,8 @@
 
     public Submissions server(String name, String service, double share) {
         Address dial = new Address("127.0.0.1", 4000);
-        Host host = new Host(name, dial, "zone-a", "std", 0, ServerState.UP, share, 0);
+        DiscoveredEndpoint host =
+                new DiscoveredEndpoint(name, dial, "zone-a", "std", 0, EndpointState.UP, share, 0);
         return put(ResourceKind.SERVER, name, new ResourceValue.Server(service, host));
     }
 
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -30,14 +30,14 @@
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.TooOld;
+import ottergauge.resources.VersionTooOld;
 
 /** Starts the jar and speaks to it over loopback sockets. */
 class ControlIT {
@@ -99,11 +99,13 @@
             assertEquals(410, old.statusCode());
             String log = positions.get(0).log();
             assertEquals(
-                    new TooOld(log, 4, 6), ResourceCodec.readTooOld(old.body().getBytes(UTF_8)));
+                    new VersionTooOld(log, 4, 6),
+                    ResourceCodec.readTooOld(old.body().getBytes(UTF_8)));
             HttpResponse<String> other =
                     control.get(changes(new LogPosition("other", 5), "&wait_ms=10000"));
             assertEquals(
-                    new TooOld(log, 4, 6), ResourceCodec.readTooOld(other.body().getBytes(UTF_8)));
+                    new VersionTooOld(log, 4, 6),
+                    ResourceCodec.readTooOld(other.body().getBytes(UTF_8)));
             HttpResponse<String> ahead = control.get(changes(new LogPosition(log, 7), ""));
             assertRefused(503, "behind", ahead);
             assertEquals(Optional.of("1"), ahead.headers().firstValue("Retry-After"));
@@ -190,7 +192,7 @@
             HttpResponse<String> bad =
                     control.post(tenant.replace("\"x\"", "\"y\"").replace("RATE", "-3"));
             assertEquals(400, bad.statusCode());
-            Fault fault = ResourceCodec.readFaults(bad.body().getBytes(UTF_8)).get(0);
+            FieldError fault = ResourceCodec.readFaults(bad.body().getBytes(UTF_8)).get(0);
             assertEquals("put[0].value.requests_per_second", fault.key());
             assertEquals("-3", fault.value());
             HttpResponse<String> unfit =
--- a/control/src/test/java/ottergauge/control/program/StubDiscovery.java
+++ b/control/src/test/java/ottergauge/control/program/StubDiscovery.java
@@ -14,10 +14,10 @@
 import java.util.concurrent.Executors;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 
 /**
  * Stands in for discovery: tells its list whole, or what has changed after a version, once it has.
@@ -28,9 +28,9 @@
 
     private final HttpServer server;
     private final ExecutorService threads = Executors.newCachedThreadPool();
-    private final Map<String, Host> hosts = new LinkedHashMap<>();
+    private final Map<String, DiscoveredEndpoint> hosts = new LinkedHashMap<>();
     private final Map<String, Long> versions = new LinkedHashMap<>();
-    private final List<Host> gone = new ArrayList<>();
+    private final List<DiscoveredEndpoint> gone = new ArrayList<>();
     private long version = 100;
 
     StubDiscovery() throws IOException {
@@ -40,25 +40,32 @@
         server.start();
     }
 
-    static Host up(String name) {
-        return new Host(
-                name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, ServerState.UP, 1, 0);
+    static DiscoveredEndpoint up(String name) {
+        return new DiscoveredEndpoint(
+                name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, EndpointState.UP, 1, 0);
     }
 
-    static Host gone(String name) {
-        return new Host(
-                name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, ServerState.GONE, 1, 0);
+    static DiscoveredEndpoint gone(String name) {
+        return new DiscoveredEndpoint(
+                name,
+                new Address("127.0.0.1", 4000),
+                "zone-a",
+                "std",
+                0,
+                EndpointState.REMOVED,
+                1,
+                0);
     }
 
     String address() {
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    synchronized void tell(Host... changed) {
+    synchronized void tell(DiscoveredEndpoint... changed) {
         version++;
-        for (Host host : changed) {
+        for (DiscoveredEndpoint host : changed) {
             versions.put(host.name(), version);
-            if (host.state() == ServerState.GONE) {
+            if (host.state() == EndpointState.REMOVED) {
                 hosts.remove(host.name());
                 gone.add(host);
             } else {
@@ -69,7 +76,7 @@
     }
 
     /** Another discovery in its place, which counts from 1. */
-    synchronized void beginAnew(Host... all) {
+    synchronized void beginAnew(DiscoveredEndpoint... all) {
         hosts.clear();
         versions.clear();
         gone.clear();
@@ -89,7 +96,7 @@
     }
 
     private synchronized byte[] whole() {
-        return new HostList(version, true, List.copyOf(hosts.values())).json();
+        return new EndpointList(version, true, List.copyOf(hosts.values())).json();
     }
 
     private synchronized byte[] changes(long after, long waitMs) {
@@ -102,12 +109,12 @@
                 break;
             }
         }
-        List<Host> changed = new ArrayList<>();
+        List<DiscoveredEndpoint> changed = new ArrayList<>();
         gone.stream().filter(host -> versions.get(host.name()) > after).forEach(changed::add);
         hosts.values().stream()
                 .filter(host -> versions.get(host.name()) > after)
                 .forEach(changed::add);
-        return new HostList(version, false, changed).json();
+        return new EndpointList(version, false, changed).json();
     }
 
     @Override
--- a/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
+++ b/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
@@ -17,7 +17,7 @@
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.TooOld;
+import ottergauge.resources.VersionTooOld;
 
 /** Pages of snapshots at a paced rate, on made-up time. */
 class SnapshotQueueTest {
@@ -129,7 +129,7 @@
     void pagesOfAnotherLogAreTooOld() throws ProtocolException {
         RecordingResponder other = ask(Optional.of("b2"));
         assertEquals(Status.GONE, other.status);
-        assertEquals(new TooOld("a1", 1, 1), ResourceCodec.readTooOld(other.body));
+        assertEquals(new VersionTooOld("a1", 1, 1), ResourceCodec.readTooOld(other.body));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/server/WaitingPollsTest.java
+++ b/control/src/test/java/ottergauge/control/server/WaitingPollsTest.java
@@ -19,7 +19,7 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.TooOld;
+import ottergauge.resources.VersionTooOld;
 
 /** Calls that wait for changes, on made-up time. */
 class WaitingPollsTest {
@@ -140,12 +140,12 @@
     void anotherLogAndChangesThatAreNotKeptAreTooOld() throws ProtocolException {
         RecordingResponder other = ask(new LogPosition("other", 1), 10_000);
         assertEquals(Status.GONE, other.status);
-        assertEquals(new TooOld(LOG, 1, 1), ResourceCodec.readTooOld(other.body));
+        assertEquals(new VersionTooOld(LOG, 1, 1), ResourceCodec.readTooOld(other.body));
         for (int i = 0; i < 9; i++) {
             log.apply(Submissions.of("id-" + i).tenant("gold", i).build());
         }
         RecordingResponder old = ask(4, 10_000);
-        assertEquals(new TooOld(LOG, 6, 10), ResourceCodec.readTooOld(old.body));
+        assertEquals(new VersionTooOld(LOG, 6, 10), ResourceCodec.readTooOld(old.body));
         assertEquals(List.of(6L, 7L, 8L, 9L, 10L), versions(ask(5, 10_000)));
     }
 
@@ -174,7 +174,7 @@
     void aLogThatTakesThePlaceOfAnotherIsToldToThoseThatWait() throws ProtocolException {
         RecordingResponder waiting = ask(1, 10_000);
         log.replace(new ChangeLog("b2", LogLimits.DEFAULT));
-        assertEquals(new TooOld("b2", 1, 0), ResourceCodec.readTooOld(waiting.body));
+        assertEquals(new VersionTooOld("b2", 1, 0), ResourceCodec.readTooOld(waiting.body));
     }
 
     @Test
--- a/src/main/java/ottergauge/Decide.java
+++ b/src/main/java/ottergauge/decision/DecisionEngine.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -11,7 +11,39 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
-import ottergauge.DecisionApi.*;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction.CancelAttempt;
+import ottergauge.decision.api.DecisionAction.FailRequest;
+import ottergauge.decision.api.DecisionAction.RejectRequest;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionAction.SetTimer;
+import ottergauge.decision.api.DecisionAction.WatchEndpoints;
+import ottergauge.decision.api.DecisionActionSink;
+import ottergauge.decision.api.DecisionEvent;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.DecisionEvent.DiscoveryFailed;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.DecisionEvent.RequestArrived;
+import ottergauge.decision.api.DecisionEvent.RequestBodySent;
+import ottergauge.decision.api.DecisionEvent.RequestBodyStreaming;
+import ottergauge.decision.api.DecisionEvent.ResponseStarted;
+import ottergauge.decision.api.DecisionEvent.SettingsChanged;
+import ottergauge.decision.api.DecisionEvent.TimerFired;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.DecisionView;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.DiscoveryMode;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.EndpointStatus;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.LoadReport;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.RequestLimits;
+import ottergauge.decision.api.UpdateScope;
 import ottergauge.limits.Freshness;
 import ottergauge.limits.RetryBudget;
 import ottergauge.limits.Room;
@@ -25,7 +57,7 @@
  * ordinary path is Per-Function Auto Weighted Round-Robin; docs/design.md lists the departures and
  * says when each acts.
  */
-public final class Decide implements Insight {
+public final class DecisionEngine implements DecisionView {
 
     // ---- The design's starting values
     // --------------------------------------------------------------
@@ -191,8 +223,8 @@
     // A server, as this node knows it.
     private static final class Server {
         final long id;
-        ListedServer entry;
-        ServerState state;
+        Endpoint entry;
+        EndpointState state;
         final ArrayList<Attempt> out = new ArrayList<>();
         // Its rows in the rotation, once it was in the subset, and how many windows have ended for
         // them.
@@ -220,7 +252,7 @@
         final ServerPace pace = new ServerPace();
         final ArrayDeque<Long> coldSends = new ArrayDeque<>(0);
 
-        Server(ListedServer entry) {
+        Server(Endpoint entry) {
             id = entry.id();
             this.entry = entry;
         }
@@ -241,7 +273,7 @@
         final String id;
         final long number;
         final RequestClass type;
-        final Limits limits;
+        final RequestLimits limits;
         // The end of its worth, and of what is worked for now: the aim or, once that is past, the
         // same.
         final long arrivedAt;
@@ -268,19 +300,19 @@
         Request(
                 RequestArrived e,
                 long number,
-                Settings taken,
+                DecisionSettings taken,
                 long arrivedAt,
                 long aimAt,
                 long usefulUntil) {
             id = e.id();
-            type = taken.classes().get(e.requestClass());
+            type = taken.requestClasses().get(e.requestClass());
             limits = taken.limits();
             this.number = number;
             this.arrivedAt = arrivedAt;
             this.aimAt = aimAt;
             this.usefulUntil = usefulUntil;
             end = aimAt;
-            worth = type.worth();
+            worth = type.priorityWeight();
         }
     }
 
@@ -306,7 +338,7 @@
         }
     }
 
-    private Settings settings;
+    private DecisionSettings settings;
     private final SplittableRandom random;
     private boolean sounds;
     private final Freshness freshness = new Freshness();
@@ -357,20 +389,20 @@
     private long timerAt = Long.MAX_VALUE;
     private long now;
     private boolean news;
-    private ActionSink sink;
+    private DecisionActionSink sink;
 
-    public Decide(Settings settings, long seed) {
+    public DecisionEngine(DecisionSettings settings, long seed) {
         random = new SplittableRandom(seed);
         takeOver(settings);
     }
 
     /** Takes one event; the actions are to happen at the same instant, in their order. */
-    public void handle(long at, Event event, ActionSink out) {
+    public void handle(long at, DecisionEvent event, DecisionActionSink out) {
         if (windowEnd == NEVER) {
             windowEnd = at + FIRST_WINDOW;
             wokenAt = at + WAKING;
             now = at;
-            if (settings.discovery() == Discovery.ON_REQUEST) {
+            if (settings.discoveryMode() == DiscoveryMode.POLL) {
                 askAt = at + random.nextLong(FIRST_ASK_WITHIN);
             }
         }
@@ -391,20 +423,20 @@
             attemptEnded(e);
         } else if (event instanceof ProbeEnded e) {
             probeEnded(e);
-        } else if (event instanceof ServerList e) {
+        } else if (event instanceof EndpointUpdate e) {
             follow(e);
         } else if (event instanceof SettingsChanged e) {
             takeOver(e.settings());
-            follow(e.servers());
-        } else if (event instanceof ListFailed) {
+            follow(e.endpoints());
+        } else if (event instanceof DiscoveryFailed) {
             askAgain();
-        } else if (event instanceof ClientGone e) {
+        } else if (event instanceof ClientDisconnected e) {
             clientGone(e);
-        } else if (event instanceof AnswerStarted e) {
+        } else if (event instanceof ResponseStarted e) {
             answerStarted(e);
-        } else if (event instanceof BodyPassing e) {
+        } else if (event instanceof RequestBodyStreaming e) {
             bodyPasses(e.id(), e.attempt(), true);
-        } else if (event instanceof BodyPassed e) {
+        } else if (event instanceof RequestBodySent e) {
             bodyPasses(e.id(), e.attempt(), false);
         } else if (!(event instanceof TimerFired)) {
             throw new IllegalArgumentException("unknown event " + event);
@@ -416,11 +448,13 @@
     }
 
     @Override
-    public Standing standing(long at, long server) {
+    public EndpointStatus endpointStatus(long at, long server) {
         Server s = ring.get(server);
-        return s == null || s.state != ServerState.UP
-                ? Standing.DRAINING
-                : at < s.barredUntil ? Standing.BARRED : mute(s) ? Standing.MUTE : Standing.USED;
+        return s == null || s.state != EndpointState.UP
+                ? EndpointStatus.DRAINING
+                : at < s.barredUntil
+                        ? EndpointStatus.EJECTED
+                        : mute(s) ? EndpointStatus.UNRESPONSIVE : EndpointStatus.ACTIVE;
     }
 
     @Override
@@ -431,7 +465,7 @@
         // for.
         return a != null
                 && (warmth(a.server, at) >= 1
-                        || at - a.sentAt <= COLD_WAIT_PART * settings.rules().fallAfter());
+                        || at - a.sentAt <= COLD_WAIT_PART * settings.rules().overloadWindow());
     }
 
     // ==== Requests: one final answer each
@@ -443,12 +477,14 @@
                         ? 0
                         : blend(askedEvery, Math.min((double) (now - askedAt), SECOND));
         askedAt = now;
-        RequestClass type = settings.classes().get(e.requestClass());
+        RequestClass type = settings.requestClasses().get(e.requestClass());
         boolean again = isRepeat(e, type);
         long began = again ? Math.min(now, e.giveUpAt() - type.deadline()) : now;
-        long aimAt = began + type.aim() - CLIENT_TRIP;
+        long aimAt = began + type.latencyObjective() - CLIENT_TRIP;
         long usefulUntil =
-                Math.max(now, type.lateWorth() > 0 ? e.giveUpAt() : Math.min(aimAt, e.giveUpAt()));
+                Math.max(
+                        now,
+                        type.lateValueRatio() > 0 ? e.giveUpAt() : Math.min(aimAt, e.giveUpAt()));
         Request q =
                 new Request(
                         e,
@@ -458,7 +494,7 @@
                         Math.min(Math.max(now, aimAt), usefulUntil),
                         usefulUntil);
         q.repeat = again;
-        q.home = settings.warmKeys() && e.key() != 0 ? homeOf(e.key()) : null;
+        q.home = settings.cacheAffinity() && e.affinityKey() != 0 ? homeOf(e.affinityKey()) : null;
         requests.put(q.id, q);
         if (hopeless(q)) {
             giveUp(q);
@@ -485,12 +521,12 @@
     // Not marked, one has less time left and follows one given up on: by time alone, all the
     // impatient are.
     private boolean isRepeat(RequestArrived e, RequestClass type) {
-        if (settings.repeatsMarked()) {
-            return e.clientRepeat();
+        if (settings.clientRetriesMarked()) {
+            return e.clientRetry();
         }
         long left = e.giveUpAt() - now;
         long longest = longestTry.merge(type.name(), left, Math::max);
-        boolean repeat = repeatsDue >= 1 && left < longest - settings.rules().answerSlack();
+        boolean repeat = repeatsDue >= 1 && left < longest - settings.rules().responseTolerance();
         repeatsDue -= repeat ? 1 : 0;
         return repeat;
     }
@@ -511,8 +547,8 @@
 
     // Gives the final answer: a refusal where the rule lets it say that a retry is harmless.
     private void giveUp(Request q) {
-        long advice = q.limits.retryAfter() ? q.limits.maxRetryAfter() : 0;
-        sink.accept(mayRefuse(q) ? new Refuse(q.id, advice) : new Fail(q.id));
+        long advice = q.limits.retryAfterAllowed() ? q.limits.maxRetryAfter() : 0;
+        sink.accept(mayRefuse(q) ? new RejectRequest(q.id, advice) : new FailRequest(q.id));
         leave(q);
     }
 
@@ -525,8 +561,8 @@
     private void end(Request q) {
         release(q);
         q.over = true;
-        if (q.limits.cancel()) {
-            q.out.forEach(a -> sink.accept(new Cancel(q.id, a.number)));
+        if (q.limits.cancellationAllowed()) {
+            q.out.forEach(a -> sink.accept(new CancelAttempt(q.id, a.number)));
         }
         forget(q);
     }
@@ -537,14 +573,14 @@
         }
     }
 
-    private void clientGone(ClientGone e) {
+    private void clientGone(ClientDisconnected e) {
         Request q = requests.get(e.id());
         if (q != null && !q.over) {
             leave(q);
         }
     }
 
-    private void answerStarted(AnswerStarted e) {
+    private void answerStarted(ResponseStarted e) {
         Request q = requests.get(e.id());
         if (q != null) {
             release(q);
@@ -596,9 +632,10 @@
     }
 
     private static boolean mayRefuse(Request q) {
-        return q.type.repeat() == Repeat.SAFE
+        return q.type.idempotency() == Idempotency.IDEMPOTENT
                 || untouched(q)
-                || (q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL);
+                || (q.type.idempotency() == Idempotency.KEYED
+                        && q.type.deduplicationScope() == DeduplicationScope.FLEET);
     }
 
     // Whether the rules let this server have the request's next attempt; no other attempt of it is
@@ -606,17 +643,17 @@
     private boolean maySend(Request q, Server s) {
         Attempt first = q.firstThatMayHaveRun;
         boolean harmless =
-                q.type.repeat() == Repeat.SAFE
+                q.type.idempotency() == Idempotency.IDEMPOTENT
                         || untouched(q)
-                        || (q.type.repeat() == Repeat.KEYED
-                                && sameGroup(q.type.group(), first.server, s)
-                                && now < first.sentAt + q.type.window());
+                        || (q.type.idempotency() == Idempotency.KEYED
+                                && sameGroup(q.type.deduplicationScope(), first.server, s)
+                                && now < first.sentAt + q.type.deduplicationWindow());
         return harmless && !q.once && q.attempts < q.limits.maxAttempts();
     }
 
-    private static boolean sameGroup(Group group, Server a, Server b) {
+    private static boolean sameGroup(DeduplicationScope group, Server a, Server b) {
         return switch (group) {
-            case ALL -> true;
+            case FLEET -> true;
             case ZONE -> a.entry.zone() == b.entry.zone();
             case CELL -> a.entry.cell() == b.entry.cell();
         };
@@ -635,7 +672,7 @@
 
     // Of a server that has left nothing is kept.
     private void sample(Server s, int row, long elapsed) {
-        if (s.state != ServerState.GONE) {
+        if (s.state != EndpointState.REMOVED) {
             s.endWindows(windowsEnded);
             IntStream.of(row, rows.shared())
                     .distinct()
@@ -669,9 +706,11 @@
         for (int k = 0;
                 subset.size() < size && k < (all ? servers.size() : SUBSET_TRIES * size);
                 k++) {
-            double point = ((settings.node() + 0.5) / settings.nodes() + k * GOLDEN) % 1;
+            double point = ((settings.nodeIndex() + 0.5) / settings.nodeCount() + k * GOLDEN) % 1;
             Server s = all ? servers.get(k) : ring.at(point);
-            if (s.state == ServerState.UP && (all || now >= s.barredUntil) && !subset.contains(s)) {
+            if (s.state == EndpointState.UP
+                    && (all || now >= s.barredUntil)
+                    && !subset.contains(s)) {
                 s.endWindows(windowsEnded);
                 if (s.rows.isEmpty()) {
                     layRows(s);
@@ -685,10 +724,10 @@
     }
 
     private int subsetSize() {
-        double perServer = settings.nodes() / (100.0 * Math.max(1, ring.count()));
-        double price = settings.prices().connection() * perServer;
+        double perServer = settings.nodeCount() / (100.0 * Math.max(1, ring.count()));
+        double price = settings.costs().connection() * perServer;
         double paid = price > 0 ? Math.min(FREE_SUBSET, CONNECTION_SPEND / price) : FREE_SUBSET;
-        paid = Math.min(paid, DOZEN * Math.max(1, ring.count() / (double) settings.nodes()));
+        paid = Math.min(paid, DOZEN * Math.max(1, ring.count() / (double) settings.nodeCount()));
         double each = hears && fleet.known() ? fleet.size(1) : 1;
         double wanted = Math.max(out.size(), SUBSET_SPARE * meanOut) / each;
         return (int) Math.max(LEAST_SUBSET, Math.max(paid, wanted));
@@ -735,7 +774,8 @@
             other |= s.candidate && s != q.avoid;
             fitting |= s.candidate && known(s);
         }
-        boolean settle = sounds && fitting && now - q.arrivedAt > SEARCH_PART * q.type.aim();
+        boolean settle =
+                sounds && fitting && now - q.arrivedAt > SEARCH_PART * q.type.latencyObjective();
         for (Server s : subset) {
             s.candidate &= (s != q.avoid || !other) && (!settle || known(s));
             if (s.candidate) {
@@ -794,7 +834,7 @@
     // ================================================
 
     private boolean open(Server s) {
-        return s.state == ServerState.UP
+        return s.state == EndpointState.UP
                 && now >= s.barredUntil
                 && !mute(s)
                 && (s.strikes == 0 || s.out.isEmpty())
@@ -886,7 +926,8 @@
 
     // The nodes that have a server in their subset.
     private double sharing() {
-        return Math.max(1, settings.nodes() * Math.min(1, subset.size() / (double) ring.count()));
+        return Math.max(
+                1, settings.nodeCount() * Math.min(1, subset.size() / (double) ring.count()));
     }
 
     private boolean known(Server s) {
@@ -902,7 +943,9 @@
     // An answer is only heard with the next round, and from a far zone later than from a near one.
     private long muteAt(Server s) {
         double trip = tripTo(s);
-        return s.probedAt + (long) Math.max(MUTE_TRIPS * trip, trip + 2 * settings.round()) + 1;
+        return s.probedAt
+                + (long) Math.max(MUTE_TRIPS * trip, trip + 2 * settings.eventInterval())
+                + 1;
     }
 
     private double tripTo(Server s) {
@@ -971,7 +1014,7 @@
                 if (!s.probing) {
                     s.probing = true;
                     s.probedAt = now;
-                    sink.accept(new Probe(s.id));
+                    sink.accept(new SendProbe(s.id));
                 }
             }
         }
@@ -1002,7 +1045,7 @@
         if (late) {
             release(q);
             q.end = q.usefulUntil;
-            q.worth *= q.type.lateWorth();
+            q.worth *= q.type.lateValueRatio();
         }
         return late;
     }
@@ -1011,7 +1054,7 @@
     // class refused
     // on arrival yields no samples, and would be refused for ever after one bad spell.
     private double needed(Request q) {
-        return Math.min(DOOMED_PART * service, q.type.aim() / 2.0);
+        return Math.min(DOOMED_PART * service, q.type.latencyObjective() / 2.0);
     }
 
     // Departure "soundings": half of a request's probes may follow each other, the rest is spread
@@ -1053,7 +1096,7 @@
             s.coldSends.add(now);
             s.coldDrawnAt = NEVER;
         }
-        sink.accept(new Send(q.id, s.id, Math.max(1, q.usefulUntil - now)));
+        sink.accept(new SendAttempt(q.id, s.id, Math.max(1, q.usefulUntil - now)));
     }
 
     private void attemptEnded(AttemptEnded e) {
@@ -1068,21 +1111,24 @@
             unload(a);
         }
         // Heard of a server that fails at once, an empty queue would draw the traffic to it.
-        if (!hears || e.result() == Result.SERVED) {
-            report(s, e.report(), e.result() == Result.SERVED ? 1 : 0);
+        if (!hears || e.result() == AttemptResult.SERVED) {
+            report(s, e.loadReport(), e.result() == AttemptResult.SERVED ? 1 : 0);
         }
         judge(s, a, e);
-        unreached += UNREACHED_BLEND * ((e.result() == Result.CONNECT_FAILED ? 1 : 0) - unreached);
-        q.met |= e.result() != Result.CONNECT_FAILED && e.result() != Result.NOT_SENT;
+        unreached +=
+                UNREACHED_BLEND
+                        * ((e.result() == AttemptResult.CONNECT_FAILED ? 1 : 0) - unreached);
+        q.met |= e.result() != AttemptResult.CONNECT_FAILED && e.result() != AttemptResult.NOT_SENT;
         boolean given =
-                e.result() == Result.TIMED_OUT || (e.result() == Result.CANCELLED && !q.over);
-        if (given || e.result() == Result.SERVED) {
+                e.result() == AttemptResult.TIMED_OUT
+                        || (e.result() == AttemptResult.CANCELLED && !q.over);
+        if (given || e.result() == AttemptResult.SERVED) {
             unanswered += BLEND * ((given ? 1 : 0) - unanswered);
         }
         if (!e.result().neverRan() && q.firstThatMayHaveRun == null) {
             q.firstThatMayHaveRun = a;
         }
-        if (e.over()) {
+        if (e.requestComplete()) {
             end(q);
         } else if (!q.over && q.out.isEmpty()) {
             again(q, s);
@@ -1098,7 +1144,7 @@
         // rest.
         if ((!doomed(q) || makeLate(q))
                 && (!q.met || retries.allows(rowOf(q)))
-                && subset.stream().anyMatch(s -> s.state == ServerState.UP && maySend(q, s))) {
+                && subset.stream().anyMatch(s -> s.state == EndpointState.UP && maySend(q, s))) {
             hold(q);
         } else {
             giveUp(q);
@@ -1113,13 +1159,13 @@
             case SERVED -> {
                 // What its server reports, as the design has it, and the node's own where it tells
                 // none.
-                double reported = e.report().latencyMicros();
+                double reported = e.loadReport().latencyMicros();
                 sample(s, rowOf(a.request), reported > 0 ? (long) reported : e.elapsed());
-                if (e.report().utilization() <= SPARE) {
+                if (e.loadReport().utilization() <= SPARE) {
                     spareTime = blend(spareTime, (double) e.elapsed());
                 }
                 served++;
-                if (e.elapsed() > QUEUED_PART * a.request.type.aim()) {
+                if (e.elapsed() > QUEUED_PART * a.request.type.latencyObjective()) {
                     s.pace.congested(now, s.out.size() + 1, service, sharing());
                 } else {
                     s.pace.served(s.out.size(), sharing());
@@ -1232,12 +1278,12 @@
         s.probing = false;
         switch (e.result()) {
             case SERVED -> {
-                trips.merge(s.entry.zone(), (double) e.elapsed(), Decide::blend);
-                freshness.saw(s.report, e.report(), now - s.reportedAt, service);
-                s.report = e.report();
-                report(s, e.report(), 0);
+                trips.merge(s.entry.zone(), (double) e.elapsed(), DecisionEngine::blend);
+                freshness.saw(s.report, e.loadReport(), now - s.reportedAt, service);
+                s.report = e.loadReport();
+                report(s, e.loadReport(), 0);
                 sound(sounds && !freshness.stale());
-                if (Double.isNaN(e.report().inFlight())) {
+                if (Double.isNaN(e.loadReport().inFlight())) {
                     // Departure "mute reports": with no load told the rotation goes on by the
                     // node's own
                     // sends. Taken for unknown, the servers stood idle while all was held and
@@ -1272,7 +1318,7 @@
     private void look() {
         if (now >= askAt) {
             askAt = Long.MAX_VALUE;
-            sink.accept(new Subscribe());
+            sink.accept(new WatchEndpoints());
         }
         if (now < lookAt) {
             return;
@@ -1311,7 +1357,7 @@
     private void bar(Server s, long until) {
         barred.remove(s);
         s.barredUntil = until;
-        if (until > now && s.state != ServerState.GONE) {
+        if (until > now && s.state != EndpointState.REMOVED) {
             barred.add(s);
         }
     }
@@ -1323,17 +1369,17 @@
     private void moveOn(Attempt a) {
         Request q = a.request;
         boolean mayRepeat =
-                q.type.repeat() == Repeat.SAFE
-                        || (q.type.repeat() == Repeat.KEYED
-                                && now < a.sentAt + q.type.window() / 2);
+                q.type.idempotency() == Idempotency.IDEMPOTENT
+                        || (q.type.idempotency() == Idempotency.KEYED
+                                && now < a.sentAt + q.type.deduplicationWindow() / 2);
         if (!q.over
                 && !q.started
                 && !q.once
                 && mayRepeat
-                && q.limits.cancel()
+                && q.limits.cancellationAllowed()
                 && q.attempts < q.limits.maxAttempts()
                 && !doomed(q)) {
-            sink.accept(new Cancel(q.id, a.number));
+            sink.accept(new CancelAttempt(q.id, a.number));
         }
     }
 
@@ -1343,11 +1389,11 @@
     // The least part of its capacity that a server can have at an instant.
     private double warmth(Server s, long at) {
         long age = at - s.coldSince;
-        if (age >= settings.rules().coldFor()) {
+        if (age >= settings.rules().slowStartDuration()) {
             return 1;
         }
-        double from = Math.max(0.01, settings.rules().coldFrom());
-        return from + (1 - from) * age / settings.rules().coldFor();
+        double from = Math.max(0.01, settings.rules().initialCapacityRatio());
+        return from + (1 - from) * age / settings.rules().slowStartDuration();
     }
 
     private boolean coldBudgetLeft(Server s) {
@@ -1357,7 +1403,7 @@
             return true;
         }
         while (!s.coldSends.isEmpty()
-                && now - s.coldSends.peekFirst() >= settings.rules().fallAfter()) {
+                && now - s.coldSends.peekFirst() >= settings.rules().overloadWindow()) {
             s.coldSends.removeFirst();
         }
         double budget = coldBudget(warmth);
@@ -1372,7 +1418,7 @@
         }
         long waited = now - s.coldDrawnAt;
         return waited * coldBudget(warmth(s, now - waited / 2))
-                >= s.coldDraw * settings.rules().fallAfter();
+                >= s.coldDraw * settings.rules().overloadWindow();
     }
 
     // This node's part of what a cold server may be sent before it falls over: of what a server
@@ -1382,27 +1428,28 @@
     private double coldBudget(double warmth) {
         double nodes = sharing();
         double perServer = sounds && service > 0 ? fleet.size(1) / service / nodes : servedRate;
-        double capacity = settings.rules().fallAfter() * perServer;
-        double part = COLD_CAUTION * settings.rules().tipMultiple() * warmth * capacity;
+        double capacity = settings.rules().overloadWindow() * perServer;
+        double part = COLD_CAUTION * settings.rules().overloadMultiple() * warmth * capacity;
         return Math.max(part, Math.min(1, LEAST_SENDS / nodes));
     }
 
-    // ==== Settings and the server list
+    // ==== DecisionSettings and the server list
     // ===============================================================
 
-    // Settings come in force at one instant. What is learnt of a class stays with its name; what
+    // DecisionSettings come in force at one instant. What is learnt of a class stays with its name;
+    // what
     // was taken
     // before keeps what it was taken with, and if its class is gone it goes on by the shared row.
-    private void takeOver(Settings next) {
+    private void takeOver(DecisionSettings next) {
         settings = next;
-        double price = next.prices().probe();
+        double price = next.costs().probe();
         mostProbes = (int) Math.min(FREE_SUBSET, price > 0 ? PROBE_SPEND / price : FREE_SUBSET);
         sound(
-                next.limits().probes()
+                next.limits().probesAllowed()
                         && next.reportsLoad()
                         && price * 2 <= PROBE_SPEND
                         && !freshness.stale());
-        List<String> names = next.classes().stream().map(RequestClass::name).toList();
+        List<String> names = next.requestClasses().stream().map(RequestClass::name).toList();
         longestTry.keySet().retainAll(new LinkedHashSet<>(names));
         rows.rename(names);
         rowLive = new boolean[rows.shared() + 1];
@@ -1410,19 +1457,19 @@
         ring.first(ring.count()).stream().filter(s -> !s.rows.isEmpty()).forEach(this::layRows);
     }
 
-    private void follow(ServerList list) {
+    private void follow(EndpointUpdate list) {
         asksFailed = 0;
-        boolean whole = list.scope() != ListScope.CHANGES;
+        boolean whole = list.scope() != UpdateScope.INCREMENTAL;
         List<Server> named = whole ? ring.first(ring.count()) : new ArrayList<>();
-        named.forEach(s -> s.state = ServerState.GONE);
-        for (ListedServer e : list.servers()) {
+        named.forEach(s -> s.state = EndpointState.REMOVED);
+        for (Endpoint e : list.endpoints()) {
             Server s = ring.get(e.id());
             boolean known = s != null;
             if (!known) {
                 s = new Server(e);
                 // By the size as it was first told: a weight that follows the load would move all
                 // others.
-                ring.put(s.id, Math.max(0.01, e.nominal()), s);
+                ring.put(s.id, Math.max(0.01, e.nominalWeight()), s);
             }
             if (e.zone() != s.entry.zone()) {
                 // Zones are numbered anew.
@@ -1441,7 +1488,7 @@
         }
         // Named twice, a server is what it was named last.
         for (Server s : named) {
-            if (s.state == ServerState.GONE) {
+            if (s.state == EndpointState.REMOVED) {
                 ring.remove(s.id);
                 barred.remove(s);
             }
@@ -1450,7 +1497,7 @@
     }
 
     private void askAgain() {
-        if (settings.discovery() == Discovery.ON_REQUEST) {
+        if (settings.discoveryMode() == DiscoveryMode.POLL) {
             long span = ASK_AGAIN << Math.min(asksFailed++, MOST_ASK_DOUBLINGS);
             askAt = now + span / 2 + random.nextLong(span);
         }
--- /dev/null
+++ b/src/main/java/ottergauge/decision/api/AttemptResult.java
@@ -0,0 +1,19 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.decision.api;
+
+/** How an attempt or a probe ended. */
+public enum AttemptResult {
+    SERVED,
+    ERROR,
+    REJECTED,
+    TIMED_OUT,
+    CONNECT_FAILED,
+    RESET,
+    CANCELLED,
+    NOT_SENT;
+
+    /** Whether this result proves that the attempt was never executed. */
+    public boolean neverRan() {
+        return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
+    }
+}
--- /dev/null
+++ b/src/main/java/ottergauge/decision/api/EndpointStatus.java
@@ -0,0 +1,11 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.decision.api;
+
+/** How the decision engine treats an endpoint at an instant. */
+public enum EndpointStatus {
+    ACTIVE,
+    DRAINING,
+    EJECTED,
+    /** It has not answered a probe in time. */
+    UNRESPONSIVE
+}
--- a/src/main/java/ottergauge/limits/Freshness.java
+++ b/src/main/java/ottergauge/limits/Freshness.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.limits;
 
-import ottergauge.DecisionApi.LoadReport;
+import ottergauge.decision.api.LoadReport;
 
 /**
  * Whether load reports that are asked for tell what a server holds now. One that is renewed once in
--- a/src/main/java/ottergauge/protocol/HostCodec.java
+++ b/src/main/java/ottergauge/protocol/EndpointCodec.java
@@ -5,11 +5,10 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.Optional;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.decision.api.EndpointState;
 
 /** The fields that describe one server in JSON, beside its name: the same in all messages. */
-public final class HostCodec {
+public final class EndpointCodec {
 
     /** The allowed forms of a server's health. */
     public static final String HEALTH_NAMES = "in_service, terminating or terminated";
@@ -18,14 +17,14 @@
     private static final String TERMINATING = "terminating";
     private static final String TERMINATED = "terminated";
 
-    private HostCodec() {}
+    private EndpointCodec() {}
 
     /** Reads the fields of the server of this name; a field that is absent takes its default. */
-    public static Host read(String name, Map<?, ?> fields) throws ProtocolException {
+    public static DiscoveredEndpoint read(String name, Map<?, ?> fields) throws ProtocolException {
         String health = text(fields, "health");
-        ServerState state =
+        EndpointState state =
                 state(health).orElseThrow(() -> new ProtocolException("unknown health " + health));
-        return new Host(
+        return new DiscoveredEndpoint(
                 name,
                 Address.parse(text(fields, "dial")),
                 text(fields, "site"),
@@ -37,35 +36,35 @@
     }
 
     /** Writes the fields, without the name, into the object that is open. */
-    public static void writeFields(JsonGenerator out, Host host) throws IOException {
-        out.writeStringField("dial", host.dial().toString());
-        if (host.site() != null) {
-            out.writeStringField("site", host.site());
+    public static void writeFields(JsonGenerator out, DiscoveredEndpoint host) throws IOException {
+        out.writeStringField("dial", host.address().toString());
+        if (host.zone() != null) {
+            out.writeStringField("site", host.zone());
         }
         if (host.kind() != null) {
             out.writeStringField("class", host.kind());
         }
-        out.writeNumberField("block", host.block());
+        out.writeNumberField("block", host.cell());
         out.writeStringField("health", healthName(host.state()));
-        out.writeNumberField("share", host.share());
-        out.writeNumberField("born_ms", host.bornMs());
+        out.writeNumberField("share", host.weight());
+        out.writeNumberField("born_ms", host.startedAtMs());
     }
 
     /** The state that this health stands for; empty if there is none. */
-    public static Optional<ServerState> state(String health) {
+    public static Optional<EndpointState> state(String health) {
         return switch (String.valueOf(health)) {
-            case IN_SERVICE -> Optional.of(ServerState.UP);
-            case TERMINATING -> Optional.of(ServerState.DRAINING);
-            case TERMINATED -> Optional.of(ServerState.GONE);
+            case IN_SERVICE -> Optional.of(EndpointState.UP);
+            case TERMINATING -> Optional.of(EndpointState.DRAINING);
+            case TERMINATED -> Optional.of(EndpointState.REMOVED);
             default -> Optional.empty();
         };
     }
 
-    private static String healthName(ServerState state) {
+    private static String healthName(EndpointState state) {
         return switch (state) {
             case UP -> IN_SERVICE;
             case DRAINING -> TERMINATING;
-            case GONE -> TERMINATED;
+            case REMOVED -> TERMINATED;
         };
     }
 
--- a/src/main/java/ottergauge/protocol/HostList.java
+++ b/src/main/java/ottergauge/protocol/EndpointList.java
@@ -7,29 +7,23 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.List;
-import ottergauge.DecisionApi.ServerState;
 
-/** Discovery's list of servers, whole or only what changed. */
-public record HostList(long seq, boolean whole, List<Host> hosts) {
+/**
+ * Discovery's endpoint list.
+ *
+ * @param version grows with each change; 0 for a list that discovery has not told
+ * @param whole whether the list is complete or names only what changed
+ * @param endpoints in the order in which discovery names them
+ */
+public record EndpointList(long version, boolean whole, List<DiscoveredEndpoint> endpoints) {
 
-    /** One server: {@code name} is its identity, {@code dial} where this node reaches it. */
-    public record Host(
-            String name,
-            Address dial,
-            String site,
-            String kind,
-            int block,
-            ServerState state,
-            double share,
-            long bornMs) {}
-
-    public static final HostList EMPTY = new HostList(0, true, List.of());
+    public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
     private static final JsonFactory JSON = new JsonFactory();
 
     /** Reads discovery's answer. */
-    public static HostList read(byte[] body) throws ProtocolException {
-        return HostListReader.read(body);
+    public static EndpointList read(byte[] body) throws ProtocolException {
+        return EndpointListReader.read(body);
     }
 
     /** The list in discovery's form. */
@@ -37,13 +31,13 @@
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
-            out.writeNumberField("seq", seq);
+            out.writeNumberField("seq", version);
             out.writeBooleanField("whole", whole);
             out.writeArrayFieldStart("hosts");
-            for (Host host : hosts) {
+            for (DiscoveredEndpoint endpoint : endpoints) {
                 out.writeStartObject();
-                out.writeStringField("host", host.name());
-                HostCodec.writeFields(out, host);
+                out.writeStringField("host", endpoint.name());
+                EndpointCodec.writeFields(out, endpoint);
                 out.writeEndObject();
             }
             out.writeEndArray();
--- a/src/main/java/ottergauge/protocol/HostListReader.java
+++ b/src/main/java/ottergauge/protocol/EndpointListReader.java
@@ -8,14 +8,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import ottergauge.protocol.HostList.Host;
 import ottergauge.settings.JsonTree;
 
 /**
  * Reads a list of servers entry by entry: no more of it is in memory than its bytes and its
  * servers.
  */
-final class HostListReader {
+final class EndpointListReader {
 
     // The largest whole number that a JSON number tells exactly.
     private static final long MOST_SEQ = 1L << 53;
@@ -23,17 +22,17 @@
 
     private Double seq;
     private boolean whole;
-    private List<Host> hosts;
+    private List<DiscoveredEndpoint> hosts;
 
-    private HostListReader() {}
+    private EndpointListReader() {}
 
     /** Reads a message that is one list and nothing behind it. */
-    static HostList read(byte[] body) throws ProtocolException {
+    static EndpointList read(byte[] body) throws ProtocolException {
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new ProtocolException("the list is no JSON object");
             }
-            HostList list = read(in);
+            EndpointList list = read(in);
             if (in.nextToken() != null) {
                 throw new ProtocolException("the list has something behind its object");
             }
@@ -44,8 +43,8 @@
     }
 
     /** Reads the list whose opening brace is the parser's current token. */
-    static HostList read(JsonParser in) throws IOException, ProtocolException {
-        HostListReader reader = new HostListReader();
+    static EndpointList read(JsonParser in) throws IOException, ProtocolException {
+        EndpointListReader reader = new EndpointListReader();
         while (in.nextToken() != JsonToken.END_OBJECT) {
             String field = in.currentName();
             in.nextToken();
@@ -64,15 +63,16 @@
         in.skipChildren();
     }
 
-    private static List<Host> entries(JsonParser in) throws IOException, ProtocolException {
-        List<Host> entries = new ArrayList<>();
+    private static List<DiscoveredEndpoint> entries(JsonParser in)
+            throws IOException, ProtocolException {
+        List<DiscoveredEndpoint> entries = new ArrayList<>();
         while (in.nextToken() != JsonToken.END_ARRAY) {
             entries.add(entry(in));
         }
         return entries;
     }
 
-    private static Host entry(JsonParser in) throws IOException, ProtocolException {
+    private static DiscoveredEndpoint entry(JsonParser in) throws IOException, ProtocolException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new ProtocolException("an entry is an object");
         }
@@ -80,10 +80,10 @@
         if (!(fields.get("host") instanceof String name) || name.isEmpty()) {
             throw new ProtocolException("an entry needs a host");
         }
-        return HostCodec.read(name, fields);
+        return EndpointCodec.read(name, fields);
     }
 
-    private HostList list() throws ProtocolException {
+    private EndpointList list() throws ProtocolException {
         if (seq == null || hosts == null) {
             throw new ProtocolException("a list needs seq and hosts");
         }
@@ -91,6 +91,6 @@
             throw new ProtocolException(
                     "seq is a whole number from 0 to " + MOST_SEQ + ", not " + seq);
         }
-        return new HostList(seq.longValue(), whole, hosts);
+        return new EndpointList(seq.longValue(), whole, hosts);
     }
 }
--- a/src/main/java/ottergauge/protocol/LoadReports.java
+++ b/src/main/java/ottergauge/protocol/LoadReports.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.protocol;
 
-import ottergauge.DecisionApi.LoadReport;
+import ottergauge.decision.api.LoadReport;
 
 /**
  * Reads load reports in text form: {@code TEXT inflight=7, queue=2, util=0.61}. Servers name the
--- a/src/main/java/ottergauge/protocol/NodeConfig.java
+++ b/src/main/java/ottergauge/protocol/NodeConfig.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ottergauge.DecisionApi.Settings;
+import ottergauge.decision.api.DecisionSettings;
 import ottergauge.settings.JsonTree;
 import ottergauge.settings.SettingsReader;
 
@@ -24,8 +24,8 @@
         Address discovery,
         long seed,
         int sockets,
-        HostList known,
-        Settings settings,
+        EndpointList known,
+        DecisionSettings settings,
         List<String> zones,
         List<String> kinds,
         long connectTimeout,
@@ -47,7 +47,7 @@
     /** Reads the configuration file's content. */
     public static NodeConfig read(byte[] content) throws ProtocolException {
         Map<String, Object> tree = new LinkedHashMap<>();
-        HostList known = HostList.EMPTY;
+        EndpointList known = EndpointList.EMPTY;
         try (JsonParser in = JSON.createParser(content)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new ProtocolException("the configuration is no JSON object");
@@ -56,7 +56,7 @@
                 String key = in.currentName();
                 boolean list = in.nextToken() == JsonToken.START_OBJECT && KNOWN.equals(key);
                 if (list) {
-                    known = HostListReader.read(in);
+                    known = EndpointListReader.read(in);
                 } else {
                     tree.put(key, JsonTree.value(in));
                 }
@@ -71,7 +71,7 @@
     }
 
     @SuppressWarnings("unchecked")
-    private static NodeConfig of(Map<String, Object> tree, HostList known)
+    private static NodeConfig of(Map<String, Object> tree, EndpointList known)
             throws ProtocolException {
         if (!(tree.get("settings") instanceof Map<?, ?> map)) {
             throw new ProtocolException("the configuration has no settings");
@@ -136,7 +136,7 @@
     }
 
     /** The same with a list that is newer. */
-    public NodeConfig knowing(HostList list) {
+    public NodeConfig knowing(EndpointList list) {
         return new NodeConfig(
                 name,
                 listen,
--- a/src/main/java/ottergauge/protocol/NodeSettings.java
+++ b/src/main/java/ottergauge/protocol/NodeSettings.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Settings;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.RequestClass;
 import ottergauge.settings.SettingsReader;
 
 /**
@@ -16,7 +16,7 @@
  * microseconds.
  */
 public record NodeSettings(
-        Settings decisions,
+        DecisionSettings decisions,
         List<String> zones,
         List<String> kinds,
         long connectTimeout,
@@ -36,8 +36,8 @@
         if (fault != null) {
             throw new ProtocolException("settings: " + fault);
         }
-        Settings decisions = SettingsReader.settings(settings);
-        checkClasses(decisions.classes());
+        DecisionSettings decisions = SettingsReader.settings(settings);
+        checkClasses(decisions.requestClasses());
         SettingsReader ceilings = new SettingsReader(settings).child("ceilings");
         return new NodeSettings(
                 decisions,
@@ -67,21 +67,21 @@
 
     /** The same for the node of this number: settings that all nodes share can't tell it. */
     public NodeSettings forNode(int number) {
-        Settings shared = decisions;
+        DecisionSettings shared = decisions;
         return new NodeSettings(
-                new Settings(
+                new DecisionSettings(
                         number,
-                        shared.nodes(),
+                        shared.nodeCount(),
                         shared.zone(),
-                        shared.round(),
-                        shared.discovery(),
+                        shared.eventInterval(),
+                        shared.discoveryMode(),
                         shared.reportsLoad(),
-                        shared.repeatsMarked(),
-                        shared.warmKeys(),
+                        shared.clientRetriesMarked(),
+                        shared.cacheAffinity(),
                         shared.limits(),
                         shared.rules(),
-                        shared.prices(),
-                        shared.classes()),
+                        shared.costs(),
+                        shared.requestClasses()),
                 zones,
                 kinds,
                 connectTimeout,
--- a/src/main/java/ottergauge/protocol/Outcomes.java
+++ b/src/main/java/ottergauge/protocol/Outcomes.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.protocol;
 
-import ottergauge.DecisionApi.Result;
+import ottergauge.decision.api.AttemptResult;
 
 /** What a server's answer says of the attempt that it ends. */
 public final class Outcomes {
@@ -13,11 +13,11 @@
     private Outcomes() {}
 
     /** Only 503 and 504 marked so prove that nothing ran; any other answer but 200 is an error. */
-    public static Result of(int status, boolean neverRan) {
+    public static AttemptResult of(int status, boolean neverRan) {
         if (status == OK) {
-            return Result.SERVED;
+            return AttemptResult.SERVED;
         }
         boolean turnedAway = neverRan && (status == UNAVAILABLE || status == GATEWAY_TIMEOUT);
-        return turnedAway ? Result.REJECTED : Result.ERROR;
+        return turnedAway ? AttemptResult.REJECTED : AttemptResult.ERROR;
     }
 }
--- a/src/main/java/ottergauge/replica/PendingChanges.java
+++ b/src/main/java/ottergauge/replica/PendingChanges.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import ottergauge.resources.Change;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKey;
@@ -38,7 +38,7 @@
     }
 
     /** Adds a change, or says why the state would be too large with it. */
-    Optional<Fault> add(Change change) {
+    Optional<FieldError> add(Change change) {
         int sizeBefore = size;
         long bytesBefore = bytes;
         Map<ResourceKey, Optional<Resource>> before = new TreeMap<>();
@@ -54,7 +54,7 @@
         for (Change.Delete delete : change.deletes()) {
             set(delete.key(), Optional.empty(), before);
         }
-        Optional<Fault> fault = sizeFault(sizeBefore, bytesBefore);
+        Optional<FieldError> fault = sizeFault(sizeBefore, bytesBefore);
         if (fault.isPresent()) {
             before.forEach((key, value) -> touched.put(key, value));
             size = sizeBefore;
@@ -74,13 +74,15 @@
         bytes += value.map(ResourceSize::of).orElse(0L) - old.map(ResourceSize::of).orElse(0L);
     }
 
-    private Optional<Fault> sizeFault(int sizeBefore, long bytesBefore) {
+    private Optional<FieldError> sizeFault(int sizeBefore, long bytesBefore) {
         if (size > limits.resources() && size > sizeBefore) {
             return Optional.of(
-                    new Fault("resources", Integer.toString(size), "up to " + limits.resources()));
+                    new FieldError(
+                            "resources", Integer.toString(size), "up to " + limits.resources()));
         }
         if (bytes > limits.bytes() && bytes > bytesBefore) {
-            return Optional.of(new Fault("bytes", Long.toString(bytes), "up to " + limits.bytes()));
+            return Optional.of(
+                    new FieldError("bytes", Long.toString(bytes), "up to " + limits.bytes()));
         }
         return Optional.empty();
     }
--- a/src/main/java/ottergauge/replica/Replica.java
+++ b/src/main/java/ottergauge/replica/Replica.java
@@ -14,10 +14,10 @@
 import ottergauge.replica.ReplicaEffect.StartTimer;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.TooOld;
+import ottergauge.resources.VersionTooOld;
 
 /**
  * Follows the log of a group of control processes: one call out at a time, at one process, until
@@ -59,7 +59,7 @@
     }
 
     private final ReplicaConfig config;
-    private final Function<Change, Optional<Fault>> check;
+    private final Function<Change, Optional<FieldError>> check;
     private final Consumer<ReplicaEffect> effects;
     private final SplittableRandom random;
     private final CallTimes times;
@@ -107,7 +107,7 @@
     public Replica(
             ReplicaConfig config,
             long seed,
-            Function<Change, Optional<Fault>> check,
+            Function<Change, Optional<FieldError>> check,
             Consumer<ReplicaEffect> effects) {
         this.config = config;
         this.check = check;
@@ -435,7 +435,7 @@
         }
     }
 
-    private void tooOldRead(long now, TooOld answer) {
+    private void tooOldRead(long now, VersionTooOld answer) {
         Optional<LogPosition> followed = followed();
         if (followed.isEmpty() || !answer.log().equals(followed.get().log())) {
             otherLogSeen(now);
--- a/src/main/java/ottergauge/replica/ReplicaReport.java
+++ b/src/main/java/ottergauge/replica/ReplicaReport.java
@@ -3,7 +3,7 @@
 
 import java.util.Optional;
 import ottergauge.protocol.Address;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 
@@ -11,7 +11,7 @@
 public sealed interface ReplicaReport {
 
     /** A change was refused whole: what it touches keeps the value that it had. */
-    record ChangeRefused(long version, Fault fault) implements ReplicaReport {
+    record ChangeRefused(long version, FieldError fault) implements ReplicaReport {
         @Override
         public String toString() {
             return "change " + version + " is refused: " + fault;
@@ -19,7 +19,7 @@
     }
 
     /** An entry of a snapshot or of a stored state was refused: it keeps the value that it had. */
-    record ResourceRefused(Optional<ResourceKey> key, Fault fault) implements ReplicaReport {
+    record ResourceRefused(Optional<ResourceKey> key, FieldError fault) implements ReplicaReport {
         @Override
         public String toString() {
             return key.map(each -> "resource " + each).orElse("a resource")
--- a/src/main/java/ottergauge/replica/ResourceSize.java
+++ b/src/main/java/ottergauge/replica/ResourceSize.java
@@ -3,7 +3,7 @@
 
 import java.util.List;
 import java.util.Map;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceValue;
 
@@ -37,11 +37,11 @@
 
     private static long value(ResourceValue value) {
         if (value instanceof ResourceValue.Server server) {
-            Host host = server.host();
+            DiscoveredEndpoint host = server.host();
             return HOST
                     + text(server.service())
-                    + text(host.dial().host())
-                    + text(host.site())
+                    + text(host.address().host())
+                    + text(host.zone())
                     + text(host.kind());
         } else if (value instanceof ResourceValue.Settings settings) {
             return tree(settings.tree());
--- a/src/main/java/ottergauge/replica/SnapshotAssembly.java
+++ b/src/main/java/ottergauge/replica/SnapshotAssembly.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import ottergauge.resources.Change;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKey;
@@ -28,7 +28,7 @@
 final class SnapshotAssembly {
 
     private final Subscription subscription;
-    private final Function<Change, Optional<Fault>> check;
+    private final Function<Change, Optional<FieldError>> check;
     private final String log;
     private final ResourceTable table = new ResourceTable();
 
@@ -49,7 +49,9 @@
 
     /** Begins with what the first page is of. */
     SnapshotAssembly(
-            LogPosition first, Subscription subscription, Function<Change, Optional<Fault>> check) {
+            LogPosition first,
+            Subscription subscription,
+            Function<Change, Optional<FieldError>> check) {
         this.subscription = subscription;
         this.check = check;
         log = first.log();
@@ -104,7 +106,7 @@
         List<ReplicaReport.ResourceRefused> reports = new ArrayList<>();
         for (Resource resource : page.resources()) {
             if (subscription.follows(resource.key(), resource.value().service())) {
-                Optional<Fault> fault = fault(resource);
+                Optional<FieldError> fault = fault(resource);
                 if (fault.isEmpty()) {
                     table.put(resource);
                 } else {
@@ -123,7 +125,7 @@
         return reports;
     }
 
-    private Optional<Fault> fault(Resource resource) {
+    private Optional<FieldError> fault(Resource resource) {
         Change.Put put = new Change.Put(resource.key(), resource.value());
         return check.apply(new Change(resource.version(), List.of(put), List.of()));
     }
--- a/src/main/java/ottergauge/replica/StateInForce.java
+++ b/src/main/java/ottergauge/replica/StateInForce.java
@@ -12,7 +12,7 @@
 import ottergauge.replica.ReplicaEffect.TakeOver;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 
@@ -23,7 +23,7 @@
 final class StateInForce {
 
     private final ReplicaConfig config;
-    private final Function<Change, Optional<Fault>> check;
+    private final Function<Change, Optional<FieldError>> check;
     private final Consumer<ReplicaEffect> effects;
     private ResourceTable table = new ResourceTable();
 
@@ -39,7 +39,7 @@
 
     StateInForce(
             ReplicaConfig config,
-            Function<Change, Optional<Fault>> check,
+            Function<Change, Optional<FieldError>> check,
             Consumer<ReplicaEffect> effects) {
         this.config = config;
         this.check = check;
@@ -88,7 +88,7 @@
     }
 
     private boolean restore(Resource resource) {
-        Optional<Fault> fault =
+        Optional<FieldError> fault =
                 check.apply(
                         new Change(
                                 resource.version(),
@@ -111,7 +111,7 @@
         PendingChanges pending = new PendingChanges(table, config.subscription(), config.limits());
         for (CheckedChange each : CheckedChange.of(page, check)) {
             if (each.version() > version()) {
-                Optional<Fault> fault =
+                Optional<FieldError> fault =
                         each.fault().isPresent() ? each.fault() : pending.add(each.change());
                 fault.ifPresent(found -> refuse(each.version(), found));
             }
@@ -128,7 +128,7 @@
     }
 
     /** Refuses changes that were read while a snapshot was put together. */
-    void refuse(long version, Fault fault) {
+    void refuse(long version, FieldError fault) {
         refused = version;
         report(new ReplicaReport.ChangeRefused(version, fault));
     }
--- a/src/main/java/ottergauge/resources/EntryCodec.java
+++ b/src/main/java/ottergauge/resources/EntryCodec.java
@@ -109,7 +109,7 @@
     }
 
     /** Reads what a change of this version does; what is wrong with it is reported. */
-    static Change change(long version, Map<?, ?> tree, FaultCollector faults) {
+    static Change change(long version, Map<?, ?> tree, FieldErrors faults) {
         FieldReader fields = new FieldReader(tree, "", faults);
         checkEntries(fields);
         Change change = new Change(version, puts(fields), deletes(fields));
--- a/src/main/java/ottergauge/resources/Fault.java
+++ b/src/main/java/ottergauge/resources/FieldError.java
@@ -2,7 +2,7 @@
 package ottergauge.resources;
 
 /** What is wrong: the key, the value found there (shortened), and the form that is allowed. */
-public record Fault(String key, String value, String allowed) {
+public record FieldError(String key, String value, String allowed) {
 
     private static final int MOST_VALUE_CHARACTERS = 80;
     private static final int MOST_KEY_CHARACTERS = 200;
@@ -10,7 +10,7 @@
     /**
      * Key and value are cut to a length that fits a log line, and control characters are replaced.
      */
-    public Fault {
+    public FieldError {
         key = oneLine(key, MOST_KEY_CHARACTERS);
         value = oneLine(value, MOST_VALUE_CHARACTERS);
     }
--- a/src/main/java/ottergauge/resources/FaultCollector.java
+++ b/src/main/java/ottergauge/resources/FieldErrors.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /** Gathers what is wrong with a message, up to a bound. */
-final class FaultCollector {
+final class FieldErrors {
 
     static final int MOST_FAULTS = 100;
 
-    private final List<Fault> faults = new ArrayList<>();
+    private final List<FieldError> faults = new ArrayList<>();
 
     void add(String key, Object value, String allowed) {
         if (faults.size() < MOST_FAULTS) {
-            faults.add(new Fault(key, String.valueOf(value), allowed));
+            faults.add(new FieldError(key, String.valueOf(value), allowed));
         }
     }
 
@@ -26,11 +26,11 @@
         return faults.isEmpty();
     }
 
-    Optional<Fault> first() {
+    Optional<FieldError> first() {
         return faults.stream().findFirst();
     }
 
-    List<Fault> all() {
+    List<FieldError> all() {
         return List.copyOf(faults);
     }
 }
--- a/src/main/java/ottergauge/resources/FieldReader.java
+++ b/src/main/java/ottergauge/resources/FieldReader.java
@@ -19,9 +19,9 @@
 
     private final Map<?, ?> fields;
     private final String path;
-    private final FaultCollector faults;
+    private final FieldErrors faults;
 
-    FieldReader(Map<?, ?> fields, String path, FaultCollector faults) {
+    FieldReader(Map<?, ?> fields, String path, FieldErrors faults) {
         this.fields = fields;
         this.path = path;
         this.faults = faults;
@@ -31,7 +31,7 @@
         return fields;
     }
 
-    FaultCollector faults() {
+    FieldErrors faults() {
         return faults;
     }
 
--- a/src/main/java/ottergauge/resources/InvalidSubmissionException.java
+++ b/src/main/java/ottergauge/resources/InvalidSubmissionException.java
@@ -12,15 +12,15 @@
 
     private static final long serialVersionUID = 1L;
 
-    private final transient List<Fault> faults;
+    private final transient List<FieldError> faults;
 
-    InvalidSubmissionException(List<Fault> faults) {
+    InvalidSubmissionException(List<FieldError> faults) {
         super(faults.get(0).toString());
         this.faults = faults;
     }
 
     /** All that is wrong, in the order of the message. */
-    public List<Fault> faults() {
+    public List<FieldError> faults() {
         return faults;
     }
 }
--- a/src/main/java/ottergauge/resources/JsonMessage.java
+++ b/src/main/java/ottergauge/resources/JsonMessage.java
@@ -90,7 +90,7 @@
                 e instanceof JsonProcessingException json
                         ? json.getOriginalMessage()
                         : e.getMessage();
-        return Fault.oneLine(String.valueOf(message), MOST_CAUSE_CHARACTERS);
+        return FieldError.oneLine(String.valueOf(message), MOST_CAUSE_CHARACTERS);
     }
 
     /** Reads a message into a tree. */
--- a/src/main/java/ottergauge/resources/ResourceChecks.java
+++ b/src/main/java/ottergauge/resources/ResourceChecks.java
@@ -51,13 +51,13 @@
     }
 
     /** The first thing that is wrong with a change, if anything is. */
-    public static Optional<Fault> fault(Change change) {
-        FaultCollector faults = new FaultCollector();
+    public static Optional<FieldError> fault(Change change) {
+        FieldErrors faults = new FieldErrors();
         check(change, faults);
         return faults.first();
     }
 
-    static void check(Change change, FaultCollector faults) {
+    static void check(Change change, FieldErrors faults) {
         if (change.version() < 1) {
             faults.add("version", change.version(), "a whole number from 1 on");
         }
@@ -74,13 +74,13 @@
      * All that is wrong with a submission, up to a bound; whether it fits the state is not asked
      * here.
      */
-    public static List<Fault> faults(Submission submission) {
-        FaultCollector faults = new FaultCollector();
+    public static List<FieldError> faults(Submission submission) {
+        FieldErrors faults = new FieldErrors();
         check(submission, faults);
         return faults.all();
     }
 
-    static void check(Submission submission, FaultCollector faults) {
+    static void check(Submission submission, FieldErrors faults) {
         checkName("id", submission.id(), faults);
         if (submission.puts().isEmpty() && submission.deletes().isEmpty()) {
             faults.add("put", "nothing", "one entry at least, here or in delete");
@@ -89,7 +89,7 @@
     }
 
     private static void check(
-            List<Change.Put> puts, List<ResourceKey> deletes, FaultCollector faults) {
+            List<Change.Put> puts, List<ResourceKey> deletes, FieldErrors faults) {
         int entries = puts.size() + deletes.size();
         if (entries > MOST_ENTRIES) {
             faults.add(
@@ -111,21 +111,21 @@
     }
 
     private static void checkNew(
-            String path, ResourceKey key, Set<ResourceKey> seen, FaultCollector faults) {
+            String path, ResourceKey key, Set<ResourceKey> seen, FieldErrors faults) {
         if (!seen.add(key)) {
             faults.add(path, key + " again", "a resource that the change has no other entry of");
         }
     }
 
     /** The first thing that is wrong with a resource's key or value, if anything is. */
-    public static Optional<Fault> fault(ResourceKey key, ResourceValue value) {
-        FaultCollector faults = new FaultCollector();
+    public static Optional<FieldError> fault(ResourceKey key, ResourceValue value) {
+        FieldErrors faults = new FieldErrors();
         check("", key, value, faults);
         return faults.first();
     }
 
     /** Reports all that is wrong with an entry, by keys that begin with a path. */
-    static void check(String path, ResourceKey key, ResourceValue value, FaultCollector faults) {
+    static void check(String path, ResourceKey key, ResourceValue value, FieldErrors faults) {
         String prefix = path.isEmpty() ? "" : path + ".";
         checkName(prefix + "name", key.name(), faults);
         if (key.kind() != value.kind()) {
@@ -138,7 +138,7 @@
     }
 
     private static void checkValue(
-            String path, String name, ResourceValue value, FaultCollector faults) {
+            String path, String name, ResourceValue value, FieldErrors faults) {
         if (value instanceof Service service) {
             checkText(
                     path + ".description",
@@ -156,34 +156,33 @@
         }
     }
 
-    private static void checkServer(
-            String path, String name, Server server, FaultCollector faults) {
+    private static void checkServer(String path, String name, Server server, FieldErrors faults) {
         checkName(path + ".service", server.service(), faults);
         if (!server.host().name().equals(name)) {
             faults.add(path + ".host", server.host().name(), "the resource's name");
         }
-        String host = server.host().dial().host();
-        int port = server.host().dial().port();
+        String host = server.host().address().host();
+        int port = server.host().address().port();
         if (!NUMERIC_HOST.matcher(host).matches() || port < 1 || port > MOST_PORT) {
-            faults.add(path + ".dial", server.host().dial(), "a numeric address and a port");
+            faults.add(path + ".dial", server.host().address(), "a numeric address and a port");
         }
-        if (server.host().site() != null) {
-            checkName(path + ".site", server.host().site(), faults);
+        if (server.host().zone() != null) {
+            checkName(path + ".site", server.host().zone(), faults);
         }
         if (server.host().kind() != null) {
             checkName(path + ".class", server.host().kind(), faults);
         }
-        checkRange(path + ".block", server.host().block(), 0, MOST_BLOCK, faults);
-        checkRange(path + ".share", server.host().share(), 0, MOST_SHARE, faults);
+        checkRange(path + ".block", server.host().cell(), 0, MOST_BLOCK, faults);
+        checkRange(path + ".share", server.host().weight(), 0, MOST_SHARE, faults);
         checkRange(
                 path + ".born_ms",
-                (double) server.host().bornMs(),
+                (double) server.host().startedAtMs(),
                 0,
                 FieldReader.MOST_WHOLE,
                 faults);
     }
 
-    private static void checkRoute(String path, Route route, FaultCollector faults) {
+    private static void checkRoute(String path, Route route, FieldErrors faults) {
         checkName(path + ".service", route.service(), faults);
         if (route.pathPrefix().length() > MOST_PATH_CHARACTERS
                 || !PATH_PREFIX.matcher(route.pathPrefix()).matches()) {
@@ -197,20 +196,20 @@
         checkName(path + ".request_class", route.requestClass(), faults);
     }
 
-    private static void checkTenant(String path, Tenant tenant, FaultCollector faults) {
+    private static void checkTenant(String path, Tenant tenant, FieldErrors faults) {
         checkRange(path + ".requests_per_second", tenant.requestsPerSecond(), 0, MOST_RATE, faults);
         checkRange(path + ".burst", tenant.burst(), 0, MOST_RATE, faults);
         checkRange(path + ".open_requests", tenant.openRequests(), 0, MOST_OPEN_REQUESTS, faults);
         checkRange(path + ".weight", tenant.weight(), 0, MOST_WEIGHT, faults);
     }
 
-    static void checkName(String path, String name, FaultCollector faults) {
+    static void checkName(String path, String name, FieldErrors faults) {
         if (!isName(name)) {
             faults.add(path, name, NAME_FORM);
         }
     }
 
-    static void checkText(String path, String text, int most, FaultCollector faults) {
+    static void checkText(String path, String text, int most, FieldErrors faults) {
         if (text.length() > most || !isPlainText(text)) {
             faults.add(
                     path,
@@ -234,7 +233,7 @@
 
     // Written so that NaN fails.
     static void checkRange(
-            String path, double value, double least, double most, FaultCollector faults) {
+            String path, double value, double least, double most, FieldErrors faults) {
         if (!(value >= least && value <= most)) {
             faults.add(
                     path,
--- a/src/main/java/ottergauge/resources/ResourceCodec.java
+++ b/src/main/java/ottergauge/resources/ResourceCodec.java
@@ -83,7 +83,7 @@
             List<Change> changes,
             List<UnreadableChange> unreadable)
             throws ProtocolException {
-        FaultCollector faults = new FaultCollector();
+        FieldErrors faults = new FieldErrors();
         long version =
                 new FieldReader(tree, CHANGES + "[" + index + "]", faults)
                         .whole(VERSION, 1, FieldReader.MOST_WHOLE);
@@ -140,7 +140,7 @@
             Map<String, Object> tree,
             List<Resource> resources,
             List<UnreadableResource> unreadable) {
-        FaultCollector faults = new FaultCollector();
+        FieldErrors faults = new FieldErrors();
         FieldReader fields = new FieldReader(tree, RESOURCES + "[" + index + "]", faults);
         Optional<Resource> resource = EntryCodec.resource(fields);
         resource.ifPresent(resources::add);
@@ -151,7 +151,7 @@
                                         new UnreadableResource(
                                                 EntryCodec.key(
                                                         new FieldReader(
-                                                                tree, "", new FaultCollector())),
+                                                                tree, "", new FieldErrors())),
                                                 fault)));
     }
 
@@ -159,7 +159,7 @@
         if (head.get(NEXT) == null) {
             return Optional.empty();
         }
-        FaultCollector faults = new FaultCollector();
+        FieldErrors faults = new FieldErrors();
         String path = new FieldReader(head, "", faults).text(NEXT);
         Optional<ResourceKey> key =
                 ResourceKey.ofPath(path).filter(each -> ResourceChecks.isName(each.name()));
@@ -202,7 +202,7 @@
     public static Submission readSubmission(byte[] body) throws ProtocolException {
         Map<String, Object> tree =
                 JsonMessage.readTree(body, "a submission", MOST_SUBMISSION_BYTES);
-        FaultCollector faults = new FaultCollector();
+        FieldErrors faults = new FieldErrors();
         FieldReader fields = new FieldReader(tree, "", faults);
         EntryCodec.checkEntries(fields);
         Submission submission =
@@ -238,18 +238,18 @@
         return JsonMessage.write(out -> writePosition(out, position));
     }
 
-    public static TooOld readTooOld(byte[] body) throws ProtocolException {
+    public static VersionTooOld readTooOld(byte[] body) throws ProtocolException {
         Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MOST_PAGE_BYTES);
         LogPosition newest = position(tree, null);
-        FaultCollector faults = new FaultCollector();
+        FieldErrors faults = new FieldErrors();
         FieldReader fields = new FieldReader(tree, "", faults);
         checkError(fields, TOO_OLD);
         long oldest = fields.whole(OLDEST, 0, FieldReader.MOST_WHOLE);
         throwFirst(faults);
-        return new TooOld(newest.log(), oldest, newest.version());
+        return new VersionTooOld(newest.log(), oldest, newest.version());
     }
 
-    public static byte[] write(TooOld tooOld) {
+    public static byte[] write(VersionTooOld tooOld) {
         return JsonMessage.write(
                 out -> {
                     out.writeStringField(ERROR, TOO_OLD);
@@ -260,19 +260,19 @@
     }
 
     /** Reads why a submission was not accepted. */
-    public static List<Fault> readFaults(byte[] body) throws ProtocolException {
+    public static List<FieldError> readFaults(byte[] body) throws ProtocolException {
         Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MOST_PAGE_BYTES);
-        FaultCollector faults = new FaultCollector();
+        FieldErrors faults = new FieldErrors();
         FieldReader fields = new FieldReader(tree, "", faults);
         checkError(fields, INVALID);
-        List<Fault> told = new ArrayList<>();
+        List<FieldError> told = new ArrayList<>();
         List<?> entries = fields.list(FAULTS);
-        for (int i = 0; i < entries.size() && i < FaultCollector.MOST_FAULTS; i++) {
+        for (int i = 0; i < entries.size() && i < FieldErrors.MOST_FAULTS; i++) {
             fields.element(FAULTS, i, entries.get(i))
                     .ifPresent(
                             entry ->
                                     told.add(
-                                            new Fault(
+                                            new FieldError(
                                                     entry.text(KEY),
                                                     entry.text(VALUE),
                                                     entry.text(ALLOWED))));
@@ -281,12 +281,12 @@
         return told;
     }
 
-    public static byte[] writeFaults(List<Fault> faults) {
+    public static byte[] writeFaults(List<FieldError> faults) {
         return JsonMessage.write(
                 out -> {
                     out.writeStringField(ERROR, INVALID);
                     out.writeArrayFieldStart(FAULTS);
-                    for (Fault fault : faults) {
+                    for (FieldError fault : faults) {
                         out.writeStartObject();
                         out.writeStringField(KEY, fault.key());
                         out.writeStringField(VALUE, fault.value());
@@ -311,7 +311,7 @@
 
     private static LogPosition position(Map<String, Object> head, String needed)
             throws ProtocolException {
-        FaultCollector faults = new FaultCollector();
+        FieldErrors faults = new FieldErrors();
         FieldReader fields = new FieldReader(head, "", faults);
         String log = fields.text(LOG);
         if (faults.isEmpty()) {
@@ -337,8 +337,8 @@
         }
     }
 
-    private static void throwFirst(FaultCollector faults) throws ProtocolException {
-        Optional<Fault> first = faults.first();
+    private static void throwFirst(FieldErrors faults) throws ProtocolException {
+        Optional<FieldError> first = faults.first();
         if (first.isPresent()) {
             throw new ProtocolException(first.get().toString());
         }
--- a/src/main/java/ottergauge/resources/ResourceValue.java
+++ b/src/main/java/ottergauge/resources/ResourceValue.java
@@ -2,7 +2,7 @@
 package ottergauge.resources;
 
 import java.util.Map;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
 
 /** What a resource says, by its kind. */
 public sealed interface ResourceValue {
@@ -24,7 +24,7 @@
     }
 
     /** A server of a service, as discovery lists it; its key's name is the host's name. */
-    record Server(String service, Host host) implements ResourceValue {
+    record Server(String service, DiscoveredEndpoint host) implements ResourceValue {
         @Override
         public ResourceKind kind() {
             return ResourceKind.SERVER;
--- a/src/main/java/ottergauge/resources/SettingsChecks.java
+++ b/src/main/java/ottergauge/resources/SettingsChecks.java
@@ -81,15 +81,15 @@
                     new TypedKey("", "lateWorth", ValueType.NUMBER),
                     new TypedKey("", "streamed", ValueType.FLAG));
 
-    private final FaultCollector faults;
+    private final FieldErrors faults;
     private int values;
 
-    private SettingsChecks(FaultCollector faults) {
+    private SettingsChecks(FieldErrors faults) {
         this.faults = faults;
     }
 
     /** Reports all that is wrong with a settings object, by keys that begin with a path. */
-    static void check(String path, Map<String, Object> tree, FaultCollector faults) {
+    static void check(String path, Map<String, Object> tree, FieldErrors faults) {
         SettingsChecks checks = new SettingsChecks(faults);
         checks.checkValues(path, tree);
         checks.checkTypes(path, tree, KEYS);
--- a/src/main/java/ottergauge/resources/ValueCodec.java
+++ b/src/main/java/ottergauge/resources/ValueCodec.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostCodec;
+import ottergauge.protocol.EndpointCodec;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceValue.Route;
 import ottergauge.resources.ResourceValue.Server;
@@ -67,8 +67,8 @@
         String service = fields.text(SERVICE);
         checkDial(fields);
         String health = fields.text(HEALTH);
-        if (HostCodec.state(health).isEmpty()) {
-            fields.fault(HEALTH, health, HostCodec.HEALTH_NAMES);
+        if (EndpointCodec.state(health).isEmpty()) {
+            fields.fault(HEALTH, health, EndpointCodec.HEALTH_NAMES);
         }
         fields.textOrNull("site");
         fields.textOrNull("class");
@@ -79,7 +79,7 @@
             return null;
         }
         try {
-            return new Server(service, HostCodec.read(name, fields.fields()));
+            return new Server(service, EndpointCodec.read(name, fields.fields()));
         } catch (ProtocolException e) {
             fields.fault(DIAL, fields.text(DIAL), e.getMessage());
             return null;
@@ -112,7 +112,7 @@
             out.writeStringField(DESCRIPTION, service.description());
         } else if (value instanceof Server server) {
             out.writeStringField(SERVICE, server.service());
-            HostCodec.writeFields(out, server.host());
+            EndpointCodec.writeFields(out, server.host());
         } else if (value instanceof Route route) {
             out.writeStringField(SERVICE, route.service());
             out.writeStringField(PATH_PREFIX, route.pathPrefix());
--- a/src/main/java/ottergauge/routing/Effect.java
+++ b/src/main/java/ottergauge/routing/Effect.java
@@ -3,7 +3,7 @@
 
 import ottergauge.protocol.Address;
 import ottergauge.protocol.Content;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.routing.Event.ClientRequest;
 
 /** Something the transport is to do. Spans are microseconds. */
@@ -74,7 +74,7 @@
     record DropHeld(String server) implements Effect {}
 
     /** Keeps the list of servers for the node's next process. */
-    record KeepList(HostList list) implements Effect {}
+    record KeepList(EndpointList list) implements Effect {}
 
     /** Takes what has connected by now and nothing more: another process of this node does. */
     record StopAccepting() implements Effect {}
--- a/src/main/java/ottergauge/routing/Event.java
+++ b/src/main/java/ottergauge/routing/Event.java
@@ -3,9 +3,9 @@
 
 import java.util.Map;
 import java.util.Optional;
-import ottergauge.DecisionApi.LoadReport;
+import ottergauge.decision.api.LoadReport;
 import ottergauge.protocol.Content;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.NodeSettings;
 import ottergauge.protocol.RequestFields;
@@ -80,7 +80,7 @@
     /** A connection has ended; {@code spoilt} because what came on it was no answer. */
     record ServerClosed(long connection, boolean spoilt) implements Event {}
 
-    record ListRead(long call, HostList list) implements Event {}
+    record ListRead(long call, EndpointList list) implements Event {}
 
     record ListCallFailed(long call) implements Event {}
 
@@ -93,7 +93,7 @@
      * What all nodes share has reached this version: a change of the list, or a whole one, and
      * other settings, if they have changed. It comes in force at one instant.
      */
-    record StateChanged(HostList servers, Optional<NodeSettings> settings, LogPosition version)
+    record StateChanged(EndpointList servers, Optional<NodeSettings> settings, LogPosition version)
             implements Event {}
 
     /** The node has been given a new configuration. */
@@ -103,7 +103,7 @@
     record Serving() implements Event {}
 
     /** An operator's call at the door. */
-    record OperatorAsked(long caller, OperatorCall call) implements Event {}
+    record OperatorAsked(long caller, AdminRequest call) implements Event {}
 
     /** The servers held out by this node, by name and since when, as its processes keep them. */
     record HeldRead(Map<String, Long> since) implements Event {}
--- a/src/main/java/ottergauge/routing/Exchange.java
+++ b/src/main/java/ottergauge/routing/Exchange.java
@@ -3,7 +3,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import ottergauge.DecisionApi.RequestClass;
+import ottergauge.decision.api.RequestClass;
 import ottergauge.routing.Event.ClientRequest;
 
 /** A request that the node has taken, until it is answered and none of its attempts is out. */
--- a/src/main/java/ottergauge/routing/Figures.java
+++ b/src/main/java/ottergauge/routing/Figures.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ottergauge.DecisionApi.RequestClass;
+import ottergauge.decision.api.RequestClass;
 import ottergauge.resources.LogPosition;
 
 /**
--- a/src/main/java/ottergauge/routing/ListInForce.java
+++ b/src/main/java/ottergauge/routing/ListInForce.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.Consumer;
-import ottergauge.DecisionApi;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.SettingsChanged;
-import ottergauge.protocol.HostList;
+import ottergauge.decision.api.DecisionEvent;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.DecisionEvent.SettingsChanged;
+import ottergauge.decision.api.UpdateScope;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.NodeSettings;
 import ottergauge.routing.Effect.KeepList;
@@ -24,7 +24,7 @@
     private final Roster roster;
     private final Upstreams upstreams;
     private final boolean keeps;
-    private final Consumer<DecisionApi.Event> learn;
+    private final Consumer<DecisionEvent> learn;
     private final Consumer<Job> withdraw;
     private final Consumer<Effect> effects;
     private ServerLists lists;
@@ -37,7 +37,7 @@
     ListInForce(
             NodeConfig config,
             Upstreams upstreams,
-            Consumer<DecisionApi.Event> learn,
+            Consumer<DecisionEvent> learn,
             Consumer<Job> withdraw,
             Consumer<Effect> effects) {
         this.upstreams = upstreams;
@@ -47,7 +47,7 @@
         // Only a node with a door has processes that follow each other.
         keeps = config.management() != null;
         watch = new Watch(config, effects);
-        roster = new Roster(config.settings().rules().coldFor());
+        roster = new Roster(config.settings().rules().slowStartDuration());
         lists = new ServerLists(config.nodeSettings());
     }
 
@@ -60,19 +60,19 @@
     }
 
     /** Begins with the list that the node had last. */
-    void start(long now, HostList known) {
-        HostList list = roster.follow(now, known);
+    void start(long now, EndpointList known) {
+        EndpointList list = roster.follow(now, known);
         upstreams.follow(list);
-        learn.accept(lists.list(list, ListScope.LAST_KNOWN));
+        learn.accept(lists.list(list, UpdateScope.LAST_KNOWN));
     }
 
     /** Discovery has answered a call. */
-    void read(long now, long call, HostList told) {
+    void read(long now, long call, EndpointList told) {
         if (!watch.takes(call, told)) {
             watch.passOver(now, call, told);
             return;
         }
-        HostList list = roster.follow(now, told);
+        EndpointList list = roster.follow(now, told);
         List<Job> withdrawn = upstreams.follow(list);
         watch.read(now, call, list)
                 .ifPresent(
@@ -84,10 +84,10 @@
     }
 
     /** A hand changes the list as discovery does. */
-    void changedByHand(HostList changes) {
-        if (!changes.hosts().isEmpty()) {
+    void changedByHand(EndpointList changes) {
+        if (!changes.endpoints().isEmpty()) {
             List<Job> withdrawn = upstreams.follow(changes);
-            learn.accept(lists.list(changes, ListScope.CHANGES));
+            learn.accept(lists.list(changes, UpdateScope.INCREMENTAL));
             withdrawn.forEach(withdraw);
             keep();
         }
@@ -95,17 +95,18 @@
 
     /** Other settings come in force, the list stays. */
     void takeOver(long now, NodeSettings settings) {
-        takeOver(now, new HostList(roster.seq(), false, List.of()), Optional.of(settings));
+        takeOver(now, new EndpointList(roster.version(), false, List.of()), Optional.of(settings));
     }
 
     /**
      * A change of the list, or a whole one, comes in force, together with other settings if there
      * are.
      */
-    void takeOver(long now, HostList told, Optional<NodeSettings> settings) {
-        HostList list = roster.follow(now, told);
+    void takeOver(long now, EndpointList told, Optional<NodeSettings> settings) {
+        EndpointList list = roster.follow(now, told);
         List<Job> withdrawn = upstreams.follow(list);
-        ServerList change = lists.list(list, list.whole() ? ListScope.FULL : ListScope.CHANGES);
+        EndpointUpdate change =
+                lists.list(list, list.whole() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
         if (settings.isPresent()) {
             learn.accept(
                     new SettingsChanged(
@@ -114,20 +115,20 @@
             learn.accept(change);
         }
         withdrawn.forEach(withdraw);
-        if (list.whole() || !list.hosts().isEmpty()) {
+        if (list.whole() || !list.endpoints().isEmpty()) {
             keep();
         }
     }
 
     // Under other numbers of zones or kinds all servers are told anew.
-    private ServerList renumber(NodeSettings settings, ServerList change) {
-        roster.coldFor(settings.decisions().rules().coldFor());
+    private EndpointUpdate renumber(NodeSettings settings, EndpointUpdate change) {
+        roster.coldFor(settings.decisions().rules().slowStartDuration());
         watch.askWithin(settings.askWithin());
         if (lists.numberLike(settings)) {
             return change;
         }
         lists = new ServerLists(settings);
-        return lists.list(roster.inForce(), ListScope.FULL);
+        return lists.list(roster.inForce(), UpdateScope.FULL);
     }
 
     private void keep() {
--- a/src/main/java/ottergauge/routing/Operators.java
+++ b/src/main/java/ottergauge/routing/Operators.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import ottergauge.DecisionApi.Standing;
-import ottergauge.protocol.HostList;
+import ottergauge.decision.api.EndpointStatus;
+import ottergauge.protocol.EndpointList;
 import ottergauge.routing.Effect.DropHeld;
 import ottergauge.routing.Effect.KeepHeld;
 import ottergauge.routing.Effect.TellOperator;
@@ -21,8 +21,8 @@
 
     private final Figures figures;
     private final Roster roster;
-    private final Function<String, Standing> standings;
-    private final Consumer<HostList> changed;
+    private final Function<String, EndpointStatus> standings;
+    private final Consumer<EndpointList> changed;
     private final Consumer<Effect> effects;
 
     /**
@@ -31,8 +31,8 @@
     Operators(
             Figures figures,
             Roster roster,
-            Function<String, Standing> standings,
-            Consumer<HostList> changed,
+            Function<String, EndpointStatus> standings,
+            Consumer<EndpointList> changed,
             Consumer<Effect> effects) {
         this.figures = figures;
         this.roster = roster;
@@ -41,24 +41,24 @@
         this.effects = effects;
     }
 
-    void asked(long now, boolean serving, long caller, OperatorCall call) {
-        if (call instanceof OperatorCall.Health) {
+    void asked(long now, boolean serving, long caller, AdminRequest call) {
+        if (call instanceof AdminRequest.Health) {
             tell(
                     caller,
                     serving ? OK : UNAVAILABLE,
                     serving ? "serving\n" : "starting or stopping\n");
-        } else if (call instanceof OperatorCall.Stats) {
+        } else if (call instanceof AdminRequest.Stats) {
             int unavailable =
                     (int)
                             roster.names().stream()
-                                    .filter(name -> standings.apply(name) != Standing.USED)
+                                    .filter(name -> standings.apply(name) != EndpointStatus.ACTIVE)
                                     .count();
             tell(caller, OK, figures.text(roster.names().size(), unavailable));
-        } else if (call instanceof OperatorCall.Servers) {
+        } else if (call instanceof AdminRequest.Servers) {
             tell(caller, OK, servers());
-        } else if (call instanceof OperatorCall.Maint maint) {
+        } else if (call instanceof AdminRequest.Maint maint) {
             takeOut(now, caller, maint.server());
-        } else if (call instanceof OperatorCall.Ready ready) {
+        } else if (call instanceof AdminRequest.Ready ready) {
             putBack(now, caller, ready.server());
         }
     }
--- a/src/main/java/ottergauge/routing/RequestClasses.java
+++ b/src/main/java/ottergauge/routing/RequestClasses.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ottergauge.DecisionApi.RequestClass;
+import ottergauge.decision.api.RequestClass;
 
 /** The classes of requests that are in force, by name. */
 final class RequestClasses {
--- a/src/main/java/ottergauge/routing/Roster.java
+++ b/src/main/java/ottergauge/routing/Roster.java
@@ -7,9 +7,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.protocol.HostList;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 
 /**
  * The servers that are listed, and over that list what operators hold out: a server held out is a
@@ -26,7 +26,7 @@
     private record Back(long outSince, long backAt) {}
 
     private long coldFor;
-    private final Map<String, Host> listed = new LinkedHashMap<>();
+    private final Map<String, DiscoveredEndpoint> listed = new LinkedHashMap<>();
 
     /** By name, since when: in the order of names, so that all is told in one order. */
     private final Map<String, Long> held = new TreeMap<>();
@@ -44,64 +44,64 @@
     }
 
     /** The version of what was told last. */
-    long seq() {
+    long version() {
         return seq;
     }
 
     /** Takes what is told of the list and gives back what counts. */
-    HostList follow(long now, HostList told) {
+    EndpointList follow(long now, EndpointList told) {
         back.values().removeIf(each -> now - each.backAt >= coldFor);
-        seq = told.seq();
+        seq = told.version();
         if (told.whole()) {
             listed.clear();
         }
-        List<Host> counts = new ArrayList<>();
-        for (Host host : told.hosts()) {
-            if (host.state() == ServerState.GONE) {
+        List<DiscoveredEndpoint> counts = new ArrayList<>();
+        for (DiscoveredEndpoint host : told.endpoints()) {
+            if (host.state() == EndpointState.REMOVED) {
                 listed.remove(host.name());
             } else {
                 listed.put(host.name(), host);
             }
             counts.add(overlaid(host));
         }
-        return new HostList(told.seq(), told.whole(), counts);
+        return new EndpointList(told.version(), told.whole(), counts);
     }
 
-    private Host overlaid(Host host) {
-        ServerState state =
-                host.state() != ServerState.GONE && held.containsKey(host.name())
-                        ? ServerState.DRAINING
+    private DiscoveredEndpoint overlaid(DiscoveredEndpoint host) {
+        EndpointState state =
+                host.state() != EndpointState.REMOVED && held.containsKey(host.name())
+                        ? EndpointState.DRAINING
                         : host.state();
-        Host born = born(host);
-        return new Host(
+        DiscoveredEndpoint born = born(host);
+        return new DiscoveredEndpoint(
                 born.name(),
-                born.dial(),
-                born.site(),
+                born.address(),
+                born.zone(),
                 born.kind(),
-                born.block(),
+                born.cell(),
                 state,
-                born.share(),
-                born.bornMs());
+                born.weight(),
+                born.startedAtMs());
     }
 
-    private Host born(Host host) {
+    private DiscoveredEndpoint born(DiscoveredEndpoint host) {
         Back since = back.get(host.name());
         // Servers are restarted while they are out. The list tells of it seconds late: until it
         // does, one
         // that was put back counts as started at that moment, and so is not pushed over while it is
         // cold.
         long born =
-                since == null || host.bornMs() * 1000 >= since.outSince
-                        ? host.bornMs()
+                since == null || host.startedAtMs() * 1000 >= since.outSince
+                        ? host.startedAtMs()
                         : since.backAt / 1000;
-        return new Host(
+        return new DiscoveredEndpoint(
                 host.name(),
-                host.dial(),
-                host.site(),
+                host.address(),
+                host.zone(),
                 host.kind(),
-                host.block(),
+                host.cell(),
                 host.state(),
-                host.share(),
+                host.weight(),
                 born);
     }
 
@@ -120,7 +120,7 @@
     }
 
     /** Holds a server out; gives back what changes by that. */
-    HostList hold(String name, long since) {
+    EndpointList hold(String name, long since) {
         if (held.size() < MOST_HELD && held.putIfAbsent(name, since) == null) {
             back.remove(name);
             return change(name);
@@ -129,7 +129,7 @@
     }
 
     /** Puts a server back; gives back what changes by that. */
-    HostList release(long now, String name) {
+    EndpointList release(long now, String name) {
         Long since = held.remove(name);
         if (since == null) {
             return none();
@@ -143,23 +143,23 @@
         return held.keySet().stream().filter(name -> !names.contains(name)).toList();
     }
 
-    private HostList change(String name) {
-        Host host = listed.get(name);
-        return host == null ? none() : new HostList(seq, false, List.of(overlaid(host)));
+    private EndpointList change(String name) {
+        DiscoveredEndpoint host = listed.get(name);
+        return host == null ? none() : new EndpointList(seq, false, List.of(overlaid(host)));
     }
 
-    private HostList none() {
-        return new HostList(seq, false, List.of());
+    private EndpointList none() {
+        return new EndpointList(seq, false, List.of());
     }
 
     /** The whole list as it counts. */
-    HostList inForce() {
-        return new HostList(seq, true, listed.values().stream().map(this::overlaid).toList());
+    EndpointList inForce() {
+        return new EndpointList(seq, true, listed.values().stream().map(this::overlaid).toList());
     }
 
     /** The whole list for a process that comes after; what is held out is kept apart from it. */
-    HostList whole() {
-        return new HostList(seq, true, listed.values().stream().map(this::born).toList());
+    EndpointList whole() {
+        return new EndpointList(seq, true, listed.values().stream().map(this::born).toList());
     }
 
     Collection<String> names() {
--- a/src/main/java/ottergauge/routing/Router.java
+++ b/src/main/java/ottergauge/routing/Router.java
@@ -10,21 +10,30 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import ottergauge.Decide;
-import ottergauge.DecisionApi;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.BodyPassed;
-import ottergauge.DecisionApi.BodyPassing;
-import ottergauge.DecisionApi.ClientGone;
-import ottergauge.DecisionApi.Limits;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.ProbeEnded;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.RequestArrived;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Result;
+import ottergauge.decision.DecisionEngine;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.CancelAttempt;
+import ottergauge.decision.api.DecisionAction.FailRequest;
+import ottergauge.decision.api.DecisionAction.RejectRequest;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionAction.SetTimer;
+import ottergauge.decision.api.DecisionAction.WatchEndpoints;
+import ottergauge.decision.api.DecisionEvent;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.DecisionEvent.RequestArrived;
+import ottergauge.decision.api.DecisionEvent.RequestBodySent;
+import ottergauge.decision.api.DecisionEvent.RequestBodyStreaming;
+import ottergauge.decision.api.DecisionEvent.TimerFired;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.LoadReport;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.RequestLimits;
 import ottergauge.protocol.Content;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.NodeSettings;
 import ottergauge.protocol.Outcomes;
@@ -84,7 +93,7 @@
     private static final long LAST_REQUEST = 400_000;
 
     private final NodeConfig config;
-    private final Decide decide;
+    private final DecisionEngine decide;
     private final Consumer<Effect> effects;
     private final Clients clients;
     private final Upstreams upstreams;
@@ -98,8 +107,8 @@
     /** The requests whose body, or whose answer's, is on its way. */
     private final Set<Exchange> flowing = new HashSet<>();
 
-    private final Deque<DecisionApi.Event> learnt = new ArrayDeque<>();
-    private final Deque<DecisionApi.Action> decided = new ArrayDeque<>();
+    private final Deque<DecisionEvent> learnt = new ArrayDeque<>();
+    private final Deque<DecisionAction> decided = new ArrayDeque<>();
     private NodeSettings settings;
     private RequestClasses classes;
     private Optional<LogPosition> version = Optional.empty();
@@ -121,9 +130,9 @@
     public Router(NodeConfig config, Consumer<Effect> effects) {
         this.config = config;
         this.effects = effects;
-        decide = new Decide(config.settings(), config.seed());
+        decide = new DecisionEngine(config.settings(), config.seed());
         settings = config.nodeSettings();
-        classes = new RequestClasses(config.settings().classes());
+        classes = new RequestClasses(config.settings().requestClasses());
         clients = new Clients(effects);
         upstreams =
                 new Upstreams(
@@ -133,14 +142,14 @@
                         config,
                         upstreams,
                         learnt::add,
-                        job -> ended(job, Result.NOT_SENT),
+                        job -> ended(job, AttemptResult.NOT_SENT),
                         effects);
-        figures = new Figures(config.settings().classes());
+        figures = new Figures(config.settings().requestClasses());
         operators =
                 new Operators(
                         figures,
                         list.roster(),
-                        name -> decide.standing(now, ServerIds.of(name)),
+                        name -> decide.endpointStatus(now, ServerIds.of(name)),
                         this::changeByHand,
                         effects);
     }
@@ -200,7 +209,7 @@
         } else if (event instanceof Event.ConnectFailed e) {
             upstreams
                     .connectFailed(now, e.connection())
-                    .ifPresent(job -> ended(job, Result.CONNECT_FAILED));
+                    .ifPresent(job -> ended(job, AttemptResult.CONNECT_FAILED));
         } else if (event instanceof Event.ServerClosed e) {
             upstreams.closed(e.connection()).ifPresent(job -> serverClosed(job, e.spoilt()));
         } else if (event instanceof Event.ListRead e) {
@@ -252,7 +261,8 @@
             return;
         }
         RequestClass type = numbered.type();
-        if ((flows && type.repeat() == Repeat.SAFE) || !fits(request, type.repeat())) {
+        if ((flows && type.idempotency() == Idempotency.IDEMPOTENT)
+                || !fits(request, type.idempotency())) {
             clients.reject(now, client, BAD_REQUEST, "method, key or body are not the class's");
             return;
         }
@@ -284,11 +294,11 @@
         } else if (flowing.size() < mostFlows() * REQUESTS_PART) {
             flowing.add(exchange);
         } else {
-            Limits limits = settings.decisions().limits();
+            RequestLimits limits = settings.decisions().limits();
             answer(
                     exchange.id,
                     UNAVAILABLE,
-                    limits.retryAfter() ? limits.maxRetryAfter() : 0,
+                    limits.retryAfterAllowed() ? limits.maxRetryAfter() : 0,
                     Content.NONE);
             return;
         }
@@ -316,7 +326,7 @@
             clients.cutShort(e.client());
             return;
         }
-        learnt.add(new ClientGone(exchange.id));
+        learnt.add(new ClientDisconnected(exchange.id));
         over(exchange);
         clients.reject(now, e.client(), e.status(), e.why());
     }
@@ -347,7 +357,7 @@
             passed(exchange);
             return;
         }
-        learnt.add(new ClientGone(exchange.id));
+        learnt.add(new ClientDisconnected(exchange.id));
         over(exchange);
     }
 
@@ -380,11 +390,11 @@
         }
         Exchange exchange = job.exchange;
         // One that comes before its request is whole is no answer to it.
-        Result result =
+        AttemptResult result =
                 exchange == null || !exchange.whole
-                        ? Result.ERROR
+                        ? AttemptResult.ERROR
                         : Outcomes.of(answer.status(), answer.neverRan());
-        if (result == Result.SERVED
+        if (result == AttemptResult.SERVED
                 && !exchange.over
                 && flowing.size() < mostFlows()
                 && clients.passOn(now, exchange.client, connection)) {
@@ -393,7 +403,7 @@
             flowing.add(exchange);
         } else {
             upstreams.giveUp(now, job, CloseReason.NOT_REUSABLE);
-            result = result == Result.SERVED ? Result.ERROR : result;
+            result = result == AttemptResult.SERVED ? AttemptResult.ERROR : result;
         }
         job.startedAt = Math.min(now, job.startedAt + sinceHead);
         ended(job, result, answer.report());
@@ -431,7 +441,7 @@
     private void serverClosed(Job job, boolean spoilt) {
         if (!job.begun) {
             // A connection that ends before anything is written to it tells nothing of its server.
-            ended(job, Result.NOT_SENT);
+            ended(job, AttemptResult.NOT_SENT);
             return;
         }
         if (job.exchange == null || job.exchange.passing != job) {
@@ -450,12 +460,13 @@
     }
 
     // The method follows from the class: a keyed request without its key could take effect twice.
-    private static boolean fits(ClientRequest request, Repeat repeat) {
+    private static boolean fits(ClientRequest request, Idempotency repeat) {
         boolean keyed = request.fields().idempotencyKey() != null;
         return switch (repeat) {
-            case SAFE -> GET.equals(request.method()) && request.content().bytes().length == 0;
+            case IDEMPOTENT ->
+                    GET.equals(request.method()) && request.content().bytes().length == 0;
             case KEYED -> !GET.equals(request.method()) && keyed;
-            case UNSAFE -> !GET.equals(request.method()) && !keyed;
+            case NON_IDEMPOTENT -> !GET.equals(request.method()) && !keyed;
         };
     }
 
@@ -492,7 +503,7 @@
     // ---- Attempts and probes
     // ------------------------------------------------------------------------
 
-    private void send(DecisionApi.Send action) {
+    private void send(SendAttempt action) {
         Exchange exchange = exchanges.get(action.id());
         int attempt = exchange == null ? 0 : exchange.attempts++;
         long left = exchange == null ? 0 : exchange.giveUpAt - now;
@@ -507,7 +518,7 @@
                             action.id(),
                             attempt,
                             action.server(),
-                            Result.NOT_SENT,
+                            AttemptResult.NOT_SENT,
                             0,
                             exchange == null || exchange.over,
                             LoadReport.NONE));
@@ -518,10 +529,10 @@
         start(job);
     }
 
-    private void probe(DecisionApi.Probe action) {
+    private void probe(SendProbe action) {
         if (!upstreams.knows(action.server())
                 || (upstreams.needsConnection(action.server()) && !makeRoom(1))) {
-            learnt.add(new ProbeEnded(action.server(), Result.NOT_SENT, 0, LoadReport.NONE));
+            learnt.add(new ProbeEnded(action.server(), AttemptResult.NOT_SENT, 0, LoadReport.NONE));
             return;
         }
         // The settings name no time for a probe; what a connection may take is long for so small an
@@ -547,7 +558,7 @@
 
     private void takeBack(Job job) {
         upstreams.giveUp(now, job, CloseReason.CANCELLED);
-        ended(job, Result.NOT_SENT);
+        ended(job, AttemptResult.NOT_SENT);
     }
 
     private void start(Job job) {
@@ -556,7 +567,7 @@
         upstreams.start(now, job);
     }
 
-    private void cancel(DecisionApi.Cancel action) {
+    private void cancel(CancelAttempt action) {
         Exchange exchange = exchanges.get(action.id());
         Optional<Job> out =
                 exchange == null
@@ -567,7 +578,7 @@
         out.ifPresent(
                 job -> {
                     upstreams.giveUp(now, job, CloseReason.CANCELLED);
-                    ended(job, job.written ? Result.CANCELLED : Result.NOT_SENT);
+                    ended(job, job.written ? AttemptResult.CANCELLED : AttemptResult.NOT_SENT);
                 });
     }
 
@@ -575,7 +586,11 @@
     // none up, it
     // is told that it can't be reached.
     private void connectionLate(Job job) {
-        ended(job, upstreams.severalLate(job.server) ? Result.CONNECT_FAILED : Result.NOT_SENT);
+        ended(
+                job,
+                upstreams.severalLate(job.server)
+                        ? AttemptResult.CONNECT_FAILED
+                        : AttemptResult.NOT_SENT);
     }
 
     private void due(long number) {
@@ -583,7 +598,7 @@
         // What flows is given as long as it takes, and its time anew when its last byte is written.
         if (job != null && now >= job.dueAt && !flowing(job)) {
             upstreams.giveUp(now, job, CloseReason.TIMED_OUT);
-            ended(job, job.written ? Result.TIMED_OUT : Result.CONNECT_FAILED);
+            ended(job, job.written ? AttemptResult.TIMED_OUT : AttemptResult.CONNECT_FAILED);
         }
     }
 
@@ -593,7 +608,7 @@
 
     private void carried(Job job) {
         if (flowing(job)) {
-            learnt.add(new BodyPassing(job.exchange.id, job.attempt));
+            learnt.add(new RequestBodyStreaming(job.exchange.id, job.attempt));
         }
     }
 
@@ -607,7 +622,7 @@
             job.startedAt = now;
             job.dueAt = Math.max(now + 1, Math.min(now + limit, job.exchange.giveUpAt));
             effects.accept(new StartTimer(job.dueAt - now, new Timer.JobDue(job.number)));
-            learnt.add(new BodyPassed(job.exchange.id, job.attempt));
+            learnt.add(new RequestBodySent(job.exchange.id, job.attempt));
         }
     }
 
@@ -618,25 +633,25 @@
     // one that did and came back, it would be barred and then held to a cold server's budget: on a
     // day of
     // stale connections all servers were. The next attempt's new connection tells.
-    private static Result broken(Job job, boolean spoilt) {
+    private static AttemptResult broken(Job job, boolean spoilt) {
         return !job.written
-                ? Result.CONNECT_FAILED
-                : spoilt || job.connection.kept ? Result.ERROR : Result.RESET;
+                ? AttemptResult.CONNECT_FAILED
+                : spoilt || job.connection.kept ? AttemptResult.ERROR : AttemptResult.RESET;
     }
 
-    private void ended(Job job, Result result) {
+    private void ended(Job job, AttemptResult result) {
         ended(job, result, LoadReport.NONE);
     }
 
     private void ended(Job job, ServerAnswer answer) {
-        Result result = Outcomes.of(answer.status(), answer.neverRan());
-        if (!job.isProbe() && result == Result.SERVED) {
+        AttemptResult result = Outcomes.of(answer.status(), answer.neverRan());
+        if (!job.isProbe() && result == AttemptResult.SERVED) {
             answer(job.exchange.id, OK, 0, answer.content());
         }
         ended(job, result, answer.report());
     }
 
-    private void ended(Job job, Result result, LoadReport report) {
+    private void ended(Job job, AttemptResult result, LoadReport report) {
         jobs.remove(job.number);
         long elapsed = now - job.startedAt;
         if (job.isProbe()) {
@@ -700,7 +715,7 @@
     // --------------------------------------------------------------------------
 
     // What follows from what a hand changes happens at once.
-    private void changeByHand(HostList changes) {
+    private void changeByHand(EndpointList changes) {
         list.changedByHand(changes);
         decideAll();
     }
@@ -719,7 +734,7 @@
         figures.reached(change.version());
         list.watch().end();
         // Settings that all nodes share do not tell which of them this one is.
-        int node = config.settings().node();
+        int node = config.settings().nodeIndex();
         list.takeOver(
                 now, change.servers(), change.settings().map(next -> takeOver(next.forNode(node))));
     }
@@ -727,8 +742,8 @@
     // From here on: what was taken before has its class, its time and its limits with it.
     private NodeSettings takeOver(NodeSettings next) {
         settings = next;
-        classes = new RequestClasses(next.decisions().classes());
-        figures.takeOver(next.decisions().classes());
+        classes = new RequestClasses(next.decisions().requestClasses());
+        figures.takeOver(next.decisions().requestClasses());
         upstreams.limit(next.connectTimeout(), next.connectionIdle());
         return next;
     }
@@ -750,7 +765,7 @@
 
     private void timerFired(Timer timer) {
         if (timer instanceof Timer.Wake wake) {
-            learnt.add(new DecisionApi.TimerFired(wake.token()));
+            learnt.add(new TimerFired(wake.token()));
         } else if (timer instanceof Timer.JobDue due) {
             due(due.job());
         } else if (timer instanceof Timer.ConnectDue due) {
@@ -816,20 +831,20 @@
         }
     }
 
-    private void carryOut(DecisionApi.Action action) {
-        if (action instanceof DecisionApi.Send a) {
+    private void carryOut(DecisionAction action) {
+        if (action instanceof SendAttempt a) {
             send(a);
-        } else if (action instanceof DecisionApi.Probe a) {
+        } else if (action instanceof SendProbe a) {
             probe(a);
-        } else if (action instanceof DecisionApi.SetTimer a) {
+        } else if (action instanceof SetTimer a) {
             effects.accept(new StartTimer(a.delay(), new Timer.Wake(a.token())));
-        } else if (action instanceof DecisionApi.Cancel a) {
+        } else if (action instanceof CancelAttempt a) {
             cancel(a);
-        } else if (action instanceof DecisionApi.Refuse a) {
+        } else if (action instanceof RejectRequest a) {
             answer(a.id(), UNAVAILABLE, a.retryAfter(), Content.NONE);
-        } else if (action instanceof DecisionApi.Fail a) {
+        } else if (action instanceof FailRequest a) {
             answer(a.id(), BAD_GATEWAY, 0, Content.NONE);
-        } else if (action instanceof DecisionApi.Subscribe) {
+        } else if (action instanceof WatchEndpoints) {
             list.watch().begin(now);
         }
     }
--- a/src/main/java/ottergauge/routing/ServerLists.java
+++ b/src/main/java/ottergauge/routing/ServerLists.java
@@ -4,10 +4,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.ListedServer;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.protocol.HostList;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.UpdateScope;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeSettings;
 
 /**
@@ -43,18 +44,18 @@
         return zones.equals(settings.zones()) && kinds.equals(settings.kinds());
     }
 
-    ServerList list(HostList list, ListScope scope) {
-        return new ServerList(scope, list.hosts().stream().map(this::listed).toList());
+    EndpointUpdate list(EndpointList list, UpdateScope scope) {
+        return new EndpointUpdate(scope, list.endpoints().stream().map(this::listed).toList());
     }
 
-    private ListedServer listed(HostList.Host host) {
-        return new ListedServer(
+    private Endpoint listed(DiscoveredEndpoint host) {
+        return new Endpoint(
                 ServerIds.of(host.name()),
-                zoneNumbers.getOrDefault(host.site(), UNKNOWN),
+                zoneNumbers.getOrDefault(host.zone(), UNKNOWN),
                 kindNumbers.getOrDefault(host.kind(), UNKNOWN),
-                host.block(),
+                host.cell(),
                 host.state(),
-                host.share(),
-                host.bornMs() * 1000);
+                host.weight(),
+                host.startedAtMs() * 1000);
     }
 }
--- a/src/main/java/ottergauge/routing/Upstreams.java
+++ b/src/main/java/ottergauge/routing/Upstreams.java
@@ -10,9 +10,10 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 import ottergauge.routing.Effect.AskLoad;
 import ottergauge.routing.Effect.CloseServer;
 import ottergauge.routing.Effect.Connect;
@@ -88,13 +89,13 @@
      * Takes a list; gives back the jobs that were waiting for servers which drain, are gone or
      * moved.
      */
-    List<Job> follow(HostList list) {
+    List<Job> follow(EndpointList list) {
         List<Job> withdrawn = new ArrayList<>();
         Set<Long> named = new HashSet<>();
-        for (HostList.Host host : list.hosts()) {
+        for (DiscoveredEndpoint host : list.endpoints()) {
             long server = ServerIds.of(host.name());
             named.add(server);
-            if (host.state() == ServerState.GONE) {
+            if (host.state() == EndpointState.REMOVED) {
                 remove(server, withdrawn);
             } else {
                 update(server, host, withdrawn);
@@ -110,12 +111,12 @@
         return withdrawn;
     }
 
-    private void update(long server, HostList.Host host, List<Job> withdrawn) {
-        Address dial = host.dial();
+    private void update(long server, DiscoveredEndpoint host, List<Job> withdrawn) {
+        Address dial = host.address();
         Upstream upstream = byServer.computeIfAbsent(server, id -> new Upstream(id, dial));
-        upstream.usable = host.state() == ServerState.UP;
+        upstream.usable = host.state() == EndpointState.UP;
         // What was chosen before a start was told was chosen for a server that is warm.
-        boolean another = !upstream.dial.equals(dial) || host.bornMs() > upstream.bornMs;
+        boolean another = !upstream.dial.equals(dial) || host.startedAtMs() > upstream.bornMs;
         if (!upstream.usable || another) {
             withdraw(upstream, withdrawn);
         }
@@ -125,7 +126,7 @@
             next.usable = upstream.usable;
             byServer.put(server, next);
         }
-        byServer.get(server).bornMs = host.bornMs();
+        byServer.get(server).bornMs = host.startedAtMs();
     }
 
     private void remove(long server, List<Job> withdrawn) {
--- a/src/main/java/ottergauge/routing/Watch.java
+++ b/src/main/java/ottergauge/routing/Watch.java
@@ -4,9 +4,9 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import ottergauge.DecisionApi.ListScope;
+import ottergauge.decision.api.UpdateScope;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.routing.Effect.CallDiscovery;
 import ottergauge.routing.Effect.GiveUpCall;
@@ -73,7 +73,7 @@
         random = new SplittableRandom(~config.seed());
         deadline = ListDeadline.of(config.askWithin());
         address = config.discovery();
-        seq = config.known().seq();
+        seq = config.known().version();
     }
 
     /**
@@ -233,22 +233,22 @@
      * would undo that; one that is older than what was asked for tells that discovery has begun its
      * versions anew.
      */
-    boolean takes(long call, HostList list) {
+    boolean takes(long call, EndpointList list) {
         if (call == current) {
             return calledFrom < 0
                     ? list.whole()
-                    : list.seq() >= seq || (list.whole() && list.seq() < calledFrom);
+                    : list.version() >= seq || (list.whole() && list.version() < calledFrom);
         }
-        return call == former && list.seq() > seq;
+        return call == former && list.version() > seq;
     }
 
     /** An answer has come that does not count. */
-    void passOver(long now, long call, HostList list) {
+    void passOver(long now, long call, EndpointList list) {
         if (call == former) {
             former = NONE;
         } else if (call == current && calledFrom < 0) {
             lost(now);
-        } else if (call == current && list.seq() >= calledFrom) {
+        } else if (call == current && list.version() >= calledFrom) {
             goOn(now, false);
         } else if (call == current) {
             giveUp(former, CloseReason.WATCH_SILENT);
@@ -262,9 +262,9 @@
      * Takes an answer that counts and goes on with the watch; says what of the list is news, if any
      * is.
      */
-    Optional<ListScope> read(long now, long call, HostList list) {
-        boolean news = list.whole() || !list.hosts().isEmpty();
-        seq = list.seq();
+    Optional<UpdateScope> read(long now, long call, EndpointList list) {
+        boolean news = list.whole() || !list.endpoints().isEmpty();
+        seq = list.version();
         if (call == former) {
             former = NONE;
         } else {
@@ -272,7 +272,7 @@
             goOn(now, news);
         }
         return news
-                ? Optional.of(list.whole() ? ListScope.FULL : ListScope.CHANGES)
+                ? Optional.of(list.whole() ? UpdateScope.FULL : UpdateScope.INCREMENTAL)
                 : Optional.empty();
     }
 
