--- a/src/main/java/ottergauge/settings/SettingsReader.java
+++ b/src/main/java/ottergauge/settings/SettingsReader.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ottergauge.DecisionApi.Discovery;
-import ottergauge.DecisionApi.Group;
-import ottergauge.DecisionApi.Limits;
-import ottergauge.DecisionApi.Prices;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Rules;
-import ottergauge.DecisionApi.Settings;
+import ottergauge.decision.api.Costs;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.DiscoveryMode;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.RequestLimits;
+import ottergauge.decision.api.ServiceRules;
 
 /**
  * Reads a deployment's settings object; an optional key that is missing takes the cautious value.
@@ -32,38 +32,38 @@
         this.config = config;
     }
 
-    public static Settings settings(Map<String, Object> config) {
+    public static DecisionSettings settings(Map<String, Object> config) {
         SettingsReader root = new SettingsReader(config);
         SettingsReader limits = root.child("ceilings");
         SettingsReader rules = root.child("rules");
         SettingsReader prices = root.child("penalties");
         List<?> fields = root.child("reporting").list("fields");
         boolean reports = !"off".equals(root.child("reporting").text("how", "off"));
-        return new Settings(
+        return new DecisionSettings(
                 (int) root.number("me", 0),
                 Math.max(1, (int) root.number("balancers", 1)),
                 root.list("zones").indexOf(root.text("zone", "")),
                 root.micros("roundMs", 1),
                 "pushed".equals(root.text("registryMode", ""))
-                        ? Discovery.PUSHED
-                        : Discovery.ON_REQUEST,
+                        ? DiscoveryMode.PUSH
+                        : DiscoveryMode.POLL,
                 reports && fields.contains("outstanding"),
                 root.child("clients").flag("marksRetry"),
                 root.child("specifics").flag("warmKeys"),
-                new Limits(
+                new RequestLimits(
                         limits.flag("probes"),
                         limits.flag("cancel"),
                         limits.flag("retryAfter"),
                         Math.max(1, (int) limits.number("maxAttempts", 1)),
                         limits.micros("maxRetryAfterMs", 0)),
-                new Rules(
+                new ServiceRules(
                         rules.micros("answerSlackMs", 0),
                         rules.micros("stopSendingWithinMs", 0),
                         rules.number("coldFrom", 0.1),
                         rules.micros("coldMs", 30_000),
                         rules.number("tipMultiple", 1),
                         rules.micros("fallMs", 1000)),
-                new Prices(prices.number("probe", 0), prices.number("connection", 0)),
+                new Costs(prices.number("probe", 0), prices.number("connection", 0)),
                 root.children("classes").stream().map(SettingsReader::requestClass).toList());
     }
 
@@ -104,17 +104,17 @@
     }
 
     private static RequestClass requestClass(SettingsReader c) {
-        Repeat repeat =
+        Idempotency repeat =
                 switch (c.text("semantics", "single_shot")) {
-                    case "free" -> Repeat.SAFE;
-                    case "guarded" -> Repeat.KEYED;
-                    default -> Repeat.UNSAFE;
+                    case "free" -> Idempotency.IDEMPOTENT;
+                    case "guarded" -> Idempotency.KEYED;
+                    default -> Idempotency.NON_IDEMPOTENT;
                 };
-        Group group =
+        DeduplicationScope group =
                 switch (c.text("group", "cell")) {
-                    case "all" -> Group.ALL;
-                    case "zone" -> Group.ZONE;
-                    default -> Group.CELL;
+                    case "all" -> DeduplicationScope.FLEET;
+                    case "zone" -> DeduplicationScope.ZONE;
+                    default -> DeduplicationScope.CELL;
                 };
         long deadline = c.micros("hardLimitMs", 30_000);
         return new RequestClass(
--- a/src/main/java/ottergauge/simhost/ActionWriter.java
+++ b/src/main/java/ottergauge/simhost/ActionWriter.java
@@ -4,21 +4,21 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.ActionSink;
-import ottergauge.DecisionApi.Cancel;
-import ottergauge.DecisionApi.Fail;
-import ottergauge.DecisionApi.Probe;
-import ottergauge.DecisionApi.Refuse;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.SetTimer;
-import ottergauge.DecisionApi.Subscribe;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.CancelAttempt;
+import ottergauge.decision.api.DecisionAction.FailRequest;
+import ottergauge.decision.api.DecisionAction.RejectRequest;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionAction.SetTimer;
+import ottergauge.decision.api.DecisionAction.WatchEndpoints;
+import ottergauge.decision.api.DecisionActionSink;
 
 /**
  * Writes actions as messages; a part is opened by its first action, so that idle instances are left
  * out.
  */
-final class ActionWriter implements ActionSink {
+final class ActionWriter implements DecisionActionSink {
 
     private final JsonGenerator out;
     private long instance;
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void accept(Action action) {
+    public void accept(DecisionAction action) {
         try {
             write(action);
         } catch (IOException e) {
@@ -56,8 +56,8 @@
         }
     }
 
-    private void write(Action action) throws IOException {
-        if (action instanceof Send a) {
+    private void write(DecisionAction action) throws IOException {
+        if (action instanceof SendAttempt a) {
             start("PassOn");
             out.writeStringField("msgId", a.id());
             out.writeNumberField("server", a.server());
@@ -66,21 +66,21 @@
             start("WakeMe");
             out.writeNumberField("spanMs", a.delay() / 1000.0);
             out.writeStringField("nonce", a.token());
-        } else if (action instanceof Probe a) {
+        } else if (action instanceof SendProbe a) {
             start("Check");
             out.writeNumberField("server", a.server());
-        } else if (action instanceof Cancel a) {
+        } else if (action instanceof CancelAttempt a) {
             start("Retract");
             out.writeStringField("msgId", a.id());
             out.writeNumberField("shot", a.attempt());
-        } else if (action instanceof Refuse a) {
+        } else if (action instanceof RejectRequest a) {
             start("OverloadReply");
             out.writeStringField("msgId", a.id());
             millis("retryAfterMs", a.retryAfter());
-        } else if (action instanceof Fail a) {
+        } else if (action instanceof FailRequest a) {
             start("EndFailed");
             out.writeStringField("msgId", a.id());
-        } else if (action instanceof Subscribe) {
+        } else if (action instanceof WatchEndpoints) {
             start("Subscribe");
             out.writeBooleanField("want", true);
         }
--- a/src/main/java/ottergauge/simhost/Instance.java
+++ b/src/main/java/ottergauge/simhost/Instance.java
@@ -4,23 +4,23 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ottergauge.Decide;
-import ottergauge.DecisionApi.ActionSink;
-import ottergauge.DecisionApi.AnswerStarted;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.ClientGone;
-import ottergauge.DecisionApi.Event;
-import ottergauge.DecisionApi.ListFailed;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.ListedServer;
-import ottergauge.DecisionApi.ProbeEnded;
-import ottergauge.DecisionApi.RequestArrived;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.DecisionApi.Settings;
-import ottergauge.DecisionApi.TimerFired;
+import ottergauge.decision.DecisionEngine;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionActionSink;
+import ottergauge.decision.api.DecisionEvent;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.DecisionEvent.DiscoveryFailed;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.DecisionEvent.RequestArrived;
+import ottergauge.decision.api.DecisionEvent.ResponseStarted;
+import ottergauge.decision.api.DecisionEvent.TimerFired;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.UpdateScope;
 import ottergauge.settings.SettingsReader;
 
 /** One hosted decision module, with the names of its settings resolved to indices. */
@@ -28,29 +28,29 @@
 
     private static final int CLIENT_REPEAT = 2;
 
-    private final Decide decide;
+    private final DecisionEngine decide;
     private final Map<String, Integer> classes = new HashMap<>();
     private final List<String> zones;
     private final List<String> kinds;
 
     Instance(long seed, Map<String, Object> config) {
-        Settings settings = SettingsReader.settings(config);
-        for (RequestClass c : settings.classes()) {
+        DecisionSettings settings = SettingsReader.settings(config);
+        for (RequestClass c : settings.requestClasses()) {
             classes.put(c.name(), classes.size());
         }
         zones = SettingsReader.names(config, "zones");
         kinds = SettingsReader.names(config, "kinds");
-        decide = new Decide(settings, seed);
+        decide = new DecisionEngine(settings, seed);
     }
 
-    void handle(long now, Message m, List<Message.Entry> entries, ActionSink out) {
+    void handle(long now, Message m, List<Message.Entry> entries, DecisionActionSink out) {
         // Nodes tell each other nothing; what one of another build tells is passed over.
         if (!"NoteFrom".equals(m.name)) {
             decide.handle(now, event(m, entries), out);
         }
     }
 
-    private Event event(Message m, List<Message.Entry> entries) {
+    private DecisionEvent event(Message m, List<Message.Entry> entries) {
         return switch (m.name) {
             case "BackendsChanged" -> list(m, entries);
             case "Query" ->
@@ -60,7 +60,7 @@
                             micros(m.giveUpAtMs),
                             (m.attributes & CLIENT_REPEAT) != 0,
                             m.key);
-            case "Headers" -> new AnswerStarted(id(m), m.attempt);
+            case "Headers" -> new ResponseStarted(id(m), m.attempt);
             case "Verdict" ->
                     new AttemptEnded(
                             id(m),
@@ -70,39 +70,39 @@
                             micros(m.elapsedMs),
                             m.over,
                             m.report);
-            case "Aborted" -> new ClientGone(id(m));
+            case "Aborted" -> new ClientDisconnected(id(m));
             case "Echo" -> new ProbeEnded(m.server, result(m), micros(m.elapsedMs), m.report);
             case "Due" -> new TimerFired(m.token);
             default -> throw new WireException("unknown message " + m.name);
         };
     }
 
-    private Event list(Message m, List<Message.Entry> entries) {
+    private DecisionEvent list(Message m, List<Message.Entry> entries) {
         if ("X".equals(m.mode)) {
-            return new ListFailed();
+            return new DiscoveryFailed();
         }
-        ListScope scope =
+        UpdateScope scope =
                 switch (String.valueOf(m.mode)) {
-                    case "D" -> ListScope.CHANGES;
-                    case "F" -> ListScope.FULL;
-                    case "C" -> ListScope.LAST_KNOWN;
+                    case "D" -> UpdateScope.INCREMENTAL;
+                    case "F" -> UpdateScope.FULL;
+                    case "C" -> UpdateScope.LAST_KNOWN;
                     default -> throw new WireException("unknown list mode " + m.mode);
                 };
         if (entries == null) {
             throw new WireException("list " + m.listNumber + " was never given");
         }
-        return new ServerList(scope, entries.stream().map(this::server).toList());
+        return new EndpointUpdate(scope, entries.stream().map(this::server).toList());
     }
 
-    private ListedServer server(Message.Entry e) {
-        ServerState state =
+    private Endpoint server(Message.Entry e) {
+        EndpointState state =
                 switch (String.valueOf(e.state())) {
-                    case "on" -> ServerState.UP;
-                    case "fading" -> ServerState.DRAINING;
-                    case "off" -> ServerState.GONE;
+                    case "on" -> EndpointState.UP;
+                    case "fading" -> EndpointState.DRAINING;
+                    case "off" -> EndpointState.REMOVED;
                     default -> throw new WireException("unknown availability " + e.state());
                 };
-        return new ListedServer(
+        return new Endpoint(
                 e.server(),
                 zones.indexOf(e.zone()),
                 kinds.indexOf(e.kind()),
@@ -127,16 +127,16 @@
         return m.requestId;
     }
 
-    private static Result result(Message m) {
+    private static AttemptResult result(Message m) {
         return switch (String.valueOf(m.code)) {
-            case "GOOD" -> Result.SERVED;
-            case "BAD" -> Result.ERROR;
-            case "FULL" -> Result.REJECTED;
-            case "LATE" -> Result.TIMED_OUT;
-            case "NOCONN" -> Result.CONNECT_FAILED;
-            case "RST" -> Result.RESET;
-            case "CXL" -> Result.CANCELLED;
-            case "NOP" -> Result.NOT_SENT;
+            case "GOOD" -> AttemptResult.SERVED;
+            case "BAD" -> AttemptResult.ERROR;
+            case "FULL" -> AttemptResult.REJECTED;
+            case "LATE" -> AttemptResult.TIMED_OUT;
+            case "NOCONN" -> AttemptResult.CONNECT_FAILED;
+            case "RST" -> AttemptResult.RESET;
+            case "CXL" -> AttemptResult.CANCELLED;
+            case "NOP" -> AttemptResult.NOT_SENT;
             default -> throw new WireException("unknown outcome " + m.code);
         };
     }
--- a/src/main/java/ottergauge/simhost/Message.java
+++ b/src/main/java/ottergauge/simhost/Message.java
@@ -3,7 +3,7 @@
 
 import java.util.List;
 import java.util.Map;
-import ottergauge.DecisionApi.LoadReport;
+import ottergauge.decision.api.LoadReport;
 
 /** One message as read from the wire: the union of the fields that any event carries. */
 final class Message {
--- a/src/main/java/ottergauge/simhost/MessageReader.java
+++ b/src/main/java/ottergauge/simhost/MessageReader.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import ottergauge.DecisionApi.LoadReport;
+import ottergauge.decision.api.LoadReport;
 import ottergauge.settings.JsonTree;
 
 /**
--- a/src/main/java/ottergauge/transport/DiscoverySide.java
+++ b/src/main/java/ottergauge/transport/DiscoverySide.java
@@ -14,8 +14,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import ottergauge.protocol.Address;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.Headers;
-import ottergauge.protocol.HostList;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.routing.CloseReason;
 import ottergauge.routing.Effect.CallDiscovery;
@@ -134,9 +134,9 @@
             fail(effect.call(), "status " + answer.status());
             return;
         }
-        HostList list;
+        EndpointList list;
         try {
-            list = HostList.read(answer.body());
+            list = EndpointList.read(answer.body());
         } catch (ProtocolException e) {
             out.remove(effect.call());
             connection.close(CloseReason.MALFORMED);
--- a/src/main/java/ottergauge/transport/Door.java
+++ b/src/main/java/ottergauge/transport/Door.java
@@ -10,11 +10,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ottergauge.protocol.Address;
+import ottergauge.routing.AdminRequest;
 import ottergauge.routing.CloseReason;
 import ottergauge.routing.Effect.TellOperator;
 import ottergauge.routing.Event;
 import ottergauge.routing.Event.OperatorAsked;
-import ottergauge.routing.OperatorCall;
 
 /**
  * The operators' door: an address of its own, with a small number of connections of its own that no
@@ -76,7 +76,7 @@
         }
     }
 
-    private void asked(long number, OperatorCall call) {
+    private void asked(long number, AdminRequest call) {
         events.accept(new OperatorAsked(number, call));
     }
 
--- a/src/main/java/ottergauge/transport/DoorConnection.java
+++ b/src/main/java/ottergauge/transport/DoorConnection.java
@@ -17,8 +17,8 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
+import ottergauge.routing.AdminRequest;
 import ottergauge.routing.CloseReason;
-import ottergauge.routing.OperatorCall;
 
 /** An operator's connection: one call, one answer, and the end. */
 final class DoorConnection extends Connection {
@@ -28,14 +28,14 @@
     static final String HEALTH = "/healthcheck";
     private static final String SERVERS = "/servers/";
 
-    private final BiConsumer<DoorConnection, OperatorCall> asked;
+    private final BiConsumer<DoorConnection, AdminRequest> asked;
     private final Runnable whenEnded;
     private HttpRequest head;
     private int body;
     private boolean answered;
 
     DoorConnection(
-            String side, BiConsumer<DoorConnection, OperatorCall> asked, Runnable whenEnded) {
+            String side, BiConsumer<DoorConnection, AdminRequest> asked, Runnable whenEnded) {
         super(side);
         this.asked = asked;
         this.whenEnded = whenEnded;
@@ -84,14 +84,14 @@
 
     private void call() {
         String path = head.uri().replaceFirst("\\?.*", "");
-        OperatorCall get =
+        AdminRequest get =
                 switch (path) {
-                    case HEALTH -> new OperatorCall.Health();
-                    case "/stats" -> new OperatorCall.Stats();
-                    case "/servers" -> new OperatorCall.Servers();
+                    case HEALTH -> new AdminRequest.Health();
+                    case "/stats" -> new AdminRequest.Stats();
+                    case "/servers" -> new AdminRequest.Servers();
                     default -> null;
                 };
-        OperatorCall post = get == null ? change(path) : null;
+        AdminRequest post = get == null ? change(path) : null;
         if (get == null && post == null) {
             answer(HttpResponseStatus.NOT_FOUND, "no such call");
         } else if (!head.method().equals(get == null ? HttpMethod.POST : HttpMethod.GET)) {
@@ -102,7 +102,7 @@
     }
 
     // Taken apart before it is decoded: an id may hold an encoded slash.
-    private static OperatorCall change(String path) {
+    private static AdminRequest change(String path) {
         int slash = path.lastIndexOf('/');
         if (!path.startsWith(SERVERS) || slash <= SERVERS.length()) {
             return null;
@@ -116,8 +116,8 @@
             return null;
         }
         return switch (path.substring(slash + 1)) {
-            case "maint" -> new OperatorCall.Maint(server);
-            case "ready" -> new OperatorCall.Ready(server);
+            case "maint" -> new AdminRequest.Maint(server);
+            case "ready" -> new AdminRequest.Ready(server);
             default -> null;
         };
     }
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -15,11 +15,11 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
+import ottergauge.routing.AdminRequest;
 import ottergauge.routing.Effect;
 import ottergauge.routing.Event;
-import ottergauge.routing.OperatorCall;
 import ottergauge.routing.Router;
 import ottergauge.transport.HollowEvent.CallKind;
 import ottergauge.transport.HollowEvent.InForce;
@@ -80,7 +80,7 @@
                         config.mostListBytes(),
                         this::take);
         router = new Router(config, this::carryOut);
-        inForce = config.known().seq();
+        inForce = config.known().version();
     }
 
     private Outbound counted(Outbound connection) {
@@ -112,7 +112,7 @@
 
     /** Tells how all servers stand in the decisions that are in force. */
     void tellServers() {
-        take(new Event.OperatorAsked(CALLER, new OperatorCall.Servers()));
+        take(new Event.OperatorAsked(CALLER, new AdminRequest.Servers()));
     }
 
     private void take(Event event) {
@@ -130,14 +130,15 @@
         }
         if (next != inForce) {
             inForce = next;
-            HostList list = event instanceof Event.ListRead read ? read.list() : HostList.EMPTY;
+            EndpointList list =
+                    event instanceof Event.ListRead read ? read.list() : EndpointList.EMPTY;
             observer.accept(
                     new InForce(
                             config.name(),
                             Source.DISCOVERY,
                             inForce,
                             list.whole(),
-                            list.hosts().size(),
+                            list.endpoints().size(),
                             wall.getAsLong()));
         }
     }
@@ -165,7 +166,8 @@
     // hand is handled.
     private void call(Effect.CallDiscovery effect) {
         next = effect.after();
-        calls.count(effect.after() <= HostList.EMPTY.seq() ? CallKind.WHOLE : CallKind.CHANGES);
+        calls.count(
+                effect.after() <= EndpointList.EMPTY.version() ? CallKind.WHOLE : CallKind.CHANGES);
         discovery.call(effect);
     }
 
--- a/src/main/java/ottergauge/transport/ListStore.java
+++ b/src/main/java/ottergauge/transport/ListStore.java
@@ -7,7 +7,7 @@
 import java.nio.file.StandardCopyOption;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 
@@ -26,7 +26,7 @@
         part = folder.resolve("list-" + ProcessHandle.current().pid());
     }
 
-    void keep(HostList list) {
+    void keep(EndpointList list) {
         try {
             Files.write(part, list.json());
             Files.move(
@@ -43,10 +43,10 @@
     NodeConfig freshest(NodeConfig config, boolean accompanied) {
         try {
             if (Files.exists(file) && Files.size(file) <= mostBytes) {
-                HostList kept = HostList.read(Files.readAllBytes(file));
+                EndpointList kept = EndpointList.read(Files.readAllBytes(file));
                 // Beside a process that lives it is up to date; left by one that has gone it may be
                 // older.
-                if (accompanied || kept.seq() > config.known().seq()) {
+                if (accompanied || kept.version() > config.known().version()) {
                     return config.knowing(kept);
                 }
             }
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -140,7 +140,7 @@
     // is done.
     private Future<Integer> warmUp(Address own, String path) {
         boolean away = config.management() == null;
-        return WarmUp.run(client, own, path, config.settings().nodes(), away, accompanied)
+        return WarmUp.run(client, own, path, config.settings().nodeCount(), away, accompanied)
                 .onSuccess(calls -> LOG.info("{} called itself {} times", config.name(), calls));
     }
 
@@ -212,7 +212,7 @@
                         LOG.info(
                                 "{} goes on with other settings, of {} classes",
                                 config.name(),
-                                next.settings().classes().size());
+                                next.settings().requestClasses().size());
                     }
                     if (!next.listen().equals(config.listen())
                             || next.memoryMb() != config.memoryMb()
--- a/src/main/java/ottergauge/transport/Rehearsal.java
+++ b/src/main/java/ottergauge/transport/Rehearsal.java
@@ -11,13 +11,13 @@
 import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.concurrent.TimeUnit;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.RequestClass;
 import ottergauge.protocol.Address;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.Headers;
-import ottergauge.protocol.HostList;
-import ottergauge.protocol.HostList.Host;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.routing.Effect;
 import ottergauge.routing.Event;
@@ -73,17 +73,17 @@
     private int served;
 
     private Rehearsal(NodeConfig config) {
-        classes = config.settings().classes();
-        List<Host> hosts = new ArrayList<>();
+        classes = config.settings().requestClasses();
+        List<DiscoveredEndpoint> hosts = new ArrayList<>();
         for (int i = 1; i <= SERVERS; i++) {
             hosts.add(
-                    new Host(
+                    new DiscoveredEndpoint(
                             "rehearsal-" + i,
                             new Address("rehearsal", i),
                             null,
                             null,
                             i,
-                            ServerState.UP,
+                            EndpointState.UP,
                             1,
                             0));
         }
@@ -95,7 +95,7 @@
                                 config.discovery(),
                                 config.seed(),
                                 config.sockets(),
-                                new HostList(0, true, hosts),
+                                new EndpointList(0, true, hosts),
                                 config.settings(),
                                 config.zones(),
                                 config.kinds(),
@@ -113,7 +113,7 @@
 
     /** Runs until nothing gets much quicker any more, or it has taken too long. */
     public static Played run(NodeConfig config) {
-        return run(config, requests(config.settings().nodes()), LONGEST);
+        return run(config, requests(config.settings().nodeCount()), LONGEST);
     }
 
     static int requests(int nodes) {
@@ -175,7 +175,7 @@
     }
 
     private static byte[] request(RequestClass type, int id) {
-        boolean safe = type.repeat() == Repeat.SAFE;
+        boolean safe = type.idempotency() == Idempotency.IDEMPOTENT;
         return ((safe ? "GET" : "POST")
                         + " /api HTTP/1.1\r\nHost: rehearsal\r\n"
                         + Headers.TRACE_ID
@@ -190,7 +190,7 @@
                         + ": "
                         + type.deadline() / 1000
                         + "\r\n"
-                        + (type.repeat() == Repeat.KEYED
+                        + (type.idempotency() == Idempotency.KEYED
                                 ? Headers.IDEMPOTENCY_KEY + ": " + id + "\r\n"
                                 : "")
                         + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody"))
--- a/src/test/java/ottergauge/ArchitectureTest.java
+++ b/src/test/java/ottergauge/ArchitectureTest.java
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge;
 
-import static com.tngtech.archunit.core.domain.JavaClass.Predicates.belongToAnyOf;
 import static com.tngtech.archunit.core.domain.JavaClass.Predicates.resideInAnyPackage;
 import static com.tngtech.archunit.lang.conditions.ArchConditions.onlyDependOnClassesThat;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
@@ -13,6 +12,7 @@
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
+import ottergauge.decision.DecisionEngine;
 
 /**
  * Holds the decision module to the JDK and its interface, and keeps clock, threads and I/O out of
@@ -28,7 +28,7 @@
     @Test
     void theModuleKnowsOnlyTheJdkAndItsInterface() {
         classes()
-                .that(belongToAnyOf(Decide.class, DecisionApi.class))
+                .that(resideInAnyPackage("ottergauge.decision", "ottergauge.decision.api"))
                 .should(
                         onlyDependOnClassesThat(
                                 resideInAnyPackage(
@@ -36,7 +36,8 @@
                                         "java.util",
                                         "java.util.function",
                                         "java.util.stream",
-                                        "ottergauge",
+                                        "ottergauge.decision",
+                                        "ottergauge.decision.api",
                                         "ottergauge.limits",
                                         "ottergauge.ring",
                                         "ottergauge.rows")))
@@ -76,7 +77,8 @@
                                         "java.util",
                                         "java.util.function",
                                         "java.util.stream",
-                                        "ottergauge",
+                                        "ottergauge.decision",
+                                        "ottergauge.decision.api",
                                         "ottergauge.limits",
                                         "ottergauge.rows")))
                 .check(all);
@@ -84,21 +86,22 @@
                 .that(resideInAnyPackage("ottergauge.limits"))
                 .should()
                 .dependOnClassesThat()
-                .belongToAnyOf(Decide.class, System.class, Thread.class, java.util.Random.class)
+                .belongToAnyOf(
+                        DecisionEngine.class, System.class, Thread.class, java.util.Random.class)
                 .check(all);
     }
 
     @Test
     void theModuleHasNoClockNoThreadsAndNoIo() {
         noClasses()
-                .that(belongToAnyOf(Decide.class, DecisionApi.class))
+                .that(resideInAnyPackage("ottergauge.decision", "ottergauge.decision.api"))
                 .should()
                 .accessClassesThat()
                 .belongToAnyOf(
                         System.class, Thread.class, java.util.Random.class, java.util.Timer.class)
                 .check(all);
         noClasses()
-                .that(belongToAnyOf(Decide.class))
+                .that(resideInAnyPackage("ottergauge.decision"))
                 .should()
                 .callMethod(Math.class, "random")
                 .check(all);
@@ -107,7 +110,8 @@
     @Test
     void theModuleHasNoStaticsThatChange() {
         fields().that()
-                .areDeclaredInClassesThat(belongToAnyOf(Decide.class, DecisionApi.class))
+                .areDeclaredInClassesThat(
+                        resideInAnyPackage("ottergauge.decision", "ottergauge.decision.api"))
                 .and()
                 .areStatic()
                 .should()
@@ -121,7 +125,8 @@
                 .consideringOnlyDependenciesInAnyPackage("ottergauge..")
                 .layer("decisions")
                 .definedBy(
-                        "ottergauge",
+                        "ottergauge.decision",
+                        "ottergauge.decision.api",
                         "ottergauge.limits..",
                         "ottergauge.ring..",
                         "ottergauge.rows..")
--- a/src/test/java/ottergauge/BarredServersTest.java
+++ b/src/test/java/ottergauge/decision/BarredServersTest.java
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.ClientGone;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.DecisionApi.Standing;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.EndpointStatus;
 
 /**
  * Errors bar a server only while the barred ones of the list are under half of the node's servers.
@@ -33,11 +33,11 @@
     private void fail(int requests) {
         for (int i = 0; i < requests; i++) {
             String id = "r" + ++lastRequest;
-            List<Action> actions = node.arrive(id);
-            for (int attempt = 0; !Node.those(Send.class, actions).isEmpty(); attempt++) {
-                long server = Node.only(Send.class, actions).server();
+            List<DecisionAction> actions = node.arrive(id);
+            for (int attempt = 0; !Node.those(SendAttempt.class, actions).isEmpty(); attempt++) {
+                long server = Node.only(SendAttempt.class, actions).server();
                 node.now += MS;
-                actions = node.ended(id, attempt, server, Result.ERROR, MS);
+                actions = node.ended(id, attempt, server, AttemptResult.ERROR, MS);
             }
         }
     }
@@ -45,7 +45,7 @@
     private List<Long> barred() {
         return LongStream.rangeClosed(1, SERVERS)
                 .boxed()
-                .filter(id -> node.decide.standing(node.now, id) == Standing.BARRED)
+                .filter(id -> node.decide.endpointStatus(node.now, id) == EndpointStatus.EJECTED)
                 .toList();
     }
 
@@ -69,7 +69,7 @@
     @Test
     void aBarredServerThatLeavesTheListCountsNoMore() {
         fail(20);
-        barred().forEach(id -> node.change(id, ServerState.GONE, 0));
+        barred().forEach(id -> node.change(id, EndpointState.REMOVED, 0));
         assertEquals(0, barred().size());
         fail(20);
         assertEquals(HALF / 2, barred().size(), "of those that are left");
@@ -79,11 +79,11 @@
     @Test
     void aServerThatFailsAfterItHasLeftDoesNotCount() {
         for (int i = 0; i < HALF; i++) {
-            Send send = Node.only(Send.class, node.arrive("left-" + i));
-            node.change(send.server(), ServerState.GONE, 0);
+            SendAttempt send = Node.only(SendAttempt.class, node.arrive("left-" + i));
+            node.change(send.server(), EndpointState.REMOVED, 0);
             node.now += MS;
-            node.ended(send.id(), 0, send.server(), Result.CONNECT_FAILED, MS);
-            node.on(new ClientGone(send.id()));
+            node.ended(send.id(), 0, send.server(), AttemptResult.CONNECT_FAILED, MS);
+            node.on(new ClientDisconnected(send.id()));
         }
         fail(20);
         assertEquals(HALF / 2, barred().size(), "of those that are left");
@@ -93,7 +93,7 @@
     @Test
     void aBarredServerThatRestartsCountsNoMore() {
         fail(20);
-        barred().stream().skip(1).forEach(id -> node.change(id, ServerState.UP, node.now));
+        barred().stream().skip(1).forEach(id -> node.change(id, EndpointState.UP, node.now));
         assertEquals(1, barred().size());
         fail(20);
         assertEquals(HALF, barred().size());
--- a/src/test/java/ottergauge/ColdFleetTest.java
+++ b/src/test/java/ottergauge/decision/ColdFleetTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -16,20 +16,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.Event;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Probe;
-import ottergauge.DecisionApi.ProbeEnded;
-import ottergauge.DecisionApi.RequestArrived;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Rules;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.DecisionApi.SetTimer;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionAction.SetTimer;
+import ottergauge.decision.api.DecisionEvent;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.DecisionEvent.RequestArrived;
+import ottergauge.decision.api.DecisionEvent.TimerFired;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.LoadReport;
+import ottergauge.decision.api.ServiceRules;
+import ottergauge.decision.api.UpdateScope;
 
 /**
  * Cold servers under the sum of what all nodes send, each of which knows only its own sends: twenty
@@ -59,7 +60,7 @@
     private final List<Node> nodes = new ArrayList<>();
     private final Map<Long, Server> servers = new HashMap<>();
     private SplittableRandom random;
-    private Rules rules;
+    private ServiceRules rules;
     private long service;
     private long from;
     private long now;
@@ -71,12 +72,12 @@
         queue.add(new Due(when, order++, what));
     }
 
-    private void tell(Node node, Event event) {
+    private void tell(Node node, DecisionEvent event) {
         node.now = now;
-        for (Action action : node.on(event)) {
-            if (action instanceof Send send) {
+        for (DecisionAction action : node.on(event)) {
+            if (action instanceof SendAttempt send) {
                 send(node, send);
-            } else if (action instanceof Probe probe) {
+            } else if (action instanceof SendProbe probe) {
                 Server s = servers.get(probe.server());
                 at(
                         now + MS,
@@ -84,11 +85,12 @@
                                 tell(
                                         node,
                                         new ProbeEnded(
-                                                probe.server(), Result.SERVED, MS, load(s))));
+                                                probe.server(),
+                                                AttemptResult.SERVED,
+                                                MS,
+                                                load(s))));
             } else if (action instanceof SetTimer timer) {
-                at(
-                        now + timer.delay(),
-                        () -> tell(node, new DecisionApi.TimerFired(timer.token())));
+                at(now + timer.delay(), () -> tell(node, new TimerFired(timer.token())));
             }
         }
     }
@@ -99,11 +101,11 @@
     }
 
     private double warmth(Server s) {
-        double age = Math.min(1, (now - s.startedAt) / (double) rules.coldFor());
-        return rules.coldFrom() + (1 - rules.coldFrom()) * age;
+        double age = Math.min(1, (now - s.startedAt) / (double) rules.slowStartDuration());
+        return rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * age;
     }
 
-    private void send(Node node, Send send) {
+    private void send(Node node, SendAttempt send) {
         Server s = servers.get(send.server());
         count(s);
         long began = now;
@@ -121,7 +123,7 @@
                 Math.min(ends, now + send.timeout()),
                 () -> {
                     s.holds--;
-                    Result result = late ? Result.TIMED_OUT : Result.SERVED;
+                    AttemptResult result = late ? AttemptResult.TIMED_OUT : AttemptResult.SERVED;
                     served += late ? 0 : 1;
                     tell(
                             node,
@@ -138,19 +140,19 @@
 
     // The strict rule: beyond what is allowed only two roots of it and two are put down to chance.
     private void count(Server s) {
-        if (now - s.startedAt >= rules.coldFor()) {
+        if (now - s.startedAt >= rules.slowStartDuration()) {
             return;
         }
         s.sends.add(now);
-        while (s.sends.peekFirst() <= now - rules.fallAfter()) {
+        while (s.sends.peekFirst() <= now - rules.overloadWindow()) {
             s.sends.removeFirst();
         }
-        double allowed = rules.tipMultiple() * warmth(s) * rules.fallAfter() / service;
+        double allowed = rules.overloadMultiple() * warmth(s) * rules.overloadWindow() / service;
         if (s.sends.size() > allowed + 2 * Math.sqrt(allowed) + 2) {
             s.over =
                     s.sends.size()
                             + " requests in "
-                            + rules.fallAfter() / MS
+                            + rules.overloadWindow() / MS
                             + " ms where "
                             + allowed
                             + " are allowed, "
@@ -237,9 +239,9 @@
                 node ->
                         tell(
                                 node,
-                                new ServerList(
-                                        ListScope.CHANGES,
-                                        List.of(Node.server(id, ServerState.UP, now)))));
+                                new EndpointUpdate(
+                                        UpdateScope.INCREMENTAL,
+                                        List.of(Node.server(id, EndpointState.UP, now)))));
     }
 
     private void arrive(Node node, String prefix, int number, double share) {
@@ -253,7 +255,7 @@
                             new RequestArrived(
                                     prefix + number,
                                     0,
-                                    now + node.settings.classes().get(0).deadline(),
+                                    now + node.settings.requestClasses().get(0).deadline(),
                                     false,
                                     0));
                     arrive(node, prefix, number + 1, share);
--- a/src/test/java/ottergauge/DeparturesTest.java
+++ b/src/test/java/ottergauge/decision/DeparturesTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -12,25 +12,25 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.Cancel;
-import ottergauge.DecisionApi.ClientGone;
-import ottergauge.DecisionApi.Discovery;
-import ottergauge.DecisionApi.Fail;
-import ottergauge.DecisionApi.Group;
-import ottergauge.DecisionApi.ListFailed;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Probe;
-import ottergauge.DecisionApi.ProbeEnded;
-import ottergauge.DecisionApi.Refuse;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.DecisionApi.SetTimer;
-import ottergauge.DecisionApi.Subscribe;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.CancelAttempt;
+import ottergauge.decision.api.DecisionAction.FailRequest;
+import ottergauge.decision.api.DecisionAction.RejectRequest;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionAction.SetTimer;
+import ottergauge.decision.api.DecisionAction.WatchEndpoints;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.DecisionEvent.DiscoveryFailed;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.DiscoveryMode;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.LoadReport;
+import ottergauge.decision.api.RequestClass;
 
 /** Each departure from the design, and each failure that was found, by example. */
 class DeparturesTest {
@@ -51,28 +51,28 @@
     }
 
     private static long probedServe(Node node, String id, long elapsed) {
-        List<Action> actions = node.arrive(id);
-        while (Node.those(Send.class, actions).isEmpty()) {
-            actions = node.probed(Node.only(Probe.class, actions).server(), 0);
+        List<DecisionAction> actions = node.arrive(id);
+        while (Node.those(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
         }
-        Send send = Node.only(Send.class, actions);
+        SendAttempt send = Node.only(SendAttempt.class, actions);
         node.now += elapsed;
         node.on(
                 new AttemptEnded(
                         id,
                         0,
                         send.server(),
-                        Result.SERVED,
+                        AttemptResult.SERVED,
                         elapsed,
                         true,
                         new LoadReport(1, 0, 0.5, Double.NaN, Double.NaN)));
         return send.server();
     }
 
-    private static List<Send> burst(Node node, String prefix, int requests) {
-        List<Send> sends = new ArrayList<>();
+    private static List<SendAttempt> burst(Node node, String prefix, int requests) {
+        List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
-            sends.addAll(Node.those(Send.class, node.arrive(prefix + i)));
+            sends.addAll(Node.those(SendAttempt.class, node.arrive(prefix + i)));
         }
         return sends;
     }
@@ -90,15 +90,15 @@
     void aClassIsNotLockedOutByASpellOfTimeOuts() {
         Node node = warm(new TestSettings(), 2, 20, 50 * MS);
         for (int i = 0; i < 60; i++) {
-            List<Send> sends = Node.those(Send.class, node.arrive("t" + i));
+            List<SendAttempt> sends = Node.those(SendAttempt.class, node.arrive("t" + i));
             node.now += 998 * MS;
-            for (Send s : sends) {
-                node.ended(s.id(), 0, s.server(), Result.TIMED_OUT, 998 * MS);
+            for (SendAttempt s : sends) {
+                node.ended(s.id(), 0, s.server(), AttemptResult.TIMED_OUT, 998 * MS);
             }
             node.after(4_000 * MS);
         }
-        List<Action> actions = node.arrive("fresh");
-        assertEquals(0, Node.those(Refuse.class, actions).size(), "refused on arrival");
+        List<DecisionAction> actions = node.arrive("fresh");
+        assertEquals(0, Node.those(RejectRequest.class, actions).size(), "refused on arrival");
     }
 
     @Test
@@ -106,11 +106,14 @@
         Node node = warm(probing(), 1, 30, 200 * MS);
         node.now += 1_000 * MS;
         long start = node.now;
-        List<Action> actions = node.arrive("a");
-        while (Node.those(Refuse.class, actions).isEmpty() && node.now < start + 2_000 * MS) {
+        List<DecisionAction> actions = node.arrive("a");
+        while (Node.those(RejectRequest.class, actions).isEmpty()
+                && node.now < start + 2_000 * MS) {
             node.now += MS;
             actions =
-                    Node.those(Probe.class, actions).isEmpty() ? node.after(0) : node.probed(1, 5);
+                    Node.those(SendProbe.class, actions).isEmpty()
+                            ? node.after(0)
+                            : node.probed(1, 5);
         }
         assertTrue(node.now < start + 998 * MS, "given up after " + (node.now - start));
         assertTrue(node.now > start + 500 * MS, "given up after " + (node.now - start));
@@ -120,17 +123,17 @@
     void whatTheBacklogCannotReachInTimeIsRefusedOnArrival() {
         Node node = new Node(TestSettings.hearing(1).build());
         node.servers(1);
-        List<Send> out = new ArrayList<>(Node.those(Send.class, node.arrive("w")));
+        List<SendAttempt> out = new ArrayList<>(Node.those(SendAttempt.class, node.arrive("w")));
         for (int i = 0; i < 40; i++) {
-            Send next = out.remove(0);
+            SendAttempt next = out.remove(0);
             node.now += 100 * MS;
-            out.addAll(Node.those(Send.class, node.answered(next.id(), 1, 100 * MS, 0)));
-            out.addAll(Node.those(Send.class, node.arrive("a" + i)));
-            out.addAll(Node.those(Send.class, node.arrive("b" + i)));
+            out.addAll(Node.those(SendAttempt.class, node.answered(next.id(), 1, 100 * MS, 0)));
+            out.addAll(Node.those(SendAttempt.class, node.arrive("a" + i)));
+            out.addAll(Node.those(SendAttempt.class, node.arrive("b" + i)));
         }
         int refused = 0;
         for (int i = 0; i < 40; i++) {
-            refused += Node.those(Refuse.class, node.arrive("c" + i)).size();
+            refused += Node.those(RejectRequest.class, node.arrive("c" + i)).size();
         }
         // At a send each 100 ms about nine of those that come now can be reached within their
         // second.
@@ -141,11 +144,13 @@
     void aRepeatIsJudgedByTheAimOfItsFirstTry() {
         Node node = warm(new TestSettings(), 2, 10, 50 * MS);
         // 900 ms of the 2 s are left: the first try began 1.1 s ago, past its aim of 1 s.
-        Refuse refuse = Node.only(Refuse.class, node.arrive("late", 0, node.now + 900 * MS, true));
+        RejectRequest refuse =
+                Node.only(RejectRequest.class, node.arrive("late", 0, node.now + 900 * MS, true));
         assertEquals(600 * MS, refuse.retryAfter());
         assertEquals(
                 1,
-                Node.those(Send.class, node.arrive("soon", 0, node.now + 1_900 * MS, true)).size());
+                Node.those(SendAttempt.class, node.arrive("soon", 0, node.now + 1_900 * MS, true))
+                        .size());
     }
 
     @Test
@@ -157,14 +162,16 @@
         for (int i = 0; i < 2; i++) {
             assertEquals(
                     1,
-                    Node.those(Send.class, node.arrive("short" + i, 0, node.now + 900 * MS, false))
+                    Node.those(
+                                    SendAttempt.class,
+                                    node.arrive("short" + i, 0, node.now + 900 * MS, false))
                             .size());
-            node.on(new ClientGone("short" + i));
+            node.on(new ClientDisconnected("short" + i));
         }
         // Two were: one that comes with less time left has most likely been here before.
         assertEquals(
                 1,
-                Node.those(Refuse.class, node.arrive("late", 0, node.now + 900 * MS, false))
+                Node.those(RejectRequest.class, node.arrive("late", 0, node.now + 900 * MS, false))
                         .size());
     }
 
@@ -173,18 +180,20 @@
         TestSettings settings = probing();
         settings.classes =
                 List.of(
-                        TestSettings.type("cheap", Repeat.SAFE, Group.ALL, 1),
-                        TestSettings.type("dear", Repeat.SAFE, Group.ALL, 10));
+                        TestSettings.type(
+                                "cheap", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
+                        TestSettings.type(
+                                "dear", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 10));
         Node node = warm(settings, 1, 30, 100 * MS);
         node.now += 1_000 * MS;
         node.arrive("cheap");
         node.probed(1, 4);
         node.arrive("dear", 1, node.now + 2_000 * MS, false);
-        List<Action> actions = List.of();
-        while (Node.those(Probe.class, actions).isEmpty()) {
+        List<DecisionAction> actions = List.of();
+        while (Node.those(SendProbe.class, actions).isEmpty()) {
             actions = node.after(10 * MS);
         }
-        assertEquals("dear", Node.those(Send.class, node.probed(1, 0)).get(0).id());
+        assertEquals("dear", Node.those(SendAttempt.class, node.probed(1, 0)).get(0).id());
     }
 
     // ---- Another shape of deployment
@@ -196,8 +205,8 @@
                 List.of(
                         new RequestClass(
                                 "work",
-                                Repeat.SAFE,
-                                Group.ALL,
+                                Idempotency.IDEMPOTENT,
+                                DeduplicationScope.FLEET,
                                 1_000_000,
                                 2_000_000,
                                 0,
@@ -220,8 +229,8 @@
             Node node = warm(settings, 4, 30, 50 * MS);
             node.now += 1_000 * MS;
             probes[i] =
-                    Node.those(Probe.class, node.arrive("q")).size()
-                            + Node.those(Probe.class, node.after(5 * MS)).size();
+                    Node.those(SendProbe.class, node.arrive("q")).size()
+                            + Node.those(SendProbe.class, node.after(5 * MS)).size();
         }
         assertEquals(2, probes[0], "rounds of 1 ms: the next one is sounded");
         assertEquals(1, probes[1], "rounds of 5 ms: the answer is not due yet");
@@ -234,20 +243,20 @@
         node.servers(2);
         Set<Long> mute = new HashSet<>();
         for (int i = 0; i < 60; i++) {
-            List<Action> actions = node.arrive("q" + i);
-            while (Node.those(Send.class, actions).isEmpty()) {
-                long server = Node.only(Probe.class, actions).server();
+            List<DecisionAction> actions = node.arrive("q" + i);
+            while (Node.those(SendAttempt.class, actions).isEmpty()) {
+                long server = Node.only(SendProbe.class, actions).server();
                 long trip = server == 1 ? 20 * MS : MS;
                 node.now += trip - MS / 2;
-                if (i >= 20 && !Node.those(Probe.class, node.after(0)).isEmpty()) {
+                if (i >= 20 && !Node.those(SendProbe.class, node.after(0)).isEmpty()) {
                     mute.add(server);
                 }
                 node.now += MS / 2;
-                actions = node.on(new ProbeEnded(server, Result.SERVED, trip, Node.IDLE));
+                actions = node.on(new ProbeEnded(server, AttemptResult.SERVED, trip, Node.IDLE));
             }
-            Send send = Node.only(Send.class, actions);
+            SendAttempt send = Node.only(SendAttempt.class, actions);
             node.now += 50 * MS;
-            node.ended("q" + i, 0, send.server(), Result.SERVED, 50 * MS);
+            node.ended("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
             node.now += 500 * MS;
         }
         assertEquals(Set.of(), mute);
@@ -261,11 +270,14 @@
         Node node = warm(late(0.5), 1, 30, 200 * MS);
         node.now += 1_000 * MS;
         long start = node.now;
-        List<Action> actions = node.arrive("a");
-        while (Node.those(Refuse.class, actions).isEmpty() && node.now < start + 2_000 * MS) {
+        List<DecisionAction> actions = node.arrive("a");
+        while (Node.those(RejectRequest.class, actions).isEmpty()
+                && node.now < start + 2_000 * MS) {
             node.now += MS;
             actions =
-                    Node.those(Probe.class, actions).isEmpty() ? node.after(0) : node.probed(1, 5);
+                    Node.those(SendProbe.class, actions).isEmpty()
+                            ? node.after(0)
+                            : node.probed(1, 5);
         }
         assertTrue(node.now < start + 1_000 * MS, "refused after " + (node.now - start));
     }
@@ -278,16 +290,19 @@
     void whatWasTriedInVainGoesOnPastItsAimAtAFreeCoreOnly() {
         for (int held : new int[] {0, 1}) {
             Node node = warm(late(0.5), 2, 30, 100 * MS);
-            List<Action> actions = node.arrive("a");
-            while (Node.those(Send.class, actions).isEmpty()) {
-                actions = node.probed(Node.only(Probe.class, actions).server(), 0);
+            List<DecisionAction> actions = node.arrive("a");
+            while (Node.those(SendAttempt.class, actions).isEmpty()) {
+                actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
             }
-            long first = Node.only(Send.class, actions).server();
+            long first = Node.only(SendAttempt.class, actions).server();
             node.now += 1_100 * MS;
-            actions = node.ended("a", 0, first, Result.ERROR, 1_100 * MS);
-            assertEquals(0, Node.those(Refuse.class, actions).size(), "late worth is left");
-            actions = node.probed(Node.only(Probe.class, actions).server(), held);
-            assertEquals(held == 0 ? 1 : 0, Node.those(Send.class, actions).size(), "held " + held);
+            actions = node.ended("a", 0, first, AttemptResult.ERROR, 1_100 * MS);
+            assertEquals(0, Node.those(RejectRequest.class, actions).size(), "late worth is left");
+            actions = node.probed(Node.only(SendProbe.class, actions).server(), held);
+            assertEquals(
+                    held == 0 ? 1 : 0,
+                    Node.those(SendAttempt.class, actions).size(),
+                    "held " + held);
         }
     }
 
@@ -305,19 +320,19 @@
             // rest.
             node.now += 2_000 * MS;
             for (int i = 0; i < 40; i++) {
-                node.on(new ProbeEnded(1, Result.SERVED, MS, busy));
+                node.on(new ProbeEnded(1, AttemptResult.SERVED, MS, busy));
             }
             int sent = 0;
             node.now += 1_000 * MS;
             for (int i = 0; i < 30; i++) {
-                List<Action> actions = node.arrive("w" + i);
-                if (!Node.those(Probe.class, actions).isEmpty()) {
+                List<DecisionAction> actions = node.arrive("w" + i);
+                if (!Node.those(SendProbe.class, actions).isEmpty()) {
                     actions = node.probed(1, 2);
                 }
-                for (Send send : Node.those(Send.class, actions)) {
+                for (SendAttempt send : Node.those(SendAttempt.class, actions)) {
                     sent++;
                     node.now += 100 * MS;
-                    node.ended(send.id(), 0, 1, Result.SERVED, 100 * MS);
+                    node.ended(send.id(), 0, 1, AttemptResult.SERVED, 100 * MS);
                 }
                 node.now += 1_000 * MS;
             }
@@ -334,15 +349,16 @@
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 12; i++) {
             node.now += 1_000 * MS;
-            List<Action> actions = node.arrive("q" + i);
-            for (int k = 0; k < 5 && Node.those(Send.class, actions).isEmpty(); k++) {
-                long server = Node.only(Probe.class, actions).server();
-                actions = node.on(new ProbeEnded(server, Result.SERVED, MS, LoadReport.NONE));
+            List<DecisionAction> actions = node.arrive("q" + i);
+            for (int k = 0; k < 5 && Node.those(SendAttempt.class, actions).isEmpty(); k++) {
+                long server = Node.only(SendProbe.class, actions).server();
+                actions =
+                        node.on(new ProbeEnded(server, AttemptResult.SERVED, MS, LoadReport.NONE));
             }
-            Send send = Node.only(Send.class, actions);
+            SendAttempt send = Node.only(SendAttempt.class, actions);
             used.add(send.server());
             node.now += 50 * MS;
-            node.ended("q" + i, 0, send.server(), Result.SERVED, 50 * MS);
+            node.ended("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
         }
         assertEquals(Set.of(1L, 2L, 3L), used);
     }
@@ -356,7 +372,7 @@
             node.arrive("q");
             assertEquals(
                     held == 1 ? 1 : 0,
-                    Node.those(Send.class, node.probed(1, held)).size(),
+                    Node.those(SendAttempt.class, node.probed(1, held)).size(),
                     "held " + held);
         }
     }
@@ -369,9 +385,9 @@
     void aFreeCoreIsNotTakenForWhatWouldEndLate() {
         Node node = warm(late(0.5), 3, 60, 900 * MS);
         node.now += 1_000 * MS;
-        List<Action> actions = node.arrive("trial");
-        while (Node.those(Send.class, actions).isEmpty()) {
-            actions = node.probed(Node.only(Probe.class, actions).server(), 0);
+        List<DecisionAction> actions = node.arrive("trial");
+        while (Node.those(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
         }
         int sent = 0;
         for (int i = 0; i < 40; i++) {
@@ -379,8 +395,8 @@
                     i == 0
                             ? node.arrive("q", 0, node.now + 2_000 * MS, false)
                             : node.after(10 * MS);
-            for (Probe probe : Node.those(Probe.class, actions)) {
-                sent += Node.those(Send.class, node.probed(probe.server(), 0)).size();
+            for (SendProbe probe : Node.those(SendProbe.class, actions)) {
+                sent += Node.those(SendAttempt.class, node.probed(probe.server(), 0)).size();
             }
         }
         assertTrue(sent <= 1, "sent " + sent);
@@ -427,13 +443,13 @@
     void behindABusyFleetOnlyTheHeadOfTheLineSounds() {
         Node node = warm(probing(), 2, 30, 100 * MS);
         node.now += 1_000 * MS;
-        for (Probe probe : Node.those(Probe.class, node.arrive("head"))) {
-            Node.those(Probe.class, node.probed(probe.server(), 5))
+        for (SendProbe probe : Node.those(SendProbe.class, node.arrive("head"))) {
+            Node.those(SendProbe.class, node.probed(probe.server(), 5))
                     .forEach(p -> node.probed(p.server(), 5));
         }
         int probes = 0;
         for (int i = 0; i < 20; i++) {
-            probes += Node.those(Probe.class, node.arrive("q" + i)).size();
+            probes += Node.those(SendProbe.class, node.arrive("q" + i)).size();
         }
         assertEquals(0, probes, "every server is known to be busy");
     }
@@ -446,10 +462,10 @@
         for (boolean longAgo : new boolean[] {false, true}) {
             Node node = warm(probing(), 3, 30, 50 * MS);
             node.now += 1_000 * MS;
-            Probe first = Node.only(Probe.class, node.arrive("q"));
+            SendProbe first = Node.only(SendProbe.class, node.arrive("q"));
             node.now += longAgo ? 101 * MS : MS;
-            List<Action> actions = node.probed(first.server(), 1);
-            int sent = Node.those(Send.class, actions).size();
+            List<DecisionAction> actions = node.probed(first.server(), 1);
+            int sent = Node.those(SendAttempt.class, actions).size();
             assertEquals(longAgo ? 1 : 0, sent, "after a tenth of its aim: " + longAgo);
         }
     }
@@ -460,14 +476,17 @@
         Node node = new Node(probing().build());
         node.servers(1);
         for (int i = 0; i < 40; i++) {
-            node.on(new ProbeEnded(1, Result.SERVED, MS, new LoadReport(9, Double.NaN, 0.3, 0, 0)));
+            node.on(
+                    new ProbeEnded(
+                            1, AttemptResult.SERVED, MS, new LoadReport(9, Double.NaN, 0.3, 0, 0)));
         }
         for (int i = 0; i < 4; i++) {
             probedServe(node, "w" + i, 10 * MS);
         }
         node.now += 1_000 * MS;
         node.arrive("q");
-        assertEquals(0, Node.those(Send.class, node.probed(1, 4)).size(), "sent behind four");
+        assertEquals(
+                0, Node.those(SendAttempt.class, node.probed(1, 4)).size(), "sent behind four");
     }
 
     /** An eighth of the answers lost for good made every server too slow for any request. */
@@ -475,24 +494,27 @@
     void lostAnswersDoNotMakeTheFleetSlow() {
         Node node = warm(probing(), 2, 60, 100 * MS);
         for (int i = 0; i < 3; i++) {
-            List<Action> actions = node.arrive("lost" + i);
-            while (Node.those(Send.class, actions).isEmpty()) {
-                actions = node.probed(Node.only(Probe.class, actions).server(), 0);
+            List<DecisionAction> actions = node.arrive("lost" + i);
+            while (Node.those(SendAttempt.class, actions).isEmpty()) {
+                actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
             }
             node.now += 1_990 * MS;
             node.ended(
                     "lost" + i,
                     0,
-                    Node.only(Send.class, actions).server(),
-                    Result.TIMED_OUT,
+                    Node.only(SendAttempt.class, actions).server(),
+                    AttemptResult.TIMED_OUT,
                     1_990 * MS);
         }
         node.now += 1_000 * MS;
-        List<Action> actions = node.arrive("q", 0, node.now + 2_000 * MS, false);
-        for (int i = 0; i < 2 && Node.those(Send.class, actions).isEmpty(); i++) {
-            actions = node.probed(Node.only(Probe.class, actions).server(), 1);
+        List<DecisionAction> actions = node.arrive("q", 0, node.now + 2_000 * MS, false);
+        for (int i = 0; i < 2 && Node.those(SendAttempt.class, actions).isEmpty(); i++) {
+            actions = node.probed(Node.only(SendProbe.class, actions).server(), 1);
         }
-        assertEquals(1, Node.those(Send.class, actions).size(), "behind one there is time enough");
+        assertEquals(
+                1,
+                Node.those(SendAttempt.class, actions).size(),
+                "behind one there is time enough");
     }
 
     /**
@@ -504,16 +526,16 @@
         for (boolean losing : new boolean[] {true, false}) {
             Node node = warm(new TestSettings(), 8, 60, 50 * MS);
             for (int i = 0; losing && i < 4; i++) {
-                Send send = Node.only(Send.class, node.arrive("lost" + i));
-                node.ended("lost" + i, 0, send.server(), Result.TIMED_OUT, 60 * MS);
-                node.on(new ClientGone("lost" + i));
+                SendAttempt send = Node.only(SendAttempt.class, node.arrive("lost" + i));
+                node.ended("lost" + i, 0, send.server(), AttemptResult.TIMED_OUT, 60 * MS);
+                node.on(new ClientDisconnected("lost" + i));
             }
             node.arrive("q");
             int cancels = 0;
             for (int i = 0; i < 20; i++) {
                 cancels +=
                         (int)
-                                Node.those(Cancel.class, node.after(25 * MS)).stream()
+                                Node.those(CancelAttempt.class, node.after(25 * MS)).stream()
                                         .filter(c -> "q".equals(c.id()))
                                         .count();
             }
@@ -528,17 +550,20 @@
     void oneBreakIsChanceAndTwoInARowAreADeadServer() {
         for (int breaks = 1; breaks <= 2; breaks++) {
             TestSettings settings = probing();
-            settings.classes = List.of(TestSettings.type(Repeat.UNSAFE, Group.ALL));
+            settings.classes =
+                    List.of(
+                            TestSettings.type(
+                                    Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
             Node node = warm(settings, 1, 30, 50 * MS);
             for (int i = 0; i < breaks; i++) {
                 assertEquals(1, probedSend(node, "broken" + i));
                 node.now += 10 * MS;
-                node.ended("broken" + i, 0, 1, Result.RESET, 10 * MS);
+                node.ended("broken" + i, 0, 1, AttemptResult.RESET, 10 * MS);
             }
-            List<Action> next = node.arrive("q");
+            List<DecisionAction> next = node.arrive("q");
             boolean used =
-                    !Node.those(Probe.class, next).isEmpty()
-                            || !Node.those(Send.class, next).isEmpty();
+                    !Node.those(SendProbe.class, next).isEmpty()
+                            || !Node.those(SendAttempt.class, next).isEmpty();
             assertEquals(breaks == 1, used, "after " + breaks);
         }
     }
@@ -556,20 +581,29 @@
             node.now += 60 * MS;
             String id = "r" + i;
             int attempt = 0;
-            Send send = first(node.arrive(id));
+            SendAttempt send = first(node.arrive(id));
             for (; send != null && (i + attempt) % 3 == 0; attempt++) {
                 node.now += 5 * MS;
-                send = first(node.ended(id, attempt, send.server(), Result.CONNECT_FAILED, 5 * MS));
+                send =
+                        first(
+                                node.ended(
+                                        id,
+                                        attempt,
+                                        send.server(),
+                                        AttemptResult.CONNECT_FAILED,
+                                        5 * MS));
             }
             if (send == null) {
                 late++;
-                node.after(node.settings.classes().get(0).deadline());
+                node.after(node.settings.requestClasses().get(0).deadline());
             } else {
                 node.now += 50 * MS;
-                node.ended(id, attempt, send.server(), Result.SERVED, 50 * MS);
+                node.ended(id, attempt, send.server(), AttemptResult.SERVED, 50 * MS);
             }
         }
-        assertTrue(Node.those(Refuse.class, node.all).isEmpty(), "refused for want of a budget");
+        assertTrue(
+                Node.those(RejectRequest.class, node.all).isEmpty(),
+                "refused for want of a budget");
         assertTrue(late < 10, late + " of 300 were held back");
     }
 
@@ -583,22 +617,29 @@
         Node node = warm(new TestSettings(), 8, 30, 50 * MS);
         for (int i = 0; i < 210; i++) {
             node.now += 60 * MS;
-            Send send = first(node.arrive("r" + i));
+            SendAttempt send = first(node.arrive("r" + i));
             if (i % 7 == 0) {
                 node.now += 5 * MS;
-                send = first(node.ended("r" + i, 0, send.server(), Result.CONNECT_FAILED, 5 * MS));
+                send =
+                        first(
+                                node.ended(
+                                        "r" + i,
+                                        0,
+                                        send.server(),
+                                        AttemptResult.CONNECT_FAILED,
+                                        5 * MS));
             }
             node.now += 50 * MS;
-            node.ended("r" + i, i % 7 == 0 ? 1 : 0, send.server(), Result.SERVED, 50 * MS);
+            node.ended("r" + i, i % 7 == 0 ? 1 : 0, send.server(), AttemptResult.SERVED, 50 * MS);
         }
-        Send twice = first(node.arrive("a"));
-        node.ended("a", 0, twice.server(), Result.CONNECT_FAILED, 5 * MS);
+        SendAttempt twice = first(node.arrive("a"));
+        node.ended("a", 0, twice.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
         node.now += 200 * MS;
         int failed = 1;
         int sends = 0;
         for (int i = 0; i < 400; i++) {
             node.now += 10 * MS;
-            Send send = first(node.arrive("b" + i));
+            SendAttempt send = first(node.arrive("b" + i));
             boolean fails = send != null && send.server() == twice.server() && failed++ == 1;
             if (send != null) {
                 sends += send.server() == twice.server() ? 1 : 0;
@@ -607,7 +648,7 @@
                         "b" + i,
                         0,
                         send.server(),
-                        fails ? Result.CONNECT_FAILED : Result.SERVED,
+                        fails ? AttemptResult.CONNECT_FAILED : AttemptResult.SERVED,
                         5 * MS);
             }
         }
@@ -618,32 +659,32 @@
     @Test
     void aServerThatAloneCannotBeReachedIsColdWhenItIsBack() {
         Node node = warm(new TestSettings(), 8, 30, 50 * MS);
-        Send lost = first(node.arrive("a"));
-        node.ended("a", 0, lost.server(), Result.CONNECT_FAILED, 5 * MS);
+        SendAttempt lost = first(node.arrive("a"));
+        node.ended("a", 0, lost.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
         int sends = 0;
         for (int i = 0; i < 400; i++) {
             node.now += 10 * MS;
-            Send send = first(node.arrive("b" + i));
+            SendAttempt send = first(node.arrive("b" + i));
             if (send != null) {
                 sends += send.server() == lost.server() ? 1 : 0;
                 node.now += 5 * MS;
-                node.ended("b" + i, 0, send.server(), Result.SERVED, 5 * MS);
+                node.ended("b" + i, 0, send.server(), AttemptResult.SERVED, 5 * MS);
             }
         }
         assertTrue(sends < 40, sends + " of 400, an eighth is 50");
     }
 
-    private static Send first(List<Action> actions) {
-        return Node.those(Send.class, actions).stream().findFirst().orElse(null);
+    private static SendAttempt first(List<DecisionAction> actions) {
+        return Node.those(SendAttempt.class, actions).stream().findFirst().orElse(null);
     }
 
     /** Sends a request, its server idle by its probe, and returns the server without an answer. */
     private static long probedSend(Node node, String id) {
-        List<Action> actions = node.arrive(id);
-        while (Node.those(Send.class, actions).isEmpty()) {
-            actions = node.probed(Node.only(Probe.class, actions).server(), 0);
+        List<DecisionAction> actions = node.arrive(id);
+        while (Node.those(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
         }
-        return Node.only(Send.class, actions).server();
+        return Node.only(SendAttempt.class, actions).server();
     }
 
     // ---- Silence
@@ -655,7 +696,7 @@
         node.arrive("costly");
         int cancels = 0;
         for (int i = 0; i < 30; i++) {
-            cancels += Node.those(Cancel.class, node.after(25 * MS)).size();
+            cancels += Node.those(CancelAttempt.class, node.after(25 * MS)).size();
         }
         assertEquals(0, cancels);
     }
@@ -664,26 +705,28 @@
     void whatIsOutAtASilentServerIsTriedElsewhere() {
         Node node = warm(new TestSettings(), 3, 60, 50 * MS);
         long silent = 2;
-        List<Send> stuck = new ArrayList<>();
-        for (Send s : burst(node, "q", 6)) {
+        List<SendAttempt> stuck = new ArrayList<>();
+        for (SendAttempt s : burst(node, "q", 6)) {
             if (s.server() == silent) {
                 stuck.add(s);
             } else {
-                node.ended(s.id(), 0, s.server(), Result.SERVED, 50 * MS);
+                node.ended(s.id(), 0, s.server(), AttemptResult.SERVED, 50 * MS);
             }
         }
         assertTrue(stuck.size() >= 2, "out at the silent server: " + stuck);
         Set<String> cancelled = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            Node.those(Cancel.class, node.after(25 * MS)).forEach(c -> cancelled.add(c.id()));
+            Node.those(CancelAttempt.class, node.after(25 * MS))
+                    .forEach(c -> cancelled.add(c.id()));
         }
         assertTrue(
-                cancelled.containsAll(stuck.stream().map(Send::id).toList()),
+                cancelled.containsAll(stuck.stream().map(SendAttempt::id).toList()),
                 "cancelled " + cancelled);
-        for (Send s : stuck) {
-            Send again =
+        for (SendAttempt s : stuck) {
+            SendAttempt again =
                     Node.only(
-                            Send.class, node.ended(s.id(), 0, silent, Result.CANCELLED, 500 * MS));
+                            SendAttempt.class,
+                            node.ended(s.id(), 0, silent, AttemptResult.CANCELLED, 500 * MS));
             assertNotEquals(silent, again.server());
         }
     }
@@ -696,20 +739,25 @@
             Node node = warm(settings, 4, 40, 50 * MS);
             int onFailing = 0;
             for (int i = 0; i < 400; i++) {
-                List<Action> actions = node.arrive("e" + i);
+                List<DecisionAction> actions = node.arrive("e" + i);
                 for (int attempt = 0; !actions.isEmpty(); ) {
-                    List<Send> sends = Node.those(Send.class, actions);
+                    List<SendAttempt> sends = Node.those(SendAttempt.class, actions);
                     if (sends.isEmpty()) {
-                        List<Probe> asked = Node.those(Probe.class, actions);
+                        List<SendProbe> asked = Node.those(SendProbe.class, actions);
                         actions =
                                 asked.isEmpty() ? List.of() : node.probed(asked.get(0).server(), 0);
                     } else if (sends.get(0).server() == 1) {
                         onFailing++;
                         node.now += 2 * MS;
-                        actions = node.ended("e" + i, attempt++, 1, Result.ERROR, 2 * MS);
+                        actions = node.ended("e" + i, attempt++, 1, AttemptResult.ERROR, 2 * MS);
                     } else {
                         node.now += 50 * MS;
-                        node.ended("e" + i, attempt, sends.get(0).server(), Result.SERVED, 50 * MS);
+                        node.ended(
+                                "e" + i,
+                                attempt,
+                                sends.get(0).server(),
+                                AttemptResult.SERVED,
+                                50 * MS);
                         actions = List.of();
                     }
                 }
@@ -726,10 +774,10 @@
     void aServerReportedBusyIsSkippedAndAnIdleOneTaken() {
         Node node = warm(probing(), 3, 30, 50 * MS);
         node.now += 1_000 * MS;
-        Probe first = Node.only(Probe.class, node.arrive("q"));
-        Probe second = Node.only(Probe.class, node.probed(first.server(), 2));
+        SendProbe first = Node.only(SendProbe.class, node.arrive("q"));
+        SendProbe second = Node.only(SendProbe.class, node.probed(first.server(), 2));
         assertNotEquals(first.server(), second.server());
-        Send send = Node.only(Send.class, node.probed(second.server(), 0));
+        SendAttempt send = Node.only(SendAttempt.class, node.probed(second.server(), 0));
         assertEquals(second.server(), send.server());
     }
 
@@ -737,22 +785,25 @@
     void aServerThatDoesNotAnswerAProbeIsPassedOver() {
         Node node = warm(probing(), 3, 30, 50 * MS);
         node.now += 1_000 * MS;
-        Probe first = Node.only(Probe.class, node.arrive("q"));
-        Probe second = Node.only(Probe.class, node.after(20 * MS));
+        SendProbe first = Node.only(SendProbe.class, node.arrive("q"));
+        SendProbe second = Node.only(SendProbe.class, node.after(20 * MS));
         assertNotEquals(first.server(), second.server());
-        node.on(new ProbeEnded(first.server(), Result.CONNECT_FAILED, 20 * MS, LoadReport.NONE));
+        node.on(
+                new ProbeEnded(
+                        first.server(), AttemptResult.CONNECT_FAILED, 20 * MS, LoadReport.NONE));
         assertEquals(
-                second.server(), Node.only(Send.class, node.probed(second.server(), 0)).server());
+                second.server(),
+                Node.only(SendAttempt.class, node.probed(second.server(), 0)).server());
     }
 
     @Test
     void oneProbeThatFailedBarsNoServerAndTwoDo() {
         Node node = warm(probing(), 1, 30, 50 * MS);
         node.now += 1_000 * MS;
-        long server = Node.only(Probe.class, node.arrive("q")).server();
-        ProbeEnded failed = new ProbeEnded(server, Result.ERROR, MS, LoadReport.NONE);
-        assertEquals(server, Node.only(Probe.class, node.on(failed)).server());
-        assertEquals(List.of(), Node.those(Probe.class, node.on(failed)));
+        long server = Node.only(SendProbe.class, node.arrive("q")).server();
+        ProbeEnded failed = new ProbeEnded(server, AttemptResult.ERROR, MS, LoadReport.NONE);
+        assertEquals(server, Node.only(SendProbe.class, node.on(failed)).server());
+        assertEquals(List.of(), Node.those(SendProbe.class, node.on(failed)));
     }
 
     @Test
@@ -762,13 +813,13 @@
             probedServe(node, "slow" + i, 700 * MS);
         }
         node.now += 1_000 * MS;
-        List<Action> actions = node.arrive("q");
+        List<DecisionAction> actions = node.arrive("q");
         for (int i = 0; i < 2; i++) {
-            actions = node.probed(Node.only(Probe.class, actions).server(), 1);
+            actions = node.probed(Node.only(SendProbe.class, actions).server(), 1);
         }
         assertEquals(
                 0,
-                Node.those(Send.class, actions).size(),
+                Node.those(SendAttempt.class, actions).size(),
                 "700 ms behind 700 ms do not fit in 1 s");
     }
 
@@ -778,37 +829,48 @@
     @Test
     void anUnsafeRequestThatMayHaveRunFailsAndOneThatNeverRanIsSentAgain() {
         TestSettings settings = new TestSettings();
-        settings.classes = List.of(TestSettings.type(Repeat.UNSAFE, Group.ALL));
+        settings.classes =
+                List.of(TestSettings.type(Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
         Node node = warm(settings, 3, 10, 50 * MS);
-        Send first = Node.only(Send.class, node.arrive("a"));
-        Send again = Node.only(Send.class, node.ended("a", 0, first.server(), Result.REJECTED, MS));
+        SendAttempt first = Node.only(SendAttempt.class, node.arrive("a"));
+        SendAttempt again =
+                Node.only(
+                        SendAttempt.class,
+                        node.ended("a", 0, first.server(), AttemptResult.REJECTED, MS));
         assertNotEquals(first.server(), again.server());
         assertEquals(
                 1,
-                Node.those(Fail.class, node.ended("a", 1, again.server(), Result.RESET, MS))
+                Node.those(
+                                FailRequest.class,
+                                node.ended("a", 1, again.server(), AttemptResult.RESET, MS))
                         .size());
     }
 
     @Test
     void aKeyedRequestStaysInItsZoneAndItsWindow() {
         TestSettings settings = new TestSettings();
-        settings.classes = List.of(TestSettings.type(Repeat.KEYED, Group.ZONE));
+        settings.classes = List.of(TestSettings.type(Idempotency.KEYED, DeduplicationScope.ZONE));
         Node node = warm(settings, 4, 10, 50 * MS);
-        Send first = Node.only(Send.class, node.arrive("a"));
-        Send again = Node.only(Send.class, node.ended("a", 0, first.server(), Result.ERROR, MS));
+        SendAttempt first = Node.only(SendAttempt.class, node.arrive("a"));
+        SendAttempt again =
+                Node.only(
+                        SendAttempt.class,
+                        node.ended("a", 0, first.server(), AttemptResult.ERROR, MS));
         assertEquals(first.server() % 2, again.server() % 2);
         node.now += 800 * MS;
         assertEquals(
                 1,
-                Node.those(Fail.class, node.ended("a", 1, again.server(), Result.ERROR, MS))
+                Node.those(
+                                FailRequest.class,
+                                node.ended("a", 1, again.server(), AttemptResult.ERROR, MS))
                         .size());
     }
 
     @Test
     void nothingGoesToAServerThatDrainsOrIsGone() {
         Node node = warm(new TestSettings(), 3, 10, 50 * MS);
-        node.change(1, ServerState.DRAINING, 0);
-        node.change(2, ServerState.GONE, 0);
+        node.change(1, EndpointState.DRAINING, 0);
+        node.change(2, EndpointState.REMOVED, 0);
         for (int i = 0; i < 10; i++) {
             assertEquals(3, node.serve("q" + i, 10 * MS));
         }
@@ -819,7 +881,7 @@
         TestSettings settings = probing();
         settings.nodes = 3;
         Node node = warm(settings, 2, 40, 100 * MS);
-        node.change(1, ServerState.UP, node.now);
+        node.change(1, EndpointState.UP, node.now);
         int sent = 0;
         long end = node.now + 1_000 * MS;
         for (int i = 0; node.now < end; i++) {
@@ -835,7 +897,7 @@
         for (int quick = 0; quick < 2; quick++) {
             Node node = warm(probing(), 2, 60, 100 * MS);
             node.now += 2_000 * MS;
-            node.change(1, ServerState.UP, node.now);
+            node.change(1, EndpointState.UP, node.now);
             // By age alone the server can do a fifth to two fifths of a warm one's work.
             node.now += 3_000 * MS;
             for (int i = 0; i < 40; i++) {
@@ -851,22 +913,22 @@
      * Serves a request with the other server busy and little time left; returns the server, or 0.
      */
     private static long coldServe(Node node, String id, long elapsed) {
-        List<Action> actions = node.arrive(id, 0, node.now + 1_500 * MS, true);
-        while (Node.those(Send.class, actions).isEmpty()) {
-            List<Probe> probes = Node.those(Probe.class, actions);
+        List<DecisionAction> actions = node.arrive(id, 0, node.now + 1_500 * MS, true);
+        while (Node.those(SendAttempt.class, actions).isEmpty()) {
+            List<SendProbe> probes = Node.those(SendProbe.class, actions);
             if (probes.isEmpty()) {
                 return 0;
             }
             actions = node.probed(probes.get(0).server(), probes.get(0).server() == 2 ? 3 : 0);
         }
-        Send send = Node.only(Send.class, actions);
+        SendAttempt send = Node.only(SendAttempt.class, actions);
         node.now += elapsed;
         node.on(
                 new AttemptEnded(
                         id,
                         0,
                         send.server(),
-                        Result.SERVED,
+                        AttemptResult.SERVED,
                         elapsed,
                         true,
                         new LoadReport(1, 0, 0.5, Double.NaN, Double.NaN)));
@@ -876,11 +938,14 @@
     @Test
     void nothingIsSentAfterTheClientHasGone() {
         Node node = warm(new TestSettings(), 3, 10, 50 * MS);
-        Send send = Node.only(Send.class, node.arrive("a"));
-        node.on(new ClientGone("a"));
-        List<Action> later = node.ended("a", 0, send.server(), Result.RESET, 50 * MS);
+        SendAttempt send = Node.only(SendAttempt.class, node.arrive("a"));
+        node.on(new ClientDisconnected("a"));
+        List<DecisionAction> later =
+                node.ended("a", 0, send.server(), AttemptResult.RESET, 50 * MS);
         assertEquals(
-                0, Node.those(Send.class, later).size() + Node.those(Refuse.class, later).size());
+                0,
+                Node.those(SendAttempt.class, later).size()
+                        + Node.those(RejectRequest.class, later).size());
     }
 
     @Test
@@ -888,11 +953,13 @@
         TestSettings settings = new TestSettings();
         settings.maxAttempts = 2;
         Node node = warm(settings, 4, 10, 50 * MS);
-        Send first = Node.only(Send.class, node.arrive("a"));
-        Send second =
-                Node.only(Send.class, node.ended("a", 0, first.server(), Result.REJECTED, MS));
-        List<Action> last = node.ended("a", 1, second.server(), Result.REJECTED, MS);
-        assertEquals(1, Node.those(Refuse.class, last).size());
+        SendAttempt first = Node.only(SendAttempt.class, node.arrive("a"));
+        SendAttempt second =
+                Node.only(
+                        SendAttempt.class,
+                        node.ended("a", 0, first.server(), AttemptResult.REJECTED, MS));
+        List<DecisionAction> last = node.ended("a", 1, second.server(), AttemptResult.REJECTED, MS);
+        assertEquals(1, Node.those(RejectRequest.class, last).size());
     }
 
     @Test
@@ -901,8 +968,8 @@
         node.servers(0);
         node.now += 7 * MS;
         long giveUpAt = node.now + 601 * MS;
-        List<Action> actions = node.arrive("a", 0, giveUpAt, false);
-        while (Node.those(Refuse.class, actions).isEmpty()) {
+        List<DecisionAction> actions = node.arrive("a", 0, giveUpAt, false);
+        while (Node.those(RejectRequest.class, actions).isEmpty()) {
             List<SetTimer> timers = Node.those(SetTimer.class, node.all);
             actions = node.after(timers.get(timers.size() - 1).delay());
         }
@@ -917,7 +984,7 @@
     @Test
     void aFailedListCallIsRepeatedAfterAGrowingWait() {
         TestSettings settings = new TestSettings();
-        settings.discovery = Discovery.ON_REQUEST;
+        settings.discovery = DiscoveryMode.POLL;
         Node node = new Node(settings.build());
         node.servers(1);
         List<Long> waits = new ArrayList<>();
@@ -925,10 +992,10 @@
             long from = node.now;
             boolean asked = false;
             while (!asked) {
-                asked = !Node.those(Subscribe.class, node.after(10 * MS)).isEmpty();
+                asked = !Node.those(WatchEndpoints.class, node.after(10 * MS)).isEmpty();
             }
             waits.add(node.now - from);
-            node.on(new ListFailed());
+            node.on(new DiscoveryFailed());
         }
         assertTrue(waits.get(0) <= 210 * MS, "first asked after " + waits);
         assertTrue(waits.get(1) >= 250 * MS && waits.get(3) > waits.get(1), "waits " + waits);
@@ -940,6 +1007,6 @@
         node.servers(0);
         node.arrive("a");
         node.after(999 * MS);
-        assertEquals(1, Node.those(Refuse.class, node.all).size());
+        assertEquals(1, Node.those(RejectRequest.class, node.all).size());
     }
 }
--- a/src/test/java/ottergauge/HearsayTest.java
+++ b/src/test/java/ottergauge/decision/HearsayTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,12 +13,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.ClientGone;
-import ottergauge.DecisionApi.Probe;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.Standing;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.EndpointStatus;
 
 /** Loads that come with answers, where probes cost more than they are worth. */
 class HearsayTest {
@@ -31,12 +31,12 @@
     private static Node told(int... left) {
         Node node = new Node(TestSettings.hearing(2).build());
         node.servers(left.length);
-        List<Send> sends = new ArrayList<>();
+        List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < left.length; i++) {
-            sends.add(Node.only(Send.class, node.arrive("t" + i)));
+            sends.add(Node.only(SendAttempt.class, node.arrive("t" + i)));
         }
         node.now += SERVICE;
-        for (Send send : sends) {
+        for (SendAttempt send : sends) {
             node.answered(send.id(), send.server(), SERVICE, left[(int) send.server() - 1]);
         }
         return node;
@@ -51,16 +51,16 @@
         for (int idle = 0; idle < 4; idle++) {
             int[] left = {2, 2, 2, 2};
             left[idle] = 0;
-            assertEquals(idle + 1, Node.only(Send.class, told(left).arrive("a")).server());
+            assertEquals(idle + 1, Node.only(SendAttempt.class, told(left).arrive("a")).server());
         }
     }
 
     @Test
     void itsOwnAttemptCountsAgainstTheServer() {
         Node node = told(0, 0, 2, 2);
-        long first = Node.only(Send.class, node.arrive("a")).server();
+        long first = Node.only(SendAttempt.class, node.arrive("a")).server();
         assertTrue(first <= 2, "sent to " + first);
-        assertEquals(3 - first, Node.only(Send.class, node.arrive("b")).server());
+        assertEquals(3 - first, Node.only(SendAttempt.class, node.arrive("b")).server());
     }
 
     /**
@@ -72,7 +72,7 @@
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 8; i++) {
             node.now += 200 * SERVICE;
-            Send send = Node.only(Send.class, node.arrive("a" + i));
+            SendAttempt send = Node.only(SendAttempt.class, node.arrive("a" + i));
             used.add(send.server());
             node.now += SERVICE;
             node.answered("a" + i, send.server(), SERVICE, 0);
@@ -88,11 +88,12 @@
     void serversThatReportRoomNeedNoRest() {
         Node node = new Node(TestSettings.hearing(14).build());
         node.servers(4);
-        node.answered("first", Node.only(Send.class, node.arrive("first")).server(), SERVICE, 0);
+        node.answered(
+                "first", Node.only(SendAttempt.class, node.arrive("first")).server(), SERVICE, 0);
         for (int round = 0; round < 10; round++) {
-            List<Send> sends = new ArrayList<>();
+            List<SendAttempt> sends = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                sends.addAll(Node.those(Send.class, node.arrive(round + "-" + i)));
+                sends.addAll(Node.those(SendAttempt.class, node.arrive(round + "-" + i)));
             }
             assertEquals(4, sends.size(), "round " + round);
             node.now += SERVICE;
@@ -109,7 +110,7 @@
         Node node = told(9, 9, 9, 9);
         int sent = 0;
         for (int i = 0; i < 6; i++) {
-            sent += Node.those(Send.class, node.arrive("a" + i)).size();
+            sent += Node.those(SendAttempt.class, node.arrive("a" + i)).size();
         }
         assertEquals(1, sent);
     }
@@ -121,7 +122,7 @@
             node.arrive("a" + i);
             node.after(10 * MS);
         }
-        assertTrue(Node.those(Probe.class, node.all).isEmpty());
+        assertTrue(Node.those(SendProbe.class, node.all).isEmpty());
     }
 
     /**
@@ -133,8 +134,8 @@
     void oneErrorKeepsAServerOutForItsTurn() {
         Node node = told(0, 0, 0, 0);
         serveFor(node, 12_000 * MS, 500 * MS);
-        long failing = Node.only(Send.class, node.arrive("bad")).server();
-        node.on(new AttemptEnded("bad", 0, failing, Result.ERROR, MS, true, Node.IDLE));
+        long failing = Node.only(SendAttempt.class, node.arrive("bad")).server();
+        node.on(new AttemptEnded("bad", 0, failing, AttemptResult.ERROR, MS, true, Node.IDLE));
         List<Long> used = serveFor(node, 900 * MS, 30 * MS);
         assertFalse(used.contains(failing), "used " + used);
         assertTrue(serveFor(node, 10_000 * MS, 100 * MS).contains(failing), "and is used again");
@@ -151,22 +152,28 @@
         Node node = told(0, 0, 0, 0);
         // Ten requests a second, in the first window or for two: the clients of nearly all leave.
         for (int i = 0; i < requests; i++) {
-            Send send = Node.only(Send.class, node.arrive("g" + i));
+            SendAttempt send = Node.only(SendAttempt.class, node.arrive("g" + i));
             if (i % 20 == 19) {
                 node.answered("g" + i, send.server(), SERVICE, 0);
             } else {
-                node.on(new ClientGone("g" + i));
-                node.ended("g" + i, 0, send.server(), Result.CANCELLED, MS);
+                node.on(new ClientDisconnected("g" + i));
+                node.ended("g" + i, 0, send.server(), AttemptResult.CANCELLED, MS);
             }
             node.now += 100 * MS;
         }
-        Send last = Node.only(Send.class, node.arrive("last"));
+        SendAttempt last = Node.only(SendAttempt.class, node.arrive("last"));
         node.on(
                 new AttemptEnded(
-                        "last", 0, last.server(), Result.CONNECT_FAILED, MS, true, Node.IDLE));
+                        "last",
+                        0,
+                        last.server(),
+                        AttemptResult.CONNECT_FAILED,
+                        MS,
+                        true,
+                        Node.IDLE));
         long barred = node.now;
         // A server's turn comes each 0.4 s: a bar is 1.5 times that at the most.
-        while (node.decide.standing(node.now, last.server()) == Standing.BARRED) {
+        while (node.decide.endpointStatus(node.now, last.server()) == EndpointStatus.EJECTED) {
             node.now += 10 * MS;
         }
         assertTrue(node.now - barred <= 650 * MS, "barred for " + (node.now - barred) / MS + " ms");
@@ -175,17 +182,17 @@
     @Test
     void theEmptyQueueOfAServerThatFailsIsNotBelieved() {
         Node node = told(2, 2, 2, 2);
-        Send bad = Node.only(Send.class, node.arrive("bad"));
-        node.on(new AttemptEnded("bad", 0, bad.server(), Result.ERROR, MS, true, Node.IDLE));
+        SendAttempt bad = Node.only(SendAttempt.class, node.arrive("bad"));
+        node.on(new AttemptEnded("bad", 0, bad.server(), AttemptResult.ERROR, MS, true, Node.IDLE));
         node.now += 4_000 * MS / 10;
-        assertNotEquals(bad.server(), Node.only(Send.class, node.arrive("next")).server());
+        assertNotEquals(bad.server(), Node.only(SendAttempt.class, node.arrive("next")).server());
     }
 
     private static List<Long> serveFor(Node node, long span, long gap) {
         List<Long> used = new ArrayList<>();
         for (long end = node.now + span; node.now < end; node.now += gap) {
             String id = "s" + node.now;
-            Send send = Node.only(Send.class, node.arrive(id));
+            SendAttempt send = Node.only(SendAttempt.class, node.arrive(id));
             used.add(send.server());
             node.now += MS;
             node.answered(id, send.server(), SERVICE, 0);
--- a/src/test/java/ottergauge/History.java
+++ b/src/test/java/ottergauge/decision/History.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,32 +8,33 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.Cancel;
-import ottergauge.DecisionApi.ClientGone;
-import ottergauge.DecisionApi.Event;
-import ottergauge.DecisionApi.Fail;
-import ottergauge.DecisionApi.Group;
-import ottergauge.DecisionApi.ListFailed;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.ListedServer;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Probe;
-import ottergauge.DecisionApi.ProbeEnded;
-import ottergauge.DecisionApi.Refuse;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.RequestArrived;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.DecisionApi.SetTimer;
-import ottergauge.DecisionApi.Settings;
-import ottergauge.DecisionApi.SettingsChanged;
-import ottergauge.DecisionApi.Subscribe;
-import ottergauge.DecisionApi.TimerFired;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.CancelAttempt;
+import ottergauge.decision.api.DecisionAction.FailRequest;
+import ottergauge.decision.api.DecisionAction.RejectRequest;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionAction.SetTimer;
+import ottergauge.decision.api.DecisionAction.WatchEndpoints;
+import ottergauge.decision.api.DecisionEvent;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.DecisionEvent.DiscoveryFailed;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.DecisionEvent.RequestArrived;
+import ottergauge.decision.api.DecisionEvent.SettingsChanged;
+import ottergauge.decision.api.DecisionEvent.TimerFired;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.DiscoveryMode;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.LoadReport;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.UpdateScope;
 
 /**
  * A random but legal history of events for one module, which checks the four rules at every action.
@@ -41,16 +42,17 @@
 final class History {
     private static final int SERVERS = 8;
     private static final long SERVICE = 100_000;
-    private static final ServerList NO_CHANGE = new ServerList(ListScope.CHANGES, List.of());
+    private static final EndpointUpdate NO_CHANGE =
+            new EndpointUpdate(UpdateScope.INCREMENTAL, List.of());
 
-    private record Planned(long at, long number, Event event, Attempt attempt) {}
+    private record Planned(long at, long number, DecisionEvent event, Attempt attempt) {}
 
     private static final class Attempt {
         final Request request;
         final int number;
         final long server;
         final long sentAt;
-        Result ended;
+        AttemptResult ended;
 
         Attempt(Request request, int number, long server, long sentAt) {
             this.request = request;
@@ -66,16 +68,16 @@
 
     private static final class Request {
         /** The settings that it was taken with; they hold for it to its end. */
-        final Settings taken;
+        final DecisionSettings taken;
 
         final RequestClass type;
         final long giveUpAt;
         final List<Attempt> attempts = new ArrayList<>();
         boolean over;
 
-        Request(Settings taken, RequestArrived event) {
+        Request(DecisionSettings taken, RequestArrived event) {
             this.taken = taken;
-            type = taken.classes().get(event.requestClass());
+            type = taken.requestClasses().get(event.requestClass());
             giveUpAt = event.giveUpAt();
         }
     }
@@ -89,8 +91,8 @@
     /** The longest time from one arrival to the next. */
     int mostGap = 60_000;
 
-    private Settings settings;
-    private final List<Settings> others;
+    private DecisionSettings settings;
+    private final List<DecisionSettings> others;
     private final SplittableRandom random;
     private final PriorityQueue<Planned> plan =
             new PriorityQueue<>(
@@ -111,7 +113,7 @@
      * At random instants one of the other settings comes in force, alone or with a change of the
      * list.
      */
-    History(TestSettings with, long seed, List<Settings> others) {
+    History(TestSettings with, long seed, List<DecisionSettings> others) {
         settings = with.build();
         this.others = others;
         random = new SplittableRandom(seed);
@@ -123,30 +125,31 @@
         long at = node.now;
         for (int i = 0; i < arrivals; i++) {
             at += random.nextLong(mostGap);
-            int type = random.nextInt(settings.classes().size());
+            int type = random.nextInt(settings.requestClasses().size());
             long left =
-                    settings.classes().get(type).deadline() * (random.nextInt(4) == 0 ? 1 : 2) / 2;
+                    settings.requestClasses().get(type).deadline()
+                            * (random.nextInt(4) == 0 ? 1 : 2)
+                            / 2;
             plan(
                     at,
                     new RequestArrived(
                             "q" + i, type, at + left, random.nextInt(10) == 0, random.nextInt(5)),
                     null);
             if (random.nextInt(20) == 0) {
-                plan(at + random.nextLong(left), new ClientGone("q" + i), null);
+                plan(at + random.nextLong(left), new ClientDisconnected("q" + i), null);
             }
             if (random.nextInt(60) == 0) {
                 plan(at, change(at), null);
             }
             if (!others.isEmpty() && random.nextInt(40) == 0) {
-                Settings other = others.get(random.nextInt(others.size()));
+                DecisionSettings other = others.get(random.nextInt(others.size()));
                 plan(
                         at,
                         new SettingsChanged(other, random.nextBoolean() ? change(at) : NO_CHANGE),
                         null);
             }
-            if (settings.discovery() == DecisionApi.Discovery.ON_REQUEST
-                    && random.nextInt(300) == 0) {
-                plan(at, new ListFailed(), null);
+            if (settings.discoveryMode() == DiscoveryMode.POLL && random.nextInt(300) == 0) {
+                plan(at, new DiscoveryFailed(), null);
             }
         }
         while (!plan.isEmpty()) {
@@ -155,26 +158,27 @@
         requests.forEach((id, q) -> check(q.over, id + " got no final answer"));
     }
 
-    private ServerList change(long at) {
+    private EndpointUpdate change(long at) {
         long id = 1 + random.nextLong(nextServer - 1);
-        ServerState state =
+        EndpointState state =
                 switch (random.nextInt(6)) {
-                    case 0 -> ServerState.DRAINING;
-                    case 1 -> ServerState.GONE;
-                    default -> ServerState.UP;
+                    case 0 -> EndpointState.DRAINING;
+                    case 1 -> EndpointState.REMOVED;
+                    default -> EndpointState.UP;
                 };
         if (random.nextInt(3) == 0) {
             id = nextServer++;
-            state = ServerState.UP;
+            state = EndpointState.UP;
         }
         long started =
-                state == ServerState.UP && random.nextBoolean()
+                state == EndpointState.UP && random.nextBoolean()
                         ? at - random.nextLong(3_000_000)
                         : 0;
-        return new ServerList(ListScope.CHANGES, List.of(Node.server(id, state, started)));
+        return new EndpointUpdate(
+                UpdateScope.INCREMENTAL, List.of(Node.server(id, state, started)));
     }
 
-    private void plan(long at, Event event, Attempt attempt) {
+    private void plan(long at, DecisionEvent event, Attempt attempt) {
         plan.add(new Planned(at, planned++, event, attempt));
     }
 
@@ -183,16 +187,18 @@
         requests.forEach(
                 (id, q) ->
                         check(
-                                q.over || node.now <= q.giveUpAt + q.taken.rules().answerSlack(),
+                                q.over
+                                        || node.now
+                                                <= q.giveUpAt + q.taken.rules().responseTolerance(),
                                 id + " is overdue"));
-        Event event = next.event;
+        DecisionEvent event = next.event;
         if (event instanceof AttemptEnded e) {
             if (next.attempt.ended != null) {
                 return;
             }
             next.attempt.ended = e.result();
             Request q = next.attempt.request;
-            boolean over = q.over || e.result() == Result.SERVED;
+            boolean over = q.over || e.result() == AttemptResult.SERVED;
             q.over = over;
             event =
                     new AttemptEnded(
@@ -202,8 +208,8 @@
                             e.result(),
                             node.now - next.attempt.sentAt,
                             over,
-                            e.report());
-        } else if (event instanceof ClientGone e && requests.containsKey(e.id())) {
+                            e.loadReport());
+        } else if (event instanceof ClientDisconnected e && requests.containsKey(e.id())) {
             requests.get(e.id()).over = true;
         } else if (event instanceof RequestArrived e) {
             // Planned by the number of a class of the first settings: it is one of those that are
@@ -211,24 +217,24 @@
             RequestArrived arrives =
                     new RequestArrived(
                             e.id(),
-                            e.requestClass() % settings.classes().size(),
+                            e.requestClass() % settings.requestClasses().size(),
                             e.giveUpAt(),
-                            e.clientRepeat(),
-                            e.key());
+                            e.clientRetry(),
+                            e.affinityKey());
             requests.put(e.id(), new Request(settings, arrives));
             event = arrives;
-        } else if (event instanceof ServerList e) {
-            e.servers().forEach(this::told);
+        } else if (event instanceof EndpointUpdate e) {
+            e.endpoints().forEach(this::told);
         } else if (event instanceof SettingsChanged e) {
             settings = e.settings();
             settingsChanges++;
-            e.servers().servers().forEach(this::told);
+            e.endpoints().endpoints().forEach(this::told);
         }
         take(node.on(event));
     }
 
-    private void told(ListedServer s) {
-        if (s.state() == ServerState.UP) {
+    private void told(Endpoint s) {
+        if (s.state() == EndpointState.UP) {
             toldToStop.remove(s.id());
         } else {
             toldToStop.putIfAbsent(s.id(), node.now);
@@ -239,28 +245,35 @@
         }
     }
 
-    private void take(List<Action> actions) {
-        for (Action action : actions) {
-            if (action instanceof Send a) {
+    private void take(List<DecisionAction> actions) {
+        for (DecisionAction action : actions) {
+            if (action instanceof SendAttempt a) {
                 sent(a);
-            } else if (action instanceof Refuse a) {
+            } else if (action instanceof RejectRequest a) {
                 Request q = requests.get(a.id());
                 check(mayRefuse(q), a.id() + " was refused though it may have run");
                 ended(a.id(), q);
-            } else if (action instanceof Fail a) {
+            } else if (action instanceof FailRequest a) {
                 ended(a.id(), requests.get(a.id()));
-            } else if (action instanceof Cancel a) {
+            } else if (action instanceof CancelAttempt a) {
                 check(
-                        requests.get(a.id()).taken.limits().cancel(),
+                        requests.get(a.id()).taken.limits().cancellationAllowed(),
                         a.id() + " may not be cancelled");
                 Attempt attempt = requests.get(a.id()).attempts.get(a.attempt());
                 plan(
                         node.now + random.nextLong(2_000),
-                        outcome(a.id(), attempt, Result.CANCELLED, node.now - attempt.sentAt),
+                        outcome(
+                                a.id(),
+                                attempt,
+                                AttemptResult.CANCELLED,
+                                node.now - attempt.sentAt),
                         attempt);
-            } else if (action instanceof Probe a) {
-                check(settings.limits().probes(), "probes are not allowed");
-                Result result = random.nextInt(10) == 0 ? Result.CONNECT_FAILED : Result.SERVED;
+            } else if (action instanceof SendProbe a) {
+                check(settings.limits().probesAllowed(), "probes are not allowed");
+                AttemptResult result =
+                        random.nextInt(10) == 0
+                                ? AttemptResult.CONNECT_FAILED
+                                : AttemptResult.SERVED;
                 long wait = random.nextInt(10) == 0 ? 40_000 : 500;
                 plan(node.now + wait, new ProbeEnded(a.server(), result, wait, report()), null);
             } else if (action instanceof SetTimer a) {
@@ -268,10 +281,8 @@
                 if (!requests.values().stream().allMatch(q -> q.over) || !plan.isEmpty()) {
                     plan(node.now + a.delay(), new TimerFired(a.token()), null);
                 }
-            } else if (action instanceof Subscribe) {
-                check(
-                        settings.discovery() == DecisionApi.Discovery.ON_REQUEST,
-                        "nobody is to be asked");
+            } else if (action instanceof WatchEndpoints) {
+                check(settings.discoveryMode() == DiscoveryMode.POLL, "nobody is to be asked");
             }
         }
     }
@@ -282,18 +293,21 @@
 
     private void ended(String id, Request q) {
         check(!q.over, id + " got a second final answer");
-        check(node.now <= q.giveUpAt + q.taken.rules().answerSlack(), id + " was answered late");
+        check(
+                node.now <= q.giveUpAt + q.taken.rules().responseTolerance(),
+                id + " was answered late");
         q.over = true;
         finals++;
     }
 
     private static boolean mayRefuse(Request q) {
-        return q.type.repeat() == Repeat.SAFE
+        return q.type.idempotency() == Idempotency.IDEMPOTENT
                 || q.attempts.stream().noneMatch(Attempt::mayHaveRun)
-                || (q.type.repeat() == Repeat.KEYED && q.type.group() == Group.ALL);
+                || (q.type.idempotency() == Idempotency.KEYED
+                        && q.type.deduplicationScope() == DeduplicationScope.FLEET);
     }
 
-    private void sent(Send send) {
+    private void sent(SendAttempt send) {
         Request q = requests.get(send.id());
         check(!q.over, send.id() + " was sent after its end");
         check(
@@ -306,19 +320,22 @@
             if (!earlier.mayHaveRun()) {
                 continue;
             }
-            check(q.type.repeat() != Repeat.UNSAFE, send.id() + " may have run and was sent again");
-            if (q.type.repeat() == Repeat.KEYED) {
+            check(
+                    q.type.idempotency() != Idempotency.NON_IDEMPOTENT,
+                    send.id() + " may have run and was sent again");
+            if (q.type.idempotency() == Idempotency.KEYED) {
                 check(
-                        q.type.group() == Group.ALL || earlier.server % 2 == send.server() % 2,
+                        q.type.deduplicationScope() == DeduplicationScope.FLEET
+                                || earlier.server % 2 == send.server() % 2,
                         send.id() + " was sent again outside its group");
                 check(
-                        node.now <= earlier.sentAt + q.type.window(),
+                        node.now <= earlier.sentAt + q.type.deduplicationWindow(),
                         send.id() + " was sent again past its window");
             }
         }
         Long told = toldToStop.get(send.server());
         check(
-                told == null || node.now <= told + settings.rules().drainGrace(),
+                told == null || node.now <= told + settings.rules().drainGracePeriod(),
                 "sent to a server that drains");
         cold(send);
         again += q.attempts.isEmpty() ? 0 : 1;
@@ -327,7 +344,7 @@
         q.attempts.add(attempt);
         long left = q.giveUpAt - node.now;
         long limit = send.timeout() == 0 ? left : Math.min(send.timeout(), left);
-        Result result = Result.SERVED;
+        AttemptResult result = AttemptResult.SERVED;
         // One after the other, as a server of one core does: what a cold one can do is reckoned
         // from that.
         // Served side by side all took as long as one, and the module's time for a request was too
@@ -336,21 +353,21 @@
         long wait = begins - node.now + SERVICE / 2 + random.nextLong(SERVICE);
         freeAt.put(send.server(), node.now + wait);
         switch (random.nextInt(40)) {
-            case 0 -> result = Result.ERROR;
-            case 1 -> result = Result.RESET;
-            case 2 -> result = Result.REJECTED;
-            case 3 -> result = Result.CONNECT_FAILED;
+            case 0 -> result = AttemptResult.ERROR;
+            case 1 -> result = AttemptResult.RESET;
+            case 2 -> result = AttemptResult.REJECTED;
+            case 3 -> result = AttemptResult.CONNECT_FAILED;
             case 4, 5 -> wait = Long.MAX_VALUE;
             default -> {}
         }
         if (wait >= limit) {
-            result = Result.TIMED_OUT;
+            result = AttemptResult.TIMED_OUT;
             wait = Math.max(0, limit);
         }
         plan(node.now + wait, outcome(send.id(), attempt, result, wait), attempt);
     }
 
-    private Event outcome(String id, Attempt attempt, Result result, long elapsed) {
+    private DecisionEvent outcome(String id, Attempt attempt, AttemptResult result, long elapsed) {
         return new AttemptEnded(
                 id, attempt.number, attempt.server, result, elapsed, false, report());
     }
@@ -359,25 +376,29 @@
      * Rule 4, as a budget for this node: its part of what tips a server over; one send is always
      * allowed.
      */
-    private void cold(Send send) {
+    private void cold(SendAttempt send) {
         long started = startedAt.getOrDefault(send.server(), 0L);
         long age = node.now - started;
-        if (started == 0 || age >= settings.rules().coldFor()) {
+        if (started == 0 || age >= settings.rules().slowStartDuration()) {
             return;
         }
         List<Long> sent = coldSends.get(send.server());
         sent.add(node.now);
         long inSpan =
-                sent.stream().filter(at -> at > node.now - settings.rules().fallAfter()).count();
+                sent.stream()
+                        .filter(at -> at > node.now - settings.rules().overloadWindow())
+                        .count();
         double warmth =
-                settings.rules().coldFrom()
-                        + (1 - settings.rules().coldFrom()) * age / settings.rules().coldFor();
+                settings.rules().initialCapacityRatio()
+                        + (1 - settings.rules().initialCapacityRatio())
+                                * age
+                                / settings.rules().slowStartDuration();
         double budget =
-                settings.rules().tipMultiple()
+                settings.rules().overloadMultiple()
                         * warmth
-                        * settings.rules().fallAfter()
+                        * settings.rules().overloadWindow()
                         / SERVICE
-                        / settings.nodes();
+                        / settings.nodeCount();
         check(inSpan <= Math.max(1, budget), "a cold server was sent " + inSpan + " of " + budget);
     }
 
--- a/src/test/java/ottergauge/HistoryTest.java
+++ b/src/test/java/ottergauge/decision/HistoryTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ottergauge.DecisionApi.Discovery;
-import ottergauge.DecisionApi.Group;
-import ottergauge.DecisionApi.Repeat;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.DiscoveryMode;
+import ottergauge.decision.api.Idempotency;
 
 /**
  * The four rules as invariants over seeded random histories; {@link History} checks every action.
@@ -21,11 +21,16 @@
         TestSettings settings = new TestSettings();
         settings.classes =
                 List.of(
-                        TestSettings.type("safe", Repeat.SAFE, Group.ALL, 1),
-                        TestSettings.type("keyed-all", Repeat.KEYED, Group.ALL, 2),
-                        TestSettings.type("keyed-zone", Repeat.KEYED, Group.ZONE, 3),
-                        TestSettings.type("keyed-cell", Repeat.KEYED, Group.CELL, 4),
-                        TestSettings.type("unsafe", Repeat.UNSAFE, Group.ALL, 5));
+                        TestSettings.type(
+                                "safe", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
+                        TestSettings.type(
+                                "keyed-all", Idempotency.KEYED, DeduplicationScope.FLEET, 2),
+                        TestSettings.type(
+                                "keyed-zone", Idempotency.KEYED, DeduplicationScope.ZONE, 3),
+                        TestSettings.type(
+                                "keyed-cell", Idempotency.KEYED, DeduplicationScope.CELL, 4),
+                        TestSettings.type(
+                                "unsafe", Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET, 5));
         settings.nodes = 3;
         return settings;
     }
@@ -49,7 +54,7 @@
         TestSettings settings = mixed();
         settings.probes = true;
         settings.repeatsMarked = false;
-        settings.discovery = Discovery.ON_REQUEST;
+        settings.discovery = DiscoveryMode.POLL;
         History history = new History(settings, seed);
         history.run(1500);
         assertTrue(history.sends > 500, "sends " + history.sends);
--- a/src/test/java/ottergauge/ListCostTest.java
+++ b/src/test/java/ottergauge/decision/ListCostTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -7,12 +7,12 @@
 import java.util.List;
 import java.util.function.ObjIntConsumer;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.ListedServer;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.UpdateScope;
 
 /**
  * What happens once costs by what happened and not by the list: the number of servers looked at, as
@@ -70,10 +70,10 @@
 
     @Test
     void oneChangeOfTheList() {
-        hardlyGrows((node, i) -> node.change(1 + 7 * i, ServerState.DRAINING, 0));
-        hardlyGrows((node, i) -> node.change(1 + 7 * i, ServerState.GONE, 0));
-        hardlyGrows((node, i) -> node.change(1 + 7 * i, ServerState.UP, node.now));
-        hardlyGrows((node, i) -> node.change(100_000 + i, ServerState.UP, node.now));
+        hardlyGrows((node, i) -> node.change(1 + 7 * i, EndpointState.DRAINING, 0));
+        hardlyGrows((node, i) -> node.change(1 + 7 * i, EndpointState.REMOVED, 0));
+        hardlyGrows((node, i) -> node.change(1 + 7 * i, EndpointState.UP, node.now));
+        hardlyGrows((node, i) -> node.change(100_000 + i, EndpointState.UP, node.now));
     }
 
     /** A lost zone: what it costs goes by how many are named, wherever the others are. */
@@ -81,25 +81,25 @@
     void aChangeOfManyServersAtOnce() {
         hardlyGrows(
                 (node, i) -> {
-                    List<ListedServer> lost = new ArrayList<>();
+                    List<Endpoint> lost = new ArrayList<>();
                     for (int k = 0; k < 5; k++) {
-                        lost.add(Node.server(1 + 5 * i + k, ServerState.GONE, 0));
+                        lost.add(Node.server(1 + 5 * i + k, EndpointState.REMOVED, 0));
                     }
-                    node.on(new ServerList(ListScope.CHANGES, lost));
+                    node.on(new EndpointUpdate(UpdateScope.INCREMENTAL, lost));
                 });
     }
 
     @Test
     void aRequestItsAnswerAndItsFailures() {
         hardlyGrows((node, i) -> node.serve("r" + i, MS));
-        hardlyGrows((node, i) -> fail(node, "r" + i, Result.ERROR));
-        hardlyGrows((node, i) -> fail(node, "r" + i, Result.REJECTED));
-        hardlyGrows((node, i) -> fail(node, "r" + i, Result.CONNECT_FAILED));
+        hardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.ERROR));
+        hardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.REJECTED));
+        hardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.CONNECT_FAILED));
     }
 
-    private static void fail(Node node, String id, Result result) {
+    private static void fail(Node node, String id, AttemptResult result) {
         node.now += 500 * MS;
-        for (Send send : Node.those(Send.class, node.arrive(id))) {
+        for (SendAttempt send : Node.those(SendAttempt.class, node.arrive(id))) {
             node.ended(id, 0, send.server(), result, MS);
         }
     }
--- a/src/test/java/ottergauge/OverloadTest.java
+++ b/src/test/java/ottergauge/decision/OverloadTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,12 +9,12 @@
 import java.util.Deque;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Probe;
-import ottergauge.DecisionApi.ProbeEnded;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.LoadReport;
 
 /**
  * What the limits of overload change in the module's decisions: each test fails with its guard
@@ -42,28 +42,32 @@
         Node node = blind(12);
         int requests = 400;
         int sends = 0;
-        Deque<Send> out = new ArrayDeque<>();
+        Deque<SendAttempt> out = new ArrayDeque<>();
         for (int i = 0; i < requests; i++) {
             // Long enough for every bar and pace to let a server be tried again.
             node.now += 400 * MS;
-            out.addAll(Node.those(Send.class, node.arrive("r" + i)));
+            out.addAll(Node.those(SendAttempt.class, node.arrive("r" + i)));
             while (!out.isEmpty()) {
-                Send send = out.poll();
+                SendAttempt send = out.poll();
                 sends++;
                 int attempt =
                         (int)
                                         node.all.stream()
                                                 .filter(
                                                         a ->
-                                                                a instanceof Send s
+                                                                a instanceof SendAttempt s
                                                                         && s.id().equals(send.id()))
                                                 .count()
                                 - 1;
                 out.addAll(
                         Node.those(
-                                Send.class,
+                                SendAttempt.class,
                                 node.ended(
-                                        send.id(), attempt, send.server(), Result.REJECTED, MS)));
+                                        send.id(),
+                                        attempt,
+                                        send.server(),
+                                        AttemptResult.REJECTED,
+                                        MS)));
             }
         }
         assertTrue(sends <= 1.1 * requests + 11, sends + " attempts for " + requests + " requests");
@@ -76,23 +80,27 @@
     @Test
     void aServerThatTurnsAwayIsOfferedLessAtOnceAndMoreSlowly() {
         Node node = blind(1);
-        List<Send> sends = new ArrayList<>();
+        List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            sends.addAll(Node.those(Send.class, node.arrive("a" + i)));
+            sends.addAll(Node.those(SendAttempt.class, node.arrive("a" + i)));
         }
         assertEquals(8, sends.size());
-        node.ended("a7", 0, sends.get(7).server(), Result.REJECTED, MS);
+        node.ended("a7", 0, sends.get(7).server(), AttemptResult.REJECTED, MS);
         node.now += 28 * MS;
-        List<Action> more = new ArrayList<>();
+        List<DecisionAction> more = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
             more.addAll(node.arrive("b" + i));
         }
         assertEquals(
-                List.of(), Node.those(Send.class, more), "seven are out, and 0.7 of eight may be");
+                List.of(),
+                Node.those(SendAttempt.class, more),
+                "seven are out, and 0.7 of eight may be");
         for (int i = 0; i < 4; i++) {
-            more.addAll(node.ended("a" + i, 0, sends.get(i).server(), Result.SERVED, 28 * MS));
+            more.addAll(
+                    node.ended("a" + i, 0, sends.get(i).server(), AttemptResult.SERVED, 28 * MS));
         }
-        assertEquals(4, Node.those(Send.class, more).size(), "up to the limit and its steps");
+        assertEquals(
+                4, Node.those(SendAttempt.class, more).size(), "up to the limit and its steps");
     }
 
     /**
@@ -107,22 +115,24 @@
         node.servers(2);
         LoadReport old = new LoadReport(3, Double.NaN, 0.5, Double.NaN, 17.25);
         int probes = 0;
-        Deque<Send> out = new ArrayDeque<>();
-        Deque<Action> actions = new ArrayDeque<>();
+        Deque<SendAttempt> out = new ArrayDeque<>();
+        Deque<DecisionAction> actions = new ArrayDeque<>();
         for (int i = 0; i < 300; i++) {
             actions.addAll(node.arrive("r" + i));
             actions.addAll(node.after(20 * MS));
             // Each takes ten rounds.
             if (i >= 10 && !out.isEmpty()) {
-                Send send = out.poll();
-                actions.addAll(node.ended(send.id(), 0, send.server(), Result.SERVED, 200 * MS));
+                SendAttempt send = out.poll();
+                actions.addAll(
+                        node.ended(send.id(), 0, send.server(), AttemptResult.SERVED, 200 * MS));
             }
             while (!actions.isEmpty()) {
-                Action action = actions.poll();
-                if (action instanceof Probe probe) {
+                DecisionAction action = actions.poll();
+                if (action instanceof SendProbe probe) {
                     probes += i >= 280 ? 1 : 0;
-                    actions.addAll(node.on(new ProbeEnded(probe.server(), Result.SERVED, MS, old)));
-                } else if (action instanceof Send send) {
+                    actions.addAll(
+                            node.on(new ProbeEnded(probe.server(), AttemptResult.SERVED, MS, old)));
+                } else if (action instanceof SendAttempt send) {
                     out.add(send);
                 }
             }
--- a/src/test/java/ottergauge/RoomTest.java
+++ b/src/test/java/ottergauge/decision/RoomTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,10 +11,10 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.LoadReport;
 
 /**
  * Servers whose requests mostly wait on others, and that answer with their rate and their busy
@@ -33,26 +33,27 @@
         return new LoadReport(held, Double.NaN, busy, latency, perSecond);
     }
 
-    private static List<Send> burst(Node node, String prefix, int requests) {
-        List<Send> sends = new ArrayList<>();
+    private static List<SendAttempt> burst(Node node, String prefix, int requests) {
+        List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
-            sends.addAll(Node.those(Send.class, node.arrive(prefix + i)));
+            sends.addAll(Node.those(SendAttempt.class, node.arrive(prefix + i)));
         }
         return sends;
     }
 
-    private static List<Send> answered(Node node, List<Send> sends, LoadReport report) {
-        List<Send> next = new ArrayList<>();
-        for (Send send : sends) {
+    private static List<SendAttempt> answered(
+            Node node, List<SendAttempt> sends, LoadReport report) {
+        List<SendAttempt> next = new ArrayList<>();
+        for (SendAttempt send : sends) {
             next.addAll(
                     Node.those(
-                            Send.class,
+                            SendAttempt.class,
                             node.on(
                                     new AttemptEnded(
                                             send.id(),
                                             0,
                                             send.server(),
-                                            Result.SERVED,
+                                            AttemptResult.SERVED,
                                             SERVICE,
                                             true,
                                             report))));
@@ -64,7 +65,7 @@
     private static Node told(int nodes, int servers, double held) {
         Node node = new Node(TestSettings.hearing(nodes).build());
         node.servers(servers);
-        List<Send> sends = burst(node, "t", 3 * servers);
+        List<SendAttempt> sends = burst(node, "t", 3 * servers);
         node.now += SERVICE;
         answered(node, sends, report(held, 40, 0.5, WORK));
         return node;
@@ -89,7 +90,7 @@
     @Test
     void aServerThatBecomesSlowHoldsLess() {
         Node node = told(1, 1, 20);
-        List<Send> sends = burst(node, "q", 8);
+        List<SendAttempt> sends = burst(node, "q", 8);
         node.now += SERVICE;
         answered(node, sends, report(20, 27, 1, 3 * WORK));
         assertTrue(burst(node, "r", 5).size() <= 1, "and one to hear of it");
@@ -104,9 +105,9 @@
         node.servers(2);
         Map<Long, Integer> turns = new HashMap<>();
         for (int i = 0; i < 300; i++) {
-            List<Send> sends = burst(node, "q" + i + "-", 1);
+            List<SendAttempt> sends = burst(node, "q" + i + "-", 1);
             node.now += 50 * MS;
-            for (Send send : sends) {
+            for (SendAttempt send : sends) {
                 answered(
                         node,
                         sends,
@@ -129,7 +130,7 @@
         Node node = told(1, 2, 5);
         // One each: two that are out for long would show that it is silent, which is another
         // guard's.
-        List<Send> sends = burst(node, "q", 2);
+        List<SendAttempt> sends = burst(node, "q", 2);
         node.now += SERVICE;
         answered(
                 node,
@@ -145,7 +146,7 @@
                                                 send.id(),
                                                 0,
                                                 1,
-                                                Result.TIMED_OUT,
+                                                AttemptResult.TIMED_OUT,
                                                 2 * SERVICE,
                                                 true,
                                                 LoadReport.NONE)));
@@ -176,26 +177,26 @@
         Node node = told(1, 6, 60);
         Map<String, Integer> attempts = new HashMap<>();
         int sent = 0;
-        List<Send> sends = burst(node, "q", 5);
+        List<SendAttempt> sends = burst(node, "q", 5);
         for (long at = 0; at < 2 * SERVICE; at += 10 * MS) {
             sent += sends.size();
-            List<Send> next = new ArrayList<>();
-            for (Send send : sends) {
+            List<SendAttempt> next = new ArrayList<>();
+            for (SendAttempt send : sends) {
                 next.addAll(
                         Node.those(
-                                Send.class,
+                                SendAttempt.class,
                                 node.on(
                                         new AttemptEnded(
                                                 send.id(),
                                                 attempts.merge(send.id(), 1, Integer::sum) - 1,
                                                 send.server(),
-                                                Result.REJECTED,
+                                                AttemptResult.REJECTED,
                                                 MS,
                                                 false,
                                                 LoadReport.NONE))));
             }
             node.now += 10 * MS;
-            next.addAll(Node.those(Send.class, node.after(0)));
+            next.addAll(Node.those(SendAttempt.class, node.after(0)));
             sends = next;
         }
         assertTrue(sent <= 3, "sent " + sent + " to a fleet that is full");
@@ -210,7 +211,7 @@
         Node node = told(60, 30, 2);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 10; i++) {
-            List<Send> sends = burst(node, i + "-", 40);
+            List<SendAttempt> sends = burst(node, i + "-", 40);
             if (i >= 4) {
                 // By now a window has ended.
                 sends.forEach(send -> used.add(send.server()));
--- a/src/test/java/ottergauge/RotationTest.java
+++ b/src/test/java/ottergauge/decision/RotationTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -11,11 +11,11 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.Group;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.Idempotency;
 
 /** The design's mechanism by worked example. */
 class RotationTest {
@@ -27,10 +27,10 @@
         Map<Long, Integer> shares = new HashMap<>();
         for (int i = 0; i < requests; i++) {
             String id = "r" + on.now + "-" + i;
-            Send send = Node.only(Send.class, on.arrive(id));
+            SendAttempt send = Node.only(SendAttempt.class, on.arrive(id));
             long elapsed = send.server() == 1 ? fast : slow;
             on.now += elapsed;
-            on.ended(id, 0, send.server(), Result.SERVED, elapsed);
+            on.ended(id, 0, send.server(), AttemptResult.SERVED, elapsed);
             shares.merge(send.server(), 1, Integer::sum);
         }
         return shares;
@@ -59,7 +59,7 @@
         for (long seed = 0; seed < 20; seed++) {
             Node other = new Node(new TestSettings().build(), seed);
             other.servers(4);
-            first.add(Node.only(Send.class, other.arrive("r")).server());
+            first.add(Node.only(SendAttempt.class, other.arrive("r")).server());
         }
         assertTrue(first.size() > 2, "starts at " + first);
     }
@@ -89,7 +89,7 @@
         node.servers(2);
         shares(node, 60, 50 * MS, 50 * MS);
         node.after(5_000 * MS);
-        node.change(3, ServerState.UP, 0);
+        node.change(3, EndpointState.UP, 0);
         assertEquals(Map.of(1L, 10, 2L, 10, 3L, 10), shares(node, 30, 50 * MS, 50 * MS));
     }
 
@@ -98,8 +98,9 @@
         TestSettings settings = new TestSettings();
         settings.classes =
                 List.of(
-                        TestSettings.type("a", Repeat.SAFE, Group.ALL, 1),
-                        TestSettings.type("b", Repeat.SAFE, Group.ALL, 1));
+                        TestSettings.type("a", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
+                        TestSettings.type(
+                                "b", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1));
         Node two = new Node(settings.build());
         two.servers(2);
         shares(two, 100, 20 * MS, 60 * MS);
@@ -107,22 +108,24 @@
         int onFast = 0;
         for (int i = 0; i < 40; i++) {
             String id = "b" + i;
-            Send send = Node.only(Send.class, two.arrive(id, 1, two.now + 2_000 * MS, false));
+            SendAttempt send =
+                    Node.only(SendAttempt.class, two.arrive(id, 1, two.now + 2_000 * MS, false));
             onFast += send.server() == 1 ? 1 : 0;
             // In class b it is server 2 that is fast.
             long elapsed = send.server() == 1 ? 6 * MS : 2 * MS;
             two.now += elapsed;
-            two.ended(id, 0, send.server(), Result.SERVED, elapsed);
+            two.ended(id, 0, send.server(), AttemptResult.SERVED, elapsed);
         }
         assertEquals(30, onFast, "the shared row, 750 to 250");
         two.after(5_000 * MS);
         int later = 0;
         for (int i = 0; i < 40; i++) {
             String id = "c" + i;
-            Send send = Node.only(Send.class, two.arrive(id, 1, two.now + 2_000 * MS, false));
+            SendAttempt send =
+                    Node.only(SendAttempt.class, two.arrive(id, 1, two.now + 2_000 * MS, false));
             later += send.server() == 1 ? 1 : 0;
             two.now += MS;
-            two.ended(id, 0, send.server(), Result.SERVED, MS);
+            two.ended(id, 0, send.server(), AttemptResult.SERVED, MS);
         }
         assertEquals(10, later, "the class's own row, 250 to 750");
     }
@@ -136,22 +139,22 @@
             }
             node.now += 20 * MS;
             for (int i = 0; i < node.all.size(); i++) {
-                if (node.all.get(i) instanceof Send s && s.id().startsWith("warm")) {
-                    node.ended(s.id(), 0, s.server(), Result.SERVED, 20 * MS);
+                if (node.all.get(i) instanceof SendAttempt s && s.id().startsWith("warm")) {
+                    node.ended(s.id(), 0, s.server(), AttemptResult.SERVED, 20 * MS);
                 }
             }
             node.all.clear();
         }
         // Every server answers at once but the one that keeps everything.
-        long stuck = Node.only(Send.class, node.arrive("stuck0")).server();
+        long stuck = Node.only(SendAttempt.class, node.arrive("stuck0")).server();
         int onStuck = 1;
         for (int i = 0; i < 40; i++) {
             String id = "next" + i;
-            Send send = Node.only(Send.class, node.arrive(id));
+            SendAttempt send = Node.only(SendAttempt.class, node.arrive(id));
             if (send.server() == stuck) {
                 onStuck++;
             } else {
-                node.ended(id, 0, send.server(), Result.SERVED, MS);
+                node.ended(id, 0, send.server(), AttemptResult.SERVED, MS);
             }
         }
         assertTrue(onStuck <= 3, "sent to the full server: " + onStuck);
--- a/src/test/java/ottergauge/ScaleTest.java
+++ b/src/test/java/ottergauge/decision/ScaleTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,13 +11,13 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Probe;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.LoadReport;
 
 /** What many nodes do in the sum: each sees next to nothing, and all act at once. */
 class ScaleTest {
@@ -52,32 +52,34 @@
      * server.
      */
     private static long serve(Node node, String id, long elapsed) {
-        Send send = sendOf(node, node.arrive(id));
+        SendAttempt send = sendOf(node, node.arrive(id));
         answer(node, id, send.server(), elapsed);
         return send.server();
     }
 
-    private static Send sendOf(Node node, List<Action> actions) {
-        for (int i = 0; i < 40 && Node.those(Send.class, actions).isEmpty(); i++) {
+    private static SendAttempt sendOf(Node node, List<DecisionAction> actions) {
+        for (int i = 0; i < 40 && Node.those(SendAttempt.class, actions).isEmpty(); i++) {
             actions = node.after(25 * MS);
         }
-        return Node.only(Send.class, actions);
+        return Node.only(SendAttempt.class, actions);
     }
 
     /**
      * The server that the node's next request ends up at; probed servers answer that they are idle.
      */
     private static long sentTo(Node node, String id) {
-        List<Action> actions = node.arrive(id);
-        while (Node.those(Send.class, actions).isEmpty()) {
-            actions = node.probed(Node.only(Probe.class, actions).server(), 0);
+        List<DecisionAction> actions = node.arrive(id);
+        while (Node.those(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
         }
-        return Node.only(Send.class, actions).server();
+        return Node.only(SendAttempt.class, actions).server();
     }
 
     private static void answer(Node node, String id, long server, long elapsed) {
         node.now += elapsed;
-        node.on(new AttemptEnded(id, 0, server, Result.SERVED, elapsed, true, LoadReport.NONE));
+        node.on(
+                new AttemptEnded(
+                        id, 0, server, AttemptResult.SERVED, elapsed, true, LoadReport.NONE));
     }
 
     // ---- The subset
@@ -112,22 +114,23 @@
         }
         Set<Long> after = new HashSet<>();
         for (int i = 0; i < 60; i++) {
-            Send send = sendOf(node, node.arrive("b" + i));
+            SendAttempt send = sendOf(node, node.arrive("b" + i));
             boolean down = before.contains(send.server());
             node.now += 5 * MS;
             if (down) {
-                List<Action> next =
-                        node.ended("b" + i, 0, send.server(), Result.CONNECT_FAILED, 5 * MS);
-                Node.those(Send.class, next)
+                List<DecisionAction> next =
+                        node.ended("b" + i, 0, send.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
+                Node.those(SendAttempt.class, next)
                         .forEach(
                                 s -> {
                                     after.add(s.server());
                                     node.now += 50 * MS;
-                                    node.ended(s.id(), 1, s.server(), Result.SERVED, 50 * MS);
+                                    node.ended(
+                                            s.id(), 1, s.server(), AttemptResult.SERVED, 50 * MS);
                                 });
             } else {
                 after.add(send.server());
-                node.ended("b" + i, 0, send.server(), Result.SERVED, 5 * MS);
+                node.ended("b" + i, 0, send.server(), AttemptResult.SERVED, 5 * MS);
             }
         }
         after.removeAll(before);
@@ -183,7 +186,7 @@
         long start = nodes.get(0).now;
         for (Node node : nodes) {
             answer(node, "warm", sentTo(node, "warm"), 100 * MS);
-            node.change(1, ServerState.UP, node.now);
+            node.change(1, EndpointState.UP, node.now);
         }
         for (int round = 0; round < 10; round++) {
             for (Node node : nodes) {
@@ -210,17 +213,17 @@
         node.servers(SERVERS);
         answer(node, "first", sentTo(node, "first"), 500 * MS);
         node.after(1_000 * MS);
-        int before = Node.those(Probe.class, node.all).size();
-        List<Action> actions = node.arrive("held");
+        int before = Node.those(SendProbe.class, node.all).size();
+        List<DecisionAction> actions = node.arrive("held");
         long end = node.now + 1_000 * MS;
         while (node.now < end) {
-            for (Probe probe : Node.those(Probe.class, actions)) {
+            for (SendProbe probe : Node.those(SendProbe.class, actions)) {
                 node.now += MS;
                 actions = node.probed(probe.server(), 4);
             }
-            actions = Node.those(Probe.class, actions).isEmpty() ? node.after(5 * MS) : actions;
+            actions = Node.those(SendProbe.class, actions).isEmpty() ? node.after(5 * MS) : actions;
         }
-        int probes = Node.those(Probe.class, node.all).size() - before;
+        int probes = Node.those(SendProbe.class, node.all).size() - before;
         // 0.06 of the result at 0.002 a probe.
         assertTrue(probes >= 3 && probes <= 30, "probes of one request: " + probes);
     }
--- a/src/test/java/ottergauge/SettingsChangeTest.java
+++ b/src/test/java/ottergauge/decision/SettingsChangeTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -11,37 +11,44 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.Action;
-import ottergauge.DecisionApi.AttemptEnded;
-import ottergauge.DecisionApi.Cancel;
-import ottergauge.DecisionApi.ClientGone;
-import ottergauge.DecisionApi.Fail;
-import ottergauge.DecisionApi.Group;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.ListedServer;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Probe;
-import ottergauge.DecisionApi.ProbeEnded;
-import ottergauge.DecisionApi.Refuse;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.Rules;
-import ottergauge.DecisionApi.Send;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.ServerState;
-import ottergauge.DecisionApi.Settings;
-import ottergauge.DecisionApi.SettingsChanged;
-import ottergauge.DecisionApi.Standing;
-
-/** Settings that come in force while requests are held, are out, or are about to be sent again. */
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction;
+import ottergauge.decision.api.DecisionAction.CancelAttempt;
+import ottergauge.decision.api.DecisionAction.FailRequest;
+import ottergauge.decision.api.DecisionAction.RejectRequest;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionAction.SetTimer;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.DecisionEvent.SettingsChanged;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.EndpointStatus;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.LoadReport;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.RequestLimits;
+import ottergauge.decision.api.ServiceRules;
+import ottergauge.decision.api.UpdateScope;
+
+/**
+ * DecisionSettings that come in force while requests are held, are out, or are about to be sent
+ * again.
+ */
 class SettingsChangeTest {
 
     private static final long MS = Node.MS;
-    private static final RequestClass READ = TestSettings.type("read", Repeat.SAFE, Group.ALL, 1);
+    private static final RequestClass READ =
+            TestSettings.type("read", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1);
     private static final RequestClass GRANT =
-            TestSettings.type("grant", Repeat.UNSAFE, Group.ALL, 1);
-    private static final RequestClass PAY = TestSettings.type("pay", Repeat.KEYED, Group.ALL, 1);
+            TestSettings.type("grant", Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET, 1);
+    private static final RequestClass PAY =
+            TestSettings.type("pay", Idempotency.KEYED, DeduplicationScope.FLEET, 1);
 
     private final TestSettings settings = new TestSettings();
     private int lastRequest;
@@ -51,25 +58,26 @@
         return new Node(settings.build());
     }
 
-    private Settings with(RequestClass... classes) {
+    private DecisionSettings with(RequestClass... classes) {
         settings.classes = List.of(classes);
         return settings.build();
     }
 
-    private static RequestClass type(String name, Repeat repeat, long aim, long deadline) {
-        return new RequestClass(name, repeat, Group.ALL, aim, deadline, 800_000, 1, 0, false);
+    private static RequestClass type(String name, Idempotency repeat, long aim, long deadline) {
+        return new RequestClass(
+                name, repeat, DeduplicationScope.FLEET, aim, deadline, 800_000, 1, 0, false);
     }
 
-    private static List<Action> arrive(Node node, String id, int requestClass) {
+    private static List<DecisionAction> arrive(Node node, String id, int requestClass) {
         return node.arrive(
                 id,
                 requestClass,
-                node.now + node.settings.classes().get(requestClass).deadline(),
+                node.now + node.settings.requestClasses().get(requestClass).deadline(),
                 false);
     }
 
-    private static Send sent(List<Action> actions) {
-        return Node.only(Send.class, actions);
+    private static SendAttempt sent(List<DecisionAction> actions) {
+        return Node.only(SendAttempt.class, actions);
     }
 
     // ---- What was taken before
@@ -83,13 +91,15 @@
     void aRequestThatIsOutIsTriedAgainAsOftenAsWhenItWasTaken() {
         Node node = node(READ);
         node.servers(3);
-        Send before = sent(arrive(node, "before", 0));
+        SendAttempt before = sent(arrive(node, "before", 0));
         settings.maxAttempts = 1;
         node.takeOver(with(READ));
-        Send after = sent(arrive(node, "after", 0));
+        SendAttempt after = sent(arrive(node, "after", 0));
         node.now += MS;
-        sent(node.ended("before", 0, before.server(), Result.CONNECT_FAILED, MS));
-        Node.only(Refuse.class, node.ended("after", 0, after.server(), Result.CONNECT_FAILED, MS));
+        sent(node.ended("before", 0, before.server(), AttemptResult.CONNECT_FAILED, MS));
+        Node.only(
+                RejectRequest.class,
+                node.ended("after", 0, after.server(), AttemptResult.CONNECT_FAILED, MS));
     }
 
     /**
@@ -100,48 +110,54 @@
     void aRequestKeepsItsClassThoughTheNameNowStandsForAnother() {
         Node node = node(GRANT);
         node.servers(3);
-        Send before = sent(arrive(node, "before", 0));
-        node.takeOver(with(TestSettings.type("grant", Repeat.SAFE, Group.ALL, 1)));
-        Send after = sent(arrive(node, "after", 0));
+        SendAttempt before = sent(arrive(node, "before", 0));
+        node.takeOver(
+                with(
+                        TestSettings.type(
+                                "grant", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1)));
+        SendAttempt after = sent(arrive(node, "after", 0));
         node.now += MS;
-        Node.only(Fail.class, node.ended("before", 0, before.server(), Result.RESET, MS));
-        sent(node.ended("after", 0, after.server(), Result.RESET, MS));
+        Node.only(
+                FailRequest.class,
+                node.ended("before", 0, before.server(), AttemptResult.RESET, MS));
+        sent(node.ended("after", 0, after.server(), AttemptResult.RESET, MS));
     }
 
     @Test
     void aHeldRequestEndsByTheAimThatItWasTakenWith() {
-        Node node = node(type("read", Repeat.SAFE, 1_000_000, 2_000_000));
+        Node node = node(type("read", Idempotency.IDEMPOTENT, 1_000_000, 2_000_000));
         arrive(node, "before", 0);
-        node.takeOver(with(type("read", Repeat.SAFE, 200_000, 2_000_000)));
+        node.takeOver(with(type("read", Idempotency.IDEMPOTENT, 200_000, 2_000_000)));
         arrive(node, "after", 0);
-        assertEquals("after", Node.only(Refuse.class, node.after(250 * MS)).id());
-        assertEquals("before", Node.only(Refuse.class, node.after(800 * MS)).id());
+        assertEquals("after", Node.only(RejectRequest.class, node.after(250 * MS)).id());
+        assertEquals("before", Node.only(RejectRequest.class, node.after(800 * MS)).id());
     }
 
     @Test
     void aRefusalGivesTheAdviceOfTheLimitsThatTheRequestWasTakenWith() {
         Node node = node(READ);
         arrive(node, "before", 0);
-        Settings build = with(READ);
+        DecisionSettings build = with(READ);
         node.takeOver(
-                new Settings(
-                        build.node(),
-                        build.nodes(),
+                new DecisionSettings(
+                        build.nodeIndex(),
+                        build.nodeCount(),
                         build.zone(),
-                        build.round(),
-                        build.discovery(),
+                        build.eventInterval(),
+                        build.discoveryMode(),
                         build.reportsLoad(),
-                        build.repeatsMarked(),
-                        build.warmKeys(),
-                        new DecisionApi.Limits(false, false, true, 5, 900_000),
+                        build.clientRetriesMarked(),
+                        build.cacheAffinity(),
+                        new RequestLimits(false, false, true, 5, 900_000),
                         build.rules(),
-                        build.prices(),
-                        build.classes()));
+                        build.costs(),
+                        build.requestClasses()));
         arrive(node, "after", 0);
-        List<Refuse> refused = Node.those(Refuse.class, node.after(1_500 * MS));
-        assertEquals(List.of("before", "after"), refused.stream().map(Refuse::id).toList());
+        List<RejectRequest> refused = Node.those(RejectRequest.class, node.after(1_500 * MS));
+        assertEquals(List.of("before", "after"), refused.stream().map(RejectRequest::id).toList());
         assertEquals(
-                List.of(600_000L, 900_000L), refused.stream().map(Refuse::retryAfter).toList());
+                List.of(600_000L, 900_000L),
+                refused.stream().map(RejectRequest::retryAfter).toList());
     }
 
     /** Where it may no longer be cancelled a request that was taken when it might still is. */
@@ -150,24 +166,28 @@
         Node node = node(READ);
         node.servers(3);
         sent(arrive(node, "before", 0));
-        Settings build = with(READ);
+        DecisionSettings build = with(READ);
         node.takeOver(
-                new Settings(
-                        build.node(),
-                        build.nodes(),
+                new DecisionSettings(
+                        build.nodeIndex(),
+                        build.nodeCount(),
                         build.zone(),
-                        build.round(),
-                        build.discovery(),
+                        build.eventInterval(),
+                        build.discoveryMode(),
                         build.reportsLoad(),
-                        build.repeatsMarked(),
-                        build.warmKeys(),
-                        new DecisionApi.Limits(false, false, true, 5, 600_000),
+                        build.clientRetriesMarked(),
+                        build.cacheAffinity(),
+                        new RequestLimits(false, false, true, 5, 600_000),
                         build.rules(),
-                        build.prices(),
-                        build.classes()));
+                        build.costs(),
+                        build.requestClasses()));
         sent(arrive(node, "after", 0));
-        assertEquals("before", Node.only(Cancel.class, node.on(new ClientGone("before"))).id());
-        assertEquals(List.of(), Node.those(Cancel.class, node.on(new ClientGone("after"))));
+        assertEquals(
+                "before",
+                Node.only(CancelAttempt.class, node.on(new ClientDisconnected("before"))).id());
+        assertEquals(
+                List.of(),
+                Node.those(CancelAttempt.class, node.on(new ClientDisconnected("after"))));
     }
 
     // ---- Classes that come, go and move
@@ -178,11 +198,11 @@
         Node node = node(READ, GRANT);
         arrive(node, "held", 1);
         node.takeOver(with(READ));
-        Send send = sent(node.servers(2));
+        SendAttempt send = sent(node.servers(2));
         assertEquals("held", send.id());
         node.now += MS;
         // What its answer took goes into the shared row, and its failures go by the shared budget.
-        node.ended("held", 0, send.server(), Result.SERVED, MS);
+        node.ended("held", 0, send.server(), AttemptResult.SERVED, MS);
         arrive(node, "next", 0);
     }
 
@@ -190,14 +210,14 @@
     void whatIsOutOfAClassThatIsRemovedIsTriedAgain() {
         Node node = node(READ, PAY);
         node.servers(3);
-        Send send = sent(arrive(node, "out", 1));
+        SendAttempt send = sent(arrive(node, "out", 1));
         node.takeOver(with(READ));
         node.now += MS;
-        Send again = sent(node.ended("out", 0, send.server(), Result.RESET, MS));
+        SendAttempt again = sent(node.ended("out", 0, send.server(), AttemptResult.RESET, MS));
         node.takeOver(with(GRANT));
         node.now += MS;
-        node.ended("out", 1, again.server(), Result.SERVED, MS);
-        assertEquals(2, Node.those(Send.class, node.all).size());
+        node.ended("out", 1, again.server(), AttemptResult.SERVED, MS);
+        assertEquals(2, Node.those(SendAttempt.class, node.all).size());
     }
 
     @Test
@@ -205,9 +225,10 @@
         Node node = node(READ);
         node.servers(2);
         node.takeOver(with(GRANT, READ));
-        Send send = sent(arrive(node, "first", 0));
+        SendAttempt send = sent(arrive(node, "first", 0));
         node.now += MS;
-        Node.only(Fail.class, node.ended("first", 0, send.server(), Result.RESET, MS));
+        Node.only(
+                FailRequest.class, node.ended("first", 0, send.server(), AttemptResult.RESET, MS));
     }
 
     /** By the new settings the server that goes would be warm; it has gone by then. */
@@ -215,32 +236,32 @@
     void settingsAndServersComeInForceAtOneInstant() {
         settings.nodes = 50_000;
         Node node = node(READ);
-        node.change(1, ServerState.UP, node.now);
-        assertEquals(List.of(), Node.those(Send.class, arrive(node, "held", 0)));
-        Settings cold = with(READ, GRANT);
-        Settings warm =
-                new Settings(
-                        cold.node(),
-                        cold.nodes(),
+        node.change(1, EndpointState.UP, node.now);
+        assertEquals(List.of(), Node.those(SendAttempt.class, arrive(node, "held", 0)));
+        DecisionSettings cold = with(READ, GRANT);
+        DecisionSettings warm =
+                new DecisionSettings(
+                        cold.nodeIndex(),
+                        cold.nodeCount(),
                         cold.zone(),
-                        cold.round(),
-                        cold.discovery(),
+                        cold.eventInterval(),
+                        cold.discoveryMode(),
                         cold.reportsLoad(),
-                        cold.repeatsMarked(),
-                        cold.warmKeys(),
+                        cold.clientRetriesMarked(),
+                        cold.cacheAffinity(),
                         cold.limits(),
-                        new Rules(5_000, 500_000, 0.2, 0, 3, 1_000_000),
-                        cold.prices(),
-                        cold.classes());
-        List<Action> actions =
+                        new ServiceRules(5_000, 500_000, 0.2, 0, 3, 1_000_000),
+                        cold.costs(),
+                        cold.requestClasses());
+        List<DecisionAction> actions =
                 node.on(
                         new SettingsChanged(
                                 warm,
-                                new ServerList(
-                                        ListScope.CHANGES,
+                                new EndpointUpdate(
+                                        UpdateScope.INCREMENTAL,
                                         List.of(
-                                                Node.server(1, ServerState.GONE, 0),
-                                                Node.server(2, ServerState.UP, 0)))));
+                                                Node.server(1, EndpointState.REMOVED, 0),
+                                                Node.server(2, EndpointState.UP, 0)))));
         assertEquals(2, sent(actions).server());
     }
 
@@ -255,7 +276,7 @@
             long server = sent(arrive(node, id, requestClass)).server();
             long elapsed = server == quickAt ? 10 * MS : 90 * MS;
             node.now += elapsed;
-            node.ended(id, 0, server, Result.SERVED, elapsed);
+            node.ended(id, 0, server, AttemptResult.SERVED, elapsed);
             quick += server == quickAt ? 1 : 0;
         }
         return quick;
@@ -300,13 +321,13 @@
     private boolean spent(Node node, int requestClass) {
         String id = "s" + ++lastRequest;
         long server = sent(arrive(node, id, requestClass)).server();
-        List<Action> actions = node.ended(id, 0, server, Result.REJECTED, 0);
+        List<DecisionAction> actions = node.ended(id, 0, server, AttemptResult.REJECTED, 0);
         node.now += 200 * MS;
         boolean again =
-                !Node.those(Send.class, actions).isEmpty()
-                        || !Node.those(Send.class, node.after(0)).isEmpty();
-        node.on(new ClientGone(id));
-        node.on(new AttemptEnded(id, 1, server, Result.CANCELLED, 0, true, LoadReport.NONE));
+                !Node.those(SendAttempt.class, actions).isEmpty()
+                        || !Node.those(SendAttempt.class, node.after(0)).isEmpty();
+        node.on(new ClientDisconnected(id));
+        node.on(new AttemptEnded(id, 1, server, AttemptResult.CANCELLED, 0, true, LoadReport.NONE));
         return !again;
     }
 
@@ -344,21 +365,27 @@
     void moreClassesThanThereAreRowsComeAndGo() {
         RequestClass[] many =
                 IntStream.range(0, 1024)
-                        .mapToObj(i -> TestSettings.type("c" + i, Repeat.SAFE, Group.ALL, 1))
+                        .mapToObj(
+                                i ->
+                                        TestSettings.type(
+                                                "c" + i,
+                                                Idempotency.IDEMPOTENT,
+                                                DeduplicationScope.FLEET,
+                                                1))
                         .toArray(RequestClass[]::new);
         Node node = node(READ);
         node.servers(4);
         arrive(node, "read", 0);
         node.takeOver(with(many));
         for (int i : new int[] {0, 63, 64, 1023}) {
-            assertEquals(1, Node.those(Send.class, arrive(node, "m" + i, i)).size());
+            assertEquals(1, Node.those(SendAttempt.class, arrive(node, "m" + i, i)).size());
         }
         node.takeOver(with(many[1023], READ, many[64], GRANT));
-        for (Send send : Node.those(Send.class, new ArrayList<>(node.all))) {
+        for (SendAttempt send : Node.those(SendAttempt.class, new ArrayList<>(node.all))) {
             node.now += MS;
-            node.ended(send.id(), 0, send.server(), Result.SERVED, MS);
+            node.ended(send.id(), 0, send.server(), AttemptResult.SERVED, MS);
         }
-        assertEquals(1, Node.those(Send.class, arrive(node, "last", 0)).size());
+        assertEquals(1, Node.those(SendAttempt.class, arrive(node, "last", 0)).size());
     }
 
     // ---- What is in force for servers
@@ -415,25 +442,25 @@
         node.servers(1);
         for (int i = 0; i < 30; i++) {
             String id = "w" + ++lastRequest;
-            List<Action> actions = arrive(node, id, 0);
-            actions = Node.those(Probe.class, actions).isEmpty() ? actions : node.probed(1, 0);
-            Send send = sent(actions);
+            List<DecisionAction> actions = arrive(node, id, 0);
+            actions = Node.those(SendProbe.class, actions).isEmpty() ? actions : node.probed(1, 0);
+            SendAttempt send = sent(actions);
             node.now += 100 * MS;
-            node.ended(id, 0, send.server(), Result.SERVED, 100 * MS);
+            node.ended(id, 0, send.server(), AttemptResult.SERVED, 100 * MS);
         }
         settings.nodes = nodes;
         node.takeOver(with(READ));
-        node.change(1, ServerState.UP, node.now);
-        int before = Node.those(Send.class, node.all).size();
+        node.change(1, EndpointState.UP, node.now);
+        int before = Node.those(SendAttempt.class, node.all).size();
         for (int i = 0; i < 8; i++) {
             String id = "c" + ++lastRequest;
-            if (!Node.those(Probe.class, arrive(node, id, 0)).isEmpty()) {
+            if (!Node.those(SendProbe.class, arrive(node, id, 0)).isEmpty()) {
                 node.probed(1, 0);
             }
             node.now += 100 * MS;
-            node.ended(id, 0, 1, Result.SERVED, 100 * MS);
+            node.ended(id, 0, 1, AttemptResult.SERVED, 100 * MS);
         }
-        return (long) Node.those(Send.class, node.all).size() - before;
+        return (long) Node.those(SendAttempt.class, node.all).size() - before;
     }
 
     @Test
@@ -442,34 +469,34 @@
         node.servers(2);
         long server = sent(arrive(node, "a", 0)).server();
         node.now += MS;
-        node.ended("a", 0, server, Result.SERVED, MS);
+        node.ended("a", 0, server, AttemptResult.SERVED, MS);
         settings.probes = true;
         node.takeOver(with(READ));
         node.now += 100 * MS;
-        long probed = Node.only(Probe.class, arrive(node, "b", 0)).server();
+        long probed = Node.only(SendProbe.class, arrive(node, "b", 0)).server();
         settings.probes = false;
         // What waits for the probe goes at once, and what the probe brings is taken as it comes.
         assertEquals("b", sent(node.takeOver(with(READ))).id());
         node.probed(probed, 3);
-        assertEquals(0, Node.those(Probe.class, arrive(node, "c", 0)).size());
+        assertEquals(0, Node.those(SendProbe.class, arrive(node, "c", 0)).size());
     }
 
     private static void listOnly(Node node, long id, int zone) {
         node.on(
-                new ServerList(
-                        ListScope.FULL,
-                        List.of(new ListedServer(id, zone, 0, 0, ServerState.UP, 1, 0))));
+                new EndpointUpdate(
+                        UpdateScope.FULL,
+                        List.of(new Endpoint(id, zone, 0, 0, EndpointState.UP, 1, 0))));
     }
 
     /** A request has the one server probed, whose answer takes so long; it is served. */
     private void probe(Node node, long trip) {
         node.now += 1_000 * MS;
         String id = "p" + ++lastRequest;
-        long server = Node.only(Probe.class, arrive(node, id, 0)).server();
+        long server = Node.only(SendProbe.class, arrive(node, id, 0)).server();
         node.now += trip;
-        node.on(new ProbeEnded(server, Result.SERVED, trip, Node.IDLE));
+        node.on(new ProbeEnded(server, AttemptResult.SERVED, trip, Node.IDLE));
         node.now += MS;
-        node.ended(id, 0, server, Result.SERVED, MS);
+        node.ended(id, 0, server, AttemptResult.SERVED, MS);
     }
 
     /**
@@ -487,10 +514,10 @@
         listOnly(node, 1, 0);
         probe(node, 30 * MS);
         node.now += 1_000 * MS;
-        Node.only(Probe.class, arrive(node, "last", 0));
-        assertEquals(Standing.USED, node.decide.standing(node.now + 20 * MS, 1));
+        Node.only(SendProbe.class, arrive(node, "last", 0));
+        assertEquals(EndpointStatus.ACTIVE, node.decide.endpointStatus(node.now + 20 * MS, 1));
         node.after(20 * MS);
-        assertEquals(Standing.USED, node.decide.standing(node.now, 1));
+        assertEquals(EndpointStatus.ACTIVE, node.decide.endpointStatus(node.now, 1));
     }
 
     /** A change that is taken back leaves no trace: the same as if there had been none. */
@@ -515,17 +542,20 @@
         }
     }
 
-    private static List<Action> step(Node node, int i) {
-        List<Action> actions = new ArrayList<>(arrive(node, "q" + i, i % 3));
-        Result result = i % 11 == 0 ? Result.REJECTED : i % 13 == 0 ? Result.ERROR : Result.SERVED;
-        for (Send send : Node.those(Send.class, actions)) {
+    private static List<DecisionAction> step(Node node, int i) {
+        List<DecisionAction> actions = new ArrayList<>(arrive(node, "q" + i, i % 3));
+        AttemptResult result =
+                i % 11 == 0
+                        ? AttemptResult.REJECTED
+                        : i % 13 == 0 ? AttemptResult.ERROR : AttemptResult.SERVED;
+        for (SendAttempt send : Node.those(SendAttempt.class, actions)) {
             node.now += (20 + send.server() * 10) * MS;
             actions.addAll(
                     node.ended(
                             send.id(), 0, send.server(), result, (20 + send.server() * 10) * MS));
         }
         // Timers are set anew at each event: what matters is what is sent and answered.
-        actions.removeIf(DecisionApi.SetTimer.class::isInstance);
+        actions.removeIf(SetTimer.class::isInstance);
         return actions;
     }
 }
--- a/src/test/java/ottergauge/SettingsHistoryTest.java
+++ b/src/test/java/ottergauge/decision/SettingsHistoryTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -10,13 +10,13 @@
 import java.util.SplittableRandom;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import ottergauge.DecisionApi.Group;
-import ottergauge.DecisionApi.Limits;
-import ottergauge.DecisionApi.Prices;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Rules;
-import ottergauge.DecisionApi.Settings;
+import ottergauge.decision.api.Costs;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.RequestLimits;
+import ottergauge.decision.api.ServiceRules;
 
 /**
  * The four rules over random histories in which settings change at random instants: each request by
@@ -45,8 +45,9 @@
         Collections.shuffle(names, new Random(random.nextLong()));
         List<RequestClass> classes = new ArrayList<>();
         for (String name : names.subList(0, 1 + random.nextInt(names.size()))) {
-            Repeat repeat = Repeat.values()[random.nextInt(Repeat.values().length)];
-            Group group = Group.values()[random.nextInt(Group.values().length)];
+            Idempotency repeat = Idempotency.values()[random.nextInt(Idempotency.values().length)];
+            DeduplicationScope group =
+                    DeduplicationScope.values()[random.nextInt(DeduplicationScope.values().length)];
             classes.add(
                     new RequestClass(
                             name,
@@ -62,34 +63,34 @@
         return classes;
     }
 
-    private static Settings other(
-            Settings from, SplittableRandom random, boolean nodes, boolean reports) {
-        Limits limits =
-                new Limits(
-                        reports ? random.nextBoolean() : from.limits().probes(),
+    private static DecisionSettings other(
+            DecisionSettings from, SplittableRandom random, boolean nodes, boolean reports) {
+        RequestLimits limits =
+                new RequestLimits(
+                        reports ? random.nextBoolean() : from.limits().probesAllowed(),
                         random.nextBoolean(),
                         random.nextBoolean(),
                         1 + random.nextInt(5),
                         random.nextLong(900_000));
-        Rules rules =
-                new Rules(
-                        from.rules().answerSlack(),
-                        from.rules().drainGrace(),
+        ServiceRules rules =
+                new ServiceRules(
+                        from.rules().responseTolerance(),
+                        from.rules().drainGracePeriod(),
                         0.1 + random.nextDouble() / 2,
-                        from.rules().coldFor(),
+                        from.rules().slowStartDuration(),
                         1 + 3 * random.nextDouble(),
-                        from.rules().fallAfter());
-        Prices prices =
-                new Prices(
-                        reports && random.nextBoolean() ? 0.08 : from.prices().probe(),
+                        from.rules().overloadWindow());
+        Costs prices =
+                new Costs(
+                        reports && random.nextBoolean() ? 0.08 : from.costs().probe(),
                         random.nextBoolean() ? 0.03 : 0);
-        int count = nodes ? 1 + random.nextInt(4) : from.nodes();
-        return new Settings(
+        int count = nodes ? 1 + random.nextInt(4) : from.nodeCount();
+        return new DecisionSettings(
                 random.nextInt(count),
                 count,
                 from.zone(),
-                from.round(),
-                from.discovery(),
+                from.eventInterval(),
+                from.discoveryMode(),
                 reports ? random.nextBoolean() : from.reportsLoad(),
                 random.nextBoolean(),
                 random.nextBoolean(),
@@ -102,7 +103,7 @@
     private static void play(
             TestSettings first, long seed, int mostGap, boolean nodes, boolean reports) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Settings> others = new ArrayList<>();
+        List<DecisionSettings> others = new ArrayList<>();
         for (int i = 0; i < OTHERS; i++) {
             others.add(other(first.build(), random, nodes, reports));
         }
--- a/src/test/java/ottergauge/SubsetTest.java
+++ b/src/test/java/ottergauge/decision/SubsetTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,10 +18,10 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.Tuple;
 import net.jqwik.api.statistics.Statistics;
-import ottergauge.DecisionApi.ListScope;
-import ottergauge.DecisionApi.ListedServer;
-import ottergauge.DecisionApi.ServerList;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.UpdateScope;
 import ottergauge.ring.PlainRing;
 
 /**
@@ -37,27 +37,27 @@
     private static final int TRIES = 4;
 
     /** One entry of a list, and whether it comes alone, as one of a change, or in a whole list. */
-    record Told(ListScope scope, List<ListedServer> servers) {}
+    record Told(UpdateScope scope, List<Endpoint> servers) {}
 
     record History(int node, int nodes, List<Told> told) {}
 
     @Provide
     Arbitrary<History> histories() {
-        Arbitrary<ListedServer> servers =
+        Arbitrary<Endpoint> servers =
                 Combinators.combine(
                                 Arbitraries.longs().between(1, 150),
                                 Arbitraries.of(
-                                        ServerState.UP,
-                                        ServerState.UP,
-                                        ServerState.UP,
-                                        ServerState.DRAINING,
-                                        ServerState.GONE))
+                                        EndpointState.UP,
+                                        EndpointState.UP,
+                                        EndpointState.UP,
+                                        EndpointState.DRAINING,
+                                        EndpointState.REMOVED))
                         // The size is the server's own: lists do not change it.
-                        .as((id, state) -> new ListedServer(id, 0, 0, 0, state, size(id), 0));
+                        .as((id, state) -> new Endpoint(id, 0, 0, 0, state, size(id), 0));
         Arbitrary<Told> changes =
-                servers.list().ofMaxSize(6).map(s -> new Told(ListScope.CHANGES, s));
+                servers.list().ofMaxSize(6).map(s -> new Told(UpdateScope.INCREMENTAL, s));
         Arbitrary<Told> wholes =
-                servers.list().ofMinSize(1).ofMaxSize(120).map(s -> new Told(ListScope.FULL, s));
+                servers.list().ofMinSize(1).ofMaxSize(120).map(s -> new Told(UpdateScope.FULL, s));
         Arbitrary<Told> all = Arbitraries.frequencyOf(Tuple.of(6, changes), Tuple.of(1, wholes));
         return Combinators.combine(
                         Arbitraries.integers().between(0, 299),
@@ -85,20 +85,20 @@
     }
 
     /** What is listed after all that was told, named by name. */
-    private static Map<Long, ListedServer> listed(History history) {
-        Map<Long, ListedServer> listed = new LinkedHashMap<>();
+    private static Map<Long, Endpoint> listed(History history) {
+        Map<Long, Endpoint> listed = new LinkedHashMap<>();
         for (Told told : history.told()) {
-            if (told.scope() == ListScope.FULL) {
+            if (told.scope() == UpdateScope.FULL) {
                 listed.clear();
             }
             told.servers().forEach(s -> listed.put(s.id(), s));
-            listed.values().removeIf(s -> s.state() == ServerState.GONE);
+            listed.values().removeIf(s -> s.state() == EndpointState.REMOVED);
         }
         return listed;
     }
 
     private static Set<Long> plainSubset(History history) {
-        Map<Long, ListedServer> listed = listed(history);
+        Map<Long, Endpoint> listed = listed(history);
         if (listed.isEmpty()) {
             return Set.of();
         }
@@ -113,7 +113,7 @@
         for (int k = 0; subset.size() < size && k < (all ? count : TRIES * size); k++) {
             double point = ((history.node() + 0.5) / history.nodes() + k * GOLDEN) % 1;
             long id = all ? ring.ids().get(k) : ring.at(point);
-            if (listed.get(id).state() == ServerState.UP) {
+            if (listed.get(id).state() == EndpointState.UP) {
                 subset.add(id);
             }
         }
@@ -121,7 +121,7 @@
     }
 
     private static void tell(Node node, Told told) {
-        node.on(new ServerList(told.scope(), told.servers()));
+        node.on(new EndpointUpdate(told.scope(), told.servers()));
     }
 
     /**
@@ -150,7 +150,7 @@
         Node chain = node(history);
         history.told().forEach(told -> tell(chain, told));
         Node whole = node(history);
-        tell(whole, new Told(ListScope.FULL, List.copyOf(listed(history).values())));
+        tell(whole, new Told(UpdateScope.FULL, List.copyOf(listed(history).values())));
         int size = plainSubset(history).size();
         assertEquals(used(whole, size), used(chain, size));
     }
--- a/src/test/java/ottergauge/TestSettings.java
+++ b/src/test/java/ottergauge/decision/TestSettings.java
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge;
+package ottergauge.decision;
 
 import java.util.List;
-import ottergauge.DecisionApi.Discovery;
-import ottergauge.DecisionApi.Group;
-import ottergauge.DecisionApi.Limits;
-import ottergauge.DecisionApi.Prices;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.RequestClass;
-import ottergauge.DecisionApi.Rules;
-import ottergauge.DecisionApi.Settings;
+import ottergauge.decision.api.Costs;
+import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.DeduplicationScope;
+import ottergauge.decision.api.DiscoveryMode;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.RequestLimits;
+import ottergauge.decision.api.ServiceRules;
 
 /** Builds settings; the defaults are a site without probes or reports and with one safe class. */
 final class TestSettings {
@@ -22,8 +22,8 @@
     long round = 1_000;
     double connectionPrice;
     int maxAttempts = 5;
-    List<RequestClass> classes = List.of(type(Repeat.SAFE, Group.ALL));
-    Discovery discovery = Discovery.PUSHED;
+    List<RequestClass> classes = List.of(type(Idempotency.IDEMPOTENT, DeduplicationScope.FLEET));
+    DiscoveryMode discovery = DiscoveryMode.PUSH;
 
     /** Answers tell loads, and a probe costs more than it is worth. */
     static TestSettings hearing(int nodes) {
@@ -34,17 +34,18 @@
         return settings;
     }
 
-    static RequestClass type(Repeat repeat, Group group) {
+    static RequestClass type(Idempotency repeat, DeduplicationScope group) {
         return type("work", repeat, group, 1);
     }
 
-    static RequestClass type(String name, Repeat repeat, Group group, double worth) {
+    static RequestClass type(
+            String name, Idempotency repeat, DeduplicationScope group, double worth) {
         return new RequestClass(
                 name, repeat, group, 1_000_000, 2_000_000, 800_000, worth, 0, false);
     }
 
-    Settings build() {
-        return new Settings(
+    DecisionSettings build() {
+        return new DecisionSettings(
                 node,
                 nodes,
                 0,
@@ -53,9 +54,9 @@
                 probes,
                 repeatsMarked,
                 warmKeys,
-                new Limits(probes, true, true, maxAttempts, 600_000),
-                new Rules(5_000, 500_000, 0.2, 10_000_000, 3, 1_000_000),
-                new Prices(probePrice, connectionPrice),
+                new RequestLimits(probes, true, true, maxAttempts, 600_000),
+                new ServiceRules(5_000, 500_000, 0.2, 10_000_000, 3, 1_000_000),
+                new Costs(probePrice, connectionPrice),
                 classes);
     }
 }
--- a/src/test/java/ottergauge/limits/LimitsTest.java
+++ b/src/test/java/ottergauge/limits/LimitsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ottergauge.DecisionApi.LoadReport;
+import ottergauge.decision.api.LoadReport;
 
 class LimitsTest {
 
--- a/src/test/java/ottergauge/protocol/CodecsTest.java
+++ b/src/test/java/ottergauge/protocol/CodecsTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import ottergauge.DecisionApi.LoadReport;
-import ottergauge.DecisionApi.Repeat;
-import ottergauge.DecisionApi.Result;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.LoadReport;
 
 class CodecsTest {
 
@@ -38,7 +38,8 @@
         "204,false,ERROR",
         "302,true,ERROR"
     })
-    void onlyMarked503And504ProveThatNothingRan(int status, boolean neverRan, Result expected) {
+    void onlyMarked503And504ProveThatNothingRan(
+            int status, boolean neverRan, AttemptResult expected) {
         assertEquals(expected, Outcomes.of(status, neverRan));
     }
 
@@ -115,25 +116,25 @@
 
     @Test
     void aListIsReadWithItsServers() throws ProtocolException {
-        HostList list =
-                HostList.read(
+        EndpointList list =
+                EndpointList.read(
                         bytes(
                                 TestConfig.list(
                                         43,
                                         false,
                                         TestConfig.host("s-1", "10.1.0.18:3000", "terminating"))));
-        assertEquals(43, list.seq());
+        assertEquals(43, list.version());
         assertEquals(
-                new HostList.Host(
+                new DiscoveredEndpoint(
                         "s-1",
                         new Address("10.1.0.18", 3000),
                         "a",
                         "m2",
                         3,
-                        ServerState.DRAINING,
+                        EndpointState.DRAINING,
                         1.0,
                         0),
-                list.hosts().get(0));
+                list.endpoints().get(0));
     }
 
     @ParameterizedTest
@@ -155,7 +156,7 @@
                 "{\"seq\":1,\"hosts\":[{\"host\":\"s\",\"dial\":\"10.0.0.1:80\",\"health\":\"fine\"}]}"
             })
     void whatIsNoListIsRefusedWhole(String text) {
-        assertThrows(ProtocolException.class, () -> HostList.read(bytes(text)));
+        assertThrows(ProtocolException.class, () -> EndpointList.read(bytes(text)));
     }
 
     @Test
@@ -170,8 +171,10 @@
         assertEquals(200_000, config.connectTimeout());
         assertEquals(10_000_000, config.connectionIdle());
         assertEquals(10_000_000, config.askWithin());
-        assertEquals(41, config.known().seq());
-        assertEquals(Repeat.UNSAFE, config.settings().classes().get(2).repeat());
+        assertEquals(41, config.known().version());
+        assertEquals(
+                Idempotency.NON_IDEMPOTENT,
+                config.settings().requestClasses().get(2).idempotency());
     }
 
     @ParameterizedTest
--- a/src/test/java/ottergauge/protocol/NodeSettingsTest.java
+++ b/src/test/java/ottergauge/protocol/NodeSettingsTest.java
@@ -33,14 +33,14 @@
 
     @Test
     void upTo1024ClassesAreTaken() throws ProtocolException {
-        assertEquals(1024, of(many(1024)).decisions().classes().size());
+        assertEquals(1024, of(many(1024)).decisions().requestClasses().size());
         assertTrue(fault(many(1025)).contains("1 to 1024, not 1025"), fault(many(1025)));
         assertTrue(fault().contains("no classes"), fault());
     }
 
     @Test
     void twoClassesOfOneNameAreNot() throws ProtocolException {
-        assertEquals(2, of(READ, GRANT).decisions().classes().size());
+        assertEquals(2, of(READ, GRANT).decisions().requestClasses().size());
         String fault = fault(READ, GRANT, requestClass("read", "single_shot", 500));
         assertTrue(fault.contains("not read twice"), fault);
     }
@@ -49,7 +49,7 @@
     void aNodesNumberIsAllThatDiffersForIt() throws ProtocolException {
         NodeSettings shared = of(READ);
         NodeSettings own = shared.forNode(7);
-        assertEquals(7, own.decisions().node());
-        assertEquals(shared, own.forNode(shared.decisions().node()));
+        assertEquals(7, own.decisions().nodeIndex());
+        assertEquals(shared, own.forNode(shared.decisions().nodeIndex()));
     }
 }
--- a/src/test/java/ottergauge/replica/ModelChanges.java
+++ b/src/test/java/ottergauge/replica/ModelChanges.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.resources.Change;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKey;
@@ -84,13 +84,13 @@
             case SERVER ->
                     new ResourceValue.Server(
                             service,
-                            new Host(
+                            new DiscoveredEndpoint(
                                     key.name(),
                                     new Address("10.0.0.1", 1 + value),
                                     null,
                                     null,
                                     0,
-                                    ServerState.UP,
+                                    EndpointState.UP,
                                     1,
                                     0));
             case ROUTE -> new ResourceValue.Route(service, "/" + value, "class");
--- a/src/test/java/ottergauge/replica/ReplicaDriver.java
+++ b/src/test/java/ottergauge/replica/ReplicaDriver.java
@@ -20,7 +20,7 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.TooOld;
+import ottergauge.resources.VersionTooOld;
 
 /**
  * Drives a replica by hand: answers its calls, lets its timers fire, and keeps what it asked for.
@@ -176,7 +176,7 @@
     }
 
     void tooOld(String log, long oldest, long newest) {
-        handle(new ReplicaEvent.TooOldRead(callNumber(), new TooOld(log, oldest, newest)));
+        handle(new ReplicaEvent.TooOldRead(callNumber(), new VersionTooOld(log, oldest, newest)));
     }
 
     void failed() {
--- a/src/test/java/ottergauge/replica/ReplicaPlay.java
+++ b/src/test/java/ottergauge/replica/ReplicaPlay.java
@@ -28,7 +28,7 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.TooOld;
+import ottergauge.resources.VersionTooOld;
 
 /**
  * One replica before four control processes in three regions, on made-up time, over a network that
@@ -330,7 +330,7 @@
 
     private void changesAsked(ModelProcess process, ReplicaEffect.CallChanges call) {
         LogPosition after = call.query().after();
-        Optional<TooOld> tooOld = process.tooOld(after);
+        Optional<VersionTooOld> tooOld = process.tooOld(after);
         if (tooOld.isPresent()) {
             deliver(process, new ReplicaEvent.TooOldRead(call.call(), tooOld.get()));
             return;
@@ -351,7 +351,7 @@
 
     private void answer(Poll poll) {
         polls.remove(poll.call());
-        Optional<TooOld> tooOld = poll.process().tooOld(poll.after());
+        Optional<VersionTooOld> tooOld = poll.process().tooOld(poll.after());
         if (tooOld.isPresent()) {
             deliver(poll.process(), new ReplicaEvent.TooOldRead(poll.call(), tooOld.get()));
             return;
