--- a/src/test/java/ottergauge/replica/ReplicaTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaTest.java
@@ -26,7 +26,7 @@
 import ottergauge.replica.ReplicaEffect.TakeOver;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
-import ottergauge.resources.Fault;
+import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKey;
@@ -141,7 +141,8 @@
         Resource fine = resource("d", 80, 4);
         UnreadableResource unreadable =
                 new UnreadableResource(
-                        Optional.of(key("b")), new Fault("resources[1].value", "x", "an object"));
+                        Optional.of(key("b")),
+                        new FieldError("resources[1].value", "x", "an object"));
         SnapshotPage page =
                 new SnapshotPage(
                         new LogPosition(LOG, 100),
@@ -325,7 +326,7 @@
                         List.of(
                                 new UnreadableChange(
                                         12,
-                                        new Fault(
+                                        new FieldError(
                                                 "put[0].kind",
                                                 "star",
                                                 "service, server, route, tenant or settings")))));
--- a/src/test/java/ottergauge/resources/ResourceArbitraries.java
+++ b/src/test/java/ottergauge/resources/ResourceArbitraries.java
@@ -9,9 +9,9 @@
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.resources.ResourceValue.Route;
 import ottergauge.resources.ResourceValue.Server;
 import ottergauge.resources.ResourceValue.Service;
@@ -61,18 +61,18 @@
     }
 
     private static Arbitrary<ResourceValue> servers(String name) {
-        Arbitrary<Host> hosts =
+        Arbitrary<DiscoveredEndpoint> hosts =
                 Combinators.combine(
                                 addresses(),
                                 names().injectNull(0.2),
                                 names().injectNull(0.2),
                                 Arbitraries.integers().between(0, Integer.MAX_VALUE),
-                                Arbitraries.of(ServerState.values()),
+                                Arbitraries.of(EndpointState.values()),
                                 Arbitraries.doubles().between(0, 1e6).map(Math::abs),
                                 Arbitraries.longs().between(0, MOST_WHOLE))
                         .as(
                                 (dial, site, kind, block, state, share, born) ->
-                                        new Host(
+                                        new DiscoveredEndpoint(
                                                 name, dial, site, kind, block, state, share, born));
         return Combinators.combine(names(), hosts).as(Server::new);
     }
--- a/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
@@ -76,7 +76,8 @@
     void positionsAndAnswersThatAreTooOldAreReadAsTheyWereWritten(
             @ForAll("positions") LogPosition position) throws ProtocolException {
         assertEquals(position, ResourceCodec.readPosition(ResourceCodec.write(position)));
-        TooOld tooOld = new TooOld(position.log(), position.version() / 2, position.version());
+        VersionTooOld tooOld =
+                new VersionTooOld(position.log(), position.version() / 2, position.version());
         assertEquals(tooOld, ResourceCodec.readTooOld(ResourceCodec.write(tooOld)));
     }
 
@@ -203,7 +204,7 @@
     void settingsThatPassTheChecksCanBeTakenOver(@ForAll("puts") Change.Put put) {
         assertTrue(ResourceChecks.fault(put.key(), put.value()).isEmpty());
         if (put.value() instanceof ResourceValue.Settings settings) {
-            assertFalse(SettingsReader.settings(settings.tree()).classes().isEmpty());
+            assertFalse(SettingsReader.settings(settings.tree()).requestClasses().isEmpty());
         }
     }
 }
--- a/src/test/java/ottergauge/resources/ResourceCodecTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList.Host;
+import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceValue.Server;
 import ottergauge.resources.ResourceValue.Tenant;
@@ -38,14 +38,14 @@
     }
 
     private static Change serverChange() {
-        Host host =
-                new Host(
+        DiscoveredEndpoint host =
+                new DiscoveredEndpoint(
                         "s-1",
                         new Address("10.0.0.1", 80),
                         "a",
                         "m2",
                         3,
-                        ServerState.DRAINING,
+                        EndpointState.DRAINING,
                         1.5,
                         7);
         return new Change(
@@ -92,7 +92,7 @@
     void otherAnswersHaveTheFormOfTheInterface() {
         assertEquals(
                 "{\"error\":\"too_old\",\"log\":\"9f3c\",\"oldest\":80,\"version\":120}",
-                text(ResourceCodec.write(new TooOld("9f3c", 80, 120))));
+                text(ResourceCodec.write(new VersionTooOld("9f3c", 80, 120))));
         assertEquals(
                 "{\"log\":\"9f3c\",\"version\":121}",
                 text(ResourceCodec.write(new LogPosition("9f3c", 121))));
@@ -103,7 +103,7 @@
                 text(
                         ResourceCodec.writeFaults(
                                 List.of(
-                                        new Fault(
+                                        new FieldError(
                                                 "put[0].value.requests_per_second",
                                                 "-3",
                                                 "a number from 0 on")))));
@@ -237,7 +237,7 @@
                                 ResourceCodec.readSubmission(
                                         bytes("{\"id\":\"i\",\"put\":[" + entry + "]}")));
         assertEquals(refusal.getMessage(), refusal.faults().get(0).toString());
-        return refusal.faults().stream().map(Fault::key).toList();
+        return refusal.faults().stream().map(FieldError::key).toList();
     }
 
     @ParameterizedTest
@@ -381,7 +381,7 @@
 
     @Test
     void aFaultIsOneShortLine() {
-        Fault fault = new Fault("a\nb", "x".repeat(1000), "short");
+        FieldError fault = new FieldError("a\nb", "x".repeat(1000), "short");
         assertEquals("a?b", fault.key());
         assertEquals(83, fault.value().length());
     }
@@ -398,13 +398,13 @@
         assertEquals(
                 new Server(
                         "checkout",
-                        new Host(
+                        new DiscoveredEndpoint(
                                 "s-1",
                                 new Address("10.0.0.1", 80),
                                 null,
                                 null,
                                 0,
-                                ServerState.UP,
+                                EndpointState.UP,
                                 1,
                                 0)),
                 read.puts().get(0).value());
--- a/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
+++ b/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
@@ -12,7 +12,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.protocol.TestConfig;
@@ -210,14 +210,14 @@
             return;
         }
         boolean whole = call.after() < 0;
-        HostList list = list(version(now), whole, whole || version(now) > call.after());
+        EndpointList list = list(version(now), whole, whole || version(now) > call.after());
         long from = address;
         at(
                 now + TRIP,
                 () -> {
-                    note("answer " + call.call() + " seq=" + list.seq());
+                    note("answer " + call.call() + " seq=" + list.version());
                     if (watch.takes(call.call(), list)) {
-                        had.add(new Had(now, from, list.seq()));
+                        had.add(new Had(now, from, list.version()));
                         answeredAt = now;
                         watch.read(now, call.call(), list);
                     } else {
@@ -226,11 +226,11 @@
                 });
     }
 
-    private static HostList list(long seq, boolean whole, boolean news) {
+    private static EndpointList list(long seq, boolean whole, boolean news) {
         try {
             String[] hosts =
                     news ? new String[] {host("s-1", "10.0.0.1:80", "terminating")} : new String[0];
-            return HostList.read(TestConfig.list(seq, whole, hosts).getBytes(UTF_8));
+            return EndpointList.read(TestConfig.list(seq, whole, hosts).getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
--- a/src/test/java/ottergauge/routing/FlowsTest.java
+++ b/src/test/java/ottergauge/routing/FlowsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ottergauge.DecisionApi.LoadReport;
+import ottergauge.decision.api.LoadReport;
 import ottergauge.protocol.Content;
 import ottergauge.protocol.TestConfig;
 import ottergauge.routing.Effect.CloseClient;
--- a/src/test/java/ottergauge/routing/OperatorsTest.java
+++ b/src/test/java/ottergauge/routing/OperatorsTest.java
@@ -8,9 +8,10 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ottergauge.DecisionApi.ServerState;
+import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.TestConfig;
 import ottergauge.routing.Effect.Connect;
 import ottergauge.routing.Effect.DropHeld;
@@ -28,7 +29,7 @@
     private final RouterDriver node = new RouterDriver(new TestConfig().knows(ONE, TWO));
     private long lastCaller;
 
-    private TellOperator ask(OperatorCall call) {
+    private TellOperator ask(AdminRequest call) {
         node.tell(new Event.OperatorAsked(++lastCaller, call));
         TellOperator told = node.expect(TellOperator.class);
         assertEquals(lastCaller, told.caller());
@@ -36,7 +37,7 @@
     }
 
     private long figure(String name) {
-        return ask(new OperatorCall.Stats())
+        return ask(new AdminRequest.Stats())
                 .text()
                 .lines()
                 .filter(line -> line.startsWith("balancer." + name + "="))
@@ -65,9 +66,9 @@
     @Test
     void aServerHeldOutGetsNothingUntilItIsPutBack() {
         assertTrue(uses(FIRST, 8));
-        assertEquals(200, ask(new OperatorCall.Maint("s-1")).status());
+        assertEquals(200, ask(new AdminRequest.Maint("s-1")).status());
         assertEquals("s-1", node.expect(KeepHeld.class).server());
-        assertEquals(200, ask(new OperatorCall.Maint("s-1")).status());
+        assertEquals(200, ask(new AdminRequest.Maint("s-1")).status());
         assertEquals(false, uses(FIRST, 8));
         node.list(42, true, ONE, TWO);
         assertEquals(false, uses(FIRST, 8));
@@ -77,7 +78,7 @@
         assertEquals(false, uses(FIRST, 8));
         assertEquals(2, figure("members"));
         assertEquals(1, figure("members_unavailable"));
-        assertEquals(200, ask(new OperatorCall.Ready("s-1")).status());
+        assertEquals(200, ask(new AdminRequest.Ready("s-1")).status());
         assertEquals("s-1", node.expect(DropHeld.class).server());
         node.pass(1000);
         assertTrue(uses(FIRST, 8));
@@ -93,7 +94,7 @@
         node.request("grant");
         Connect connect = node.expect(Connect.class);
         String held = connect.address().equals(FIRST) ? "s-1" : "s-2";
-        assertEquals(200, ask(new OperatorCall.Maint(held)).status());
+        assertEquals(200, ask(new AdminRequest.Maint(held)).status());
         assertTrue(!node.expect(Connect.class).address().equals(connect.address()));
         node.tell(new Event.ServerConnected(connect.connection()));
         assertEquals(connect.connection(), node.expect(Effect.CloseServer.class).connection());
@@ -102,8 +103,8 @@
 
     @Test
     void anUnknownServerIsOwedANo() {
-        assertEquals(404, ask(new OperatorCall.Maint("s-9")).status());
-        assertEquals(404, ask(new OperatorCall.Ready("../s-1")).status());
+        assertEquals(404, ask(new AdminRequest.Maint("s-9")).status());
+        assertEquals(404, ask(new AdminRequest.Ready("../s-1")).status());
         node.expectNo(KeepHeld.class);
     }
 
@@ -122,11 +123,11 @@
     @Test
     void healthIsANoUntilClientsAreTakenAndAfterTheStop() {
         RouterDriver starting = new RouterDriver(new TestConfig(), false);
-        starting.tell(new Event.OperatorAsked(1, new OperatorCall.Health()));
+        starting.tell(new Event.OperatorAsked(1, new AdminRequest.Health()));
         assertEquals(503, starting.expect(TellOperator.class).status());
-        assertEquals(200, ask(new OperatorCall.Health()).status());
+        assertEquals(200, ask(new AdminRequest.Health()).status());
         node.tell(new Event.StopAsked(true));
-        assertEquals(503, ask(new OperatorCall.Health()).status());
+        assertEquals(503, ask(new AdminRequest.Health()).status());
     }
 
     /** Its list is late: without the moment of its return a restarted server counted as warm. */
@@ -135,17 +136,19 @@
         Roster roster = new Roster(9_000_000);
         roster.follow(1_000_000, list(500));
         roster.hold("s-1", 2_000_000);
-        assertEquals(3_000, roster.release(3_000_000, "s-1").hosts().get(0).bornMs());
-        assertEquals(3_000, roster.follow(4_000_000, list(500)).hosts().get(0).bornMs());
-        assertEquals(2_400, roster.follow(5_000_000, list(2_400)).hosts().get(0).bornMs());
-        assertEquals(500, roster.follow(12_000_001, list(500)).hosts().get(0).bornMs());
+        assertEquals(3_000, roster.release(3_000_000, "s-1").endpoints().get(0).startedAtMs());
+        assertEquals(3_000, roster.follow(4_000_000, list(500)).endpoints().get(0).startedAtMs());
+        assertEquals(2_400, roster.follow(5_000_000, list(2_400)).endpoints().get(0).startedAtMs());
+        assertEquals(500, roster.follow(12_000_001, list(500)).endpoints().get(0).startedAtMs());
     }
 
-    private static HostList list(long bornMs) {
-        return new HostList(
+    private static EndpointList list(long bornMs) {
+        return new EndpointList(
                 1,
                 true,
-                List.of(new HostList.Host("s-1", FIRST, "a", "m1", 0, ServerState.UP, 1, bornMs)));
+                List.of(
+                        new DiscoveredEndpoint(
+                                "s-1", FIRST, "a", "m1", 0, EndpointState.UP, 1, bornMs)));
     }
 
     /** Each request ends under one count, and what its client left under none. */
--- a/src/test/java/ottergauge/routing/RouterDriver.java
+++ b/src/test/java/ottergauge/routing/RouterDriver.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.PriorityQueue;
-import ottergauge.DecisionApi.LoadReport;
+import ottergauge.decision.api.LoadReport;
 import ottergauge.protocol.Content;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.protocol.RequestFields;
 import ottergauge.protocol.TestConfig;
@@ -228,8 +228,8 @@
      */
     void state(long version, Optional<TestConfig> settings, boolean whole, String... entries) {
         try {
-            HostList servers =
-                    HostList.read(
+            EndpointList servers =
+                    EndpointList.read(
                             TestConfig.list(version, whole, entries)
                                     .getBytes(StandardCharsets.UTF_8));
             tell(
@@ -259,7 +259,7 @@
             tell(
                     new Event.ListRead(
                             lastCall,
-                            HostList.read(
+                            EndpointList.read(
                                     TestConfig.list(seq, whole, entries)
                                             .getBytes(StandardCharsets.UTF_8))));
         } catch (ProtocolException e) {
--- a/src/test/java/ottergauge/routing/RouterTest.java
+++ b/src/test/java/ottergauge/routing/RouterTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.MethodSource;
 import ottergauge.protocol.Content;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.RequestFields;
 import ottergauge.protocol.TestConfig;
@@ -637,7 +637,7 @@
                 call.after() < 0 && call.waits() == 0,
                 "waits where it was to ask at once: " + call);
         // What the call that was given up still brings, or that it failed, changes nothing.
-        node.tell(new Event.ListRead(old.call(), HostList.EMPTY));
+        node.tell(new Event.ListRead(old.call(), EndpointList.EMPTY));
         node.tell(new Event.ListCallFailed(old.call()));
         node.pass(1900);
         node.expectNo(CallDiscovery.class);
--- a/src/test/java/ottergauge/routing/SettingsTakeoverTest.java
+++ b/src/test/java/ottergauge/routing/SettingsTakeoverTest.java
@@ -206,7 +206,7 @@
     }
 
     private static String figures(RouterDriver node) {
-        node.tell(new Event.OperatorAsked(1, new OperatorCall.Stats()));
+        node.tell(new Event.OperatorAsked(1, new AdminRequest.Stats()));
         return node.expect(TellOperator.class).text();
     }
 
--- a/src/test/java/ottergauge/routing/WatchTest.java
+++ b/src/test/java/ottergauge/routing/WatchTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ottergauge.protocol.HostList;
+import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.protocol.TestConfig;
@@ -31,15 +31,15 @@
 
     private static final long SECOND = 1_000_000;
     private static final long COUNTS_AS_TOLD = 6 * SECOND;
-    private static final HostList NOTHING = new HostList(41, false, List.of());
-    private static final HostList DRAINS = list(42, false, "terminating");
+    private static final EndpointList NOTHING = new EndpointList(41, false, List.of());
+    private static final EndpointList DRAINS = list(42, false, "terminating");
 
     private final List<Effect> effects = new ArrayList<>();
     private final Watch watch = new Watch(new TestConfig().build(), effects::add);
 
-    private static HostList list(long seq, boolean whole, String health) {
+    private static EndpointList list(long seq, boolean whole, String health) {
         try {
-            return HostList.read(
+            return EndpointList.read(
                     TestConfig.list(seq, whole, host("s-1", "10.0.0.1:80", health))
                             .getBytes(UTF_8));
         } catch (ProtocolException e) {
@@ -157,7 +157,7 @@
     @Test
     void versionsThatBeginAnewAreAskedForWhole() {
         CallDiscovery call = watching();
-        HostList lower = new HostList(3, false, List.of());
+        EndpointList lower = new EndpointList(3, false, List.of());
         assertFalse(watch.takes(call.call(), lower));
         effects.clear();
         watch.passOver(2 * SECOND, call.call(), lower);
@@ -175,7 +175,7 @@
         CallDiscovery again = expect(CallDiscovery.class);
         assertTrue(watch.takes(silent.call(), DRAINS));
         watch.read(3 * SECOND, silent.call(), DRAINS);
-        HostList old = list(41, true, "in_service");
+        EndpointList old = list(41, true, "in_service");
         assertFalse(watch.takes(again.call(), old));
         effects.clear();
         watch.passOver(4 * SECOND, again.call(), old);
