--- a/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
@@ -117,6 +117,8 @@
                         });
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void write(Channel connection, long intended) {
         connection.pipeline().get(Answers.class).intended = intended;
         FullHttpRequest request =
@@ -144,6 +146,8 @@
         private long intended = NONE;
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             long begun = intended;
             intended = NONE;
@@ -166,6 +170,8 @@
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
@@ -200,6 +206,8 @@
     }
 
     @Override
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void close() {
         loop.submit(() -> Set.copyOf(connections).forEach(Channel::close)).syncUninterruptibly();
     }
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeFigures.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeFigures.java
@@ -31,6 +31,8 @@
     public record Rest(double cpu, double callsPerSecond, double bytesPerSecond) {}
 
     /** Changes at an even rate; CPU as a part of one core, by slices of the time. */
+    @SuppressWarnings(
+            "ArrayRecordComponent") // Compared nowhere; primitives as the table takes them.
     public record Changes(
             double[] cpu, double callsPerChange, double bytesPerChange, boolean followed) {}
 
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
@@ -44,7 +44,7 @@
 
     /** A loopback address that was free a moment ago. */
     public static Address freeAddress() throws IOException {
-        try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByName(Loopback.HOST))) {
+        try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return Loopback.port(probe.getLocalPort());
         }
     }
--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -127,6 +127,8 @@
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
+    // A failed write shows as the end of its connection; the scheduled task only writes.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void answer(Channel connection, QueryStringDecoder call) {
         if (!call.path().equals(Headers.LIST_PATH)) {
             connection.writeAndFlush(
@@ -157,6 +159,8 @@
         return values.isEmpty() ? absent : Long.parseLong(values.get(0));
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void tell(Channel connection, long after) {
         connection.writeAndFlush(HttpListener.response(HttpResponseStatus.OK, list(after).json()));
     }
--- a/capacity/src/main/java/ottergauge/capacity/standin/HttpListener.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/HttpListener.java
@@ -84,6 +84,8 @@
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
--- a/capacity/src/main/java/ottergauge/capacity/standin/ServerStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/ServerStandIn.java
@@ -25,6 +25,8 @@
         listener = new HttpListener(loop, ServerStandIn::answer);
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private static void answer(Channel connection, FullHttpRequest request) {
         FullHttpResponse response = HttpListener.response(HttpResponseStatus.OK, BODY);
         response.headers().set(Headers.LOAD, IDLE);
--- a/capacity/src/main/java/ottergauge/capacity/standin/TrafficCounter.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/TrafficCounter.java
@@ -34,6 +34,8 @@
     }
 
     @Override
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes) {
             sent.addAndGet(bytes.readableBytes());
--- a/capacity/src/test/java/ottergauge/capacity/load/OpenLoopClientTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/load/OpenLoopClientTest.java
@@ -99,7 +99,7 @@
         private final ServerSocket listener;
 
         Silent() throws IOException {
-            listener = new ServerSocket(0, 8, InetAddress.getByName("127.0.0.1"));
+            listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
             listener.setSoTimeout((int) PATIENCE_MS);
         }
 
--- a/lab/src/main/java/ottergauge/lab/client/Clients.java
+++ b/lab/src/main/java/ottergauge/lab/client/Clients.java
@@ -112,6 +112,8 @@
     }
 
     /** No request begins any more, and connections are closed. */
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void end() {
         ended = true;
         front.end();
@@ -164,6 +166,8 @@
     }
 
     // It closes its connection and does not come again.
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void leave(Call call) {
         if (!call.over && call.on != null && call.on.call == call) {
             call.over = true;
@@ -236,6 +240,8 @@
         }
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void stopWaiting(Call call) {
         if (call.each.answeredAt < 0) {
             call.each.gaveUpAt = loop.now();
@@ -294,6 +300,8 @@
             }
         }
 
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         void send(Call next) {
             call = next;
             next.on = this;
@@ -302,6 +310,8 @@
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             Call answered = call;
             if (answered == null) {
@@ -359,6 +369,8 @@
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
         }
--- a/lab/src/main/java/ottergauge/lab/client/Dialer.java
+++ b/lab/src/main/java/ottergauge/lab/client/Dialer.java
@@ -64,12 +64,16 @@
     /**
      * Asks a node one thing on a connection of its own; the status, or 0 if no answer came in time.
      */
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     void ask(int node, FullHttpRequest request, long within, IntConsumer answered) {
         ChannelFuture connecting =
                 connect(
                         node,
                         new SimpleChannelInboundHandler<FullHttpResponse>() {
                             @Override
+                            // A failed write or close shows as the end of its connection.
+                            @SuppressWarnings("FutureReturnValueIgnored")
                             protected void channelRead0(
                                     ChannelHandlerContext ctx, FullHttpResponse response) {
                                 answered.accept(response.status().code());
@@ -77,6 +81,8 @@
                             }
 
                             @Override
+                            // A failed write or close shows as the end of its connection.
+                            @SuppressWarnings("FutureReturnValueIgnored")
                             public void channelActive(ChannelHandlerContext ctx) {
                                 ctx.writeAndFlush(request);
                             }
@@ -87,6 +93,8 @@
                             }
 
                             @Override
+                            // A failed write or close shows as the end of its connection.
+                            @SuppressWarnings("FutureReturnValueIgnored")
                             public void exceptionCaught(
                                     ChannelHandlerContext ctx, Throwable cause) {
                                 ctx.close();
--- a/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
@@ -119,6 +119,8 @@
                     }
 
                     @Override
+                    // A failed write or close shows as the end of its connection.
+                    @SuppressWarnings("FutureReturnValueIgnored")
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                         ctx.close();
                     }
@@ -278,6 +280,8 @@
                 .ifPresent(life -> life.toldAt.putIfAbsent(node, loop.now()));
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
         Channel channel = ctx.channel();
         if (channel.isActive() && !silent.contains(ctx)) {
--- a/lab/src/main/java/ottergauge/lab/ledger/Figures.java
+++ b/lab/src/main/java/ottergauge/lab/ledger/Figures.java
@@ -206,7 +206,10 @@
             for (RequestClass low : scenario.classes()) {
                 long lowServed =
                         second.stream()
-                                .filter(ask -> type(ask) == low && ends.get(ask) == End.IN_TIME)
+                                .filter(
+                                        ask ->
+                                                type(ask).equals(low)
+                                                        && ends.get(ask) == End.IN_TIME)
                                 .count();
                 long highRefused =
                         second.stream()
@@ -258,6 +261,7 @@
         return spans;
     }
 
+    @SuppressWarnings("EnumOrdinal") // Columns 1 to 4 stand in the order of End.
     public List<Second> seconds() {
         int count = (int) ((scenario.length() + SECOND - 1) / SECOND);
         int[][] n = new int[count][11];
--- a/lab/src/main/java/ottergauge/lab/net/Link.java
+++ b/lab/src/main/java/ottergauge/lab/net/Link.java
@@ -75,6 +75,8 @@
         doorMoved.run();
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     static void reset(Channel channel) {
         // Not by force: the stand-in behind it has to hear of its end.
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
+++ b/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
@@ -123,6 +123,8 @@
     }
 
     @Override
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes && bytes.isReadable()) {
             // Written as far as the stand-in is concerned: what becomes of it is the link's.
--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -141,6 +141,8 @@
         }
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void close() {
         if (channel != null) {
             channel.close();
--- a/lab/src/main/java/ottergauge/lab/net/Loop.java
+++ b/lab/src/main/java/ottergauge/lab/net/Loop.java
@@ -7,6 +7,8 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
 
 /**
  * The rig's one thread and its clock: stand-ins, faults and clients all run on it, in turn. It
@@ -14,6 +16,7 @@
  */
 public final class Loop implements AutoCloseable {
 
+    private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
     private static final long MOST_LATE = TimeUnit.MINUTES.toMicros(10);
     private static final long MICROS = 1_000;
 
@@ -45,16 +48,27 @@
     }
 
     /** Does something at an instant, or at once if that has passed. */
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void at(long instant, Runnable task) {
         loop.schedule(
                 () -> {
                     lateness.recordValue(Math.min(MOST_LATE, Math.max(0, now() - instant)));
-                    task.run();
+                    runLogged(task);
                 },
                 Math.max(0, instant - now()),
                 TimeUnit.MICROSECONDS);
     }
 
+    // Nobody looks at the future of a scheduled task: without this its failure would go unseen.
+    private static void runLogged(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            LOG.error("a scheduled task of the laboratory failed", e);
+            throw e;
+        }
+    }
+
     public void after(long span, Runnable task) {
         at(now() + span, task);
     }
--- a/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
@@ -47,6 +47,8 @@
     }
 
     /** Starts it; the folder for files of its own is empty then, as the platform has it. */
+    // Nothing waits for the end of the process here: the consumer is told of it.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void start(String config) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
         Path temporary = folder.resolve("tmp");
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
@@ -115,6 +115,8 @@
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
             if (message instanceof ByteBuf bytes) {
                 counts.bytes(0, bytes.readableBytes());
@@ -136,6 +138,8 @@
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
@@ -212,6 +216,8 @@
         answer(context, HttpResponseStatus.OK, answer.body());
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private static void answer(
             ChannelHandlerContext context, HttpResponseStatus status, byte[] body) {
         if (context.channel().isActive()) {
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/ListLog.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/ListLog.java
@@ -21,6 +21,7 @@
     private record Change(long version, List<Entry> entries) {}
 
     /** An answer: its body, and whether that is the whole list. */
+    @SuppressWarnings("ArrayRecordComponent") // Encoded once and never compared.
     record Answer(byte[] body, boolean whole, int entries) {}
 
     private static final int MOST_CHANGES = 50_000;
--- a/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
@@ -61,6 +61,8 @@
         listener = new Listener(loop, address, link, this::accepted);
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void accepted(ChannelPipeline pipeline) {
         Channel near = pipeline.channel();
         near.config().setWriteBufferWaterMark(WATER_MARK);
@@ -91,6 +93,8 @@
                 });
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void join(Channel near, Channel far) {
         open.add(near);
         open.add(far);
@@ -121,6 +125,8 @@
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         public void channelRead(ChannelHandlerContext context, Object message) {
             int length = ((ByteBuf) message).readableBytes();
             bytesThere += near ? length : 0;
@@ -140,12 +146,16 @@
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         public void channelInactive(ChannelHandlerContext context) {
             // What was written to the other side goes out before it is closed.
             other.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(sent -> other.close());
         }
 
         @Override
+        // A failed write or close shows as the end of its connection.
+        @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
         }
--- a/lab/src/main/java/ottergauge/lab/scale/play/PhasePlayer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/PhasePlayer.java
@@ -90,6 +90,8 @@
         }
     }
 
+    // Only the thread that runs the phases writes it; others read.
+    @SuppressWarnings("NonAtomicVolatileUpdate")
     private void change(LongFunction<ArrayNode> what) {
         ArrayNode entries = what.apply(System.currentTimeMillis());
         expected++;
--- a/lab/src/main/java/ottergauge/lab/scale/play/Told.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/Told.java
@@ -86,8 +86,8 @@
                     line.get("count").asLong(),
                     at);
         } else {
-            line.fields()
-                    .forEachRemaining(
+            line.properties()
+                    .forEach(
                             each -> {
                                 if (!"event".equals(each.getKey()) && !"at".equals(each.getKey())) {
                                     seen.callsAtDiscovery(
--- a/lab/src/main/java/ottergauge/lab/scale/process/ProcessUse.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/ProcessUse.java
@@ -40,7 +40,7 @@
 
     // User, nice and system time come first, then idle time and waiting for disks, then interrupts.
     static ProcessUse parseMachine(String line) {
-        String[] fields = line.trim().split("\\s+");
+        String[] fields = line.trim().split("\\s+", -1);
         long ticks = 0;
         for (int field = 1; field <= LAST_OF_MACHINE && field < fields.length; field++) {
             ticks += field == IDLE || field == DISKS ? 0 : Long.parseLong(fields[field]);
--- a/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
@@ -190,6 +190,8 @@
         }
     }
 
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private void answer(
             ChannelHandlerContext ctx,
             HttpResponseStatus status,
@@ -233,6 +235,8 @@
     }
 
     @Override
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         ctx.close();
     }
--- a/lab/src/main/java/ottergauge/lab/server/ServerHost.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerHost.java
@@ -158,6 +158,8 @@
     }
 
     /** The process dies: connections are reset, new ones refused, and what ran is lost. */
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void die() {
         model.die();
         held.clear();
@@ -205,6 +207,8 @@
     }
 
     /** Ends for good, with all of its addresses. */
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     public void end() {
         listeners.values().forEach(Listener::end);
         new ArrayList<>(connections).forEach(Channel::close);
--- a/lab/src/test/java/ottergauge/lab/net/LinkTest.java
+++ b/lab/src/test/java/ottergauge/lab/net/LinkTest.java
@@ -47,7 +47,7 @@
     @BeforeEach
     void listen() throws IOException {
         try (ServerSocket free = new ServerSocket(0)) {
-            address = new InetSocketAddress("127.0.0.1", free.getLocalPort());
+            address = new InetSocketAddress(InetAddress.getLoopbackAddress(), free.getLocalPort());
         }
         listener =
                 new Listener(
@@ -58,9 +58,12 @@
                                 pipeline.addLast(
                                         new ChannelInboundHandlerAdapter() {
                                             @Override
+                                            // A failed write or close shows as the end of its
+                                            // connection.
+                                            @SuppressWarnings("FutureReturnValueIgnored")
                                             public void channelRead(
                                                     ChannelHandlerContext ctx, Object message) {
-                                                ctx.writeAndFlush(((ByteBuf) message));
+                                                ctx.writeAndFlush((ByteBuf) message);
                                             }
 
                                             @Override
@@ -258,6 +261,8 @@
 
     /** Guards against a play that ends since the one before it gives its addresses back late. */
     @Test
+    // A failed write or close shows as the end of its connection.
+    @SuppressWarnings("FutureReturnValueIgnored")
     void anAddressThatIsNotYetGivenBackIsTriedAgain() throws Exception {
         ServerSocket before = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         loop.netty()
--- a/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
@@ -91,6 +91,7 @@
     }
 
     @Test
+    @SuppressWarnings("try") // One side is closed by the test before its block ends.
     void theEndOfOneSideIsTheEndOfTheOther() throws Exception {
         try (Socket near = connect(LATER_MS);
                 Socket far = target.accept()) {
