--- a/capacity/src/main/java/ottergauge/capacity/Main.java
+++ b/capacity/src/main/java/ottergauge/capacity/Main.java
@@ -16,6 +16,7 @@
 
     private Main() {}
 
+    /** Runs a command and ends with its exit code. */
     public static void main(String[] arguments) {
         System.exit(
                 new CommandLine(new Main())
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
@@ -42,6 +42,7 @@
         changeBytes = change.json();
     }
 
+    /** Reads a full endpoint list. */
     @Benchmark
     public EndpointList readWhole() throws ProtocolException {
         EndpointList read = EndpointList.read(wholeBytes);
@@ -49,6 +50,7 @@
         return read;
     }
 
+    /** Reads an update of one endpoint. */
     @Benchmark
     public EndpointList readChange() throws ProtocolException {
         EndpointList read = EndpointList.read(changeBytes);
@@ -56,6 +58,7 @@
         return read;
     }
 
+    /** Writes a full endpoint list. */
     @Benchmark
     public byte[] writeWhole() {
         byte[] written = whole.json();
@@ -63,6 +66,7 @@
         return written;
     }
 
+    /** Writes an update of one endpoint. */
     @Benchmark
     public byte[] writeChange() {
         byte[] written = change.json();
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
@@ -42,6 +42,7 @@
         changeBytes = ResourceCodec.write(change);
     }
 
+    /** Reads all pages of a snapshot. */
     @Benchmark
     public int readSnapshot() throws ProtocolException {
         int resources = 0;
@@ -54,6 +55,7 @@
         return resources;
     }
 
+    /** Reads a page of one change. */
     @Benchmark
     public ChangePage readChange() throws ProtocolException {
         ChangePage read = ResourceCodec.readChanges(changeBytes);
@@ -61,6 +63,7 @@
         return read;
     }
 
+    /** Writes a page of one change. */
     @Benchmark
     public byte[] writeChange() {
         byte[] written = ResourceCodec.write(change);
--- a/lab/src/main/java/ottergauge/lab/client/Clients.java
+++ b/lab/src/main/java/ottergauge/lab/client/Clients.java
@@ -52,6 +52,7 @@
     private long lastId;
     private boolean ended;
 
+    /** Connects the load to the nodes; the lists have an entry for each node. */
     public Clients(
             Loop loop,
             Scenario scenario,
--- a/lab/src/main/java/ottergauge/lab/client/Plan.java
+++ b/lab/src/main/java/ottergauge/lab/client/Plan.java
@@ -33,6 +33,7 @@
 
     private Plan() {}
 
+    /** Draws all requests of a scenario, in the order of their instants. */
     public static List<Request> draw(Scenario scenario) {
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(scenario.seed());
         ZigguratSampler.Exponential gap = ZigguratSampler.Exponential.of(random);
--- a/lab/src/main/java/ottergauge/lab/ledger/Figures.java
+++ b/lab/src/main/java/ottergauge/lab/ledger/Figures.java
@@ -76,6 +76,7 @@
     private final Ledger ledger;
     private final Map<Ask, End> ends = new HashMap<>();
 
+    /** Prepares the figures of one run. */
     public Figures(Scenario scenario, Ledger ledger) {
         this.scenario = scenario;
         this.ledger = ledger;
@@ -261,6 +262,7 @@
         return spans;
     }
 
+    /** Returns the figures of each second of the run. */
     @SuppressWarnings("EnumOrdinal") // Columns 1 to 4 stand in the order of End.
     public List<Second> seconds() {
         int count = (int) ((scenario.length() + SECOND - 1) / SECOND);
--- a/lab/src/main/java/ottergauge/lab/ledger/Ledger.java
+++ b/lab/src/main/java/ottergauge/lab/ledger/Ledger.java
@@ -22,6 +22,7 @@
         public final long work;
         public final List<Try> tries = new ArrayList<>(1);
 
+        /** Records a request; the instant and the work are microseconds. */
         public Ask(int number, int requestClass, int tenant, long intendedAt, long work) {
             this.number = number;
             this.requestClass = requestClass;
@@ -82,6 +83,7 @@
 
         public final List<Attempt> attempts = new ArrayList<>(1);
 
+        /** Records a try of a request at a node; {@code waits} is microseconds. */
         public Try(Ask ask, String id, int node, long waits) {
             this.ask = ask;
             this.id = id;
@@ -101,6 +103,7 @@
         public long endedAt = -1;
         public String end = "open";
 
+        /** Records an attempt that reached a server; instants are microseconds. */
         public Attempt(Try of, int node, String server, long firstByteAt, long at) {
             this.of = of;
             this.node = node;
@@ -122,6 +125,7 @@
         TURNED_AWAY
     }
 
+    /** A cost that a node caused at a server or at discovery, at an instant in microseconds. */
     public record Paid(long at, Cost cost, int node, String target) {}
 
     /** Something that happened to a process: a fault, a start, a state. */
@@ -139,6 +143,7 @@
 
         public long fellAt = -1;
 
+        /** Records a start of a server at an instant in microseconds. */
         public Life(String server, String zone, long bornAt, boolean cold) {
             this.server = server;
             this.zone = zone;
--- a/lab/src/main/java/ottergauge/lab/net/Addresses.java
+++ b/lab/src/main/java/ottergauge/lab/net/Addresses.java
@@ -42,6 +42,7 @@
         throw new IOException("no free range of loopback addresses");
     }
 
+    /** Returns the addresses of the range that a bound lock socket stands for. */
     public static Addresses of(ServerSocket lock) {
         int net = lock.getInetAddress().getAddress()[1] & 0xff;
         return new Addresses(
--- a/lab/src/main/java/ottergauge/lab/net/Loop.java
+++ b/lab/src/main/java/ottergauge/lab/net/Loop.java
@@ -25,6 +25,7 @@
     private final Histogram lateness = new Histogram(MOST_LATE, 3);
     private long origin = System.nanoTime();
 
+    /** Starts the thread; it ends with {@link #close}. */
     public Loop() {
         group =
                 new MultiThreadIoEventLoopGroup(
--- a/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
@@ -85,6 +85,7 @@
         Files.writeString(folder.resolve("config.json"), config);
     }
 
+    /** Sends the process a signal by its short name; nothing if it has ended. */
     public void signal(String name) {
         if (isAlive()) {
             signals.send(name, process.pid());
--- a/lab/src/main/java/ottergauge/lab/node/Signals.java
+++ b/lab/src/main/java/ottergauge/lab/node/Signals.java
@@ -11,6 +11,7 @@
     private final Process shell;
     private final OutputStream orders;
 
+    /** Starts the shell; an {@link IOException} says that it cannot be started. */
     public Signals() throws IOException {
         shell =
                 new ProcessBuilder(
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -43,6 +43,7 @@
     private final List<Broken> broken;
     private final Figures figures;
 
+    /** Checks the rules on what was recorded and computes the figures. */
     public Report(Played played) {
         this.played = played;
         scenario = played.scenario();
@@ -50,6 +51,7 @@
         figures = new Figures(scenario, played.ledger());
     }
 
+    /** Returns the verdict; {@code RIG_LATE} goes before a broken rule. */
     public Verdict verdict() {
         return played.lateP99() > LATE_P99
                 ? Verdict.RIG_LATE
@@ -77,6 +79,7 @@
         }
     }
 
+    /** Returns the burst of the scenario; null if its load has none. */
     public Burst burst() {
         List<LoadStep> steps = scenario.load();
         for (int i = 1; i + 1 < steps.size(); i++) {
@@ -92,6 +95,7 @@
         return null;
     }
 
+    /** Prints the report for people. */
     public void print(PrintWriter out) {
         out.printf(
                 Locale.ROOT,
--- a/lab/src/main/java/ottergauge/lab/scale/figures/Observations.java
+++ b/lab/src/main/java/ottergauge/lab/scale/figures/Observations.java
@@ -106,6 +106,7 @@
         excused.put(process, until);
     }
 
+    /** Records how many of so many looks of a process came late, by an instant in ms. */
     public synchronized void lateness(String process, long looks, long late, long at) {
         if (at < excused.getOrDefault(process, 0L)) {
             return;
--- a/lab/src/main/java/ottergauge/lab/scale/process/Reaper.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/Reaper.java
@@ -29,6 +29,7 @@
     private final Process shell;
     private final OutputStream entries;
 
+    /** Starts the shell that kills registered processes when this one has gone. */
     public Reaper() throws IOException {
         // A group of its own: what ends the rig's group from a terminal does not end this.
         shell =
--- a/lab/src/main/java/ottergauge/lab/scenario/Entry.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/Entry.java
@@ -87,6 +87,7 @@
         return node.getStartMark().map(mark -> mark.getLine() + 1).orElse(0);
     }
 
+    /** Returns an error that names file, line, key, value and what is allowed. */
     public ScenarioException fault(String key, String allowed) {
         Node node = values.get(key);
         String told = node instanceof ScalarNode scalar ? ", not " + scalar.getValue() : "";
@@ -115,6 +116,7 @@
         return scalar.getValue();
     }
 
+    /** Returns a text that must be there and must not be blank. */
     public String text(String key) throws ScenarioException {
         String text = scalar(key, "a word");
         if (text.isBlank()) {
@@ -127,6 +129,7 @@
         return has(key) ? text(key) : absent;
     }
 
+    /** Returns one of the values of an enum, or {@code absent} without the key. */
     public <E extends Enum<E>> E oneOf(String key, Class<E> kind, E absent)
             throws ScenarioException {
         if (absent != null && !has(key)) {
@@ -144,6 +147,7 @@
         return kind.getEnumConstants()[index];
     }
 
+    /** Returns a number that must be there and within the range. */
     public double number(String key, Range range) throws ScenarioException {
         try {
             double value = Double.parseDouble(scalar(key, range.words()));
@@ -160,6 +164,7 @@
         return has(key) ? number(key, range) : absent;
     }
 
+    /** Returns a whole number that must be there and is not negative. */
     public int count(String key) throws ScenarioException {
         double value = number(key, Range.COUNT);
         if (value != Math.rint(value)) {
@@ -172,6 +177,7 @@
         return has(key) ? count(key) : absent;
     }
 
+    /** Returns a whole number, or {@code absent} without the key. */
     public long whole(String key, long absent) throws ScenarioException {
         if (!has(key)) {
             return absent;
@@ -184,6 +190,7 @@
         }
     }
 
+    /** Returns true or false, or {@code absent} without the key. */
     public boolean flag(String key, boolean absent) throws ScenarioException {
         if (!has(key)) {
             return absent;
@@ -218,6 +225,7 @@
         return has(key) ? span(key) : absent;
     }
 
+    /** Returns a group of keys that must be there. */
     public Entry child(String key) throws ScenarioException {
         asked.add(key);
         Node node = values.get(key);
@@ -232,6 +240,7 @@
         return has(key) ? child(key) : new Entry(file, line);
     }
 
+    /** Returns a list of groups of keys; empty without the key. */
     public List<Entry> children(String key) throws ScenarioException {
         asked.add(key);
         List<Entry> children = new ArrayList<>();
@@ -245,6 +254,7 @@
         return children;
     }
 
+    /** Returns one word or a list of them. */
     public List<String> texts(String key) throws ScenarioException {
         asked.add(key);
         List<String> texts = new ArrayList<>();
--- a/lab/src/main/java/ottergauge/lab/server/ServerHost.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerHost.java
@@ -139,6 +139,7 @@
         ailment = Ailment.FULL;
     }
 
+    /** Ends whatever is wrong with the server; what it held back is answered. */
     public void recover() {
         ailment = Ailment.NONE;
         answersLost = 0;
--- a/lab/src/main/java/ottergauge/lab/server/ServerModel.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerModel.java
@@ -30,6 +30,7 @@
         boolean running;
         boolean withdrawn;
 
+        /** Creates work of {@code work} microseconds, of which {@code waits} need no core. */
         public Job(long work, long waits, long over, Runnable began, Runnable done) {
             this.work = work;
             this.waits = waits;
