--- a/src/main/java/ottergauge/program/RehearseCommand.java
+++ b/src/main/java/ottergauge/program/RehearseCommand.java
@@ -95,20 +95,14 @@
                 ask(door, "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n");
                 ask(
                         door,
-                        """
-                        POST /servers/itself/maint HTTP/1.1
-                        Host: x
-                        Content-Length: 0
-
-                        """);
+                        "POST /servers/itself/maint HTTP/1.1\r\n"
+                                + "Host: x\r\n"
+                                + "Content-Length: 0\r\n\r\n");
                 ask(
                         door,
-                        """
-                        POST /servers/itself/ready HTTP/1.1
-                        Host: x
-                        Content-Length: 0
-
-                        """);
+                        "POST /servers/itself/ready HTTP/1.1\r\n"
+                                + "Host: x\r\n"
+                                + "Content-Length: 0\r\n\r\n");
                 ask(door, "no call\r\n\r\n");
             }
             node.reconfigure(config);
