--- /dev/null
+++ b/src/test/java/ottergauge/resources/ResourceFormatCompatibilityTest.java
@@ -0,0 +1,88 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.resources;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import org.junit.jupiter.api.Test;
+import ottergauge.protocol.ProtocolException;
+
+/**
+ * Holds the JSON form of messages that earlier builds wrote: each sample under {@code
+ * compatibility/} is read and written back byte by byte. A sample is never edited; a new form gets
+ * a sample of its own.
+ */
+class ResourceFormatCompatibilityTest {
+
+    private static final String FOLDER = "/compatibility/";
+
+    private static byte[] sample(String name) throws IOException {
+        try (InputStream file =
+                ResourceFormatCompatibilityTest.class.getResourceAsStream(FOLDER + name)) {
+            return file.readAllBytes();
+        }
+    }
+
+    private static void assertSameBytes(byte[] expected, byte[] written) {
+        assertEquals(
+                new String(expected, StandardCharsets.UTF_8),
+                new String(written, StandardCharsets.UTF_8));
+    }
+
+    @Test
+    void changePage_isWrittenBackByteByByte() throws IOException, ProtocolException {
+        byte[] sample = sample("change-page.json");
+        ChangePage page = ResourceCodec.readChanges(sample);
+        assertEquals(2, page.changes().size());
+        assertEquals(6, page.changes().get(0).puts().size());
+        assertTrue(page.unreadable().isEmpty());
+        assertSameBytes(sample, ResourceCodec.write(page));
+    }
+
+    @Test
+    void snapshotPage_isWrittenBackByteByByte() throws IOException, ProtocolException {
+        byte[] sample = sample("snapshot-page.json");
+        SnapshotPage page = ResourceCodec.readSnapshot(sample);
+        assertEquals(6, page.resources().size());
+        assertTrue(page.unreadable().isEmpty());
+        assertSameBytes(sample, ResourceCodec.write(page));
+    }
+
+    @Test
+    void lastSnapshotPage_isWrittenBackByteByByte() throws IOException, ProtocolException {
+        byte[] sample = sample("last-snapshot-page.json");
+        SnapshotPage page = ResourceCodec.readSnapshot(sample);
+        assertTrue(page.next().isEmpty());
+        assertSameBytes(sample, ResourceCodec.write(page));
+    }
+
+    @Test
+    void submission_isWrittenBackByteByByte() throws IOException, ProtocolException {
+        byte[] sample = sample("submission.json");
+        Submission submission = ResourceCodec.readSubmission(sample);
+        assertEquals(6, submission.puts().size());
+        assertEquals(2, submission.deletes().size());
+        assertSameBytes(sample, ResourceCodec.write(submission));
+    }
+
+    @Test
+    void logPosition_isWrittenBackByteByByte() throws IOException, ProtocolException {
+        byte[] sample = sample("log-position.json");
+        assertSameBytes(sample, ResourceCodec.write(ResourceCodec.readPosition(sample)));
+    }
+
+    @Test
+    void versionTooOld_isWrittenBackByteByByte() throws IOException, ProtocolException {
+        byte[] sample = sample("version-too-old.json");
+        assertSameBytes(sample, ResourceCodec.write(ResourceCodec.readTooOld(sample)));
+    }
+
+    @Test
+    void invalidSubmission_isWrittenBackByteByByte() throws IOException, ProtocolException {
+        byte[] sample = sample("invalid-submission.json");
+        assertSameBytes(sample, ResourceCodec.writeFaults(ResourceCodec.readFaults(sample)));
+    }
+}
