--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
@@ -46,7 +46,7 @@
     public int readSnapshot() throws ProtocolException {
         int resources = 0;
         for (byte[] page : encoded.pages()) {
-            SnapshotPage read = ResourceCodec.readSnapshot(page);
+            SnapshotPage read = ResourceCodec.readSnapshotPage(page);
             Check.equal(0, read.unreadable().size());
             resources += read.resources().size();
         }
@@ -56,7 +56,7 @@
 
     @Benchmark
     public ChangePage readChange() throws ProtocolException {
-        ChangePage read = ResourceCodec.readChanges(changeBytes);
+        ChangePage read = ResourceCodec.readChangePage(changeBytes);
         Check.equal(1, read.changes().size());
         return read;
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
@@ -120,7 +120,7 @@
     public Change change() {
         ResourceKey key = servers.get(nextChanged);
         ResourceValue.Server before = (ResourceValue.Server) state.get(key).value();
-        DiscoveredEndpoint host = before.host();
+        DiscoveredEndpoint host = before.endpoint();
         EndpointState next =
                 host.state() == EndpointState.UP ? EndpointState.DRAINING : EndpointState.UP;
         ResourceValue after =
--- a/capacity/src/test/java/ottergauge/capacity/workload/EncodedFleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/EncodedFleetTest.java
@@ -20,7 +20,7 @@
         List<Resource> read = new ArrayList<>();
         for (byte[] page : encoded.pages()) {
             assertTrue(page.length <= EncodedFleet.PAGE_BYTES, "a page of " + page.length);
-            read.addAll(ResourceCodec.readSnapshot(page).resources());
+            read.addAll(ResourceCodec.readSnapshotPage(page).resources());
         }
         assertEquals(fleet.resources(), read);
         assertEquals(read.size(), encoded.resources());
--- a/control/src/main/java/ottergauge/control/client/ControlClient.java
+++ b/control/src/main/java/ottergauge/control/client/ControlClient.java
@@ -85,7 +85,7 @@
                         CHANGES_PATH,
                         submission,
                         CALL_WITHIN,
-                        ResourceCodec.MOST_PAGE_BYTES);
+                        ResourceCodec.MAX_PAGE_BYTES);
         return switch (answer.status()) {
             case OK ->
                     Optional.of(
@@ -98,7 +98,7 @@
                                             new FieldError(
                                                     "the submission",
                                                     submission.length + " bytes",
-                                                    ResourceCodec.MOST_SUBMISSION_BYTES
+                                                    ResourceCodec.MAX_SUBMISSION_BYTES
                                                             + " bytes at most"))));
             default -> Optional.empty();
         };
@@ -106,7 +106,7 @@
 
     private static List<FieldError> faults(byte[] body) {
         try {
-            return ResourceCodec.readFaults(body);
+            return ResourceCodec.readErrors(body);
         } catch (ProtocolException e) {
             return List.of(
                     new FieldError(
@@ -142,7 +142,7 @@
             throw new CallFailedException("a snapshot is answered by status " + answer.status());
         }
         try {
-            return ResourceCodec.readSnapshot(answer.body());
+            return ResourceCodec.readSnapshotPage(answer.body());
         } catch (ProtocolException e) {
             throw new CallFailedException(e.getMessage());
         }
@@ -168,7 +168,7 @@
             throw new CallFailedException("changes are answered by status " + answer.status());
         }
         try {
-            return Optional.of(ResourceCodec.readChanges(answer.body()));
+            return Optional.of(ResourceCodec.readChangePage(answer.body()));
         } catch (ProtocolException e) {
             throw new CallFailedException(e.getMessage());
         }
@@ -182,7 +182,7 @@
             int at = (preferred + i) % addresses.size();
             try {
                 HttpAnswer answer =
-                        calls.get(addresses.get(at), path, within, ResourceCodec.MOST_PAGE_BYTES);
+                        calls.get(addresses.get(at), path, within, ResourceCodec.MAX_PAGE_BYTES);
                 if (answer.status() != HttpCalls.UNAVAILABLE) {
                     preferred = at;
                     return answer;
--- a/control/src/main/java/ottergauge/control/config/ConfigFields.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigFields.java
@@ -9,7 +9,7 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.FieldError;
-import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceValidator;
 
 /**
  * Reads the keys of one object of a configuration; reports what is wrong, and keys that none asked
@@ -33,10 +33,10 @@
     }
 
     String name(String key) {
-        if (value(key) instanceof String text && ResourceChecks.isName(text)) {
+        if (value(key) instanceof String text && ResourceValidator.isValidName(text)) {
             return text;
         }
-        fault(key, ResourceChecks.NAME_FORM);
+        fault(key, ResourceValidator.NAME_FORMAT);
         return "";
     }
 
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -17,10 +17,10 @@
 import ottergauge.resources.Change;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
@@ -104,7 +104,7 @@
             serviceExists = true;
         } else if (value instanceof ResourceValue.Server server
                 && server.service().equals(service)) {
-            published.put(key.name(), server.host());
+            published.put(key.name(), server.endpoint());
             toCompare.add(key.name());
         }
     }
@@ -172,7 +172,7 @@
     public List<FieldError> refuseMalformed(Submission submission) {
         List<FieldError> faults = new ArrayList<>();
         for (Change.Put put : submission.puts()) {
-            Optional<FieldError> fault = ResourceChecks.fault(put.key(), put.value());
+            Optional<FieldError> fault = ResourceValidator.firstError(put.key(), put.value());
             fault.ifPresent(
                     found -> {
                         faults.add(found);
@@ -207,7 +207,7 @@
 
     private void refuse(Change.Put put) {
         if (put.value() instanceof ResourceValue.Server server) {
-            refused.put(put.key().name(), server.host());
+            refused.put(put.key().name(), server.endpoint());
         } else {
             serviceExists = true;
         }
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -8,10 +8,10 @@
 import ottergauge.resources.Change;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
@@ -39,8 +39,9 @@
     }
 
     private ChangeLog(String log, LogLimits limits, long version, long changesAfter) {
-        if (!ResourceChecks.isName(log)) {
-            throw new IllegalArgumentException("a log's identifier is " + ResourceChecks.NAME_FORM);
+        if (!ResourceValidator.isValidName(log)) {
+            throw new IllegalArgumentException(
+                    "a log's identifier is " + ResourceValidator.NAME_FORMAT);
         }
         this.log = log;
         this.version = version;
@@ -71,14 +72,14 @@
             return before.get();
         }
         Outcome outcome = decide(submission);
-        if (ResourceChecks.isName(submission.id())) {
+        if (ResourceValidator.isValidName(submission.id())) {
             outcomes.remember(submission.id(), outcome);
         }
         return outcome;
     }
 
     private Outcome decide(Submission submission) {
-        List<FieldError> faults = ResourceChecks.faults(submission);
+        List<FieldError> faults = ResourceValidator.errors(submission);
         if (!faults.isEmpty()) {
             return new Outcome.Invalid(faults);
         }
@@ -148,7 +149,7 @@
         List<StoredResource> page = new ArrayList<>();
         int bytes = 0;
         for (StoredResource resource : state.from(from.orElse(FIRST_KEY))) {
-            if (!subscription.follows(resource.key(), resource.service())) {
+            if (!subscription.matches(resource.key(), resource.service())) {
                 continue;
             }
             int size = JsonBytes.sizeOf(resource);
--- a/control/src/main/java/ottergauge/control/log/EncodedChanges.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedChanges.java
@@ -32,7 +32,7 @@
         return new ChangePage(upTo, changes.stream().map(StoredChange::change).toList());
     }
 
-    /** The body of the answer, as {@code ResourceCodec.readChanges} reads it. */
+    /** The body of the answer, as {@code ResourceCodec.readChangePage} reads it. */
     public byte[] json() {
         int size = JsonBytes.FRAME_OVERHEAD + changes.stream().mapToInt(JsonBytes::sizeOf).sum();
         JsonBytes json = new JsonBytes(size).position(upTo).text(",\"changes\":[");
--- a/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
@@ -37,7 +37,7 @@
                 at, resources.stream().map(StoredResource::resource).toList(), next);
     }
 
-    /** The body of the answer, as {@code ResourceCodec.readSnapshot} reads it. */
+    /** The body of the answer, as {@code ResourceCodec.readSnapshotPage} reads it. */
     public byte[] json() {
         int size =
                 2 * JsonBytes.FRAME_OVERHEAD + resources.stream().mapToInt(JsonBytes::sizeOf).sum();
--- a/control/src/main/java/ottergauge/control/log/LogImage.java
+++ b/control/src/main/java/ottergauge/control/log/LogImage.java
@@ -19,8 +19,8 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.SnapshotPage;
 
 /**
@@ -157,7 +157,7 @@
         require(in.readInt() == MARK, "the image begins with another mark, or has a later form");
         LogPosition position = new LogPosition(in.readUTF(), in.readLong());
         require(
-                ResourceChecks.isName(position.log()) && position.version() >= 0,
+                ResourceValidator.isValidName(position.log()) && position.version() >= 0,
                 "the image has no log and version: " + position);
         List<StoredResource> resources = readResources(in, position);
         List<StoredChange> changes = readChanges(in, position);
@@ -170,7 +170,7 @@
         List<StoredResource> resources = new ArrayList<>();
         int entries = readCount(in, StateLimits.MOST_RESOURCES);
         while (resources.size() < entries) {
-            SnapshotPage page = ResourceCodec.readSnapshot(readPage(in));
+            SnapshotPage page = ResourceCodec.readSnapshotPage(readPage(in));
             require(
                     !page.resources().isEmpty() && page.unreadable().isEmpty(),
                     "the image has a resource that can't be read: " + page.unreadable());
@@ -192,7 +192,7 @@
         List<StoredChange> changes = new ArrayList<>();
         int entries = readCount(in, (int) Math.min(Integer.MAX_VALUE, position.version()));
         while (changes.size() < entries) {
-            ChangePage page = ResourceCodec.readChanges(readPage(in));
+            ChangePage page = ResourceCodec.readChangePage(readPage(in));
             require(
                     !page.changes().isEmpty() && page.unreadable().isEmpty(),
                     "the image has a change that can't be read: " + page.unreadable());
@@ -246,7 +246,7 @@
 
     private static byte[] readPage(DataInputStream in) throws IOException, ProtocolException {
         byte[] page =
-                new byte[readCount(in, Math.min(ResourceCodec.MOST_PAGE_BYTES, in.available()))];
+                new byte[readCount(in, Math.min(ResourceCodec.MAX_PAGE_BYTES, in.available()))];
         in.readFully(page);
         return page;
     }
--- a/control/src/main/java/ottergauge/control/log/StoredChange.java
+++ b/control/src/main/java/ottergauge/control/log/StoredChange.java
@@ -12,11 +12,11 @@
     StoredChange followedBy(Subscription subscription) {
         List<StoredResource> followedPuts =
                 puts.stream()
-                        .filter(put -> subscription.follows(put.key(), put.service()))
+                        .filter(put -> subscription.matches(put.key(), put.service()))
                         .toList();
         List<Change.Delete> followedDeletes =
                 deletes.stream()
-                        .filter(delete -> subscription.follows(delete.key(), delete.service()))
+                        .filter(delete -> subscription.matches(delete.key(), delete.service()))
                         .toList();
         boolean whole =
                 followedPuts.size() == puts.size() && followedDeletes.size() == deletes.size();
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -22,9 +22,9 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Submission;
 import picocli.CommandLine.Command;
@@ -91,10 +91,10 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        if (!ResourceChecks.isName(service)) {
+        if (!ResourceValidator.isValidName(service)) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "--service is " + ResourceChecks.NAME_FORM + ", not '" + service + "'");
+                    "--service is " + ResourceValidator.NAME_FORMAT + ", not '" + service + "'");
         }
         control = new ControlClient(addresses);
         discovery = new DiscoveryClient(discoveryAddress);
--- a/control/src/main/java/ottergauge/control/server/CallBody.java
+++ b/control/src/main/java/ottergauge/control/server/CallBody.java
@@ -10,7 +10,7 @@
 /** Reads the body of a call, up to the longest submission. */
 final class CallBody {
 
-    private static final int MOST_BYTES = ResourceCodec.MOST_SUBMISSION_BYTES;
+    private static final int MOST_BYTES = ResourceCodec.MAX_SUBMISSION_BYTES;
 
     private final Buffer body = Buffer.buffer();
     private boolean refused;
--- a/control/src/main/java/ottergauge/control/server/Parameters.java
+++ b/control/src/main/java/ottergauge/control/server/Parameters.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.Subscription;
 
 /** Reads the parameters of calls; unknown ones are passed over. */
@@ -96,11 +96,11 @@
             throw bad("services", names.size() + " names", MOST_SERVICES + " names at most");
         }
         for (String name : names) {
-            if (!ResourceChecks.isName(name)) {
+            if (!ResourceValidator.isValidName(name)) {
                 throw bad(
                         "services",
                         name,
-                        "names with commas between them, each " + ResourceChecks.NAME_FORM);
+                        "names with commas between them, each " + ResourceValidator.NAME_FORMAT);
             }
         }
         return new Subscription(Set.copyOf(names), name("settings").orElse(DEFAULT_SETTINGS));
@@ -111,8 +111,8 @@
         if (value == null || value.isEmpty()) {
             return Optional.empty();
         }
-        if (!ResourceChecks.isName(value)) {
-            throw bad(key, value, ResourceChecks.NAME_FORM);
+        if (!ResourceValidator.isValidName(value)) {
+            throw bad(key, value, ResourceValidator.NAME_FORMAT);
         }
         return Optional.of(value);
     }
@@ -123,7 +123,8 @@
             return Optional.empty();
         }
         Optional<ResourceKey> key =
-                ResourceKey.ofPath(value).filter(each -> ResourceChecks.isName(each.name()));
+                ResourceKey.parsePath(value)
+                        .filter(each -> ResourceValidator.isValidName(each.name()));
         if (key.isEmpty()) {
             throw bad(parameter, value, "a kind, / and a name");
         }
--- a/control/src/main/java/ottergauge/control/server/Publishing.java
+++ b/control/src/main/java/ottergauge/control/server/Publishing.java
@@ -38,7 +38,7 @@
             submission = ResourceCodec.readSubmission(body);
         } catch (InvalidSubmissionException e) {
             warn(exchange, e.getMessage());
-            exchange.answer(Status.BAD_REQUEST, ResourceCodec.writeFaults(e.faults()));
+            exchange.answer(Status.BAD_REQUEST, ResourceCodec.writeErrors(e.errors()));
             return;
         } catch (ProtocolException e) {
             warn(exchange, e.getMessage());
@@ -68,7 +68,7 @@
             exchange.unavailable(ErrorJson.NO_QUORUM);
         } else if (outcome instanceof Outcome.Invalid invalid) {
             warn(exchange, invalid.faults().get(0).toString());
-            exchange.answer(Status.BAD_REQUEST, ResourceCodec.writeFaults(invalid.faults()));
+            exchange.answer(Status.BAD_REQUEST, ResourceCodec.writeErrors(invalid.faults()));
         } else if (outcome instanceof Outcome.Accepted accepted) {
             exchange.answer(Status.OK, ResourceCodec.write(accepted.position()));
         }
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -8,7 +8,7 @@
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /**
  * Writes pages of snapshots at a rate for all callers together, in the order in which they called.
@@ -96,7 +96,7 @@
                     .answer(
                             Status.GONE,
                             ResourceCodec.write(
-                                    new VersionTooOld(
+                                    new VersionUnavailable(
                                             position.log(), log.oldest(), position.version())));
             return 0;
         }
--- a/control/src/main/java/ottergauge/control/server/WaitingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/WaitingPolls.java
@@ -9,7 +9,7 @@
 import ottergauge.control.log.Answer;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /**
  * The calls for changes. One for which there is nothing yet waits for the change that it follows,
@@ -153,7 +153,7 @@
         poll.responder.answer(
                 Status.GONE,
                 ResourceCodec.write(
-                        new VersionTooOld(
+                        new VersionUnavailable(
                                 tooOld.newest().log(),
                                 tooOld.oldest(),
                                 tooOld.newest().version())));
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -67,7 +67,8 @@
                 .filter(each -> each.key().kind() == ResourceKind.SERVER)
                 .collect(
                         Collectors.toMap(
-                                each -> each.key().name(), each -> ((Server) each.value()).host()));
+                                each -> each.key().name(),
+                                each -> ((Server) each.value()).endpoint()));
     }
 
     private Optional<Submission> next() {
--- a/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
@@ -203,7 +203,7 @@
 
         private boolean isOutOfRange(Change.Put put) {
             return (put.value() instanceof Tenant tenant && tenant.requestsPerSecond() < 0)
-                    || (put.value() instanceof Server server && server.host().weight() < 0);
+                    || (put.value() instanceof Server server && server.endpoint().weight() < 0);
         }
     }
 
@@ -311,7 +311,7 @@
     private static Map<ResourceKey, Resource> followed(ChangeLog log, Subscription subscription) {
         Map<ResourceKey, Resource> followed = new TreeMap<>();
         log.capture().resources().stream()
-                .filter(each -> subscription.follows(each.key(), each.service()))
+                .filter(each -> subscription.matches(each.key(), each.service()))
                 .forEach(each -> followed.put(each.key(), each.resource()));
         return followed;
     }
--- a/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
@@ -20,10 +20,10 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
@@ -183,10 +183,10 @@
     @Test
     void resourcesAreBoundedByNumber() {
         for (int change = 0;
-                change < StateLimits.MOST_RESOURCES / ResourceChecks.MOST_ENTRIES;
+                change < StateLimits.MOST_RESOURCES / ResourceValidator.MAX_ENTRIES;
                 change++) {
             Submissions tenants = Submissions.of("id-" + change);
-            for (int i = 0; i < ResourceChecks.MOST_ENTRIES; i++) {
+            for (int i = 0; i < ResourceValidator.MAX_ENTRIES; i++) {
                 tenants.tenant(change + "-" + i, 1);
             }
             accepted(tenants);
@@ -367,7 +367,7 @@
         assertEquals(
                 new String(ResourceCodec.write(changes.page()), UTF_8),
                 new String(changes.json(), UTF_8));
-        assertEquals(changes.page(), ResourceCodec.readChanges(changes.json()));
+        assertEquals(changes.page(), ResourceCodec.readChangePage(changes.json()));
         EncodedSnapshot last = log.snapshot(Optional.empty(), EVERYTHING, ALL_BYTES);
         assertEquals(
                 new String(ResourceCodec.write(last.page()), UTF_8),
@@ -377,7 +377,7 @@
         assertEquals(
                 new String(ResourceCodec.write(first.page()), UTF_8),
                 new String(first.json(), UTF_8));
-        assertEquals(first.page(), ResourceCodec.readSnapshot(first.json()));
+        assertEquals(first.page(), ResourceCodec.readSnapshotPage(first.json()));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -37,7 +37,7 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /** Starts the jar and speaks to it over loopback sockets. */
 class ControlIT {
@@ -52,7 +52,7 @@
 
     private static ChangePage page(HttpResponse<String> answer) throws ProtocolException {
         assertEquals(200, answer.statusCode(), answer.body());
-        return ResourceCodec.readChanges(answer.body().getBytes(StandardCharsets.UTF_8));
+        return ResourceCodec.readChangePage(answer.body().getBytes(StandardCharsets.UTF_8));
     }
 
     private static List<Long> versions(ChangePage page) {
@@ -99,13 +99,13 @@
             assertEquals(410, old.statusCode());
             String log = positions.get(0).log();
             assertEquals(
-                    new VersionTooOld(log, 4, 6),
-                    ResourceCodec.readTooOld(old.body().getBytes(UTF_8)));
+                    new VersionUnavailable(log, 4, 6),
+                    ResourceCodec.readVersionUnavailable(old.body().getBytes(UTF_8)));
             HttpResponse<String> other =
                     control.get(changes(new LogPosition("other", 5), "&wait_ms=10000"));
             assertEquals(
-                    new VersionTooOld(log, 4, 6),
-                    ResourceCodec.readTooOld(other.body().getBytes(UTF_8)));
+                    new VersionUnavailable(log, 4, 6),
+                    ResourceCodec.readVersionUnavailable(other.body().getBytes(UTF_8)));
             HttpResponse<String> ahead = control.get(changes(new LogPosition(log, 7), ""));
             assertRefused(503, "behind", ahead);
             assertEquals(Optional.of("1"), ahead.headers().firstValue("Retry-After"));
@@ -145,7 +145,7 @@
                                 + begin.map(at -> "&log=" + at.log()).orElse("")
                                 + from.map(key -> "&from=" + key.path()).orElse("");
                 SnapshotPage page =
-                        ResourceCodec.readSnapshot(
+                        ResourceCodec.readSnapshotPage(
                                 control.get("/control/v1/snapshot" + query).body().getBytes(UTF_8));
                 begin = Optional.of(begin.orElse(page.at()));
                 page.resources().forEach(each -> copy.put(each.key(), each));
@@ -170,7 +170,7 @@
                                                         put.key(), change.version(), put.value())));
             }
             SnapshotPage whole =
-                    ResourceCodec.readSnapshot(
+                    ResourceCodec.readSnapshotPage(
                             control.get("/control/v1/snapshot?max_bytes=524288")
                                     .body()
                                     .getBytes(UTF_8));
@@ -192,7 +192,7 @@
             HttpResponse<String> bad =
                     control.post(tenant.replace("\"x\"", "\"y\"").replace("RATE", "-3"));
             assertEquals(400, bad.statusCode());
-            FieldError fault = ResourceCodec.readFaults(bad.body().getBytes(UTF_8)).get(0);
+            FieldError fault = ResourceCodec.readErrors(bad.body().getBytes(UTF_8)).get(0);
             assertEquals("put[0].value.requests_per_second", fault.key());
             assertEquals("-3", fault.value());
             HttpResponse<String> unfit =
@@ -204,7 +204,7 @@
             assertEquals(400, unfit.statusCode());
             assertEquals(
                     "put[0].value.service",
-                    ResourceCodec.readFaults(unfit.body().getBytes(UTF_8)).get(0).key());
+                    ResourceCodec.readErrors(unfit.body().getBytes(UTF_8)).get(0).key());
             assertEquals(1, control.position().version());
         }
     }
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -89,8 +89,7 @@
         List<Part> parts = file(longValues.build()).split();
         assertTrue(
                 parts.stream()
-                        .allMatch(
-                                part -> part.body().length < ResourceCodec.MOST_SUBMISSION_BYTES));
+                        .allMatch(part -> part.body().length < ResourceCodec.MAX_SUBMISSION_BYTES));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/program/ToolsIT.java
+++ b/control/src/test/java/ottergauge/control/program/ToolsIT.java
@@ -139,7 +139,7 @@
         Set<String> names = new TreeSet<>();
         try {
             for (Resource resource :
-                    ResourceCodec.readSnapshot(
+                    ResourceCodec.readSnapshotPage(
                                     control.get("/control/v1/snapshot").body().getBytes(UTF_8))
                             .resources()) {
                 if (resource.key().kind() == ResourceKind.SERVER) {
--- a/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
+++ b/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
@@ -17,7 +17,7 @@
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /** Pages of snapshots at a paced rate, on made-up time. */
 class SnapshotQueueTest {
@@ -67,7 +67,7 @@
     void theFirstPageIsWrittenAtOnce() throws ProtocolException {
         RecordingResponder first = ask(Optional.of("a1"));
         assertEquals(Status.OK, first.status);
-        assertTrue(ResourceCodec.readSnapshot(first.body).next().isPresent());
+        assertTrue(ResourceCodec.readSnapshotPage(first.body).next().isPresent());
     }
 
     @Test
@@ -112,8 +112,8 @@
         List<RecordingResponder> responders = askOften(10);
         log.apply(Submissions.of("later").tenant("t-0", 7).build());
         timers.pass(5_000);
-        assertEquals(1, ResourceCodec.readSnapshot(responders.get(0).body).at().version());
-        assertEquals(2, ResourceCodec.readSnapshot(responders.get(9).body).at().version());
+        assertEquals(1, ResourceCodec.readSnapshotPage(responders.get(0).body).at().version());
+        assertEquals(2, ResourceCodec.readSnapshotPage(responders.get(9).body).at().version());
     }
 
     @Test
@@ -129,7 +129,9 @@
     void pagesOfAnotherLogAreTooOld() throws ProtocolException {
         RecordingResponder other = ask(Optional.of("b2"));
         assertEquals(Status.GONE, other.status);
-        assertEquals(new VersionTooOld("a1", 1, 1), ResourceCodec.readTooOld(other.body));
+        assertEquals(
+                new VersionUnavailable("a1", 1, 1),
+                ResourceCodec.readVersionUnavailable(other.body));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/server/WaitingPollsTest.java
+++ b/control/src/test/java/ottergauge/control/server/WaitingPollsTest.java
@@ -19,7 +19,7 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /** Calls that wait for changes, on made-up time. */
 class WaitingPollsTest {
@@ -56,7 +56,7 @@
 
     private static ChangePage page(RecordingResponder responder) throws ProtocolException {
         assertEquals(Status.OK, responder.status);
-        return ResourceCodec.readChanges(responder.body);
+        return ResourceCodec.readChangePage(responder.body);
     }
 
     private static List<Long> versions(RecordingResponder responder) throws ProtocolException {
@@ -140,12 +140,15 @@
     void anotherLogAndChangesThatAreNotKeptAreTooOld() throws ProtocolException {
         RecordingResponder other = ask(new LogPosition("other", 1), 10_000);
         assertEquals(Status.GONE, other.status);
-        assertEquals(new VersionTooOld(LOG, 1, 1), ResourceCodec.readTooOld(other.body));
+        assertEquals(
+                new VersionUnavailable(LOG, 1, 1),
+                ResourceCodec.readVersionUnavailable(other.body));
         for (int i = 0; i < 9; i++) {
             log.apply(Submissions.of("id-" + i).tenant("gold", i).build());
         }
         RecordingResponder old = ask(4, 10_000);
-        assertEquals(new VersionTooOld(LOG, 6, 10), ResourceCodec.readTooOld(old.body));
+        assertEquals(
+                new VersionUnavailable(LOG, 6, 10), ResourceCodec.readVersionUnavailable(old.body));
         assertEquals(List.of(6L, 7L, 8L, 9L, 10L), versions(ask(5, 10_000)));
     }
 
@@ -174,7 +177,9 @@
     void aLogThatTakesThePlaceOfAnotherIsToldToThoseThatWait() throws ProtocolException {
         RecordingResponder waiting = ask(1, 10_000);
         log.replace(new ChangeLog("b2", LogLimits.DEFAULT));
-        assertEquals(new VersionTooOld("b2", 1, 0), ResourceCodec.readTooOld(waiting.body));
+        assertEquals(
+                new VersionUnavailable("b2", 1, 0),
+                ResourceCodec.readVersionUnavailable(waiting.body));
     }
 
     @Test
--- a/src/main/java/ottergauge/replica/CheckedChange.java
+++ b/src/main/java/ottergauge/replica/CheckedChange.java
@@ -23,7 +23,7 @@
             changes.add(new CheckedChange(change.version(), change, check.apply(change)));
         }
         for (UnreadableChange change : page.unreadable()) {
-            changes.add(new CheckedChange(change.version(), null, Optional.of(change.fault())));
+            changes.add(new CheckedChange(change.version(), null, Optional.of(change.error())));
         }
         changes.sort(Comparator.comparingLong(CheckedChange::version));
         return changes;
--- a/src/main/java/ottergauge/replica/PendingChanges.java
+++ b/src/main/java/ottergauge/replica/PendingChanges.java
@@ -43,7 +43,7 @@
         long bytesBefore = bytes;
         Map<ResourceKey, Optional<Resource>> before = new TreeMap<>();
         for (Change.Put put : change.puts()) {
-            boolean followed = subscription.follows(put.key(), put.value().service());
+            boolean followed = subscription.matches(put.key(), put.value().service());
             set(
                     put.key(),
                     followed
--- a/src/main/java/ottergauge/replica/Replica.java
+++ b/src/main/java/ottergauge/replica/Replica.java
@@ -17,7 +17,7 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /**
  * Follows the log of a group of control processes: one call out at a time, at one process, until
@@ -435,7 +435,7 @@
         }
     }
 
-    private void tooOldRead(long now, VersionTooOld answer) {
+    private void tooOldRead(long now, VersionUnavailable answer) {
         Optional<LogPosition> followed = followed();
         if (followed.isEmpty() || !answer.log().equals(followed.get().log())) {
             otherLogSeen(now);
--- a/src/main/java/ottergauge/replica/ReplicaEvent.java
+++ b/src/main/java/ottergauge/replica/ReplicaEvent.java
@@ -3,7 +3,7 @@
 
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /** Something that a replica learns. Calls are known by the numbers that it gave them. */
 public sealed interface ReplicaEvent {
@@ -15,7 +15,7 @@
     record SnapshotRead(long call, SnapshotPage page, long bytes) implements ReplicaEvent {}
 
     /** The control process can't go on from the position that was asked for. */
-    record TooOldRead(long call, VersionTooOld answer) implements ReplicaEvent {}
+    record TooOldRead(long call, VersionUnavailable answer) implements ReplicaEvent {}
 
     /** A call ended with no answer that can be used. */
     record CallFailed(long call) implements ReplicaEvent {}
--- a/src/main/java/ottergauge/replica/ResourceSize.java
+++ b/src/main/java/ottergauge/replica/ResourceSize.java
@@ -37,7 +37,7 @@
 
     private static long value(ResourceValue value) {
         if (value instanceof ResourceValue.Server server) {
-            DiscoveredEndpoint host = server.host();
+            DiscoveredEndpoint host = server.endpoint();
             return HOST
                     + text(server.service())
                     + text(host.address().host())
--- a/src/main/java/ottergauge/replica/SnapshotAssembly.java
+++ b/src/main/java/ottergauge/replica/SnapshotAssembly.java
@@ -105,7 +105,7 @@
         pagesDone = next.isEmpty();
         List<ReplicaReport.ResourceRefused> reports = new ArrayList<>();
         for (Resource resource : page.resources()) {
-            if (subscription.follows(resource.key(), resource.value().service())) {
+            if (subscription.matches(resource.key(), resource.value().service())) {
                 Optional<FieldError> fault = fault(resource);
                 if (fault.isEmpty()) {
                     table.put(resource);
@@ -120,7 +120,7 @@
         for (UnreadableResource entry : page.unreadable()) {
             // Its version can't be known, but no change of it up to the page's can be newer.
             entry.key().ifPresent(key -> refused.put(key, page.at().version()));
-            reports.add(new ReplicaReport.ResourceRefused(entry.key(), entry.fault()));
+            reports.add(new ReplicaReport.ResourceRefused(entry.key(), entry.error()));
         }
         return reports;
     }
@@ -150,7 +150,7 @@
     private void apply(Change change) {
         for (Change.Put put : change.puts()) {
             remove(put.key());
-            if (subscription.follows(put.key(), put.value().service())) {
+            if (subscription.matches(put.key(), put.value().service())) {
                 table.put(new Resource(put.key(), change.version(), put.value()));
             }
         }
--- a/src/main/java/ottergauge/replica/StateInForce.java
+++ b/src/main/java/ottergauge/replica/StateInForce.java
@@ -78,7 +78,7 @@
     boolean restore(StoredState stored) {
         boolean complete = stored.subscription().equals(config.subscription());
         for (Resource resource : stored.resources()) {
-            if (config.subscription().follows(resource.key(), resource.value().service())) {
+            if (config.subscription().matches(resource.key(), resource.value().service())) {
                 complete &= restore(resource);
             }
         }
--- a/src/main/java/ottergauge/resources/EntryCodec.java
+++ b/src/main/java/ottergauge/resources/EntryCodec.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The JSON of entries: resources, what a change puts and deletes, changes. Reports all faults. */
+/** The JSON of entries: resources, what a change puts and deletes, changes. Reports all errors. */
 final class EntryCodec {
 
     static final String VERSION = "version";
@@ -24,38 +24,38 @@
 
     /** Reads the key of an entry; empty if its kind is unknown or its name has a wrong form. */
     static Optional<ResourceKey> key(FieldReader entry) {
-        int before = entry.faults().size();
+        int before = entry.errors().size();
         String kindName = entry.text(KIND);
         Optional<ResourceKind> kind = ResourceKind.ofWireName(kindName);
-        if (kind.isEmpty() && entry.faults().size() == before) {
-            entry.fault(KIND, kindName, "service, server, route, tenant or settings");
+        if (kind.isEmpty() && entry.errors().size() == before) {
+            entry.error(KIND, kindName, "service, server, route, tenant or settings");
         }
         String name = entry.text(NAME);
-        if (entry.faults().size() == before && !ResourceChecks.isName(name)) {
-            entry.fault(NAME, name, ResourceChecks.NAME_FORM);
+        if (entry.errors().size() == before && !ResourceValidator.isValidName(name)) {
+            entry.error(NAME, name, ResourceValidator.NAME_FORMAT);
         }
-        return entry.faults().size() == before
+        return entry.errors().size() == before
                 ? Optional.of(new ResourceKey(kind.orElseThrow(), name))
                 : Optional.empty();
     }
 
     /** Reads the value of an entry and checks it; empty if anything is wrong with it. */
     static Optional<ResourceValue> value(ResourceKey key, FieldReader entry) {
-        int before = entry.faults().size();
+        int before = entry.errors().size();
         FieldReader fields = entry.child(VALUE);
-        if (entry.faults().size() > before) {
+        if (entry.errors().size() > before) {
             return Optional.empty();
         }
         Optional<ResourceValue> value = ValueCodec.read(key, fields);
-        value.ifPresent(read -> ResourceChecks.check(entry.place(), key, read, entry.faults()));
-        return entry.faults().size() == before ? value : Optional.empty();
+        value.ifPresent(read -> ResourceValidator.check(entry.path(), key, read, entry.errors()));
+        return entry.errors().size() == before ? value : Optional.empty();
     }
 
     /** Reads the entries that a change puts; what is wrong with them is reported. */
     static List<Change.Put> puts(FieldReader change) {
         List<Change.Put> puts = new ArrayList<>();
         List<?> entries = change.list(PUT);
-        for (int i = 0; i < entries.size() && i < ResourceChecks.MOST_ENTRIES; i++) {
+        for (int i = 0; i < entries.size() && i < ResourceValidator.MAX_ENTRIES; i++) {
             change.element(PUT, i, entries.get(i)).flatMap(EntryCodec::put).ifPresent(puts::add);
         }
         return puts;
@@ -70,7 +70,7 @@
     static List<ResourceKey> deletedKeys(FieldReader submission) {
         List<ResourceKey> keys = new ArrayList<>();
         List<?> entries = submission.list(DELETE);
-        for (int i = 0; i < entries.size() && i < ResourceChecks.MOST_ENTRIES; i++) {
+        for (int i = 0; i < entries.size() && i < ResourceValidator.MAX_ENTRIES; i++) {
             submission
                     .element(DELETE, i, entries.get(i))
                     .flatMap(EntryCodec::key)
@@ -82,7 +82,7 @@
     private static List<Change.Delete> deletes(FieldReader change) {
         List<Change.Delete> deletes = new ArrayList<>();
         List<?> entries = change.list(DELETE);
-        for (int i = 0; i < entries.size() && i < ResourceChecks.MOST_ENTRIES; i++) {
+        for (int i = 0; i < entries.size() && i < ResourceValidator.MAX_ENTRIES; i++) {
             change.element(DELETE, i, entries.get(i))
                     .ifPresent(
                             entry -> {
@@ -100,32 +100,32 @@
     /** Reports a change or a submission that has too many entries to be read. */
     static void checkEntries(FieldReader change) {
         int entries = change.list(PUT).size() + change.list(DELETE).size();
-        if (entries > ResourceChecks.MOST_ENTRIES) {
-            change.fault(
+        if (entries > ResourceValidator.MAX_ENTRIES) {
+            change.error(
                     PUT,
                     entries + " entries",
-                    ResourceChecks.MOST_ENTRIES + " entries at most, with those of delete");
+                    ResourceValidator.MAX_ENTRIES + " entries at most, with those of delete");
         }
     }
 
     /** Reads what a change of this version does; what is wrong with it is reported. */
-    static Change change(long version, Map<?, ?> tree, FieldErrors faults) {
-        FieldReader fields = new FieldReader(tree, "", faults);
+    static Change change(long version, Map<?, ?> tree, FieldErrors errors) {
+        FieldReader fields = new FieldReader(tree, "", errors);
         checkEntries(fields);
         Change change = new Change(version, puts(fields), deletes(fields));
-        if (faults.isEmpty()) {
-            ResourceChecks.check(change, faults);
+        if (errors.isEmpty()) {
+            ResourceValidator.check(change, errors);
         }
         return change;
     }
 
     /** Reads an entry of a snapshot; empty if anything is wrong with it, which is reported. */
     static Optional<Resource> resource(FieldReader entry) {
-        int before = entry.faults().size();
-        long version = entry.whole(VERSION, 1, FieldReader.MOST_WHOLE);
+        int before = entry.errors().size();
+        long version = entry.integer(VERSION, 1, FieldReader.MAX_SAFE_INTEGER);
         Optional<ResourceKey> key = key(entry);
         Optional<ResourceValue> value = key.flatMap(each -> value(each, entry));
-        return entry.faults().size() > before
+        return entry.errors().size() > before
                 ? Optional.empty()
                 : Optional.of(new Resource(key.orElseThrow(), version, value.orElseThrow()));
     }
--- a/src/main/java/ottergauge/resources/FieldError.java
+++ b/src/main/java/ottergauge/resources/FieldError.java
@@ -4,20 +4,20 @@
 /** What is wrong: the key, the value found there (shortened), and the form that is allowed. */
 public record FieldError(String key, String value, String allowed) {
 
-    private static final int MOST_VALUE_CHARACTERS = 80;
-    private static final int MOST_KEY_CHARACTERS = 200;
+    private static final int MAX_VALUE_CHARACTERS = 80;
+    private static final int MAX_KEY_CHARACTERS = 200;
 
     /**
      * Key and value are cut to a length that fits a log line, and control characters are replaced.
      */
     public FieldError {
-        key = oneLine(key, MOST_KEY_CHARACTERS);
-        value = oneLine(value, MOST_VALUE_CHARACTERS);
+        key = oneLine(key, MAX_KEY_CHARACTERS);
+        value = oneLine(value, MAX_VALUE_CHARACTERS);
     }
 
     /** A text from outside, as it may stand in a log line. */
-    static String oneLine(String text, int most) {
-        String cut = text.length() <= most ? text : text.substring(0, most) + "...";
+    static String oneLine(String text, int max) {
+        String cut = text.length() <= max ? text : text.substring(0, max) + "...";
         return cut.replaceAll("[\\p{Cntrl}\\p{Cs}\u2028\u2029]", "?");
     }
 
--- a/src/main/java/ottergauge/resources/FieldErrors.java
+++ b/src/main/java/ottergauge/resources/FieldErrors.java
@@ -8,29 +8,29 @@
 /** Gathers what is wrong with a message, up to a bound. */
 final class FieldErrors {
 
-    static final int MOST_FAULTS = 100;
+    static final int MAX_ERRORS = 100;
 
-    private final List<FieldError> faults = new ArrayList<>();
+    private final List<FieldError> errors = new ArrayList<>();
 
     void add(String key, Object value, String allowed) {
-        if (faults.size() < MOST_FAULTS) {
-            faults.add(new FieldError(key, String.valueOf(value), allowed));
+        if (errors.size() < MAX_ERRORS) {
+            errors.add(new FieldError(key, String.valueOf(value), allowed));
         }
     }
 
     int size() {
-        return faults.size();
+        return errors.size();
     }
 
     boolean isEmpty() {
-        return faults.isEmpty();
+        return errors.isEmpty();
     }
 
     Optional<FieldError> first() {
-        return faults.stream().findFirst();
+        return errors.stream().findFirst();
     }
 
     List<FieldError> all() {
-        return List.copyOf(faults);
+        return List.copyOf(errors);
     }
 }
--- a/src/main/java/ottergauge/resources/FieldReader.java
+++ b/src/main/java/ottergauge/resources/FieldReader.java
@@ -13,30 +13,30 @@
 final class FieldReader {
 
     /** The largest whole number that a JSON number tells exactly. */
-    static final long MOST_WHOLE = 1L << 53;
+    static final long MAX_SAFE_INTEGER = 1L << 53;
 
     private static final String NOTHING = "nothing";
 
     private final Map<?, ?> fields;
     private final String path;
-    private final FieldErrors faults;
+    private final FieldErrors errors;
 
-    FieldReader(Map<?, ?> fields, String path, FieldErrors faults) {
+    FieldReader(Map<?, ?> fields, String path, FieldErrors errors) {
         this.fields = fields;
         this.path = path;
-        this.faults = faults;
+        this.errors = errors;
     }
 
     Map<?, ?> fields() {
         return fields;
     }
 
-    FieldErrors faults() {
-        return faults;
+    FieldErrors errors() {
+        return errors;
     }
 
     /** Where the object lies in its message; empty for the message itself. */
-    String place() {
+    String path() {
         return path;
     }
 
@@ -54,7 +54,7 @@
             return text;
         }
         if (value != null || absent == null) {
-            fault(key, value, "a text");
+            error(key, value, "a text");
         }
         return absent == null ? "" : absent;
     }
@@ -70,27 +70,27 @@
             return number;
         }
         if (value != null) {
-            fault(key, value, "a number");
+            error(key, value, "a number");
         }
         return absent;
     }
 
-    long whole(String key, long least, long most) {
-        return whole(key, least, most, null);
+    long integer(String key, long min, long max) {
+        return integer(key, min, max, null);
     }
 
-    long whole(String key, long least, long most, Long absent) {
+    long integer(String key, long min, long max, Long absent) {
         Object value = fields.get(key);
         if (value instanceof Double number
                 && number == Math.rint(number)
-                && number >= least
-                && number <= most) {
+                && number >= min
+                && number <= max) {
             return number.longValue();
         }
         if (value != null || absent == null) {
-            fault(key, value, "a whole number from " + least + " to " + most);
+            error(key, value, "a whole number from " + min + " to " + max);
         }
-        return absent == null ? least : absent;
+        return absent == null ? min : absent;
     }
 
     Map<?, ?> object(String key) {
@@ -98,7 +98,7 @@
         if (value instanceof Map<?, ?> object) {
             return object;
         }
-        fault(key, value, "an object");
+        error(key, value, "an object");
         return Map.of();
     }
 
@@ -109,7 +109,7 @@
             return list;
         }
         if (value != null) {
-            fault(key, value, "a list");
+            error(key, value, "a list");
         }
         return List.of();
     }
@@ -118,19 +118,19 @@
     Optional<FieldReader> element(String key, int index, Object value) {
         String place = path(key) + "[" + index + "]";
         if (value instanceof Map<?, ?> object) {
-            return Optional.of(new FieldReader(object, place, faults));
+            return Optional.of(new FieldReader(object, place, errors));
         }
-        faults.add(place, described(value), "an object");
+        errors.add(place, described(value), "an object");
         return Optional.empty();
     }
 
     /** The object of a key, with the key as path. */
     FieldReader child(String key) {
-        return new FieldReader(object(key), path(key), faults);
+        return new FieldReader(object(key), path(key), errors);
     }
 
-    void fault(String key, Object value, String allowed) {
-        faults.add(path(key), described(value), allowed);
+    void error(String key, Object value, String allowed) {
+        errors.add(path(key), described(value), allowed);
     }
 
     private static Object described(Object value) {
--- a/src/main/java/ottergauge/resources/InvalidSubmissionException.java
+++ b/src/main/java/ottergauge/resources/InvalidSubmissionException.java
@@ -12,15 +12,15 @@
 
     private static final long serialVersionUID = 1L;
 
-    private final transient List<FieldError> faults;
+    private final transient List<FieldError> errors;
 
-    InvalidSubmissionException(List<FieldError> faults) {
-        super(faults.get(0).toString());
-        this.faults = faults;
+    InvalidSubmissionException(List<FieldError> errors) {
+        super(errors.get(0).toString());
+        this.errors = errors;
     }
 
     /** All that is wrong, in the order of the message. */
-    public List<FieldError> faults() {
-        return faults;
+    public List<FieldError> errors() {
+        return errors;
     }
 }
--- a/src/main/java/ottergauge/resources/JsonMessage.java
+++ b/src/main/java/ottergauge/resources/JsonMessage.java
@@ -22,20 +22,20 @@
  */
 final class JsonMessage {
 
-    static final int MOST_DEPTH = 32;
-    static final int MOST_TEXT_CHARACTERS = 64 * 1024;
-    static final int MOST_NAME_CHARACTERS = 1_024;
-    static final int MOST_NUMBER_CHARACTERS = 64;
+    static final int MAX_DEPTH = 32;
+    static final int MAX_TEXT_CHARACTERS = 64 * 1024;
+    static final int MAX_NAME_CHARACTERS = 1_024;
+    static final int MAX_NUMBER_CHARACTERS = 64;
 
-    private static final int MOST_CAUSE_CHARACTERS = 200;
+    private static final int MAX_CAUSE_CHARACTERS = 200;
     private static final JsonFactory JSON =
             JsonFactory.builder()
                     .streamReadConstraints(
                             StreamReadConstraints.builder()
-                                    .maxNestingDepth(MOST_DEPTH)
-                                    .maxStringLength(MOST_TEXT_CHARACTERS)
-                                    .maxNameLength(MOST_NAME_CHARACTERS)
-                                    .maxNumberLength(MOST_NUMBER_CHARACTERS)
+                                    .maxNestingDepth(MAX_DEPTH)
+                                    .maxStringLength(MAX_TEXT_CHARACTERS)
+                                    .maxNameLength(MAX_NAME_CHARACTERS)
+                                    .maxNumberLength(MAX_NUMBER_CHARACTERS)
                                     .build())
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
                     // The names come from outside: they are not kept for the life of the process.
@@ -62,11 +62,11 @@
     private JsonMessage() {}
 
     /** Reads a message field by field; {@code what} is its name in what is thrown. */
-    static void read(byte[] body, String what, int mostBytes, FieldHandler handler)
+    static void read(byte[] body, String what, int maxBytes, FieldHandler handler)
             throws ProtocolException {
-        if (body.length > mostBytes) {
+        if (body.length > maxBytes) {
             throw new ProtocolException(
-                    what + " has " + body.length + " bytes, " + mostBytes + " are allowed");
+                    what + " has " + body.length + " bytes, " + maxBytes + " are allowed");
         }
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -90,26 +90,26 @@
                 e instanceof JsonProcessingException json
                         ? json.getOriginalMessage()
                         : e.getMessage();
-        return FieldError.oneLine(String.valueOf(message), MOST_CAUSE_CHARACTERS);
+        return FieldError.oneLine(String.valueOf(message), MAX_CAUSE_CHARACTERS);
     }
 
     /** Reads a message into a tree. */
-    static Map<String, Object> readTree(byte[] body, String what, int mostBytes)
+    static Map<String, Object> readTree(byte[] body, String what, int maxBytes)
             throws ProtocolException {
         Map<String, Object> tree = new LinkedHashMap<>();
-        read(body, what, mostBytes, (name, in) -> tree.put(name, JsonTree.value(in)));
+        read(body, what, maxBytes, (name, in) -> tree.put(name, JsonTree.value(in)));
         return tree;
     }
 
     /** Reads a list of up to so many objects, one by one. */
-    static void readList(String name, JsonParser in, int most, ElementHandler handler)
+    static void readList(String name, JsonParser in, int max, ElementHandler handler)
             throws IOException, ProtocolException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
             throw new ProtocolException(name + " is a list, not " + in.currentToken());
         }
         for (int i = 0; in.nextToken() != JsonToken.END_ARRAY; i++) {
-            if (i == most) {
-                throw new ProtocolException(name + " has more than " + most + " entries");
+            if (i == max) {
+                throw new ProtocolException(name + " has more than " + max + " entries");
             }
             if (in.currentToken() != JsonToken.START_OBJECT) {
                 throw new ProtocolException(
--- a/src/main/java/ottergauge/resources/NumberText.java
+++ b/src/main/java/ottergauge/resources/NumberText.java
@@ -4,7 +4,7 @@
 /** Values as a person wrote them: whole numbers without a fraction. */
 final class NumberText {
 
-    private static final double MOST_PLAIN = 1e15;
+    private static final double MAX_PLAIN = 1e15;
 
     private NumberText() {}
 
@@ -12,7 +12,7 @@
         boolean whole =
                 value instanceof Double number
                         && number == Math.rint(number)
-                        && Math.abs(number) < MOST_PLAIN;
+                        && Math.abs(number) < MAX_PLAIN;
         return whole ? Long.toString(((Double) value).longValue()) : String.valueOf(value);
     }
 }
--- a/src/main/java/ottergauge/resources/ResourceCodec.java
+++ b/src/main/java/ottergauge/resources/ResourceCodec.java
@@ -25,13 +25,13 @@
      * The longest page or error that is read. A page has one change at least, which may be a long
      * one.
      */
-    public static final int MOST_PAGE_BYTES = 1 << 20;
+    public static final int MAX_PAGE_BYTES = 1 << 20;
 
     /** The longest submission that is read. */
-    public static final int MOST_SUBMISSION_BYTES = 256 * 1024;
+    public static final int MAX_SUBMISSION_BYTES = 256 * 1024;
 
     /** Changes or resources of one page. */
-    public static final int MOST_PAGE_ENTRIES = 16_384;
+    public static final int MAX_PAGE_ENTRIES = 16_384;
 
     private static final String LOG = "log";
     private static final String VERSION = "version";
@@ -53,21 +53,21 @@
     // ---- Pages of changes
     // ---------------------------------------------------------------------------
 
-    public static ChangePage readChanges(byte[] body) throws ProtocolException {
+    public static ChangePage readChangePage(byte[] body) throws ProtocolException {
         Map<String, Object> head = new LinkedHashMap<>();
         List<Change> changes = new ArrayList<>();
         List<UnreadableChange> unreadable = new ArrayList<>();
         JsonMessage.read(
                 body,
                 "a page of changes",
-                MOST_PAGE_BYTES,
+                MAX_PAGE_BYTES,
                 (name, in) -> {
                     if (name.equals(CHANGES)) {
                         head.put(CHANGES, List.of());
                         JsonMessage.readList(
                                 CHANGES,
                                 in,
-                                MOST_PAGE_ENTRIES,
+                                MAX_PAGE_ENTRIES,
                                 (index, tree) -> readChange(index, tree, changes, unreadable));
                     } else {
                         readHead(name, in, head);
@@ -83,16 +83,16 @@
             List<Change> changes,
             List<UnreadableChange> unreadable)
             throws ProtocolException {
-        FieldErrors faults = new FieldErrors();
+        FieldErrors errors = new FieldErrors();
         long version =
-                new FieldReader(tree, CHANGES + "[" + index + "]", faults)
-                        .whole(VERSION, 1, FieldReader.MOST_WHOLE);
-        throwFirst(faults);
-        Change change = EntryCodec.change(version, tree, faults);
-        if (faults.isEmpty()) {
+                new FieldReader(tree, CHANGES + "[" + index + "]", errors)
+                        .integer(VERSION, 1, FieldReader.MAX_SAFE_INTEGER);
+        throwFirst(errors);
+        Change change = EntryCodec.change(version, tree, errors);
+        if (errors.isEmpty()) {
             changes.add(change);
         } else {
-            unreadable.add(new UnreadableChange(version, faults.first().orElseThrow()));
+            unreadable.add(new UnreadableChange(version, errors.first().orElseThrow()));
         }
     }
 
@@ -111,21 +111,21 @@
     // ---- Pages of a snapshot
     // ------------------------------------------------------------------------
 
-    public static SnapshotPage readSnapshot(byte[] body) throws ProtocolException {
+    public static SnapshotPage readSnapshotPage(byte[] body) throws ProtocolException {
         Map<String, Object> head = new LinkedHashMap<>();
         List<Resource> resources = new ArrayList<>();
         List<UnreadableResource> unreadable = new ArrayList<>();
         JsonMessage.read(
                 body,
                 "a page of a snapshot",
-                MOST_PAGE_BYTES,
+                MAX_PAGE_BYTES,
                 (name, in) -> {
                     if (name.equals(RESOURCES)) {
                         head.put(RESOURCES, List.of());
                         JsonMessage.readList(
                                 RESOURCES,
                                 in,
-                                MOST_PAGE_ENTRIES,
+                                MAX_PAGE_ENTRIES,
                                 (index, tree) -> readResource(index, tree, resources, unreadable));
                     } else {
                         readHead(name, in, head);
@@ -140,33 +140,34 @@
             Map<String, Object> tree,
             List<Resource> resources,
             List<UnreadableResource> unreadable) {
-        FieldErrors faults = new FieldErrors();
-        FieldReader fields = new FieldReader(tree, RESOURCES + "[" + index + "]", faults);
+        FieldErrors errors = new FieldErrors();
+        FieldReader fields = new FieldReader(tree, RESOURCES + "[" + index + "]", errors);
         Optional<Resource> resource = EntryCodec.resource(fields);
         resource.ifPresent(resources::add);
-        faults.first()
+        errors.first()
                 .ifPresent(
-                        fault ->
+                        error ->
                                 unreadable.add(
                                         new UnreadableResource(
                                                 EntryCodec.key(
                                                         new FieldReader(
                                                                 tree, "", new FieldErrors())),
-                                                fault)));
+                                                error)));
     }
 
     private static Optional<ResourceKey> next(Map<String, Object> head) throws ProtocolException {
         if (head.get(NEXT) == null) {
             return Optional.empty();
         }
-        FieldErrors faults = new FieldErrors();
-        String path = new FieldReader(head, "", faults).text(NEXT);
+        FieldErrors errors = new FieldErrors();
+        String path = new FieldReader(head, "", errors).text(NEXT);
         Optional<ResourceKey> key =
-                ResourceKey.ofPath(path).filter(each -> ResourceChecks.isName(each.name()));
+                ResourceKey.parsePath(path)
+                        .filter(each -> ResourceValidator.isValidName(each.name()));
         if (key.isEmpty()) {
-            faults.add(NEXT, path, "a kind, / and a name");
+            errors.add(NEXT, path, "a kind, / and a name");
         }
-        throwFirst(faults);
+        throwFirst(errors);
         return key;
     }
 
@@ -200,19 +201,18 @@
      * @throws ProtocolException if it is none, or too long
      */
     public static Submission readSubmission(byte[] body) throws ProtocolException {
-        Map<String, Object> tree =
-                JsonMessage.readTree(body, "a submission", MOST_SUBMISSION_BYTES);
-        FieldErrors faults = new FieldErrors();
-        FieldReader fields = new FieldReader(tree, "", faults);
+        Map<String, Object> tree = JsonMessage.readTree(body, "a submission", MAX_SUBMISSION_BYTES);
+        FieldErrors errors = new FieldErrors();
+        FieldReader fields = new FieldReader(tree, "", errors);
         EntryCodec.checkEntries(fields);
         Submission submission =
                 new Submission(
                         fields.text(ID), EntryCodec.puts(fields), EntryCodec.deletedKeys(fields));
-        if (faults.isEmpty()) {
-            ResourceChecks.check(submission, faults);
+        if (errors.isEmpty()) {
+            ResourceValidator.check(submission, errors);
         }
-        if (!faults.isEmpty()) {
-            throw new InvalidSubmissionException(faults.all());
+        if (!errors.isEmpty()) {
+            throw new InvalidSubmissionException(errors.all());
         }
         return submission;
     }
@@ -231,43 +231,43 @@
 
     /** Reads the position that an accepted submission was given. */
     public static LogPosition readPosition(byte[] body) throws ProtocolException {
-        return position(JsonMessage.readTree(body, "an answer", MOST_PAGE_BYTES), null);
+        return position(JsonMessage.readTree(body, "an answer", MAX_PAGE_BYTES), null);
     }
 
     public static byte[] write(LogPosition position) {
         return JsonMessage.write(out -> writePosition(out, position));
     }
 
-    public static VersionTooOld readTooOld(byte[] body) throws ProtocolException {
-        Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MOST_PAGE_BYTES);
+    public static VersionUnavailable readVersionUnavailable(byte[] body) throws ProtocolException {
+        Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MAX_PAGE_BYTES);
         LogPosition newest = position(tree, null);
-        FieldErrors faults = new FieldErrors();
-        FieldReader fields = new FieldReader(tree, "", faults);
+        FieldErrors errors = new FieldErrors();
+        FieldReader fields = new FieldReader(tree, "", errors);
         checkError(fields, TOO_OLD);
-        long oldest = fields.whole(OLDEST, 0, FieldReader.MOST_WHOLE);
-        throwFirst(faults);
-        return new VersionTooOld(newest.log(), oldest, newest.version());
+        long oldest = fields.integer(OLDEST, 0, FieldReader.MAX_SAFE_INTEGER);
+        throwFirst(errors);
+        return new VersionUnavailable(newest.log(), oldest, newest.version());
     }
 
-    public static byte[] write(VersionTooOld tooOld) {
+    public static byte[] write(VersionUnavailable unavailable) {
         return JsonMessage.write(
                 out -> {
                     out.writeStringField(ERROR, TOO_OLD);
-                    out.writeStringField(LOG, tooOld.log());
-                    out.writeNumberField(OLDEST, tooOld.oldest());
-                    out.writeNumberField(VERSION, tooOld.newest());
+                    out.writeStringField(LOG, unavailable.log());
+                    out.writeNumberField(OLDEST, unavailable.oldest());
+                    out.writeNumberField(VERSION, unavailable.newest());
                 });
     }
 
     /** Reads why a submission was not accepted. */
-    public static List<FieldError> readFaults(byte[] body) throws ProtocolException {
-        Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MOST_PAGE_BYTES);
-        FieldErrors faults = new FieldErrors();
-        FieldReader fields = new FieldReader(tree, "", faults);
+    public static List<FieldError> readErrors(byte[] body) throws ProtocolException {
+        Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MAX_PAGE_BYTES);
+        FieldErrors errors = new FieldErrors();
+        FieldReader fields = new FieldReader(tree, "", errors);
         checkError(fields, INVALID);
         List<FieldError> told = new ArrayList<>();
         List<?> entries = fields.list(FAULTS);
-        for (int i = 0; i < entries.size() && i < FieldErrors.MOST_FAULTS; i++) {
+        for (int i = 0; i < entries.size() && i < FieldErrors.MAX_ERRORS; i++) {
             fields.element(FAULTS, i, entries.get(i))
                     .ifPresent(
                             entry ->
@@ -277,20 +277,20 @@
                                                     entry.text(VALUE),
                                                     entry.text(ALLOWED))));
         }
-        throwFirst(faults);
+        throwFirst(errors);
         return told;
     }
 
-    public static byte[] writeFaults(List<FieldError> faults) {
+    public static byte[] writeErrors(List<FieldError> errors) {
         return JsonMessage.write(
                 out -> {
                     out.writeStringField(ERROR, INVALID);
                     out.writeArrayFieldStart(FAULTS);
-                    for (FieldError fault : faults) {
+                    for (FieldError error : errors) {
                         out.writeStartObject();
-                        out.writeStringField(KEY, fault.key());
-                        out.writeStringField(VALUE, fault.value());
-                        out.writeStringField(ALLOWED, fault.allowed());
+                        out.writeStringField(KEY, error.key());
+                        out.writeStringField(VALUE, error.value());
+                        out.writeStringField(ALLOWED, error.allowed());
                         out.writeEndObject();
                     }
                     out.writeEndArray();
@@ -311,17 +311,17 @@
 
     private static LogPosition position(Map<String, Object> head, String needed)
             throws ProtocolException {
-        FieldErrors faults = new FieldErrors();
-        FieldReader fields = new FieldReader(head, "", faults);
+        FieldErrors errors = new FieldErrors();
+        FieldReader fields = new FieldReader(head, "", errors);
         String log = fields.text(LOG);
-        if (faults.isEmpty()) {
-            ResourceChecks.checkName(LOG, log, faults);
+        if (errors.isEmpty()) {
+            ResourceValidator.checkName(LOG, log, errors);
         }
-        long version = fields.whole(VERSION, 0, FieldReader.MOST_WHOLE);
+        long version = fields.integer(VERSION, 0, FieldReader.MAX_SAFE_INTEGER);
         if (needed != null && !head.containsKey(needed)) {
-            fields.fault(needed, null, "a list");
+            fields.error(needed, null, "a list");
         }
-        throwFirst(faults);
+        throwFirst(errors);
         return new LogPosition(log, version);
     }
 
@@ -333,12 +333,12 @@
     private static void checkError(FieldReader fields, String expected) {
         String error = fields.text(ERROR);
         if (!error.equals(expected)) {
-            fields.fault(ERROR, error, expected);
+            fields.error(ERROR, error, expected);
         }
     }
 
-    private static void throwFirst(FieldErrors faults) throws ProtocolException {
-        Optional<FieldError> first = faults.first();
+    private static void throwFirst(FieldErrors errors) throws ProtocolException {
+        Optional<FieldError> first = errors.first();
         if (first.isPresent()) {
             throw new ProtocolException(first.get().toString());
         }
--- a/src/main/java/ottergauge/resources/ResourceKey.java
+++ b/src/main/java/ottergauge/resources/ResourceKey.java
@@ -23,7 +23,7 @@
     }
 
     /** The key of such a word; empty if its kind is unknown. The name may have any form. */
-    public static Optional<ResourceKey> ofPath(String path) {
+    public static Optional<ResourceKey> parsePath(String path) {
         int slash = path.indexOf('/');
         return slash < 0
                 ? Optional.empty()
--- a/src/main/java/ottergauge/resources/ResourceValue.java
+++ b/src/main/java/ottergauge/resources/ResourceValue.java
@@ -23,8 +23,8 @@
         }
     }
 
-    /** A server of a service, as discovery lists it; its key's name is the host's name. */
-    record Server(String service, DiscoveredEndpoint host) implements ResourceValue {
+    /** A server of a service, as discovery lists it; the resource's name is the endpoint's name. */
+    record Server(String service, DiscoveredEndpoint endpoint) implements ResourceValue {
         @Override
         public ResourceKind kind() {
             return ResourceKind.SERVER;
--- a/src/main/java/ottergauge/resources/SettingsChecks.java
+++ b/src/main/java/ottergauge/resources/SettingsValidator.java
@@ -12,14 +12,14 @@
  * the eyes of the person who starts it; settings that reach all nodes at once must not be misread
  * by any.
  */
-final class SettingsChecks {
+final class SettingsValidator {
 
-    static final int MOST_CLASSES = 1_024;
-    static final int MOST_VALUES = 20_000;
-    static final int MOST_TEXT_CHARACTERS = 1_024;
+    static final int MAX_CLASSES = 1_024;
+    static final int MAX_VALUES = 20_000;
+    static final int MAX_TEXT_CHARACTERS = 1_024;
 
     /** The longest span in settings: a week. */
-    static final double MOST_SPAN_MS = 7 * 24 * 3_600_000.0;
+    static final double MAX_SPAN_MS = 7 * 24 * 3_600_000.0;
 
     private static final String SPAN_SUFFIX = "Ms";
     private static final String CLASSES = "classes";
@@ -81,31 +81,31 @@
                     new TypedKey("", "lateWorth", ValueType.NUMBER),
                     new TypedKey("", "streamed", ValueType.FLAG));
 
-    private final FieldErrors faults;
+    private final FieldErrors errors;
     private int values;
 
-    private SettingsChecks(FieldErrors faults) {
-        this.faults = faults;
+    private SettingsValidator(FieldErrors errors) {
+        this.errors = errors;
     }
 
     /** Reports all that is wrong with a settings object, by keys that begin with a path. */
-    static void check(String path, Map<String, Object> tree, FieldErrors faults) {
-        SettingsChecks checks = new SettingsChecks(faults);
+    static void check(String path, Map<String, Object> tree, FieldErrors errors) {
+        SettingsValidator checks = new SettingsValidator(errors);
         checks.checkValues(path, tree);
         checks.checkTypes(path, tree, KEYS);
         checks.checkClasses(path, tree);
         SettingsReader.firstFault(tree)
                 .ifPresent(
-                        fault ->
-                                faults.add(
-                                        path + "." + fault.key(), fault.value(), fault.allowed()));
+                        error ->
+                                errors.add(
+                                        path + "." + error.key(), error.value(), error.allowed()));
     }
 
     private void checkValues(String path, Object value) {
-        if (++values == MOST_VALUES) {
-            faults.add(path, "more", MOST_VALUES + " values at most in all settings");
+        if (++values == MAX_VALUES) {
+            errors.add(path, "more", MAX_VALUES + " values at most in all settings");
         }
-        if (values >= MOST_VALUES) {
+        if (values >= MAX_VALUES) {
             return;
         }
         if (value instanceof Map<?, ?> map) {
@@ -115,22 +115,22 @@
                 checkValues(path + "[" + i + "]", list.get(i));
             }
         } else if (value instanceof String text) {
-            ResourceChecks.checkText(path, text, MOST_TEXT_CHARACTERS, faults);
+            ResourceValidator.checkText(path, text, MAX_TEXT_CHARACTERS, errors);
         } else if (value instanceof Double number && !Double.isFinite(number)) {
-            faults.add(path, number, "a number that is finite");
+            errors.add(path, number, "a number that is finite");
         }
     }
 
     private void checkField(String path, String key, Object value) {
-        ResourceChecks.checkText(path, key, MOST_TEXT_CHARACTERS, faults);
+        ResourceValidator.checkText(path, key, MAX_TEXT_CHARACTERS, errors);
         String place = path + "." + key;
         if (key.endsWith(SPAN_SUFFIX)
                 && value != null
-                && !(value instanceof Double span && span >= 0 && span <= MOST_SPAN_MS)) {
-            faults.add(
+                && !(value instanceof Double span && span >= 0 && span <= MAX_SPAN_MS)) {
+            errors.add(
                     place,
                     NumberText.of(value),
-                    "a number from 0 to " + NumberText.of(MOST_SPAN_MS));
+                    "a number from 0 to " + NumberText.of(MAX_SPAN_MS));
         }
         checkValues(place, value);
     }
@@ -142,7 +142,7 @@
             Object value = fields instanceof Map<?, ?> map ? map.get(typed.key()) : null;
             if (value != null && !typed.type().type.isInstance(value)) {
                 String place = nested ? path + "." + typed.section() : path;
-                faults.add(
+                errors.add(
                         place + "." + typed.key(), NumberText.of(value), typed.type().description);
             }
         }
@@ -151,8 +151,8 @@
     private void checkClasses(String path, Map<String, Object> tree) {
         List<?> classes = tree.get(CLASSES) instanceof List<?> list ? list : List.of();
         String place = path + "." + CLASSES;
-        if (classes.isEmpty() || classes.size() > MOST_CLASSES) {
-            faults.add(place, classes.size() + " classes", "1 to " + MOST_CLASSES + " classes");
+        if (classes.isEmpty() || classes.size() > MAX_CLASSES) {
+            errors.add(place, classes.size() + " classes", "1 to " + MAX_CLASSES + " classes");
             return;
         }
         Set<Object> names = new HashSet<>();
@@ -161,16 +161,16 @@
                 checkTypes(place + "[" + i + "]", fields, CLASS_KEYS);
                 checkClassName(place + "[" + i + "].name", fields.get("name"), names);
             } else {
-                faults.add(place + "[" + i + "]", classes.get(i), ValueType.OBJECT.description);
+                errors.add(place + "[" + i + "]", classes.get(i), ValueType.OBJECT.description);
             }
         }
     }
 
     private void checkClassName(String path, Object name, Set<Object> names) {
         if (!(name instanceof String text) || text.isEmpty()) {
-            faults.add(path, name == null ? "nothing" : name, "a text of one character at least");
+            errors.add(path, name == null ? "nothing" : name, "a text of one character at least");
         } else if (!names.add(text)) {
-            faults.add(path, text, "a name that no other class has");
+            errors.add(path, text, "a name that no other class has");
         }
     }
 }
--- a/src/main/java/ottergauge/resources/ValueCodec.java
+++ b/src/main/java/ottergauge/resources/ValueCodec.java
@@ -34,7 +34,7 @@
 
     /** Reads the value of a resource; empty if it can't be made out, which is reported then. */
     static Optional<ResourceValue> read(ResourceKey key, FieldReader fields) {
-        int before = fields.faults().size();
+        int before = fields.errors().size();
         ResourceValue value =
                 switch (key.kind()) {
                     case SERVICE -> new Service(fields.text(DESCRIPTION, ""));
@@ -49,39 +49,39 @@
                                     fields.number(REQUESTS_PER_SECOND, 0),
                                     fields.number(BURST, 0),
                                     (int)
-                                            fields.whole(
+                                            fields.integer(
                                                     OPEN_REQUESTS,
                                                     0,
-                                                    ResourceChecks.MOST_OPEN_REQUESTS,
+                                                    ResourceValidator.MAX_OPEN_REQUESTS,
                                                     0L),
                                     fields.number(WEIGHT, 1));
                     case SETTINGS -> new Settings(tree(fields.fields()));
                 };
-        return fields.faults().size() == before ? Optional.ofNullable(value) : Optional.empty();
+        return fields.errors().size() == before ? Optional.ofNullable(value) : Optional.empty();
     }
 
     // Types first: the codec that discovery's list is read by takes a default for what it can't
     // read.
     private static ResourceValue server(String name, FieldReader fields) {
-        int before = fields.faults().size();
+        int before = fields.errors().size();
         String service = fields.text(SERVICE);
         checkDial(fields);
         String health = fields.text(HEALTH);
         if (EndpointCodec.state(health).isEmpty()) {
-            fields.fault(HEALTH, health, EndpointCodec.HEALTH_NAMES);
+            fields.error(HEALTH, health, EndpointCodec.HEALTH_NAMES);
         }
         fields.textOrNull("site");
         fields.textOrNull("class");
-        fields.whole("block", 0, ResourceChecks.MOST_BLOCK, 0L);
+        fields.integer("block", 0, ResourceValidator.MAX_BLOCK, 0L);
         fields.number("share", 1);
-        fields.whole("born_ms", 0, FieldReader.MOST_WHOLE, 0L);
-        if (fields.faults().size() > before) {
+        fields.integer("born_ms", 0, FieldReader.MAX_SAFE_INTEGER, 0L);
+        if (fields.errors().size() > before) {
             return null;
         }
         try {
             return new Server(service, EndpointCodec.read(name, fields.fields()));
         } catch (ProtocolException e) {
-            fields.fault(DIAL, fields.text(DIAL), e.getMessage());
+            fields.error(DIAL, fields.text(DIAL), e.getMessage());
             return null;
         }
     }
@@ -91,7 +91,7 @@
         try {
             Address.parse(dial);
         } catch (ProtocolException e) {
-            fields.fault(DIAL, dial, "a numeric address and a port");
+            fields.error(DIAL, dial, "a numeric address and a port");
         }
     }
 
@@ -112,7 +112,7 @@
             out.writeStringField(DESCRIPTION, service.description());
         } else if (value instanceof Server server) {
             out.writeStringField(SERVICE, server.service());
-            EndpointCodec.writeFields(out, server.host());
+            EndpointCodec.writeFields(out, server.endpoint());
         } else if (value instanceof Route route) {
             out.writeStringField(SERVICE, route.service());
             out.writeStringField(PATH_PREFIX, route.pathPrefix());
--- a/src/main/java/ottergauge/resources/VersionTooOld.java
+++ b/src/main/java/ottergauge/resources/VersionUnavailable.java
@@ -6,4 +6,4 @@
  * has dropped them, or hasn't reached that version. It has the changes from {@code oldest} to
  * {@code newest}.
  */
-public record VersionTooOld(String log, long oldest, long newest) {}
+public record VersionUnavailable(String log, long oldest, long newest) {}
--- a/src/test/java/ottergauge/replica/ModelLog.java
+++ b/src/test/java/ottergauge/replica/ModelLog.java
@@ -10,8 +10,8 @@
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
 
@@ -45,7 +45,7 @@
     Map<ResourceKey, Resource> stateAt(long version, boolean skipBad) {
         Map<ResourceKey, Resource> state = new TreeMap<>();
         for (Change change : changes.subList(0, (int) version)) {
-            if (!skipBad || ResourceChecks.fault(change).isEmpty()) {
+            if (!skipBad || ResourceValidator.firstError(change).isEmpty()) {
                 change.puts()
                         .forEach(
                                 put ->
@@ -62,7 +62,7 @@
     /** The same, as far as a subscription follows it. */
     Map<ResourceKey, Resource> stateAt(long version, Subscription subscription, boolean skipBad) {
         Map<ResourceKey, Resource> state = stateAt(version, skipBad);
-        state.values().removeIf(each -> !subscription.follows(each.key(), each.value().service()));
+        state.values().removeIf(each -> !subscription.matches(each.key(), each.value().service()));
         return state;
     }
 
@@ -76,7 +76,7 @@
     }
 
     boolean isBad(long version) {
-        return ResourceChecks.fault(changes.get((int) version - 1)).isPresent();
+        return ResourceValidator.firstError(changes.get((int) version - 1)).isPresent();
     }
 
     /** What a process that has reached a version answers for changes: so many at the most. */
@@ -93,11 +93,11 @@
     private static Optional<Change> followed(Change change, Subscription subscription) {
         List<Change.Put> puts =
                 change.puts().stream()
-                        .filter(put -> subscription.follows(put.key(), put.value().service()))
+                        .filter(put -> subscription.matches(put.key(), put.value().service()))
                         .toList();
         List<Change.Delete> deletes =
                 change.deletes().stream()
-                        .filter(delete -> subscription.follows(delete.key(), delete.service()))
+                        .filter(delete -> subscription.matches(delete.key(), delete.service()))
                         .toList();
         return puts.isEmpty() && deletes.isEmpty()
                 ? Optional.empty()
--- a/src/test/java/ottergauge/replica/ModelProcess.java
+++ b/src/test/java/ottergauge/replica/ModelProcess.java
@@ -11,7 +11,7 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /**
  * A control process on made-up time: what it has of a log, what befalls it, and what it answers.
@@ -77,14 +77,14 @@
     }
 
     /** Why it can't tell the changes after a position, if it can't. */
-    Optional<VersionTooOld> tooOld(LogPosition after) {
+    Optional<VersionUnavailable> tooOld(LogPosition after) {
         boolean told =
                 after.log().equals(log.id())
                         && after.version() >= oldest() - 1
                         && after.version() <= reached;
         return told
                 ? Optional.empty()
-                : Optional.of(new VersionTooOld(log.id(), oldest(), reached));
+                : Optional.of(new VersionUnavailable(log.id(), oldest(), reached));
     }
 
     boolean hasNews(LogPosition after, Subscription subscription) {
--- a/src/test/java/ottergauge/replica/ReplicaDriver.java
+++ b/src/test/java/ottergauge/replica/ReplicaDriver.java
@@ -14,13 +14,13 @@
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /**
  * Drives a replica by hand: answers its calls, lets its timers fire, and keeps what it asked for.
@@ -56,7 +56,7 @@
                                 30_000_000,
                                 limits),
                         7,
-                        ResourceChecks::fault,
+                        ResourceValidator::firstError,
                         effects::add);
     }
 
@@ -176,7 +176,9 @@
     }
 
     void tooOld(String log, long oldest, long newest) {
-        handle(new ReplicaEvent.TooOldRead(callNumber(), new VersionTooOld(log, oldest, newest)));
+        handle(
+                new ReplicaEvent.TooOldRead(
+                        callNumber(), new VersionUnavailable(log, oldest, newest)));
     }
 
     void failed() {
--- a/src/test/java/ottergauge/replica/ReplicaPlay.java
+++ b/src/test/java/ottergauge/replica/ReplicaPlay.java
@@ -24,11 +24,11 @@
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /**
  * One replica before four control processes in three regions, on made-up time, over a network that
@@ -140,7 +140,7 @@
                                 SECOND,
                                 ReplicaLimits.DEFAULT),
                         script.seed(),
-                        ResourceChecks::fault,
+                        ResourceValidator::firstError,
                         this::carryOut);
     }
 
@@ -330,7 +330,7 @@
 
     private void changesAsked(ModelProcess process, ReplicaEffect.CallChanges call) {
         LogPosition after = call.query().after();
-        Optional<VersionTooOld> tooOld = process.tooOld(after);
+        Optional<VersionUnavailable> tooOld = process.tooOld(after);
         if (tooOld.isPresent()) {
             deliver(process, new ReplicaEvent.TooOldRead(call.call(), tooOld.get()));
             return;
@@ -351,7 +351,7 @@
 
     private void answer(Poll poll) {
         polls.remove(poll.call());
-        Optional<VersionTooOld> tooOld = poll.process().tooOld(poll.after());
+        Optional<VersionUnavailable> tooOld = poll.process().tooOld(poll.after());
         if (tooOld.isPresent()) {
             deliver(poll.process(), new ReplicaEvent.TooOldRead(poll.call(), tooOld.get()));
             return;
--- a/src/test/java/ottergauge/resources/ResourceArbitraries.java
+++ b/src/test/java/ottergauge/resources/ResourceArbitraries.java
@@ -21,8 +21,8 @@
 /** Random resources, changes and pages that are valid. */
 public final class ResourceArbitraries {
 
-    private static final int MOST_PORT = 65_535;
-    private static final long MOST_WHOLE = 1L << 53;
+    private static final int MAX_PORT = 65_535;
+    private static final long MAX_SAFE_INTEGER = 1L << 53;
 
     private ResourceArbitraries() {}
 
@@ -36,7 +36,7 @@
                 .ofMaxLength(128);
     }
 
-    private static Arbitrary<String> texts(int most) {
+    private static Arbitrary<String> texts(int max) {
         Arbitrary<Character> characters =
                 Arbitraries.oneOf(
                         Arbitraries.chars().range(' ', '~'),
@@ -44,7 +44,7 @@
                         Arbitraries.chars().range('\u3041', '\u30ff'));
         return characters
                 .list()
-                .ofMaxSize(most)
+                .ofMaxSize(max)
                 .map(
                         list -> {
                             StringBuilder text = new StringBuilder();
@@ -56,7 +56,7 @@
     private static Arbitrary<Address> addresses() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, 255),
-                        Arbitraries.integers().between(1, MOST_PORT))
+                        Arbitraries.integers().between(1, MAX_PORT))
                 .as((octet, port) -> new Address("10.1." + octet + "." + (255 - octet), port));
     }
 
@@ -69,7 +69,7 @@
                                 Arbitraries.integers().between(0, Integer.MAX_VALUE),
                                 Arbitraries.of(EndpointState.values()),
                                 Arbitraries.doubles().between(0, 1e6).map(Math::abs),
-                                Arbitraries.longs().between(0, MOST_WHOLE))
+                                Arbitraries.longs().between(0, MAX_SAFE_INTEGER))
                         .as(
                                 (dial, site, kind, block, state, share, born) ->
                                         new DiscoveredEndpoint(
@@ -167,7 +167,7 @@
                                 (key, service) ->
                                         new Change.Delete(key, service == null ? "" : service));
         return Combinators.combine(
-                        Arbitraries.longs().between(1, MOST_WHOLE),
+                        Arbitraries.longs().between(1, MAX_SAFE_INTEGER),
                         puts().list().ofMaxSize(4).uniqueElements(Change.Put::key),
                         deletes.list().ofMaxSize(3).uniqueElements(Change.Delete::key))
                 .as(
@@ -183,7 +183,7 @@
     }
 
     public static Arbitrary<LogPosition> positions() {
-        return Combinators.combine(names(), Arbitraries.longs().between(0, MOST_WHOLE))
+        return Combinators.combine(names(), Arbitraries.longs().between(0, MAX_SAFE_INTEGER))
                 .as(LogPosition::new);
     }
 
@@ -193,7 +193,7 @@
 
     public static Arbitrary<SnapshotPage> snapshotPages() {
         Arbitrary<Resource> resources =
-                Combinators.combine(puts(), Arbitraries.longs().between(1, MOST_WHOLE))
+                Combinators.combine(puts(), Arbitraries.longs().between(1, MAX_SAFE_INTEGER))
                         .as((put, version) -> new Resource(put.key(), version, put.value()));
         return Combinators.combine(
                         positions(),
--- a/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
@@ -22,7 +22,7 @@
  */
 class ResourceCodecPropertyTest {
 
-    private static final int MOST_MESSAGE_CHARACTERS = 1_000;
+    private static final int MAX_MESSAGE_CHARACTERS = 1_000;
 
     /** Reads bytes of one kind of message. */
     private interface Reader {
@@ -57,13 +57,13 @@
     @Property(tries = 500, seed = "51")
     void pagesOfChangesAreReadAsTheyWereWritten(@ForAll("changePages") ChangePage page)
             throws ProtocolException {
-        assertEquals(page, ResourceCodec.readChanges(ResourceCodec.write(page)));
+        assertEquals(page, ResourceCodec.readChangePage(ResourceCodec.write(page)));
     }
 
     @Property(tries = 500, seed = "52")
     void pagesOfSnapshotsAreReadAsTheyWereWritten(@ForAll("snapshotPages") SnapshotPage page)
             throws ProtocolException {
-        assertEquals(page, ResourceCodec.readSnapshot(ResourceCodec.write(page)));
+        assertEquals(page, ResourceCodec.readSnapshotPage(ResourceCodec.write(page)));
     }
 
     @Property(tries = 500, seed = "53")
@@ -76,9 +76,11 @@
     void positionsAndAnswersThatAreTooOldAreReadAsTheyWereWritten(
             @ForAll("positions") LogPosition position) throws ProtocolException {
         assertEquals(position, ResourceCodec.readPosition(ResourceCodec.write(position)));
-        VersionTooOld tooOld =
-                new VersionTooOld(position.log(), position.version() / 2, position.version());
-        assertEquals(tooOld, ResourceCodec.readTooOld(ResourceCodec.write(tooOld)));
+        VersionUnavailable unavailable =
+                new VersionUnavailable(position.log(), position.version() / 2, position.version());
+        assertEquals(
+                unavailable,
+                ResourceCodec.readVersionUnavailable(ResourceCodec.write(unavailable)));
     }
 
     @Property(tries = 300, seed = "55")
@@ -87,8 +89,8 @@
             @ForAll("snapshotPages") SnapshotPage snapshot,
             @ForAll("submissions") Submission submission,
             @ForAll int seed) {
-        cutIsRefused(ResourceCodec.write(page), ResourceCodec::readChanges, seed);
-        cutIsRefused(ResourceCodec.write(snapshot), ResourceCodec::readSnapshot, seed);
+        cutIsRefused(ResourceCodec.write(page), ResourceCodec::readChangePage, seed);
+        cutIsRefused(ResourceCodec.write(snapshot), ResourceCodec::readSnapshotPage, seed);
         cutIsRefused(ResourceCodec.write(submission), ResourceCodec::readSubmission, seed);
     }
 
@@ -106,9 +108,9 @@
             @ForAll("submissions") Submission submission,
             @ForAll int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        isReadOrRefused(flipped(ResourceCodec.write(page), random), ResourceCodec::readChanges);
+        isReadOrRefused(flipped(ResourceCodec.write(page), random), ResourceCodec::readChangePage);
         isReadOrRefused(
-                flipped(ResourceCodec.write(snapshot), random), ResourceCodec::readSnapshot);
+                flipped(ResourceCodec.write(snapshot), random), ResourceCodec::readSnapshotPage);
         isReadOrRefused(
                 flipped(ResourceCodec.write(submission), random), ResourceCodec::readSubmission);
     }
@@ -165,12 +167,12 @@
 
     @Property(tries = 5000, seed = "57")
     void garbageEndsInOneKindOfException(@ForAll("garbage") byte[] body) {
-        isReadOrRefused(body, ResourceCodec::readChanges);
-        isReadOrRefused(body, ResourceCodec::readSnapshot);
+        isReadOrRefused(body, ResourceCodec::readChangePage);
+        isReadOrRefused(body, ResourceCodec::readSnapshotPage);
         isReadOrRefused(body, ResourceCodec::readSubmission);
-        isReadOrRefused(body, ResourceCodec::readTooOld);
+        isReadOrRefused(body, ResourceCodec::readVersionUnavailable);
         isReadOrRefused(body, ResourceCodec::readPosition);
-        isReadOrRefused(body, ResourceCodec::readFaults);
+        isReadOrRefused(body, ResourceCodec::readErrors);
     }
 
     // Any other exception fails the property. What is read can be written, and is then read as the
@@ -197,12 +199,12 @@
         assertTrue(
                 refusal.getMessage().chars().noneMatch(Character::isISOControl),
                 refusal.getMessage());
-        assertTrue(refusal.getMessage().length() < MOST_MESSAGE_CHARACTERS, refusal.getMessage());
+        assertTrue(refusal.getMessage().length() < MAX_MESSAGE_CHARACTERS, refusal.getMessage());
     }
 
     @Property(tries = 500, seed = "58")
     void settingsThatPassTheChecksCanBeTakenOver(@ForAll("puts") Change.Put put) {
-        assertTrue(ResourceChecks.fault(put.key(), put.value()).isEmpty());
+        assertTrue(ResourceValidator.firstError(put.key(), put.value()).isEmpty());
         if (put.value() instanceof ResourceValue.Settings settings) {
             assertFalse(SettingsReader.settings(settings.tree()).requestClasses().isEmpty());
         }
--- a/src/test/java/ottergauge/resources/ResourceCodecTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecTest.java
@@ -92,7 +92,7 @@
     void otherAnswersHaveTheFormOfTheInterface() {
         assertEquals(
                 "{\"error\":\"too_old\",\"log\":\"9f3c\",\"oldest\":80,\"version\":120}",
-                text(ResourceCodec.write(new VersionTooOld("9f3c", 80, 120))));
+                text(ResourceCodec.write(new VersionUnavailable("9f3c", 80, 120))));
         assertEquals(
                 "{\"log\":\"9f3c\",\"version\":121}",
                 text(ResourceCodec.write(new LogPosition("9f3c", 121))));
@@ -101,7 +101,7 @@
                         + "\"value\":\"-3\","
                         + "\"allowed\":\"a number from 0 on\"}]}",
                 text(
-                        ResourceCodec.writeFaults(
+                        ResourceCodec.writeErrors(
                                 List.of(
                                         new FieldError(
                                                 "put[0].value.requests_per_second",
@@ -123,7 +123,7 @@
     @Test
     void unknownFieldsArePassedOver() throws ProtocolException {
         ChangePage page =
-                ResourceCodec.readChanges(
+                ResourceCodec.readChangePage(
                         bytes(
                                 "{\"later\":{\"a\":[1,{}]},"
                                         + "\"changes\":[{\"version\":1,"
@@ -145,7 +145,7 @@
     @Test
     void aChangeThatCantBeMadeOutLeavesThoseBesideIt() throws ProtocolException {
         ChangePage page =
-                ResourceCodec.readChanges(
+                ResourceCodec.readChangePage(
                         bytes(
                                 "{\"log\":\"l\",\"version\":9,\"changes\":["
                                     + "{\"version\":1,\"put\":[{\"kind\":\"tenant\","
@@ -163,16 +163,16 @@
                 page.unreadable().stream().map(UnreadableChange::version).toList());
         assertEquals(
                 "put[1].kind is service, server, route, tenant or settings, not star",
-                page.unreadable().get(0).fault().toString());
+                page.unreadable().get(0).error().toString());
         assertEquals(
                 "put[0].value.burst is a number from 0 to 1000000000, not -1",
-                page.unreadable().get(1).fault().toString());
+                page.unreadable().get(1).error().toString());
     }
 
     @Test
     void anEntryOfASnapshotThatCantBeMadeOutLeavesThoseBesideIt() throws ProtocolException {
         SnapshotPage page =
-                ResourceCodec.readSnapshot(
+                ResourceCodec.readSnapshotPage(
                         bytes(
                                 "{\"log\":\"l\",\"version\":9,\"resources\":["
                                     + "{\"kind\":\"tenant\",\"name\":\"t\",\"version\":3,\"value\":{}},"
@@ -185,7 +185,7 @@
                 page.unreadable().stream().map(UnreadableResource::key).toList());
         assertEquals(
                 "resources[1].value.weight is a number, not much",
-                page.unreadable().get(0).fault().toString());
+                page.unreadable().get(0).error().toString());
     }
 
     @ParameterizedTest
@@ -212,7 +212,7 @@
                 "{\"log\":\"l\",\"version\":1,\"changes\":[{\"version\":1,\"put\":[],\"put\":[]}]}"
             })
     void whatIsNoPageOfChangesIsRefusedWhole(String body) {
-        assertThrows(ProtocolException.class, () -> ResourceCodec.readChanges(bytes(body)));
+        assertThrows(ProtocolException.class, () -> ResourceCodec.readChangePage(bytes(body)));
     }
 
     @ParameterizedTest
@@ -226,18 +226,18 @@
                 "{\"log\":\"l\",\"version\":1,\"resources\":[],\"next\":7}"
             })
     void whatIsNoPageOfASnapshotIsRefusedWhole(String body) {
-        assertThrows(ProtocolException.class, () -> ResourceCodec.readSnapshot(bytes(body)));
+        assertThrows(ProtocolException.class, () -> ResourceCodec.readSnapshotPage(bytes(body)));
     }
 
-    private static List<String> faults(String entry) {
+    private static List<String> errors(String entry) {
         InvalidSubmissionException refusal =
                 assertThrows(
                         InvalidSubmissionException.class,
                         () ->
                                 ResourceCodec.readSubmission(
                                         bytes("{\"id\":\"i\",\"put\":[" + entry + "]}")));
-        assertEquals(refusal.getMessage(), refusal.faults().get(0).toString());
-        return refusal.faults().stream().map(FieldError::key).toList();
+        assertEquals(refusal.getMessage(), refusal.errors().get(0).toString());
+        return refusal.errors().stream().map(FieldError::key).toList();
     }
 
     @ParameterizedTest
@@ -296,7 +296,7 @@
     void whatIsWrongWithAValueIsNamed(String kind, String value, String key) {
         assertEquals(
                 "put[0].value." + key,
-                faults("{\"kind\":\"" + kind + "\",\"name\":\"n\",\"value\":" + value + "}")
+                errors("{\"kind\":\"" + kind + "\",\"name\":\"n\",\"value\":" + value + "}")
                         .get(0));
     }
 
@@ -310,7 +310,7 @@
                         "put[3]",
                         "put[4].value.burst",
                         "put[4].value.weight"),
-                faults(
+                errors(
                         "{\"kind\":\"tenant\",\"name\":\"a b\",\"value\":{}},"
                             + "{\"kind\":\"x\",\"name\":\"n\"},{\"kind\":\"tenant\",\"name\":\"n\"},7,"
                             + "{\"kind\":\"tenant\",\"name\":\"n\",\"value\":{\"burst\":-2,\"weight\":-1}}"));
@@ -319,7 +319,7 @@
     @Test
     void aResourceMayBeInAChangeOnce() {
         String tenant = "{\"kind\":\"tenant\",\"name\":\"n\",\"value\":{}}";
-        assertEquals(List.of("put[1]"), faults(tenant + "," + tenant));
+        assertEquals(List.of("put[1]"), errors(tenant + "," + tenant));
         Change twice =
                 new Change(
                         1,
@@ -329,13 +329,13 @@
                         List.of(new Change.Delete(key(ResourceKind.TENANT, "n"), "")));
         assertEquals(
                 "delete[0] is a resource that the change has no other entry of, not tenant n again",
-                ResourceChecks.fault(twice).orElseThrow().toString());
+                ResourceValidator.firstError(twice).orElseThrow().toString());
     }
 
     @Test
     void aSubmissionHasBoundsOnEntriesAndBytes() throws ProtocolException {
         List<Change.Put> puts = new ArrayList<>();
-        for (int i = 0; i < ResourceChecks.MOST_ENTRIES; i++) {
+        for (int i = 0; i < ResourceValidator.MAX_ENTRIES; i++) {
             puts.add(new Change.Put(key(ResourceKind.TENANT, "t-" + i), new Tenant(0, 0, 0, 1)));
         }
         Submission largest = new Submission("i", List.copyOf(puts), List.of());
@@ -350,7 +350,7 @@
                                                 ResourceCodec.write(
                                                         new Submission("i", puts, List.of()))))
                         .getMessage());
-        byte[] tooLong = bytes(" ".repeat(ResourceCodec.MOST_SUBMISSION_BYTES) + "{}");
+        byte[] tooLong = bytes(" ".repeat(ResourceCodec.MAX_SUBMISSION_BYTES) + "{}");
         assertTrue(
                 assertThrows(ProtocolException.class, () -> ResourceCodec.readSubmission(tooLong))
                         .getMessage()
@@ -376,14 +376,14 @@
         for (int i = 0; i < 300; i++) {
             entries.add("7");
         }
-        assertEquals(100, faults(String.join(",", entries)).size());
+        assertEquals(100, errors(String.join(",", entries)).size());
     }
 
     @Test
     void aFaultIsOneShortLine() {
-        FieldError fault = new FieldError("a\nb", "x".repeat(1000), "short");
-        assertEquals("a?b", fault.key());
-        assertEquals(83, fault.value().length());
+        FieldError error = new FieldError("a\nb", "x".repeat(1000), "short");
+        assertEquals("a?b", error.key());
+        assertEquals(83, error.value().length());
     }
 
     @Test
--- a/src/test/java/ottergauge/resources/ResourceFormatCompatibilityTest.java
+++ b/src/test/java/ottergauge/resources/ResourceFormatCompatibilityTest.java
@@ -35,7 +35,7 @@
     @Test
     void changePage_isWrittenBackByteByByte() throws IOException, ProtocolException {
         byte[] sample = sample("change-page.json");
-        ChangePage page = ResourceCodec.readChanges(sample);
+        ChangePage page = ResourceCodec.readChangePage(sample);
         assertEquals(2, page.changes().size());
         assertEquals(6, page.changes().get(0).puts().size());
         assertTrue(page.unreadable().isEmpty());
@@ -45,7 +45,7 @@
     @Test
     void snapshotPage_isWrittenBackByteByByte() throws IOException, ProtocolException {
         byte[] sample = sample("snapshot-page.json");
-        SnapshotPage page = ResourceCodec.readSnapshot(sample);
+        SnapshotPage page = ResourceCodec.readSnapshotPage(sample);
         assertEquals(6, page.resources().size());
         assertTrue(page.unreadable().isEmpty());
         assertSameBytes(sample, ResourceCodec.write(page));
@@ -54,7 +54,7 @@
     @Test
     void lastSnapshotPage_isWrittenBackByteByByte() throws IOException, ProtocolException {
         byte[] sample = sample("last-snapshot-page.json");
-        SnapshotPage page = ResourceCodec.readSnapshot(sample);
+        SnapshotPage page = ResourceCodec.readSnapshotPage(sample);
         assertTrue(page.next().isEmpty());
         assertSameBytes(sample, ResourceCodec.write(page));
     }
@@ -77,12 +77,12 @@
     @Test
     void versionTooOld_isWrittenBackByteByByte() throws IOException, ProtocolException {
         byte[] sample = sample("version-too-old.json");
-        assertSameBytes(sample, ResourceCodec.write(ResourceCodec.readTooOld(sample)));
+        assertSameBytes(sample, ResourceCodec.write(ResourceCodec.readVersionUnavailable(sample)));
     }
 
     @Test
     void invalidSubmission_isWrittenBackByteByByte() throws IOException, ProtocolException {
         byte[] sample = sample("invalid-submission.json");
-        assertSameBytes(sample, ResourceCodec.writeFaults(ResourceCodec.readFaults(sample)));
+        assertSameBytes(sample, ResourceCodec.writeErrors(ResourceCodec.readErrors(sample)));
     }
 }
