--- a/src/main/java/ottergauge/decision/DecisionEngine.java
+++ b/src/main/java/ottergauge/decision/DecisionEngine.java
@@ -44,12 +44,12 @@
 import ottergauge.decision.api.RequestClass;
 import ottergauge.decision.api.RequestLimits;
 import ottergauge.decision.api.UpdateScope;
-import ottergauge.limits.Freshness;
-import ottergauge.limits.RetryBudget;
-import ottergauge.limits.Room;
-import ottergauge.limits.ServerPace;
-import ottergauge.ring.Ring;
-import ottergauge.rows.RowTable;
+import ottergauge.decision.limits.ReportFreshness;
+import ottergauge.decision.limits.RetryBudget;
+import ottergauge.decision.limits.CapacityEstimate;
+import ottergauge.decision.limits.ConcurrencyLimit;
+import ottergauge.decision.ring.ConsistentHashRing;
+import ottergauge.decision.index.ClassIndex;
 
 /**
  * Every decision of a node and nothing else. Its interface (settings, events, actions) is
@@ -233,7 +233,7 @@
         boolean candidate;
         double load;
         int sentSince;
-        final Room room = new Room();
+        final CapacityEstimate room = new CapacityEstimate();
         long reportedAt = NEVER;
         LoadReport report = LoadReport.NONE;
         long probedAt = NEVER;
@@ -249,7 +249,7 @@
         long coldSince = NEVER;
         long coldDrawnAt = NEVER;
         double coldDraw;
-        final ServerPace pace = new ServerPace();
+        final ConcurrencyLimit pace = new ConcurrencyLimit();
         final ArrayDeque<Long> coldSends = new ArrayDeque<>(0);
 
         Server(Endpoint entry) {
@@ -341,13 +341,13 @@
     private DecisionSettings settings;
     private final SplittableRandom random;
     private boolean sounds;
-    private final Freshness freshness = new Freshness();
+    private final ReportFreshness freshness = new ReportFreshness();
     private int mostProbes;
     private boolean hears;
     private double meanLoad;
-    private final Room fleet = new Room();
+    private final CapacityEstimate fleet = new CapacityEstimate();
     // All listed servers, and nothing else holds them all: what is looked at is counted there.
-    final Ring<Server> ring = new Ring<>();
+    final ConsistentHashRing<Server> ring = new ConsistentHashRing<>();
     // Of the listed servers those that are barred, the first to come back first.
     private final TreeSet<Server> barred =
             new TreeSet<>(
@@ -363,7 +363,7 @@
     private final TreeSet<Request> heldByEnd = new TreeSet<>(BY_END);
     private final RetryBudget retries = new RetryBudget(0);
     private double repeatsDue;
-    private final RowTable rows = new RowTable(MOST_ROWS);
+    private final ClassIndex rows = new ClassIndex(MOST_ROWS);
     private boolean[] rowLive;
     private final Map<String, Long> longestTry = new HashMap<>();
     private double unreached;
--- a/src/main/java/ottergauge/rows/RowTable.java
+++ b/src/main/java/ottergauge/decision/index/ClassIndex.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.rows;
+package ottergauge.decision.index;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,7 +16,7 @@
  * though its number may be another one; what is kept by row elsewhere is then laid out anew with
  * {@link #lay}.
  */
-public final class RowTable {
+public final class ClassIndex {
 
     private static final int NEW = -1;
 
@@ -27,7 +27,7 @@
     private final List<Integer> before = new ArrayList<>(List.of(NEW));
 
     /** A table with no names, which will have so many rows of their own at the most. */
-    public RowTable(int mostOwn) {
+    public ClassIndex(int mostOwn) {
         this.mostOwn = mostOwn;
     }
 
--- a/src/main/java/ottergauge/rows/package-info.java
+++ b/src/main/java/ottergauge/decision/index/package-info.java
@@ -4,4 +4,4 @@
  * Rows of a table that names come to and go from while it is used: a data structure that holds no
  * choice.
  */
-package ottergauge.rows;
+package ottergauge.decision.index;
--- a/src/main/java/ottergauge/limits/Room.java
+++ b/src/main/java/ottergauge/decision/limits/CapacityEstimate.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.limits;
+package ottergauge.decision.limits;
 
 /**
  * How many requests a server holds when all of its cores are busy: as many as these where requests
  * only work, and many times as many where they wait on others most of their time. Learnt from what
  * is held for each part of the cores that is busy.
  */
-public final class Room {
+public final class CapacityEstimate {
 
     // So many servers' full work in reports tells a room; of twice as much the older half is
     // forgotten.
--- a/src/main/java/ottergauge/limits/ServerPace.java
+++ b/src/main/java/ottergauge/decision/limits/ConcurrencyLimit.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.limits;
+package ottergauge.decision.limits;
 
 /**
  * What one node may have out at one server, learnt from how its attempts end: additive increase,
@@ -12,7 +12,7 @@
  * nodes together, so that the sum grows alike whatever their number. Instants and spans are
  * microseconds.
  */
-public final class ServerPace {
+public final class ConcurrencyLimit {
 
     // What is left of the limit after a congestion: harsher than half would idle a server that is
     // only full
--- a/src/main/java/ottergauge/limits/Freshness.java
+++ b/src/main/java/ottergauge/decision/limits/ReportFreshness.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.limits;
+package ottergauge.decision.limits;
 
 import ottergauge.decision.api.LoadReport;
 
@@ -11,7 +11,7 @@
  * Only those count that hold a figure which never stands still at a server at work: a rate, a time,
  * a busy part short of all. The number of requests does stand still where nodes keep a server full.
  */
-public final class Freshness {
+public final class ReportFreshness {
 
     // Figures of a live report may be the same twice by chance, more so the fewer it has.
     private static final double STALE = 0.8;
--- a/src/main/java/ottergauge/limits/RetryBudget.java
+++ b/src/main/java/ottergauge/decision/limits/RetryBudget.java
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.limits;
+package ottergauge.decision.limits;
 
 import java.util.Arrays;
 import java.util.List;
-import ottergauge.rows.RowTable;
+import ottergauge.decision.index.ClassIndex;
 
 /**
  * How many further attempts a node makes: a part of its first ones, over all classes and by class.
@@ -32,7 +32,7 @@
     }
 
     /** The classes are other ones: each row keeps what it had, a new one begins full. */
-    public void layOut(RowTable rows) {
+    public void layOut(ClassIndex rows) {
         List<Double> before = Arrays.stream(byClass).boxed().toList();
         byClass = rows.lay(before, () -> MOST).stream().mapToDouble(tokens -> tokens).toArray();
     }
--- a/src/main/java/ottergauge/ring/Ring.java
+++ b/src/main/java/ottergauge/decision/ring/ConsistentHashRing.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.ring;
+package ottergauge.decision.ring;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +18,7 @@
  *
  * @param <E> what is found by an id or a point
  */
-public final class Ring<E> {
+public final class ConsistentHashRing<E> {
 
     private static final class Node<E> {
         final long id;
--- a/src/main/java/ottergauge/ring/package-info.java
+++ b/src/main/java/ottergauge/decision/ring/package-info.java
@@ -3,4 +3,4 @@
 /**
  * A circle of weighted arcs, as consistent hashing uses it: a data structure that holds no choice.
  */
-package ottergauge.ring;
+package ottergauge.decision.ring;
--- a/src/test/java/ottergauge/ArchitectureTest.java
+++ b/src/test/java/ottergauge/ArchitectureTest.java
@@ -38,15 +38,15 @@
                                         "java.util.stream",
                                         "ottergauge.decision",
                                         "ottergauge.decision.api",
-                                        "ottergauge.limits",
-                                        "ottergauge.ring",
-                                        "ottergauge.rows")))
+                                        "ottergauge.decision.limits",
+                                        "ottergauge.decision.ring",
+                                        "ottergauge.decision.index")))
                 .check(all);
     }
 
     @Test
     void dataStructuresStandOnTheJdkAlone() {
-        for (String structure : new String[] {"ottergauge.ring", "ottergauge.rows"}) {
+        for (String structure : new String[] {"ottergauge.decision.ring", "ottergauge.decision.index"}) {
             classes()
                     .that(resideInAnyPackage(structure))
                     .should(
@@ -69,7 +69,7 @@
     @Test
     void limitsAreNumbersAndNothingElse() {
         classes()
-                .that(resideInAnyPackage("ottergauge.limits"))
+                .that(resideInAnyPackage("ottergauge.decision.limits"))
                 .should(
                         onlyDependOnClassesThat(
                                 resideInAnyPackage(
@@ -79,11 +79,11 @@
                                         "java.util.stream",
                                         "ottergauge.decision",
                                         "ottergauge.decision.api",
-                                        "ottergauge.limits",
-                                        "ottergauge.rows")))
+                                        "ottergauge.decision.limits",
+                                        "ottergauge.decision.index")))
                 .check(all);
         noClasses()
-                .that(resideInAnyPackage("ottergauge.limits"))
+                .that(resideInAnyPackage("ottergauge.decision.limits"))
                 .should()
                 .dependOnClassesThat()
                 .belongToAnyOf(
@@ -127,9 +127,9 @@
                 .definedBy(
                         "ottergauge.decision",
                         "ottergauge.decision.api",
-                        "ottergauge.limits..",
-                        "ottergauge.ring..",
-                        "ottergauge.rows..")
+                        "ottergauge.decision.limits..",
+                        "ottergauge.decision.ring..",
+                        "ottergauge.decision.index..")
                 .layer("settings")
                 .definedBy("ottergauge.settings..")
                 .layer("migration")
--- a/src/test/java/ottergauge/decision/SubsetTest.java
+++ b/src/test/java/ottergauge/decision/SubsetTest.java
@@ -22,7 +22,7 @@
 import ottergauge.decision.api.Endpoint;
 import ottergauge.decision.api.EndpointState;
 import ottergauge.decision.api.UpdateScope;
-import ottergauge.ring.PlainRing;
+import ottergauge.decision.ring.ReferenceRing;
 
 /**
  * The subset that a node serves from, held to the plain computation: all listed servers in the
@@ -104,7 +104,7 @@
         }
         Map<Long, Double> sizes = new LinkedHashMap<>();
         listed.forEach((id, server) -> sizes.put(id, size(id)));
-        PlainRing ring = new PlainRing(sizes);
+        ReferenceRing ring = new ReferenceRing(sizes);
         int count = listed.size();
         int size =
                 (int) Math.min(FREE_SUBSET, DOZEN * Math.max(1, count / (double) history.nodes()));
--- a/src/test/java/ottergauge/rows/RowTableTest.java
+++ b/src/test/java/ottergauge/decision/index/ClassIndexTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.rows;
+package ottergauge.decision.index;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Names keep what belongs to their rows for as long as they stay, wherever the rows stand. */
-class RowTableTest {
+class ClassIndexTest {
 
     private static final int MOST_OWN = 5;
     private static final String SHARED = "shared";
@@ -34,7 +34,7 @@
 
     @Property(tries = 500, seed = "91")
     void whatBelongsToANameStaysWithIt(@ForAll("renamings") List<List<String>> renamings) {
-        RowTable table = new RowTable(MOST_OWN);
+        ClassIndex table = new ClassIndex(MOST_OWN);
         // What belongs to a row: whose it is, and a number that no other one had.
         List<String> belongs = table.lay(List.of(), () -> SHARED);
         Map<String, String> owned = new HashMap<>();
@@ -64,7 +64,7 @@
 
     @Test
     void theFirstNamesHaveRowsAndAnUnknownOneSharesTheLast() {
-        RowTable table = new RowTable(2);
+        ClassIndex table = new ClassIndex(2);
         table.rename(List.of("a", "b", "c"));
         assertEquals(
                 List.of(0, 1, 2, 2),
--- a/src/test/java/ottergauge/limits/LimitsTest.java
+++ b/src/test/java/ottergauge/decision/limits/LimitsTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.limits;
+package ottergauge.decision.limits;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -19,7 +19,7 @@
 
     @Test
     void aPaceBindsOnlyAfterCongestionAndIsCutOnceInAServiceTime() {
-        ServerPace pace = new ServerPace();
+        ConcurrencyLimit pace = new ConcurrencyLimit();
         assertTrue(pace.allows(0, 1_000, SERVICE));
         pace.congested(1_000_000, 10, SERVICE, 4);
         pace.congested(1_050_000, 10, SERVICE, 4);
@@ -31,7 +31,7 @@
 
     @Test
     void aPaceGrowsWhileItIsUsedAndIsForgottenWhenItIsNot() {
-        ServerPace pace = new ServerPace();
+        ConcurrencyLimit pace = new ConcurrencyLimit();
         pace.congested(1_000_000, 4, SERVICE, 2);
         pace.served(0, 2);
         assertEquals(2.8, pace.limit(), 1e-9);
@@ -46,7 +46,7 @@
 
     @Test
     void aLimitUnderOneIsAPace() {
-        ServerPace pace = new ServerPace();
+        ConcurrencyLimit pace = new ConcurrencyLimit();
         for (int i = 1; i <= 4; i++) {
             pace.congested(i * 1_000_000L, 1, SERVICE, 50);
         }
@@ -65,11 +65,11 @@
     @ParameterizedTest
     @ValueSource(ints = {4, 16, 64, 256})
     void theSumOfAllPacesSettlesNearWhatTheServerTakes(int nodes) {
-        ServerPace[] paces = new ServerPace[nodes];
+        ConcurrencyLimit[] paces = new ConcurrencyLimit[nodes];
         int[] out = new int[nodes];
         long[] barred = new long[nodes];
         for (int n = 0; n < nodes; n++) {
-            paces[n] = new ServerPace();
+            paces[n] = new ConcurrencyLimit();
         }
         SplittableRandom random = new SplittableRandom(nodes);
         int holds = 8;
@@ -143,8 +143,8 @@
 
     @Test
     void reportsThatStayAsTheyAreWhenAskedAgainAreStale() {
-        Freshness renewed = new Freshness();
-        Freshness old = new Freshness();
+        ReportFreshness renewed = new ReportFreshness();
+        ReportFreshness old = new ReportFreshness();
         for (int i = 0; i < 20; i++) {
             renewed.saw(
                     report(3, Double.NaN, 17 + i), report(3, Double.NaN, 18 + i), 50_000, SERVICE);
@@ -160,7 +160,7 @@
      */
     @Test
     void aServerThatStandsStillProvesNothing() {
-        Freshness freshness = new Freshness();
+        ReportFreshness freshness = new ReportFreshness();
         for (int i = 0; i < 50; i++) {
             freshness.saw(
                     report(2, 0.999, Double.NaN), report(2, 0.999, Double.NaN), 50_000, SERVICE);
--- a/src/test/java/ottergauge/ring/RingTest.java
+++ b/src/test/java/ottergauge/decision/ring/ConsistentHashRingTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.ring;
+package ottergauge.decision.ring;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -26,7 +26,7 @@
  * A ring gives what the plain computation gives, whatever was inserted and removed before, at less
  * cost.
  */
-class RingTest {
+class ConsistentHashRingTest {
 
     private static final int POINTS = 64;
     private static final int CHANGES = 200;
@@ -55,7 +55,7 @@
                 .ofMaxSize(120);
     }
 
-    private static void take(Ring<Long> ring, Map<Long, Double> sizes, Step step) {
+    private static void take(ConsistentHashRing<Long> ring, Map<Long, Double> sizes, Step step) {
         if (step.size() > 0) {
             ring.put(step.id(), step.size(), step.id());
             sizes.put(step.id(), step.size());
@@ -68,11 +68,11 @@
     @Property(tries = 400, seed = "61")
     void afterEachChangeItGivesWhatThePlainComputationGives(
             @ForAll("exactSteps") List<Step> steps) {
-        Ring<Long> ring = new Ring<>();
+        ConsistentHashRing<Long> ring = new ConsistentHashRing<>();
         Map<Long, Double> sizes = new LinkedHashMap<>();
         for (Step step : steps) {
             take(ring, sizes, step);
-            PlainRing plain = new PlainRing(sizes);
+            ReferenceRing plain = new ReferenceRing(sizes);
             assertEquals(plain.ids(), ring.first(ring.count()));
             assertEquals(plain.ids().subList(0, Math.min(3, plain.ids().size())), ring.first(3));
             assertEquals(sizes.containsKey(step.id()) ? step.id() : null, ring.get(step.id()));
@@ -87,10 +87,10 @@
 
     @Property(tries = 400, seed = "62")
     void aPointLiesInTheArcThatIsFoundWhateverTheSizes(@ForAll("anySteps") List<Step> steps) {
-        Ring<Long> ring = new Ring<>();
+        ConsistentHashRing<Long> ring = new ConsistentHashRing<>();
         Map<Long, Double> sizes = new LinkedHashMap<>();
         steps.forEach(step -> take(ring, sizes, step));
-        PlainRing plain = new PlainRing(sizes);
+        ReferenceRing plain = new ReferenceRing(sizes);
         for (int i = 0; i < POINTS && !sizes.isEmpty(); i++) {
             double point = i / (double) POINTS;
             assertTrue(plain.distance(point, ring.at(point)) < 1e-12, "the arc at " + point);
@@ -101,10 +101,10 @@
     @Property(tries = 400, seed = "63")
     void aChainOfChangesGivesTheSameAsAllAtOnceInAnyOrder(
             @ForAll("anySteps") List<Step> steps, @ForAll long shuffle) {
-        Ring<Long> chain = new Ring<>();
+        ConsistentHashRing<Long> chain = new ConsistentHashRing<>();
         Map<Long, Double> sizes = new LinkedHashMap<>();
         steps.forEach(step -> take(chain, sizes, step));
-        Ring<Long> whole = new Ring<>();
+        ConsistentHashRing<Long> whole = new ConsistentHashRing<>();
         List<Long> ids = new ArrayList<>(sizes.keySet());
         Collections.shuffle(ids, new Random(shuffle));
         ids.forEach(id -> whole.put(id, sizes.get(id), id));
@@ -119,7 +119,7 @@
      * The first point from a half of this one on, to the last bit, at which this one's element is
      * found.
      */
-    private static double boundary(Ring<Long> ring, double point) {
+    private static double boundary(ConsistentHashRing<Long> ring, double point) {
         double outside = point / 2;
         double inside = point;
         while (outside < inside
@@ -137,7 +137,7 @@
 
     @Test
     void anEmptyRingHasNothingAnywhere() {
-        Ring<Long> ring = new Ring<>();
+        ConsistentHashRing<Long> ring = new ConsistentHashRing<>();
         assertNull(ring.at(0.3));
         assertNull(ring.get(1));
         assertEquals(List.of(), ring.first(5));
@@ -146,8 +146,8 @@
     }
 
     /** The mean number of elements that one change, or one lookup, visits among so many. */
-    private static double cost(int elements, BiConsumer<Ring<Long>, Long> use) {
-        Ring<Long> ring = new Ring<>();
+    private static double cost(int elements, BiConsumer<ConsistentHashRing<Long>, Long> use) {
+        ConsistentHashRing<Long> ring = new ConsistentHashRing<>();
         LongStream.range(0, elements).forEach(id -> ring.put(id, 1, id));
         SplittableRandom random = new SplittableRandom(9);
         long before = ring.visits();
@@ -158,7 +158,7 @@
     }
 
     /** Eight times as many elements are three more halvings, of some twenty. */
-    private static void growsByTheLogarithm(BiConsumer<Ring<Long>, Long> use) {
+    private static void growsByTheLogarithm(BiConsumer<ConsistentHashRing<Long>, Long> use) {
         double small = cost(1_000, use);
         double large = cost(8_000, use);
         assertTrue(large <= 1.6 * small, "visits " + small + " of 1,000, " + large + " of 8,000");
--- a/src/test/java/ottergauge/ring/PlainRing.java
+++ b/src/test/java/ottergauge/decision/ring/ReferenceRing.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.ring;
+package ottergauge.decision.ring;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -12,16 +12,16 @@
  * The plain way to lay out a ring, as a reference: all ids are sorted and all arcs added up each
  * time.
  */
-public final class PlainRing {
+public final class ReferenceRing {
 
     private final List<Long> ids;
     private final TreeMap<Double, Long> arcs = new TreeMap<>();
     private double length;
 
     /** A ring of these sizes by id. */
-    public PlainRing(Map<Long, Double> sizes) {
+    public ReferenceRing(Map<Long, Double> sizes) {
         ids = new ArrayList<>(sizes.keySet());
-        ids.sort(Comparator.comparingDouble(PlainRing::order).thenComparingLong(id -> id));
+        ids.sort(Comparator.comparingDouble(ReferenceRing::order).thenComparingLong(id -> id));
         for (long id : ids) {
             arcs.put(length, id);
             length += sizes.get(id);
