--- /dev/null
+++ b/src/main/java/ottergauge/decision/endpoints/EndpointUpdater.java
@@ -0,0 +1,91 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.decision.endpoints;
+
+import java.util.ArrayList;
+import java.util.List;
+import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
+import ottergauge.decision.api.Endpoint;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.UpdateScope;
+import ottergauge.decision.balancing.ServerSubset;
+import ottergauge.decision.health.OutlierDetector;
+import ottergauge.decision.load.ProbeTracker;
+import ottergauge.decision.model.Instants;
+import ottergauge.decision.model.Server;
+import ottergauge.decision.model.SlowStartState;
+import ottergauge.decision.ring.ConsistentHashRing;
+
+/**
+ * Applies endpoint updates to the ring of servers. An incremental update costs by the servers that
+ * it names and the logarithm of those listed.
+ */
+public final class EndpointUpdater {
+
+    private static final double MIN_SIZE = 0.01;
+
+    private final ConsistentHashRing<Server> ring;
+    private final ServerSubset subset;
+    private final OutlierDetector outliers;
+    private final ProbeTracker probes;
+
+    /** Creates an updater of a ring, and of what depends on its servers. */
+    public EndpointUpdater(
+            ConsistentHashRing<Server> ring,
+            ServerSubset subset,
+            OutlierDetector outliers,
+            ProbeTracker probes) {
+        this.ring = ring;
+        this.subset = subset;
+        this.outliers = outliers;
+        this.probes = probes;
+    }
+
+    /** Applies an update and chooses the subset anew. */
+    public void apply(EndpointUpdate update, long now) {
+        boolean complete = update.scope() != UpdateScope.INCREMENTAL;
+        List<Server> named = complete ? ring.first(ring.count()) : new ArrayList<>();
+        for (Server server : named) {
+            server.markRemoved();
+        }
+        for (Endpoint endpoint : update.endpoints()) {
+            named.add(apply(endpoint));
+        }
+        // Only now: a server that is named twice is what it was named last.
+        for (Server server : named) {
+            if (server.state() == EndpointState.REMOVED) {
+                ring.remove(server.id());
+                outliers.remove(server);
+            }
+        }
+        subset.choose(now);
+    }
+
+    private Server apply(Endpoint endpoint) {
+        Server known = ring.get(endpoint.id());
+        Server server = known == null ? add(endpoint) : known;
+        if (endpoint.zone() != server.endpoint().zone()) {
+            // Zones are numbered anew.
+            probes.forgetRoundTrips();
+        }
+        if (known == null || endpoint.startedAt() > server.endpoint().startedAt()) {
+            restart(server, endpoint);
+        }
+        server.setEndpoint(endpoint);
+        return server;
+    }
+
+    private Server add(Endpoint endpoint) {
+        Server server = new Server(endpoint);
+        // By its first size: a weight that follows the load would move all others.
+        ring.put(server.id(), Math.max(MIN_SIZE, endpoint.nominalWeight()), server);
+        return server;
+    }
+
+    private void restart(Server server, Endpoint endpoint) {
+        SlowStartState slowStart = server.slowStart();
+        long startedAt = endpoint.startedAt() > 0 ? endpoint.startedAt() : Instants.NEVER;
+        slowStart.restart(Math.max(slowStart.startedAt(), startedAt));
+        server.forgetRelativeServiceTime();
+        outliers.reset(server);
+    }
+}
--- a/src/main/java/ottergauge/decision/index/ClassIndex.java
+++ b/src/main/java/ottergauge/decision/index/ClassIndex.java
@@ -14,7 +14,7 @@
  * Numbers the rows of a table: one for each name, as far as there are any, and a last one that all
  * names without a row of their own share. When the names change, a name that stays keeps its row,
  * though its number may be another one; what is kept by row elsewhere is then laid out anew with
- * {@link #lay}.
+ * {@link #remap}.
  */
 public final class ClassIndex {
 
@@ -65,7 +65,7 @@
      * What belongs to the rows, by row: what belonged to a row before the names changed last, or
      * something new where there was none. Nothing at all before makes all of it new.
      */
-    public <T> List<T> lay(List<T> belonged, Supplier<T> fresh) {
+    public <T> List<T> remap(List<T> belonged, Supplier<T> fresh) {
         List<T> belongs = new ArrayList<>(before.size());
         for (int number : before) {
             belongs.add(number == NEW || belonged.isEmpty() ? fresh.get() : belonged.get(number));
--- a/src/main/java/ottergauge/decision/limits/CapacityEstimate.java
+++ b/src/main/java/ottergauge/decision/limits/CapacityEstimate.java
@@ -2,46 +2,51 @@
 package ottergauge.decision.limits;
 
 /**
- * How many requests a server holds when all of its cores are busy: as many as these where requests
- * only work, and many times as many where they wait on others most of their time. Learnt from what
- * is held for each part of the cores that is busy.
+ * Estimates how many requests a server holds when all of its cores are busy: as many as these where
+ * requests only compute, and many times as many where they wait on others most of their time. It is
+ * the requests held over the busy part of the cores, summed over reports.
  */
 public final class CapacityEstimate {
 
-    // So many servers' full work in reports tells a room; of twice as much the older half is
-    // forgotten.
-    private static final double WORK_SEEN = 4;
-    // What a report may be out for noise.
-    private static final double NOISE = 0.3;
+    // So many fully busy servers in reports make an estimate; at twice as many all is halved.
+    private static final double FULL_EVIDENCE = 4;
+    // What a report may be off by.
+    private static final double NOISE_MARGIN = 0.3;
+    private static final double MIN_CAPACITY = 1;
 
-    private double held;
-    private double busy;
+    private double requests;
+    private double utilization;
     private boolean known;
 
     /**
-     * A report of so many requests and this busy part, which says as much as {@code says} usual
-     * ones.
+     * Takes a report.
+     *
+     * @param running requests that the server executes
+     * @param busyRatio busy part of its cores
+     * @param weight how many ordinary reports this one is worth
      */
-    public void saw(double requests, double busyPart, double says) {
-        held += says * requests;
-        busy += says * busyPart;
-        known |= says > 1 || busy > WORK_SEEN;
-        if (busy > 2 * WORK_SEEN) {
-            held /= 2;
-            busy /= 2;
+    public void record(double running, double busyRatio, double weight) {
+        requests += weight * running;
+        utilization += weight * busyRatio;
+        known |= weight > 1 || utilization > FULL_EVIDENCE;
+        if (utilization > 2 * FULL_EVIDENCE) {
+            requests /= 2;
+            utilization /= 2;
         }
     }
 
-    /** Whether enough was seen to go by. */
-    public boolean known() {
+    /** Whether reports have told enough. */
+    public boolean isKnown() {
         return known;
     }
 
     /**
-     * The room, with what is held elsewhere for what this one has not shown yet; 1 at the least.
+     * Returns the capacity in requests, at least 1. Evidence that is missing is made up for by the
+     * capacity of others.
      */
-    public double size(double elsewhere) {
-        double unseen = Math.max(0, WORK_SEEN - busy);
-        return Math.floor(Math.max(1, (held + unseen * elsewhere) / (busy + unseen) + NOISE));
+    public double capacity(double othersCapacity) {
+        double missing = Math.max(0, FULL_EVIDENCE - utilization);
+        double estimate = (requests + missing * othersCapacity) / (utilization + missing);
+        return Math.floor(Math.max(MIN_CAPACITY, estimate + NOISE_MARGIN));
     }
 }
--- a/src/main/java/ottergauge/decision/limits/ReportFreshness.java
+++ b/src/main/java/ottergauge/decision/limits/ReportFreshness.java
@@ -4,44 +4,50 @@
 import ottergauge.decision.api.LoadReport;
 
 /**
- * Whether load reports that are asked for tell what a server holds now. One that is renewed once in
- * several service times reads the same however often it is asked for: all nodes then send to the
- * server that it shows idle, and hold back from one that has long been free again. Told by how many
- * of two reports of a server, asked for within one service time, are the same to the last figure.
- * Only those count that hold a figure which never stands still at a server at work: a rate, a time,
- * a busy part short of all. The number of requests does stand still where nodes keep a server full.
+ * Detects load reports that are renewed too seldom to choose a server by. One that is renewed once
+ * in several service times reads the same however often it is asked for: all nodes then send to the
+ * server that it shows idle, and hold back from one that has long been free again.
+ *
+ * <p>Judged by how many of two reports of a server, asked for within one service time, are equal.
+ * Only those count that hold a value which never stands still at a busy server: a rate, a latency,
+ * a utilization short of all. The number of requests does stand still where nodes keep a server
+ * full.
  */
 public final class ReportFreshness {
 
-    // Figures of a live report may be the same twice by chance, more so the fewer it has.
-    private static final double STALE = 0.8;
-    // A busy part over this may stand still.
-    private static final double FULL = 0.9;
-    // A running mean over about so many pairs, which has to have seen as many.
-    private static final double PAIRS = 10;
+    // Values of a live report may be equal twice by chance, more so the fewer it has.
+    private static final double MAX_EQUAL_RATIO = 0.8;
+    // A utilization over this may stand still.
+    private static final double FULL_UTILIZATION = 0.9;
+    // The running mean is over about so many pairs, and says nothing before it has seen as many.
+    private static final double MEAN_PAIRS = 10;
 
-    private double same;
+    private double equalRatio;
     private int pairs;
 
     /**
-     * Two reports of one server and the time between them, where a request takes {@code service}.
+     * Takes two successive reports of one server.
+     *
+     * @param gapMicros the span between them
+     * @param serviceMicros what a request takes
      */
-    public void saw(LoadReport before, LoadReport now, long gap, double service) {
-        if (gap <= service && (moves(before) || moves(now))) {
+    public void recordPair(
+            LoadReport before, LoadReport now, long gapMicros, double serviceMicros) {
+        if (gapMicros <= serviceMicros && (isMoving(before) || isMoving(now))) {
             pairs++;
-            same += ((before.equals(now) ? 1 : 0) - same) / Math.min(pairs, PAIRS);
+            equalRatio += ((before.equals(now) ? 1 : 0) - equalRatio) / Math.min(pairs, MEAN_PAIRS);
         }
     }
 
-    private static boolean moves(LoadReport report) {
+    private static boolean isMoving(LoadReport report) {
         return report.inFlight() > 0
                 && (report.requestsPerSecond() > 0
                         || report.latencyMicros() > 0
-                        || (report.utilization() > 0 && report.utilization() < FULL));
+                        || (report.utilization() > 0 && report.utilization() < FULL_UTILIZATION));
     }
 
     /** Whether reports are too old to choose a server by. */
-    public boolean stale() {
-        return pairs >= PAIRS && same > STALE;
+    public boolean isStale() {
+        return pairs >= MEAN_PAIRS && equalRatio > MAX_EQUAL_RATIO;
     }
 }
--- a/src/main/java/ottergauge/decision/limits/RetryBudget.java
+++ b/src/main/java/ottergauge/decision/limits/RetryBudget.java
@@ -6,56 +6,59 @@
 import ottergauge.decision.index.ClassIndex;
 
 /**
- * How many further attempts a node makes: a part of its first ones, over all classes and by class.
- * Each first attempt puts a part of a token in, each further one takes a token out; at most so many
- * are kept. Under overload most first attempts fail, and what the budget holds back would sustain
- * it (Google's SRE book, chapter 21; "Metastable failures in the wild", OSDI 2022). One server of
- * many that fails spends less than comes in.
+ * Limits retries to a part of the first attempts, over all classes and by class: a token bucket to
+ * which each first attempt adds a part of a token, and from which each retry takes one. Under
+ * overload most first attempts fail, and unlimited retries would sustain it (Google's SRE book,
+ * chapter 21; "Metastable failures in the wild", OSDI 2022). One failing server of many spends less
+ * than comes in.
  */
 public final class RetryBudget {
 
-    /** The part of first attempts that may be made again, as published for client libraries. */
-    private static final double PART = 0.1;
+    /** Retries for each first attempt, as published for client libraries. */
+    private static final double RETRY_RATIO = 0.1;
 
-    // A class may have more than its part of what all may: a small one's failures come in clusters.
-    private static final double CLASS_PART = 0.2;
-    // Tokens that are kept, and there at the start: what a single failing server costs before it is
-    // barred.
-    private static final double MOST = 10;
+    // A class may have more than its part of all: a small one's failures come in clusters.
+    private static final double CLASS_RETRY_RATIO = 0.2;
+    // A full bucket, as at the start: what one failing server costs before it is ejected.
+    private static final double MAX_TOKENS = 10;
 
-    private double tokens = MOST;
-    private double[] byClass;
+    private double tokens = MAX_TOKENS;
+    private double[] classTokens;
 
-    public RetryBudget(int classes) {
-        byClass = new double[classes];
-        Arrays.fill(byClass, MOST);
+    /** Creates full buckets for so many rows of a class index. */
+    public RetryBudget(int rows) {
+        classTokens = new double[rows];
+        Arrays.fill(classTokens, MAX_TOKENS);
     }
 
-    /** The classes are other ones: each row keeps what it had, a new one begins full. */
-    public void layOut(ClassIndex rows) {
-        List<Double> before = Arrays.stream(byClass).boxed().toList();
-        byClass = rows.lay(before, () -> MOST).stream().mapToDouble(tokens -> tokens).toArray();
+    /** Follows a change of the class index: each row keeps its tokens, a new one begins full. */
+    public void applyClasses(ClassIndex classes) {
+        List<Double> before = Arrays.stream(classTokens).boxed().toList();
+        classTokens =
+                classes.remap(before, () -> MAX_TOKENS).stream()
+                        .mapToDouble(each -> each)
+                        .toArray();
     }
 
-    /** A first attempt has been made. */
-    public void first(int requestClass) {
-        tokens = Math.min(MOST, tokens + PART);
-        byClass[requestClass] = Math.min(MOST, byClass[requestClass] + CLASS_PART);
+    /** Counts a first attempt of this row. */
+    public void recordFirstAttempt(int row) {
+        tokens = Math.min(MAX_TOKENS, tokens + RETRY_RATIO);
+        classTokens[row] = Math.min(MAX_TOKENS, classTokens[row] + CLASS_RETRY_RATIO);
     }
 
-    /** Whether a further attempt may be made now. */
-    public boolean allows(int requestClass) {
-        return tokens >= 1 && byClass[requestClass] >= 1;
+    /** Whether a retry of this row is permitted now. */
+    public boolean permitsRetry(int row) {
+        return tokens >= 1 && classTokens[row] >= 1;
     }
 
-    /** A further attempt has been made. */
-    public void again(int requestClass) {
+    /** Counts a retry of this row. */
+    public void recordRetry(int row) {
         tokens = Math.max(0, tokens - 1);
-        byClass[requestClass] = Math.max(0, byClass[requestClass] - 1);
+        classTokens[row] = Math.max(0, classTokens[row] - 1);
     }
 
-    /** The tokens left for all classes. */
-    public double left() {
+    /** Returns the tokens that are left for all classes. */
+    public double tokens() {
         return tokens;
     }
 }
--- /dev/null
+++ b/src/main/java/ottergauge/decision/load/ServiceTimes.java
@@ -0,0 +1,64 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.decision.load;
+
+import ottergauge.decision.limits.MovingAverage;
+import ottergauge.decision.limits.WarmUpSchedule;
+import ottergauge.decision.model.Server;
+
+/**
+ * Estimates of what a request takes at a server once it is executed, in microseconds. A server's
+ * estimate is the fleet's by how much slower than the fleet the server is: a mean of its own would
+ * see too few responses to follow when everything becomes slow.
+ */
+public final class ServiceTimes {
+
+    // Before it has answered, a warming server is assumed to do this multiple of the least that it
+    // can do.
+    private static final double ASSUMED_WARM_UP_MULTIPLE = 1.5;
+
+    private final WarmUpSchedule warmUp;
+    private double mean;
+    private double uncontendedMean;
+
+    /** Creates estimates without samples. */
+    public ServiceTimes(WarmUpSchedule warmUp) {
+        this.warmUp = warmUp;
+    }
+
+    /** Whether there is a sample. */
+    public boolean isKnown() {
+        return mean != 0;
+    }
+
+    /** Returns the fleet's mean; 0 if it is unknown. */
+    public double mean() {
+        return mean;
+    }
+
+    /** Returns the fleet's mean at servers with idle cores, or else the mean of all. */
+    public double uncontendedMean() {
+        return uncontendedMean > 0 ? uncontendedMean : mean;
+    }
+
+    /** Returns a server's service time. See docs/design.md, "cold server's speed". */
+    public double of(Server server, long now) {
+        double relative = server.relativeServiceTime();
+        double warmUpFactor = warmUp.factor(server.slowStart().startedAt(), now);
+        if (warmUpFactor >= 1) {
+            return mean * (relative > 0 ? relative : 1);
+        }
+        double assumed = 1 / Math.min(1, ASSUMED_WARM_UP_MULTIPLE * warmUpFactor);
+        return mean * (relative > 0 ? Math.min(relative, 1 / warmUpFactor) : assumed);
+    }
+
+    /** Takes the service time of an attempt at a server. */
+    public void record(Server server, double serviceTime) {
+        mean = MovingAverage.update(mean, serviceTime);
+        server.recordRelativeServiceTime(serviceTime / mean);
+    }
+
+    /** Takes the latency of an attempt at a server with idle cores. */
+    public void recordUncontended(long latency) {
+        uncontendedMean = MovingAverage.update(uncontendedMean, (double) latency);
+    }
+}
--- a/src/test/java/ottergauge/ArchitectureTest.java
+++ b/src/test/java/ottergauge/ArchitectureTest.java
@@ -7,6 +7,7 @@
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.fields;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 import static com.tngtech.archunit.library.Architectures.layeredArchitecture;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
@@ -20,6 +21,8 @@
  */
 class ArchitectureTest {
 
+    private static final String DECISION = "ottergauge.decision..";
+
     private final JavaClasses all =
             new ClassFileImporter()
                     .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
@@ -28,7 +31,7 @@
     @Test
     void theModuleKnowsOnlyTheJdkAndItsInterface() {
         classes()
-                .that(resideInAnyPackage("ottergauge.decision", "ottergauge.decision.api"))
+                .that(resideInAnyPackage(DECISION))
                 .should(
                         onlyDependOnClassesThat(
                                 resideInAnyPackage(
@@ -36,17 +39,24 @@
                                         "java.util",
                                         "java.util.function",
                                         "java.util.stream",
-                                        "ottergauge.decision",
-                                        "ottergauge.decision.api",
-                                        "ottergauge.decision.limits",
-                                        "ottergauge.decision.ring",
-                                        "ottergauge.decision.index")))
+                                        DECISION)))
+                .check(all);
+    }
+
+    @Test
+    void theModulesPackagesDependOneWay() {
+        slices().matching("ottergauge.decision.(*)..").should().beFreeOfCycles().check(all);
+        noClasses()
+                .that(resideInAnyPackage("ottergauge.decision.*.."))
+                .should()
+                .dependOnClassesThat(resideInAnyPackage("ottergauge.decision"))
                 .check(all);
     }
 
     @Test
     void dataStructuresStandOnTheJdkAlone() {
-        for (String structure : new String[] {"ottergauge.decision.ring", "ottergauge.decision.index"}) {
+        for (String structure :
+                new String[] {"ottergauge.decision.ring", "ottergauge.decision.index"}) {
             classes()
                     .that(resideInAnyPackage(structure))
                     .should(
@@ -77,7 +87,6 @@
                                         "java.util",
                                         "java.util.function",
                                         "java.util.stream",
-                                        "ottergauge.decision",
                                         "ottergauge.decision.api",
                                         "ottergauge.decision.limits",
                                         "ottergauge.decision.index")))
@@ -94,14 +103,14 @@
     @Test
     void theModuleHasNoClockNoThreadsAndNoIo() {
         noClasses()
-                .that(resideInAnyPackage("ottergauge.decision", "ottergauge.decision.api"))
+                .that(resideInAnyPackage(DECISION))
                 .should()
                 .accessClassesThat()
                 .belongToAnyOf(
                         System.class, Thread.class, java.util.Random.class, java.util.Timer.class)
                 .check(all);
         noClasses()
-                .that(resideInAnyPackage("ottergauge.decision"))
+                .that(resideInAnyPackage(DECISION))
                 .should()
                 .callMethod(Math.class, "random")
                 .check(all);
@@ -110,8 +119,7 @@
     @Test
     void theModuleHasNoStaticsThatChange() {
         fields().that()
-                .areDeclaredInClassesThat(
-                        resideInAnyPackage("ottergauge.decision", "ottergauge.decision.api"))
+                .areDeclaredInClassesThat(resideInAnyPackage(DECISION))
                 .and()
                 .areStatic()
                 .should()
@@ -124,12 +132,7 @@
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("ottergauge..")
                 .layer("decisions")
-                .definedBy(
-                        "ottergauge.decision",
-                        "ottergauge.decision.api",
-                        "ottergauge.decision.limits..",
-                        "ottergauge.decision.ring..",
-                        "ottergauge.decision.index..")
+                .definedBy(DECISION)
                 .layer("settings")
                 .definedBy("ottergauge.settings..")
                 .layer("migration")
--- a/src/test/java/ottergauge/decision/ListCostTest.java
+++ b/src/test/java/ottergauge/decision/ListCostTest.java
@@ -41,11 +41,11 @@
     /** The mean number of servers looked at by what is done at a node that has so many. */
     private static double visits(int servers, ObjIntConsumer<Node> done) {
         Node node = node(servers);
-        long before = node.decide.ring.visits();
+        long before = node.decide.serverVisits();
         for (int i = 0; i < TIMES; i++) {
             done.accept(node, i);
         }
-        return (node.decide.ring.visits() - before) / (double) TIMES;
+        return (node.decide.serverVisits() - before) / (double) TIMES;
     }
 
     private static void hardlyGrows(ObjIntConsumer<Node> done) {
@@ -63,9 +63,9 @@
     @Test
     void theCountSeesAWalkOverAllServers() {
         Node node = node(LARGE);
-        long before = node.decide.ring.visits();
+        long before = node.decide.serverVisits();
         node.servers(LARGE);
-        assertTrue(node.decide.ring.visits() - before >= LARGE, "not counted");
+        assertTrue(node.decide.serverVisits() - before >= LARGE, "not counted");
     }
 
     @Test
--- a/src/test/java/ottergauge/decision/index/ClassIndexTest.java
+++ b/src/test/java/ottergauge/decision/index/ClassIndexTest.java
@@ -36,12 +36,12 @@
     void whatBelongsToANameStaysWithIt(@ForAll("renamings") List<List<String>> renamings) {
         ClassIndex table = new ClassIndex(MOST_OWN);
         // What belongs to a row: whose it is, and a number that no other one had.
-        List<String> belongs = table.lay(List.of(), () -> SHARED);
+        List<String> belongs = table.remap(List.of(), () -> SHARED);
         Map<String, String> owned = new HashMap<>();
         int[] made = {0};
         for (List<String> names : renamings) {
             table.rename(names);
-            belongs = table.lay(belongs, () -> "fresh " + made[0]++);
+            belongs = table.remap(belongs, () -> "fresh " + made[0]++);
             assertEquals(SHARED, belongs.get(table.shared()));
             Set<String> distinct = new LinkedHashSet<>(names);
             owned.keySet().retainAll(distinct);
--- a/src/test/java/ottergauge/decision/limits/LimitsTest.java
+++ b/src/test/java/ottergauge/decision/limits/LimitsTest.java
@@ -20,42 +20,42 @@
     @Test
     void aPaceBindsOnlyAfterCongestionAndIsCutOnceInAServiceTime() {
         ConcurrencyLimit pace = new ConcurrencyLimit();
-        assertTrue(pace.allows(0, 1_000, SERVICE));
-        pace.congested(1_000_000, 10, SERVICE, 4);
-        pace.congested(1_050_000, 10, SERVICE, 4);
+        assertTrue(pace.permits(0, 1_000, SERVICE));
+        pace.recordCongestion(1_000_000, 10, SERVICE, 4);
+        pace.recordCongestion(1_050_000, 10, SERVICE, 4);
         assertEquals(7, pace.limit(), 1e-9);
-        assertFalse(pace.allows(1_060_000, 7, SERVICE));
-        pace.congested(1_100_000, 10, SERVICE, 4);
+        assertFalse(pace.permits(1_060_000, 7, SERVICE));
+        pace.recordCongestion(1_100_000, 10, SERVICE, 4);
         assertEquals(4.9, pace.limit(), 1e-9);
     }
 
     @Test
     void aPaceGrowsWhileItIsUsedAndIsForgottenWhenItIsNot() {
         ConcurrencyLimit pace = new ConcurrencyLimit();
-        pace.congested(1_000_000, 4, SERVICE, 2);
-        pace.served(0, 2);
+        pace.recordCongestion(1_000_000, 4, SERVICE, 2);
+        pace.recordSuccess(0, 2);
         assertEquals(2.8, pace.limit(), 1e-9);
-        pace.served(2, 2);
+        pace.recordSuccess(2, 2);
         assertEquals(2.8 + 1 / (2 * 2.8), pace.limit(), 1e-9);
         for (int i = 0; i < 100; i++) {
-            pace.served((int) pace.limit(), 1);
+            pace.recordSuccess((int) pace.limit(), 1);
         }
-        pace.served(0, 1);
-        assertFalse(pace.binds());
+        pace.recordSuccess(0, 1);
+        assertFalse(pace.isBinding());
     }
 
     @Test
     void aLimitUnderOneIsAPace() {
         ConcurrencyLimit pace = new ConcurrencyLimit();
         for (int i = 1; i <= 4; i++) {
-            pace.congested(i * 1_000_000L, 1, SERVICE, 50);
+            pace.recordCongestion(i * 1_000_000L, 1, SERVICE, 50);
         }
         double limit = pace.limit();
         assertTrue(limit > 0.2 && limit < 0.3, "limit " + limit);
-        pace.sent(10_000_000);
-        assertFalse(pace.allows(10_000_000 + (long) (SERVICE / limit) - 1_000, 0, SERVICE));
-        assertTrue(pace.allows(10_000_000 + (long) (SERVICE / limit) + 1_000, 0, SERVICE));
-        assertFalse(pace.allows(20_000_000, 1, SERVICE));
+        pace.recordSend(10_000_000);
+        assertFalse(pace.permits(10_000_000 + (long) (SERVICE / limit) - 1_000, 0, SERVICE));
+        assertTrue(pace.permits(10_000_000 + (long) (SERVICE / limit) + 1_000, 0, SERVICE));
+        assertFalse(pace.permits(20_000_000, 1, SERVICE));
     }
 
     /**
@@ -82,11 +82,11 @@
                 int n = (int) running.poll()[1];
                 inFlight--;
                 out[n]--;
-                paces[n].served(out[n], nodes);
+                paces[n].recordSuccess(out[n], nodes);
             }
             int n = random.nextInt(nodes);
-            if (now >= barred[n] && paces[n].allows(now, out[n], SERVICE)) {
-                paces[n].sent(now);
+            if (now >= barred[n] && paces[n].permits(now, out[n], SERVICE)) {
+                paces[n].recordSend(now);
                 boolean counts = now > 20_000_000;
                 offered += counts ? 1 : 0;
                 if (inFlight < holds) {
@@ -97,7 +97,7 @@
                     away += counts ? 1 : 0;
                     // As the module does with what turned something away.
                     barred[n] = now + (long) SERVICE / 2;
-                    paces[n].congested(now, out[n] + 1, SERVICE, nodes);
+                    paces[n].recordCongestion(now, out[n] + 1, SERVICE, nodes);
                 }
             }
         }
@@ -113,26 +113,26 @@
         RetryBudget budget = new RetryBudget(2);
         int again = 0;
         for (int i = 0; i < 1_000; i++) {
-            budget.first(0);
-            if (budget.allows(0)) {
-                budget.again(0);
+            budget.recordFirstAttempt(0);
+            if (budget.permitsRetry(0)) {
+                budget.recordRetry(0);
                 again++;
             }
         }
         assertTrue(again >= 100 && again <= 111, "further tries " + again);
-        assertFalse(budget.allows(0));
-        budget.first(1);
-        assertFalse(budget.allows(1), "what one class has used up is gone for all");
+        assertFalse(budget.permitsRetry(0));
+        budget.recordFirstAttempt(1);
+        assertFalse(budget.permitsRetry(1), "what one class has used up is gone for all");
     }
 
     @Test
     void oneFailingServerOfTwelveNeverEmptiesTheBudget() {
         RetryBudget budget = new RetryBudget(1);
         for (int i = 0; i < 10_000; i++) {
-            budget.first(0);
+            budget.recordFirstAttempt(0);
             if (i % 12 == 0) {
-                assertTrue(budget.allows(0), "empty after " + i);
-                budget.again(0);
+                assertTrue(budget.permitsRetry(0), "empty after " + i);
+                budget.recordRetry(0);
             }
         }
     }
@@ -146,12 +146,12 @@
         ReportFreshness renewed = new ReportFreshness();
         ReportFreshness old = new ReportFreshness();
         for (int i = 0; i < 20; i++) {
-            renewed.saw(
+            renewed.recordPair(
                     report(3, Double.NaN, 17 + i), report(3, Double.NaN, 18 + i), 50_000, SERVICE);
-            old.saw(report(3, Double.NaN, 17), report(3, Double.NaN, 17), 50_000, SERVICE);
+            old.recordPair(report(3, Double.NaN, 17), report(3, Double.NaN, 17), 50_000, SERVICE);
         }
-        assertFalse(renewed.stale());
-        assertTrue(old.stale());
+        assertFalse(renewed.isStale());
+        assertTrue(old.isStale());
     }
 
     /**
@@ -162,11 +162,12 @@
     void aServerThatStandsStillProvesNothing() {
         ReportFreshness freshness = new ReportFreshness();
         for (int i = 0; i < 50; i++) {
-            freshness.saw(
+            freshness.recordPair(
                     report(2, 0.999, Double.NaN), report(2, 0.999, Double.NaN), 50_000, SERVICE);
-            freshness.saw(report(0, 0, 0), report(0, 0, 0), 50_000, SERVICE);
-            freshness.saw(report(3, Double.NaN, 17), report(3, Double.NaN, 17), 150_000, SERVICE);
+            freshness.recordPair(report(0, 0, 0), report(0, 0, 0), 50_000, SERVICE);
+            freshness.recordPair(
+                    report(3, Double.NaN, 17), report(3, Double.NaN, 17), 150_000, SERVICE);
         }
-        assertFalse(freshness.stale());
+        assertFalse(freshness.isStale());
     }
 }
