--- a/src/main/java/ottergauge/rows/RowTable.java
+++ b/src/main/java/ottergauge/decision/index/ClassIndex.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.rows;
+package ottergauge.decision.index;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,9 +14,9 @@
  * Numbers the rows of a table: one for each name, as far as there are any, and a last one that all
  * names without a row of their own share. When the names change, a name that stays keeps its row,
  * though its number may be another one; what is kept by row elsewhere is then laid out anew with
- * {@link #lay}.
+ * {@link #remap}.
  */
-public final class RowTable {
+public final class ClassIndex {
 
     private static final int NEW = -1;
 
@@ -27,7 +27,7 @@
     private final List<Integer> before = new ArrayList<>(List.of(NEW));
 
     /** A table with no names, which will have so many rows of their own at the most. */
-    public RowTable(int mostOwn) {
+    public ClassIndex(int mostOwn) {
         this.mostOwn = mostOwn;
     }
 
@@ -65,7 +65,7 @@
      * What belongs to the rows, by row: what belonged to a row before the names changed last, or
      * something new where there was none. Nothing at all before makes all of it new.
      */
-    public <T> List<T> lay(List<T> belonged, Supplier<T> fresh) {
+    public <T> List<T> remap(List<T> belonged, Supplier<T> fresh) {
         List<T> belongs = new ArrayList<>(before.size());
         for (int number : before) {
             belongs.add(number == NEW || belonged.isEmpty() ? fresh.get() : belonged.get(number));
