--- a/src/main/java/ottergauge/routing/Operators.java
+++ b/src/main/java/ottergauge/routing/Operators.java
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
-import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -73,16 +72,23 @@
                                         .append(
                                                 roster.holds(name)
                                                         ? "held"
-                                                        : standings
-                                                                .apply(name)
-                                                                .name()
-                                                                .toLowerCase(Locale.ROOT))
+                                                        : listed(standings.apply(name)))
                                         .append('\n'));
         roster.heldBeside(roster.names())
                 .forEach(name -> text.append(name).append(" held, unlisted\n"));
         return text.toString();
     }
 
+    // The words are part of the management interface.
+    private static String listed(EndpointStatus status) {
+        return switch (status) {
+            case ACTIVE -> "used";
+            case DRAINING -> "draining";
+            case EJECTED -> "barred";
+            case UNRESPONSIVE -> "mute";
+        };
+    }
+
     // What a call brings comes before the yes: from then on nothing new may begin at a server that
     // is out.
     private void takeOut(long now, long caller, String server) {
