--- a/src/test/java/ottergauge/program/DoorIT.java
+++ b/src/test/java/ottergauge/program/DoorIT.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static ottergauge.program.AdminClient.call;
 import static ottergauge.protocol.TestConfig.host;
 
 import java.io.IOException;
@@ -55,14 +56,6 @@
                         port));
     }
 
-    private static HttpMessage call(int door, String call) throws IOException {
-        try (Client operator = new Client(new Socket(InetAddress.getLoopbackAddress(), door))) {
-            HttpMessage answer = operator.ask(call + " HTTP/1.1\r\nHost: x\r\n\r\n");
-            assertTrue(operator.atEnd(), "one call to a connection");
-            return answer;
-        }
-    }
-
     private static long figure(int door, String name) throws IOException {
         return call(door, "GET /stats")
                 .body()
--- a/src/test/java/ottergauge/program/RunningNode.java
+++ b/src/test/java/ottergauge/program/RunningNode.java
@@ -28,6 +28,7 @@
 final class RunningNode implements AutoCloseable {
 
     private static final long PATIENCE_S = 30;
+    private static final Path CHECKOUT = Path.of(".");
     private static final AtomicLong START = new AtomicLong();
     private static final AtomicLong LAST_ID = new AtomicLong();
 
@@ -57,7 +58,16 @@
     /** The same at a port that another process of this node may share. */
     static RunningNode ready(Path folder, TestConfig config, String discovery, int port)
             throws Exception {
-        RunningNode node = start(folder, config.at("127.0.0.1:" + port, discovery).json(), port);
+        return ready(CHECKOUT, folder, config, discovery, port);
+    }
+
+    /** The same of the version that is built in another checkout. */
+    static RunningNode ready(
+            Path checkout, Path folder, TestConfig config, String discovery, int port)
+            throws Exception {
+        String json = config.at("127.0.0.1:" + port, discovery).json();
+        Path file = Files.writeString(folder.resolve("config.json"), json);
+        RunningNode node = start(checkout, "", folder, file, port);
         node.awaitLog("listens on");
         node.await(
                 "ready",
@@ -91,24 +101,26 @@
     /** Starts a node by a shell that runs this first. */
     static RunningNode startAfter(String first, Path folder, String config, int port)
             throws IOException {
-        return start(first, folder, Files.writeString(folder.resolve("config.json"), config), port);
+        Path file = Files.writeString(folder.resolve("config.json"), config);
+        return start(CHECKOUT, first, folder, file, port);
     }
 
     private static RunningNode start(Path folder, Path file, int port) throws IOException {
-        return start("", folder, file, port);
+        return start(CHECKOUT, "", folder, file, port);
     }
 
-    private static RunningNode start(String first, Path folder, Path file, int port)
-            throws IOException {
+    private static RunningNode start(
+            Path checkout, String first, Path folder, Path file, int port) throws IOException {
         Path log = folder.resolve("log-" + START.incrementAndGet());
         Matcher run =
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
-                        .matcher(Files.readString(Path.of("deploy/balancer.toml")));
+                        .matcher(Files.readString(checkout.resolve("deploy/balancer.toml")));
         if (!run.find()) {
             return fail("no run line");
         }
         ProcessBuilder builder =
                 new ProcessBuilder("/bin/sh", "-c", first + run.group(1))
+                        .directory(checkout.toFile())
                         .redirectErrorStream(true)
                         .redirectOutput(log.toFile());
         builder.environment().put("BALANCER_CONFIG", file.toString());
--- /dev/null
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -0,0 +1,165 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.transport;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static ottergauge.protocol.TestConfig.host;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.channels.FileChannel;
+import java.nio.file.DirectoryStream;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import ottergauge.decision.api.EndpointState;
+import ottergauge.protocol.DiscoveredEndpoint;
+import ottergauge.protocol.EndpointList;
+import ottergauge.protocol.NodeConfig;
+import ottergauge.protocol.TestConfig;
+
+/**
+ * Files in the hot-restart directory as commit 221c4bf wrote them: processes of two versions share
+ * them during an upgrade, so both their content and their names stay as they are.
+ */
+@Timeout(60)
+class HotRestartFilesTest {
+
+    private static final Path SAMPLES = Path.of("src/test/resources/compatibility/hot-restart");
+    private static final String MARK_OF_S1 = "held-a550ac82-0fd7-368d-9246-8569ef985411";
+    private static final String MARK_OF_S2 = "held-66fd13e0-7e4e-35e3-9675-bdccb7094ac3";
+    private static final String PROCESS = "process-10494";
+    private static final long S1_SINCE = 1796291815306065L;
+    private static final long S2_SINCE = 1796291815313551L;
+    private static final int MAX_LIST_BYTES = 1 << 20;
+
+    @TempDir private Path folder;
+
+    @BeforeEach
+    void copySamples() throws IOException {
+        try (DirectoryStream<Path> samples = Files.newDirectoryStream(SAMPLES)) {
+            for (Path sample : samples) {
+                Files.copy(sample, folder.resolve(sample.getFileName()));
+            }
+        }
+    }
+
+    private byte[] written(String name) throws IOException {
+        return Files.readAllBytes(folder.resolve(name));
+    }
+
+    private static byte[] sample(String name) throws IOException {
+        return Files.readAllBytes(SAMPLES.resolve(name));
+    }
+
+    @Test
+    void storedMaintenanceMarks_areRead() {
+        assertEquals(
+                Map.of("s-1", S1_SINCE, "s-2", S2_SINCE), new HeldStore(folder).read());
+    }
+
+    @Test
+    void maintenanceMarks_areWrittenAsBefore() throws IOException {
+        Files.delete(folder.resolve(MARK_OF_S1));
+        new HeldStore(folder).keep("s-1", S1_SINCE);
+        assertArrayEquals(sample(MARK_OF_S1), written(MARK_OF_S1));
+    }
+
+    @Test
+    void storedMaintenanceMark_isDeletedByServerName() throws IOException {
+        new HeldStore(folder).drop("s-2");
+        assertFalse(Files.exists(folder.resolve(MARK_OF_S2)));
+        assertEquals(Map.of("s-1", S1_SINCE), new HeldStore(folder).read());
+    }
+
+    @Test
+    void storedEndpointList_replacesAnOlderOneOfTheConfiguration() {
+        NodeConfig config = new TestConfig().knows(host("s-9", "127.0.0.1:9", "in_service")).build();
+        EndpointList list = new ListStore(folder, MAX_LIST_BYTES).freshest(config, false).known();
+        assertEquals(42, list.version());
+        assertTrue(list.whole());
+        assertEquals(
+                List.of("s-1", "s-2"),
+                list.endpoints().stream().map(DiscoveredEndpoint::name).toList());
+        DiscoveredEndpoint second = list.endpoints().get(1);
+        assertEquals("127.0.0.1:3", second.address().toString());
+        assertEquals("b", second.zone());
+        assertEquals("m1", second.kind());
+        assertEquals(4, second.cell());
+        assertEquals(EndpointState.DRAINING, second.state());
+        assertEquals(0.5, second.weight());
+        assertEquals(1_700_000_000_000L, second.startedAtMs());
+    }
+
+    @Test
+    void endpointList_isWrittenAsBefore() throws Exception {
+        EndpointList list = EndpointList.read(sample("list.json"));
+        Files.delete(folder.resolve("list.json"));
+        new ListStore(folder, MAX_LIST_BYTES).keep(list);
+        assertArrayEquals(sample("list.json"), written("list.json"));
+    }
+
+    @Test
+    void processFileWithoutItsLock_isALeftover() throws IOException {
+        Siblings.Company others = new Siblings(folder).look();
+        assertEquals(new Siblings.Company(false, false, 0), others);
+        assertFalse(Files.exists(folder.resolve(PROCESS)));
+    }
+
+    @Test
+    void processFileThatAnotherProcessLocks_isRead() throws Exception {
+        Files.write(folder.resolve(PROCESS), new byte[] {1, 0, 0, 1, 2});
+        Process other =
+                new ProcessBuilder(
+                                Path.of(System.getProperty("java.home"), "bin/java").toString(),
+                                "-cp",
+                                System.getProperty("java.class.path"),
+                                LockHolder.class.getName(),
+                                folder.resolve(PROCESS).toString())
+                        .redirectError(ProcessBuilder.Redirect.INHERIT)
+                        .start();
+        try (InputStream output = other.getInputStream()) {
+            assertEquals(LockHolder.LOCKED, output.read());
+            assertEquals(new Siblings.Company(true, true, 258), new Siblings(folder).look());
+        } finally {
+            other.destroyForcibly().waitFor();
+        }
+    }
+
+    @Test
+    void processFile_isWrittenAsBefore() throws IOException {
+        Siblings own = new Siblings(folder);
+        own.appear();
+        own.tell(true, 0);
+        assertArrayEquals(
+                sample(PROCESS), written("process-" + ProcessHandle.current().pid()));
+        own.vanish();
+        assertFalse(Files.exists(folder.resolve("process-" + ProcessHandle.current().pid())));
+    }
+
+    /** A process that locks a file until it is killed: within one process locks don't count. */
+    static final class LockHolder {
+
+        static final int LOCKED = 'l';
+
+        private LockHolder() {}
+
+        public static void main(String[] args) throws IOException, InterruptedException {
+            try (FileChannel file =
+                    FileChannel.open(Path.of(args[0]), StandardOpenOption.WRITE)) {
+                file.lock();
+                System.out.write(LOCKED);
+                System.out.flush();
+                Thread.sleep(Long.MAX_VALUE);
+            }
+        }
+    }
+}
