--- a/src/main/java/ottergauge/program/Main.java
+++ b/src/main/java/ottergauge/program/Main.java
@@ -18,7 +18,7 @@
             ServeCommand.class,
             MigrateCommand.class,
             RehearseCommand.class,
-            SimHostCommand.class,
+            SimulatorAdapterCommand.class,
             HollowCommand.class
         })
 public final class Main implements Runnable {
--- a/src/main/java/ottergauge/program/SimHostCommand.java
+++ b/src/main/java/ottergauge/program/SimulatorAdapterCommand.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.Callable;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import ottergauge.simhost.SimHost;
-import ottergauge.simhost.WireException;
+import ottergauge.simulator.SimulatorAdapter;
+import ottergauge.simulator.SimulatorFormatException;
 import picocli.CommandLine.Command;
 
 /**
@@ -18,16 +18,16 @@
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         description = "Host decision modules on the simulator's wire (standard input and output).")
-final class SimHostCommand implements Callable<Integer> {
+final class SimulatorAdapterCommand implements Callable<Integer> {
 
-    private static final Logger LOG = LoggerFactory.getLogger(SimHostCommand.class);
+    private static final Logger LOG = LoggerFactory.getLogger(SimulatorAdapterCommand.class);
 
     @Override
     public Integer call() {
         try {
-            new SimHost(System.in, System.out).run();
+            new SimulatorAdapter(System.in, System.out).run();
             return 0;
-        } catch (WireException e) {
+        } catch (SimulatorFormatException e) {
             LOG.error("malformed input: {}", e.getMessage());
         } catch (IOException e) {
             LOG.error("input or output failed: {}", e.getMessage());
--- a/src/main/java/ottergauge/simhost/ActionWriter.java
+++ b/src/main/java/ottergauge/simulator/ActionWriter.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.simhost;
+package ottergauge.simulator;
 
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -15,32 +15,36 @@
 import ottergauge.decision.api.DecisionActionSink;
 
 /**
- * Writes actions as messages; a part is opened by its first action, so that idle instances are left
- * out.
+ * Writes actions in the simulator's words; a part is opened by its first action, so that idle
+ * engines are left out.
  */
 final class ActionWriter implements DecisionActionSink {
 
+    private static final double MICROS_PER_MILLI = 1000.0;
+
     private final JsonGenerator out;
-    private long instance;
-    private boolean open;
+    private long engine;
+    private boolean partOpen;
 
     ActionWriter(JsonGenerator out) {
         this.out = out;
     }
 
-    void beginPart(long forInstance) {
-        instance = forInstance;
-        open = false;
+    /** Begins the actions of one engine. */
+    void beginPart(long forEngine) {
+        engine = forEngine;
+        partOpen = false;
     }
 
+    /** Ends what {@link #beginPart} began. */
     void endPart() throws IOException {
-        if (open) {
+        if (partOpen) {
             out.writeEndArray();
             out.writeEndObject();
         }
     }
 
-    /** Says that the decision module failed. */
+    /** Reports that the decision engine failed on a message. */
     void fault(String text) throws IOException {
         start("Fault");
         out.writeStringField("text", text);
@@ -64,7 +68,7 @@
             millis("limitMs", a.timeout());
         } else if (action instanceof SetTimer a) {
             start("WakeMe");
-            out.writeNumberField("spanMs", a.delay() / 1000.0);
+            out.writeNumberField("spanMs", a.delay() / MICROS_PER_MILLI);
             out.writeStringField("nonce", a.token());
         } else if (action instanceof SendProbe a) {
             start("Check");
@@ -89,16 +93,16 @@
 
     private void millis(String key, long micros) throws IOException {
         if (micros != 0) {
-            out.writeNumberField(key, micros / 1000.0);
+            out.writeNumberField(key, micros / MICROS_PER_MILLI);
         }
     }
 
     private void start(String message) throws IOException {
-        if (!open) {
+        if (!partOpen) {
             out.writeStartObject();
-            out.writeNumberField("nodeId", instance);
+            out.writeNumberField("nodeId", engine);
             out.writeArrayFieldStart("cmds");
-            open = true;
+            partOpen = true;
         }
         out.writeStartObject();
         out.writeStringField("msg", message);
--- a/src/test/java/ottergauge/ArchitectureTest.java
+++ b/src/test/java/ottergauge/ArchitectureTest.java
@@ -134,8 +134,8 @@
                 .definedBy("ottergauge.settings..")
                 .layer("migration")
                 .definedBy("ottergauge.migration..")
-                .layer("simhost")
-                .definedBy("ottergauge.simhost..")
+                .layer("simulator")
+                .definedBy("ottergauge.simulator..")
                 .layer("protocol")
                 .definedBy("ottergauge.protocol..")
                 .layer("resources")
@@ -152,7 +152,7 @@
                 .mayNotBeAccessedByAnyLayer()
                 .whereLayer("transport")
                 .mayOnlyBeAccessedByLayers("program")
-                .whereLayer("simhost")
+                .whereLayer("simulator")
                 .mayOnlyBeAccessedByLayers("program")
                 .whereLayer("routing")
                 .mayOnlyBeAccessedByLayers("transport")
@@ -166,7 +166,7 @@
                 .whereLayer("migration")
                 .mayOnlyBeAccessedByLayers("program")
                 .whereLayer("settings")
-                .mayOnlyBeAccessedByLayers("protocol", "resources", "simhost", "program")
+                .mayOnlyBeAccessedByLayers("protocol", "resources", "simulator", "program")
                 .check(all);
     }
 
--- a/src/test/java/ottergauge/simhost/SimHostTest.java
+++ b/src/test/java/ottergauge/simulator/SimulatorAdapterTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.simhost;
+package ottergauge.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter on wire text. */
-class SimHostTest {
+class SimulatorAdapterTest {
 
     private static final String CONFIG =
             "{\"balancers\":2,\"ceilings\":{\"cancel\":true,\"maxAttempts\":3,"
@@ -53,7 +53,7 @@
 
     private static List<String> run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimHost(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
         return out.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
@@ -199,12 +199,12 @@
 
     @Test
     void malformedTextIsRefused() {
-        assertThrows(WireException.class, () -> run("{\"simTimeMs\":1,\"parts\":[\n"));
-        assertThrows(WireException.class, () -> run("[]\n"));
-        assertThrows(WireException.class, () -> run(batch(1, part(0, "{\"msgId\":\"a\"}"))));
+        assertThrows(SimulatorFormatException.class, () -> run("{\"simTimeMs\":1,\"parts\":[\n"));
+        assertThrows(SimulatorFormatException.class, () -> run("[]\n"));
+        assertThrows(SimulatorFormatException.class, () -> run(batch(1, part(0, "{\"msgId\":\"a\"}"))));
     }
 
     private static void assertMessage(String message, String input) {
-        assertEquals(message, assertThrows(WireException.class, () -> run(input)).getMessage());
+        assertEquals(message, assertThrows(SimulatorFormatException.class, () -> run(input)).getMessage());
     }
 }
