--- a/src/main/java/ottergauge/program/RehearseCommand.java
+++ b/src/main/java/ottergauge/program/RehearseCommand.java
@@ -16,7 +16,7 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.transport.NodeServer;
-import ottergauge.transport.Rehearsal;
+import ottergauge.transport.JitWarmUp;
 import picocli.CommandLine.Command;
 
 /**
@@ -68,7 +68,7 @@
             throws IOException, ProtocolException {
         NodeConfig config =
                 NodeConfig.read(CONFIG.formatted(port, door).getBytes(StandardCharsets.UTF_8));
-        Rehearsal.run(config);
+        JitWarmUp.run(config);
         NodeServer node = new NodeServer(config, folder);
         try {
             node.start()
--- a/src/main/java/ottergauge/program/ServeCommand.java
+++ b/src/main/java/ottergauge/program/ServeCommand.java
@@ -13,7 +13,7 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.transport.NodeServer;
-import ottergauge.transport.Rehearsal;
+import ottergauge.transport.JitWarmUp;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import sun.misc.Signal;
@@ -91,7 +91,7 @@
     // What goes wrong with made-up requests costs a warm start, never the node.
     private static void rehearse(NodeConfig config) {
         try {
-            LOG.info("rehearsed {} requests", Rehearsal.run(config).requests());
+            LOG.info("rehearsed {} requests", JitWarmUp.run(config).requests());
         } catch (RuntimeException e) {
             LOG.error("the rehearsal failed, the node starts cold", e);
         }
--- a/src/main/java/ottergauge/transport/DoorConnection.java
+++ b/src/main/java/ottergauge/transport/AdminConnection.java
@@ -21,21 +21,21 @@
 import ottergauge.routing.CloseReason;
 
 /** An operator's connection: one call, one answer, and the end. */
-final class DoorConnection extends Connection {
+final class AdminConnection extends Connection {
 
     // Calls have no body; what a client sends along unasked is read past up to here.
     private static final int MOST_BODY = 4096;
     static final String HEALTH = "/healthcheck";
     private static final String SERVERS = "/servers/";
 
-    private final BiConsumer<DoorConnection, AdminRequest> asked;
+    private final BiConsumer<AdminConnection, AdminRequest> asked;
     private final Runnable whenEnded;
     private HttpRequest head;
     private int body;
     private boolean answered;
 
-    DoorConnection(
-            String side, BiConsumer<DoorConnection, AdminRequest> asked, Runnable whenEnded) {
+    AdminConnection(
+            String side, BiConsumer<AdminConnection, AdminRequest> asked, Runnable whenEnded) {
         super(side);
         this.asked = asked;
         this.whenEnded = whenEnded;
@@ -65,7 +65,7 @@
     }
 
     private void begin(HttpRequest request) {
-        String fault = Framing.fault(request);
+        String fault = HttpFraming.fault(request);
         if (fault != null) {
             answer(HttpResponseStatus.BAD_REQUEST, fault);
             return;
--- a/src/main/java/ottergauge/transport/Door.java
+++ b/src/main/java/ottergauge/transport/AdminListener.java
@@ -20,7 +20,7 @@
  * The operators' door: an address of its own, with a small number of connections of its own that no
  * flood of clients uses up.
  */
-final class Door {
+final class AdminListener {
 
     // A few operators and a collector of figures at once; what is silent beyond that gives way.
     private static final int MOST_OPEN = 24;
@@ -32,17 +32,17 @@
     private static final long FRESH_MS = 50;
 
     private final EventLoop loop;
-    private final AcceptGate gate;
+    private final ConnectionLimiter gate;
     private final Consumer<Event> events;
-    private final Map<Long, DoorConnection> open = new LinkedHashMap<>();
+    private final Map<Long, AdminConnection> open = new LinkedHashMap<>();
     private final Map<Long, Long> since = new LinkedHashMap<>();
     private long lastNumber;
     private boolean makingRoom;
     private String side = ConnectionLog.UNTOLD;
 
-    Door(EventLoop loop, LoopWatch watch, Consumer<Event> events) {
+    AdminListener(EventLoop loop, EventLoopMonitor watch, Consumer<Event> events) {
         this.loop = loop;
-        gate = new AcceptGate(watch);
+        gate = new ConnectionLimiter(watch);
         this.events = events;
     }
 
@@ -58,8 +58,8 @@
 
     private void adopt(ChannelPipeline pipeline) {
         long number = ++lastNumber;
-        DoorConnection connection =
-                new DoorConnection(
+        AdminConnection connection =
+                new AdminConnection(
                         side,
                         (from, call) -> asked(number, call),
                         () -> {
@@ -68,7 +68,7 @@
                         });
         open.put(number, connection);
         since.put(number, System.nanoTime());
-        pipeline.addLast(new Framing.Requests(), new HttpResponseEncoder(), connection);
+        pipeline.addLast(new HttpFraming.Requests(), new HttpResponseEncoder(), connection);
         loop.schedule(() -> late(number), CALL_WITHIN_MS, TimeUnit.MILLISECONDS);
         if (gate.full() && !makingRoom) {
             makingRoom = true;
@@ -81,7 +81,7 @@
     }
 
     private void late(long number) {
-        DoorConnection connection = open.get(number);
+        AdminConnection connection = open.get(number);
         if (connection != null) {
             connection.late();
             // A caller that does not read keeps nothing open.
@@ -114,7 +114,7 @@
     }
 
     void tell(TellOperator effect) {
-        DoorConnection connection = open.get(effect.caller());
+        AdminConnection connection = open.get(effect.caller());
         if (connection != null) {
             connection.answer(effect.status(), effect.text());
         }
--- a/src/main/java/ottergauge/transport/MessageBody.java
+++ b/src/main/java/ottergauge/transport/BodyBuffer.java
@@ -8,7 +8,7 @@
  * Collects a message's body up to a limit; it grows with what has come, not with what was
  * announced.
  */
-final class MessageBody {
+final class BodyBuffer {
 
     private static final byte[] NONE = {};
     private static final int FIRST = 256;
@@ -17,7 +17,7 @@
     private byte[] bytes = NONE;
     private int length;
 
-    MessageBody(int most) {
+    BodyBuffer(int most) {
         this.most = most;
     }
 
--- a/src/main/java/ottergauge/transport/Flow.java
+++ b/src/main/java/ottergauge/transport/BodyRelay.java
@@ -14,7 +14,7 @@
  * A body on its way from one connection to another, part by part: it is read no faster than the
  * other side takes it. Until that side is known the source is not read.
  */
-final class Flow {
+final class BodyRelay {
 
     private final Connection from;
     private final Deque<HttpContent> waiting = new ArrayDeque<>();
@@ -23,7 +23,7 @@
     private boolean dropped;
 
     /** Begins with the parts that are there. */
-    Flow(Connection from) {
+    BodyRelay(Connection from) {
         this.from = from;
         from.pause();
     }
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -65,8 +65,8 @@
     private static final long LINGERS_MS = 1_000;
 
     private final long number;
-    private final Framing.Requests decoder;
-    private final LoopWatch watch;
+    private final HttpFraming.Requests decoder;
+    private final EventLoopMonitor watch;
 
     /** When it came up at the earliest, and the loop's round in which it was accepted. */
     private final long since;
@@ -76,13 +76,13 @@
     private Stage stage = Stage.HEAD;
     private HttpRequest head;
     private RequestFields fields;
-    private MessageBody body;
+    private BodyBuffer body;
 
     /**
      * The body of a request too large to be kept, and the last part that is held until it came
      * alone.
      */
-    private Flow flow;
+    private BodyRelay flow;
 
     /** Whether all of that body has come, though it may not have passed on yet. */
     private boolean flowWhole;
@@ -98,8 +98,8 @@
     ClientConnection(
             String side,
             long number,
-            Framing.Requests decoder,
-            LoopWatch watch,
+            HttpFraming.Requests decoder,
+            EventLoopMonitor watch,
             long since,
             Consumer<Event> events) {
         super(side);
@@ -136,7 +136,7 @@
         head = request;
         closes = !HttpUtil.isKeepAlive(request);
         fields = null;
-        String fault = Framing.fault(request);
+        String fault = HttpFraming.fault(request);
         if (fault != null) {
             refuse(status(request), fault);
         } else if (!isHealth(request)) {
@@ -148,7 +148,7 @@
             }
             stage = Stage.BODY;
             moved = 0;
-            body = new MessageBody(Headers.MOST_BODY);
+            body = new BodyBuffer(Headers.MOST_BODY);
             events.accept(new RequestBegan(number));
         }
     }
@@ -215,7 +215,7 @@
     private void beginFlow(HttpContent content) {
         stage = Stage.FLOWING;
         flowWhole = false;
-        flow = new Flow(this);
+        flow = new BodyRelay(this);
         byte[] first = body.bytes();
         flowed = first.length;
         flow.take(new DefaultHttpContent(Unpooled.wrappedBuffer(first)));
@@ -258,14 +258,14 @@
     }
 
     /** Writes the body of the request that flows to a server's connection. */
-    void flowTo(Outbound server, ClientRequest request, long waitsMs) {
+    void flowTo(OutboundConnection server, ClientRequest request, long waitsMs) {
         if (flow != null) {
             long length = HttpUtil.getContentLength(head, -1L);
-            Flow whole = flow;
+            BodyRelay whole = flow;
             flow = flowWhole ? null : flow;
             whole.on(
                     server,
-                    server.open(ServerSide.head(request, waitsMs, server.address(), length)));
+                    server.open(UpstreamConnector.head(request, waitsMs, server.address(), length)));
         }
     }
 
@@ -288,7 +288,7 @@
         } else if (stage == Stage.WHOLE && flow != null) {
             stage = Stage.OPEN;
             events.accept(new RequestEnded(number));
-            Flow whole = flow;
+            BodyRelay whole = flow;
             flowWhole = true;
             // With no server chosen yet it waits for one, whole as it is.
             flow = whole.goesOn() ? null : whole;
@@ -403,9 +403,9 @@
     }
 
     /** Begins to pass a server's answer on; what of it comes goes on as it comes. */
-    void passOn(Outbound server, boolean ends) {
+    void passOn(OutboundConnection server, boolean ends) {
         boolean closing = ends || closes;
-        Outbound.Answer answer = server.flowing();
+        OutboundConnection.Answer answer = server.flowing();
         HttpResponse response =
                 new DefaultHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()));
--- a/src/main/java/ottergauge/transport/AcceptGate.java
+++ b/src/main/java/ottergauge/transport/ConnectionLimiter.java
@@ -9,12 +9,12 @@
  * Accepts no connection past a number: the rest waits in the system's queue and takes no
  * descriptor.
  */
-final class AcceptGate extends ChannelInboundHandlerAdapter {
+final class ConnectionLimiter extends ChannelInboundHandlerAdapter {
 
     /** How many connections are accepted in one round of the loop. */
     static final int AT_ONCE = 16;
 
-    private final LoopWatch watch;
+    private final EventLoopMonitor watch;
     private int most = Integer.MAX_VALUE;
     private int open;
     private long accepted;
@@ -26,7 +26,7 @@
 
     private Channel listener;
 
-    AcceptGate(LoopWatch watch) {
+    ConnectionLimiter(EventLoopMonitor watch) {
         this.watch = watch;
     }
 
--- a/src/main/java/ottergauge/transport/DiscoverySide.java
+++ b/src/main/java/ottergauge/transport/DiscoveryClient.java
@@ -26,13 +26,13 @@
 import ottergauge.routing.Event.ListRead;
 
 /** The calls to discovery: each on a connection of its own, which is kept for the next one. */
-final class DiscoverySide {
+final class DiscoveryClient {
 
-    private static final Logger LOG = LoggerFactory.getLogger(DiscoverySide.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
     private static final int OK = 200;
     private static final long CONNECT_WITHIN_MS = 2_000;
 
-    private final Outbound.Dialer dialer;
+    private final OutboundConnection.Dialer dialer;
 
     /** The largest list that is read, in bytes. */
     private final int mostListBytes;
@@ -40,12 +40,12 @@
     private final Consumer<Event> events;
 
     /** The calls that are out; those whose connection is not up yet have none. */
-    private final Map<Long, Optional<Outbound>> out = new HashMap<>();
+    private final Map<Long, Optional<OutboundConnection>> out = new HashMap<>();
 
-    private Outbound idle;
+    private OutboundConnection idle;
     private Address idleAt;
 
-    DiscoverySide(Outbound.Dialer dialer, int mostListBytes, Consumer<Event> events) {
+    DiscoveryClient(OutboundConnection.Dialer dialer, int mostListBytes, Consumer<Event> events) {
         this.events = events;
         this.dialer = dialer;
         this.mostListBytes = mostListBytes;
@@ -56,7 +56,7 @@
             LOG.warn(
                     "{} calls to discovery are not answered in time, it is asked anew", out.size());
         }
-        Outbound kept = idle;
+        OutboundConnection kept = idle;
         idle = null;
         if (kept != null && effect.address().equals(idleAt)) {
             ask(effect, kept);
@@ -72,7 +72,7 @@
                         failure -> fail(effect.call(), failure.toString()));
     }
 
-    private void connected(CallDiscovery effect, Outbound opened) {
+    private void connected(CallDiscovery effect, OutboundConnection opened) {
         opened.whenEnded(why -> ended(opened, why));
         if (out.containsKey(effect.call())) {
             ask(effect, opened);
@@ -81,7 +81,7 @@
         }
     }
 
-    private void ended(Outbound connection, CloseReason why) {
+    private void ended(OutboundConnection connection, CloseReason why) {
         if (connection == idle) {
             idle = null;
         }
@@ -109,7 +109,7 @@
         events.accept(new ListNotTaken(call));
     }
 
-    private void ask(CallDiscovery effect, Outbound connection) {
+    private void ask(CallDiscovery effect, OutboundConnection connection) {
         out.put(effect.call(), Optional.of(connection));
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
@@ -126,7 +126,7 @@
         connection.send(request, () -> {}, answer -> answered(effect, connection, answer));
     }
 
-    private void answered(CallDiscovery effect, Outbound connection, Outbound.Answer answer) {
+    private void answered(CallDiscovery effect, OutboundConnection connection, OutboundConnection.Answer answer) {
         if (!out.containsKey(effect.call())) {
             return;
         }
@@ -155,7 +155,7 @@
     }
 
     void giveUp(GiveUpCall effect) {
-        Optional<Outbound> connection = out.remove(effect.call());
+        Optional<OutboundConnection> connection = out.remove(effect.call());
         if (connection != null) {
             connection.ifPresent(each -> each.close(effect.reason()));
             if (effect.reason() == CloseReason.WATCH_SILENT) {
@@ -165,7 +165,7 @@
     }
 
     private void fail(long call, String why) {
-        Optional<Outbound> connection = out.remove(call);
+        Optional<OutboundConnection> connection = out.remove(call);
         if (connection != null) {
             connection.ifPresent(each -> each.close(CloseReason.TIMED_OUT));
             LOG.warn("a call to discovery failed: {}", why);
--- a/src/main/java/ottergauge/transport/ClientSide.java
+++ b/src/main/java/ottergauge/transport/DownstreamConnections.java
@@ -21,25 +21,25 @@
 import ottergauge.routing.Event.ClientConnected;
 
 /** The side that clients connect to. */
-final class ClientSide {
+final class DownstreamConnections {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ClientSide.class);
+    private static final Logger LOG = LoggerFactory.getLogger(DownstreamConnections.class);
     // As many as a burst of clients may open before the loop comes round to accept them.
     private static final int BACKLOG = 1024;
 
-    private final LoopWatch watch;
+    private final EventLoopMonitor watch;
     private final Consumer<Event> events;
     private final Map<Long, ClientConnection> connections = new HashMap<>();
     private long lastNumber;
     private String side = ConnectionLog.UNTOLD;
     private Runnable whenEmpty;
 
-    ClientSide(LoopWatch watch, Consumer<Event> events) {
+    DownstreamConnections(EventLoopMonitor watch, Consumer<Event> events) {
         this.watch = watch;
         this.events = events;
     }
 
-    Future<Listener> listen(EventLoop loop, Address address, boolean shared, AcceptGate gate) {
+    Future<Listener> listen(EventLoop loop, Address address, boolean shared, ConnectionLimiter gate) {
         return Listener.open(
                 loop, address, BACKLOG, shared, gate, pipeline -> adopt(pipeline, gate.since()));
     }
@@ -54,7 +54,7 @@
      */
     void adopt(ChannelPipeline pipeline, long since) {
         long number = ++lastNumber;
-        Framing.Requests decoder = new Framing.Requests();
+        HttpFraming.Requests decoder = new HttpFraming.Requests();
         ClientConnection connection =
                 new ClientConnection(side, number, decoder, watch, since, this::report);
         connections.put(number, connection);
@@ -92,15 +92,15 @@
     }
 
     /** Writes what comes of a client's request to a server as it comes. */
-    void forward(ForwardFlow effect, Outbound server) {
+    void forward(ForwardFlow effect, OutboundConnection server) {
         ClientConnection connection = connections.get(effect.client());
         if (connection != null && server != null) {
-            connection.flowTo(server, effect.request(), ServerSide.millis(effect.waits()));
+            connection.flowTo(server, effect.request(), UpstreamConnector.millis(effect.waits()));
         }
     }
 
     /** Passes a server's answer on to a client as it comes. */
-    void passOn(PassOn effect, Outbound server) {
+    void passOn(PassOn effect, OutboundConnection server) {
         ClientConnection connection = connections.get(effect.client());
         if (connection != null && server != null) {
             connection.passOn(server, effect.last());
--- a/src/main/java/ottergauge/transport/ListStore.java
+++ b/src/main/java/ottergauge/transport/EndpointCache.java
@@ -12,15 +12,15 @@
 import ottergauge.protocol.ProtocolException;
 
 /** The list of servers as a process of this node had it last, for the one that comes after. */
-final class ListStore {
+final class EndpointCache {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ListStore.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EndpointCache.class);
     private final Path file;
     private final Path part;
     private final int mostBytes;
 
     /** The list in this folder; one of more bytes is passed over. */
-    ListStore(Path folder, int mostBytes) {
+    EndpointCache(Path folder, int mostBytes) {
         this.mostBytes = mostBytes;
         file = folder.resolve("list.json");
         part = folder.resolve("list-" + ProcessHandle.current().pid());
--- a/src/main/java/ottergauge/transport/LoopLateness.java
+++ b/src/main/java/ottergauge/transport/EventLoopLag.java
@@ -7,7 +7,7 @@
 /**
  * How late a loop comes round: it is looked at in equal steps, and each look's lateness counted.
  */
-final class LoopLateness {
+final class EventLoopLag {
 
     /** The time between two looks. */
     static final long EVERY = TimeUnit.MILLISECONDS.toNanos(10);
@@ -24,7 +24,7 @@
     /**
      * The first look is due from {@code now} on, by a clock in nanoseconds that only goes forward.
      */
-    LoopLateness(long now) {
+    EventLoopLag(long now) {
         dueAt = now + EVERY;
     }
 
--- a/src/main/java/ottergauge/transport/LoopWatch.java
+++ b/src/main/java/ottergauge/transport/EventLoopMonitor.java
@@ -19,7 +19,7 @@
  * when on. It may end with nothing ready, as the system ends the wait of a process that it
  * continues.
  */
-final class LoopWatch implements SelectStrategy {
+final class EventLoopMonitor implements SelectStrategy {
 
     // A wait so short is the time that the asking takes.
     private static final long AT_ONCE = TimeUnit.MILLISECONDS.toNanos(1);
@@ -46,7 +46,7 @@
     private boolean stood;
 
     /** {@code nanos} is a clock that only goes forward, in nanoseconds. */
-    LoopWatch(LongSupplier nanos) {
+    EventLoopMonitor(LongSupplier nanos) {
         this.nanos = nanos;
         askedAt = nanos.getAsLong();
         toldBefore = askedAt;
--- a/src/main/java/ottergauge/transport/HollowCalls.java
+++ b/src/main/java/ottergauge/transport/HollowCallCounter.java
@@ -11,7 +11,7 @@
 import ottergauge.transport.HollowEvent.Source;
 
 /** Counts the calls of all nodes of one loop to one source, by kind, in spans of equal length. */
-final class HollowCalls {
+final class HollowCallCounter {
 
     /** In microseconds. */
     static final long SPAN = TimeUnit.MILLISECONDS.toMicros(10);
@@ -22,7 +22,7 @@
     private final Map<CallKind, Long> counts = new EnumMap<>(CallKind.class);
     private long spanAt;
 
-    HollowCalls(Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
+    HollowCallCounter(Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
         this.source = source;
         this.clock = clock;
         this.observer = observer;
--- a/src/main/java/ottergauge/transport/HollowEvent.java
+++ b/src/main/java/ottergauge/transport/HollowEvent.java
@@ -30,17 +30,17 @@
             implements HollowEvent {}
 
     /**
-     * So many calls began, or failed, in the span of {@link HollowCalls#SPAN} that begins at {@code
+     * So many calls began, or failed, in the span of {@link HollowCallCounter#SPAN} that begins at {@code
      * at}.
      */
     record Calls(Source source, CallKind kind, long count, long at) implements HollowEvent {}
 
-    /** A node's bytes in the span of {@link HollowTraffic#SPAN} that begins at {@code at}. */
+    /** A node's bytes in the span of {@link HollowTrafficCounter#SPAN} that begins at {@code at}. */
     record Traffic(String node, Source source, long bytesIn, long bytesOut, long at)
             implements HollowEvent {}
 
     /**
-     * How late a loop came round since this was told last: for each bound of {@link LoopLateness}
+     * How late a loop came round since this was told last: for each bound of {@link EventLoopLag}
      * the number of looks that were later than the bound before and not later than this one; the
      * last has no bound.
      */
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -23,11 +23,11 @@
     private final List<NodeConfig> configs;
     private final LongSupplier wall;
     private final Consumer<HollowEvent> observer;
-    private final Vertx vertx = OneLoopTransport.vertx(new LoopWatch(System::nanoTime));
+    private final Vertx vertx = SingleLoopTransport.vertx(new EventLoopMonitor(System::nanoTime));
     private final ContextInternal context = (ContextInternal) vertx.getOrCreateContext();
     private final NetClient client = vertx.createNetClient();
-    private final HollowCalls calls;
-    private final LoopLateness lateness = new LoopLateness(System.nanoTime());
+    private final HollowCallCounter calls;
+    private final EventLoopLag lateness = new EventLoopLag(System.nanoTime());
     private final List<HollowNode> nodes = new ArrayList<>();
 
     HollowLoop(
@@ -39,7 +39,7 @@
         this.configs = configs;
         this.wall = wall;
         this.observer = observer;
-        calls = new HollowCalls(Source.DISCOVERY, wall, observer);
+        calls = new HollowCallCounter(Source.DISCOVERY, wall, observer);
     }
 
     /** Starts its nodes one after the other over so many milliseconds; completes with the last. */
@@ -68,7 +68,7 @@
 
     private void add(NodeConfig config) {
         HollowNode node =
-                new HollowNode(config, vertx, Outbound.dialer(client), wall, calls, observer);
+                new HollowNode(config, vertx, OutboundConnection.dialer(client), wall, calls, observer);
         nodes.add(node);
         node.start();
     }
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -41,13 +41,13 @@
     private final NodeConfig config;
     private final LongSupplier wall;
     private final Consumer<HollowEvent> observer;
-    private final HollowCalls calls;
-    private final HollowTraffic traffic;
+    private final HollowCallCounter calls;
+    private final HollowTrafficCounter traffic;
     private final Clock clock = new Clock();
     private final Timers timers;
     private final EventQueue events = new EventQueue(this::handle);
     private final Set<Channel> open = new HashSet<>();
-    private final DiscoverySide discovery;
+    private final DiscoveryClient discovery;
     private final Router router;
     private boolean dropped;
 
@@ -60,21 +60,21 @@
     HollowNode(
             NodeConfig config,
             Vertx vertx,
-            Outbound.Dialer dialer,
+            OutboundConnection.Dialer dialer,
             LongSupplier wall,
-            HollowCalls calls,
+            HollowCallCounter calls,
             Consumer<HollowEvent> observer) {
         this.config = config;
         this.wall = wall;
         this.observer = observer;
         this.calls = calls;
-        traffic = new HollowTraffic(config.name(), Source.DISCOVERY, wall, observer);
+        traffic = new HollowTrafficCounter(config.name(), Source.DISCOVERY, wall, observer);
         timers =
                 new Timers(
                         clock::micros,
                         (millis, task) -> vertx.setTimer(millis, fired -> task.run()));
         discovery =
-                new DiscoverySide(
+                new DiscoveryClient(
                         (side, address, timeoutMs, mostBody) ->
                                 dialer.dial(side, address, timeoutMs, mostBody).map(this::counted),
                         config.mostListBytes(),
@@ -83,7 +83,7 @@
         inForce = config.known().version();
     }
 
-    private Outbound counted(Outbound connection) {
+    private OutboundConnection counted(OutboundConnection connection) {
         Channel channel = connection.context().channel();
         channel.pipeline().addFirst(traffic.counter());
         open.add(channel);
--- a/src/main/java/ottergauge/transport/HollowTraffic.java
+++ b/src/main/java/ottergauge/transport/HollowTrafficCounter.java
@@ -15,7 +15,7 @@
  * Counts the bytes of one node's connections to one source of its state, as they pass their
  * sockets, in spans of equal length. What the system adds to them on the way is not in it.
  */
-final class HollowTraffic {
+final class HollowTrafficCounter {
 
     /** In microseconds. */
     static final long SPAN = TimeUnit.MILLISECONDS.toMicros(100);
@@ -28,7 +28,7 @@
     private long bytesIn;
     private long bytesOut;
 
-    HollowTraffic(String node, Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
+    HollowTrafficCounter(String node, Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
         this.node = node;
         this.source = source;
         this.clock = clock;
--- a/src/main/java/ottergauge/transport/SharedFolder.java
+++ b/src/main/java/ottergauge/transport/HotRestartDirectory.java
@@ -7,30 +7,30 @@
 import ottergauge.protocol.NodeConfig;
 
 /** What the processes of one node share: who lives, what is held out, and the list of servers. */
-final class SharedFolder {
+final class HotRestartDirectory {
 
-    private final HeldStore held;
-    private final Siblings siblings;
-    private final ListStore list;
+    private final MaintenanceStore held;
+    private final HotRestartProcesses siblings;
+    private final EndpointCache list;
 
     /** Opens the folder, which is made if need be; this process counts as living from now on. */
-    SharedFolder(Path folder, int mostListBytes) throws IOException {
+    HotRestartDirectory(Path folder, int mostListBytes) throws IOException {
         Files.createDirectories(folder);
-        held = new HeldStore(folder);
-        siblings = new Siblings(folder);
-        list = new ListStore(folder, mostListBytes);
+        held = new MaintenanceStore(folder);
+        siblings = new HotRestartProcesses(folder);
+        list = new EndpointCache(folder, mostListBytes);
         siblings.appear();
     }
 
-    HeldStore held() {
+    MaintenanceStore held() {
         return held;
     }
 
-    Siblings siblings() {
+    HotRestartProcesses siblings() {
         return siblings;
     }
 
-    ListStore list() {
+    EndpointCache list() {
         return list;
     }
 
--- a/src/main/java/ottergauge/transport/Siblings.java
+++ b/src/main/java/ottergauge/transport/HotRestartProcesses.java
@@ -18,9 +18,9 @@
  * while it lives: the lock goes with the process, however that ends, and a file without one is a
  * leftover.
  */
-final class Siblings {
+final class HotRestartProcesses {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Siblings.class);
+    private static final Logger LOG = LoggerFactory.getLogger(HotRestartProcesses.class);
     private static final String MARK = "process-";
     // A byte that says whether the process takes clients, and the number of its connections.
     private static final int TOLD = 5;
@@ -38,7 +38,7 @@
 
     private FileLock lock;
 
-    Siblings(Path folder) {
+    HotRestartProcesses(Path folder) {
         this.folder = folder;
         own = folder.resolve(MARK + ProcessHandle.current().pid());
     }
--- a/src/main/java/ottergauge/transport/Framing.java
+++ b/src/main/java/ottergauge/transport/HttpFraming.java
@@ -15,14 +15,14 @@
  * ways; a server behind may read it in the other one and find a request inside a body. Here such a
  * message is no message.
  */
-final class Framing {
+final class HttpFraming {
 
     // A part as large as one read, so that a large body is not cut smaller than it came.
     private static final int MOST_PART = 64 * 1024;
     private static final HttpDecoderConfig CONFIG =
             new HttpDecoderConfig().setMaxChunkSize(MOST_PART);
 
-    private Framing() {}
+    private HttpFraming() {}
 
     /** Says what is wrong with the head's framing, or null. */
     static String fault(HttpMessage head) {
--- a/src/main/java/ottergauge/transport/Rehearsal.java
+++ b/src/main/java/ottergauge/transport/JitWarmUp.java
@@ -29,7 +29,7 @@
  * A virtual machine that has just started runs the first requests many times slower than later
  * ones. With part of a core a node that began cold lost half of its first five seconds' requests.
  */
-public final class Rehearsal {
+public final class JitWarmUp {
 
     // Past this many requests little gets quicker: the compiler takes up a method after some
     // hundred calls.
@@ -59,8 +59,8 @@
             answer("503 Service Unavailable", Headers.NEVER_RAN + ": 1\r\n");
 
     private final EventQueue events = new EventQueue(this::handle);
-    private final ClientSide clients = new ClientSide(new LoopWatch(() -> 0), events::take);
-    private final ServerSide servers = new ServerSide(this::connect, events::take);
+    private final DownstreamConnections clients = new DownstreamConnections(new EventLoopMonitor(() -> 0), events::take);
+    private final UpstreamConnector servers = new UpstreamConnector(this::connect, events::take);
     private final List<EmbeddedChannel> opened = new ArrayList<>();
     private final List<RequestClass> classes;
     private final Router router;
@@ -72,7 +72,7 @@
     private long answers;
     private int served;
 
-    private Rehearsal(NodeConfig config) {
+    private JitWarmUp(NodeConfig config) {
         classes = config.settings().requestClasses();
         List<DiscoveredEndpoint> hosts = new ArrayList<>();
         for (int i = 1; i <= SERVERS; i++) {
@@ -121,7 +121,7 @@
     }
 
     static Played run(NodeConfig config, int most, long longest) {
-        return new Rehearsal(config).play(most, longest);
+        return new JitWarmUp(config).play(most, longest);
     }
 
     private Played play(int most, long longest) {
@@ -209,9 +209,9 @@
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private Future<Outbound> connect(Address address, long timeoutMs) {
+    private Future<OutboundConnection> connect(Address address, long timeoutMs) {
         EmbeddedChannel channel = new EmbeddedChannel();
-        Outbound connection = Outbound.over(channel.pipeline(), "rehearsal", Headers.MOST_BODY);
+        OutboundConnection connection = OutboundConnection.over(channel.pipeline(), "rehearsal", Headers.MOST_BODY);
         opened.add(channel);
         return Future.succeededFuture(connection);
     }
--- a/src/main/java/ottergauge/transport/Listener.java
+++ b/src/main/java/ottergauge/transport/Listener.java
@@ -31,9 +31,9 @@
     private static final int MOST_READS = 16;
 
     private final Channel channel;
-    private final AcceptGate gate;
+    private final ConnectionLimiter gate;
 
-    private Listener(Channel channel, AcceptGate gate) {
+    private Listener(Channel channel, ConnectionLimiter gate) {
         this.channel = channel;
         this.gate = gate;
     }
@@ -44,7 +44,7 @@
             Address address,
             int backlog,
             boolean shared,
-            AcceptGate gate,
+            ConnectionLimiter gate,
             Consumer<ChannelPipeline> adopt) {
         ServerBootstrap bootstrap =
                 new ServerBootstrap()
@@ -55,7 +55,7 @@
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new ServerChannelRecvByteBufAllocator()
-                                        .maxMessagesPerRead(AcceptGate.AT_ONCE))
+                                        .maxMessagesPerRead(ConnectionLimiter.AT_ONCE))
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         // Read to the end of what has come: a client that asked and left has left
                         // when it is heard.
--- a/src/main/java/ottergauge/transport/HeldStore.java
+++ b/src/main/java/ottergauge/transport/MaintenanceStore.java
@@ -20,9 +20,9 @@
  * process sees what the other was told, and the next one begins with it. Files are made and deleted
  * whole, so that no process needs to wait for another.
  */
-final class HeldStore {
+final class MaintenanceStore {
 
-    private static final Logger LOG = LoggerFactory.getLogger(HeldStore.class);
+    private static final Logger LOG = LoggerFactory.getLogger(MaintenanceStore.class);
     private static final String MARK = "held-";
     // A name of any server, with the time before it.
     private static final int MOST_BYTES = 64 * 1024;
@@ -32,7 +32,7 @@
     private final Path folder;
     private final Map<String, Held> read = new HashMap<>();
 
-    HeldStore(Path folder) {
+    MaintenanceStore(Path folder) {
         this.folder = folder;
     }
 
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -34,17 +34,17 @@
 
     private final NodeConfig config;
     private final Clock clock = new Clock();
-    private final LoopWatch watch = new LoopWatch(System::nanoTime);
-    private final AcceptGate gate = new AcceptGate(watch);
+    private final EventLoopMonitor watch = new EventLoopMonitor(System::nanoTime);
+    private final ConnectionLimiter gate = new ConnectionLimiter(watch);
     private final Vertx vertx;
     private final ContextInternal context;
     private final NetClient client;
     private final Router router;
-    private final ClientSide clients;
-    private final ServerSide servers;
-    private final DiscoverySide discovery;
-    private final Door door;
-    private final SharedFolder shared;
+    private final DownstreamConnections clients;
+    private final UpstreamConnector servers;
+    private final DiscoveryClient discovery;
+    private final AdminListener door;
+    private final HotRestartDirectory shared;
     private final EventQueue events = new EventQueue(this::handle);
     private final Timers timers;
     private final Promise<Void> ended = Promise.promise();
@@ -59,30 +59,30 @@
                         ? null
                         : open(folder, told.mostListBytes());
         config = shared == null ? told : shared.freshest(told);
-        vertx = OneLoopTransport.vertx(watch);
+        vertx = SingleLoopTransport.vertx(watch);
         context = (ContextInternal) vertx.getOrCreateContext();
         timers =
                 new Timers(
                         clock::micros,
                         (millis, task) -> vertx.setTimer(millis, fired -> task.run()));
         router = new Router(config, this::carryOut);
-        clients = new ClientSide(watch, events::take);
+        clients = new DownstreamConnections(watch, events::take);
         client = vertx.createNetClient();
         servers =
-                new ServerSide(
+                new UpstreamConnector(
                         (address, timeoutMs) ->
-                                Outbound.connect(
+                                OutboundConnection.connect(
                                         client, "server", address, timeoutMs, Headers.MOST_BODY),
                         events::take);
         discovery =
-                new DiscoverySide(Outbound.dialer(client), config.mostListBytes(), events::take);
-        door = new Door(context.nettyEventLoop(), watch, events::take);
+                new DiscoveryClient(OutboundConnection.dialer(client), config.mostListBytes(), events::take);
+        door = new AdminListener(context.nettyEventLoop(), watch, events::take);
     }
 
     // Without it a node serves all the same: an upgrade then ends like a restart.
-    private static SharedFolder open(Path folder, int mostListBytes) {
+    private static HotRestartDirectory open(Path folder, int mostListBytes) {
         try {
-            return new SharedFolder(folder, mostListBytes);
+            return new HotRestartDirectory(folder, mostListBytes);
         } catch (IOException e) {
             LOG.error(
                     "{} cannot be shared with a next process: {}",
@@ -132,7 +132,7 @@
                                             "{} answers operators on {}",
                                             config.name(),
                                             config.management());
-                                    return warmUp(config.management(), DoorConnection.HEALTH);
+                                    return warmUp(config.management(), AdminConnection.HEALTH);
                                 });
     }
 
@@ -140,7 +140,7 @@
     // is done.
     private Future<Integer> warmUp(Address own, String path) {
         boolean away = config.management() == null;
-        return WarmUp.run(client, own, path, config.settings().nodeCount(), away, accompanied)
+        return SelfRequestWarmUp.run(client, own, path, config.settings().nodeCount(), away, accompanied)
                 .onSuccess(calls -> LOG.info("{} called itself {} times", config.name(), calls));
     }
 
@@ -166,7 +166,7 @@
         }
         events.take(new Event.HeldRead(shared.held().read()));
         shared.siblings().tell(serving, router.connections());
-        Siblings.Company company = shared.siblings().look();
+        HotRestartProcesses.Company company = shared.siblings().look();
         if (company.lives() != accompanied) {
             accompanied = company.lives();
             LOG.info(
--- a/src/main/java/ottergauge/transport/Outbound.java
+++ b/src/main/java/ottergauge/transport/OutboundConnection.java
@@ -31,7 +31,7 @@
 import ottergauge.routing.CloseReason;
 
 /** A connection that the node opened: carries one request at a time and reads its answer. */
-final class Outbound extends Connection {
+final class OutboundConnection extends Connection {
 
     /**
      * An answer, whole or as far as it has come when it begins to flow; {@code length} is what its
@@ -43,7 +43,7 @@
     /** Opens connections; {@code side} is what the log calls the other end. */
     @FunctionalInterface
     interface Dialer {
-        Future<Outbound> dial(String side, Address address, long timeoutMs, int mostBody);
+        Future<OutboundConnection> dial(String side, Address address, long timeoutMs, int mostBody);
     }
 
     private enum Stage {
@@ -55,7 +55,7 @@
         FLOWED
     }
 
-    private final Framing.Answers decoder;
+    private final HttpFraming.Answers decoder;
     private final int mostBody;
     private Consumer<Answer> whenAnswered;
     private Consumer<CloseReason> whenEnded;
@@ -66,10 +66,10 @@
     private Stage stage = Stage.QUIET;
     private boolean interim;
     private HttpResponse head;
-    private MessageBody body;
+    private BodyBuffer body;
     private boolean more;
     private Answer flowing;
-    private Flow flow;
+    private BodyRelay flow;
     private LongConsumer moved = bytes -> {};
     private HttpContent last;
     private long flowed;
@@ -78,7 +78,7 @@
     private long announced;
     private Runnable openEnded = () -> {};
 
-    private Outbound(String side, Framing.Answers decoder, int mostBody) {
+    private OutboundConnection(String side, HttpFraming.Answers decoder, int mostBody) {
         super(side);
         this.decoder = decoder;
         this.mostBody = mostBody;
@@ -90,7 +90,7 @@
     }
 
     /** Opens a connection; one that does not come up leaves its log line here. */
-    static Future<Outbound> connect(
+    static Future<OutboundConnection> connect(
             NetClient client, String side, Address address, long timeoutMs, int mostBody) {
         return client.connect(
                         new ConnectOptions()
@@ -116,9 +116,9 @@
     }
 
     /** Carries messages over a connection that is open. */
-    static Outbound over(ChannelPipeline pipeline, String side, int mostBody) {
-        Framing.Answers decoder = new Framing.Answers();
-        Outbound connection = new Outbound(side, decoder, mostBody);
+    static OutboundConnection over(ChannelPipeline pipeline, String side, int mostBody) {
+        HttpFraming.Answers decoder = new HttpFraming.Answers();
+        OutboundConnection connection = new OutboundConnection(side, decoder, mostBody);
         pipeline.channel().config().setWriteBufferWaterMark(WATER_MARK);
         pipeline.channel().config().setOption(ChannelOption.TCP_NODELAY, true);
         pipeline.addFirst(decoder, new HttpRequestEncoder(), connection);
@@ -201,10 +201,10 @@
                         && response.status().code()
                                 != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
         head = response;
-        body = new MessageBody(mostBody);
+        body = new BodyBuffer(mostBody);
         stage = interim ? Stage.ASKED : Stage.BODY;
         announced = HttpUtil.getContentLength(response, 0L);
-        if (Framing.fault(response) != null) {
+        if (HttpFraming.fault(response) != null) {
             fail(CloseReason.MALFORMED);
         } else if (!interim && announced > (flowBegan == null ? mostBody : Headers.MOST_FLOW)) {
             // An answer with a huge length never ends.
@@ -245,9 +245,9 @@
     // What is here by now waits for the client that it is for; nothing more is read before.
     private void beginFlow() {
         stage = Stage.FLOWING;
-        flow = new Flow(this);
+        flow = new BodyRelay(this);
         byte[] first = body.bytes();
-        body = new MessageBody(0);
+        body = new BodyBuffer(0);
         flowing = answer(false);
         flowed = first.length;
         flow.take(new DefaultHttpContent(Unpooled.wrappedBuffer(first)));
@@ -309,7 +309,7 @@
     }
 
     private Answer answer(boolean alone) {
-        boolean keeps = HttpUtil.isKeepAlive(head) && Framing.hasLength(head);
+        boolean keeps = HttpUtil.isKeepAlive(head) && HttpFraming.hasLength(head);
         return new Answer(
                 head.status().code(),
                 head.headers(),
@@ -336,7 +336,7 @@
             answered.accept(answer);
         } else if (stage == Stage.FLOWED) {
             boolean keeps = answer(alone).reusable();
-            Flow ending = flow;
+            BodyRelay ending = flow;
             HttpContent end = last;
             last = null;
             reset();
@@ -369,7 +369,7 @@
                 why == CloseReason.PEER_CLOSED
                         && head != null
                         && !interim
-                        && !Framing.hasLength(head);
+                        && !HttpFraming.hasLength(head);
         if (whole && stage == Stage.BODY) {
             stage = Stage.WHOLE;
             taken();
--- a/src/main/java/ottergauge/transport/WarmUp.java
+++ b/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
@@ -18,7 +18,7 @@
  * rehearsal runs in memory; with the socket path cold a node refused 500 requests in its first
  * second.
  */
-final class WarmUp {
+final class SelfRequestWarmUp {
 
     // As for the rehearsal: the compiler takes up a method after some hundred calls.
     private static final int MOST = 400;
@@ -44,7 +44,7 @@
     private int ended;
     private int open;
 
-    private WarmUp(NetClient client, Address own, String path, int most) {
+    private SelfRequestWarmUp(NetClient client, Address own, String path, int most) {
         this.path = path;
         this.most = most;
         this.client = client;
@@ -55,7 +55,7 @@
     static Future<Integer> run(
             NetClient client, Address own, String path, int nodes, boolean away, boolean beside) {
         int most = Math.min(away ? MOST_AWAY : beside ? MOST_BESIDE : MOST, BY_ALL / nodes);
-        WarmUp warmUp = new WarmUp(client, own, path, most);
+        SelfRequestWarmUp warmUp = new SelfRequestWarmUp(client, own, path, most);
         for (int i = 0; i < AT_ONCE; i++) {
             warmUp.next();
         }
@@ -66,14 +66,14 @@
         if (begun < most && System.nanoTime() - from < LONGEST) {
             begun++;
             open++;
-            Outbound.connect(client, ConnectionLog.UNTOLD, own, CALL_WITHIN_MS, 1 << 10)
+            OutboundConnection.connect(client, ConnectionLog.UNTOLD, own, CALL_WITHIN_MS, 1 << 10)
                     .onComplete(this::call, failure -> over());
         } else if (open == 0) {
             done.tryComplete(ended);
         }
     }
 
-    private void call(Outbound connection) {
+    private void call(OutboundConnection connection) {
         connection.whenEnded(why -> over());
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
--- a/src/main/java/ottergauge/transport/OneLoopTransport.java
+++ b/src/main/java/ottergauge/transport/SingleLoopTransport.java
@@ -17,18 +17,18 @@
  * no descriptor was left; the library then accepts nothing for a second, and all that had piled up
  * meanwhile used up the descriptors again: the node served nobody for the rest of the day.
  */
-final class OneLoopTransport extends NioTransport {
+final class SingleLoopTransport extends NioTransport {
 
-    private final LoopWatch watch;
+    private final EventLoopMonitor watch;
     private EventLoopGroup group;
 
     /** {@code watch} is told of each of the loop's rounds. */
-    OneLoopTransport(LoopWatch watch) {
+    SingleLoopTransport(EventLoopMonitor watch) {
         this.watch = watch;
     }
 
     /** The library with one loop that owns all and tells {@code watch} of each of its rounds. */
-    static Vertx vertx(LoopWatch watch) {
+    static Vertx vertx(EventLoopMonitor watch) {
         // Addresses are numbers: nothing is asked of DNS.
         System.setProperty("vertx.disableDnsResolver", "true");
         // The pools for blocking work have nothing to do. No files: they count as memory.
@@ -43,7 +43,7 @@
                                         .setFileCachingEnabled(false));
         return VertxBootstrap.create()
                 .options(options)
-                .transport(new OneLoopTransport(watch))
+                .transport(new SingleLoopTransport(watch))
                 .init()
                 .vertx();
     }
--- a/src/main/java/ottergauge/transport/ServerSide.java
+++ b/src/main/java/ottergauge/transport/UpstreamConnector.java
@@ -46,11 +46,11 @@
  * the router's state, so that nothing waits in a queue it does not see and nothing is sent again
  * unasked.
  */
-final class ServerSide {
+final class UpstreamConnector {
 
     /** Opens a connection. */
     interface Connector {
-        Future<Outbound> connect(Address address, long timeoutMs);
+        Future<OutboundConnection> connect(Address address, long timeoutMs);
     }
 
     // What came was read as far as it could be: the server is there, and its answer is none.
@@ -59,9 +59,9 @@
 
     private final Connector connector;
     private final Consumer<Event> events;
-    private final Map<Long, Outbound> connections = new HashMap<>();
+    private final Map<Long, OutboundConnection> connections = new HashMap<>();
 
-    ServerSide(Connector connector, Consumer<Event> events) {
+    UpstreamConnector(Connector connector, Consumer<Event> events) {
         this.events = events;
         this.connector = connector;
     }
@@ -148,7 +148,7 @@
     }
 
     private void exchange(long number, FullHttpRequest message, boolean probe) {
-        Outbound connection = connections.get(number);
+        OutboundConnection connection = connections.get(number);
         if (connection != null) {
             message.headers().set(HttpHeaderNames.HOST, connection.address());
             connection.send(
@@ -158,7 +158,7 @@
         }
     }
 
-    private static ServerAnswer read(Outbound.Answer answer, boolean probe) {
+    private static ServerAnswer read(OutboundConnection.Answer answer, boolean probe) {
         String report = answer.headers().get(Headers.LOAD);
         if (report == null && probe) {
             report = new String(answer.body(), StandardCharsets.UTF_8);
@@ -172,18 +172,18 @@
     }
 
     void flowNow(FlowNow effect) {
-        Outbound connection = connections.get(effect.connection());
+        OutboundConnection connection = connections.get(effect.connection());
         if (connection != null) {
             connection.flowNow();
         }
     }
 
-    Outbound connection(long number) {
+    OutboundConnection connection(long number) {
         return connections.get(number);
     }
 
     void close(CloseServer effect) {
-        Outbound connection = connections.get(effect.connection());
+        OutboundConnection connection = connections.get(effect.connection());
         if (connection != null) {
             connection.close(effect.reason());
         }
--- a/src/test/java/ottergauge/program/DoorIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -26,7 +26,7 @@
 
 /** The operators' door and upgrades, with real processes. */
 @Timeout(120)
-class DoorIT {
+class AdminListenerIT {
 
     private static final String NOWHERE = "127.0.0.1:1";
 
--- a/src/test/java/ottergauge/transport/LoopLatenessTest.java
+++ b/src/test/java/ottergauge/transport/EventLoopLagTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Holds the measure of a loop's lateness to made-up time. */
-class LoopLatenessTest {
+class EventLoopLagTest {
 
     private static long ms(double millis) {
         return (long) (millis * TimeUnit.MILLISECONDS.toNanos(1));
     }
 
     private static long[] counts(int bound, long count) {
-        long[] counts = new long[LoopLateness.BOUNDS.size() + 1];
+        long[] counts = new long[EventLoopLag.BOUNDS.size() + 1];
         if (bound >= 0) {
             counts[bound] = count;
         }
@@ -25,7 +25,7 @@
 
     @Test
     void aLookInTimeIsNotLate() {
-        LoopLateness lateness = new LoopLateness(0);
+        EventLoopLag lateness = new EventLoopLag(0);
         assertEquals(ms(9.5), lateness.look(ms(10.5)));
         assertArrayEquals(counts(0, 1), lateness.take());
         assertArrayEquals(counts(-1, 0), lateness.take());
@@ -33,7 +33,7 @@
 
     @Test
     void aLookTooEarlyIsNone() {
-        LoopLateness lateness = new LoopLateness(0);
+        EventLoopLag lateness = new EventLoopLag(0);
         assertEquals(ms(1), lateness.look(ms(9)));
         assertArrayEquals(counts(-1, 0), lateness.take());
     }
@@ -41,11 +41,11 @@
     /** Guards against a standstill of a second that counts as one late look among many in time. */
     @Test
     void looksThatWereMissedCountToo() {
-        LoopLateness lateness = new LoopLateness(0);
+        EventLoopLag lateness = new EventLoopLag(0);
         lateness.look(ms(1_010));
         long[] counts = lateness.take();
         assertEquals(101, Arrays.stream(counts).sum());
         assertEquals(1, counts[counts.length - 1]);
-        assertEquals(50, counts[LoopLateness.BOUNDS.indexOf(1_000)]);
+        assertEquals(50, counts[EventLoopLag.BOUNDS.indexOf(1_000)]);
     }
 }
--- a/src/test/java/ottergauge/transport/LoopWatchTest.java
+++ b/src/test/java/ottergauge/transport/EventLoopMonitorTest.java
@@ -6,10 +6,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class LoopWatchTest {
+class EventLoopMonitorTest {
 
     private long now = TimeUnit.SECONDS.toNanos(5);
-    private final LoopWatch watch = new LoopWatch(() -> now);
+    private final EventLoopMonitor watch = new EventLoopMonitor(() -> now);
 
     // Asks for what is ready, waits for so long, and then handles something for so long.
     private long round(long waits, long handles) throws Exception {
--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -63,27 +63,27 @@
     @Test
     void storedMaintenanceMarks_areRead() {
         assertEquals(
-                Map.of("s-1", S1_SINCE, "s-2", S2_SINCE), new HeldStore(folder).read());
+                Map.of("s-1", S1_SINCE, "s-2", S2_SINCE), new MaintenanceStore(folder).read());
     }
 
     @Test
     void maintenanceMarks_areWrittenAsBefore() throws IOException {
         Files.delete(folder.resolve(MARK_OF_S1));
-        new HeldStore(folder).keep("s-1", S1_SINCE);
+        new MaintenanceStore(folder).keep("s-1", S1_SINCE);
         assertArrayEquals(sample(MARK_OF_S1), written(MARK_OF_S1));
     }
 
     @Test
     void storedMaintenanceMark_isDeletedByServerName() throws IOException {
-        new HeldStore(folder).drop("s-2");
+        new MaintenanceStore(folder).drop("s-2");
         assertFalse(Files.exists(folder.resolve(MARK_OF_S2)));
-        assertEquals(Map.of("s-1", S1_SINCE), new HeldStore(folder).read());
+        assertEquals(Map.of("s-1", S1_SINCE), new MaintenanceStore(folder).read());
     }
 
     @Test
     void storedEndpointList_replacesAnOlderOneOfTheConfiguration() {
         NodeConfig config = new TestConfig().knows(host("s-9", "127.0.0.1:9", "in_service")).build();
-        EndpointList list = new ListStore(folder, MAX_LIST_BYTES).freshest(config, false).known();
+        EndpointList list = new EndpointCache(folder, MAX_LIST_BYTES).freshest(config, false).known();
         assertEquals(42, list.version());
         assertTrue(list.whole());
         assertEquals(
@@ -103,14 +103,14 @@
     void endpointList_isWrittenAsBefore() throws Exception {
         EndpointList list = EndpointList.read(sample("list.json"));
         Files.delete(folder.resolve("list.json"));
-        new ListStore(folder, MAX_LIST_BYTES).keep(list);
+        new EndpointCache(folder, MAX_LIST_BYTES).keep(list);
         assertArrayEquals(sample("list.json"), written("list.json"));
     }
 
     @Test
     void processFileWithoutItsLock_isALeftover() throws IOException {
-        Siblings.Company others = new Siblings(folder).look();
-        assertEquals(new Siblings.Company(false, false, 0), others);
+        HotRestartProcesses.Company others = new HotRestartProcesses(folder).look();
+        assertEquals(new HotRestartProcesses.Company(false, false, 0), others);
         assertFalse(Files.exists(folder.resolve(PROCESS)));
     }
 
@@ -128,7 +128,7 @@
                         .start();
         try (InputStream output = other.getInputStream()) {
             assertEquals(LockHolder.LOCKED, output.read());
-            assertEquals(new Siblings.Company(true, true, 258), new Siblings(folder).look());
+            assertEquals(new HotRestartProcesses.Company(true, true, 258), new HotRestartProcesses(folder).look());
         } finally {
             other.destroyForcibly().waitFor();
         }
@@ -136,7 +136,7 @@
 
     @Test
     void processFile_isWrittenAsBefore() throws IOException {
-        Siblings own = new Siblings(folder);
+        HotRestartProcesses own = new HotRestartProcesses(folder);
         own.appear();
         own.tell(true, 0);
         assertArrayEquals(
--- a/src/test/java/ottergauge/transport/RehearsalTest.java
+++ b/src/test/java/ottergauge/transport/JitWarmUpTest.java
@@ -8,13 +8,13 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.TestConfig;
 
-class RehearsalTest {
+class JitWarmUpTest {
 
     /** One that is refused goes through a part of the node alone, and leaves the rest cold. */
     @Test
     void nearlyAllThatIsRehearsedIsServed() {
-        Rehearsal.Played played =
-                Rehearsal.run(new TestConfig().probes().build(), 1_000, Long.MAX_VALUE);
+        JitWarmUp.Played played =
+                JitWarmUp.run(new TestConfig().probes().build(), 1_000, Long.MAX_VALUE);
         assertEquals(1_000, played.requests());
         assertTrue(played.served() > 900, played.toString());
     }
@@ -27,7 +27,7 @@
     @Test
     void whatIsHeldIsAnsweredBeforeTheNextRequest() {
         NodeConfig config = new TestConfig().fleet(600, 1).build();
-        Rehearsal.Played played = Rehearsal.run(config, 1_000, Long.MAX_VALUE);
+        JitWarmUp.Played played = JitWarmUp.run(config, 1_000, Long.MAX_VALUE);
         assertEquals(1_000, played.requests());
         assertTrue(played.served() > 900, played.toString());
     }
@@ -38,14 +38,14 @@
      */
     @Test
     void oneOfManyRehearsesLessThanOneOfFew() {
-        assertEquals(1_000, Rehearsal.requests(1));
-        assertEquals(1_000, Rehearsal.requests(3));
-        assertTrue(Rehearsal.requests(14) <= 250);
-        assertEquals(100, Rehearsal.requests(600));
+        assertEquals(1_000, JitWarmUp.requests(1));
+        assertEquals(1_000, JitWarmUp.requests(3));
+        assertTrue(JitWarmUp.requests(14) <= 250);
+        assertEquals(100, JitWarmUp.requests(600));
     }
 
     @Test
     void itEndsWhenItsTimeIsOver() {
-        assertEquals(0, Rehearsal.run(new TestConfig().build(), 300, 0).requests());
+        assertEquals(0, JitWarmUp.run(new TestConfig().build(), 300, 0).requests());
     }
 }
