--- a/src/test/java/ottergauge/program/DoorIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static ottergauge.program.AdminClient.call;
 import static ottergauge.protocol.TestConfig.host;
 
 import java.io.IOException;
@@ -25,7 +26,7 @@
 
 /** The operators' door and upgrades, with real processes. */
 @Timeout(120)
-class DoorIT {
+class AdminListenerIT {
 
     private static final String NOWHERE = "127.0.0.1:1";
 
@@ -55,14 +56,6 @@
                         port));
     }
 
-    private static HttpMessage call(int door, String call) throws IOException {
-        try (Client operator = new Client(new Socket(InetAddress.getLoopbackAddress(), door))) {
-            HttpMessage answer = operator.ask(call + " HTTP/1.1\r\nHost: x\r\n\r\n");
-            assertTrue(operator.atEnd(), "one call to a connection");
-            return answer;
-        }
-    }
-
     private static long figure(int door, String name) throws IOException {
         return call(door, "GET /stats")
                 .body()
