--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
@@ -43,7 +43,8 @@
                 new NodeConfiguration(
                                 Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.unknown())
                         .read()
-                        .settings();
+                        .settings()
+                        .decisions();
         driver = new DecisionDriver(settings, seed, ListedServers.draw(servers, seed).whole());
         driver.serveWindows(WINDOWS);
     }
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
@@ -47,7 +47,8 @@
                 new NodeConfiguration(
                                 Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.unknown())
                         .read()
-                        .settings();
+                        .settings()
+                        .decisions();
         listed = ListedServers.draw(servers, seed);
         whole = listed.whole();
         driver = new DecisionDriver(settings, seed, whole);
--- a/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
+++ b/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
@@ -31,7 +31,7 @@
         NodeConfiguration configuration = configuration(classes, seed, Fleet.unknown());
         DecisionDriver driver =
                 new DecisionDriver(
-                        configuration.read().settings(),
+                        configuration.read().settings().decisions(),
                         seed,
                         ListedServers.draw(servers, seed).whole());
         driver.serveWindows(WINDOWS);
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
@@ -16,7 +16,7 @@
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.capacity.workload.NodeConfiguration;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.Headers;
+import ottergauge.protocol.Paths;
 
 /**
  * A process of the node as operators start it, with what the system says of its time and memory.
@@ -86,7 +86,7 @@
                     .getOutputStream()
                     .write(
                             ("GET "
-                                            + Headers.READY_PATH
+                                            + Paths.READY
                                             + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII));
             String status =
--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -19,7 +19,7 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.EndpointList;
-import ottergauge.protocol.Headers;
+import ottergauge.protocol.Paths;
 
 /**
  * Stands in for discovery: tells a fleet's list whole, or the changes after a version, and keeps a
@@ -128,7 +128,7 @@
     }
 
     private void answer(Channel connection, QueryStringDecoder call) {
-        if (!call.path().equals(Headers.LIST_PATH)) {
+        if (!call.path().equals(Paths.ENDPOINTS)) {
             connection.writeAndFlush(
                     HttpListener.response(HttpResponseStatus.NOT_FOUND, new byte[0]));
             return;
--- a/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
@@ -5,7 +5,7 @@
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.routing.Effect;
-import ottergauge.routing.Effect.CallDiscovery;
+import ottergauge.routing.Effect.PollDiscovery;
 import ottergauge.routing.Event;
 import ottergauge.routing.Router;
 import ottergauge.routing.Timer;
@@ -26,8 +26,8 @@
 
         @Override
         public void accept(Effect effect) {
-            if (effect instanceof CallDiscovery call) {
-                current = call.call();
+            if (effect instanceof PollDiscovery call) {
+                current = call.poll();
                 made++;
             }
         }
@@ -46,7 +46,7 @@
     /** Lets time pass until discovery is called for the first time. */
     public void callDiscovery() {
         now += FIRST_CALL_WITHIN;
-        router.handle(now, new Event.TimerFired(new Timer.Wake("tick")));
+        router.handle(now, new Event.TimerFired(new Timer.Decision("tick")));
         if (calls.made == 0) {
             throw new IllegalStateException("the router did not call discovery");
         }
@@ -56,7 +56,7 @@
     public long answer(EndpointList list) {
         long before = calls.made;
         now += TICK;
-        router.handle(now, new Event.ListRead(calls.current, list));
+        router.handle(now, new Event.EndpointListReceived(calls.current, list));
         if (calls.made == before) {
             throw new IllegalStateException("the router did not go on with its watch");
         }
--- a/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
@@ -54,7 +54,7 @@
     @Test
     void aCallWithoutAVersionIsToldTheWholeList() throws Exception {
         EndpointList list = ask("");
-        assertTrue(list.whole());
+        assertTrue(list.complete());
         assertEquals(20, list.endpoints().size());
         assertEquals(-1, discovery.askedAfter());
     }
@@ -69,7 +69,7 @@
         assertFalse(waiting.isDone());
         discovery.changeNow();
         EndpointList change = EndpointList.read(waiting.get(PATIENCE_S, TimeUnit.SECONDS).body());
-        assertFalse(change.whole());
+        assertFalse(change.complete());
         assertEquals(2, change.version());
         assertEquals(1, change.endpoints().size());
     }
@@ -81,21 +81,21 @@
         discovery.changeNow();
         EndpointList missed = ask("?after=1&wait_ms=0");
         assertEquals(4, missed.version());
-        assertFalse(missed.whole());
+        assertFalse(missed.complete());
         // The first server drained and came back; the second drains.
         assertEquals(2, missed.endpoints().size());
     }
 
     @Test
     void aVersionThatIsNotKnownIsToldTheWholeList() throws Exception {
-        assertTrue(ask("?after=77&wait_ms=0").whole());
+        assertTrue(ask("?after=77&wait_ms=0").complete());
     }
 
     @Test
     void aWaitThatIsOverIsToldNothing() throws Exception {
         EndpointList nothing = ask("?after=1&wait_ms=1");
         assertEquals(1, nothing.version());
-        assertFalse(nothing.whole());
+        assertFalse(nothing.complete());
         assertTrue(nothing.endpoints().isEmpty());
     }
 
--- a/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
@@ -39,7 +39,7 @@
         long version = fleet.whole().version();
         for (int i = 0; i < 5; i++) {
             EndpointList change = fleet.change();
-            assertFalse(change.whole());
+            assertFalse(change.complete());
             assertEquals(++version, change.version());
             DiscoveredEndpoint host = change.endpoints().get(0);
             told.add(
@@ -58,8 +58,8 @@
                 new NodeConfiguration(
                                 Loopback.port(3000), Loopback.port(8500), 5, 500, fleet.whole())
                         .read();
-        assertEquals(fleet.whole(), config.known());
-        assertEquals(500, config.settings().requestClasses().size());
-        assertEquals(NodeConfiguration.NODES, config.settings().nodeCount());
+        assertEquals(fleet.whole(), config.knownEndpoints());
+        assertEquals(500, config.settings().decisions().requestClasses().size());
+        assertEquals(NodeConfiguration.NODES, config.settings().decisions().nodeCount());
     }
 }
--- a/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
+++ b/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
@@ -7,7 +7,7 @@
 import ottergauge.control.client.HttpCalls.HttpAnswer;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.EndpointList;
-import ottergauge.protocol.Headers;
+import ottergauge.protocol.Paths;
 import ottergauge.protocol.ProtocolException;
 
 /** Follows discovery's list by a watch: whole at first, then what has changed. */
@@ -34,17 +34,17 @@
     public EndpointList next() throws IOException, ProtocolException, InterruptedException {
         String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + WAIT_MS;
         HttpAnswer answer =
-                calls.get(address, Headers.LIST_PATH + query, CALL_WITHIN, MOST_LIST_BYTES);
+                calls.get(address, Paths.ENDPOINTS + query, CALL_WITHIN, MOST_LIST_BYTES);
         if (answer.status() != OK) {
             throw new IOException("discovery answers with status " + answer.status());
         }
         EndpointList list = EndpointList.read(answer.body());
-        if (!list.whole() && list.version() < version) {
+        if (!list.complete() && list.version() < version) {
             version = NO_VERSION;
             throw new ProtocolException(
                     "discovery has begun its versions anew, it is asked for all");
         }
-        if (!list.whole() && version < 0) {
+        if (!list.complete() && version < 0) {
             throw new ProtocolException("discovery was asked for all and told of changes only");
         }
         version = list.version();
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -62,8 +62,8 @@
 
     /** Takes discovery's list, or what has changed in it. */
     public void takeList(EndpointList list) {
-        heard |= list.whole();
-        if (list.whole()) {
+        heard |= list.complete();
+        if (list.complete()) {
             listed.clear();
             toCompare.addAll(published.keySet());
         }
--- a/src/main/java/ottergauge/program/ServeCommand.java
+++ b/src/main/java/ottergauge/program/ServeCommand.java
@@ -99,7 +99,7 @@
 
     private NodeConfig read() throws IOException, ProtocolException {
         return NodeConfig.read(Files.readAllBytes(configFile))
-                .managedAt(System.getenv("BALANCER_MANAGEMENT"));
+                .withAdmin(System.getenv("BALANCER_MANAGEMENT"));
     }
 
     // Kept from one process of a node to the next, and apart from those of other nodes beside it.
--- a/src/main/java/ottergauge/protocol/ControlConfig.java
+++ b/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
@@ -13,81 +13,87 @@
 import ottergauge.settings.SettingsFault;
 
 /**
- * The {@code control} section of a node's configuration: which control processes it follows, for
- * what, and within which bounds. {@code within} is microseconds; no services means all; {@code
- * folder} is where the last state is kept, if anywhere.
+ * The {@code control} section of a node's configuration: the control processes that the node
+ * follows, what it subscribes to, and the bounds that it observes. The configuration of a control
+ * process itself is another type.
+ *
+ * @param endpoints the control processes
+ * @param region the region that the node runs in; empty for none
+ * @param services the services that the node subscribes to; empty for all
+ * @param settingsName name of the settings that the node applies
+ * @param propagationDeadlineMicros how soon a change has to reach the node
+ * @param bytesPerSecond bound of the rate at which the state is read
+ * @param stateDirectory where the last state is stored, if anywhere
+ * @param maxResources bound of the number of resources in the state
+ * @param maxBytes bound of the state's size
  */
-public record ControlConfig(
+public record ControlPlaneConfig(
         List<Endpoint> endpoints,
         String region,
         Set<String> services,
-        String settings,
-        long within,
+        String settingsName,
+        long propagationDeadlineMicros,
         long bytesPerSecond,
-        Optional<String> folder,
-        int mostResources,
-        long mostBytes) {
+        Optional<String> stateDirectory,
+        int maxResources,
+        long maxBytes) {
 
     /** Where a control process is reached, and the region that it runs in. */
     public record Endpoint(Address address, String region) {}
 
-    private static final int MOST_ENDPOINTS = 16;
+    private static final int MAX_ENDPOINTS = 16;
 
     /** Of all services' names together: they go into the head of each call. */
-    private static final int MOST_SERVICES_CHARACTERS = 2_000;
+    private static final int MAX_SERVICES_CHARACTERS = 2_000;
 
-    private static final long LEAST_WITHIN_MS = 500;
-    private static final long MOST_WITHIN_MS = 60_000;
+    private static final long MIN_WITHIN_MS = 500;
+    private static final long MAX_WITHIN_MS = 60_000;
     private static final long DEFAULT_WITHIN_MS = 4_000;
-    private static final long LEAST_BYTES_PER_SECOND = 1_024;
-    private static final long MOST_BYTES_PER_SECOND = 1L << 30;
+    private static final long MIN_BYTES_PER_SECOND = 1_024;
+    private static final long MAX_BYTES_PER_SECOND = 1L << 30;
     private static final long DEFAULT_BYTES_PER_SECOND = 8_192;
-    private static final int MOST_RESOURCES = 10_000_000;
+    private static final int MAX_RESOURCES = 10_000_000;
     private static final int DEFAULT_RESOURCES = 200_000;
-    private static final int MOST_STATE_MB = 16_384;
+    private static final int MAX_STATE_MB = 16_384;
     private static final int DEFAULT_STATE_MB = 64;
-    private static final long BYTES_A_MB = 1L << 20;
-    private static final int MICROS_A_MS = 1_000;
+    private static final long BYTES_PER_MB = 1L << 20;
+    private static final int MICROS_PER_MS = 1_000;
     private static final String NAME_FORM = "1 to 128 characters of A-Z a-z 0-9 . _ : / -";
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._:/-]{1,128}");
 
     /** Reads the section; what is wrong with it is said by key, value and allowed form. */
-    static ControlConfig of(Object section) throws ProtocolException {
+    static ControlPlaneConfig of(Object section) throws ProtocolException {
         if (!(section instanceof Map<?, ?> fields)) {
             throw fault("control", section, "an object");
         }
-        return new ControlConfig(
+        return new ControlPlaneConfig(
                 endpoints(fields),
                 text(fields, "region", ""),
                 services(fields),
                 text(fields, "settings", "default"),
-                MICROS_A_MS
+                MICROS_PER_MS
                         * whole(
                                 fields,
                                 "within_ms",
-                                LEAST_WITHIN_MS,
-                                MOST_WITHIN_MS,
+                                MIN_WITHIN_MS,
+                                MAX_WITHIN_MS,
                                 DEFAULT_WITHIN_MS),
                 whole(
                         fields,
                         "bytes_per_second",
-                        LEAST_BYTES_PER_SECOND,
-                        MOST_BYTES_PER_SECOND,
+                        MIN_BYTES_PER_SECOND,
+                        MAX_BYTES_PER_SECOND,
                         DEFAULT_BYTES_PER_SECOND),
                 folder(fields),
-                (int) whole(fields, "most_resources", 1, MOST_RESOURCES, DEFAULT_RESOURCES),
-                BYTES_A_MB * whole(fields, "most_mb", 1, MOST_STATE_MB, DEFAULT_STATE_MB));
+                (int) whole(fields, "most_resources", 1, MAX_RESOURCES, DEFAULT_RESOURCES),
+                BYTES_PER_MB * whole(fields, "most_mb", 1, MAX_STATE_MB, DEFAULT_STATE_MB));
     }
 
     private static List<Endpoint> endpoints(Map<?, ?> fields) throws ProtocolException {
         Object addresses = fields.get("addresses");
-        if (!(addresses instanceof List<?> list)
-                || list.isEmpty()
-                || list.size() > MOST_ENDPOINTS) {
+        if (!(addresses instanceof List<?> list) || list.isEmpty() || list.size() > MAX_ENDPOINTS) {
             throw fault(
-                    "control.addresses",
-                    addresses,
-                    "a list of 1 to " + MOST_ENDPOINTS + " objects");
+                    "control.addresses", addresses, "a list of 1 to " + MAX_ENDPOINTS + " objects");
         }
         List<Endpoint> endpoints = new ArrayList<>();
         Set<Address> seen = new HashSet<>();
@@ -135,12 +141,12 @@
             names.add(name("control.services[" + i + "]", list.get(i)));
             characters += String.valueOf(list.get(i)).length() + 1;
         }
-        if (characters > MOST_SERVICES_CHARACTERS) {
+        if (characters > MAX_SERVICES_CHARACTERS) {
             throw fault(
                     "control.services",
                     characters + " characters",
                     "up to "
-                            + MOST_SERVICES_CHARACTERS
+                            + MAX_SERVICES_CHARACTERS
                             + " characters of names, or none for all services");
         }
         return Collections.unmodifiableSet(names);
--- a/src/main/java/ottergauge/protocol/EndpointList.java
+++ b/src/main/java/ottergauge/protocol/EndpointList.java
@@ -12,10 +12,10 @@
  * Discovery's endpoint list.
  *
  * @param version grows with each change; 0 for a list that discovery has not told
- * @param whole whether the list is complete or names only what changed
+ * @param complete whether the list is complete or names only what changed
  * @param endpoints in the order in which discovery names them
  */
-public record EndpointList(long version, boolean whole, List<DiscoveredEndpoint> endpoints) {
+public record EndpointList(long version, boolean complete, List<DiscoveredEndpoint> endpoints) {
 
     public static final EndpointList EMPTY = new EndpointList(0, true, List.of());
 
@@ -32,7 +32,7 @@
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
             out.writeStartObject();
             out.writeNumberField("seq", version);
-            out.writeBooleanField("whole", whole);
+            out.writeBooleanField("whole", complete);
             out.writeArrayFieldStart("hosts");
             for (DiscoveredEndpoint endpoint : endpoints) {
                 out.writeStartObject();
--- a/src/main/java/ottergauge/protocol/EndpointListReader.java
+++ b/src/main/java/ottergauge/protocol/EndpointListReader.java
@@ -17,7 +17,7 @@
 final class EndpointListReader {
 
     // The largest whole number that a JSON number tells exactly.
-    private static final long MOST_SEQ = 1L << 53;
+    private static final long MAX_SEQ = 1L << 53;
     private static final JsonFactory JSON = new JsonFactory();
 
     private Double seq;
@@ -87,9 +87,9 @@
         if (seq == null || hosts == null) {
             throw new ProtocolException("a list needs seq and hosts");
         }
-        if (!(seq >= 0 && seq <= MOST_SEQ)) {
+        if (!(seq >= 0 && seq <= MAX_SEQ)) {
             throw new ProtocolException(
-                    "seq is a whole number from 0 to " + MOST_SEQ + ", not " + seq);
+                    "seq is a whole number from 0 to " + MAX_SEQ + ", not " + seq);
         }
         return new EndpointList(seq.longValue(), whole, hosts);
     }
--- a/src/main/java/ottergauge/protocol/Headers.java
+++ b/src/main/java/ottergauge/protocol/Headers.java
@@ -1,28 +1,32 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.protocol;
 
-/** Header fields and paths of the protocol. */
+/** Names of the protocol's HTTP header fields. */
 public final class Headers {
 
+    /** The client's identifier of its request. */
     public static final String TRACE_ID = "X-Trace-Id";
+
+    /** Name of the request's class. */
     public static final String REQUEST_CLASS = "X-Qos";
+
+    /** How long the client waits, in milliseconds. */
     public static final String EXPIRES_IN_MS = "X-Expires-In-Ms";
+
+    /** {@code 1} on a client's retry. */
     public static final String SECOND_TRY = "X-Second-Try";
+
+    /** Idempotency key of a keyed request. */
     public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
-    public static final String RETRY_AFTER = "Retry-After";
-    public static final String NEVER_RAN = "X-Never-Ran";
-    public static final String LOAD = "Endpoint-Load-Metrics";
 
-    public static final String READY_PATH = "/health/ready";
-    public static final String LIVE_PATH = "/health/live";
-    public static final String STATS_PATH = "/stats";
-    public static final String LIST_PATH = "/registry/instances";
+    /** When a rejected client should retry. */
+    public static final String RETRY_AFTER = "Retry-After";
 
-    /** The largest body either way that is kept whole; past it a body flows. */
-    public static final int MOST_BODY = 64 * 1024;
+    /** Marks a response of a request that the server did not run. */
+    public static final String NEVER_RAN = "X-Never-Ran";
 
-    /** The largest body either way: 32 MB have to pass, and some more do no harm. */
-    public static final long MOST_FLOW = 40L << 20;
+    /** A server's load report. */
+    public static final String LOAD = "Endpoint-Load-Metrics";
 
     private Headers() {}
 }
--- a/src/main/java/ottergauge/protocol/LoadReports.java
+++ b/src/main/java/ottergauge/protocol/LoadReportReader.java
@@ -7,14 +7,14 @@
  * Reads load reports in text form: {@code TEXT inflight=7, queue=2, util=0.61}. Servers name the
  * fields as the settings do or as the protocol's page does; both are read.
  */
-public final class LoadReports {
+public final class LoadReportReader {
 
     // No figure of a server is as large: believed, it would keep the server from being sent to for
     // hours.
     private static final double MOST = 1e6;
     private static final String FORM = "TEXT";
 
-    private LoadReports() {}
+    private LoadReportReader() {}
 
     /**
      * Reads a report; what it lacks is NaN, names not known are skipped. One with a figure that
--- a/src/main/java/ottergauge/protocol/NodeConfig.java
+++ b/src/main/java/ottergauge/protocol/NodeConfig.java
@@ -6,45 +6,64 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import ottergauge.decision.api.DecisionSettings;
+import ottergauge.settings.JsonObject;
 import ottergauge.settings.JsonTree;
-import ottergauge.settings.SettingsReader;
 
 /**
- * What a node is told at its start. Spans are microseconds; {@code sockets} bounds its descriptors;
- * {@code management} is the operators' address, null without one; without {@code control} the list
- * of servers comes from discovery and the settings from here.
+ * A node's configuration.
+ *
+ * @param name the node's name in logs
+ * @param listen where clients connect
+ * @param discovery where discovery is polled
+ * @param seed seeds the node's random choices
+ * @param maxDescriptors limit of the process's file descriptors
+ * @param knownEndpoints the endpoints as the node or its platform had them last
+ * @param settings settings that may be replaced while the node runs
+ * @param admin where the admin listener is bound, if there is one
+ * @param memoryMb the process's memory limit in megabytes
+ * @param control the control processes; without them endpoints come from discovery and settings
+ *     from this configuration
  */
 public record NodeConfig(
         String name,
         Address listen,
         Address discovery,
         long seed,
-        int sockets,
-        EndpointList known,
-        DecisionSettings settings,
-        List<String> zones,
-        List<String> kinds,
-        long connectTimeout,
-        long connectionIdle,
-        long askWithin,
-        Address management,
+        int maxDescriptors,
+        EndpointList knownEndpoints,
+        NodeSettings settings,
+        Optional<Address> admin,
         int memoryMb,
-        Optional<ControlConfig> control) {
+        Optional<ControlPlaneConfig> control) {
 
     private static final int HEXADECIMAL = 16;
-    // A list may have a sixteenth of the memory while it is read: its servers take some three times
-    // as much.
-    private static final int LIST_PART = 16;
-    private static final int BYTES_A_MB = 1 << 20;
-    // The list as the node had it last: as large as the fleet, it is read entry by entry.
-    private static final String KNOWN = "known";
+    // A list that is read takes some three times its bytes as objects.
+    private static final int MEMORY_TO_LIST_RATIO = 16;
+    private static final int BYTES_PER_MB = 1 << 20;
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final int DEFAULT_MEMORY_MB = 128;
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** Reads the configuration file's content. */
+    // Keys of the configuration file.
+    private static final String NAME = "name";
+    private static final String LISTEN = "listen";
+    private static final String DISCOVERY = "discovery";
+    private static final String SEED = "seed";
+    private static final String LIMITS = "limits";
+    private static final String SOCKETS = "sockets";
+    private static final String MEMORY_MB = "memory_mb";
+    private static final String KNOWN = "known";
+    private static final String SETTINGS = "settings";
+    private static final String MANAGEMENT = "management";
+    private static final String CONTROL = "control";
+
+    /**
+     * Reads the content of a configuration file.
+     *
+     * @throws ProtocolException if it is malformed; the message names the key or the value
+     */
     public static NodeConfig read(byte[] content) throws ProtocolException {
         Map<String, Object> tree = new LinkedHashMap<>();
         EndpointList known = EndpointList.EMPTY;
@@ -73,84 +92,70 @@
     @SuppressWarnings("unchecked")
     private static NodeConfig of(Map<String, Object> tree, EndpointList known)
             throws ProtocolException {
-        if (!(tree.get("settings") instanceof Map<?, ?> map)) {
+        if (!(tree.get(SETTINGS) instanceof Map<?, ?> map)) {
             throw new ProtocolException("the configuration has no settings");
         }
         NodeSettings settings = NodeSettings.of((Map<String, Object>) map);
-        SettingsReader root = new SettingsReader(tree);
+        JsonObject root = new JsonObject(tree);
+        JsonObject limits = root.child(LIMITS);
         return new NodeConfig(
-                root.text("name", "node"),
-                Address.parse(root.text("listen", null)),
-                Address.parse(root.text("discovery", null)),
-                seed(root.text("seed", "0")),
-                (int) root.child("limits").number("sockets", 1024),
+                root.text(NAME, "node"),
+                Address.parse(root.text(LISTEN, null)),
+                Address.parse(root.text(DISCOVERY, null)),
+                seed(root.text(SEED, "0")),
+                (int) limits.number(SOCKETS, DEFAULT_DESCRIPTORS),
                 known,
-                settings.decisions(),
-                settings.zones(),
-                settings.kinds(),
-                settings.connectTimeout(),
-                settings.connectionIdle(),
-                settings.askWithin(),
-                tree.get("management") == null
-                        ? null
-                        : Address.parse(root.text("management", null)),
-                (int) root.child("limits").number("memory_mb", 128),
-                tree.get("control") == null
+                settings,
+                tree.get(MANAGEMENT) == null
                         ? Optional.empty()
-                        : Optional.of(ControlConfig.of(tree.get("control"))));
+                        : Optional.of(Address.parse(root.text(MANAGEMENT, null))),
+                (int) limits.number(MEMORY_MB, DEFAULT_MEMORY_MB),
+                tree.get(CONTROL) == null
+                        ? Optional.empty()
+                        : Optional.of(ControlPlaneConfig.of(tree.get(CONTROL))));
     }
 
-    /** What of it may be replaced while the node runs. */
-    public NodeSettings nodeSettings() {
-        return new NodeSettings(settings, zones, kinds, connectTimeout, connectionIdle, askWithin);
+    /** The size in bytes of the largest endpoint list that the node reads. */
+    public int maxListBytes() {
+        return (int)
+                Math.min(
+                        Integer.MAX_VALUE / 2,
+                        Math.max(1L, memoryMb / MEMORY_TO_LIST_RATIO) * BYTES_PER_MB);
     }
 
     /**
-     * The largest list of servers, in bytes, that the node reads: it follows from the memory limit.
+     * The same with an admin address, if it has none yet and one is given.
+     *
+     * @param address may be null or empty
+     * @throws ProtocolException if the address is malformed
      */
-    public int mostListBytes() {
-        return (int)
-                Math.min(Integer.MAX_VALUE / 2, Math.max(1L, memoryMb / LIST_PART) * BYTES_A_MB);
-    }
-
-    /** The same with an operators' address, if it has none yet and there is one. */
-    public NodeConfig managedAt(String address) throws ProtocolException {
-        return management != null || address == null || address.isEmpty()
+    public NodeConfig withAdmin(String address) throws ProtocolException {
+        return admin.isPresent() || address == null || address.isEmpty()
                 ? this
                 : new NodeConfig(
                         name,
                         listen,
                         discovery,
                         seed,
-                        sockets,
-                        known,
+                        maxDescriptors,
+                        knownEndpoints,
                         settings,
-                        zones,
-                        kinds,
-                        connectTimeout,
-                        connectionIdle,
-                        askWithin,
-                        Address.parse(address),
+                        Optional.of(Address.parse(address)),
                         memoryMb,
                         control);
     }
 
-    /** The same with a list that is newer. */
-    public NodeConfig knowing(EndpointList list) {
+    /** The same with other known endpoints. */
+    public NodeConfig withKnownEndpoints(EndpointList list) {
         return new NodeConfig(
                 name,
                 listen,
                 discovery,
                 seed,
-                sockets,
+                maxDescriptors,
                 list,
                 settings,
-                zones,
-                kinds,
-                connectTimeout,
-                connectionIdle,
-                askWithin,
-                management,
+                admin,
                 memoryMb,
                 control);
     }
--- a/src/main/java/ottergauge/protocol/NodeSettings.java
+++ b/src/main/java/ottergauge/protocol/NodeSettings.java
@@ -2,59 +2,68 @@
 package ottergauge.protocol;
 
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import ottergauge.decision.api.DecisionSettings;
+import ottergauge.decision.api.DiscoveryMode;
 import ottergauge.decision.api.RequestClass;
+import ottergauge.settings.SettingsFault;
 import ottergauge.settings.SettingsReader;
 
 /**
- * A deployment's settings as a node goes by them: those of its decisions, and those of its
- * connections and its list. All of them may be replaced while the node runs. Spans are
- * microseconds.
+ * A deployment's settings as a node applies them. All of them may be replaced while the node runs.
+ * Spans are microseconds.
+ *
+ * @param decisions the settings of the decision module
+ * @param zones names of the zones; a zone's number is its index
+ * @param kinds names of the machine types; a kind's number is its index
+ * @param connectTimeout how long a connection to a server may take to be established
+ * @param serverIdleTimeout how long servers keep an idle connection open
+ * @param maxPollInterval the longest time between two polls of discovery
  */
 public record NodeSettings(
         DecisionSettings decisions,
         List<String> zones,
         List<String> kinds,
         long connectTimeout,
-        long connectionIdle,
-        long askWithin) {
+        long serverIdleTimeout,
+        long maxPollInterval) {
 
-    /** The most classes that settings may name. */
-    public static final int MOST_CLASSES = 1_024;
+    /** The most request classes that settings may define. */
+    public static final int MAX_CLASSES = 1_024;
 
-    /** Reads a settings object; what is wrong with it is said in one line. */
-    public static NodeSettings of(Map<String, Object> tree) throws ProtocolException {
-        Map<String, Object> settings = new LinkedHashMap<>(tree);
-        // Discovery over sockets only answers: a node that waited to be told would never learn of a
-        // server.
-        settings.put("registryMode", "on_request");
-        String fault = SettingsReader.fault(settings);
-        if (fault != null) {
-            throw new ProtocolException("settings: " + fault);
+    /**
+     * Reads a settings object.
+     *
+     * @throws ProtocolException if a setting is invalid; the message names it and its value
+     */
+    public static NodeSettings of(Map<String, Object> settings) throws ProtocolException {
+        SettingsReader reader = new SettingsReader(settings);
+        Optional<SettingsFault> fault = reader.firstFault();
+        if (fault.isPresent()) {
+            throw new ProtocolException("settings: " + fault.get());
         }
-        DecisionSettings decisions = SettingsReader.settings(settings);
+        // Discovery over HTTP pushes nothing, whatever the settings say.
+        DecisionSettings decisions = reader.decisionSettings(DiscoveryMode.POLL);
         checkClasses(decisions.requestClasses());
-        SettingsReader ceilings = new SettingsReader(settings).child("ceilings");
         return new NodeSettings(
                 decisions,
-                SettingsReader.names(settings, "zones"),
-                SettingsReader.names(settings, "kinds"),
-                ceilings.micros("connectTimeoutMs", 1000),
-                ceilings.micros("connIdleMs", 15_000),
-                new SettingsReader(settings).child("rules").micros("mustAskInMs", 10_000));
+                reader.zoneNames(),
+                reader.kindNames(),
+                reader.connectTimeoutMicros(),
+                reader.serverIdleTimeoutMicros(),
+                reader.maxPollIntervalMicros());
     }
 
     private static void checkClasses(List<RequestClass> classes) throws ProtocolException {
         if (classes.isEmpty()) {
             throw new ProtocolException("the settings name no classes");
         }
-        if (classes.size() > MOST_CLASSES) {
+        if (classes.size() > MAX_CLASSES) {
             throw new ProtocolException(
-                    "settings: classes are 1 to " + MOST_CLASSES + ", not " + classes.size());
+                    "settings: classes are 1 to " + MAX_CLASSES + ", not " + classes.size());
         }
         Set<String> names = new HashSet<>();
         for (RequestClass type : classes) {
@@ -65,12 +74,12 @@
         }
     }
 
-    /** The same for the node of this number: settings that all nodes share can't tell it. */
-    public NodeSettings forNode(int number) {
+    /** The same for the node of this index, which settings shared by all nodes do not contain. */
+    public NodeSettings forNode(int nodeIndex) {
         DecisionSettings shared = decisions;
         return new NodeSettings(
                 new DecisionSettings(
-                        number,
+                        nodeIndex,
                         shared.nodeCount(),
                         shared.zone(),
                         shared.eventInterval(),
@@ -85,7 +94,7 @@
                 zones,
                 kinds,
                 connectTimeout,
-                connectionIdle,
-                askWithin);
+                serverIdleTimeout,
+                maxPollInterval);
     }
 }
--- a/src/main/java/ottergauge/protocol/RequestFields.java
+++ b/src/main/java/ottergauge/protocol/RequestFields.java
@@ -12,7 +12,7 @@
         String traceId,
         String requestClass,
         long expiresInMs,
-        boolean secondTry,
+        boolean retry,
         String idempotencyKey) {
 
     /** The header fields that a request has once at most. */
@@ -25,8 +25,8 @@
                     Headers.IDEMPOTENCY_KEY);
 
     // Past this a time to wait is no time to wait: an hour.
-    private static final long MOST_EXPIRY_MS = 3_600_000;
-    private static final int MOST_DIGITS = 18;
+    private static final long MAX_EXPIRY_MS = 3_600_000;
+    private static final int MAX_DIGITS = 18;
     private static final int DELETE = 0x7f;
 
     /**
@@ -67,10 +67,10 @@
         }
         String digits = text.trim();
         if (digits.isEmpty()
-                || digits.length() > MOST_DIGITS
+                || digits.length() > MAX_DIGITS
                 || !digits.chars().allMatch(c -> c >= '0' && c <= '9')) {
             throw new ProtocolException(Headers.EXPIRES_IN_MS + " is no whole number");
         }
-        return Math.min(MOST_EXPIRY_MS, Long.parseLong(digits));
+        return Math.min(MAX_EXPIRY_MS, Long.parseLong(digits));
     }
 }
--- a/src/main/java/ottergauge/resources/SettingsChecks.java
+++ b/src/main/java/ottergauge/resources/SettingsChecks.java
@@ -94,7 +94,8 @@
         checks.checkValues(path, tree);
         checks.checkTypes(path, tree, KEYS);
         checks.checkClasses(path, tree);
-        SettingsReader.firstFault(tree)
+        new SettingsReader(tree)
+                .firstFault()
                 .ifPresent(
                         fault ->
                                 faults.add(
--- a/src/main/java/ottergauge/routing/AdminRequest.java
+++ b/src/main/java/ottergauge/routing/AdminRequest.java
@@ -1,20 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
-/** What an operator asks of the node at its door. */
+/** A request on an admin connection. */
 public sealed interface AdminRequest {
 
-    /** Whether this process takes clients. */
+    /** Whether this process accepts clients. */
     record Health() implements AdminRequest {}
 
+    /** The node's metrics. */
     record Stats() implements AdminRequest {}
 
-    /** How each server stands. */
+    /** The status of each server. */
     record Servers() implements AdminRequest {}
 
-    /** Takes a server out. */
-    record Maint(String server) implements AdminRequest {}
+    /** Drains a server for maintenance. */
+    record StartMaintenance(String server) implements AdminRequest {}
 
-    /** Puts a server back. */
-    record Ready(String server) implements AdminRequest {}
+    /** Re-enables a server after maintenance. */
+    record EndMaintenance(String server) implements AdminRequest {}
 }
--- a/src/main/java/ottergauge/routing/Clients.java
+++ b/src/main/java/ottergauge/routing/Clients.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 import ottergauge.protocol.Content;
 import ottergauge.routing.Effect.CloseClient;
-import ottergauge.routing.Effect.NotTaken;
-import ottergauge.routing.Effect.PassOn;
+import ottergauge.routing.Effect.RelayResponse;
+import ottergauge.routing.Effect.ReportInvalidRequest;
 import ottergauge.routing.Effect.Respond;
 
 /** The clients' connections and what each is doing. */
@@ -161,7 +161,7 @@
         busy(number, client, Stage.ANSWERING);
         client.asked = true;
         client.closeAt = now + FLOW_PATIENCE;
-        effects.accept(new PassOn(number, connection, stopping));
+        effects.accept(new RelayResponse(number, connection, stopping));
         return true;
     }
 
@@ -218,7 +218,7 @@
             lines = 0;
         }
         if (lines++ < LINES_A_SECOND) {
-            effects.accept(new NotTaken(number, status, why, linesLeftOut));
+            effects.accept(new ReportInvalidRequest(number, status, why, linesLeftOut));
             linesLeftOut = 0;
         } else {
             linesLeftOut++;
--- a/src/main/java/ottergauge/routing/CloseReason.java
+++ b/src/main/java/ottergauge/routing/CloseReason.java
@@ -1,54 +1,51 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
-/** Why a connection ended: the code in its log line. */
+/** Why a connection ended. The names are the {@code code=} values of the connection log. */
 public enum CloseReason {
-    /** The other side closed it. */
+    /** The peer closed it. */
     PEER_CLOSED,
     /** It broke. */
     RESET,
-    /** It was refused, or could not be reached. */
+    /** It was refused, or its address is unreachable. */
     CONNECT_FAILED,
-    /** It was not up within the time that connections have. */
+    /** It was not established within the connect timeout. */
     CONNECT_TIMEOUT,
-    /** It stood idle for too long. */
+    /** It was idle for too long. */
     IDLE,
-    /** The attempt on it ran out of time. */
+    /** The attempt on it timed out. */
     TIMED_OUT,
     /** The attempt on it was cancelled. */
     CANCELLED,
     /** One side asked for no further request on it. */
     NOT_REUSABLE,
-    /** Its server drains, is gone, or has moved. */
+    /** Its server is draining, removed, or at another address. */
     DELISTED,
-    /** A call to discovery: the list comes from the log of changes from now on. */
+    /** A poll of discovery: the endpoints come from the change log from now on. */
     DISCOVERY_LEFT,
-    /** What came on it is no request or answer. */
+    /** What came on it is no valid request or response. */
     MALFORMED,
-    /** An answer on it is larger than the node takes. */
+    /** A response on it exceeds the size limit. */
     TOO_LARGE,
-    /** A request on it was begun and not finished in time. */
+    /** A request on it was started and not completed in time. */
     SLOW_REQUEST,
-    /** Its client did not take the answer in time. */
+    /** Its client did not read the response in time. */
     SLOW_ANSWER,
-    /** The server broke off an answer that was being passed on. */
+    /** The server broke off a response that was being relayed. */
     CUT_SHORT,
-    /** Its client left while the answer was being passed on. */
+    /** Its client disconnected while the response was being relayed. */
     CLIENT_GONE,
-    /** Its client connected and asked nothing. */
+    /** Its client connected and sent no request. */
     SILENT,
-    /** Discovery is at another address now. */
+    /** Discovery is at another address. */
     DISCOVERY_MOVED,
-    /** Discovery did not answer in time on it. */
+    /** Discovery did not answer a poll on it in time. */
     WATCH_SILENT,
-    /** Another control process is asked now. */
+    /** Another control process is polled instead. */
     CONTROL_MOVED,
-    /**
-     * A control process did not answer in time on it, or the call on it was given up for another
-     * process.
-     */
+    /** A control process did not answer in time, or its poll was cancelled for another process. */
     CONTROL_SILENT,
-    /** The node was short of sockets. */
+    /** The node reached its limit of sockets. */
     SOCKETS_SHORT,
     /** The node is stopping. */
     STOPPING
--- a/src/main/java/ottergauge/routing/Effect.java
+++ b/src/main/java/ottergauge/routing/Effect.java
@@ -6,79 +6,87 @@
 import ottergauge.protocol.EndpointList;
 import ottergauge.routing.Event.ClientRequest;
 
-/** Something the transport is to do. Spans are microseconds. */
+/** Something that the router asks of the transport. */
 public sealed interface Effect {
 
     /**
-     * A final answer; {@code retryAfter} of 0 is no advice, {@code last} closes the connection
-     * after it.
+     * Writes the final response to a client.
+     *
+     * @param retryAfterMicros advice when to retry; 0 for none
+     * @param closeAfter whether the connection is closed after it
      */
-    record Respond(long client, int status, long retryAfter, Content content, boolean last)
+    record Respond(
+            long client, int status, long retryAfterMicros, Content content, boolean closeAfter)
             implements Effect {}
 
-    /**
-     * Tells on-call staff why a client's message was not taken, and how many before it went untold.
-     */
-    record NotTaken(long client, int status, String why, int before) implements Effect {}
+    /** Logs why a client's request is invalid, and how many such lines were suppressed before. */
+    record ReportInvalidRequest(long client, int status, String reason, int suppressed)
+            implements Effect {}
 
-    /** Accepts connections of clients up to so many; further ones wait. */
+    /** Accepts clients up to this number of connections; further ones wait. */
     record AcceptUpTo(int connections) implements Effect {}
 
+    /** Closes a client's connection. */
     record CloseClient(long client, CloseReason reason) implements Effect {}
 
-    record Connect(long connection, Address address, long timeout) implements Effect {}
+    /** Opens a connection to a server. */
+    record ConnectUpstream(long connection, Address address, long timeoutMicros)
+            implements Effect {}
 
     /**
-     * Reads what has come by now, on all connections, and then says so: what is about to begin is
-     * begun by what is known then.
+     * Reads all input that has arrived on any connection, and confirms it with {@link
+     * Event.PendingInputRead}: whether a request is still to be sent is decided by the newest
+     * facts.
      */
-    record ReadAll(long connection) implements Effect {}
+    record ReadPendingInput(long connection) implements Effect {}
 
-    /**
-     * Writes a request to a server; {@code waits} is how long the node will wait for the answer.
-     */
-    record Forward(long connection, ClientRequest request, long waits) implements Effect {}
+    /** Writes a request to a server; the node waits for the response for the timeout. */
+    record Forward(long connection, ClientRequest request, long timeoutMicros) implements Effect {}
 
-    /** Writes the head of a request to a server, and what comes of its body as it comes. */
-    record ForwardFlow(long connection, ClientRequest request, long waits, long client)
+    /** Writes a request's head to a server, and its body as it arrives from the client. */
+    record ForwardStream(long connection, ClientRequest request, long timeoutMicros, long client)
             implements Effect {}
 
-    /** Lets an answer flow that has begun and does not tell its length. */
-    record FlowNow(long connection) implements Effect {}
+    /** Starts to stream a response of unknown length that has been buffered so far. */
+    record StreamResponse(long connection) implements Effect {}
 
-    /** Passes a server's answer on to a client as it comes. */
-    record PassOn(long client, long connection, boolean last) implements Effect {}
+    /** Relays a streamed response from a server's connection to a client. */
+    record RelayResponse(long client, long connection, boolean closeAfter) implements Effect {}
 
     /** Asks a server for its load. */
-    record AskLoad(long connection) implements Effect {}
+    record ProbeLoad(long connection) implements Effect {}
 
-    record CloseServer(long connection, CloseReason reason) implements Effect {}
+    /** Closes a connection to a server. */
+    record CloseUpstream(long connection, CloseReason reason) implements Effect {}
 
     /**
-     * Asks discovery for what is newer than a version, waiting so long for it; for the whole list
-     * if the version is negative.
+     * Polls discovery for changes after a version, or for the complete list if the version is
+     * negative; discovery may hold its answer back for the longest wait.
      */
-    record CallDiscovery(long call, Address address, long after, long waits) implements Effect {}
+    record PollDiscovery(long poll, Address address, long afterVersion, long maxWaitMicros)
+            implements Effect {}
 
-    /** Ends a call to discovery: nothing that it brings counts any more. */
-    record GiveUpCall(long call, CloseReason reason) implements Effect {}
+    /** Ends a poll of discovery; an answer to it does not count any more. */
+    record CancelPoll(long poll, CloseReason reason) implements Effect {}
 
-    record StartTimer(long delay, Timer timer) implements Effect {}
+    /** Fires {@link Event.TimerFired} after the delay. */
+    record StartTimer(long delayMicros, Timer timer) implements Effect {}
 
-    /** The answer to an operator's call; the connection ends with it. */
-    record TellOperator(long caller, int status, String text) implements Effect {}
+    /** Answers an admin request; its connection ends with the answer. */
+    record RespondToAdmin(long connection, int status, String text) implements Effect {}
 
-    /** Keeps for the node's next process, and one beside this, that a server is held out. */
-    record KeepHeld(String server, long since) implements Effect {}
+    /** Stores for the node's other processes that a server is in maintenance, and since when. */
+    record StoreMaintenance(String server, long sinceMicros) implements Effect {}
 
-    record DropHeld(String server) implements Effect {}
+    /** Removes a server's stored maintenance. */
+    record ClearMaintenance(String server) implements Effect {}
 
-    /** Keeps the list of servers for the node's next process. */
-    record KeepList(EndpointList list) implements Effect {}
+    /** Caches the list of endpoints for the node's next process. */
+    record CacheEndpoints(EndpointList list) implements Effect {}
 
-    /** Takes what has connected by now and nothing more: another process of this node does. */
+    /** Accepts what has connected by now and nothing more: another process of the node does. */
     record StopAccepting() implements Effect {}
 
-    /** All is answered: the program may end. */
+    /** All requests are answered: the process may end. */
     record Exit() implements Effect {}
 }
--- a/src/main/java/ottergauge/routing/Event.java
+++ b/src/main/java/ottergauge/routing/Event.java
@@ -12,112 +12,137 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * Something that happened at the node's edge. Connections are known by the numbers given to them.
+ * Something that happened at the node's edge: input of {@link Router#handle}. Connections, polls
+ * and admin connections are known by the numbers that the router or the transport gave them.
  */
 public sealed interface Event {
 
-    /** A request as it came; method, path and content go on unchanged. */
+    /** A client's request; method, URI and content are forwarded unchanged. */
     record ClientRequest(RequestFields fields, String method, String uri, Content content) {}
 
     /**
-     * A server's whole answer; {@code reusable} says that its connection may carry another request.
+     * A server's response.
+     *
+     * @param neverRan whether the server says that it did not run the request
+     * @param reusable whether the connection may carry another request
      */
-    record ServerAnswer(
+    record ServerResponse(
             int status, boolean neverRan, LoadReport report, Content content, boolean reusable) {}
 
+    /** A client has connected. */
     record ClientConnected(long client) implements Event {}
 
-    /** The head of a request has come. */
-    record RequestBegan(long client) implements Event {}
+    /** The first bytes of a request's head have arrived. */
+    record RequestHeadStarted(long client) implements Event {}
 
-    /** The last byte of a request has come, at the most so long ago. */
-    record RequestRead(long client, ClientRequest request, long waited) implements Event {}
+    /** The head of a request has arrived. */
+    record RequestHeadReceived(long client) implements Event {}
 
-    /** The first bytes of a head have come. */
-    record HeadBegan(long client) implements Event {}
+    /**
+     * A request has arrived completely.
+     *
+     * @param ageMicros an upper bound of the time since its last byte arrived
+     */
+    record RequestReceived(long client, ClientRequest request, long ageMicros) implements Event {}
 
-    /** So many bytes of a body have moved, from the client or to it, since this was told last. */
-    record BodyMoved(long client, long bytes) implements Event {}
+    /** Bytes of a body have been read from a client or written to it since the last such event. */
+    record BodyProgress(long client, long bytes) implements Event {}
 
-    /** A request too large to be kept; its content is what came first, and the rest flows. */
-    record RequestFlows(long client, ClientRequest request) implements Event {}
+    /** A request is too large to be buffered: its content is the first part, the rest streams. */
+    record StreamedRequestStarted(long client, ClientRequest request) implements Event {}
 
-    /** The last byte of a request that flows has come. */
-    record RequestEnded(long client) implements Event {}
+    /** The last byte of a streamed request has arrived. */
+    record StreamedRequestCompleted(long client) implements Event {}
 
-    /** What came is no request that the node takes; the status says why. */
-    record RequestUnreadable(long client, int status, String why) implements Event {}
+    /** A client sent something that is no acceptable request; it is answered with the status. */
+    record InvalidRequest(long client, int status, String reason) implements Event {}
 
-    /** A client asked how the node is: whether it takes new clients, or only whether it lives. */
-    record HealthAsked(long client, boolean readiness) implements Event {}
+    /** A client asked for the node's health: its readiness, or only its liveness. */
+    record HealthRequested(long client, boolean readiness) implements Event {}
 
-    /** The last byte of the answer is written, or writing it failed. */
-    record AnswerWritten(long client) implements Event {}
+    /** The last byte of a response to a client is written, or writing it failed. */
+    record ResponseWritten(long client) implements Event {}
 
+    /** A client's connection has ended. */
     record ClientClosed(long client) implements Event {}
 
-    record ServerConnected(long connection) implements Event {}
+    /** A connection to a server is established. */
+    record UpstreamConnected(long connection) implements Event {}
 
-    record ConnectFailed(long connection) implements Event {}
+    /** A connection to a server could not be established. */
+    record UpstreamConnectFailed(long connection) implements Event {}
 
-    /** What had come when this connection was about to carry something has been read. */
-    record AllRead(long connection) implements Event {}
+    /** The answer to {@link Effect.ReadPendingInput}: all input that had arrived is read. */
+    record PendingInputRead(long connection) implements Event {}
 
-    /** The last byte of the connection's request is written. */
+    /** The last byte of the request on a connection to a server is written. */
     record RequestWritten(long connection) implements Event {}
 
-    record AnswerRead(long connection, ServerAnswer answer) implements Event {}
+    /** A response has arrived completely. */
+    record ResponseReceived(long connection, ServerResponse response) implements Event {}
 
-    /** The head of an answer has come that does not tell its length. */
-    record AnswerOpen(long connection) implements Event {}
+    /** The head of a response of unknown length has arrived. */
+    record UnsizedResponseStarted(long connection) implements Event {}
 
-    /** An answer too large to be kept, and how long ago its head came; the rest is not read yet. */
-    record AnswerFlows(long connection, ServerAnswer answer, long sinceHead) implements Event {}
+    /** A response is too large to be buffered: its head came so long ago, its rest is not read. */
+    record StreamedResponseStarted(long connection, ServerResponse response, long sinceHeadMicros)
+            implements Event {}
 
-    /** The last byte of an answer that flows is passed on to the client's connection. */
-    record AnswerEnded(long connection, boolean reusable) implements Event {}
+    /** The last byte of a streamed response is handed to the client's connection. */
+    record StreamedResponseCompleted(long connection, boolean reusable) implements Event {}
 
-    /** A connection has ended; {@code spoilt} because what came on it was no answer. */
-    record ServerClosed(long connection, boolean spoilt) implements Event {}
+    /**
+     * A connection to a server has ended.
+     *
+     * @param malformed whether what the server sent was no HTTP response
+     */
+    record UpstreamClosed(long connection, boolean malformed) implements Event {}
 
-    record ListRead(long call, EndpointList list) implements Event {}
+    /** Discovery has answered a poll. */
+    record EndpointListReceived(long poll, EndpointList list) implements Event {}
 
-    record ListCallFailed(long call) implements Event {}
+    /** A poll of discovery ended without an answer. */
+    record DiscoveryPollFailed(long poll) implements Event {}
 
-    /**
-     * A call was answered by a list that is too large, or no list: the one before stays in force.
-     */
-    record ListNotTaken(long call) implements Event {}
+    /** Discovery's answer is too large or malformed: the list before it stays effective. */
+    record EndpointListRejected(long poll) implements Event {}
 
     /**
-     * What all nodes share has reached this version: a change of the list, or a whole one, and
-     * other settings, if they have changed. It comes in force at one instant.
+     * A version of the state that all nodes share: a change of the endpoints or a complete list,
+     * and settings if they have changed. All of it takes effect at one instant.
      */
-    record StateChanged(EndpointList servers, Optional<NodeSettings> settings, LogPosition version)
+    record StateChanged(
+            EndpointList endpoints, Optional<NodeSettings> settings, LogPosition version)
             implements Event {}
 
-    /** The node has been given a new configuration. */
+    /** The configuration file was read again. */
     record Reconfigured(NodeConfig config) implements Event {}
 
-    /** The node takes clients from now on. */
-    record Serving() implements Event {}
+    /** The node accepts clients from now on. */
+    record ServingStarted() implements Event {}
 
-    /** An operator's call at the door. */
-    record OperatorAsked(long caller, AdminRequest call) implements Event {}
+    /** A request on an admin connection. */
+    record AdminRequestReceived(long connection, AdminRequest request) implements Event {}
 
-    /** The servers held out by this node, by name and since when, as its processes keep them. */
-    record HeldRead(Map<String, Long> since) implements Event {}
+    /**
+     * The servers in maintenance, as the node's processes have stored them: by name, since when in
+     * microseconds.
+     */
+    record MaintenanceLoaded(Map<String, Long> sinceByServer) implements Event {}
 
+    /** A timer of {@link Effect.StartTimer} has expired. */
     record TimerFired(Timer timer) implements Event {}
 
     /**
-     * Whether another process of this node lives beside this one, and how many connections it has
-     * open.
+     * Whether another process of this node runs beside this one during a hot restart, and how many
+     * connections it has open.
      */
-    record CompanySeen(boolean accompanied, int connections) implements Event {}
+    record HotRestartPeerSeen(boolean present, int connections) implements Event {}
 
     /**
-     * The node has been told to stop; {@code succeeded}: another process of it takes its clients.
+     * The node was told to stop.
+     *
+     * @param handover whether another process of the node accepts its clients from now on
      */
-    record StopAsked(boolean succeeded) implements Event {}
+    record ShutdownRequested(boolean handover) implements Event {}
 }
--- a/src/main/java/ottergauge/routing/ListInForce.java
+++ b/src/main/java/ottergauge/routing/ListInForce.java
@@ -11,7 +11,7 @@
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.NodeSettings;
-import ottergauge.routing.Effect.KeepList;
+import ottergauge.routing.Effect.CacheEndpoints;
 
 /**
  * The list of servers in force: discovery, the log of changes and operators tell what changes of
@@ -45,10 +45,10 @@
         this.withdraw = withdraw;
         this.effects = effects;
         // Only a node with a door has processes that follow each other.
-        keeps = config.management() != null;
+        keeps = config.admin().isPresent();
         watch = new Watch(config, effects);
-        roster = new Roster(config.settings().rules().slowStartDuration());
-        lists = new ServerLists(config.nodeSettings());
+        roster = new Roster(config.settings().decisions().rules().slowStartDuration());
+        lists = new ServerLists(config.settings());
     }
 
     Watch watch() {
@@ -106,7 +106,7 @@
         EndpointList list = roster.follow(now, told);
         List<Job> withdrawn = upstreams.follow(list);
         EndpointUpdate change =
-                lists.list(list, list.whole() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
+                lists.list(list, list.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
         if (settings.isPresent()) {
             learn.accept(
                     new SettingsChanged(
@@ -115,7 +115,7 @@
             learn.accept(change);
         }
         withdrawn.forEach(withdraw);
-        if (list.whole() || !list.endpoints().isEmpty()) {
+        if (list.complete() || !list.endpoints().isEmpty()) {
             keep();
         }
     }
@@ -123,7 +123,7 @@
     // Under other numbers of zones or kinds all servers are told anew.
     private EndpointUpdate renumber(NodeSettings settings, EndpointUpdate change) {
         roster.coldFor(settings.decisions().rules().slowStartDuration());
-        watch.askWithin(settings.askWithin());
+        watch.askWithin(settings.maxPollInterval());
         if (lists.numberLike(settings)) {
             return change;
         }
@@ -133,7 +133,7 @@
 
     private void keep() {
         if (keeps) {
-            effects.accept(new KeepList(roster.whole()));
+            effects.accept(new CacheEndpoints(roster.whole()));
         }
     }
 }
--- a/src/main/java/ottergauge/routing/Operators.java
+++ b/src/main/java/ottergauge/routing/Operators.java
@@ -7,9 +7,9 @@
 import java.util.function.Function;
 import ottergauge.decision.api.EndpointStatus;
 import ottergauge.protocol.EndpointList;
-import ottergauge.routing.Effect.DropHeld;
-import ottergauge.routing.Effect.KeepHeld;
-import ottergauge.routing.Effect.TellOperator;
+import ottergauge.routing.Effect.ClearMaintenance;
+import ottergauge.routing.Effect.RespondToAdmin;
+import ottergauge.routing.Effect.StoreMaintenance;
 
 /** What operators ask and change: figures, how servers stand, and which of them are held out. */
 final class Operators {
@@ -56,9 +56,9 @@
             tell(caller, OK, figures.text(roster.names().size(), unavailable));
         } else if (call instanceof AdminRequest.Servers) {
             tell(caller, OK, servers());
-        } else if (call instanceof AdminRequest.Maint maint) {
+        } else if (call instanceof AdminRequest.StartMaintenance maint) {
             takeOut(now, caller, maint.server());
-        } else if (call instanceof AdminRequest.Ready ready) {
+        } else if (call instanceof AdminRequest.EndMaintenance ready) {
             putBack(now, caller, ready.server());
         }
     }
@@ -92,7 +92,7 @@
         }
         changed.accept(roster.hold(server, now));
         if (roster.holds(server)) {
-            effects.accept(new KeepHeld(server, roster.heldSince(server)));
+            effects.accept(new StoreMaintenance(server, roster.heldSince(server)));
             tell(caller, OK, "held\n");
         } else {
             tell(caller, CONFLICT, "too many servers are held out\n");
@@ -104,7 +104,7 @@
             tell(caller, NOT_FOUND, "unknown server\n");
             return;
         }
-        effects.accept(new DropHeld(server));
+        effects.accept(new ClearMaintenance(server));
         changed.accept(roster.release(now, server));
         tell(caller, OK, "back\n");
     }
@@ -117,6 +117,6 @@
     }
 
     private void tell(long caller, int status, String text) {
-        effects.accept(new TellOperator(caller, status, text));
+        effects.accept(new RespondToAdmin(caller, status, text));
     }
 }
--- a/src/main/java/ottergauge/routing/Roster.java
+++ b/src/main/java/ottergauge/routing/Roster.java
@@ -52,7 +52,7 @@
     EndpointList follow(long now, EndpointList told) {
         back.values().removeIf(each -> now - each.backAt >= coldFor);
         seq = told.version();
-        if (told.whole()) {
+        if (told.complete()) {
             listed.clear();
         }
         List<DiscoveredEndpoint> counts = new ArrayList<>();
@@ -64,7 +64,7 @@
             }
             counts.add(overlaid(host));
         }
-        return new EndpointList(told.version(), told.whole(), counts);
+        return new EndpointList(told.version(), told.complete(), counts);
     }
 
     private DiscoveredEndpoint overlaid(DiscoveredEndpoint host) {
--- a/src/main/java/ottergauge/routing/Router.java
+++ b/src/main/java/ottergauge/routing/Router.java
@@ -32,22 +32,22 @@
 import ottergauge.decision.api.LoadReport;
 import ottergauge.decision.api.RequestClass;
 import ottergauge.decision.api.RequestLimits;
+import ottergauge.protocol.AttemptResults;
 import ottergauge.protocol.Content;
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.NodeSettings;
-import ottergauge.protocol.Outcomes;
 import ottergauge.protocol.RequestFields;
 import ottergauge.resources.LogPosition;
 import ottergauge.routing.Effect.AcceptUpTo;
 import ottergauge.routing.Effect.Exit;
-import ottergauge.routing.Effect.FlowNow;
 import ottergauge.routing.Effect.StartTimer;
 import ottergauge.routing.Effect.StopAccepting;
-import ottergauge.routing.Event.AnswerRead;
+import ottergauge.routing.Effect.StreamResponse;
 import ottergauge.routing.Event.ClientRequest;
-import ottergauge.routing.Event.RequestRead;
-import ottergauge.routing.Event.ServerAnswer;
+import ottergauge.routing.Event.RequestReceived;
+import ottergauge.routing.Event.ResponseReceived;
+import ottergauge.routing.Event.ServerResponse;
 
 /**
  * The node's one reducer: it owns all state, takes an event and asks for effects. It carries out
@@ -130,13 +130,16 @@
     public Router(NodeConfig config, Consumer<Effect> effects) {
         this.config = config;
         this.effects = effects;
-        decide = new DecisionEngine(config.settings(), config.seed());
-        settings = config.nodeSettings();
-        classes = new RequestClasses(config.settings().requestClasses());
+        decide = new DecisionEngine(config.settings().decisions(), config.seed());
+        settings = config.settings();
+        classes = new RequestClasses(config.settings().decisions().requestClasses());
         clients = new Clients(effects);
         upstreams =
                 new Upstreams(
-                        config.connectTimeout(), config.connectionIdle(), effects, this::carried);
+                        config.settings().connectTimeout(),
+                        config.settings().serverIdleTimeout(),
+                        effects,
+                        this::carried);
         list =
                 new ListInForce(
                         config,
@@ -144,7 +147,7 @@
                         learnt::add,
                         job -> ended(job, AttemptResult.NOT_SENT),
                         effects);
-        figures = new Figures(config.settings().requestClasses());
+        figures = new Figures(config.settings().decisions().requestClasses());
         operators =
                 new Operators(
                         figures,
@@ -157,42 +160,42 @@
     /** Begins with the list that the node had last. */
     public void start(long at) {
         now = at;
-        list.start(now, config.known());
+        list.start(now, config.knownEndpoints());
         effects.accept(new StartTimer(SWEEP_EVERY, new Timer.Sweep()));
-        limitSockets(config.sockets());
+        limitSockets(config.maxDescriptors());
         decideAll();
     }
 
     /** Takes one event. */
     public void handle(long at, Event event) {
         now = at;
-        if (event instanceof RequestRead e) {
-            requestRead(e.client(), e.request(), e.waited(), false);
-        } else if (event instanceof AnswerRead e) {
+        if (event instanceof RequestReceived e) {
+            requestRead(e.client(), e.request(), e.ageMicros(), false);
+        } else if (event instanceof ResponseReceived e) {
             upstreams
-                    .answered(now, e.connection(), e.answer().reusable())
-                    .ifPresent(job -> ended(job, e.answer()));
-        } else if (event instanceof Event.RequestBegan e) {
+                    .answered(now, e.connection(), e.response().reusable())
+                    .ifPresent(job -> ended(job, e.response()));
+        } else if (event instanceof Event.RequestHeadReceived e) {
             clients.began(now, e.client());
-        } else if (event instanceof Event.HeadBegan e) {
+        } else if (event instanceof Event.RequestHeadStarted e) {
             clients.headBegan(now, e.client());
-        } else if (event instanceof Event.BodyMoved e) {
+        } else if (event instanceof Event.BodyProgress e) {
             clients.moved(now, e.client(), e.bytes());
-        } else if (event instanceof Event.RequestFlows e) {
+        } else if (event instanceof Event.StreamedRequestStarted e) {
             requestRead(e.client(), e.request(), 0, true);
-        } else if (event instanceof Event.RequestEnded e) {
+        } else if (event instanceof Event.StreamedRequestCompleted e) {
             requestEnded(e.client());
-        } else if (event instanceof Event.AnswerFlows e) {
-            answerFlows(e.connection(), e.answer(), e.sinceHead());
-        } else if (event instanceof Event.AnswerOpen e) {
+        } else if (event instanceof Event.StreamedResponseStarted e) {
+            answerFlows(e.connection(), e.response(), e.sinceHeadMicros());
+        } else if (event instanceof Event.UnsizedResponseStarted e) {
             upstreams.carriedBy(e.connection()).ifPresent(this::answerOpen);
-        } else if (event instanceof Event.AnswerEnded e) {
+        } else if (event instanceof Event.StreamedResponseCompleted e) {
             answerEnded(e.connection(), e.reusable());
-        } else if (event instanceof Event.AllRead e) {
+        } else if (event instanceof Event.PendingInputRead e) {
             upstreams.aboutToBegin(e.connection()).ifPresent(this::begin);
         } else if (event instanceof Event.RequestWritten e) {
             upstreams.written(e.connection()).ifPresent(this::written);
-        } else if (event instanceof Event.AnswerWritten e) {
+        } else if (event instanceof Event.ResponseWritten e) {
             clients.answerWritten(now, e.client());
         } else if (event instanceof Event.TimerFired e) {
             timerFired(e.timer());
@@ -204,25 +207,25 @@
             if (exchange != null) {
                 clientGone(exchange);
             }
-        } else if (event instanceof Event.ServerConnected e) {
+        } else if (event instanceof Event.UpstreamConnected e) {
             upstreams.connected(now, e.connection());
-        } else if (event instanceof Event.ConnectFailed e) {
+        } else if (event instanceof Event.UpstreamConnectFailed e) {
             upstreams
                     .connectFailed(now, e.connection())
                     .ifPresent(job -> ended(job, AttemptResult.CONNECT_FAILED));
-        } else if (event instanceof Event.ServerClosed e) {
-            upstreams.closed(e.connection()).ifPresent(job -> serverClosed(job, e.spoilt()));
-        } else if (event instanceof Event.ListRead e) {
-            list.read(now, e.call(), e.list());
-        } else if (event instanceof Event.ListCallFailed e) {
-            list.watch().failed(now, e.call());
-        } else if (event instanceof Event.ListNotTaken e) {
-            list.watch().notTaken(now, e.call());
+        } else if (event instanceof Event.UpstreamClosed e) {
+            upstreams.closed(e.connection()).ifPresent(job -> serverClosed(job, e.malformed()));
+        } else if (event instanceof Event.EndpointListReceived e) {
+            list.read(now, e.poll(), e.list());
+        } else if (event instanceof Event.DiscoveryPollFailed e) {
+            list.watch().failed(now, e.poll());
+        } else if (event instanceof Event.EndpointListRejected e) {
+            list.watch().notTaken(now, e.poll());
         } else if (event instanceof Event.Reconfigured e) {
             reconfigure(e.config());
         } else if (event instanceof Event.StateChanged e) {
             changeState(e);
-        } else if (event instanceof Event.HealthAsked e) {
+        } else if (event instanceof Event.HealthRequested e) {
             boolean ready = serving && !stopping;
             clients.respond(
                     now,
@@ -231,20 +234,20 @@
                     0,
                     Content.NONE,
                     false);
-        } else if (event instanceof Event.RequestUnreadable e) {
+        } else if (event instanceof Event.InvalidRequest e) {
             unreadable(e);
-        } else if (event instanceof Event.OperatorAsked e) {
-            operators.asked(now, serving && !stopping, e.caller(), e.call());
-        } else if (event instanceof Event.Serving) {
+        } else if (event instanceof Event.AdminRequestReceived e) {
+            operators.asked(now, serving && !stopping, e.connection(), e.request());
+        } else if (event instanceof Event.ServingStarted) {
             serving = true;
-        } else if (event instanceof Event.HeldRead e) {
-            operators.heldRead(now, e.since());
-        } else if (event instanceof Event.CompanySeen e) {
-            accompanied = e.accompanied();
+        } else if (event instanceof Event.MaintenanceLoaded e) {
+            operators.heldRead(now, e.sinceByServer());
+        } else if (event instanceof Event.HotRestartPeerSeen e) {
+            accompanied = e.present();
             othersConnections = e.connections();
             limitSockets(descriptors);
-        } else if (event instanceof Event.StopAsked e) {
-            stop(e.succeeded());
+        } else if (event instanceof Event.ShutdownRequested e) {
+            stop(e.handover());
         }
         decideAll();
         exitIfDone();
@@ -304,17 +307,13 @@
         }
         learnt.add(
                 new RequestArrived(
-                        exchange.id,
-                        numbered.number(),
-                        giveUpAt,
-                        fields.secondTry(),
-                        key(request)));
+                        exchange.id, numbered.number(), giveUpAt, fields.retry(), key(request)));
     }
 
-    private void unreadable(Event.RequestUnreadable e) {
+    private void unreadable(Event.InvalidRequest e) {
         Exchange exchange = clients.withdraw(e.client());
         if (exchange == null) {
-            clients.reject(now, e.client(), e.status(), e.why());
+            clients.reject(now, e.client(), e.status(), e.reason());
             return;
         }
         // More came behind a request that is open: which answer is whose is not known any more.
@@ -328,7 +327,7 @@
         }
         learnt.add(new ClientDisconnected(exchange.id));
         over(exchange);
-        clients.reject(now, e.client(), e.status(), e.why());
+        clients.reject(now, e.client(), e.status(), e.reason());
     }
 
     private void requestEnded(long client) {
@@ -383,7 +382,7 @@
     // Its first bytes are what is timed: for the decisions the attempt ends here, and how fast the
     // client
     // reads is not told of the server. From now on no deadline cuts it.
-    private void answerFlows(long connection, ServerAnswer answer, long sinceHead) {
+    private void answerFlows(long connection, ServerResponse answer, long sinceHead) {
         Job job = upstreams.carriedBy(connection).orElse(null);
         if (job == null) {
             return;
@@ -393,7 +392,7 @@
         AttemptResult result =
                 exchange == null || !exchange.whole
                         ? AttemptResult.ERROR
-                        : Outcomes.of(answer.status(), answer.neverRan());
+                        : AttemptResults.ofResponse(answer.status(), answer.neverRan());
         if (result == AttemptResult.SERVED
                 && !exchange.over
                 && flowing.size() < mostFlows()
@@ -416,14 +415,15 @@
         if (!job.isProbe()) {
             effects.accept(
                     new StartTimer(
-                            Math.max(1, (job.dueAt - now) / 2), new Timer.FlowDue(job.number)));
+                            Math.max(1, (job.dueAt - now) / 2),
+                            new Timer.ResponseBufferTimeout(job.number)));
         }
     }
 
     private void flowDue(long number) {
         Job job = jobs.get(number);
         if (job != null && job.connection != null && !job.exchange.over) {
-            effects.accept(new FlowNow(job.connection.number));
+            effects.accept(new StreamResponse(job.connection.number));
         }
     }
 
@@ -563,7 +563,7 @@
 
     private void start(Job job) {
         jobs.put(job.number, job);
-        effects.accept(new StartTimer(job.dueAt - now, new Timer.JobDue(job.number)));
+        effects.accept(new StartTimer(job.dueAt - now, new Timer.AttemptTimeout(job.number)));
         upstreams.start(now, job);
     }
 
@@ -621,7 +621,7 @@
             long limit = job.dueAt - job.startedAt;
             job.startedAt = now;
             job.dueAt = Math.max(now + 1, Math.min(now + limit, job.exchange.giveUpAt));
-            effects.accept(new StartTimer(job.dueAt - now, new Timer.JobDue(job.number)));
+            effects.accept(new StartTimer(job.dueAt - now, new Timer.AttemptTimeout(job.number)));
             learnt.add(new RequestBodySent(job.exchange.id, job.attempt));
         }
     }
@@ -643,8 +643,8 @@
         ended(job, result, LoadReport.NONE);
     }
 
-    private void ended(Job job, ServerAnswer answer) {
-        AttemptResult result = Outcomes.of(answer.status(), answer.neverRan());
+    private void ended(Job job, ServerResponse answer) {
+        AttemptResult result = AttemptResults.ofResponse(answer.status(), answer.neverRan());
         if (!job.isProbe() && result == AttemptResult.SERVED) {
             answer(job.exchange.id, OK, 0, answer.content());
         }
@@ -678,7 +678,7 @@
     // Two processes of a node have its descriptors together.
     private void limitSockets(int most) {
         descriptors = most;
-        int free = most - RESERVE - (config.management() == null ? 0 : DOOR_RESERVE);
+        int free = most - RESERVE - (config.admin().isEmpty() ? 0 : DOOR_RESERVE);
         // What the other one does not use, less what it may take before it is looked at again.
         int beside = Math.max(free / 2, (int) (free * (1 - GROWTH_PART)) - othersConnections);
         sockets = Math.max(1, accompanied ? beside : free);
@@ -722,10 +722,10 @@
 
     // Once the settings come from the log of changes, those of the file do not count any more.
     private void reconfigure(NodeConfig next) {
-        limitSockets(next.sockets());
+        limitSockets(next.maxDescriptors());
         list.watch().move(now, next.discovery());
-        if (version.isEmpty() && !next.nodeSettings().equals(settings)) {
-            list.takeOver(now, takeOver(next.nodeSettings()));
+        if (version.isEmpty() && !next.settings().equals(settings)) {
+            list.takeOver(now, takeOver(next.settings()));
         }
     }
 
@@ -734,9 +734,11 @@
         figures.reached(change.version());
         list.watch().end();
         // Settings that all nodes share do not tell which of them this one is.
-        int node = config.settings().nodeIndex();
+        int node = config.settings().decisions().nodeIndex();
         list.takeOver(
-                now, change.servers(), change.settings().map(next -> takeOver(next.forNode(node))));
+                now,
+                change.endpoints(),
+                change.settings().map(next -> takeOver(next.forNode(node))));
     }
 
     // From here on: what was taken before has its class, its time and its limits with it.
@@ -744,7 +746,7 @@
         settings = next;
         classes = new RequestClasses(next.decisions().requestClasses());
         figures.takeOver(next.decisions().requestClasses());
-        upstreams.limit(next.connectTimeout(), next.connectionIdle());
+        upstreams.limit(next.connectTimeout(), next.serverIdleTimeout());
         return next;
     }
 
@@ -764,19 +766,19 @@
     // ---------------------------------------------------------------------------
 
     private void timerFired(Timer timer) {
-        if (timer instanceof Timer.Wake wake) {
+        if (timer instanceof Timer.Decision wake) {
             learnt.add(new TimerFired(wake.token()));
-        } else if (timer instanceof Timer.JobDue due) {
-            due(due.job());
-        } else if (timer instanceof Timer.ConnectDue due) {
+        } else if (timer instanceof Timer.AttemptTimeout due) {
+            due(due.attempt());
+        } else if (timer instanceof Timer.ConnectTimeout due) {
             upstreams.connectDue(now, due.connection()).ifPresent(this::connectionLate);
-        } else if (timer instanceof Timer.FlowDue due) {
-            flowDue(due.job());
-        } else if (timer instanceof Timer.CallDue due) {
-            list.watch().due(now, due.call());
-        } else if (timer instanceof Timer.NextCall next) {
-            list.watch().resume(now, next.after());
-        } else if (timer instanceof Timer.FrontQuiet) {
+        } else if (timer instanceof Timer.ResponseBufferTimeout due) {
+            flowDue(due.attempt());
+        } else if (timer instanceof Timer.PollTimeout due) {
+            list.watch().due(now, due.poll());
+        } else if (timer instanceof Timer.NextPoll next) {
+            list.watch().resume(now, next.afterPoll());
+        } else if (timer instanceof Timer.QuietPeriodOver) {
             frontQuiet = true;
             clients.closeIdle(CloseReason.STOPPING);
         } else {
@@ -805,9 +807,9 @@
                 effects.accept(
                         new StartTimer(
                                 longest + ANSWERED_AFTER - Math.min(LAST_REQUEST, longest),
-                                new Timer.FrontQuiet()));
+                                new Timer.QuietPeriodOver()));
             } else {
-                effects.accept(new StartTimer(FRONT_QUIET, new Timer.FrontQuiet()));
+                effects.accept(new StartTimer(FRONT_QUIET, new Timer.QuietPeriodOver()));
             }
         }
     }
@@ -837,7 +839,7 @@
         } else if (action instanceof SendProbe a) {
             probe(a);
         } else if (action instanceof SetTimer a) {
-            effects.accept(new StartTimer(a.delay(), new Timer.Wake(a.token())));
+            effects.accept(new StartTimer(a.delay(), new Timer.Decision(a.token())));
         } else if (action instanceof CancelAttempt a) {
             cancel(a);
         } else if (action instanceof RejectRequest a) {
--- a/src/main/java/ottergauge/routing/Timer.java
+++ b/src/main/java/ottergauge/routing/Timer.java
@@ -1,30 +1,33 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
-/** What a timer is for. Timers are never cancelled: one that is no longer wanted is passed over. */
+/**
+ * What a timer is for. Timers are never cancelled; one that is no longer wanted is ignored when it
+ * fires.
+ */
 public sealed interface Timer {
 
-    /** The decision module's own. */
-    record Wake(String token) implements Timer {}
+    /** A timer of the decision module. */
+    record Decision(String token) implements Timer {}
 
-    /** An attempt's or probe's time is over. */
-    record JobDue(long job) implements Timer {}
+    /** The time of an attempt or a health check is over. */
+    record AttemptTimeout(long attempt) implements Timer {}
 
-    /** Jobs do not wait for this connection any longer. */
-    record ConnectDue(long connection) implements Timer {}
+    /** Attempts stop waiting for this connection to be established. */
+    record ConnectTimeout(long connection) implements Timer {}
 
-    /** An answer that does not tell its length has had its time to come whole. */
-    record FlowDue(long job) implements Timer {}
+    /** A response of unknown length is buffered no longer. */
+    record ResponseBufferTimeout(long attempt) implements Timer {}
 
-    /** Time to look for connections that have been idle, or half a request, for too long. */
+    /** Time to look for connections that are idle, or in the middle of a request, for too long. */
     record Sweep() implements Timer {}
 
-    /** The answer to a call to discovery has to be there by now. */
-    record CallDue(long call) implements Timer {}
+    /** The answer to a poll of discovery is due. */
+    record PollTimeout(long poll) implements Timer {}
 
-    /** Time for the next call to discovery, if none was made since the one of this number. */
-    record NextCall(long after) implements Timer {}
+    /** Time for the next poll of discovery, unless one was sent after the poll of this number. */
+    record NextPoll(long afterPoll) implements Timer {}
 
-    /** No new connections come any more after the node was told to stop. */
-    record FrontQuiet() implements Timer {}
+    /** New clients are no longer expected after the node was told to stop. */
+    record QuietPeriodOver() implements Timer {}
 }
--- a/src/main/java/ottergauge/routing/Upstreams.java
+++ b/src/main/java/ottergauge/routing/Upstreams.java
@@ -14,12 +14,12 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.EndpointList;
-import ottergauge.routing.Effect.AskLoad;
-import ottergauge.routing.Effect.CloseServer;
-import ottergauge.routing.Effect.Connect;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
 import ottergauge.routing.Effect.Forward;
-import ottergauge.routing.Effect.ForwardFlow;
-import ottergauge.routing.Effect.ReadAll;
+import ottergauge.routing.Effect.ForwardStream;
+import ottergauge.routing.Effect.ProbeLoad;
+import ottergauge.routing.Effect.ReadPendingInput;
 import ottergauge.routing.Effect.StartTimer;
 
 /**
@@ -101,7 +101,7 @@
                 update(server, host, withdrawn);
             }
         }
-        if (list.whole()) {
+        if (list.complete()) {
             new ArrayList<>(byServer.keySet())
                     .stream()
                             .filter(server -> !named.contains(server))
@@ -162,19 +162,19 @@
             upstream.connecting++;
             boolean keeps = upstream.connecting + upstream.late <= MOST_LATE;
             effects.accept(
-                    new Connect(
+                    new ConnectUpstream(
                             connection.number,
                             upstream.dial,
                             keeps ? Math.max(UP_WITHIN, connectTimeout) : patience.limit()));
             effects.accept(
-                    new StartTimer(patience.limit(), new Timer.ConnectDue(connection.number)));
+                    new StartTimer(patience.limit(), new Timer.ConnectTimeout(connection.number)));
         }
     }
 
     private void assign(ServerConnection connection, Job job) {
         connection.job = job;
         job.connection = connection;
-        effects.accept(new ReadAll(connection.number));
+        effects.accept(new ReadPendingInput(connection.number));
     }
 
     /** The job that this connection is about to carry, if it is still so. */
@@ -195,10 +195,10 @@
         job.begun = true;
         long number = job.connection.number;
         if (job.isProbe()) {
-            effects.accept(new AskLoad(number));
+            effects.accept(new ProbeLoad(number));
         } else if (job.exchange.flows) {
             effects.accept(
-                    new ForwardFlow(
+                    new ForwardStream(
                             number, job.exchange.request, job.dueAt - now, job.exchange.client));
         } else {
             effects.accept(new Forward(number, job.exchange.request, job.dueAt - now));
@@ -358,6 +358,6 @@
     private void close(ServerConnection connection, CloseReason reason) {
         connections.remove(connection.number);
         forgetIdle(connection);
-        effects.accept(new CloseServer(connection.number, reason));
+        effects.accept(new CloseUpstream(connection.number, reason));
     }
 }
--- a/src/main/java/ottergauge/routing/Watch.java
+++ b/src/main/java/ottergauge/routing/Watch.java
@@ -8,8 +8,8 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.NodeConfig;
-import ottergauge.routing.Effect.CallDiscovery;
-import ottergauge.routing.Effect.GiveUpCall;
+import ottergauge.routing.Effect.CancelPoll;
+import ottergauge.routing.Effect.PollDiscovery;
 import ottergauge.routing.Effect.StartTimer;
 
 /**
@@ -71,9 +71,9 @@
     Watch(NodeConfig config, Consumer<Effect> effects) {
         this.effects = effects;
         random = new SplittableRandom(~config.seed());
-        deadline = ListDeadline.of(config.askWithin());
+        deadline = ListDeadline.of(config.settings().maxPollInterval());
         address = config.discovery();
-        seq = config.known().version();
+        seq = config.knownEndpoints().version();
     }
 
     /**
@@ -162,8 +162,8 @@
         current = ++lastCall;
         calledAt = now;
         calledFrom = seq;
-        effects.accept(new CallDiscovery(current, address, seq, waits));
-        effects.accept(new StartTimer(waits + within, new Timer.CallDue(current)));
+        effects.accept(new PollDiscovery(current, address, seq, waits));
+        effects.accept(new StartTimer(waits + within, new Timer.PollTimeout(current)));
     }
 
     /** A call's time is over: discovery is slow or away, or the watch has fallen silent. */
@@ -199,7 +199,7 @@
             effects.accept(
                     new StartTimer(
                             longest / 2 + random.nextLong(longest / 2 + 1),
-                            new Timer.NextCall(lastCall)));
+                            new Timer.NextPoll(lastCall)));
         }
     }
 
@@ -218,13 +218,13 @@
             effects.accept(
                     new StartTimer(
                             longest / 2 + random.nextLong(longest / 2 + 1),
-                            new Timer.NextCall(lastCall)));
+                            new Timer.NextPoll(lastCall)));
         }
     }
 
     private void giveUp(long call, CloseReason why) {
         if (call != NONE) {
-            effects.accept(new GiveUpCall(call, why));
+            effects.accept(new CancelPoll(call, why));
         }
     }
 
@@ -236,8 +236,8 @@
     boolean takes(long call, EndpointList list) {
         if (call == current) {
             return calledFrom < 0
-                    ? list.whole()
-                    : list.version() >= seq || (list.whole() && list.version() < calledFrom);
+                    ? list.complete()
+                    : list.version() >= seq || (list.complete() && list.version() < calledFrom);
         }
         return call == former && list.version() > seq;
     }
@@ -263,7 +263,7 @@
      * is.
      */
     Optional<UpdateScope> read(long now, long call, EndpointList list) {
-        boolean news = list.whole() || !list.endpoints().isEmpty();
+        boolean news = list.complete() || !list.endpoints().isEmpty();
         seq = list.version();
         if (call == former) {
             former = NONE;
@@ -272,7 +272,7 @@
             goOn(now, news);
         }
         return news
-                ? Optional.of(list.whole() ? UpdateScope.FULL : UpdateScope.INCREMENTAL)
+                ? Optional.of(list.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL)
                 : Optional.empty();
     }
 
@@ -286,7 +286,7 @@
         failures = 0;
         notTaken = 0;
         if (!news && now - calledAt < LEAST_GAP) {
-            effects.accept(new StartTimer(LEAST_GAP, new Timer.NextCall(lastCall)));
+            effects.accept(new StartTimer(LEAST_GAP, new Timer.NextPoll(lastCall)));
         } else {
             next(now);
         }
--- a/src/main/java/ottergauge/settings/SettingsFault.java
+++ b/src/main/java/ottergauge/settings/SettingsFault.java
@@ -1,10 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.settings;
 
-/** What is wrong with settings: the key, the value found there, and the form that is allowed. */
+/**
+ * An invalid setting.
+ *
+ * @param key the setting's key
+ * @param value the value found there
+ * @param allowed the form that is allowed, as it follows "is" in a message
+ */
 public record SettingsFault(String key, String value, String allowed) {
 
-    /** One line for a person. */
+    /** The message for a person. */
     @Override
     public String toString() {
         return key + " is " + allowed + ", not " + value;
--- a/src/main/java/ottergauge/settings/SettingsReader.java
+++ b/src/main/java/ottergauge/settings/SettingsReader.java
@@ -15,163 +15,188 @@
 import ottergauge.decision.api.ServiceRules;
 
 /**
- * Reads a deployment's settings object; an optional key that is missing takes the cautious value.
+ * Maps a deployment's settings object to the types of the decision module. An optional key that is
+ * absent takes a cautious default. The keys' names stand here alone.
  */
 public final class SettingsReader {
 
-    // A node that hears of things once a minute decides nothing in time; under a microsecond is no
-    // span here.
-    private static final double LEAST_ROUND_MS = 0.001;
-    private static final double MOST_ROUND_MS = 60_000;
-    // Far more than any fleet; a node's part of a cold server's budget is divided by it.
-    private static final double MOST_NODES = 1_000_000;
-
-    private final Map<String, Object> config;
+    // A node that learns of changes once a minute decides nothing in time.
+    private static final double MIN_ROUND_MS = 0.001;
+    private static final double MAX_ROUND_MS = 60_000;
+    // The number of nodes divides a server's slow-start budget.
+    private static final double MAX_NODES = 1_000_000;
+    private static final double UNBOUNDED = Double.MAX_VALUE;
+    private static final double MICROS_PER_MS = 1000.0;
+
+    private static final double DEFAULT_EVENT_INTERVAL_MS = 1;
+    private static final double DEFAULT_SLOW_START_FACTOR = 0.1;
+    private static final double DEFAULT_SLOW_START_MS = 30_000;
+    private static final double DEFAULT_FAILURE_WINDOW_MS = 1000;
+    private static final double DEFAULT_DEADLINE_MS = 30_000;
+    private static final double DEFAULT_CONNECT_TIMEOUT_MS = 1000;
+    private static final double DEFAULT_SERVER_IDLE_TIMEOUT_MS = 15_000;
+    private static final double DEFAULT_MAX_POLL_INTERVAL_MS = 10_000;
+
+    private static final String NODE_INDEX = "me";
+    private static final String NODE_COUNT = "balancers";
+    private static final String ZONE = "zone";
+    private static final String ZONES = "zones";
+    private static final String KINDS = "kinds";
+    private static final String EVENT_INTERVAL_MS = "roundMs";
+    private static final String DISCOVERY_MODE = "registryMode";
+    private static final String CACHE_AFFINITY = "warmKeys";
+    private static final String PROBE = "probe";
+    private static final String CLASSES = "classes";
+    private static final String LATE_VALUE = "lateWorth";
+    private static final String LATENCY_OBJECTIVE_MS = "aimMs";
+
+    private final JsonObject root;
+    private final JsonObject limits;
+    private final JsonObject rules;
+    private final JsonObject costs;
+
+    /** Reads from a settings object as {@link JsonTree} gives it. */
+    public SettingsReader(Map<String, Object> settings) {
+        root = new JsonObject(settings);
+        limits = root.child("ceilings");
+        rules = root.child("rules");
+        costs = root.child("penalties");
+    }
 
-    public SettingsReader(Map<String, Object> config) {
-        this.config = config;
+    /** The settings of the decision module. */
+    public DecisionSettings decisionSettings() {
+        return decisionSettings(
+                "pushed".equals(root.text(DISCOVERY_MODE, ""))
+                        ? DiscoveryMode.PUSH
+                        : DiscoveryMode.POLL);
     }
 
-    public static DecisionSettings settings(Map<String, Object> config) {
-        SettingsReader root = new SettingsReader(config);
-        SettingsReader limits = root.child("ceilings");
-        SettingsReader rules = root.child("rules");
-        SettingsReader prices = root.child("penalties");
-        List<?> fields = root.child("reporting").list("fields");
-        boolean reports = !"off".equals(root.child("reporting").text("how", "off"));
+    /** The settings of the decision module, with this discovery mode whatever the object says. */
+    public DecisionSettings decisionSettings(DiscoveryMode discoveryMode) {
         return new DecisionSettings(
-                (int) root.number("me", 0),
-                Math.max(1, (int) root.number("balancers", 1)),
-                root.list("zones").indexOf(root.text("zone", "")),
-                root.micros("roundMs", 1),
-                "pushed".equals(root.text("registryMode", ""))
-                        ? DiscoveryMode.PUSH
-                        : DiscoveryMode.POLL,
-                reports && fields.contains("outstanding"),
+                (int) root.number(NODE_INDEX, 0),
+                Math.max(1, (int) root.number(NODE_COUNT, 1)),
+                root.list(ZONES).indexOf(root.text(ZONE, "")),
+                root.micros(EVENT_INTERVAL_MS, DEFAULT_EVENT_INTERVAL_MS),
+                discoveryMode,
+                reportsLoad(),
                 root.child("clients").flag("marksRetry"),
-                root.child("specifics").flag("warmKeys"),
-                new RequestLimits(
-                        limits.flag("probes"),
-                        limits.flag("cancel"),
-                        limits.flag("retryAfter"),
-                        Math.max(1, (int) limits.number("maxAttempts", 1)),
-                        limits.micros("maxRetryAfterMs", 0)),
-                new ServiceRules(
-                        rules.micros("answerSlackMs", 0),
-                        rules.micros("stopSendingWithinMs", 0),
-                        rules.number("coldFrom", 0.1),
-                        rules.micros("coldMs", 30_000),
-                        rules.number("tipMultiple", 1),
-                        rules.micros("fallMs", 1000)),
-                new Costs(prices.number("probe", 0), prices.number("connection", 0)),
-                root.children("classes").stream().map(SettingsReader::requestClass).toList());
-    }
-
-    /** What is wrong with settings that a person wrote, in one line; null if nothing is. */
-    public static String fault(Map<String, Object> config) {
-        return firstFault(config).map(SettingsFault::toString).orElse(null);
-    }
-
-    /** The first thing that is wrong with settings that a person wrote. */
-    public static Optional<SettingsFault> firstFault(Map<String, Object> config) {
-        SettingsReader root = new SettingsReader(config);
-        List<SettingsFault> faults = new ArrayList<>();
-        root.checkRange("roundMs", LEAST_ROUND_MS, MOST_ROUND_MS, faults);
-        root.checkRange("balancers", 1, MOST_NODES, faults);
-        root.checkRange("me", 0, MOST_NODES, faults);
-        for (SettingsReader requestClass : root.children("classes")) {
-            requestClass.checkRange("lateWorth", 0, 1, faults);
-            requestClass.checkRange("aimMs", 0, Double.MAX_VALUE, faults);
-        }
-        root.child("penalties").checkRange("probe", 0, Double.MAX_VALUE, faults);
-        Object warm = root.child("specifics").config.get("warmKeys");
-        if (warm != null && !(warm instanceof Boolean)) {
-            faults.add(new SettingsFault("warmKeys", String.valueOf(warm), "true or false"));
-        }
-        return faults.stream().findFirst();
+                specifics().flag(CACHE_AFFINITY),
+                requestLimits(),
+                serviceRules(),
+                new Costs(costs.number(PROBE, 0), costs.number("connection", 0)),
+                root.children(CLASSES).stream().map(SettingsReader::requestClass).toList());
     }
 
-    private void checkRange(String key, double least, double most, List<SettingsFault> faults) {
-        Object value = config.get(key);
-        if (value != null
-                && !(value instanceof Double number && number >= least && number <= most)) {
-            String range =
-                    most < Double.MAX_VALUE
-                            ? "from " + least + " to " + most
-                            : "not below " + least;
-            faults.add(new SettingsFault(key, String.valueOf(value), "a number " + range));
-        }
+    private boolean reportsLoad() {
+        JsonObject reporting = root.child("reporting");
+        return !"off".equals(reporting.text("how", "off"))
+                && reporting.list("fields").contains("outstanding");
+    }
+
+    private JsonObject specifics() {
+        return root.child("specifics");
+    }
+
+    private RequestLimits requestLimits() {
+        return new RequestLimits(
+                limits.flag("probes"),
+                limits.flag("cancel"),
+                limits.flag("retryAfter"),
+                Math.max(1, (int) limits.number("maxAttempts", 1)),
+                limits.micros("maxRetryAfterMs", 0));
+    }
+
+    private ServiceRules serviceRules() {
+        return new ServiceRules(
+                rules.micros("answerSlackMs", 0),
+                rules.micros("stopSendingWithinMs", 0),
+                rules.number("coldFrom", DEFAULT_SLOW_START_FACTOR),
+                rules.micros("coldMs", DEFAULT_SLOW_START_MS),
+                rules.number("tipMultiple", 1),
+                rules.micros("fallMs", DEFAULT_FAILURE_WINDOW_MS));
     }
 
-    private static RequestClass requestClass(SettingsReader c) {
-        Idempotency repeat =
-                switch (c.text("semantics", "single_shot")) {
-                    case "free" -> Idempotency.IDEMPOTENT;
-                    case "guarded" -> Idempotency.KEYED;
-                    default -> Idempotency.NON_IDEMPOTENT;
-                };
-        DeduplicationScope group =
-                switch (c.text("group", "cell")) {
-                    case "all" -> DeduplicationScope.FLEET;
-                    case "zone" -> DeduplicationScope.ZONE;
-                    default -> DeduplicationScope.CELL;
-                };
-        long deadline = c.micros("hardLimitMs", 30_000);
+    private static RequestClass requestClass(JsonObject fields) {
+        long deadline = fields.micros("hardLimitMs", DEFAULT_DEADLINE_MS);
         return new RequestClass(
-                c.text("name", ""),
-                repeat,
-                group,
-                c.micros("aimMs", deadline / 1000.0),
+                fields.text("name", ""),
+                idempotency(fields.text("semantics", "")),
+                deduplicationScope(fields.text("group", "")),
+                fields.micros(LATENCY_OBJECTIVE_MS, deadline / MICROS_PER_MS),
                 deadline,
-                c.micros("windowMs", 0),
-                c.number("value", 1),
-                c.number("lateWorth", 0),
-                c.flag("streamed"));
+                fields.micros("windowMs", 0),
+                fields.number("value", 1),
+                fields.number(LATE_VALUE, 0),
+                fields.flag("streamed"));
     }
 
-    public static List<String> names(Map<String, Object> config, String key) {
-        List<String> names = new ArrayList<>();
-        for (Object name : new SettingsReader(config).list(key)) {
-            names.add(String.valueOf(name));
-        }
-        return names;
+    private static Idempotency idempotency(String semantics) {
+        return switch (semantics) {
+            case "free" -> Idempotency.IDEMPOTENT;
+            case "guarded" -> Idempotency.KEYED;
+            default -> Idempotency.NON_IDEMPOTENT;
+        };
     }
 
-    @SuppressWarnings("unchecked")
-    public SettingsReader child(String key) {
-        Object child = config.get(key);
-        return new SettingsReader(
-                child instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of());
+    private static DeduplicationScope deduplicationScope(String group) {
+        return switch (group) {
+            case "all" -> DeduplicationScope.FLEET;
+            case "zone" -> DeduplicationScope.ZONE;
+            default -> DeduplicationScope.CELL;
+        };
     }
 
-    @SuppressWarnings("unchecked")
-    private List<SettingsReader> children(String key) {
-        List<SettingsReader> children = new ArrayList<>();
-        for (Object child : list(key)) {
-            if (child instanceof Map<?, ?> map) {
-                children.add(new SettingsReader((Map<String, Object>) map));
-            }
-        }
-        return children;
+    /** Names of the zones; a zone's number is its index. */
+    public List<String> zoneNames() {
+        return root.names(ZONES);
     }
 
-    public List<?> list(String key) {
-        return config.get(key) instanceof List<?> list ? list : List.of();
+    /** Names of the servers' machine types; a kind's number is its index. */
+    public List<String> kindNames() {
+        return root.names(KINDS);
     }
 
-    public double number(String key, double absent) {
-        return config.get(key) instanceof Double number ? number : absent;
+    /** How long a connection to a server may take to be established, in microseconds. */
+    public long connectTimeoutMicros() {
+        return limits.micros("connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS);
     }
 
-    public long micros(String key, double absentMs) {
-        return Math.round(number(key, absentMs) * 1000);
+    /** How long servers keep an idle connection open, in microseconds. */
+    public long serverIdleTimeoutMicros() {
+        return limits.micros("connIdleMs", DEFAULT_SERVER_IDLE_TIMEOUT_MS);
     }
 
-    private boolean flag(String key) {
-        return Boolean.TRUE.equals(config.get(key));
+    /** The longest time between two polls of discovery, in microseconds. */
+    public long maxPollIntervalMicros() {
+        return rules.micros("mustAskInMs", DEFAULT_MAX_POLL_INTERVAL_MS);
     }
 
-    public String text(String key, String absent) {
-        return config.get(key) instanceof String text ? text : absent;
+    /** The first setting that is invalid, if there is one. */
+    public Optional<SettingsFault> firstFault() {
+        List<SettingsFault> faults = new ArrayList<>();
+        checkRange(root, EVENT_INTERVAL_MS, MIN_ROUND_MS, MAX_ROUND_MS, faults);
+        checkRange(root, NODE_COUNT, 1, MAX_NODES, faults);
+        checkRange(root, NODE_INDEX, 0, MAX_NODES, faults);
+        for (JsonObject requestClass : root.children(CLASSES)) {
+            checkRange(requestClass, LATE_VALUE, 0, 1, faults);
+            checkRange(requestClass, LATENCY_OBJECTIVE_MS, 0, UNBOUNDED, faults);
+        }
+        checkRange(costs, PROBE, 0, UNBOUNDED, faults);
+        Object affinity = specifics().value(CACHE_AFFINITY);
+        if (affinity != null && !(affinity instanceof Boolean)) {
+            faults.add(
+                    new SettingsFault(CACHE_AFFINITY, String.valueOf(affinity), "true or false"));
+        }
+        return faults.stream().findFirst();
+    }
+
+    private static void checkRange(
+            JsonObject fields, String key, double min, double max, List<SettingsFault> faults) {
+        Object value = fields.value(key);
+        if (value != null && !(value instanceof Double number && number >= min && number <= max)) {
+            String range = max < UNBOUNDED ? "from " + min + " to " + max : "not below " + min;
+            faults.add(new SettingsFault(key, String.valueOf(value), "a number " + range));
+        }
     }
 }
--- a/src/main/java/ottergauge/simhost/Instance.java
+++ b/src/main/java/ottergauge/simhost/Instance.java
@@ -34,12 +34,13 @@
     private final List<String> kinds;
 
     Instance(long seed, Map<String, Object> config) {
-        DecisionSettings settings = SettingsReader.settings(config);
+        SettingsReader reader = new SettingsReader(config);
+        DecisionSettings settings = reader.decisionSettings();
         for (RequestClass c : settings.requestClasses()) {
             classes.put(c.name(), classes.size());
         }
-        zones = SettingsReader.names(config, "zones");
-        kinds = SettingsReader.names(config, "kinds");
+        zones = reader.zoneNames();
+        kinds = reader.kindNames();
         decide = new DecisionEngine(settings, seed);
     }
 
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -24,24 +24,25 @@
 import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import ottergauge.protocol.BodyLimits;
 import ottergauge.protocol.Content;
-import ottergauge.protocol.Headers;
+import ottergauge.protocol.Paths;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.protocol.RequestFields;
 import ottergauge.routing.CloseReason;
 import ottergauge.routing.Effect.Respond;
 import ottergauge.routing.Event;
-import ottergauge.routing.Event.AnswerWritten;
-import ottergauge.routing.Event.BodyMoved;
+import ottergauge.routing.Event.BodyProgress;
 import ottergauge.routing.Event.ClientClosed;
 import ottergauge.routing.Event.ClientRequest;
-import ottergauge.routing.Event.HeadBegan;
-import ottergauge.routing.Event.HealthAsked;
-import ottergauge.routing.Event.RequestBegan;
-import ottergauge.routing.Event.RequestEnded;
-import ottergauge.routing.Event.RequestFlows;
-import ottergauge.routing.Event.RequestRead;
-import ottergauge.routing.Event.RequestUnreadable;
+import ottergauge.routing.Event.HealthRequested;
+import ottergauge.routing.Event.InvalidRequest;
+import ottergauge.routing.Event.RequestHeadReceived;
+import ottergauge.routing.Event.RequestHeadStarted;
+import ottergauge.routing.Event.RequestReceived;
+import ottergauge.routing.Event.ResponseWritten;
+import ottergauge.routing.Event.StreamedRequestCompleted;
+import ottergauge.routing.Event.StreamedRequestStarted;
 
 /**
  * A client's connection: one request at a time, each reported once it has come whole and nothing
@@ -148,8 +149,8 @@
             }
             stage = Stage.BODY;
             moved = 0;
-            body = new MessageBody(Headers.MOST_BODY);
-            events.accept(new RequestBegan(number));
+            body = new MessageBody(BodyLimits.MAX_BUFFERED_BYTES);
+            events.accept(new RequestHeadReceived(number));
         }
     }
 
@@ -166,8 +167,7 @@
 
     private static boolean isHealth(HttpRequest request) {
         return HttpMethod.GET.equals(request.method())
-                && (Headers.READY_PATH.equals(request.uri())
-                        || Headers.LIVE_PATH.equals(request.uri()));
+                && (Paths.READY.equals(request.uri()) || Paths.LIVE.equals(request.uri()));
     }
 
     private void check(HttpRequest request) {
@@ -188,7 +188,7 @@
         }
         if (!get && !HttpMethod.POST.equals(request.method())) {
             refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, request.method().name());
-        } else if (HttpUtil.getContentLength(request, 0L) > Headers.MOST_FLOW) {
+        } else if (HttpUtil.getContentLength(request, 0L) > BodyLimits.MAX_STREAMED_BYTES) {
             // Read to its end, 60 MB that nobody wants would cost the node's other clients their
             // time.
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
@@ -223,7 +223,7 @@
         Content type =
                 new Content(head.headers().get(HttpHeaderNames.CONTENT_TYPE), Content.NONE.bytes());
         events.accept(
-                new RequestFlows(
+                new StreamedRequestStarted(
                         number, new ClientRequest(fields, head.method().name(), head.uri(), type)));
         if (stage == Stage.FLOWING) {
             flow(content);
@@ -234,7 +234,7 @@
         flowed += content.content().readableBytes();
         if (content.decoderResult().isFailure()) {
             refuse(HttpResponseStatus.BAD_REQUEST, String.valueOf(content.decoderResult().cause()));
-        } else if (flowed > Headers.MOST_FLOW) {
+        } else if (flowed > BodyLimits.MAX_STREAMED_BYTES) {
             refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
         } else if (content instanceof LastHttpContent) {
             // With it the server begins: not before it is known that nothing came behind.
@@ -252,7 +252,7 @@
         long now = System.nanoTime();
         if (now - toldAt > TOLD_EVERY) {
             toldAt = now;
-            events.accept(new BodyMoved(number, moved));
+            events.accept(new BodyProgress(number, moved));
             moved = 0;
         }
     }
@@ -283,11 +283,11 @@
         } else if (stage == Stage.HEAD) {
             if (!headTold && decoder.hasMore()) {
                 headTold = true;
-                events.accept(new HeadBegan(number));
+                events.accept(new RequestHeadStarted(number));
             }
         } else if (stage == Stage.WHOLE && flow != null) {
             stage = Stage.OPEN;
-            events.accept(new RequestEnded(number));
+            events.accept(new StreamedRequestCompleted(number));
             Flow whole = flow;
             flowWhole = true;
             // With no server chosen yet it waits for one, whole as it is.
@@ -300,8 +300,8 @@
             stage = Stage.OPEN;
             events.accept(
                     fields == null
-                            ? new HealthAsked(number, Headers.READY_PATH.equals(head.uri()))
-                            : new RequestRead(
+                            ? new HealthRequested(number, Paths.READY.equals(head.uri()))
+                            : new RequestReceived(
                                     number,
                                     new ClientRequest(
                                             fields,
@@ -337,7 +337,7 @@
         }
         stage = Stage.UNREADABLE;
         because(CloseReason.MALFORMED);
-        events.accept(new RequestUnreadable(number, status.code(), why));
+        events.accept(new InvalidRequest(number, status.code(), why));
     }
 
     void respond(Respond effect) {
@@ -345,12 +345,12 @@
                 answer(HttpResponseStatus.valueOf(effect.status()), effect.content());
         HttpHeaders headers = response.headers();
         headers.set(HttpHeaderNames.CONTENT_LENGTH, effect.content().bytes().length);
-        if (effect.retryAfter() > 0) {
+        if (effect.retryAfterMicros() > 0) {
             headers.set(
                     HttpHeaderNames.RETRY_AFTER,
-                    String.format(Locale.ROOT, "%.3f", effect.retryAfter() / MICROS));
+                    String.format(Locale.ROOT, "%.3f", effect.retryAfterMicros() / MICROS));
         }
-        boolean ends = effect.last() || closes;
+        boolean ends = effect.closeAfter() || closes;
         if (ends) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -373,7 +373,7 @@
     }
 
     private void answered(boolean ends, boolean written) {
-        events.accept(new AnswerWritten(number));
+        events.accept(new ResponseWritten(number));
         if (ends && written) {
             finish(CloseReason.NOT_REUSABLE);
         } else if (ends) {
--- a/src/main/java/ottergauge/transport/ClientSide.java
+++ b/src/main/java/ottergauge/transport/ClientSide.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 import ottergauge.protocol.Address;
 import ottergauge.routing.Effect.CloseClient;
-import ottergauge.routing.Effect.ForwardFlow;
-import ottergauge.routing.Effect.NotTaken;
-import ottergauge.routing.Effect.PassOn;
+import ottergauge.routing.Effect.ForwardStream;
+import ottergauge.routing.Effect.RelayResponse;
+import ottergauge.routing.Effect.ReportInvalidRequest;
 import ottergauge.routing.Effect.Respond;
 import ottergauge.routing.Event;
 import ottergauge.routing.Event.ClientClosed;
@@ -72,16 +72,16 @@
         }
     }
 
-    void log(NotTaken effect) {
+    void log(ReportInvalidRequest effect) {
         ClientConnection connection = connections.get(effect.client());
-        if (effect.before() > 0) {
-            LOG.warn("{} more were no requests", effect.before());
+        if (effect.suppressed() > 0) {
+            LOG.warn("{} more were no requests", effect.suppressed());
         }
         LOG.warn(
                 "no request from {}, answered {}: {}",
                 connection == null ? "a client that has gone" : connection.address(),
                 effect.status(),
-                effect.why());
+                effect.reason());
     }
 
     void respond(Respond effect) {
@@ -92,18 +92,18 @@
     }
 
     /** Writes what comes of a client's request to a server as it comes. */
-    void forward(ForwardFlow effect, Outbound server) {
+    void forward(ForwardStream effect, Outbound server) {
         ClientConnection connection = connections.get(effect.client());
         if (connection != null && server != null) {
-            connection.flowTo(server, effect.request(), ServerSide.millis(effect.waits()));
+            connection.flowTo(server, effect.request(), ServerSide.millis(effect.timeoutMicros()));
         }
     }
 
     /** Passes a server's answer on to a client as it comes. */
-    void passOn(PassOn effect, Outbound server) {
+    void passOn(RelayResponse effect, Outbound server) {
         ClientConnection connection = connections.get(effect.client());
         if (connection != null && server != null) {
-            connection.passOn(server, effect.last());
+            connection.passOn(server, effect.closeAfter());
         }
     }
 
--- a/src/main/java/ottergauge/transport/DiscoverySide.java
+++ b/src/main/java/ottergauge/transport/DiscoverySide.java
@@ -15,15 +15,15 @@
 import org.slf4j.LoggerFactory;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.EndpointList;
-import ottergauge.protocol.Headers;
+import ottergauge.protocol.Paths;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.routing.CloseReason;
-import ottergauge.routing.Effect.CallDiscovery;
-import ottergauge.routing.Effect.GiveUpCall;
+import ottergauge.routing.Effect.CancelPoll;
+import ottergauge.routing.Effect.PollDiscovery;
 import ottergauge.routing.Event;
-import ottergauge.routing.Event.ListCallFailed;
-import ottergauge.routing.Event.ListNotTaken;
-import ottergauge.routing.Event.ListRead;
+import ottergauge.routing.Event.DiscoveryPollFailed;
+import ottergauge.routing.Event.EndpointListReceived;
+import ottergauge.routing.Event.EndpointListRejected;
 
 /** The calls to discovery: each on a connection of its own, which is kept for the next one. */
 final class DiscoverySide {
@@ -51,7 +51,7 @@
         this.mostListBytes = mostListBytes;
     }
 
-    void call(CallDiscovery effect) {
+    void call(PollDiscovery effect) {
         if (!out.isEmpty()) {
             LOG.warn(
                     "{} calls to discovery are not answered in time, it is asked anew", out.size());
@@ -65,16 +65,16 @@
         if (kept != null) {
             kept.close(CloseReason.DISCOVERY_MOVED);
         }
-        out.put(effect.call(), Optional.empty());
+        out.put(effect.poll(), Optional.empty());
         dialer.dial("discovery", effect.address(), CONNECT_WITHIN_MS, mostListBytes)
                 .onComplete(
                         opened -> connected(effect, opened),
-                        failure -> fail(effect.call(), failure.toString()));
+                        failure -> fail(effect.poll(), failure.toString()));
     }
 
-    private void connected(CallDiscovery effect, Outbound opened) {
+    private void connected(PollDiscovery effect, Outbound opened) {
         opened.whenEnded(why -> ended(opened, why));
-        if (out.containsKey(effect.call())) {
+        if (out.containsKey(effect.poll())) {
             ask(effect, opened);
         } else {
             opened.close(CloseReason.DISCOVERY_MOVED);
@@ -106,56 +106,56 @@
                         + " the one before stays in force",
                 announced > 0 ? announced : "more",
                 mostListBytes);
-        events.accept(new ListNotTaken(call));
+        events.accept(new EndpointListRejected(call));
     }
 
-    private void ask(CallDiscovery effect, Outbound connection) {
-        out.put(effect.call(), Optional.of(connection));
+    private void ask(PollDiscovery effect, Outbound connection) {
+        out.put(effect.poll(), Optional.of(connection));
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
                         HttpMethod.GET,
-                        Headers.LIST_PATH
-                                + (effect.after() < 0
+                        Paths.ENDPOINTS
+                                + (effect.afterVersion() < 0
                                         ? ""
                                         : "?after="
-                                                + effect.after()
+                                                + effect.afterVersion()
                                                 + "&wait_ms="
-                                                + effect.waits() / 1000));
+                                                + effect.maxWaitMicros() / 1000));
         request.headers().set(HttpHeaderNames.HOST, effect.address().toString());
         connection.send(request, () -> {}, answer -> answered(effect, connection, answer));
     }
 
-    private void answered(CallDiscovery effect, Outbound connection, Outbound.Answer answer) {
-        if (!out.containsKey(effect.call())) {
+    private void answered(PollDiscovery effect, Outbound connection, Outbound.Answer answer) {
+        if (!out.containsKey(effect.poll())) {
             return;
         }
         if (answer.status() != OK) {
-            fail(effect.call(), "status " + answer.status());
+            fail(effect.poll(), "status " + answer.status());
             return;
         }
         EndpointList list;
         try {
             list = EndpointList.read(answer.body());
         } catch (ProtocolException e) {
-            out.remove(effect.call());
+            out.remove(effect.poll());
             connection.close(CloseReason.MALFORMED);
             LOG.warn("a call to discovery failed: {}", e.getMessage());
-            events.accept(new ListNotTaken(effect.call()));
+            events.accept(new EndpointListRejected(effect.poll()));
             return;
         }
-        out.remove(effect.call());
+        out.remove(effect.poll());
         if (!answer.reusable() || idle != null) {
             connection.close(CloseReason.NOT_REUSABLE);
         } else {
             idle = connection;
             idleAt = effect.address();
         }
-        events.accept(new ListRead(effect.call(), list));
+        events.accept(new EndpointListReceived(effect.poll(), list));
     }
 
-    void giveUp(GiveUpCall effect) {
-        Optional<Outbound> connection = out.remove(effect.call());
+    void giveUp(CancelPoll effect) {
+        Optional<Outbound> connection = out.remove(effect.poll());
         if (connection != null) {
             connection.ifPresent(each -> each.close(effect.reason()));
             if (effect.reason() == CloseReason.WATCH_SILENT) {
@@ -169,7 +169,7 @@
         if (connection != null) {
             connection.ifPresent(each -> each.close(CloseReason.TIMED_OUT));
             LOG.warn("a call to discovery failed: {}", why);
-            events.accept(new ListCallFailed(call));
+            events.accept(new DiscoveryPollFailed(call));
         }
     }
 }
--- a/src/main/java/ottergauge/transport/Door.java
+++ b/src/main/java/ottergauge/transport/Door.java
@@ -12,9 +12,9 @@
 import ottergauge.protocol.Address;
 import ottergauge.routing.AdminRequest;
 import ottergauge.routing.CloseReason;
-import ottergauge.routing.Effect.TellOperator;
+import ottergauge.routing.Effect.RespondToAdmin;
 import ottergauge.routing.Event;
-import ottergauge.routing.Event.OperatorAsked;
+import ottergauge.routing.Event.AdminRequestReceived;
 
 /**
  * The operators' door: an address of its own, with a small number of connections of its own that no
@@ -77,7 +77,7 @@
     }
 
     private void asked(long number, AdminRequest call) {
-        events.accept(new OperatorAsked(number, call));
+        events.accept(new AdminRequestReceived(number, call));
     }
 
     private void late(long number) {
@@ -113,8 +113,8 @@
         loop.schedule(this::makeRoom, FRESH_MS, TimeUnit.MILLISECONDS);
     }
 
-    void tell(TellOperator effect) {
-        DoorConnection connection = open.get(effect.caller());
+    void tell(RespondToAdmin effect) {
+        DoorConnection connection = open.get(effect.connection());
         if (connection != null) {
             connection.answer(effect.status(), effect.text());
         }
--- a/src/main/java/ottergauge/transport/DoorConnection.java
+++ b/src/main/java/ottergauge/transport/DoorConnection.java
@@ -116,8 +116,8 @@
             return null;
         }
         return switch (path.substring(slash + 1)) {
-            case "maint" -> new AdminRequest.Maint(server);
-            case "ready" -> new AdminRequest.Ready(server);
+            case "maint" -> new AdminRequest.StartMaintenance(server);
+            case "ready" -> new AdminRequest.EndMaintenance(server);
             default -> null;
         };
     }
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -77,10 +77,10 @@
                 new DiscoverySide(
                         (side, address, timeoutMs, mostBody) ->
                                 dialer.dial(side, address, timeoutMs, mostBody).map(this::counted),
-                        config.mostListBytes(),
+                        config.maxListBytes(),
                         this::take);
         router = new Router(config, this::carryOut);
-        inForce = config.known().version();
+        inForce = config.knownEndpoints().version();
     }
 
     private Outbound counted(Outbound connection) {
@@ -112,7 +112,7 @@
 
     /** Tells how all servers stand in the decisions that are in force. */
     void tellServers() {
-        take(new Event.OperatorAsked(CALLER, new AdminRequest.Servers()));
+        take(new Event.AdminRequestReceived(CALLER, new AdminRequest.Servers()));
     }
 
     private void take(Event event) {
@@ -131,31 +131,33 @@
         if (next != inForce) {
             inForce = next;
             EndpointList list =
-                    event instanceof Event.ListRead read ? read.list() : EndpointList.EMPTY;
+                    event instanceof Event.EndpointListReceived read
+                            ? read.list()
+                            : EndpointList.EMPTY;
             observer.accept(
                     new InForce(
                             config.name(),
                             Source.DISCOVERY,
                             inForce,
-                            list.whole(),
+                            list.complete(),
                             list.endpoints().size(),
                             wall.getAsLong()));
         }
     }
 
     private void carryOut(Effect effect) {
-        if (effect instanceof Effect.CallDiscovery e) {
+        if (effect instanceof Effect.PollDiscovery e) {
             call(e);
-        } else if (effect instanceof Effect.GiveUpCall e) {
+        } else if (effect instanceof Effect.CancelPoll e) {
             calls.count(CallKind.FAILED);
             discovery.giveUp(e);
         } else if (effect instanceof Effect.StartTimer e) {
-            timers.start(e.delay(), () -> take(new Event.TimerFired(e.timer())));
-        } else if (effect instanceof Effect.TellOperator e) {
+            timers.start(e.delayMicros(), () -> take(new Event.TimerFired(e.timer())));
+        } else if (effect instanceof Effect.RespondToAdmin e) {
             observer.accept(servers(e.text()));
-        } else if (effect instanceof Effect.Connect e) {
+        } else if (effect instanceof Effect.ConnectUpstream e) {
             leftOut(effect);
-            take(new Event.ConnectFailed(e.connection()));
+            take(new Event.UpstreamConnectFailed(e.connection()));
         } else if (!(effect instanceof Effect.AcceptUpTo)) {
             leftOut(effect);
         }
@@ -164,10 +166,12 @@
     // A call that goes on from a version asks for what is newer: what it names is in force once the
     // event in
     // hand is handled.
-    private void call(Effect.CallDiscovery effect) {
-        next = effect.after();
+    private void call(Effect.PollDiscovery effect) {
+        next = effect.afterVersion();
         calls.count(
-                effect.after() <= EndpointList.EMPTY.version() ? CallKind.WHOLE : CallKind.CHANGES);
+                effect.afterVersion() <= EndpointList.EMPTY.version()
+                        ? CallKind.WHOLE
+                        : CallKind.CHANGES);
         discovery.call(effect);
     }
 
--- a/src/main/java/ottergauge/transport/ListStore.java
+++ b/src/main/java/ottergauge/transport/ListStore.java
@@ -46,8 +46,8 @@
                 EndpointList kept = EndpointList.read(Files.readAllBytes(file));
                 // Beside a process that lives it is up to date; left by one that has gone it may be
                 // older.
-                if (accompanied || kept.version() > config.known().version()) {
-                    return config.knowing(kept);
+                if (accompanied || kept.version() > config.knownEndpoints().version()) {
+                    return config.withKnownEndpoints(kept);
                 }
             }
         } catch (IOException | ProtocolException e) {
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -9,13 +9,13 @@
 import io.vertx.core.net.NetClient;
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.Objects;
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.Headers;
+import ottergauge.protocol.BodyLimits;
 import ottergauge.protocol.NodeConfig;
+import ottergauge.protocol.Paths;
 import ottergauge.routing.CloseReason;
 import ottergauge.routing.Effect;
 import ottergauge.routing.Event;
@@ -55,9 +55,7 @@
     /** A node; without a folder that its processes share, it has one process at a time. */
     public NodeServer(NodeConfig told, Path folder) {
         shared =
-                told.management() == null || folder == null
-                        ? null
-                        : open(folder, told.mostListBytes());
+                told.admin().isEmpty() || folder == null ? null : open(folder, told.maxListBytes());
         config = shared == null ? told : shared.freshest(told);
         vertx = OneLoopTransport.vertx(watch);
         context = (ContextInternal) vertx.getOrCreateContext();
@@ -72,10 +70,13 @@
                 new ServerSide(
                         (address, timeoutMs) ->
                                 Outbound.connect(
-                                        client, "server", address, timeoutMs, Headers.MOST_BODY),
+                                        client,
+                                        "server",
+                                        address,
+                                        timeoutMs,
+                                        BodyLimits.MAX_BUFFERED_BYTES),
                         events::take);
-        discovery =
-                new DiscoverySide(Outbound.dialer(client), config.mostListBytes(), events::take);
+        discovery = new DiscoverySide(Outbound.dialer(client), config.maxListBytes(), events::take);
         door = new Door(context.nettyEventLoop(), watch, events::take);
     }
 
@@ -99,7 +100,7 @@
                 run -> {
                     router.start(clock.micros());
                     look();
-                    boolean shares = config.management() != null;
+                    boolean shares = config.admin().isPresent();
                     openDoor()
                             .compose(
                                     warm ->
@@ -113,7 +114,7 @@
                                     listening ->
                                             shares
                                                     ? Future.succeededFuture(0)
-                                                    : warmUp(config.listen(), Headers.LIVE_PATH))
+                                                    : warmUp(config.listen(), Paths.LIVE))
                             .onSuccess(warm -> serves())
                             .<Void>mapEmpty()
                             .onComplete(started);
@@ -123,24 +124,29 @@
 
     // The door comes first, and says no until clients are taken.
     private Future<Integer> openDoor() {
-        return config.management() == null
-                ? Future.succeededFuture(0)
-                : door.listen(config.management())
-                        .compose(
-                                listening -> {
-                                    LOG.info(
-                                            "{} answers operators on {}",
-                                            config.name(),
-                                            config.management());
-                                    return warmUp(config.management(), DoorConnection.HEALTH);
-                                });
+        return config.admin().map(this::openDoor).orElseGet(() -> Future.succeededFuture(0));
+    }
+
+    private Future<Integer> openDoor(Address address) {
+        return door.listen(address)
+                .compose(
+                        listening -> {
+                            LOG.info("{} answers operators on {}", config.name(), address);
+                            return warmUp(address, DoorConnection.HEALTH);
+                        });
     }
 
     // With no door it is the clients' address that is called, and the node is not ready before that
     // is done.
     private Future<Integer> warmUp(Address own, String path) {
-        boolean away = config.management() == null;
-        return WarmUp.run(client, own, path, config.settings().nodeCount(), away, accompanied)
+        boolean away = config.admin().isEmpty();
+        return WarmUp.run(
+                        client,
+                        own,
+                        path,
+                        config.settings().decisions().nodeCount(),
+                        away,
+                        accompanied)
                 .onSuccess(calls -> LOG.info("{} called itself {} times", config.name(), calls));
     }
 
@@ -152,7 +158,7 @@
     private void serves() {
         door.opened();
         clients.opened();
-        events.take(new Event.Serving());
+        events.take(new Event.ServingStarted());
         serving = true;
         if (shared != null) {
             shared.siblings().tell(true, router.connections());
@@ -164,7 +170,7 @@
         if (shared == null) {
             return;
         }
-        events.take(new Event.HeldRead(shared.held().read()));
+        events.take(new Event.MaintenanceLoaded(shared.held().read()));
         shared.siblings().tell(serving, router.connections());
         Siblings.Company company = shared.siblings().look();
         if (company.lives() != accompanied) {
@@ -173,9 +179,9 @@
                     "{} runs {}",
                     config.name(),
                     accompanied ? "beside another process" : "alone again");
-            events.take(new Event.CompanySeen(accompanied, company.connections()));
+            events.take(new Event.HotRestartPeerSeen(accompanied, company.connections()));
         } else if (accompanied) {
-            events.take(new Event.CompanySeen(true, company.connections()));
+            events.take(new Event.HotRestartPeerSeen(true, company.connections()));
         }
         vertx.setTimer(LOOK_EVERY_MS, due -> look());
     }
@@ -189,7 +195,7 @@
                             "{} was told to stop{}",
                             config.name(),
                             succeeded ? ", another process takes its clients" : "");
-                    events.take(new Event.StopAsked(succeeded));
+                    events.take(new Event.ShutdownRequested(succeeded));
                 });
         return ended.future();
     }
@@ -202,21 +208,21 @@
                             "{} goes on with discovery at {} and {} descriptors",
                             config.name(),
                             next.discovery(),
-                            next.sockets());
+                            next.maxDescriptors());
                     if (router.version().isPresent()) {
                         LOG.info(
                                 "{} keeps the settings of the log of changes, not those of the"
                                         + " file",
                                 config.name());
-                    } else if (!next.nodeSettings().equals(router.settings())) {
+                    } else if (!next.settings().equals(router.settings())) {
                         LOG.info(
                                 "{} goes on with other settings, of {} classes",
                                 config.name(),
-                                next.settings().requestClasses().size());
+                                next.settings().decisions().requestClasses().size());
                     }
                     if (!next.listen().equals(config.listen())
                             || next.memoryMb() != config.memoryMb()
-                            || !Objects.equals(next.management(), config.management())) {
+                            || !next.admin().equals(config.admin())) {
                         LOG.warn(
                                 "the new configuration's addresses and memory count from the next"
                                         + " start on");
@@ -242,12 +248,12 @@
             perform(effect);
         } catch (RuntimeException e) {
             LOG.error("{} could not be carried out", effect, e);
-            if (effect instanceof Effect.ForwardFlow f) {
-                servers.close(new Effect.CloseServer(f.connection(), CloseReason.MALFORMED));
-            } else if (effect instanceof Effect.PassOn p) {
+            if (effect instanceof Effect.ForwardStream f) {
+                servers.close(new Effect.CloseUpstream(f.connection(), CloseReason.MALFORMED));
+            } else if (effect instanceof Effect.RelayResponse p) {
                 clients.close(new Effect.CloseClient(p.client(), CloseReason.MALFORMED));
             } else if (effect instanceof Effect.Forward f) {
-                servers.close(new Effect.CloseServer(f.connection(), CloseReason.MALFORMED));
+                servers.close(new Effect.CloseUpstream(f.connection(), CloseReason.MALFORMED));
             } else if (effect instanceof Effect.Respond r) {
                 clients.close(new Effect.CloseClient(r.client(), CloseReason.MALFORMED));
             }
@@ -259,29 +265,29 @@
             clients.respond(e);
         } else if (effect instanceof Effect.Forward e) {
             servers.forward(e);
-        } else if (effect instanceof Effect.ForwardFlow e) {
+        } else if (effect instanceof Effect.ForwardStream e) {
             clients.forward(e, servers.connection(e.connection()));
-        } else if (effect instanceof Effect.FlowNow e) {
+        } else if (effect instanceof Effect.StreamResponse e) {
             servers.flowNow(e);
-        } else if (effect instanceof Effect.PassOn e) {
+        } else if (effect instanceof Effect.RelayResponse e) {
             clients.passOn(e, servers.connection(e.connection()));
-        } else if (effect instanceof Effect.ReadAll e) {
+        } else if (effect instanceof Effect.ReadPendingInput e) {
             readAll(e);
-        } else if (effect instanceof Effect.AskLoad e) {
+        } else if (effect instanceof Effect.ProbeLoad e) {
             servers.askLoad(e);
         } else if (effect instanceof Effect.StartTimer e) {
-            timers.start(e.delay(), () -> events.take(new Event.TimerFired(e.timer())));
-        } else if (effect instanceof Effect.Connect e) {
+            timers.start(e.delayMicros(), () -> events.take(new Event.TimerFired(e.timer())));
+        } else if (effect instanceof Effect.ConnectUpstream e) {
             servers.connect(e);
-        } else if (effect instanceof Effect.CloseServer e) {
+        } else if (effect instanceof Effect.CloseUpstream e) {
             servers.close(e);
         } else if (effect instanceof Effect.CloseClient e) {
             clients.close(e);
-        } else if (effect instanceof Effect.CallDiscovery e) {
+        } else if (effect instanceof Effect.PollDiscovery e) {
             discovery.call(e);
-        } else if (effect instanceof Effect.GiveUpCall e) {
+        } else if (effect instanceof Effect.CancelPoll e) {
             discovery.giveUp(e);
-        } else if (effect instanceof Effect.NotTaken e) {
+        } else if (effect instanceof Effect.ReportInvalidRequest e) {
             clients.log(e);
         } else if (effect instanceof Effect.AcceptUpTo e) {
             gate.most(e.connections());
@@ -293,10 +299,12 @@
     // What has come by now is read before the loop runs tasks, and the end of a connection that was
     // read is
     // told by a task: so it is the second one from now. After a long round more has come since.
-    private void readAll(Effect.ReadAll effect) {
+    private void readAll(Effect.ReadPendingInput effect) {
         EventLoop loop = context.nettyEventLoop();
         Runnable read =
-                () -> loop.execute(() -> events.take(new Event.AllRead(effect.connection())));
+                () ->
+                        loop.execute(
+                                () -> events.take(new Event.PendingInputRead(effect.connection())));
         if (watch.behind()) {
             loop.schedule(read, 1, TimeUnit.MILLISECONDS);
         } else {
@@ -305,19 +313,19 @@
     }
 
     private void performForOperators(Effect effect) {
-        if (effect instanceof Effect.TellOperator e) {
+        if (effect instanceof Effect.RespondToAdmin e) {
             door.tell(e);
-        } else if (effect instanceof Effect.KeepHeld e) {
+        } else if (effect instanceof Effect.StoreMaintenance e) {
             LOG.info("{} is held out", e.server());
             if (shared != null) {
-                shared.held().keep(e.server(), e.since());
+                shared.held().keep(e.server(), e.sinceMicros());
             }
-        } else if (effect instanceof Effect.DropHeld e) {
+        } else if (effect instanceof Effect.ClearMaintenance e) {
             LOG.info("{} is put back", e.server());
             if (shared != null) {
                 shared.held().drop(e.server());
             }
-        } else if (effect instanceof Effect.KeepList e) {
+        } else if (effect instanceof Effect.CacheEndpoints e) {
             if (shared != null) {
                 shared.list().keep(e.list());
             }
--- a/src/main/java/ottergauge/transport/Outbound.java
+++ b/src/main/java/ottergauge/transport/Outbound.java
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import ottergauge.protocol.Address;
-import ottergauge.protocol.Headers;
+import ottergauge.protocol.BodyLimits;
 import ottergauge.routing.CloseReason;
 
 /** A connection that the node opened: carries one request at a time and reads its answer. */
@@ -206,7 +206,8 @@
         announced = HttpUtil.getContentLength(response, 0L);
         if (Framing.fault(response) != null) {
             fail(CloseReason.MALFORMED);
-        } else if (!interim && announced > (flowBegan == null ? mostBody : Headers.MOST_FLOW)) {
+        } else if (!interim
+                && announced > (flowBegan == null ? mostBody : BodyLimits.MAX_STREAMED_BYTES)) {
             // An answer with a huge length never ends.
             fail(CloseReason.TOO_LARGE);
         } else if (!interim && flowBegan != null) {
@@ -273,7 +274,7 @@
 
     private void flow(HttpContent content) {
         flowed += content.content().readableBytes();
-        if (flowed > Headers.MOST_FLOW) {
+        if (flowed > BodyLimits.MAX_STREAMED_BYTES) {
             fail(CloseReason.TOO_LARGE);
         } else if (content instanceof LastHttpContent) {
             // The client's answer ends with it: not before it is known whether it came alone.
--- a/src/main/java/ottergauge/transport/Rehearsal.java
+++ b/src/main/java/ottergauge/transport/Rehearsal.java
@@ -15,6 +15,7 @@
 import ottergauge.decision.api.Idempotency;
 import ottergauge.decision.api.RequestClass;
 import ottergauge.protocol.Address;
+import ottergauge.protocol.BodyLimits;
 import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.Headers;
@@ -73,7 +74,7 @@
     private int served;
 
     private Rehearsal(NodeConfig config) {
-        classes = config.settings().requestClasses();
+        classes = config.settings().decisions().requestClasses();
         List<DiscoveredEndpoint> hosts = new ArrayList<>();
         for (int i = 1; i <= SERVERS; i++) {
             hosts.add(
@@ -94,15 +95,10 @@
                                 config.listen(),
                                 config.discovery(),
                                 config.seed(),
-                                config.sockets(),
+                                config.maxDescriptors(),
                                 new EndpointList(0, true, hosts),
                                 config.settings(),
-                                config.zones(),
-                                config.kinds(),
-                                config.connectTimeout(),
-                                config.connectionIdle(),
-                                config.askWithin(),
-                                null,
+                                Optional.empty(),
                                 config.memoryMb(),
                                 Optional.empty()),
                         this::carryOut);
@@ -113,7 +109,7 @@
 
     /** Runs until nothing gets much quicker any more, or it has taken too long. */
     public static Played run(NodeConfig config) {
-        return run(config, requests(config.settings().nodeCount()), LONGEST);
+        return run(config, requests(config.settings().decisions().nodeCount()), LONGEST);
     }
 
     static int requests(int nodes) {
@@ -149,7 +145,7 @@
         Long due = wakes.poll();
         if (due != null) {
             now = Math.max(now, due);
-            events.take(new Event.TimerFired(new Timer.Wake("tick")));
+            events.take(new Event.TimerFired(new Timer.Decision("tick")));
         }
         return due != null;
     }
@@ -211,7 +207,8 @@
 
     private Future<Outbound> connect(Address address, long timeoutMs) {
         EmbeddedChannel channel = new EmbeddedChannel();
-        Outbound connection = Outbound.over(channel.pipeline(), "rehearsal", Headers.MOST_BODY);
+        Outbound connection =
+                Outbound.over(channel.pipeline(), "rehearsal", BodyLimits.MAX_BUFFERED_BYTES);
         opened.add(channel);
         return Future.succeededFuture(connection);
     }
@@ -226,19 +223,19 @@
         if (effect instanceof Effect.Respond e) {
             served += e.status() == OK ? 1 : 0;
             clients.respond(e);
-        } else if (effect instanceof Effect.Connect e) {
+        } else if (effect instanceof Effect.ConnectUpstream e) {
             servers.connect(e);
         } else if (effect instanceof Effect.Forward e) {
             servers.forward(e);
-        } else if (effect instanceof Effect.CallDiscovery e) {
+        } else if (effect instanceof Effect.PollDiscovery e) {
             // There is none: its list counts for as long as it is rehearsed.
-            events.take(new Event.ListCallFailed(e.call()));
-        } else if (effect instanceof Effect.ReadAll e) {
-            events.take(new Event.AllRead(e.connection()));
-        } else if (effect instanceof Effect.AskLoad e) {
+            events.take(new Event.DiscoveryPollFailed(e.poll()));
+        } else if (effect instanceof Effect.ReadPendingInput e) {
+            events.take(new Event.PendingInputRead(e.connection()));
+        } else if (effect instanceof Effect.ProbeLoad e) {
             servers.askLoad(e);
-        } else if (effect instanceof Effect.StartTimer e && e.timer() instanceof Timer.Wake) {
-            wakes.add(now + e.delay());
+        } else if (effect instanceof Effect.StartTimer e && e.timer() instanceof Timer.Decision) {
+            wakes.add(now + e.delayMicros());
         }
     }
 }
--- a/src/main/java/ottergauge/transport/ServerSide.java
+++ b/src/main/java/ottergauge/transport/ServerSide.java
@@ -21,25 +21,26 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.Content;
 import ottergauge.protocol.Headers;
-import ottergauge.protocol.LoadReports;
+import ottergauge.protocol.LoadReportReader;
+import ottergauge.protocol.Paths;
 import ottergauge.protocol.RequestFields;
 import ottergauge.routing.CloseReason;
-import ottergauge.routing.Effect.AskLoad;
-import ottergauge.routing.Effect.CloseServer;
-import ottergauge.routing.Effect.Connect;
-import ottergauge.routing.Effect.FlowNow;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
 import ottergauge.routing.Effect.Forward;
+import ottergauge.routing.Effect.ProbeLoad;
+import ottergauge.routing.Effect.StreamResponse;
 import ottergauge.routing.Event;
-import ottergauge.routing.Event.AnswerEnded;
-import ottergauge.routing.Event.AnswerFlows;
-import ottergauge.routing.Event.AnswerOpen;
-import ottergauge.routing.Event.AnswerRead;
 import ottergauge.routing.Event.ClientRequest;
-import ottergauge.routing.Event.ConnectFailed;
 import ottergauge.routing.Event.RequestWritten;
-import ottergauge.routing.Event.ServerAnswer;
-import ottergauge.routing.Event.ServerClosed;
-import ottergauge.routing.Event.ServerConnected;
+import ottergauge.routing.Event.ResponseReceived;
+import ottergauge.routing.Event.ServerResponse;
+import ottergauge.routing.Event.StreamedResponseCompleted;
+import ottergauge.routing.Event.StreamedResponseStarted;
+import ottergauge.routing.Event.UnsizedResponseStarted;
+import ottergauge.routing.Event.UpstreamClosed;
+import ottergauge.routing.Event.UpstreamConnectFailed;
+import ottergauge.routing.Event.UpstreamConnected;
 
 /**
  * The side that connects to servers. The connections are not pooled here: which one carries what is
@@ -66,35 +67,39 @@
         this.connector = connector;
     }
 
-    void connect(Connect effect) {
+    void connect(ConnectUpstream effect) {
         long number = effect.connection();
         connector
-                .connect(effect.address(), millis(effect.timeout()))
+                .connect(effect.address(), millis(effect.timeoutMicros()))
                 .onComplete(
                         connection -> {
                             connections.put(number, connection);
                             connection.whenFlows(
-                                    () -> events.accept(new AnswerOpen(number)),
+                                    () -> events.accept(new UnsizedResponseStarted(number)),
                                     answer ->
                                             events.accept(
-                                                    new AnswerFlows(
+                                                    new StreamedResponseStarted(
                                                             number,
                                                             read(answer, false),
                                                             connection.microsSinceHead())),
-                                    reusable -> events.accept(new AnswerEnded(number, reusable)),
+                                    reusable ->
+                                            events.accept(
+                                                    new StreamedResponseCompleted(
+                                                            number, reusable)),
                                     () -> events.accept(new RequestWritten(number)),
                                     answer ->
                                             events.accept(
-                                                    new AnswerRead(number, read(answer, false))));
+                                                    new ResponseReceived(
+                                                            number, read(answer, false))));
                             connection.whenEnded(
                                     why -> {
                                         connections.remove(number);
                                         events.accept(
-                                                new ServerClosed(number, SPOILT.contains(why)));
+                                                new UpstreamClosed(number, SPOILT.contains(why)));
                                     });
-                            events.accept(new ServerConnected(number));
+                            events.accept(new UpstreamConnected(number));
                         },
-                        failure -> events.accept(new ConnectFailed(number)));
+                        failure -> events.accept(new UpstreamConnectFailed(number)));
     }
 
     void forward(Forward effect) {
@@ -104,7 +109,7 @@
         FullHttpRequest message =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, method, request.uri(), Unpooled.wrappedBuffer(body));
-        set(message.headers(), request, millis(effect.waits()));
+        set(message.headers(), request, millis(effect.timeoutMicros()));
         if (body.length > 0 || !HttpMethod.GET.equals(method)) {
             message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
         }
@@ -139,11 +144,10 @@
         }
     }
 
-    void askLoad(AskLoad effect) {
+    void askLoad(ProbeLoad effect) {
         exchange(
                 effect.connection(),
-                new DefaultFullHttpRequest(
-                        HttpVersion.HTTP_1_1, HttpMethod.GET, Headers.STATS_PATH),
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, Paths.STATS),
                 true);
     }
 
@@ -154,24 +158,24 @@
             connection.send(
                     message,
                     () -> events.accept(new RequestWritten(number)),
-                    answer -> events.accept(new AnswerRead(number, read(answer, probe))));
+                    answer -> events.accept(new ResponseReceived(number, read(answer, probe))));
         }
     }
 
-    private static ServerAnswer read(Outbound.Answer answer, boolean probe) {
+    private static ServerResponse read(Outbound.Answer answer, boolean probe) {
         String report = answer.headers().get(Headers.LOAD);
         if (report == null && probe) {
             report = new String(answer.body(), StandardCharsets.UTF_8);
         }
-        return new ServerAnswer(
+        return new ServerResponse(
                 answer.status(),
                 "1".equals(answer.headers().get(Headers.NEVER_RAN)),
-                LoadReports.read(report),
+                LoadReportReader.read(report),
                 new Content(answer.headers().get(HttpHeaderNames.CONTENT_TYPE), answer.body()),
                 answer.reusable());
     }
 
-    void flowNow(FlowNow effect) {
+    void flowNow(StreamResponse effect) {
         Outbound connection = connections.get(effect.connection());
         if (connection != null) {
             connection.flowNow();
@@ -182,7 +186,7 @@
         return connections.get(number);
     }
 
-    void close(CloseServer effect) {
+    void close(CloseUpstream effect) {
         Outbound connection = connections.get(effect.connection());
         if (connection != null) {
             connection.close(effect.reason());
--- a/src/test/java/ottergauge/program/MigrateCommandTest.java
+++ b/src/test/java/ottergauge/program/MigrateCommandTest.java
@@ -69,8 +69,8 @@
     void aWholeFileIsWrittenAsTheNodeReadsIt() throws Exception {
         assertEquals(0, migrate(whole(), SHAPE), out + " " + err);
         NodeConfig config = NodeConfig.read(Files.readAllBytes(folder.resolve("new.json")));
-        assertEquals(98, config.settings().nodeCount());
-        assertEquals(5_000, config.settings().eventInterval());
+        assertEquals(98, config.settings().decisions().nodeCount());
+        assertEquals(5_000, config.settings().decisions().eventInterval());
         assertEquals(List.of("new.json", "old.json", "shape.json"), files());
     }
 
--- a/src/test/java/ottergauge/protocol/CodecsTest.java
+++ b/src/test/java/ottergauge/protocol/CodecsTest.java
@@ -40,15 +40,16 @@
     })
     void onlyMarked503And504ProveThatNothingRan(
             int status, boolean neverRan, AttemptResult expected) {
-        assertEquals(expected, Outcomes.of(status, neverRan));
+        assertEquals(expected, AttemptResults.ofResponse(status, neverRan));
     }
 
     @Test
     void aLoadReportIsReadUnderEitherSpellingOfItsFields() {
         LoadReport expected = new LoadReport(7, 2, 0.61, Double.NaN, Double.NaN);
-        assertEquals(expected, LoadReports.read("TEXT inflight=7, queue=2, util=0.61"));
+        assertEquals(expected, LoadReportReader.read("TEXT inflight=7, queue=2, util=0.61"));
         assertEquals(
-                expected, LoadReports.read("TEXT outstanding=7,backlog=2, x0=9, utilization=0.61"));
+                expected,
+                LoadReportReader.read("TEXT outstanding=7,backlog=2, x0=9, utilization=0.61"));
     }
 
     @ParameterizedTest
@@ -68,7 +69,7 @@
                 "inflight=7"
             })
     void whatIsNoReportSaysNothing(String text) {
-        assertEquals(LoadReport.NONE, LoadReports.read(text));
+        assertEquals(LoadReport.NONE, LoadReportReader.read(text));
     }
 
     @Test
@@ -168,13 +169,13 @@
         assertEquals("n1", config.name());
         assertEquals(new Address("127.0.0.1", 3000), config.listen());
         assertEquals(0x8c1f30d27a5be964L, config.seed());
-        assertEquals(200_000, config.connectTimeout());
-        assertEquals(10_000_000, config.connectionIdle());
-        assertEquals(10_000_000, config.askWithin());
-        assertEquals(41, config.known().version());
+        assertEquals(200_000, config.settings().connectTimeout());
+        assertEquals(10_000_000, config.settings().serverIdleTimeout());
+        assertEquals(10_000_000, config.settings().maxPollInterval());
+        assertEquals(41, config.knownEndpoints().version());
         assertEquals(
                 Idempotency.NON_IDEMPOTENT,
-                config.settings().requestClasses().get(2).idempotency());
+                config.settings().decisions().requestClasses().get(2).idempotency());
     }
 
     @ParameterizedTest
--- a/src/test/java/ottergauge/protocol/ControlConfigTest.java
+++ b/src/test/java/ottergauge/protocol/ControlPlaneConfigTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import ottergauge.protocol.ControlConfig.Endpoint;
+import ottergauge.protocol.ControlPlaneConfig.Endpoint;
 import ottergauge.settings.JsonTree;
 
-class ControlConfigTest {
+class ControlPlaneConfigTest {
 
     private static final String ADDRESSES = "\"addresses\":[{\"address\":\"127.0.0.1:9001\"}]";
 
-    private static ControlConfig read(String section) throws ProtocolException {
+    private static ControlPlaneConfig read(String section) throws ProtocolException {
         try {
-            return ControlConfig.of(JsonTree.read(section.getBytes(StandardCharsets.UTF_8)));
+            return ControlPlaneConfig.of(JsonTree.read(section.getBytes(StandardCharsets.UTF_8)));
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -31,7 +31,7 @@
     @Test
     void theSectionIsReadAsThePageHasIt() throws ProtocolException {
         assertEquals(
-                new ControlConfig(
+                new ControlPlaneConfig(
                         List.of(
                                 new Endpoint(new Address("127.0.0.1", 9001), "r1"),
                                 new Endpoint(new Address("127.0.0.1", 9002), "r2")),
@@ -55,7 +55,7 @@
     @Test
     void allButTheAddressesMayBeLeftOut() throws ProtocolException {
         assertEquals(
-                new ControlConfig(
+                new ControlPlaneConfig(
                         List.of(new Endpoint(new Address("127.0.0.1", 9001), "")),
                         "",
                         Set.of(),
--- a/src/test/java/ottergauge/protocol/NodeSettingsTest.java
+++ b/src/test/java/ottergauge/protocol/NodeSettingsTest.java
@@ -18,7 +18,7 @@
     private static NodeSettings of(String... classes) throws ProtocolException {
         return NodeConfig.read(
                         new TestConfig().classes(classes).json().getBytes(StandardCharsets.UTF_8))
-                .nodeSettings();
+                .settings();
     }
 
     private static String fault(String... classes) {
--- a/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
@@ -204,7 +204,11 @@
     void settingsThatPassTheChecksCanBeTakenOver(@ForAll("puts") Change.Put put) {
         assertTrue(ResourceChecks.fault(put.key(), put.value()).isEmpty());
         if (put.value() instanceof ResourceValue.Settings settings) {
-            assertFalse(SettingsReader.settings(settings.tree()).requestClasses().isEmpty());
+            assertFalse(
+                    new SettingsReader(settings.tree())
+                            .decisionSettings()
+                            .requestClasses()
+                            .isEmpty());
         }
     }
 }
--- a/src/test/java/ottergauge/routing/ConnectPatienceTest.java
+++ b/src/test/java/ottergauge/routing/ConnectPatienceTest.java
@@ -9,7 +9,7 @@
 
 import org.junit.jupiter.api.Test;
 import ottergauge.protocol.TestConfig;
-import ottergauge.routing.Effect.Connect;
+import ottergauge.routing.Effect.ConnectUpstream;
 
 class ConnectPatienceTest {
 
@@ -72,14 +72,14 @@
                                         host("s-2", "10.0.0.2:80", "in_service")));
         for (int i = 0; i < 8; i++) {
             long client = node.request("read");
-            Connect connect = node.expect(Connect.class);
+            ConnectUpstream connect = node.expect(ConnectUpstream.class);
             node.pass(1);
-            node.tell(new Event.ServerConnected(connect.connection()));
+            node.tell(new Event.UpstreamConnected(connect.connection()));
             Effect.Forward forward = node.expect(Effect.Forward.class);
             node.written(forward);
             node.answer(forward, 200, false, false);
             node.status(client);
-            node.expect(Effect.CloseServer.class);
+            node.expect(Effect.CloseUpstream.class);
         }
         return node;
     }
@@ -88,10 +88,12 @@
     void aRequestDoesNotWaitForAConnectionThatTakesFarLongerThanOthers() {
         RouterDriver node = usedToQuickConnections();
         node.request("read");
-        Connect slow = node.expect(Connect.class);
+        ConnectUpstream slow = node.expect(ConnectUpstream.class);
         node.pass(MOST / 1000 / 2);
         assertNotEquals(
-                slow.address(), node.expect(Connect.class).address(), "it goes to another server");
+                slow.address(),
+                node.expect(ConnectUpstream.class).address(),
+                "it goes to another server");
     }
 
     /**
@@ -102,16 +104,16 @@
     void aConnectionThatComesUpLateIsKeptAndServesTheNextRequest() {
         RouterDriver node = usedToQuickConnections();
         long client = node.request("grant");
-        Connect slow = node.expect(Connect.class);
-        while (!node.has(Connect.class)) {
+        ConnectUpstream slow = node.expect(ConnectUpstream.class);
+        while (!node.has(ConnectUpstream.class)) {
             node.pass(1);
         }
         node.serve(node.connectNext());
         assertEquals(200, node.status(client));
         node.pass(1500);
-        node.tell(new Event.ServerConnected(slow.connection()));
+        node.tell(new Event.UpstreamConnected(slow.connection()));
         node.expectNo(Effect.Forward.class);
-        node.expectNo(Effect.CloseServer.class);
+        node.expectNo(Effect.CloseUpstream.class);
         boolean used = false;
         for (int i = 0; i < 8; i++) {
             node.request("read");
@@ -127,11 +129,11 @@
         boolean tried = false;
         for (int i = 0; i < 6 && !tried; i++) {
             node.request("grant");
-            if (node.has(Connect.class)) {
-                Connect connect = node.expect(Connect.class);
+            if (node.has(ConnectUpstream.class)) {
+                ConnectUpstream connect = node.expect(ConnectUpstream.class);
                 tried = host.equals(connect.address().host());
                 if (!tried) {
-                    node.tell(new Event.ServerConnected(connect.connection()));
+                    node.tell(new Event.UpstreamConnected(connect.connection()));
                 }
             }
             while (node.has(Effect.Forward.class)) {
@@ -148,8 +150,8 @@
     void oneLateConnectionBarsNoServerAndTwoDo() {
         RouterDriver node = usedToQuickConnections();
         node.request("grant");
-        String host = node.expect(Connect.class).address().host();
-        while (!node.has(Connect.class)) {
+        String host = node.expect(ConnectUpstream.class).address().host();
+        while (!node.has(ConnectUpstream.class)) {
             node.pass(1);
         }
         node.serve(node.connectNext());
@@ -169,7 +171,9 @@
         for (int i = 0; i < 20; i++) {
             node.request("grant");
             kept +=
-                    node.has(Connect.class) && node.expect(Connect.class).timeout() > 1_000_000
+                    node.has(ConnectUpstream.class)
+                                    && node.expect(ConnectUpstream.class).timeoutMicros()
+                                            > 1_000_000
                             ? 1
                             : 0;
             node.pass(100);
--- a/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
+++ b/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
@@ -16,8 +16,8 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.protocol.TestConfig;
-import ottergauge.routing.Effect.CallDiscovery;
-import ottergauge.routing.Effect.GiveUpCall;
+import ottergauge.routing.Effect.CancelPoll;
+import ottergauge.routing.Effect.PollDiscovery;
 import ottergauge.routing.Effect.StartTimer;
 
 /**
@@ -59,7 +59,7 @@
     private final SplittableRandom random;
     private final PriorityQueue<Due> queue =
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-    private final Map<Long, CallDiscovery> open = new HashMap<>();
+    private final Map<Long, PollDiscovery> open = new HashMap<>();
     private final List<Had> had = new ArrayList<>();
     private final List<Long> calls = new ArrayList<>();
     private final StringBuilder log = new StringBuilder();
@@ -143,47 +143,47 @@
 
     private void carryOut(Effect effect) {
         if (effect instanceof StartTimer timer) {
-            at(now + timer.delay(), () -> fired(timer.timer()));
-        } else if (effect instanceof GiveUpCall call) {
-            open.remove(call.call());
-        } else if (effect instanceof CallDiscovery call) {
+            at(now + timer.delayMicros(), () -> fired(timer.timer()));
+        } else if (effect instanceof CancelPoll call) {
+            open.remove(call.poll());
+        } else if (effect instanceof PollDiscovery call) {
             note(call.toString());
             calls.add(now);
-            open.put(call.call(), call);
+            open.put(call.poll(), call);
             taken(call);
         }
     }
 
     private void fired(Timer timer) {
-        if (timer instanceof Timer.CallDue due) {
-            watch.due(now, due.call());
-        } else if (timer instanceof Timer.NextCall next) {
-            watch.resume(now, next.after());
+        if (timer instanceof Timer.PollTimeout due) {
+            watch.due(now, due.poll());
+        } else if (timer instanceof Timer.NextPoll next) {
+            watch.resume(now, next.afterPoll());
         }
     }
 
-    private void taken(CallDiscovery call) {
+    private void taken(PollDiscovery call) {
         if (is(Trouble.AWAY) || is(Trouble.TURNS_AWAY)) {
             fail(call, TRIP);
         } else if (is(Trouble.SWALLOWS)) {
-            open.remove(call.call());
+            open.remove(call.poll());
         } else {
             long line = now - answeredAt <= GOES_ON ? 0 : random.nextLong(LINE);
             at(
                     now + line + TRIP,
                     () -> {
-                        if (open.containsKey(call.call())) {
+                        if (open.containsKey(call.poll())) {
                             turn(call);
                         }
                     });
         }
     }
 
-    private void turn(CallDiscovery call) {
-        if (call.after() < 0 || version(now) > call.after()) {
+    private void turn(PollDiscovery call) {
+        if (call.afterVersion() < 0 || version(now) > call.afterVersion()) {
             answer(call);
         } else {
-            at(now + call.waits(), () -> answer(call));
+            at(now + call.maxWaitMicros(), () -> answer(call));
         }
     }
 
@@ -191,37 +191,37 @@
     private void tell() {
         note("change");
         List.copyOf(open.values()).stream()
-                .filter(call -> call.after() >= 0 && call.after() < version(now))
+                .filter(call -> call.afterVersion() >= 0 && call.afterVersion() < version(now))
                 .forEach(this::answer);
     }
 
-    private void fail(CallDiscovery call, long after) {
-        open.remove(call.call());
+    private void fail(PollDiscovery call, long after) {
+        open.remove(call.poll());
         at(
                 now + after,
                 () -> {
-                    note("failed " + call.call());
-                    watch.failed(now, call.call());
+                    note("failed " + call.poll());
+                    watch.failed(now, call.poll());
                 });
     }
 
-    private void answer(CallDiscovery call) {
-        if (open.remove(call.call()) == null) {
+    private void answer(PollDiscovery call) {
+        if (open.remove(call.poll()) == null) {
             return;
         }
-        boolean whole = call.after() < 0;
-        EndpointList list = list(version(now), whole, whole || version(now) > call.after());
+        boolean whole = call.afterVersion() < 0;
+        EndpointList list = list(version(now), whole, whole || version(now) > call.afterVersion());
         long from = address;
         at(
                 now + TRIP,
                 () -> {
-                    note("answer " + call.call() + " seq=" + list.version());
-                    if (watch.takes(call.call(), list)) {
+                    note("answer " + call.poll() + " seq=" + list.version());
+                    if (watch.takes(call.poll(), list)) {
                         had.add(new Had(now, from, list.version()));
                         answeredAt = now;
-                        watch.read(now, call.call(), list);
+                        watch.read(now, call.poll(), list);
                     } else {
-                        watch.passOver(now, call.call(), list);
+                        watch.passOver(now, call.poll(), list);
                     }
                 });
     }
--- a/src/test/java/ottergauge/routing/FirstByteTest.java
+++ b/src/test/java/ottergauge/routing/FirstByteTest.java
@@ -8,10 +8,10 @@
 
 import org.junit.jupiter.api.Test;
 import ottergauge.protocol.TestConfig;
-import ottergauge.routing.Effect.AskLoad;
-import ottergauge.routing.Effect.CloseServer;
-import ottergauge.routing.Effect.Connect;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
 import ottergauge.routing.Effect.Forward;
+import ottergauge.routing.Effect.ProbeLoad;
 
 /**
  * What comes between the choice of a server and the first byte to it: a client that leaves, a list,
@@ -44,13 +44,13 @@
     void aClientThatLeavesBeforeTheFirstByteIsNotSentOnAndItsConnectionServesTheNext() {
         RouterDriver node = one();
         long gone = node.request("grant");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.holdReads();
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.tell(new Event.ClientClosed(gone));
         node.readAll();
         node.expectNo(Forward.class);
-        node.expectNo(CloseServer.class);
+        node.expectNo(CloseUpstream.class);
         node.request("grant");
         assertEquals(connect.connection(), node.expect(Forward.class).connection());
     }
@@ -60,9 +60,9 @@
     void aClientThatLeavesWhileItsConnectionComesUpIsNotSentOnThoughNothingCanBeCancelled() {
         RouterDriver node = new RouterDriver(new TestConfig().noCancel().knows(ONE));
         long gone = node.request("grant");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.tell(new Event.ClientClosed(gone));
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
         node.request("grant");
         assertEquals(connect.connection(), node.expect(Forward.class).connection());
@@ -74,10 +74,10 @@
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE, TWO));
         node.pass(200);
         node.request("grant");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         String chosen = connect.address().host();
         node.holdReads();
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.list(
                 42,
                 false,
@@ -85,7 +85,9 @@
         node.readAll();
         node.expectNo(Forward.class);
         assertNotEquals(
-                chosen, node.expect(Connect.class).address().host(), "it goes to the other server");
+                chosen,
+                node.expect(ConnectUpstream.class).address().host(),
+                "it goes to the other server");
     }
 
     @Test
@@ -108,7 +110,7 @@
         node.holdReads();
         long client = node.request("grant");
         long kept = 1;
-        node.tell(new Event.ServerClosed(kept, false));
+        node.tell(new Event.UpstreamClosed(kept, false));
         node.readAll();
         node.serve(node.connectNext());
         assertEquals(200, node.status(client));
@@ -147,11 +149,11 @@
         for (int i = 0; i < 20; i++) {
             node.request("grant");
         }
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.list(42, false, born("s-1", "10.0.0.1:80", node.nowMs()));
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
-        assertEquals(connect.connection(), node.expect(CloseServer.class).connection());
+        assertEquals(connect.connection(), node.expect(CloseUpstream.class).connection());
     }
 
     /**
@@ -163,9 +165,9 @@
         RouterDriver node =
                 new RouterDriver(new TestConfig().knows(born("s-1", "10.0.0.1:80", 999_992_000L)));
         node.request("grant");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.standStill(300);
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
     }
 
@@ -174,15 +176,15 @@
         RouterDriver node = new RouterDriver(new TestConfig().probes().knows(ONE, TWO));
         node.pass(200);
         node.request("read");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         String chosen = connect.address().host();
         node.holdReads();
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.list(
                 42,
                 false,
                 host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.readAll();
-        node.expectNo(AskLoad.class);
+        node.expectNo(ProbeLoad.class);
     }
 }
--- a/src/test/java/ottergauge/routing/FlowsTest.java
+++ b/src/test/java/ottergauge/routing/FlowsTest.java
@@ -12,12 +12,12 @@
 import ottergauge.protocol.Content;
 import ottergauge.protocol.TestConfig;
 import ottergauge.routing.Effect.CloseClient;
-import ottergauge.routing.Effect.CloseServer;
-import ottergauge.routing.Effect.Connect;
-import ottergauge.routing.Effect.ForwardFlow;
-import ottergauge.routing.Effect.PassOn;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
+import ottergauge.routing.Effect.ForwardStream;
+import ottergauge.routing.Effect.RelayResponse;
 import ottergauge.routing.Effect.Respond;
-import ottergauge.routing.Event.ServerAnswer;
+import ottergauge.routing.Event.ServerResponse;
 
 /** Bodies that flow, with no socket. */
 class FlowsTest {
@@ -32,21 +32,23 @@
 
     private long flows(String requestClass, long expiresInMs) {
         long client = node.client();
-        node.tell(new Event.RequestBegan(client));
+        node.tell(new Event.RequestHeadReceived(client));
         node.tell(
-                new Event.RequestFlows(
+                new Event.StreamedRequestStarted(
                         client, RouterDriver.ask(requestClass, "flow-" + ++lastId, expiresInMs)));
         return client;
     }
 
-    private ForwardFlow connected() {
-        node.tell(new Event.ServerConnected(node.expect(Connect.class).connection()));
-        return node.expect(ForwardFlow.class);
+    private ForwardStream connected() {
+        node.tell(new Event.UpstreamConnected(node.expect(ConnectUpstream.class).connection()));
+        return node.expect(ForwardStream.class);
     }
 
     private static Event answerFlows(long connection) {
-        return new Event.AnswerFlows(
-                connection, new ServerAnswer(200, false, LoadReport.NONE, Content.NONE, false), 0);
+        return new Event.StreamedResponseStarted(
+                connection,
+                new ServerResponse(200, false, LoadReport.NONE, Content.NONE, false),
+                0);
     }
 
     /**
@@ -58,15 +60,15 @@
     void aBreakIsJudgedByWhetherTheLastByteWasWritten(
             String requestClass, boolean whole, int status) {
         long client = flows(requestClass, 1000);
-        ForwardFlow forward = connected();
+        ForwardStream forward = connected();
         assertEquals(client, forward.client());
         if (whole) {
-            node.tell(new Event.RequestEnded(client));
+            node.tell(new Event.StreamedRequestCompleted(client));
             node.tell(new Event.RequestWritten(forward.connection()));
         }
-        node.tell(new Event.ServerClosed(forward.connection(), false));
+        node.tell(new Event.UpstreamClosed(forward.connection(), false));
         assertEquals(status, node.status(client));
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
     }
 
     /** Until a server has a byte of it, a request that flows goes elsewhere like any other. */
@@ -83,14 +85,14 @@
     @Test
     void timeRunsFromTheLastByte() {
         long client = flows("grant", 900);
-        ForwardFlow forward = connected();
+        ForwardStream forward = connected();
         for (int i = 0; i < 50; i++) {
-            node.tell(new Event.BodyMoved(client, 64_000));
+            node.tell(new Event.BodyProgress(client, 64_000));
             node.pass(100);
         }
         node.expectNo(Respond.class);
-        node.expectNo(CloseServer.class);
-        node.tell(new Event.RequestEnded(client));
+        node.expectNo(CloseUpstream.class);
+        node.tell(new Event.StreamedRequestCompleted(client));
         node.tell(new Event.RequestWritten(forward.connection()));
         node.pass(500);
         node.expectNo(Respond.class);
@@ -103,17 +105,17 @@
     @CsvSource({"0,2900", "100,4000"})
     void aBodyThatDoesNotGetOnEnds(long bytes, long within) {
         long client = flows("grant", 900);
-        ForwardFlow forward = connected();
+        ForwardStream forward = connected();
         for (int passed = 0; passed < within; passed += 100) {
             if (bytes > 0) {
-                node.tell(new Event.BodyMoved(client, bytes));
+                node.tell(new Event.BodyProgress(client, bytes));
             }
             node.pass(100);
         }
         CloseClient closed = node.expect(CloseClient.class);
         assertEquals(new CloseClient(client, CloseReason.SLOW_REQUEST), closed);
         node.tell(new Event.ClientClosed(client));
-        assertEquals(forward.connection(), node.expect(CloseServer.class).connection());
+        assertEquals(forward.connection(), node.expect(CloseUpstream.class).connection());
     }
 
     /**
@@ -127,15 +129,15 @@
         Effect.Forward forward = node.connectToNew("grant");
         node.written(forward);
         node.tell(answerFlows(forward.connection()));
-        PassOn passes = node.expect(PassOn.class);
+        RelayResponse passes = node.expect(RelayResponse.class);
         for (int i = 0; i < 100; i++) {
-            node.tell(new Event.BodyMoved(passes.client(), 6_000));
+            node.tell(new Event.BodyProgress(passes.client(), 6_000));
             node.pass(100);
         }
         node.expectNo(CloseClient.class);
-        node.expectNo(CloseServer.class);
-        node.tell(new Event.AnswerEnded(forward.connection(), true));
-        node.tell(new Event.AnswerWritten(passes.client()));
+        node.expectNo(CloseUpstream.class);
+        node.tell(new Event.StreamedResponseCompleted(forward.connection(), true));
+        node.tell(new Event.ResponseWritten(passes.client()));
         node.sendAgain("grant");
     }
 
@@ -144,8 +146,8 @@
         Effect.Forward forward = node.connectToNew("grant");
         node.written(forward);
         node.tell(answerFlows(forward.connection()));
-        long client = node.expect(PassOn.class).client();
-        node.tell(new Event.ServerClosed(forward.connection(), false));
+        long client = node.expect(RelayResponse.class).client();
+        node.tell(new Event.UpstreamClosed(forward.connection(), false));
         assertEquals(
                 new CloseClient(client, CloseReason.CUT_SHORT), node.expect(CloseClient.class));
         node.expectNo(Respond.class);
@@ -156,10 +158,10 @@
         Effect.Forward forward = node.connectToNew("grant");
         node.written(forward);
         node.tell(answerFlows(forward.connection()));
-        node.tell(new Event.ClientClosed(node.expect(PassOn.class).client()));
+        node.tell(new Event.ClientClosed(node.expect(RelayResponse.class).client()));
         assertEquals(
-                new CloseServer(forward.connection(), CloseReason.CLIENT_GONE),
-                node.expect(CloseServer.class));
+                new CloseUpstream(forward.connection(), CloseReason.CLIENT_GONE),
+                node.expect(CloseUpstream.class));
     }
 
     /**
@@ -171,10 +173,10 @@
         Effect.Forward forward = node.connectToNew("grant");
         node.written(forward);
         node.pass(200);
-        node.tell(new Event.AnswerOpen(forward.connection()));
-        node.expectNo(Effect.FlowNow.class);
+        node.tell(new Event.UnsizedResponseStarted(forward.connection()));
+        node.expectNo(Effect.StreamResponse.class);
         node.pass(400);
-        assertEquals(forward.connection(), node.expect(Effect.FlowNow.class).connection());
+        assertEquals(forward.connection(), node.expect(Effect.StreamResponse.class).connection());
     }
 
     /**
@@ -191,7 +193,7 @@
             refused = node.has(Respond.class);
             if (!refused) {
                 connected();
-                node.tell(new Event.BodyMoved(client, 64_000));
+                node.tell(new Event.BodyProgress(client, 64_000));
             }
         }
         assertTrue(taken > 100 && taken <= 192 * 2, "taken: " + taken);
--- a/src/test/java/ottergauge/routing/OperatorsTest.java
+++ b/src/test/java/ottergauge/routing/OperatorsTest.java
@@ -13,11 +13,11 @@
 import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.TestConfig;
-import ottergauge.routing.Effect.Connect;
-import ottergauge.routing.Effect.DropHeld;
+import ottergauge.routing.Effect.ClearMaintenance;
+import ottergauge.routing.Effect.ConnectUpstream;
 import ottergauge.routing.Effect.Forward;
-import ottergauge.routing.Effect.KeepHeld;
-import ottergauge.routing.Effect.TellOperator;
+import ottergauge.routing.Effect.RespondToAdmin;
+import ottergauge.routing.Effect.StoreMaintenance;
 
 /** What operators ask at the door, with no socket. */
 class OperatorsTest {
@@ -29,10 +29,10 @@
     private final RouterDriver node = new RouterDriver(new TestConfig().knows(ONE, TWO));
     private long lastCaller;
 
-    private TellOperator ask(AdminRequest call) {
-        node.tell(new Event.OperatorAsked(++lastCaller, call));
-        TellOperator told = node.expect(TellOperator.class);
-        assertEquals(lastCaller, told.caller());
+    private RespondToAdmin ask(AdminRequest call) {
+        node.tell(new Event.AdminRequestReceived(++lastCaller, call));
+        RespondToAdmin told = node.expect(RespondToAdmin.class);
+        assertEquals(lastCaller, told.connection());
         return told;
     }
 
@@ -49,9 +49,9 @@
         boolean any = false;
         for (int i = 0; i < requests; i++) {
             node.request("read");
-            Connect connect = node.expect(Connect.class);
+            ConnectUpstream connect = node.expect(ConnectUpstream.class);
             any |= connect.address().equals(server);
-            node.tell(new Event.ServerConnected(connect.connection()));
+            node.tell(new Event.UpstreamConnected(connect.connection()));
             Forward forward = node.expect(Forward.class);
             node.written(forward);
             // Not kept, so that each request shows by its connection where it goes.
@@ -66,9 +66,9 @@
     @Test
     void aServerHeldOutGetsNothingUntilItIsPutBack() {
         assertTrue(uses(FIRST, 8));
-        assertEquals(200, ask(new AdminRequest.Maint("s-1")).status());
-        assertEquals("s-1", node.expect(KeepHeld.class).server());
-        assertEquals(200, ask(new AdminRequest.Maint("s-1")).status());
+        assertEquals(200, ask(new AdminRequest.StartMaintenance("s-1")).status());
+        assertEquals("s-1", node.expect(StoreMaintenance.class).server());
+        assertEquals(200, ask(new AdminRequest.StartMaintenance("s-1")).status());
         assertEquals(false, uses(FIRST, 8));
         node.list(42, true, ONE, TWO);
         assertEquals(false, uses(FIRST, 8));
@@ -78,8 +78,8 @@
         assertEquals(false, uses(FIRST, 8));
         assertEquals(2, figure("members"));
         assertEquals(1, figure("members_unavailable"));
-        assertEquals(200, ask(new AdminRequest.Ready("s-1")).status());
-        assertEquals("s-1", node.expect(DropHeld.class).server());
+        assertEquals(200, ask(new AdminRequest.EndMaintenance("s-1")).status());
+        assertEquals("s-1", node.expect(ClearMaintenance.class).server());
         node.pass(1000);
         assertTrue(uses(FIRST, 8));
         assertEquals(0, figure("members_unavailable"));
@@ -92,29 +92,29 @@
     @Test
     void whatWaitedForAServerThatIsTakenOutGoesToAnother() {
         node.request("grant");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         String held = connect.address().equals(FIRST) ? "s-1" : "s-2";
-        assertEquals(200, ask(new AdminRequest.Maint(held)).status());
-        assertTrue(!node.expect(Connect.class).address().equals(connect.address()));
-        node.tell(new Event.ServerConnected(connect.connection()));
-        assertEquals(connect.connection(), node.expect(Effect.CloseServer.class).connection());
+        assertEquals(200, ask(new AdminRequest.StartMaintenance(held)).status());
+        assertTrue(!node.expect(ConnectUpstream.class).address().equals(connect.address()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
+        assertEquals(connect.connection(), node.expect(Effect.CloseUpstream.class).connection());
         node.expectNo(Forward.class);
     }
 
     @Test
     void anUnknownServerIsOwedANo() {
-        assertEquals(404, ask(new AdminRequest.Maint("s-9")).status());
-        assertEquals(404, ask(new AdminRequest.Ready("../s-1")).status());
-        node.expectNo(KeepHeld.class);
+        assertEquals(404, ask(new AdminRequest.StartMaintenance("s-9")).status());
+        assertEquals(404, ask(new AdminRequest.EndMaintenance("../s-1")).status());
+        node.expectNo(StoreMaintenance.class);
     }
 
     /** The other process of an upgrade may be the one that is called. */
     @Test
     void whatAnotherProcessWasToldIsFollowed() {
-        node.tell(new Event.HeldRead(Map.of("s-1", 5L)));
+        node.tell(new Event.MaintenanceLoaded(Map.of("s-1", 5L)));
         assertEquals(false, uses(FIRST, 8));
-        node.expectNo(KeepHeld.class);
-        node.tell(new Event.HeldRead(Map.of()));
+        node.expectNo(StoreMaintenance.class);
+        node.tell(new Event.MaintenanceLoaded(Map.of()));
         node.pass(1000);
         assertTrue(uses(FIRST, 8));
     }
@@ -123,10 +123,10 @@
     @Test
     void healthIsANoUntilClientsAreTakenAndAfterTheStop() {
         RouterDriver starting = new RouterDriver(new TestConfig(), false);
-        starting.tell(new Event.OperatorAsked(1, new AdminRequest.Health()));
-        assertEquals(503, starting.expect(TellOperator.class).status());
+        starting.tell(new Event.AdminRequestReceived(1, new AdminRequest.Health()));
+        assertEquals(503, starting.expect(RespondToAdmin.class).status());
         assertEquals(200, ask(new AdminRequest.Health()).status());
-        node.tell(new Event.StopAsked(true));
+        node.tell(new Event.ShutdownRequested(true));
         assertEquals(503, ask(new AdminRequest.Health()).status());
     }
 
@@ -180,16 +180,16 @@
         node.request(asks, "read", 1000);
         node.serve(node.connectNext());
         assertEquals(200, node.status(asks));
-        node.tell(new Event.StopAsked(true));
+        node.tell(new Event.ShutdownRequested(true));
         node.expect(Effect.StopAccepting.class);
         node.pass(900);
         node.expectNo(Effect.CloseClient.class);
         node.request(asks, "read", 1000);
         Forward forward = node.connectNext();
-        assertTrue(forward.waits() <= 600_000, "it ends before the kill");
+        assertTrue(forward.timeoutMicros() <= 600_000, "it ends before the kill");
         node.written(forward);
         node.answer(forward, 200, false);
-        assertTrue(node.expect(Effect.Respond.class).last());
+        assertTrue(node.expect(Effect.Respond.class).closeAfter());
         node.tell(new Event.ClientClosed(asks));
         node.pass(250);
         assertEquals(idle, node.expect(Effect.CloseClient.class).client());
@@ -207,7 +207,7 @@
     }
 
     private int beside(boolean accompanied, int connections) {
-        node.tell(new Event.CompanySeen(accompanied, connections));
+        node.tell(new Event.HotRestartPeerSeen(accompanied, connections));
         return node.expect(Effect.AcceptUpTo.class).connections();
     }
 }
