--- a/src/test/java/ottergauge/routing/RouterDriver.java
+++ b/src/test/java/ottergauge/routing/RouterDriver.java
@@ -19,13 +19,13 @@
 import ottergauge.protocol.RequestFields;
 import ottergauge.protocol.TestConfig;
 import ottergauge.resources.LogPosition;
-import ottergauge.routing.Effect.CallDiscovery;
-import ottergauge.routing.Effect.Connect;
+import ottergauge.routing.Effect.ConnectUpstream;
 import ottergauge.routing.Effect.Forward;
+import ottergauge.routing.Effect.PollDiscovery;
 import ottergauge.routing.Effect.Respond;
 import ottergauge.routing.Effect.StartTimer;
 import ottergauge.routing.Event.ClientRequest;
-import ottergauge.routing.Event.ServerAnswer;
+import ottergauge.routing.Event.ServerResponse;
 
 /**
  * Drives a router with no socket: gives it events, keeps its timers, and hands out its effects in
@@ -38,7 +38,7 @@
     private final List<Effect> effects = new ArrayList<>();
     private final PriorityQueue<Due> timers =
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-    private final Deque<Effect.ReadAll> reads = new ArrayDeque<>();
+    private final Deque<Effect.ReadPendingInput> reads = new ArrayDeque<>();
     private final Router router;
     private boolean holdsReads;
     private long now = 1_000_000_000_000L;
@@ -55,17 +55,17 @@
         router = new Router(config.build(), this::asked);
         router.start(now);
         if (serving) {
-            router.handle(now, new Event.Serving());
+            router.handle(now, new Event.ServingStarted());
         }
     }
 
     private void asked(Effect effect) {
         if (effect instanceof StartTimer timer) {
-            timers.add(new Due(now + timer.delay(), order++, timer.timer()));
-        } else if (effect instanceof Effect.ReadAll read) {
+            timers.add(new Due(now + timer.delayMicros(), order++, timer.timer()));
+        } else if (effect instanceof Effect.ReadPendingInput read) {
             reads.add(read);
         } else {
-            lastCall = effect instanceof CallDiscovery call ? call.call() : lastCall;
+            lastCall = effect instanceof PollDiscovery call ? call.poll() : lastCall;
             effects.add(effect);
         }
     }
@@ -73,7 +73,7 @@
     void tell(Event event) {
         router.handle(now, event);
         while (!holdsReads && !reads.isEmpty()) {
-            router.handle(now, new Event.AllRead(reads.poll().connection()));
+            router.handle(now, new Event.PendingInputRead(reads.poll().connection()));
         }
     }
 
@@ -85,8 +85,8 @@
     /** All that has come is read: what was held back may begin. */
     void readAll() {
         holdsReads = false;
-        for (Effect.ReadAll read = reads.poll(); read != null; read = reads.poll()) {
-            router.handle(now, new Event.AllRead(read.connection()));
+        for (Effect.ReadPendingInput read = reads.poll(); read != null; read = reads.poll()) {
+            router.handle(now, new Event.PendingInputRead(read.connection()));
         }
     }
 
@@ -141,9 +141,9 @@
     }
 
     void request(long client, String requestClass, long expiresInMs) {
-        tell(new Event.RequestBegan(client));
+        tell(new Event.RequestHeadReceived(client));
         tell(
-                new Event.RequestRead(
+                new Event.RequestReceived(
                         client, ask(requestClass, "id-" + ++lastRequest, expiresInMs), 0));
     }
 
@@ -164,7 +164,7 @@
 
     /** Lets the next connection that was asked for come up and gives back what is written to it. */
     Forward connectNext() {
-        tell(new Event.ServerConnected(expect(Connect.class).connection()));
+        tell(new Event.UpstreamConnected(expect(ConnectUpstream.class).connection()));
         return expect(Forward.class);
     }
 
@@ -181,7 +181,7 @@
     }
 
     void refuseNext() {
-        tell(new Event.ConnectFailed(expect(Connect.class).connection()));
+        tell(new Event.UpstreamConnectFailed(expect(ConnectUpstream.class).connection()));
     }
 
     void written(Forward forward) {
@@ -194,9 +194,9 @@
 
     void answer(Forward forward, int status, boolean neverRan, boolean reusable) {
         tell(
-                new Event.AnswerRead(
+                new Event.ResponseReceived(
                         forward.connection(),
-                        new ServerAnswer(
+                        new ServerResponse(
                                 status, neverRan, LoadReport.NONE, text("answer"), reusable)));
     }
 
@@ -213,7 +213,7 @@
     int status(long client) {
         Respond respond = expect(Respond.class);
         assertEquals(client, respond.client());
-        tell(new Event.AnswerWritten(client));
+        tell(new Event.ResponseWritten(client));
         return respond.status();
     }
 
@@ -235,7 +235,7 @@
             tell(
                     new Event.StateChanged(
                             servers,
-                            settings.map(config -> config.build().nodeSettings()),
+                            settings.map(config -> config.build().settings()),
                             new LogPosition("log", version)));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
@@ -247,7 +247,7 @@
     }
 
     void callFailed() {
-        tell(new Event.ListCallFailed(lastCall));
+        tell(new Event.DiscoveryPollFailed(lastCall));
     }
 
     /** Answers the call to discovery that is out; the first is made soon after the start. */
@@ -257,7 +257,7 @@
         }
         try {
             tell(
-                    new Event.ListRead(
+                    new Event.EndpointListReceived(
                             lastCall,
                             EndpointList.read(
                                     TestConfig.list(seq, whole, entries)
--- a/src/test/java/ottergauge/routing/RouterTest.java
+++ b/src/test/java/ottergauge/routing/RouterTest.java
@@ -25,13 +25,13 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.RequestFields;
 import ottergauge.protocol.TestConfig;
-import ottergauge.routing.Effect.AskLoad;
-import ottergauge.routing.Effect.CallDiscovery;
 import ottergauge.routing.Effect.CloseClient;
-import ottergauge.routing.Effect.CloseServer;
-import ottergauge.routing.Effect.Connect;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
 import ottergauge.routing.Effect.Exit;
 import ottergauge.routing.Effect.Forward;
+import ottergauge.routing.Effect.PollDiscovery;
+import ottergauge.routing.Effect.ProbeLoad;
 import ottergauge.routing.Effect.Respond;
 
 class RouterTest {
@@ -61,13 +61,15 @@
         assertEquals("POST", forward.request().method());
         assertEquals(
                 "ask", new String(forward.request().content().bytes(), StandardCharsets.UTF_8));
-        assertTrue(forward.waits() > 0 && forward.waits() <= 1_000_000, "waits " + forward.waits());
+        assertTrue(
+                forward.timeoutMicros() > 0 && forward.timeoutMicros() <= 1_000_000,
+                "waits " + forward.timeoutMicros());
         node.serve(forward);
         Respond respond = node.expect(Respond.class);
         assertEquals(client, respond.client());
         assertEquals(200, respond.status());
         assertArrayEquals("answer".getBytes(StandardCharsets.UTF_8), respond.content().bytes());
-        assertFalse(respond.last());
+        assertFalse(respond.closeAfter());
     }
 
     @Test
@@ -81,9 +83,9 @@
         assertEquals(first.connection(), second.connection());
         node.written(second);
         node.answer(second, 200, false, false);
-        assertEquals(CloseReason.NOT_REUSABLE, node.expect(CloseServer.class).reason());
+        assertEquals(CloseReason.NOT_REUSABLE, node.expect(CloseUpstream.class).reason());
         node.request("read");
-        assertNotEquals(first.connection(), node.expect(Connect.class).connection());
+        assertNotEquals(first.connection(), node.expect(ConnectUpstream.class).connection());
     }
 
     @Test
@@ -93,10 +95,10 @@
         Forward first = node.connectNext();
         node.written(first);
         node.request("read");
-        Connect slow = node.expect(Connect.class);
+        ConnectUpstream slow = node.expect(ConnectUpstream.class);
         node.answer(first, 200, false);
         assertEquals(first.connection(), node.expect(Forward.class).connection());
-        node.tell(new Event.ServerConnected(slow.connection()));
+        node.tell(new Event.UpstreamConnected(slow.connection()));
         node.expectNo(Forward.class);
     }
 
@@ -104,11 +106,11 @@
     void aConnectionOnItsWayServesWhoeverWaitsNext() {
         RouterDriver node = one();
         long gone = node.request("read");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.tell(new Event.ClientClosed(gone));
         long client = node.request("read");
-        node.expectNo(Connect.class);
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.expectNo(ConnectUpstream.class);
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.serve(node.expect(Forward.class));
         assertEquals(200, node.status(client));
     }
@@ -118,12 +120,12 @@
         RouterDriver node = one();
         long gone = node.request("grant");
         long client = node.request("grant");
-        Connect first = node.expect(Connect.class);
-        Connect second = node.expect(Connect.class);
+        ConnectUpstream first = node.expect(ConnectUpstream.class);
+        ConnectUpstream second = node.expect(ConnectUpstream.class);
         node.tell(new Event.ClientClosed(gone));
-        node.tell(new Event.ConnectFailed(first.connection()));
+        node.tell(new Event.UpstreamConnectFailed(first.connection()));
         node.expectNo(Respond.class);
-        node.tell(new Event.ServerConnected(second.connection()));
+        node.tell(new Event.UpstreamConnected(second.connection()));
         node.serve(node.expect(Forward.class));
         assertEquals(200, node.status(client));
     }
@@ -132,16 +134,16 @@
     void aTimeToWaitCountsFromTheLastByteAndIsTheClassesWhereNoneIsNamed() {
         RouterDriver node = one();
         long client = node.client();
-        node.tell(new Event.RequestBegan(client));
+        node.tell(new Event.RequestHeadReceived(client));
         node.pass(300);
         node.request(client, "read", -1);
         assertEquals(1_000_000, (float) forwarded(node, 1_000_000), 300_000);
         RouterDriver other = new RouterDriver(new TestConfig());
         long late = other.client();
-        other.tell(new Event.RequestBegan(late));
+        other.tell(new Event.RequestHeadReceived(late));
         other.pass(300);
         other.tell(
-                new Event.RequestRead(
+                new Event.RequestReceived(
                         late,
                         new Event.ClientRequest(
                                 new RequestFields("id", "read", 200, false, null),
@@ -160,11 +162,11 @@
     void aRequestThatWaitedToBeReadHasSoMuchLessTime() {
         RouterDriver node = one();
         long over = node.client();
-        node.tell(new Event.RequestRead(over, RouterDriver.ask("grant", "over", 300), 400_000));
+        node.tell(new Event.RequestReceived(over, RouterDriver.ask("grant", "over", 300), 400_000));
         assertEquals(503, node.status(over));
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
         long late = node.client();
-        node.tell(new Event.RequestRead(late, RouterDriver.ask("read", "late", 1000), 400_000));
+        node.tell(new Event.RequestReceived(late, RouterDriver.ask("read", "late", 1000), 400_000));
         node.connectNext();
         node.pass(600);
         assertEquals(503, node.status(late));
@@ -172,8 +174,8 @@
 
     private static long forwarded(RouterDriver node, long most) {
         Forward forward = node.connectNext();
-        assertTrue(forward.waits() <= most, "waits " + forward.waits());
-        return forward.waits();
+        assertTrue(forward.timeoutMicros() <= most, "waits " + forward.timeoutMicros());
+        return forward.timeoutMicros();
     }
 
     // ---- What comes back, and whether it has run
@@ -196,7 +198,7 @@
                         }),
                 row(
                         "broken before the last byte was written",
-                        (node, f) -> node.tell(new Event.ServerClosed(f.connection(), false))));
+                        (node, f) -> node.tell(new Event.UpstreamClosed(f.connection(), false))));
     }
 
     /** The rows after which it may have run. */
@@ -218,7 +220,7 @@
                         "broken after the last byte was written",
                         (node, f) -> {
                             node.written(f);
-                            node.tell(new Event.ServerClosed(f.connection(), false));
+                            node.tell(new Event.UpstreamClosed(f.connection(), false));
                         }),
                 row(
                         "nothing",
@@ -250,7 +252,7 @@
         RouterDriver node = two();
         long client = node.request("grant");
         what.accept(node, node.connectNext());
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
         node.expectNo(Forward.class);
         assertEquals(502, node.status(client));
     }
@@ -280,7 +282,7 @@
     void aConnectionThatNeverComesUpProvesThatNothingRan() {
         RouterDriver node = one();
         long client = node.request("grant");
-        node.expect(Connect.class);
+        node.expect(ConnectUpstream.class);
         node.pass(1000);
         assertEquals(503, node.status(client));
     }
@@ -290,7 +292,7 @@
         RouterDriver node = one();
         node.request("read");
         node.answer(node.connectNext(), 500, false);
-        assertEquals(CloseReason.NOT_REUSABLE, node.expect(CloseServer.class).reason());
+        assertEquals(CloseReason.NOT_REUSABLE, node.expect(CloseUpstream.class).reason());
     }
 
     // ---- One final answer, nothing after it
@@ -304,11 +306,11 @@
         node.written(forward);
         node.pass(799);
         assertEquals(
-                new CloseServer(forward.connection(), CloseReason.TIMED_OUT),
-                node.expect(CloseServer.class));
+                new CloseUpstream(forward.connection(), CloseReason.TIMED_OUT),
+                node.expect(CloseUpstream.class));
         assertEquals(502, node.status(client));
         node.answer(forward, 200, false);
-        node.tell(new Event.ServerClosed(forward.connection(), false));
+        node.tell(new Event.UpstreamClosed(forward.connection(), false));
         node.expectNo(Respond.class);
     }
 
@@ -320,8 +322,8 @@
         node.written(forward);
         node.tell(new Event.ClientClosed(client));
         assertEquals(
-                new CloseServer(forward.connection(), CloseReason.CANCELLED),
-                node.expect(CloseServer.class));
+                new CloseUpstream(forward.connection(), CloseReason.CANCELLED),
+                node.expect(CloseUpstream.class));
         node.pass(2000);
         node.expectNo(Respond.class);
         node.expectNo(Forward.class);
@@ -331,9 +333,9 @@
     void aClientThatGoesAwayBeforeItsAttemptIsWrittenHasNothingWritten() {
         RouterDriver node = one();
         long client = node.request("read");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.tell(new Event.ClientClosed(client));
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
     }
 
@@ -342,24 +344,24 @@
         RouterDriver node = one();
         long client = node.request("unheard-of");
         assertEquals(400, node.status(client));
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
     }
 
     @Test
     void whatIsNoRequestIsAnsweredAndItsConnectionClosed() {
         RouterDriver node = one();
         long client = node.client();
-        node.tell(new Event.RequestUnreadable(client, 413, "too large"));
+        node.tell(new Event.InvalidRequest(client, 413, "too large"));
         Respond respond = node.expect(Respond.class);
         assertEquals(413, respond.status());
-        assertTrue(respond.last());
+        assertTrue(respond.closeAfter());
     }
 
     @Test
     void aRequestThatIsBegunAndNotFinishedIsClosed() {
         RouterDriver node = one();
         long client = node.client();
-        node.tell(new Event.RequestBegan(client));
+        node.tell(new Event.RequestHeadReceived(client));
         node.pass(3000);
         assertEquals(
                 new CloseClient(client, CloseReason.SLOW_REQUEST), node.expect(CloseClient.class));
@@ -369,18 +371,18 @@
     void anIdThatIsOpenHereIsNotTakenASecondTime() {
         RouterDriver node = one();
         long first = node.client();
-        node.tell(new Event.RequestRead(first, RouterDriver.ask("pay", "same", 1000), 0));
+        node.tell(new Event.RequestReceived(first, RouterDriver.ask("pay", "same", 1000), 0));
         Forward forward = node.connectNext();
         long second = node.client();
-        node.tell(new Event.RequestRead(second, RouterDriver.ask("pay", "same", 1000), 0));
+        node.tell(new Event.RequestReceived(second, RouterDriver.ask("pay", "same", 1000), 0));
         Respond refused = node.expect(Respond.class);
         assertEquals(409, refused.status());
         assertEquals(second, refused.client());
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
         node.serve(forward);
         assertEquals(200, node.status(first));
         long third = node.client();
-        node.tell(new Event.RequestRead(third, RouterDriver.ask("pay", "same", 1000), 0));
+        node.tell(new Event.RequestReceived(third, RouterDriver.ask("pay", "same", 1000), 0));
         node.serve(node.expect(Forward.class));
         assertEquals(200, node.status(third));
     }
@@ -399,7 +401,7 @@
         RouterDriver node = one();
         long client = node.client();
         node.tell(
-                new Event.RequestRead(
+                new Event.RequestReceived(
                         client,
                         new Event.ClientRequest(
                                 new RequestFields("id", requestClass, 1000, false, key),
@@ -408,7 +410,7 @@
                                 new Content(null, new byte[length])),
                         0));
         assertEquals(400, node.status(client));
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
     }
 
     @Test
@@ -416,11 +418,11 @@
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
-        node.tell(new Event.RequestUnreadable(client, 400, "more"));
+        node.tell(new Event.InvalidRequest(client, 400, "more"));
         Respond respond = node.expect(Respond.class);
         assertEquals(400, respond.status());
-        assertTrue(respond.last());
-        assertEquals(forward.connection(), node.expect(CloseServer.class).connection());
+        assertTrue(respond.closeAfter());
+        assertEquals(forward.connection(), node.expect(CloseUpstream.class).connection());
         node.answer(forward, 200, false);
         node.expectNo(Respond.class);
     }
@@ -429,15 +431,15 @@
     void badRequestsAreToldOfAFewTimesASecondAndCounted() {
         RouterDriver node = one();
         for (int i = 0; i < 8; i++) {
-            node.tell(new Event.RequestUnreadable(node.client(), 400, "bad"));
+            node.tell(new Event.InvalidRequest(node.client(), 400, "bad"));
         }
         for (int i = 0; i < 5; i++) {
-            assertEquals(0, node.expect(Effect.NotTaken.class).before());
+            assertEquals(0, node.expect(Effect.ReportInvalidRequest.class).suppressed());
         }
-        node.expectNo(Effect.NotTaken.class);
+        node.expectNo(Effect.ReportInvalidRequest.class);
         node.pass(1000);
-        node.tell(new Event.RequestUnreadable(node.client(), 400, "bad"));
-        assertEquals(3, node.expect(Effect.NotTaken.class).before());
+        node.tell(new Event.InvalidRequest(node.client(), 400, "bad"));
+        assertEquals(3, node.expect(Effect.ReportInvalidRequest.class).suppressed());
     }
 
     @Test
@@ -446,12 +448,12 @@
         node.serve(node.connectToNew("grant"));
         Forward kept = node.sendAgain("grant");
         node.written(kept);
-        node.tell(new Event.ServerClosed(kept.connection(), false));
+        node.tell(new Event.UpstreamClosed(kept.connection(), false));
         Forward fresh = node.connectToNew("grant");
         node.written(fresh);
-        node.tell(new Event.ServerClosed(fresh.connection(), false));
+        node.tell(new Event.UpstreamClosed(fresh.connection(), false));
         node.request("grant");
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
     }
 
     @Test
@@ -460,11 +462,11 @@
         long client = node.request("grant");
         Forward forward = node.connectNext();
         node.written(forward);
-        node.tell(new Event.ServerClosed(forward.connection(), true));
+        node.tell(new Event.UpstreamClosed(forward.connection(), true));
         assertEquals(502, node.status(client));
         // A server that died would be barred for a while.
         node.request("grant");
-        node.expect(Connect.class);
+        node.expect(ConnectUpstream.class);
     }
 
     // ---- The list and drains
@@ -474,10 +476,10 @@
     void whatWaitsForADrainingServersConnectionGoesElsewhere() {
         RouterDriver node = watching();
         long client = node.request("grant");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.list(42, false, host("s-1", "10.0.0.1:80", "terminating"), TWO);
-        assertEquals("10.0.0.2:80", node.expect(Connect.class).address().toString());
-        node.tell(new Event.ServerConnected(connect.connection()));
+        assertEquals("10.0.0.2:80", node.expect(ConnectUpstream.class).address().toString());
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
         node.expectNo(Respond.class);
         assertTrue(client > 0);
@@ -490,10 +492,10 @@
         Forward busy = node.connectNext();
         node.written(busy);
         node.list(42, true);
-        node.expectNo(CloseServer.class);
+        node.expectNo(CloseUpstream.class);
         node.answer(busy, 200, false);
         assertEquals(200, node.expect(Respond.class).status());
-        assertEquals(CloseReason.DELISTED, node.expect(CloseServer.class).reason());
+        assertEquals(CloseReason.DELISTED, node.expect(CloseUpstream.class).reason());
     }
 
     @Test
@@ -502,9 +504,9 @@
         node.request("read");
         node.serve(node.connectNext());
         node.list(42, false, host("s-1", "10.0.0.9:80", "in_service"));
-        assertEquals(CloseReason.DELISTED, node.expect(CloseServer.class).reason());
+        assertEquals(CloseReason.DELISTED, node.expect(CloseUpstream.class).reason());
         node.request("read");
-        assertEquals("10.0.0.9:80", node.expect(Connect.class).address().toString());
+        assertEquals("10.0.0.9:80", node.expect(ConnectUpstream.class).address().toString());
     }
 
     // ---- Discovery
@@ -519,14 +521,16 @@
     @Test
     void aWatchBeginsAtTheKnownVersionAndGoesOnAtOnce() {
         RouterDriver node = watching();
-        CallDiscovery first = node.expect(CallDiscovery.class);
-        assertEquals(41, first.after());
+        PollDiscovery first = node.expect(PollDiscovery.class);
+        assertEquals(41, first.afterVersion());
         node.pass(1000);
         node.list(43, false, TWO);
-        CallDiscovery next = node.expect(CallDiscovery.class);
-        assertEquals(43, next.after());
-        assertTrue(next.waits() >= 200_000 && next.waits() <= 3_000_000, "waits " + next.waits());
-        node.expectNo(CallDiscovery.class);
+        PollDiscovery next = node.expect(PollDiscovery.class);
+        assertEquals(43, next.afterVersion());
+        assertTrue(
+                next.maxWaitMicros() >= 200_000 && next.maxWaitMicros() <= 3_000_000,
+                "waits " + next.maxWaitMicros());
+        node.expectNo(PollDiscovery.class);
     }
 
     /** Guards against requests to a server that began to drain while the watch was silent. */
@@ -534,13 +538,13 @@
     void aSilentWatchIsNoticedBeforeWhatItMissedCountsAsTold() {
         RouterDriver node = watching();
         node.list(41, false);
-        node.expect(CallDiscovery.class);
-        CallDiscovery silent = node.expect(CallDiscovery.class);
-        node.pass(silent.waits() / 1000 + 300);
-        assertEquals(41, node.expect(CallDiscovery.class).after());
+        node.expect(PollDiscovery.class);
+        PollDiscovery silent = node.expect(PollDiscovery.class);
+        node.pass(silent.maxWaitMicros() / 1000 + 300);
+        assertEquals(41, node.expect(PollDiscovery.class).afterVersion());
         node.list(42, false, host("s-1", "127.0.0.1:4000", "terminating"));
         node.request("read");
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
     }
 
     /**
@@ -558,7 +562,7 @@
                 TWO);
         for (int i = 0; i < 3; i++) {
             node.request("read");
-            assertEquals(TWO_DIAL, node.expect(Connect.class).address().toString());
+            assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
         }
         node.list(
                 43,
@@ -567,30 +571,30 @@
                 host("s-1", "127.0.0.1:4009", "in_service"),
                 host("s-2", "127.0.0.1:4001", "terminating"));
         node.request("read");
-        assertEquals("127.0.0.1:4009", node.expect(Connect.class).address().toString());
+        assertEquals("127.0.0.1:4009", node.expect(ConnectUpstream.class).address().toString());
     }
 
     @Test
     void answersThatBringNothingAreNotAskedForWithoutAPause() {
         RouterDriver node = watching();
-        node.expect(CallDiscovery.class);
+        node.expect(PollDiscovery.class);
         node.list(41, false);
-        node.expect(CallDiscovery.class);
+        node.expect(PollDiscovery.class);
         node.list(41, false);
-        node.expectNo(CallDiscovery.class);
+        node.expectNo(PollDiscovery.class);
         node.pass(199);
-        node.expect(CallDiscovery.class);
+        node.expect(PollDiscovery.class);
     }
 
     @Test
     void afterAFailedCallTheNextOneWaits() {
         RouterDriver node = watching();
-        node.expect(CallDiscovery.class);
+        node.expect(PollDiscovery.class);
         node.callFailed();
-        node.expectNo(CallDiscovery.class);
+        node.expectNo(PollDiscovery.class);
         node.pass(1000);
-        node.expect(CallDiscovery.class);
-        node.expectNo(CallDiscovery.class);
+        node.expect(PollDiscovery.class);
+        node.expectNo(PollDiscovery.class);
     }
 
     /** Guards against a bound on servers, nodes or what is out below a thousand of each. */
@@ -614,9 +618,9 @@
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 2 * many; i++) {
             node.request("grant");
-            Connect connect = node.expect(Connect.class);
+            ConnectUpstream connect = node.expect(ConnectUpstream.class);
             used.add(connect.address().toString());
-            node.tell(new Event.ServerConnected(connect.connection()));
+            node.tell(new Event.UpstreamConnected(connect.connection()));
             node.written(node.expect(Forward.class));
         }
         assertEquals(many, used.size());
@@ -629,41 +633,41 @@
     @Test
     void anotherAddressOfDiscoveryIsAskedForTheWholeListAtOnce() {
         RouterDriver node = watching();
-        CallDiscovery old = node.expect(CallDiscovery.class);
+        PollDiscovery old = node.expect(PollDiscovery.class);
         node.tell(new Event.Reconfigured(discoveryAt("127.0.0.1:8600")));
-        CallDiscovery call = node.expect(CallDiscovery.class);
+        PollDiscovery call = node.expect(PollDiscovery.class);
         assertEquals(8600, call.address().port());
         assertTrue(
-                call.after() < 0 && call.waits() == 0,
+                call.afterVersion() < 0 && call.maxWaitMicros() == 0,
                 "waits where it was to ask at once: " + call);
         // What the call that was given up still brings, or that it failed, changes nothing.
-        node.tell(new Event.ListRead(old.call(), EndpointList.EMPTY));
-        node.tell(new Event.ListCallFailed(old.call()));
+        node.tell(new Event.EndpointListReceived(old.poll(), EndpointList.EMPTY));
+        node.tell(new Event.DiscoveryPollFailed(old.poll()));
         node.pass(1900);
-        node.expectNo(CallDiscovery.class);
+        node.expectNo(PollDiscovery.class);
         node.list(3, true, TWO);
-        assertEquals(3, node.expect(CallDiscovery.class).after());
+        assertEquals(3, node.expect(PollDiscovery.class).afterVersion());
         node.request("read");
-        assertEquals(TWO_DIAL, node.expect(Connect.class).address().toString());
+        assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
     }
 
     @Test
     void aMoveWhileACallIsAwaitedMakesOneCall() {
         RouterDriver node = watching();
-        node.expect(CallDiscovery.class);
+        node.expect(PollDiscovery.class);
         node.callFailed();
         node.tell(new Event.Reconfigured(discoveryAt("127.0.0.1:8600")));
-        node.expect(CallDiscovery.class);
+        node.expect(PollDiscovery.class);
         node.pass(2000);
-        node.expectNo(CallDiscovery.class);
+        node.expectNo(PollDiscovery.class);
     }
 
     @Test
     void theSameAddressOfDiscoveryLeavesTheWatchAlone() {
         RouterDriver node = watching();
-        node.expect(CallDiscovery.class);
+        node.expect(PollDiscovery.class);
         node.tell(new Event.Reconfigured(discoveryAt("127.0.0.1:8500")));
-        node.expectNo(CallDiscovery.class);
+        node.expectNo(PollDiscovery.class);
     }
 
     @Test
@@ -671,7 +675,7 @@
         RouterDriver node = one();
         node.tell(new Event.Reconfigured(new TestConfig().sockets(1).build()));
         assertEquals(503, node.status(node.request("grant")));
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
     }
 
     // ---- Idle connections and sockets
@@ -683,9 +687,9 @@
         node.request("read");
         node.serve(node.connectNext());
         node.pass(7000);
-        node.expectNo(CloseServer.class);
+        node.expectNo(CloseUpstream.class);
         node.pass(2000);
-        assertEquals(CloseReason.IDLE, node.expect(CloseServer.class).reason());
+        assertEquals(CloseReason.IDLE, node.expect(CloseUpstream.class).reason());
     }
 
     @Test
@@ -709,7 +713,7 @@
         RouterDriver node = one();
         long client = node.client();
         node.pass(1500);
-        node.tell(new Event.RequestBegan(client));
+        node.tell(new Event.RequestHeadReceived(client));
         node.pass(1400);
         assertEquals(
                 new CloseClient(client, CloseReason.SLOW_REQUEST), node.expect(CloseClient.class));
@@ -768,11 +772,11 @@
         node.serve(node.connectNext());
         node.status(first);
         node.client();
-        node.expectNo(CloseServer.class);
+        node.expectNo(CloseUpstream.class);
         node.tell(new Event.ClientClosed(first));
         node.client();
         node.expectNo(CloseClient.class);
-        node.expectNo(CloseServer.class);
+        node.expectNo(CloseUpstream.class);
         node.tell(new Event.Reconfigured(new TestConfig().sockets(64 + 2).build()));
         node.request("grant");
         assertEquals(CloseReason.SOCKETS_SHORT, node.expect(CloseClient.class).reason());
@@ -795,7 +799,7 @@
         RouterDriver node =
                 new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 1).attempts(1));
         long client = node.request("grant");
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
         assertEquals(503, node.status(client));
     }
 
@@ -806,14 +810,14 @@
     void aProbeThatIsNotAnsweredIsGivenUp() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).probes());
         node.request("read");
-        Connect connect = node.expect(Connect.class);
-        node.tell(new Event.ServerConnected(connect.connection()));
-        assertEquals(connect.connection(), node.expect(AskLoad.class).connection());
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
+        node.tell(new Event.UpstreamConnected(connect.connection()));
+        assertEquals(connect.connection(), node.expect(ProbeLoad.class).connection());
         node.tell(new Event.RequestWritten(connect.connection()));
         node.pass(250);
         assertEquals(
-                new CloseServer(connect.connection(), CloseReason.TIMED_OUT),
-                node.expect(CloseServer.class));
+                new CloseUpstream(connect.connection(), CloseReason.TIMED_OUT),
+                node.expect(CloseUpstream.class));
     }
 
     // ---- Stopping
@@ -826,9 +830,9 @@
         long taken = node.request("read");
         Forward forward = node.connectNext();
         node.written(forward);
-        node.tell(new Event.StopAsked(false));
+        node.tell(new Event.ShutdownRequested(false));
         long asking = node.client();
-        node.tell(new Event.HealthAsked(asking, true));
+        node.tell(new Event.HealthRequested(asking, true));
         assertEquals(503, node.status(asking));
         node.tell(new Event.ClientClosed(asking));
         node.pass(400);
@@ -837,7 +841,7 @@
         Respond respond = node.expect(Respond.class);
         assertEquals(late, respond.client());
         assertEquals(200, respond.status());
-        assertTrue(respond.last());
+        assertTrue(respond.closeAfter());
         node.tell(new Event.ClientClosed(late));
         node.expectNo(CloseClient.class);
         node.pass(200);
@@ -853,7 +857,7 @@
     @Test
     void aClientThatComesLateAndSendsNothingDoesNotKeepTheNodeFromEnding() {
         RouterDriver node = one();
-        node.tell(new Event.StopAsked(false));
+        node.tell(new Event.ShutdownRequested(false));
         long busy = node.request("read");
         Forward forward = node.connectNext();
         node.written(forward);
@@ -872,7 +876,7 @@
     void aNodeThatRunsIsReady() {
         RouterDriver node = one();
         long client = node.client();
-        node.tell(new Event.HealthAsked(client, true));
+        node.tell(new Event.HealthRequested(client, true));
         assertEquals(200, node.status(client));
     }
 }
--- a/src/test/java/ottergauge/routing/SettingsTakeoverTest.java
+++ b/src/test/java/ottergauge/routing/SettingsTakeoverTest.java
@@ -26,13 +26,13 @@
 import ottergauge.protocol.RequestFields;
 import ottergauge.protocol.TestConfig;
 import ottergauge.resources.LogPosition;
-import ottergauge.routing.Effect.CallDiscovery;
-import ottergauge.routing.Effect.CloseServer;
-import ottergauge.routing.Effect.Connect;
+import ottergauge.routing.Effect.CancelPoll;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
 import ottergauge.routing.Effect.Forward;
-import ottergauge.routing.Effect.GiveUpCall;
+import ottergauge.routing.Effect.PollDiscovery;
 import ottergauge.routing.Effect.Respond;
-import ottergauge.routing.Effect.TellOperator;
+import ottergauge.routing.Effect.RespondToAdmin;
 
 /**
  * Settings and state that come in force while the node serves, on SIGHUP and from the log of
@@ -81,7 +81,7 @@
         long early = node.request("audit");
         assertEquals(400, node.status(early));
         way.accept(node, classes(AUDIT, READ, PAY, GRANT));
-        node.expectNo(CloseServer.class);
+        node.expectNo(CloseUpstream.class);
         node.request("audit");
         Forward forward = node.expect(Forward.class);
         assertEquals(first.connection(), forward.connection());
@@ -117,7 +117,7 @@
         Forward forward = node.connectNext();
         node.written(forward);
         way.accept(node, classes(requestClass("grant", "free", 1000)));
-        node.tell(new Event.ServerClosed(forward.connection(), false));
+        node.tell(new Event.UpstreamClosed(forward.connection(), false));
         assertEquals(502, node.status(client));
         node.expectNo(Forward.class);
     }
@@ -128,7 +128,7 @@
         RouterDriver node = one();
         long client = node.client();
         node.tell(
-                new Event.RequestRead(
+                new Event.RequestReceived(
                         client,
                         new Event.ClientRequest(
                                 new RequestFields("id", "read", -1, false, null),
@@ -136,14 +136,14 @@
                                 "/api",
                                 Content.NONE),
                         0));
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         way.accept(node, classes(requestClass("read", "free", 200)));
         node.pass(100);
-        node.tell(new Event.ConnectFailed(connect.connection()));
+        node.tell(new Event.UpstreamConnectFailed(connect.connection()));
         node.pass(200);
         node.expectNo(Respond.class);
         Forward forward = node.connectNext();
-        assertTrue(forward.waits() > 200_000, "waits " + forward.waits());
+        assertTrue(forward.timeoutMicros() > 200_000, "waits " + forward.timeoutMicros());
         node.serve(forward);
         assertEquals(200, node.status(client));
     }
@@ -161,14 +161,16 @@
         for (String name : new String[] {"read", "pay", "grant"}) {
             long client = node.request(name);
             Forward forward =
-                    node.has(Connect.class) ? node.connectNext() : node.expect(Forward.class);
+                    node.has(ConnectUpstream.class)
+                            ? node.connectNext()
+                            : node.expect(Forward.class);
             node.serve(forward);
             assertEquals(200, node.status(client), name);
             assertEquals(1, figure(node, "completed." + name));
         }
         long keyless = node.client();
         node.tell(
-                new Event.RequestRead(
+                new Event.RequestReceived(
                         keyless,
                         new Event.ClientRequest(
                                 new RequestFields("id", "pay", 500, false, null),
@@ -206,8 +208,8 @@
     }
 
     private static String figures(RouterDriver node) {
-        node.tell(new Event.OperatorAsked(1, new AdminRequest.Stats()));
-        return node.expect(TellOperator.class).text();
+        node.tell(new Event.AdminRequestReceived(1, new AdminRequest.Stats()));
+        return node.expect(RespondToAdmin.class).text();
     }
 
     private static long figure(RouterDriver node, String name) {
@@ -235,11 +237,11 @@
         node.written(forward);
         way.accept(node, new TestConfig().zones("b", "a"));
         node.state(121, Optional.empty(), false, other);
-        node.tell(new Event.ServerClosed(forward.connection(), false));
+        node.tell(new Event.UpstreamClosed(forward.connection(), false));
         node.pass(1000);
         // It may go to the one server of its zone again, and to no other.
-        while (node.has(Connect.class)) {
-            assertNotEquals(TWO_DIAL, node.expect(Connect.class).address().toString());
+        while (node.has(ConnectUpstream.class)) {
+            assertNotEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
         }
         assertEquals(502, node.status(client));
     }
@@ -256,14 +258,14 @@
                 new RouterDriver(new TestConfig().knows(inZone(ONE, "c"), inZone(TWO, "d")));
         way.accept(node, new TestConfig().zones("a", "b", "c", "d"));
         long client = node.request("pay");
-        Connect first = node.expect(Connect.class);
-        node.tell(new Event.ServerConnected(first.connection()));
+        ConnectUpstream first = node.expect(ConnectUpstream.class);
+        node.tell(new Event.UpstreamConnected(first.connection()));
         Forward forward = node.expect(Forward.class);
         node.written(forward);
-        node.tell(new Event.ServerClosed(forward.connection(), false));
+        node.tell(new Event.UpstreamClosed(forward.connection(), false));
         node.pass(1000);
-        while (node.has(Connect.class)) {
-            assertEquals(first.address(), node.expect(Connect.class).address());
+        while (node.has(ConnectUpstream.class)) {
+            assertEquals(first.address(), node.expect(ConnectUpstream.class).address());
         }
         assertEquals(502, node.status(client));
     }
@@ -274,10 +276,10 @@
         RouterDriver node = one();
         node.serve(node.connectToNew("read"));
         node.pass(3_000);
-        node.expectNo(CloseServer.class);
+        node.expectNo(CloseUpstream.class);
         way.accept(node, new TestConfig().idleMs(2_000));
         node.pass(500);
-        assertEquals(CloseReason.IDLE, node.expect(CloseServer.class).reason());
+        assertEquals(CloseReason.IDLE, node.expect(CloseUpstream.class).reason());
     }
 
     @Test
@@ -285,12 +287,12 @@
         RouterDriver node = one();
         node.list(42, true, ONE);
         node.reconfigure(new TestConfig().askMs(1_000));
-        while (node.has(CallDiscovery.class)) {
-            node.expect(CallDiscovery.class);
+        while (node.has(PollDiscovery.class)) {
+            node.expect(PollDiscovery.class);
         }
         for (long seq = 43; seq < 53; seq++) {
             node.list(seq, true, ONE);
-            long waits = node.expect(CallDiscovery.class).waits();
+            long waits = node.expect(PollDiscovery.class).maxWaitMicros();
             assertTrue(waits <= 500_000, "waits for " + waits + " us of one second");
         }
     }
@@ -311,9 +313,9 @@
                                 .balancers(50_000)
                                 .knows(born("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
-        node.expectNo(Connect.class);
+        node.expectNo(ConnectUpstream.class);
         node.state(120, Optional.of(new TestConfig().balancers(1)), false, ONE_GONE, TWO);
-        assertEquals(TWO_DIAL, node.expect(Connect.class).address().toString());
+        assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
         node.expectNo(Respond.class);
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
     }
@@ -325,10 +327,10 @@
     void whatWaitedForAServerThatGoesIsTakenToAnother() {
         RouterDriver node = one();
         node.request("grant");
-        node.expect(Connect.class);
+        node.expect(ConnectUpstream.class);
         node.state(120, Optional.of(classes(READ, AUDIT)), false, ONE_GONE, TWO);
-        assertEquals(TWO_DIAL, node.expect(Connect.class).address().toString());
-        node.expectNo(Connect.class);
+        assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
+        node.expectNo(ConnectUpstream.class);
     }
 
     @Test
@@ -348,19 +350,19 @@
     void discoveryIsAskedNoMoreOnceTheListComesFromTheLog() {
         RouterDriver node = one();
         node.pass(200);
-        long call = node.expect(CallDiscovery.class).call();
+        long call = node.expect(PollDiscovery.class).poll();
         node.state(120, Optional.empty(), true, TWO);
-        assertEquals(call, node.expect(GiveUpCall.class).call());
+        assertEquals(call, node.expect(CancelPoll.class).poll());
         node.list(42, true, ONE);
         node.callFailed();
         node.reconfigure(new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8501"));
         node.pass(60_000);
-        node.expectNo(CallDiscovery.class);
+        node.expectNo(PollDiscovery.class);
         // What it has counts for as long as nothing newer comes: the log's other end may be away.
         node.request("read");
-        Connect connect = node.expect(Connect.class);
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
         assertEquals(TWO_DIAL, connect.address().toString());
-        node.tell(new Event.ServerConnected(connect.connection()));
+        node.tell(new Event.UpstreamConnected(connect.connection()));
         node.serve(node.expect(Forward.class));
         assertEquals(200, node.expect(Respond.class).status());
     }
@@ -387,9 +389,9 @@
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             node.request("read");
-            Connect connect = node.expect(Connect.class);
+            ConnectUpstream connect = node.expect(ConnectUpstream.class);
             used.add(connect.address().toString());
-            node.tell(new Event.ServerConnected(connect.connection()));
+            node.tell(new Event.UpstreamConnected(connect.connection()));
             Forward forward = node.expect(Forward.class);
             node.written(forward);
             // Not kept, so that each request shows by its connection where it goes.
--- a/src/test/java/ottergauge/routing/WatchTest.java
+++ b/src/test/java/ottergauge/routing/WatchTest.java
@@ -18,8 +18,8 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.protocol.TestConfig;
-import ottergauge.routing.Effect.CallDiscovery;
-import ottergauge.routing.Effect.GiveUpCall;
+import ottergauge.routing.Effect.CancelPoll;
+import ottergauge.routing.Effect.PollDiscovery;
 import ottergauge.routing.Effect.StartTimer;
 
 /**
@@ -54,13 +54,13 @@
         return found;
     }
 
-    private CallDiscovery watching() {
+    private PollDiscovery watching() {
         watch.begin(0);
-        CallDiscovery first = expect(CallDiscovery.class);
-        assertTrue(first.waits() < SECOND, "the first answer says that the watch is alive");
+        PollDiscovery first = expect(PollDiscovery.class);
+        assertTrue(first.maxWaitMicros() < SECOND, "the first answer says that the watch is alive");
         effects.clear();
-        watch.read(SECOND, first.call(), NOTHING);
-        return expect(CallDiscovery.class);
+        watch.read(SECOND, first.poll(), NOTHING);
+        return expect(PollDiscovery.class);
     }
 
     /**
@@ -69,18 +69,19 @@
      */
     @Test
     void aSilentWatchIsOpenedAnewAtOnceAndSoonAfterItsWait() {
-        CallDiscovery silent = watching();
+        PollDiscovery silent = watching();
         StartTimer timer = expect(StartTimer.class);
-        assertTrue(timer.delay() <= COUNTS_AS_TOLD / 2, "noticed after " + timer.delay());
-        watch.due(SECOND + timer.delay(), silent.call());
-        CallDiscovery again = expect(CallDiscovery.class);
-        assertEquals(41, again.after());
         assertTrue(
-                effects.stream().noneMatch(GiveUpCall.class::isInstance),
+                timer.delayMicros() <= COUNTS_AS_TOLD / 2, "noticed after " + timer.delayMicros());
+        watch.due(SECOND + timer.delayMicros(), silent.poll());
+        PollDiscovery again = expect(PollDiscovery.class);
+        assertEquals(41, again.afterVersion());
+        assertTrue(
+                effects.stream().noneMatch(CancelPoll.class::isInstance),
                 "the old call is still read");
-        assertTrue(watch.takes(again.call(), DRAINS));
-        assertTrue(watch.read(14 * SECOND, again.call(), DRAINS).isPresent());
-        assertEquals(silent.call(), expect(GiveUpCall.class).call());
+        assertTrue(watch.takes(again.poll(), DRAINS));
+        assertTrue(watch.read(14 * SECOND, again.poll(), DRAINS).isPresent());
+        assertEquals(silent.poll(), expect(CancelPoll.class).poll());
     }
 
     /**
@@ -89,19 +90,19 @@
      */
     @Test
     void aLateAnswerOfASilentWatchCountsUntilTheNextOneIsThere() {
-        CallDiscovery silent = watching();
-        watch.due(12 * SECOND, silent.call());
+        PollDiscovery silent = watching();
+        watch.due(12 * SECOND, silent.poll());
         effects.clear();
-        CallDiscovery unused = new CallDiscovery(silent.call() + 1, silent.address(), 41, 0);
-        assertTrue(watch.takes(silent.call(), DRAINS));
-        assertTrue(watch.read(12 * SECOND, silent.call(), DRAINS).isPresent());
+        PollDiscovery unused = new PollDiscovery(silent.poll() + 1, silent.address(), 41, 0);
+        assertTrue(watch.takes(silent.poll(), DRAINS));
+        assertTrue(watch.read(12 * SECOND, silent.poll(), DRAINS).isPresent());
         assertTrue(effects.isEmpty(), "the watch goes on with the newer call alone: " + effects);
-        assertFalse(watch.takes(silent.call(), list(43, false, "in_service")), "answered twice");
+        assertFalse(watch.takes(silent.poll(), list(43, false, "in_service")), "answered twice");
         // What the newer call brings was known before, or is newer still.
-        assertFalse(watch.takes(unused.call(), NOTHING), "an old word would undo a newer one");
-        assertTrue(watch.takes(unused.call(), DRAINS));
-        watch.read(13 * SECOND, unused.call(), DRAINS);
-        assertEquals(42, expect(CallDiscovery.class).after());
+        assertFalse(watch.takes(unused.poll(), NOTHING), "an old word would undo a newer one");
+        assertTrue(watch.takes(unused.poll(), DRAINS));
+        watch.read(13 * SECOND, unused.poll(), DRAINS);
+        assertEquals(42, expect(PollDiscovery.class).afterVersion());
     }
 
     /**
@@ -111,43 +112,43 @@
     @Test
     void aFirstCallThatIsNotAnsweredIsReadOnWhileTheNextOneIsPausedFor() {
         watch.begin(0);
-        CallDiscovery first = expect(CallDiscovery.class);
-        watch.due(3 * SECOND, first.call());
+        PollDiscovery first = expect(PollDiscovery.class);
+        watch.due(3 * SECOND, first.poll());
         assertTrue(
-                effects.stream().noneMatch(CallDiscovery.class::isInstance), "asked with no pause");
+                effects.stream().noneMatch(PollDiscovery.class::isInstance), "asked with no pause");
         StartTimer pause =
                 effects.stream()
                         .filter(StartTimer.class::isInstance)
                         .map(StartTimer.class::cast)
-                        .filter(timer -> timer.timer() instanceof Timer.NextCall)
+                        .filter(timer -> timer.timer() instanceof Timer.NextPoll)
                         .findFirst()
                         .orElseThrow();
-        assertTrue(pause.delay() <= SECOND / 2, "paused for " + pause.delay());
-        assertTrue(watch.takes(first.call(), DRAINS));
-        watch.resume(4 * SECOND, first.call());
-        CallDiscovery second = expect(CallDiscovery.class);
-        watch.due(7 * SECOND, second.call());
-        assertEquals(first.call(), expect(GiveUpCall.class).call(), "more calls are read than two");
+        assertTrue(pause.delayMicros() <= SECOND / 2, "paused for " + pause.delayMicros());
+        assertTrue(watch.takes(first.poll(), DRAINS));
+        watch.resume(4 * SECOND, first.poll());
+        PollDiscovery second = expect(PollDiscovery.class);
+        watch.due(7 * SECOND, second.poll());
+        assertEquals(first.poll(), expect(CancelPoll.class).poll(), "more calls are read than two");
     }
 
     @Test
     void aSilentCallThatEndsLaterIsNoFailureOfTheWatch() {
-        CallDiscovery silent = watching();
-        watch.due(12 * SECOND, silent.call());
-        CallDiscovery again = expect(CallDiscovery.class);
+        PollDiscovery silent = watching();
+        watch.due(12 * SECOND, silent.poll());
+        PollDiscovery again = expect(PollDiscovery.class);
         effects.clear();
-        watch.failed(12 * SECOND, silent.call());
+        watch.failed(12 * SECOND, silent.poll());
         assertTrue(effects.isEmpty());
-        watch.failed(12 * SECOND, again.call());
-        assertTrue(expect(StartTimer.class).timer() instanceof Timer.NextCall);
+        watch.failed(12 * SECOND, again.poll());
+        assertTrue(expect(StartTimer.class).timer() instanceof Timer.NextPoll);
     }
 
     /** Guards against a pause in which nothing is heard where the watch was open until now. */
     @Test
     void aWatchThatBreaksIsOpenedAnewAtOnce() {
-        CallDiscovery broken = watching();
-        watch.failed(2 * SECOND, broken.call());
-        assertEquals(41, expect(CallDiscovery.class).after());
+        PollDiscovery broken = watching();
+        watch.failed(2 * SECOND, broken.poll());
+        assertEquals(41, expect(PollDiscovery.class).afterVersion());
     }
 
     /**
@@ -156,30 +157,30 @@
      */
     @Test
     void versionsThatBeginAnewAreAskedForWhole() {
-        CallDiscovery call = watching();
+        PollDiscovery call = watching();
         EndpointList lower = new EndpointList(3, false, List.of());
-        assertFalse(watch.takes(call.call(), lower));
+        assertFalse(watch.takes(call.poll(), lower));
         effects.clear();
-        watch.passOver(2 * SECOND, call.call(), lower);
-        CallDiscovery whole = expect(CallDiscovery.class);
-        assertEquals(-1, whole.after());
-        assertFalse(watch.takes(whole.call(), lower), "changes where the whole list was asked for");
-        assertTrue(watch.takes(whole.call(), list(3, true, "in_service")));
+        watch.passOver(2 * SECOND, call.poll(), lower);
+        PollDiscovery whole = expect(PollDiscovery.class);
+        assertEquals(-1, whole.afterVersion());
+        assertFalse(watch.takes(whole.poll(), lower), "changes where the whole list was asked for");
+        assertTrue(watch.takes(whole.poll(), list(3, true, "in_service")));
     }
 
     /** Guards against an older whole list that undoes what a call beside it has brought. */
     @Test
     void anOlderAnswerUndoesNothingAndTheWatchGoesOn() {
-        CallDiscovery silent = watching();
-        watch.due(3 * SECOND, silent.call());
-        CallDiscovery again = expect(CallDiscovery.class);
-        assertTrue(watch.takes(silent.call(), DRAINS));
-        watch.read(3 * SECOND, silent.call(), DRAINS);
+        PollDiscovery silent = watching();
+        watch.due(3 * SECOND, silent.poll());
+        PollDiscovery again = expect(PollDiscovery.class);
+        assertTrue(watch.takes(silent.poll(), DRAINS));
+        watch.read(3 * SECOND, silent.poll(), DRAINS);
         EndpointList old = list(41, true, "in_service");
-        assertFalse(watch.takes(again.call(), old));
+        assertFalse(watch.takes(again.poll(), old));
         effects.clear();
-        watch.passOver(4 * SECOND, again.call(), old);
-        assertEquals(42, expect(CallDiscovery.class).after());
+        watch.passOver(4 * SECOND, again.poll(), old);
+        assertEquals(42, expect(PollDiscovery.class).afterVersion());
     }
 
     /**
@@ -191,14 +192,14 @@
         long now = 0;
         List<Long> pauses = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            CallDiscovery call = expect(CallDiscovery.class);
+            PollDiscovery call = expect(PollDiscovery.class);
             effects.clear();
-            watch.notTaken(now, call.call());
+            watch.notTaken(now, call.poll());
             StartTimer pause = expect(StartTimer.class);
-            assertEquals(call.call(), ((Timer.NextCall) pause.timer()).after());
-            pauses.add(pause.delay());
-            now += pause.delay();
-            watch.resume(now, call.call());
+            assertEquals(call.poll(), ((Timer.NextPoll) pause.timer()).afterPoll());
+            pauses.add(pause.delayMicros());
+            now += pause.delayMicros();
+            watch.resume(now, call.poll());
         }
         assertTrue(
                 pauses.subList(0, 3).stream().allMatch(pause -> pause < 2 * SECOND),
@@ -213,24 +214,24 @@
 
     @Test
     void onceAListIsTakenSpoiltOnesCountAnew() {
-        CallDiscovery call = watching();
+        PollDiscovery call = watching();
         for (int i = 0; i < 6; i++) {
             effects.clear();
-            watch.notTaken(2 * SECOND, call.call());
-            watch.resume(3 * SECOND, call.call());
-            call = expect(CallDiscovery.class);
+            watch.notTaken(2 * SECOND, call.poll());
+            watch.resume(3 * SECOND, call.poll());
+            call = expect(PollDiscovery.class);
         }
-        watch.read(4 * SECOND, call.call(), DRAINS);
-        CallDiscovery next = expect(CallDiscovery.class);
+        watch.read(4 * SECOND, call.poll(), DRAINS);
+        PollDiscovery next = expect(PollDiscovery.class);
         effects.clear();
-        watch.notTaken(5 * SECOND, next.call());
+        watch.notTaken(5 * SECOND, next.poll());
         assertEquals(
                 42,
-                expect(CallDiscovery.class).after(),
+                expect(PollDiscovery.class).afterVersion(),
                 "a watch that breaks is opened anew at once");
     }
 
-    private record Asked(int node, long at, CallDiscovery call) {}
+    private record Asked(int node, long at, PollDiscovery call) {}
 
     /**
      * All watches of a fleet fall silent at one moment, soon after the same change woke them all;
@@ -252,7 +253,7 @@
             each.begin(0);
             each.read(0, 1, NOTHING);
             long noticed = lastTimer(own);
-            each.due(noticed, last(own).call());
+            each.due(noticed, last(own).poll());
             asked.add(new Asked(i, noticed, last(own)));
         }
         long free = 0;
@@ -260,10 +261,10 @@
         while (!asked.isEmpty()) {
             Asked next = asked.poll();
             if (next.call == null) {
-                watches.get(next.node).resume(next.at, last(told.get(next.node)).call());
+                watches.get(next.node).resume(next.at, last(told.get(next.node)).poll());
                 asked.add(new Asked(next.node, next.at, last(told.get(next.node))));
             } else if (free > next.at + 2 * SECOND - turn) {
-                watches.get(next.node).failed(next.at, next.call.call());
+                watches.get(next.node).failed(next.at, next.call.poll());
                 asked.add(new Asked(next.node, next.at + lastTimer(told.get(next.node)), null));
             } else {
                 free = Math.max(free, next.at) + turn;
@@ -280,13 +281,13 @@
                 .map(StartTimer.class::cast)
                 .reduce((first, last) -> last)
                 .orElseThrow()
-                .delay();
+                .delayMicros();
     }
 
-    private static CallDiscovery last(List<Effect> effects) {
+    private static PollDiscovery last(List<Effect> effects) {
         return effects.stream()
-                .filter(CallDiscovery.class::isInstance)
-                .map(CallDiscovery.class::cast)
+                .filter(PollDiscovery.class::isInstance)
+                .map(PollDiscovery.class::cast)
                 .reduce((first, last) -> last)
                 .orElseThrow();
     }
