--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -83,9 +83,9 @@
     @Test
     void storedEndpointList_replacesAnOlderOneOfTheConfiguration() {
         NodeConfig config = new TestConfig().knows(host("s-9", "127.0.0.1:9", "in_service")).build();
-        EndpointList list = new EndpointCache(folder, MAX_LIST_BYTES).freshest(config, false).known();
+        EndpointList list = new EndpointCache(folder, MAX_LIST_BYTES).freshest(config, false).knownEndpoints();
         assertEquals(42, list.version());
-        assertTrue(list.whole());
+        assertTrue(list.complete());
         assertEquals(
                 List.of("s-1", "s-2"),
                 list.endpoints().stream().map(DiscoveredEndpoint::name).toList());
