--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -19,7 +19,7 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.EndpointList;
-import ottergauge.protocol.Headers;
+import ottergauge.protocol.Paths;
 
 /**
  * Stands in for discovery: tells a fleet's list whole, or the changes after a version, and keeps a
@@ -130,7 +130,7 @@
     // A failed write shows as the end of its connection; the scheduled task only writes.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void answer(Channel connection, QueryStringDecoder call) {
-        if (!call.path().equals(Headers.LIST_PATH)) {
+        if (!call.path().equals(Paths.ENDPOINTS)) {
             connection.writeAndFlush(
                     HttpListener.response(HttpResponseStatus.NOT_FOUND, new byte[0]));
             return;
--- a/src/main/java/ottergauge/resources/SettingsValidator.java
+++ b/src/main/java/ottergauge/resources/SettingsValidator.java
@@ -94,7 +94,8 @@
         checks.checkValues(path, tree);
         checks.checkTypes(path, tree, KEYS);
         checks.checkClasses(path, tree);
-        SettingsReader.firstFault(tree)
+        new SettingsReader(tree)
+                .firstFault()
                 .ifPresent(
                         error ->
                                 errors.add(
--- a/src/main/java/ottergauge/simulator/HostedEngine.java
+++ b/src/main/java/ottergauge/simulator/HostedEngine.java
@@ -25,12 +25,13 @@
     private final List<String> kinds;
 
     HostedEngine(long seed, Map<String, Object> config) {
-        DecisionSettings settings = SettingsReader.settings(config);
+        SettingsReader reader = new SettingsReader(config);
+        DecisionSettings settings = reader.decisionSettings();
         for (RequestClass requestClass : settings.requestClasses()) {
             classIndexes.put(requestClass.name(), classIndexes.size());
         }
-        zones = SettingsReader.names(config, "zones");
-        kinds = SettingsReader.names(config, "kinds");
+        zones = reader.zoneNames();
+        kinds = reader.kindNames();
         engine = new DecisionEngine(settings, seed);
     }
 
