--- a/src/main/java/ottergauge/routing/Operators.java
+++ b/src/main/java/ottergauge/routing/AdminState.java
@@ -12,15 +12,15 @@
 import ottergauge.routing.Effect.StoreMaintenance;
 
 /** What operators ask and change: figures, how servers stand, and which of them are held out. */
-final class Operators {
+final class AdminState {
 
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
     private static final int CONFLICT = 409;
     private static final int UNAVAILABLE = 503;
 
-    private final Figures figures;
-    private final Roster roster;
+    private final Metrics figures;
+    private final EndpointRegistry roster;
     private final Function<String, EndpointStatus> standings;
     private final Consumer<EndpointList> changed;
     private final Consumer<Effect> effects;
@@ -28,9 +28,9 @@
     /**
      * {@code changed} takes what a hand changes of the list; what follows from it happens at once.
      */
-    Operators(
-            Figures figures,
-            Roster roster,
+    AdminState(
+            Metrics figures,
+            EndpointRegistry roster,
             Function<String, EndpointStatus> standings,
             Consumer<EndpointList> changed,
             Consumer<Effect> effects) {
--- a/src/main/java/ottergauge/routing/Job.java
+++ b/src/main/java/ottergauge/routing/Attempt.java
@@ -2,9 +2,9 @@
 package ottergauge.routing;
 
 /** An attempt of a request, or a probe (with no exchange), at one server. */
-final class Job {
+final class Attempt {
     final long number;
-    final Exchange exchange;
+    final InFlightRequest exchange;
     final int attempt;
     final long server;
 
@@ -14,7 +14,7 @@
     long dueAt;
 
     /** Set once a connection carries it. */
-    ServerConnection connection;
+    PooledConnection connection;
 
     /** Whether its first byte is written: until then it can be taken back with nothing lost. */
     boolean begun;
@@ -22,7 +22,7 @@
     /** Whether its last byte is written: until then it cannot have run. */
     boolean written;
 
-    Job(long number, Exchange exchange, int attempt, long server, long startedAt, long dueAt) {
+    Attempt(long number, InFlightRequest exchange, int attempt, long server, long startedAt, long dueAt) {
         this.number = number;
         this.exchange = exchange;
         this.attempt = attempt;
--- a/src/main/java/ottergauge/routing/ConnectPatience.java
+++ b/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
@@ -7,7 +7,7 @@
  * settings allow, a request lost all of its time at one such server, though it had never run and
  * could have gone to another.
  */
-final class ConnectPatience {
+final class ConnectTimeoutEstimator {
 
     private static final double MEAN_GAIN = 1.0 / 8;
     private static final double DEVIATION_GAIN = 1.0 / 4;
@@ -23,7 +23,7 @@
     private double deviation;
     private int givenUp;
 
-    ConnectPatience(long most) {
+    ConnectTimeoutEstimator(long most) {
         this.most = most;
     }
 
--- a/src/main/java/ottergauge/routing/Watch.java
+++ b/src/main/java/ottergauge/routing/DiscoveryWatch.java
@@ -14,11 +14,11 @@
 
 /**
  * The node's copy of discovery's list: the version it has, and the chain of calls that is a watch.
- * It owns how old that copy may be ({@link ListDeadline}): each call has a time by which its answer
+ * It owns how old that copy may be ({@link PropagationDeadline}): each call has a time by which its answer
  * has to be there. A watch that breaks or passes it is opened anew at once; what can't be opened is
  * asked again after a pause.
  */
-final class Watch {
+final class DiscoveryWatch {
 
     // An answer sooner than this that brings nothing is not worth another call at once; the pause
     // still lies
@@ -38,7 +38,7 @@
 
     private final Consumer<Effect> effects;
     private final SplittableRandom random;
-    private ListDeadline deadline;
+    private PropagationDeadline deadline;
     private Address address;
     private long seq;
     private long lastCall;
@@ -68,10 +68,10 @@
     /** When the newest list was in hand. */
     private long heardAt = Long.MAX_VALUE;
 
-    Watch(NodeConfig config, Consumer<Effect> effects) {
+    DiscoveryWatch(NodeConfig config, Consumer<Effect> effects) {
         this.effects = effects;
         random = new SplittableRandom(~config.seed());
-        deadline = ListDeadline.of(config.settings().maxPollInterval());
+        deadline = PropagationDeadline.of(config.settings().maxPollInterval());
         address = config.discovery();
         seq = config.knownEndpoints().version();
     }
@@ -108,7 +108,7 @@
 
     /** Nodes have to be able to ask once in this time: it counts from the next call on. */
     void askWithin(long span) {
-        deadline = ListDeadline.of(span);
+        deadline = PropagationDeadline.of(span);
     }
 
     /**
--- a/src/main/java/ottergauge/routing/Clients.java
+++ b/src/main/java/ottergauge/routing/DownstreamConnections.java
@@ -13,7 +13,7 @@
 import ottergauge.routing.Effect.Respond;
 
 /** The clients' connections and what each is doing. */
-final class Clients {
+final class DownstreamConnections {
 
     // A body that stands still for so long does not come any more.
     private static final long PATIENCE = 2_000_000;
@@ -53,7 +53,7 @@
 
         boolean asked;
         long moved;
-        Exchange exchange;
+        InFlightRequest exchange;
     }
 
     private final Consumer<Effect> effects;
@@ -67,7 +67,7 @@
     private int linesLeftOut;
     private boolean stopping;
 
-    Clients(Consumer<Effect> effects) {
+    DownstreamConnections(Consumer<Effect> effects) {
         this.effects = effects;
     }
 
@@ -133,7 +133,7 @@
         }
     }
 
-    void took(long number, Exchange exchange) {
+    void took(long number, InFlightRequest exchange) {
         Client client = clients.get(number);
         if (client != null) {
             // What flows goes on being read.
@@ -143,7 +143,7 @@
     }
 
     /** The last byte of a request that flows has come; gives back the request. */
-    Exchange readWhole(long number) {
+    InFlightRequest readWhole(long number) {
         Client client = clients.get(number);
         if (client == null || client.exchange == null) {
             return null;
@@ -185,9 +185,9 @@
     }
 
     /** Takes back the request that a connection carries; null if it carries none. */
-    Exchange withdraw(long number) {
+    InFlightRequest withdraw(long number) {
         Client client = clients.get(number);
-        Exchange exchange = client == null ? null : client.exchange;
+        InFlightRequest exchange = client == null ? null : client.exchange;
         if (exchange != null) {
             client.exchange = null;
         }
@@ -234,7 +234,7 @@
     }
 
     /** Forgets a connection and gives back the request that it leaves unanswered, or null. */
-    Exchange closed(long number) {
+    InFlightRequest closed(long number) {
         idle.remove(number);
         Client client = clients.remove(number);
         return client == null ? null : client.exchange;
--- a/src/main/java/ottergauge/routing/ListInForce.java
+++ b/src/main/java/ottergauge/routing/EffectiveEndpoints.java
@@ -18,27 +18,27 @@
  * it, and the connections to servers and the decisions follow. Settings pass through here on their
  * way to the decisions, since they come in force together with the list.
  */
-final class ListInForce {
+final class EffectiveEndpoints {
 
-    private final Watch watch;
-    private final Roster roster;
-    private final Upstreams upstreams;
+    private final DiscoveryWatch watch;
+    private final EndpointRegistry roster;
+    private final UpstreamPool upstreams;
     private final boolean keeps;
     private final Consumer<DecisionEvent> learn;
-    private final Consumer<Job> withdraw;
+    private final Consumer<Attempt> withdraw;
     private final Consumer<Effect> effects;
-    private ServerLists lists;
+    private EndpointSnapshotMapper lists;
 
     /**
      * {@code learn} takes what the decisions have to know, {@code withdraw} the jobs that waited
      * for a server which takes nothing new any more: after the list, or the decisions would choose
      * that server again.
      */
-    ListInForce(
+    EffectiveEndpoints(
             NodeConfig config,
-            Upstreams upstreams,
+            UpstreamPool upstreams,
             Consumer<DecisionEvent> learn,
-            Consumer<Job> withdraw,
+            Consumer<Attempt> withdraw,
             Consumer<Effect> effects) {
         this.upstreams = upstreams;
         this.learn = learn;
@@ -46,16 +46,16 @@
         this.effects = effects;
         // Only a node with a door has processes that follow each other.
         keeps = config.admin().isPresent();
-        watch = new Watch(config, effects);
-        roster = new Roster(config.settings().decisions().rules().slowStartDuration());
-        lists = new ServerLists(config.settings());
+        watch = new DiscoveryWatch(config, effects);
+        roster = new EndpointRegistry(config.settings().decisions().rules().slowStartDuration());
+        lists = new EndpointSnapshotMapper(config.settings());
     }
 
-    Watch watch() {
+    DiscoveryWatch watch() {
         return watch;
     }
 
-    Roster roster() {
+    EndpointRegistry roster() {
         return roster;
     }
 
@@ -73,7 +73,7 @@
             return;
         }
         EndpointList list = roster.follow(now, told);
-        List<Job> withdrawn = upstreams.follow(list);
+        List<Attempt> withdrawn = upstreams.follow(list);
         watch.read(now, call, list)
                 .ifPresent(
                         scope -> {
@@ -86,7 +86,7 @@
     /** A hand changes the list as discovery does. */
     void changedByHand(EndpointList changes) {
         if (!changes.endpoints().isEmpty()) {
-            List<Job> withdrawn = upstreams.follow(changes);
+            List<Attempt> withdrawn = upstreams.follow(changes);
             learn.accept(lists.list(changes, UpdateScope.INCREMENTAL));
             withdrawn.forEach(withdraw);
             keep();
@@ -104,7 +104,7 @@
      */
     void takeOver(long now, EndpointList told, Optional<NodeSettings> settings) {
         EndpointList list = roster.follow(now, told);
-        List<Job> withdrawn = upstreams.follow(list);
+        List<Attempt> withdrawn = upstreams.follow(list);
         EndpointUpdate change =
                 lists.list(list, list.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
         if (settings.isPresent()) {
@@ -127,7 +127,7 @@
         if (lists.numberLike(settings)) {
             return change;
         }
-        lists = new ServerLists(settings);
+        lists = new EndpointSnapshotMapper(settings);
         return lists.list(roster.inForce(), UpdateScope.FULL);
     }
 
--- a/src/main/java/ottergauge/routing/Roster.java
+++ b/src/main/java/ottergauge/routing/EndpointRegistry.java
@@ -16,7 +16,7 @@
  * draining one for all that comes after, whatever the list says of it meanwhile. The decision
  * module knows of no hand.
  */
-final class Roster {
+final class EndpointRegistry {
 
     // What operators may hold out at one time: they can name no server that was never listed, so a
     // fleet that
@@ -34,7 +34,7 @@
     private final Map<String, Back> back = new TreeMap<>();
     private long seq;
 
-    Roster(long coldFor) {
+    EndpointRegistry(long coldFor) {
         this.coldFor = coldFor;
     }
 
--- a/src/main/java/ottergauge/routing/ServerLists.java
+++ b/src/main/java/ottergauge/routing/EndpointSnapshotMapper.java
@@ -15,7 +15,7 @@
  * Puts a list as the decisions take it: zones and kinds by their numbers in the settings, servers
  * by ids.
  */
-final class ServerLists {
+final class EndpointSnapshotMapper {
 
     private static final int UNKNOWN = -1;
 
@@ -24,7 +24,7 @@
     private final Map<String, Integer> zoneNumbers;
     private final Map<String, Integer> kindNumbers;
 
-    ServerLists(NodeSettings settings) {
+    EndpointSnapshotMapper(NodeSettings settings) {
         zones = settings.zones();
         kinds = settings.kinds();
         zoneNumbers = numbers(zones);
@@ -50,7 +50,7 @@
 
     private Endpoint listed(DiscoveredEndpoint host) {
         return new Endpoint(
-                ServerIds.of(host.name()),
+                EndpointIds.of(host.name()),
                 zoneNumbers.getOrDefault(host.zone(), UNKNOWN),
                 kindNumbers.getOrDefault(host.kind(), UNKNOWN),
                 host.cell(),
--- a/src/main/java/ottergauge/routing/Exchange.java
+++ b/src/main/java/ottergauge/routing/InFlightRequest.java
@@ -7,7 +7,7 @@
 import ottergauge.routing.Event.ClientRequest;
 
 /** A request that the node has taken, until it is answered and none of its attempts is out. */
-final class Exchange {
+final class InFlightRequest {
     final String id;
     final long client;
 
@@ -28,13 +28,13 @@
     boolean whole;
 
     /** The attempt whose answer is being passed on. */
-    Job passing;
+    Attempt passing;
 
-    final List<Job> out = new ArrayList<>(1);
+    final List<Attempt> out = new ArrayList<>(1);
     int attempts;
     boolean over;
 
-    Exchange(
+    InFlightRequest(
             String id,
             long client,
             RequestClass type,
--- a/src/main/java/ottergauge/routing/Figures.java
+++ b/src/main/java/ottergauge/routing/Metrics.java
@@ -13,7 +13,7 @@
  * most. A class keeps its counts for as long as the settings name it; what ends after that is no
  * longer pending, and else not counted.
  */
-final class Figures {
+final class Metrics {
 
     private static final class Counts {
         long completed;
@@ -26,7 +26,7 @@
     private long pending;
     private Optional<LogPosition> version = Optional.empty();
 
-    Figures(List<RequestClass> classes) {
+    Metrics(List<RequestClass> classes) {
         takeOver(classes);
     }
 
--- a/src/main/java/ottergauge/routing/ServerConnection.java
+++ b/src/main/java/ottergauge/routing/PooledConnection.java
@@ -2,9 +2,9 @@
 package ottergauge.routing;
 
 /** A connection to a server, from the moment it is asked for. */
-final class ServerConnection {
+final class PooledConnection {
     final long number;
-    final Upstream upstream;
+    final ServerPool upstream;
     final long openedAt;
     boolean up;
 
@@ -12,14 +12,14 @@
     boolean late;
 
     /** What it carries, or is about to carry, or null. */
-    Job job;
+    Attempt job;
 
     /** Whether it has carried an answer before. */
     boolean kept;
 
     long idleSince;
 
-    ServerConnection(long number, Upstream upstream, long openedAt) {
+    PooledConnection(long number, ServerPool upstream, long openedAt) {
         this.number = number;
         this.upstream = upstream;
         this.openedAt = openedAt;
--- a/src/main/java/ottergauge/routing/ListDeadline.java
+++ b/src/main/java/ottergauge/routing/PropagationDeadline.java
@@ -12,13 +12,13 @@
  * back: a call that began just before is never answered, the longest pause, and a call that waits
  * for its whole turn. Either leaves a sixteenth of the time to spare. Spans are microseconds.
  */
-record ListDeadline(long within) {
+record PropagationDeadline(long within) {
 
     private static final long COUNTS_AS_TOLD = 6_000_000;
     private static final long PARTS = 48;
 
-    static ListDeadline of(long askWithin) {
-        return new ListDeadline(Math.min(COUNTS_AS_TOLD, askWithin));
+    static PropagationDeadline of(long askWithin) {
+        return new PropagationDeadline(Math.min(COUNTS_AS_TOLD, askWithin));
     }
 
     private long parts(int parts) {
--- a/src/main/java/ottergauge/routing/Router.java
+++ b/src/main/java/ottergauge/routing/Router.java
@@ -75,7 +75,7 @@
     private static final int FLOWS_A_MB = 2;
     // Of these, requests: an answer that has begun was worked for, and cannot be refused any more.
     private static final double REQUESTS_PART = 0.75;
-    // Clients have this part of the sockets at most, so that there are always some for what they
+    // DownstreamConnections have this part of the sockets at most, so that there are always some for what they
     // ask.
     private static final double CLIENT_PART = 2.0 / 3;
     // Of all descriptors: what another process of the node may open between two looks at it.
@@ -95,17 +95,17 @@
     private final NodeConfig config;
     private final DecisionEngine decide;
     private final Consumer<Effect> effects;
-    private final Clients clients;
-    private final Upstreams upstreams;
-    private final ListInForce list;
-    private final Figures figures;
-    private final Operators operators;
-    private final Map<String, Exchange> exchanges = new HashMap<>();
-    private final Map<String, Exchange> byTraceId = new HashMap<>();
-    private final Map<Long, Job> jobs = new HashMap<>();
+    private final DownstreamConnections clients;
+    private final UpstreamPool upstreams;
+    private final EffectiveEndpoints list;
+    private final Metrics figures;
+    private final AdminState operators;
+    private final Map<String, InFlightRequest> exchanges = new HashMap<>();
+    private final Map<String, InFlightRequest> byTraceId = new HashMap<>();
+    private final Map<Long, Attempt> jobs = new HashMap<>();
 
     /** The requests whose body, or whose answer's, is on its way. */
-    private final Set<Exchange> flowing = new HashSet<>();
+    private final Set<InFlightRequest> flowing = new HashSet<>();
 
     private final Deque<DecisionEvent> learnt = new ArrayDeque<>();
     private final Deque<DecisionAction> decided = new ArrayDeque<>();
@@ -133,26 +133,26 @@
         decide = new DecisionEngine(config.settings().decisions(), config.seed());
         settings = config.settings();
         classes = new RequestClasses(config.settings().decisions().requestClasses());
-        clients = new Clients(effects);
+        clients = new DownstreamConnections(effects);
         upstreams =
-                new Upstreams(
+                new UpstreamPool(
                         config.settings().connectTimeout(),
                         config.settings().serverIdleTimeout(),
                         effects,
                         this::carried);
         list =
-                new ListInForce(
+                new EffectiveEndpoints(
                         config,
                         upstreams,
                         learnt::add,
                         job -> ended(job, AttemptResult.NOT_SENT),
                         effects);
-        figures = new Figures(config.settings().decisions().requestClasses());
+        figures = new Metrics(config.settings().decisions().requestClasses());
         operators =
-                new Operators(
+                new AdminState(
                         figures,
                         list.roster(),
-                        name -> decide.endpointStatus(now, ServerIds.of(name)),
+                        name -> decide.endpointStatus(now, EndpointIds.of(name)),
                         this::changeByHand,
                         effects);
     }
@@ -203,7 +203,7 @@
             clients.connected(now, e.client());
             makeRoomForClients();
         } else if (event instanceof Event.ClientClosed e) {
-            Exchange exchange = clients.closed(e.client());
+            InFlightRequest exchange = clients.closed(e.client());
             if (exchange != null) {
                 clientGone(exchange);
             }
@@ -253,7 +253,7 @@
         exitIfDone();
     }
 
-    // ---- Clients
+    // ---- DownstreamConnections
     // ------------------------------------------------------------------------------------
 
     private void requestRead(long client, ClientRequest request, long waited, boolean flows) {
@@ -280,8 +280,8 @@
         }
         // The client's time runs from the last byte of its request, read late or not.
         long giveUpAt = Math.min(lastAnswer, now - waited + wait);
-        Exchange exchange =
-                new Exchange(
+        InFlightRequest exchange =
+                new InFlightRequest(
                         Long.toString(++lastExchange),
                         client,
                         type,
@@ -311,7 +311,7 @@
     }
 
     private void unreadable(Event.InvalidRequest e) {
-        Exchange exchange = clients.withdraw(e.client());
+        InFlightRequest exchange = clients.withdraw(e.client());
         if (exchange == null) {
             clients.reject(now, e.client(), e.status(), e.reason());
             return;
@@ -331,7 +331,7 @@
     }
 
     private void requestEnded(long client) {
-        Exchange exchange = clients.readWhole(client);
+        InFlightRequest exchange = clients.readWhole(client);
         if (exchange != null) {
             exchange.giveUpAt = Math.min(lastAnswer, now + exchange.waits);
             flowing.remove(exchange);
@@ -340,14 +340,14 @@
     }
 
     // What flows counts as taken once it has come whole, or is answered before that.
-    private void count(Exchange exchange) {
+    private void count(InFlightRequest exchange) {
         if (!exchange.whole) {
             exchange.whole = true;
             figures.taken();
         }
     }
 
-    private void clientGone(Exchange exchange) {
+    private void clientGone(InFlightRequest exchange) {
         if (exchange.whole) {
             figures.abandoned();
         }
@@ -371,7 +371,7 @@
         return clients.open() + upstreams.open();
     }
 
-    private void passed(Exchange exchange) {
+    private void passed(InFlightRequest exchange) {
         exchange.passing = null;
         flowing.remove(exchange);
     }
@@ -383,11 +383,11 @@
     // client
     // reads is not told of the server. From now on no deadline cuts it.
     private void answerFlows(long connection, ServerResponse answer, long sinceHead) {
-        Job job = upstreams.carriedBy(connection).orElse(null);
+        Attempt job = upstreams.carriedBy(connection).orElse(null);
         if (job == null) {
             return;
         }
-        Exchange exchange = job.exchange;
+        InFlightRequest exchange = job.exchange;
         // One that comes before its request is whole is no answer to it.
         AttemptResult result =
                 exchange == null || !exchange.whole
@@ -411,7 +411,7 @@
     // It may be as long as any. Over 64 KiB the first bytes are what counts: kept until its time is
     // up, they
     // would come too late. Half of what is left is enough for one that is short.
-    private void answerOpen(Job job) {
+    private void answerOpen(Attempt job) {
         if (!job.isProbe()) {
             effects.accept(
                     new StartTimer(
@@ -421,7 +421,7 @@
     }
 
     private void flowDue(long number) {
-        Job job = jobs.get(number);
+        Attempt job = jobs.get(number);
         if (job != null && job.connection != null && !job.exchange.over) {
             effects.accept(new StreamResponse(job.connection.number));
         }
@@ -438,7 +438,7 @@
                         });
     }
 
-    private void serverClosed(Job job, boolean spoilt) {
+    private void serverClosed(Attempt job, boolean spoilt) {
         if (!job.begun) {
             // A connection that ends before anything is written to it tells nothing of its server.
             ended(job, AttemptResult.NOT_SENT);
@@ -471,7 +471,7 @@
     }
 
     private void answer(String id, int status, long retryAfter, Content content) {
-        Exchange exchange = exchanges.get(id);
+        InFlightRequest exchange = exchanges.get(id);
         if (exchange != null && !exchange.over) {
             count(exchange);
             switch (status) {
@@ -484,7 +484,7 @@
         }
     }
 
-    private void over(Exchange exchange) {
+    private void over(InFlightRequest exchange) {
         exchange.over = true;
         flowing.remove(exchange);
         // What has not begun is not for anybody any more, whether or not the settings allow to
@@ -493,7 +493,7 @@
         forgetIfDone(exchange);
     }
 
-    private void forgetIfDone(Exchange exchange) {
+    private void forgetIfDone(InFlightRequest exchange) {
         if (exchange.over && exchange.out.isEmpty()) {
             exchanges.remove(exchange.id);
             byTraceId.remove(exchange.request.fields().traceId());
@@ -504,7 +504,7 @@
     // ------------------------------------------------------------------------
 
     private void send(SendAttempt action) {
-        Exchange exchange = exchanges.get(action.id());
+        InFlightRequest exchange = exchanges.get(action.id());
         int attempt = exchange == null ? 0 : exchange.attempts++;
         long left = exchange == null ? 0 : exchange.giveUpAt - now;
         long limit = action.timeout() == 0 ? left : Math.min(left, action.timeout());
@@ -524,7 +524,7 @@
                             LoadReport.NONE));
             return;
         }
-        Job job = new Job(++lastJob, exchange, attempt, action.server(), now, now + limit);
+        Attempt job = new Attempt(++lastJob, exchange, attempt, action.server(), now, now + limit);
         exchange.out.add(job);
         start(job);
     }
@@ -537,13 +537,13 @@
         }
         // The settings name no time for a probe; what a connection may take is long for so small an
         // answer.
-        start(new Job(++lastJob, null, 0, action.server(), now, now + settings.connectTimeout()));
+        start(new Attempt(++lastJob, null, 0, action.server(), now, now + settings.connectTimeout()));
     }
 
     // The one guard before the first byte of anything that goes to a server, whatever it is and
     // however long
     // ago it was chosen: what fails it goes back to the decisions.
-    private void begin(Job job) {
+    private void begin(Attempt job) {
         // A request that is over has no attempt left that has not begun.
         boolean wanted =
                 job.isProbe()
@@ -556,20 +556,20 @@
         }
     }
 
-    private void takeBack(Job job) {
+    private void takeBack(Attempt job) {
         upstreams.giveUp(now, job, CloseReason.CANCELLED);
         ended(job, AttemptResult.NOT_SENT);
     }
 
-    private void start(Job job) {
+    private void start(Attempt job) {
         jobs.put(job.number, job);
         effects.accept(new StartTimer(job.dueAt - now, new Timer.AttemptTimeout(job.number)));
         upstreams.start(now, job);
     }
 
     private void cancel(CancelAttempt action) {
-        Exchange exchange = exchanges.get(action.id());
-        Optional<Job> out =
+        InFlightRequest exchange = exchanges.get(action.id());
+        Optional<Attempt> out =
                 exchange == null
                         ? Optional.empty()
                         : exchange.out.stream()
@@ -585,7 +585,7 @@
     // One connection that is late may come up yet, and tells nothing of its server; of two, and
     // none up, it
     // is told that it can't be reached.
-    private void connectionLate(Job job) {
+    private void connectionLate(Attempt job) {
         ended(
                 job,
                 upstreams.severalLate(job.server)
@@ -594,7 +594,7 @@
     }
 
     private void due(long number) {
-        Job job = jobs.get(number);
+        Attempt job = jobs.get(number);
         // What flows is given as long as it takes, and its time anew when its last byte is written.
         if (job != null && now >= job.dueAt && !flowing(job)) {
             upstreams.giveUp(now, job, CloseReason.TIMED_OUT);
@@ -602,17 +602,17 @@
         }
     }
 
-    private static boolean flowing(Job job) {
+    private static boolean flowing(Attempt job) {
         return !job.isProbe() && job.exchange.flows && job.begun && !job.written;
     }
 
-    private void carried(Job job) {
+    private void carried(Attempt job) {
         if (flowing(job)) {
             learnt.add(new RequestBodyStreaming(job.exchange.id, job.attempt));
         }
     }
 
-    private void written(Job job) {
+    private void written(Attempt job) {
         if (job.isProbe()) {
             return;
         }
@@ -633,17 +633,17 @@
     // one that did and came back, it would be barred and then held to a cold server's budget: on a
     // day of
     // stale connections all servers were. The next attempt's new connection tells.
-    private static AttemptResult broken(Job job, boolean spoilt) {
+    private static AttemptResult broken(Attempt job, boolean spoilt) {
         return !job.written
                 ? AttemptResult.CONNECT_FAILED
                 : spoilt || job.connection.kept ? AttemptResult.ERROR : AttemptResult.RESET;
     }
 
-    private void ended(Job job, AttemptResult result) {
+    private void ended(Attempt job, AttemptResult result) {
         ended(job, result, LoadReport.NONE);
     }
 
-    private void ended(Job job, ServerResponse answer) {
+    private void ended(Attempt job, ServerResponse answer) {
         AttemptResult result = AttemptResults.ofResponse(answer.status(), answer.neverRan());
         if (!job.isProbe() && result == AttemptResult.SERVED) {
             answer(job.exchange.id, OK, 0, answer.content());
@@ -651,14 +651,14 @@
         ended(job, result, answer.report());
     }
 
-    private void ended(Job job, AttemptResult result, LoadReport report) {
+    private void ended(Attempt job, AttemptResult result, LoadReport report) {
         jobs.remove(job.number);
         long elapsed = now - job.startedAt;
         if (job.isProbe()) {
             learnt.add(new ProbeEnded(job.server, result, elapsed, report));
             return;
         }
-        Exchange exchange = job.exchange;
+        InFlightRequest exchange = job.exchange;
         exchange.out.remove(job);
         learnt.add(
                 new AttemptEnded(
@@ -697,7 +697,7 @@
         makeRoom(0);
     }
 
-    // Short of sockets, idle connections go before anything is refused. Clients' first: a new
+    // Short of sockets, idle connections go before anything is refused. DownstreamConnections' first: a new
     // connection to
     // a server costs it work and the request on it time.
     private boolean makeRoom(int wanted) {
--- a/src/main/java/ottergauge/routing/Upstream.java
+++ b/src/main/java/ottergauge/routing/ServerPool.java
@@ -6,7 +6,7 @@
 import ottergauge.protocol.Address;
 
 /** A server's connections, and what waits for one. */
-final class Upstream {
+final class ServerPool {
     final long server;
     Address dial;
     boolean listed = true;
@@ -15,9 +15,9 @@
     boolean usable = true;
 
     /** Most recently used first, so that those in excess grow old. */
-    final Deque<ServerConnection> idle = new ArrayDeque<>();
+    final Deque<PooledConnection> idle = new ArrayDeque<>();
 
-    final Deque<Job> waiting = new ArrayDeque<>();
+    final Deque<Attempt> waiting = new ArrayDeque<>();
 
     /** Connections on their way that jobs wait for. */
     int connecting;
@@ -28,7 +28,7 @@
     /** When its process started, as far as the list tells. */
     long bornMs;
 
-    Upstream(long server, Address dial) {
+    ServerPool(long server, Address dial) {
         this.server = server;
         this.dial = dial;
     }
--- a/src/main/java/ottergauge/routing/Upstreams.java
+++ b/src/main/java/ottergauge/routing/UpstreamPool.java
@@ -28,7 +28,7 @@
  * connection begins only once all that has come by then is read, and the router has looked whether
  * it still may.
  */
-final class Upstreams {
+final class UpstreamPool {
 
     // Of the time after which a server closes an idle connection: sooner, so that none is closed
     // under a
@@ -43,24 +43,24 @@
     // then.
     private static final int MOST_LATE = 2;
 
-    private final ConnectPatience patience;
+    private final ConnectTimeoutEstimator patience;
     private long connectTimeout;
     private long idleFor;
     private final Consumer<Effect> effects;
-    private final Consumer<Job> carried;
-    private final Map<Long, Upstream> byServer = new HashMap<>();
-    private final Map<Long, ServerConnection> connections = new HashMap<>();
+    private final Consumer<Attempt> carried;
+    private final Map<Long, ServerPool> byServer = new HashMap<>();
+    private final Map<Long, PooledConnection> connections = new HashMap<>();
 
     /** In the order in which they became idle. */
-    private final Set<ServerConnection> idle = new LinkedHashSet<>();
+    private final Set<PooledConnection> idle = new LinkedHashSet<>();
 
     private long lastNumber;
 
     /** {@code carried} hears of each job whose first byte is written. */
-    Upstreams(
-            long connectTimeout, long serverIdle, Consumer<Effect> effects, Consumer<Job> carried) {
+    UpstreamPool(
+            long connectTimeout, long serverIdle, Consumer<Effect> effects, Consumer<Attempt> carried) {
         this.carried = carried;
-        patience = new ConnectPatience(connectTimeout);
+        patience = new ConnectTimeoutEstimator(connectTimeout);
         this.effects = effects;
         limit(connectTimeout, serverIdle);
     }
@@ -89,11 +89,11 @@
      * Takes a list; gives back the jobs that were waiting for servers which drain, are gone or
      * moved.
      */
-    List<Job> follow(EndpointList list) {
-        List<Job> withdrawn = new ArrayList<>();
+    List<Attempt> follow(EndpointList list) {
+        List<Attempt> withdrawn = new ArrayList<>();
         Set<Long> named = new HashSet<>();
         for (DiscoveredEndpoint host : list.endpoints()) {
-            long server = ServerIds.of(host.name());
+            long server = EndpointIds.of(host.name());
             named.add(server);
             if (host.state() == EndpointState.REMOVED) {
                 remove(server, withdrawn);
@@ -111,9 +111,9 @@
         return withdrawn;
     }
 
-    private void update(long server, DiscoveredEndpoint host, List<Job> withdrawn) {
+    private void update(long server, DiscoveredEndpoint host, List<Attempt> withdrawn) {
         Address dial = host.address();
-        Upstream upstream = byServer.computeIfAbsent(server, id -> new Upstream(id, dial));
+        ServerPool upstream = byServer.computeIfAbsent(server, id -> new ServerPool(id, dial));
         upstream.usable = host.state() == EndpointState.UP;
         // What was chosen before a start was told was chosen for a server that is warm.
         boolean another = !upstream.dial.equals(dial) || host.startedAtMs() > upstream.bornMs;
@@ -122,15 +122,15 @@
         }
         if (another) {
             upstream.listed = false;
-            Upstream next = new Upstream(server, dial);
+            ServerPool next = new ServerPool(server, dial);
             next.usable = upstream.usable;
             byServer.put(server, next);
         }
         byServer.get(server).bornMs = host.startedAtMs();
     }
 
-    private void remove(long server, List<Job> withdrawn) {
-        Upstream upstream = byServer.remove(server);
+    private void remove(long server, List<Attempt> withdrawn) {
+        ServerPool upstream = byServer.remove(server);
         if (upstream != null) {
             upstream.listed = false;
             withdraw(upstream, withdrawn);
@@ -138,7 +138,7 @@
     }
 
     // A waiting job would be written when its connection is up, perhaps later than a drain allows.
-    private void withdraw(Upstream upstream, List<Job> withdrawn) {
+    private void withdraw(ServerPool upstream, List<Attempt> withdrawn) {
         withdrawn.addAll(upstream.waiting);
         upstream.waiting.clear();
         while (!upstream.idle.isEmpty()) {
@@ -147,9 +147,9 @@
     }
 
     /** Gives a job an idle connection, or lets it wait for one. */
-    void start(long now, Job job) {
-        Upstream upstream = byServer.get(job.server);
-        ServerConnection kept = upstream.idle.pollFirst();
+    void start(long now, Attempt job) {
+        ServerPool upstream = byServer.get(job.server);
+        PooledConnection kept = upstream.idle.pollFirst();
         if (kept != null) {
             idle.remove(kept);
             assign(kept, job);
@@ -157,7 +157,7 @@
         }
         upstream.waiting.add(job);
         if (upstream.connecting < upstream.waiting.size()) {
-            ServerConnection connection = new ServerConnection(++lastNumber, upstream, now);
+            PooledConnection connection = new PooledConnection(++lastNumber, upstream, now);
             connections.put(connection.number, connection);
             upstream.connecting++;
             boolean keeps = upstream.connecting + upstream.late <= MOST_LATE;
@@ -171,14 +171,14 @@
         }
     }
 
-    private void assign(ServerConnection connection, Job job) {
+    private void assign(PooledConnection connection, Attempt job) {
         connection.job = job;
         job.connection = connection;
         effects.accept(new ReadPendingInput(connection.number));
     }
 
     /** The job that this connection is about to carry, if it is still so. */
-    Optional<Job> aboutToBegin(long number) {
+    Optional<Attempt> aboutToBegin(long number) {
         return carriedBy(number).filter(job -> !job.begun);
     }
 
@@ -186,12 +186,12 @@
      * Whether a job's server is listed, takes what is new, and is the one that the job was chosen
      * for.
      */
-    boolean mayCarry(Job job) {
+    boolean mayCarry(Attempt job) {
         return job.connection.upstream.listed && job.connection.upstream.usable;
     }
 
     /** Begins a job: the one place where the first byte of anything goes to a server. */
-    void begin(long now, Job job) {
+    void begin(long now, Attempt job) {
         job.begun = true;
         long number = job.connection.number;
         if (job.isProbe()) {
@@ -210,7 +210,7 @@
      * Ends a job that is not waited for any more: what carries it is closed, as the protocol says.
      * A connection that has nothing of it yet serves the next one.
      */
-    void giveUp(long now, Job job, CloseReason reason) {
+    void giveUp(long now, Attempt job, CloseReason reason) {
         if (job.begun) {
             close(job.connection, reason);
         } else if (job.connection != null) {
@@ -222,7 +222,7 @@
     }
 
     void connected(long now, long number) {
-        ServerConnection connection = connections.get(number);
+        PooledConnection connection = connections.get(number);
         if (connection == null) {
             return;
         }
@@ -238,8 +238,8 @@
     }
 
     /** Gives back the job that has no connection to wait for any more. */
-    Optional<Job> connectFailed(long now, long number) {
-        ServerConnection connection = connections.remove(number);
+    Optional<Attempt> connectFailed(long now, long number) {
+        PooledConnection connection = connections.remove(number);
         if (connection == null) {
             return Optional.empty();
         }
@@ -251,8 +251,8 @@
     }
 
     /** A connection has not come up in time: gives back the job that waits for it no longer. */
-    Optional<Job> connectDue(long now, long number) {
-        ServerConnection connection = connections.get(number);
+    Optional<Attempt> connectDue(long now, long number) {
+        PooledConnection connection = connections.get(number);
         if (connection == null || connection.up || connection.late) {
             return Optional.empty();
         }
@@ -266,9 +266,9 @@
         return knows(server) && byServer.get(server).late >= MOST_LATE;
     }
 
-    private Optional<Job> notWaitedFor(long now, ServerConnection connection) {
+    private Optional<Attempt> notWaitedFor(long now, PooledConnection connection) {
         patience.failed(now - connection.openedAt);
-        Upstream upstream = connection.upstream;
+        ServerPool upstream = connection.upstream;
         upstream.connecting--;
         return upstream.waiting.size() > upstream.connecting
                 ? Optional.of(upstream.waiting.poll())
@@ -276,25 +276,25 @@
     }
 
     /** Notes that a job's last byte is written, and gives it back. */
-    Optional<Job> written(long number) {
-        Optional<Job> job = carriedBy(number);
+    Optional<Attempt> written(long number) {
+        Optional<Attempt> job = carriedBy(number);
         job.ifPresent(each -> each.written = true);
         return job;
     }
 
     /** The job that a connection carries. */
-    Optional<Job> carriedBy(long number) {
-        ServerConnection connection = connections.get(number);
+    Optional<Attempt> carriedBy(long number) {
+        PooledConnection connection = connections.get(number);
         return connection == null ? Optional.empty() : Optional.ofNullable(connection.job);
     }
 
     /** Frees a connection whose answer has come and gives back the job that it carried. */
-    Optional<Job> answered(long now, long number, boolean reusable) {
-        ServerConnection connection = connections.get(number);
+    Optional<Attempt> answered(long now, long number, boolean reusable) {
+        PooledConnection connection = connections.get(number);
         if (connection == null || connection.job == null) {
             return Optional.empty();
         }
-        Job job = connection.job;
+        Attempt job = connection.job;
         connection.job = null;
         connection.kept = true;
         if (reusable && job.written) {
@@ -306,20 +306,20 @@
     }
 
     /** Forgets a connection that has ended and gives back the job that it carried. */
-    Optional<Job> closed(long number) {
-        ServerConnection connection = connections.remove(number);
+    Optional<Attempt> closed(long number) {
+        PooledConnection connection = connections.remove(number);
         if (connection == null) {
             return Optional.empty();
         }
         forgetIdle(connection);
-        Optional<Job> job = Optional.ofNullable(connection.job);
+        Optional<Attempt> job = Optional.ofNullable(connection.job);
         job.ifPresent(each -> connection.job = null);
         return job;
     }
 
-    private void rest(long now, ServerConnection connection) {
-        Upstream upstream = connection.upstream;
-        Job next = upstream.waiting.poll();
+    private void rest(long now, PooledConnection connection) {
+        ServerPool upstream = connection.upstream;
+        Attempt next = upstream.waiting.poll();
         if (next != null) {
             assign(connection, next);
         } else if (upstream.listed && upstream.usable) {
@@ -333,7 +333,7 @@
 
     /** Closes the connections that have been idle for too long. */
     void sweep(long now) {
-        for (ServerConnection connection : new ArrayList<>(idle)) {
+        for (PooledConnection connection : new ArrayList<>(idle)) {
             if (now - connection.idleSince >= idleFor) {
                 close(connection, CloseReason.IDLE);
             }
@@ -349,13 +349,13 @@
         return true;
     }
 
-    private void forgetIdle(ServerConnection connection) {
+    private void forgetIdle(PooledConnection connection) {
         if (idle.remove(connection)) {
             connection.upstream.idle.remove(connection);
         }
     }
 
-    private void close(ServerConnection connection, CloseReason reason) {
+    private void close(PooledConnection connection, CloseReason reason) {
         connections.remove(connection.number);
         forgetIdle(connection);
         effects.accept(new CloseUpstream(connection.number, reason));
--- a/src/test/java/ottergauge/routing/OperatorsTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -20,7 +20,7 @@
 import ottergauge.routing.Effect.StoreMaintenance;
 
 /** What operators ask at the door, with no socket. */
-class OperatorsTest {
+class AdminStateTest {
 
     private static final String ONE = host("s-1", "10.1.0.1:3000", "in_service");
     private static final String TWO = host("s-2", "10.1.0.2:3000", "in_service");
@@ -133,7 +133,7 @@
     /** Its list is late: without the moment of its return a restarted server counted as warm. */
     @Test
     void aServerPutBackCountsAsStartedThen() {
-        Roster roster = new Roster(9_000_000);
+        EndpointRegistry roster = new EndpointRegistry(9_000_000);
         roster.follow(1_000_000, list(500));
         roster.hold("s-1", 2_000_000);
         assertEquals(3_000, roster.release(3_000_000, "s-1").endpoints().get(0).startedAtMs());
--- a/src/test/java/ottergauge/routing/FirstByteTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -18,7 +18,7 @@
  * the end of the request's time, the end of the connection. None of them may be found out after
  * that byte.
  */
-class FirstByteTest {
+class AttemptStartTest {
 
     private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
     private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
--- a/src/test/java/ottergauge/routing/ConnectPatienceTest.java
+++ b/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
@@ -11,12 +11,12 @@
 import ottergauge.protocol.TestConfig;
 import ottergauge.routing.Effect.ConnectUpstream;
 
-class ConnectPatienceTest {
+class ConnectTimeoutEstimatorTest {
 
     private static final long MOST = 200_000;
 
-    private static ConnectPatience used(int connections, long took) {
-        ConnectPatience patience = new ConnectPatience(MOST);
+    private static ConnectTimeoutEstimator used(int connections, long took) {
+        ConnectTimeoutEstimator patience = new ConnectTimeoutEstimator(MOST);
         for (int i = 0; i < connections; i++) {
             patience.connected(took);
         }
@@ -25,7 +25,7 @@
 
     @Test
     void beforeOneHasComeUpTheSettingsCount() {
-        assertEquals(MOST, new ConnectPatience(MOST).limit());
+        assertEquals(MOST, new ConnectTimeoutEstimator(MOST).limit());
     }
 
     /** At a machine that is cut off, a request lost 200 of its 140 ms waiting for a connection. */
@@ -43,7 +43,7 @@
     /** Without it, connections that have become slow for good would all be given up. */
     @Test
     void manyGivenUpWithNoneMadeMakeItLonger() {
-        ConnectPatience patience = used(20, 1_000);
+        ConnectTimeoutEstimator patience = used(20, 1_000);
         long before = patience.limit();
         for (int i = 0; i < 8; i++) {
             patience.failed(before);
@@ -55,7 +55,7 @@
 
     @Test
     void oneThatIsRefusedAtOnceSaysNothing() {
-        ConnectPatience patience = used(20, 1_000);
+        ConnectTimeoutEstimator patience = used(20, 1_000);
         long before = patience.limit();
         for (int i = 0; i < 100; i++) {
             patience.failed(500);
--- a/src/test/java/ottergauge/routing/WatchHistoryTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchHistoryTest.java
@@ -12,8 +12,8 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import ottergauge.routing.DiscoveryOnMadeUpTime.Fault;
-import ottergauge.routing.DiscoveryOnMadeUpTime.Trouble;
+import ottergauge.routing.SimulatedDiscovery.Fault;
+import ottergauge.routing.SimulatedDiscovery.Trouble;
 
 /**
  * Guards against requests to servers that have been announced as leaving, whatever befalls the
@@ -21,7 +21,7 @@
  * ones and moves of discovery, each change is in hand 6 s after discovery had it and could be
  * reached.
  */
-class WatchHistoryTest {
+class DiscoveryWatchHistoryTest {
 
     private static final long SECOND = 1_000_000;
     private static final long TOLD = 6 * SECOND;
@@ -63,8 +63,8 @@
 
     @Property(tries = 3000, seed = "41")
     void eachChangeIsInHandInTimeWhateverCallsFailed(@ForAll("histories") History history) {
-        DiscoveryOnMadeUpTime play =
-                new DiscoveryOnMadeUpTime(history.faults(), history.changes(), history.seed());
+        SimulatedDiscovery play =
+                new SimulatedDiscovery(history.faults(), history.changes(), history.seed());
         play.run(LENGTH);
         for (long change : history.changes()) {
             long due = play.reachable(change, TOLD) + TOLD;
@@ -84,8 +84,8 @@
 
     @Property(tries = 1000, seed = "42")
     void discoveryIsNotCalledByTheDozen(@ForAll("histories") History history) {
-        DiscoveryOnMadeUpTime play =
-                new DiscoveryOnMadeUpTime(history.faults(), List.of(), history.seed());
+        SimulatedDiscovery play =
+                new SimulatedDiscovery(history.faults(), List.of(), history.seed());
         play.run(LENGTH);
         List<Long> calls = play.calls();
         for (int i = MOST_CALLS; i < calls.size(); i++) {
--- a/src/test/java/ottergauge/routing/WatchTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
@@ -27,7 +27,7 @@
  * seconds after discovery had it and could be reached, so by then the list has to be there,
  * whatever the other nodes ask.
  */
-class WatchTest {
+class DiscoveryWatchTest {
 
     private static final long SECOND = 1_000_000;
     private static final long COUNTS_AS_TOLD = 6 * SECOND;
@@ -35,7 +35,7 @@
     private static final EndpointList DRAINS = list(42, false, "terminating");
 
     private final List<Effect> effects = new ArrayList<>();
-    private final Watch watch = new Watch(new TestConfig().build(), effects::add);
+    private final DiscoveryWatch watch = new DiscoveryWatch(new TestConfig().build(), effects::add);
 
     private static EndpointList list(long seq, boolean whole, String health) {
         try {
@@ -244,10 +244,10 @@
         long turn = allCallsMs * 1000 / nodes;
         PriorityQueue<Asked> asked = new PriorityQueue<>(Comparator.comparingLong(Asked::at));
         List<List<Effect>> told = new ArrayList<>();
-        List<Watch> watches = new ArrayList<>();
+        List<DiscoveryWatch> watches = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
             List<Effect> own = new ArrayList<>();
-            Watch each = new Watch(seeded(i), own::add);
+            DiscoveryWatch each = new DiscoveryWatch(seeded(i), own::add);
             watches.add(each);
             told.add(own);
             each.begin(0);
--- a/src/test/java/ottergauge/routing/SettingsTakeoverTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -38,7 +38,7 @@
  * Settings and state that come in force while the node serves, on SIGHUP and from the log of
  * changes.
  */
-class SettingsTakeoverTest {
+class SettingsReloadTest {
 
     private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
     private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
--- a/src/test/java/ottergauge/routing/DiscoveryOnMadeUpTime.java
+++ b/src/test/java/ottergauge/routing/SimulatedDiscovery.java
@@ -25,7 +25,7 @@
  * line for up to two seconds; one that goes on is answered as soon as there is something newer, or
  * its wait is over.
  */
-final class DiscoveryOnMadeUpTime {
+final class SimulatedDiscovery {
 
     /**
      * What may befall discovery: it is away, turns away, swallows new calls, or open calls fall
@@ -63,17 +63,17 @@
     private final List<Had> had = new ArrayList<>();
     private final List<Long> calls = new ArrayList<>();
     private final StringBuilder log = new StringBuilder();
-    private final Watch watch;
+    private final DiscoveryWatch watch;
     private long now;
     private long order;
     private long address;
     private long answeredAt = -GOES_ON;
 
-    DiscoveryOnMadeUpTime(List<Fault> faults, List<Long> changes, long seed) {
+    SimulatedDiscovery(List<Fault> faults, List<Long> changes, long seed) {
         this.faults = faults;
         this.changes = changes;
         random = new SplittableRandom(seed);
-        watch = new Watch(config(seed), this::carryOut);
+        watch = new DiscoveryWatch(config(seed), this::carryOut);
     }
 
     private static NodeConfig config(long seed) {
--- a/src/test/java/ottergauge/routing/FlowsTest.java
+++ b/src/test/java/ottergauge/routing/StreamingTest.java
@@ -20,7 +20,7 @@
 import ottergauge.routing.Event.ServerResponse;
 
 /** Bodies that flow, with no socket. */
-class FlowsTest {
+class StreamingTest {
 
     private final RouterDriver node =
             new RouterDriver(
