--- a/src/main/java/ottergauge/routing/AdminState.java
+++ b/src/main/java/ottergauge/routing/AdminState.java
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
-import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
 import java.util.function.Function;
@@ -11,7 +10,7 @@
 import ottergauge.routing.Effect.RespondToAdmin;
 import ottergauge.routing.Effect.StoreMaintenance;
 
-/** What operators ask and change: figures, how servers stand, and which of them are held out. */
+/** Answers admin requests: health, metrics, the servers' status, and their maintenance. */
 final class AdminState {
 
     private static final int OK = 200;
@@ -19,104 +18,117 @@
     private static final int CONFLICT = 409;
     private static final int UNAVAILABLE = 503;
 
-    private final Metrics figures;
-    private final EndpointRegistry roster;
-    private final Function<String, EndpointStatus> standings;
-    private final Consumer<EndpointList> changed;
+    private final Metrics metrics;
+    private final EndpointRegistry registry;
+    private final Function<String, EndpointStatus> statuses;
+    private final Consumer<EndpointList> maintenanceChanged;
     private final Consumer<Effect> effects;
 
     /**
-     * {@code changed} takes what a hand changes of the list; what follows from it happens at once.
+     * Admin state of the servers in the registry.
+     *
+     * @param statuses gives a server's status by its name
+     * @param maintenanceChanged receives what changes of the endpoints; when it returns, the change
+     *     is effective
      */
     AdminState(
-            Metrics figures,
-            EndpointRegistry roster,
-            Function<String, EndpointStatus> standings,
-            Consumer<EndpointList> changed,
+            Metrics metrics,
+            EndpointRegistry registry,
+            Function<String, EndpointStatus> statuses,
+            Consumer<EndpointList> maintenanceChanged,
             Consumer<Effect> effects) {
-        this.figures = figures;
-        this.roster = roster;
-        this.standings = standings;
-        this.changed = changed;
+        this.metrics = metrics;
+        this.registry = registry;
+        this.statuses = statuses;
+        this.maintenanceChanged = maintenanceChanged;
         this.effects = effects;
     }
 
-    void asked(long now, boolean serving, long caller, AdminRequest call) {
-        if (call instanceof AdminRequest.Health) {
-            tell(
-                    caller,
-                    serving ? OK : UNAVAILABLE,
-                    serving ? "serving\n" : "starting or stopping\n");
-        } else if (call instanceof AdminRequest.Stats) {
-            int unavailable =
-                    (int)
-                            roster.names().stream()
-                                    .filter(name -> standings.apply(name) != EndpointStatus.ACTIVE)
-                                    .count();
-            tell(caller, OK, figures.text(roster.names().size(), unavailable));
-        } else if (call instanceof AdminRequest.Servers) {
-            tell(caller, OK, servers());
-        } else if (call instanceof AdminRequest.StartMaintenance maint) {
-            takeOut(now, caller, maint.server());
-        } else if (call instanceof AdminRequest.EndMaintenance ready) {
-            putBack(now, caller, ready.server());
+    /** Handles a request on an admin connection. */
+    void handle(long now, boolean ready, long connection, AdminRequest request) {
+        if (request instanceof AdminRequest.Health) {
+            respond(
+                    connection,
+                    ready ? OK : UNAVAILABLE,
+                    ready ? "serving\n" : "starting or stopping\n");
+        } else if (request instanceof AdminRequest.Stats) {
+            respond(connection, OK, metrics.text(registry.names().size(), unavailableServers()));
+        } else if (request instanceof AdminRequest.Servers) {
+            respond(connection, OK, servers());
+        } else if (request instanceof AdminRequest.StartMaintenance start) {
+            startMaintenance(now, connection, start.server());
+        } else if (request instanceof AdminRequest.EndMaintenance end) {
+            endMaintenance(now, connection, end.server());
         }
     }
 
+    private int unavailableServers() {
+        int unavailable = 0;
+        for (String name : registry.names()) {
+            if (statuses.apply(name) != EndpointStatus.ACTIVE) {
+                unavailable++;
+            }
+        }
+        return unavailable;
+    }
+
     private String servers() {
         StringBuilder text = new StringBuilder();
-        roster.names()
-                .forEach(
-                        name ->
-                                text.append(name)
-                                        .append(' ')
-                                        .append(
-                                                roster.holds(name)
-                                                        ? "held"
-                                                        : standings
-                                                                .apply(name)
-                                                                .name()
-                                                                .toLowerCase(Locale.ROOT))
-                                        .append('\n'));
-        roster.heldBeside(roster.names())
-                .forEach(name -> text.append(name).append(" held, unlisted\n"));
+        for (String name : registry.names()) {
+            String status =
+                    registry.isInMaintenance(name) ? "held" : statusName(statuses.apply(name));
+            text.append(name).append(' ').append(status).append('\n');
+        }
+        for (String name : registry.inMaintenanceExcept(registry.names())) {
+            text.append(name).append(" held, unlisted\n");
+        }
         return text.toString();
     }
 
-    // What a call brings comes before the yes: from then on nothing new may begin at a server that
-    // is out.
-    private void takeOut(long now, long caller, String server) {
-        if (!roster.knows(server)) {
-            tell(caller, NOT_FOUND, "unknown server\n");
+    // The names that operators' tools read; see docs/operations.md.
+    private static String statusName(EndpointStatus status) {
+        return switch (status) {
+            case ACTIVE -> "used";
+            case DRAINING -> "draining";
+            case EJECTED -> "barred";
+            case UNRESPONSIVE -> "mute";
+        };
+    }
+
+    // The change is effective before the answer: nothing new is sent to the server after it.
+    private void startMaintenance(long now, long connection, String server) {
+        if (!registry.contains(server)) {
+            respond(connection, NOT_FOUND, "unknown server\n");
             return;
         }
-        changed.accept(roster.hold(server, now));
-        if (roster.holds(server)) {
-            effects.accept(new StoreMaintenance(server, roster.heldSince(server)));
-            tell(caller, OK, "held\n");
+        maintenanceChanged.accept(registry.startMaintenance(server, now));
+        if (registry.isInMaintenance(server)) {
+            effects.accept(new StoreMaintenance(server, registry.maintenanceSince(server)));
+            respond(connection, OK, "held\n");
         } else {
-            tell(caller, CONFLICT, "too many servers are held out\n");
+            respond(connection, CONFLICT, "too many servers are held out\n");
         }
     }
 
-    private void putBack(long now, long caller, String server) {
-        if (!roster.knows(server)) {
-            tell(caller, NOT_FOUND, "unknown server\n");
+    private void endMaintenance(long now, long connection, String server) {
+        if (!registry.contains(server)) {
+            respond(connection, NOT_FOUND, "unknown server\n");
             return;
         }
         effects.accept(new ClearMaintenance(server));
-        changed.accept(roster.release(now, server));
-        tell(caller, OK, "back\n");
+        maintenanceChanged.accept(registry.endMaintenance(now, server));
+        respond(connection, OK, "back\n");
     }
 
-    /** Another process of this node may have been the one that was told. */
-    void heldRead(long now, Map<String, Long> since) {
-        since.forEach((name, at) -> changed.accept(roster.hold(name, at)));
-        roster.heldBeside(since.keySet())
-                .forEach(name -> changed.accept(roster.release(now, name)));
+    /** The stored maintenance was read: another process of the node may have changed it. */
+    void maintenanceLoaded(long now, Map<String, Long> sinceByServer) {
+        sinceByServer.forEach(
+                (name, since) -> maintenanceChanged.accept(registry.startMaintenance(name, since)));
+        registry.inMaintenanceExcept(sinceByServer.keySet())
+                .forEach(name -> maintenanceChanged.accept(registry.endMaintenance(now, name)));
     }
 
-    private void tell(long caller, int status, String text) {
-        effects.accept(new RespondToAdmin(caller, status, text));
+    private void respond(long connection, int status, String text) {
+        effects.accept(new RespondToAdmin(connection, status, text));
     }
 }
--- a/src/main/java/ottergauge/routing/Attempt.java
+++ b/src/main/java/ottergauge/routing/Attempt.java
@@ -1,37 +1,56 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
-/** An attempt of a request, or a probe (with no exchange), at one server. */
+/**
+ * An attempt of a request at one server or, without a request, a probe of its load. Instants are
+ * microseconds.
+ */
 final class Attempt {
     final long number;
-    final InFlightRequest exchange;
-    final int attempt;
+
+    /** The request that it belongs to; null for a probe. */
+    final InFlightRequest request;
+
+    /** Its index among the request's attempts. */
+    final int index;
+
     final long server;
 
-    /** When it was sent; a request that flows, when its last byte was. */
+    /** When it was started; for a streamed request, when its last byte was written. */
     long startedAt;
 
     long dueAt;
 
-    /** Set once a connection carries it. */
+    /** Null until one carries it. */
     PooledConnection connection;
 
-    /** Whether its first byte is written: until then it can be taken back with nothing lost. */
-    boolean begun;
+    /** Whether its first byte is written: until then it can be withdrawn with nothing lost. */
+    boolean sendStarted;
 
-    /** Whether its last byte is written: until then it cannot have run. */
-    boolean written;
+    /** Whether its last byte is written: until then the server can't have run it. */
+    boolean sendCompleted;
 
-    Attempt(long number, InFlightRequest exchange, int attempt, long server, long startedAt, long dueAt) {
+    Attempt(
+            long number,
+            InFlightRequest request,
+            int index,
+            long server,
+            long startedAt,
+            long dueAt) {
         this.number = number;
-        this.exchange = exchange;
-        this.attempt = attempt;
+        this.request = request;
+        this.index = index;
         this.server = server;
         this.startedAt = startedAt;
         this.dueAt = dueAt;
     }
 
     boolean isProbe() {
-        return exchange == null;
+        return request == null;
+    }
+
+    /** Whether its request's body is being streamed to the server. */
+    boolean isStreamingRequest() {
+        return !isProbe() && request.streamed && sendStarted && !sendCompleted;
     }
 }
--- /dev/null
+++ b/src/main/java/ottergauge/routing/Attempts.java
@@ -0,0 +1,251 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import java.util.HashMap;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionAction.CancelAttempt;
+import ottergauge.decision.api.DecisionAction.SendAttempt;
+import ottergauge.decision.api.DecisionAction.SendProbe;
+import ottergauge.decision.api.DecisionEvent;
+import ottergauge.decision.api.DecisionEvent.AttemptEnded;
+import ottergauge.decision.api.DecisionEvent.ProbeEnded;
+import ottergauge.decision.api.DecisionEvent.RequestBodySent;
+import ottergauge.decision.api.DecisionEvent.RequestBodyStreaming;
+import ottergauge.decision.api.DecisionView;
+import ottergauge.decision.api.LoadReport;
+import ottergauge.routing.Effect.StartTimer;
+
+/**
+ * Attempts and probes from the decision module's action to their result: each is started, sent if
+ * it still may be, and ends under one result that the decision module receives.
+ */
+final class Attempts {
+
+    private final UpstreamPool upstreams;
+    private final InFlightRequests requests;
+    private final SocketBudget sockets;
+    private final EffectiveSettings settings;
+    private final DiscoveryWatch watch;
+    private final DecisionView decisions;
+    private final Metrics metrics;
+    private final Consumer<DecisionEvent> decisionEvents;
+    private final Consumer<Effect> effects;
+    private final Map<Long, Attempt> byNumber = new HashMap<>();
+    private long lastNumber;
+
+    Attempts(
+            UpstreamPool upstreams,
+            InFlightRequests requests,
+            SocketBudget sockets,
+            EffectiveSettings settings,
+            DiscoveryWatch watch,
+            DecisionView decisions,
+            Metrics metrics,
+            Consumer<DecisionEvent> decisionEvents,
+            Consumer<Effect> effects) {
+        this.upstreams = upstreams;
+        this.requests = requests;
+        this.sockets = sockets;
+        this.settings = settings;
+        this.watch = watch;
+        this.decisions = decisions;
+        this.metrics = metrics;
+        this.decisionEvents = decisionEvents;
+        this.effects = effects;
+    }
+
+    /** Starts an attempt; one that can't be started ends at once as not sent. */
+    void start(long now, SendAttempt action) {
+        InFlightRequest request = requests.get(action.id());
+        int index = request == null ? 0 : request.attemptCount++;
+        long remaining = request == null ? 0 : request.deadline - now;
+        long limit = action.timeout() == 0 ? remaining : Math.min(remaining, action.timeout());
+        boolean finished = request == null || request.finished;
+        if (finished || limit <= 0 || !reserveConnection(now, action.server())) {
+            decisionEvents.accept(
+                    new AttemptEnded(
+                            action.id(),
+                            index,
+                            action.server(),
+                            AttemptResult.NOT_SENT,
+                            0,
+                            finished,
+                            LoadReport.NONE));
+            return;
+        }
+        Attempt attempt =
+                new Attempt(++lastNumber, request, index, action.server(), now, now + limit);
+        request.outstanding.add(attempt);
+        start(now, attempt);
+    }
+
+    /** Starts a probe; one that can't be started ends at once as not sent. */
+    void start(long now, SendProbe action) {
+        if (!reserveConnection(now, action.server())) {
+            decisionEvents.accept(
+                    new ProbeEnded(action.server(), AttemptResult.NOT_SENT, 0, LoadReport.NONE));
+            return;
+        }
+        // The settings have no timeout for probes; that of a connection is ample.
+        long dueAt = now + settings.current().connectTimeout();
+        start(now, new Attempt(++lastNumber, null, 0, action.server(), now, dueAt));
+    }
+
+    /** Whether the server is listed and has an idle connection, or may get another one. */
+    private boolean reserveConnection(long now, long server) {
+        return upstreams.contains(server)
+                && (!upstreams.needsConnection(server) || sockets.reserve(now, 1));
+    }
+
+    private void start(long now, Attempt attempt) {
+        byNumber.put(attempt.number, attempt);
+        startTimeout(now, attempt);
+        upstreams.start(now, attempt);
+    }
+
+    private void startTimeout(long now, Attempt attempt) {
+        effects.accept(
+                new StartTimer(attempt.dueAt - now, new Timer.AttemptTimeout(attempt.number)));
+    }
+
+    /** The attempt or probe of this number, unless it has ended. */
+    Optional<Attempt> find(long number) {
+        return Optional.ofNullable(byNumber.get(number));
+    }
+
+    /**
+     * Sends an attempt or probe whose connection is ready. This is the one guard before the first
+     * byte of anything that goes to a server, however long ago it was decided; what fails the guard
+     * ends as not sent.
+     */
+    void send(long now, Attempt attempt) {
+        // A request that is finished has no attempt left that is not sent.
+        boolean wanted =
+                attempt.isProbe()
+                        || (!watch.isStale(now)
+                                && decisions.mayBegin(now, attempt.request.id, attempt.index));
+        if (!wanted || now >= attempt.dueAt || !upstreams.isEligible(attempt)) {
+            withdraw(now, attempt);
+            return;
+        }
+        upstreams.send(now, attempt);
+        if (attempt.isStreamingRequest()) {
+            decisionEvents.accept(new RequestBodyStreaming(attempt.request.id, attempt.index));
+        }
+    }
+
+    /** Ends an attempt that is not sent yet. */
+    void withdraw(long now, Attempt attempt) {
+        upstreams.abandon(now, attempt, CloseReason.CANCELLED);
+        end(now, attempt, AttemptResult.NOT_SENT);
+    }
+
+    /** Cancels an attempt, if it is still outstanding. */
+    void cancel(long now, CancelAttempt action) {
+        InFlightRequest request = requests.get(action.id());
+        if (request == null) {
+            return;
+        }
+        for (Attempt attempt : request.outstanding) {
+            if (attempt.index == action.attempt()) {
+                upstreams.abandon(now, attempt, CloseReason.CANCELLED);
+                end(
+                        now,
+                        attempt,
+                        attempt.sendCompleted ? AttemptResult.CANCELLED : AttemptResult.NOT_SENT);
+                return;
+            }
+        }
+    }
+
+    /**
+     * An attempt's connection was not established in time. A single one may be late and says
+     * nothing of its server; when several are overdue at once the server counts as unreachable.
+     */
+    void connectTimedOut(long now, Attempt attempt) {
+        end(
+                now,
+                attempt,
+                upstreams.hasSeveralOverdue(attempt.server)
+                        ? AttemptResult.CONNECT_FAILED
+                        : AttemptResult.NOT_SENT);
+    }
+
+    /** The time of an attempt or probe is over, if it is still outstanding. */
+    void timedOut(long now, long number) {
+        Attempt attempt = byNumber.get(number);
+        // A request that is streamed gets its timeout anew when its last byte is written.
+        if (attempt != null && now >= attempt.dueAt && !attempt.isStreamingRequest()) {
+            upstreams.abandon(now, attempt, CloseReason.TIMED_OUT);
+            end(
+                    now,
+                    attempt,
+                    attempt.sendCompleted ? AttemptResult.TIMED_OUT : AttemptResult.CONNECT_FAILED);
+        }
+    }
+
+    /** An attempt's last byte is written. */
+    void sendCompleted(long now, Attempt attempt) {
+        if (attempt.isProbe()) {
+            return;
+        }
+        metrics.attemptSent();
+        if (attempt.request.streamed) {
+            long limit = attempt.dueAt - attempt.startedAt;
+            attempt.startedAt = now;
+            attempt.dueAt = Math.max(now + 1, Math.min(now + limit, attempt.request.deadline));
+            startTimeout(now, attempt);
+            decisionEvents.accept(new RequestBodySent(attempt.request.id, attempt.index));
+        }
+    }
+
+    /** The connection that carries an attempt has ended. */
+    void connectionClosed(long now, Attempt attempt, boolean malformed) {
+        // A connection that ends before anything is written to it says nothing of its server.
+        end(
+                now,
+                attempt,
+                attempt.sendStarted
+                        ? resultOfBrokenConnection(attempt, malformed)
+                        : AttemptResult.NOT_SENT);
+    }
+
+    // A malformed response, or a reused connection that breaks, doesn't prove that the server
+    // crashed. Only a reset of a new connection does, and puts the server into slow start.
+    private static AttemptResult resultOfBrokenConnection(Attempt attempt, boolean malformed) {
+        if (!attempt.sendCompleted) {
+            return AttemptResult.CONNECT_FAILED;
+        }
+        return malformed || attempt.connection.reused ? AttemptResult.ERROR : AttemptResult.RESET;
+    }
+
+    /** Ends an attempt or probe without a load report. */
+    void end(long now, Attempt attempt, AttemptResult result) {
+        end(now, attempt, result, LoadReport.NONE);
+    }
+
+    /** Ends an attempt or probe. */
+    void end(long now, Attempt attempt, AttemptResult result, LoadReport report) {
+        byNumber.remove(attempt.number);
+        long elapsed = now - attempt.startedAt;
+        if (attempt.isProbe()) {
+            decisionEvents.accept(new ProbeEnded(attempt.server, result, elapsed, report));
+            return;
+        }
+        InFlightRequest request = attempt.request;
+        request.outstanding.remove(attempt);
+        decisionEvents.accept(
+                new AttemptEnded(
+                        request.id,
+                        attempt.index,
+                        attempt.server,
+                        result,
+                        elapsed,
+                        request.finished,
+                        report));
+        requests.removeIfDone(request);
+    }
+}
--- a/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
+++ b/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
@@ -2,38 +2,40 @@
 package ottergauge.routing;
 
 /**
- * How long a connection may take to come up: by what earlier ones took, as TCP's retransmission
- * time-out is (RFC 6298). A machine that is cut off refuses nothing. Waited for as long as the
- * settings allow, a request lost all of its time at one such server, though it had never run and
- * could have gone to another.
+ * Estimates how long an attempt should wait for a connection, from the time that earlier ones took,
+ * as TCP estimates its retransmission timeout (RFC 6298). An unreachable server refuses nothing: an
+ * attempt that waited for the longest timeout would have no time left for another server. Spans are
+ * microseconds.
  */
 final class ConnectTimeoutEstimator {
 
     private static final double MEAN_GAIN = 1.0 / 8;
     private static final double DEVIATION_GAIN = 1.0 / 4;
     private static final double DEVIATIONS = 4;
-    // Of what is usual: a busy event loop hears of some connections a turn or two late.
-    private static final double SPARE = 4;
-    private static final long LEAST = 20_000;
-    // With so many given up and none made the usual time may have grown: the patience doubles.
-    private static final int GIVEN_UP_IN_A_ROW = 8;
+    // A busy event loop notices some connections an iteration or two late.
+    private static final double SAFETY_FACTOR = 4;
+    private static final long MIN_TIMEOUT_MICROS = 20_000;
+    // After so many timeouts in a row the usual time may have grown: the timeout doubles.
+    private static final int TIMEOUTS_PER_DOUBLING = 8;
+    private static final int MAX_DOUBLINGS = 10;
 
-    private long most;
+    private long max;
     private double mean;
     private double deviation;
-    private int givenUp;
+    private int timeoutsInARow;
 
-    ConnectTimeoutEstimator(long most) {
-        this.most = most;
+    ConnectTimeoutEstimator(long max) {
+        this.max = max;
     }
 
-    /** The longest that settings allow for from now on. */
-    void atMost(long longest) {
-        most = longest;
+    /** Sets the longest timeout. */
+    void setMax(long longest) {
+        max = longest;
     }
 
+    /** A connection was established after this time. */
     void connected(long took) {
-        givenUp = 0;
+        timeoutsInARow = 0;
         if (mean == 0) {
             mean = took;
             deviation = took / 2.0;
@@ -43,17 +45,20 @@
         }
     }
 
+    /** A connection failed, or was no longer waited for, after this time. */
     void failed(long took) {
-        // One that is refused at once tells nothing of how long others take.
-        givenUp += took >= limit() ? 1 : 0;
+        // One that is refused at once says nothing of how long others take.
+        timeoutsInARow += took >= timeout() ? 1 : 0;
     }
 
-    long limit() {
+    /** How long an attempt waits for a connection. */
+    long timeout() {
         if (mean == 0) {
-            return most;
+            return max;
         }
-        double usual = Math.max(LEAST, SPARE * (mean + DEVIATIONS * deviation));
-        return (long)
-                Math.min((double) most, usual * (1 << Math.min(givenUp / GIVEN_UP_IN_A_ROW, 10)));
+        double usual =
+                Math.max(MIN_TIMEOUT_MICROS, SAFETY_FACTOR * (mean + DEVIATIONS * deviation));
+        int doublings = Math.min(timeoutsInARow / TIMEOUTS_PER_DOUBLING, MAX_DOUBLINGS);
+        return (long) Math.min((double) max, usual * (1 << doublings));
     }
 }
--- a/src/main/java/ottergauge/routing/DiscoveryWatch.java
+++ b/src/main/java/ottergauge/routing/DiscoveryWatch.java
@@ -13,282 +13,276 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * The node's copy of discovery's list: the version it has, and the chain of calls that is a watch.
- * It owns how old that copy may be ({@link PropagationDeadline}): each call has a time by which its answer
- * has to be there. A watch that breaks or passes it is opened anew at once; what can't be opened is
- * asked again after a pause.
+ * The watch of discovery's endpoint list: the version that the node has, and the chain of polls
+ * that keeps it current. Each poll has a timeout, derived from the {@link PropagationDeadline}. A
+ * watch that breaks or times out is reopened at once; one that can't be opened is retried after a
+ * backoff.
  */
 final class DiscoveryWatch {
 
-    // An answer sooner than this that brings nothing is not worth another call at once; the pause
-    // still lies
-    // well within the 200 ms in which a watch goes on.
-    private static final long LEAST_GAP = 50_000;
+    // An earlier answer without a change is not followed by another poll at once. The pause stays
+    // within the 200 ms in which a watch has to go on.
+    private static final long MIN_POLL_GAP_MICROS = 50_000;
+    // A rejected list is polled again after the deadline, then after twice that, up to this many
+    // doublings: six minutes for a deadline of six seconds.
+    private static final int MAX_BACKOFF_DOUBLINGS = 6;
+    // Answers that are damaged on the way are intact the next time: more in a row are no accident.
+    private static final int MAX_ACCIDENTAL_REJECTIONS = 3;
 
-    // A list that can't be taken is asked for again after the deadline, and each time after twice
-    // as long, up
-    // to this many doublings: six minutes where the deadline is six seconds.
-    private static final int MOST_DOUBLINGS = 6;
-    // An answer that was spoilt on its way is sound the next time: so many in a row are no chance.
-    private static final int SPOILT_BY_CHANCE = 3;
-
-    // Asks for the whole list: versions of one address need not be those of another.
+    // Polls for the complete list: versions of one address need not be those of another.
     private static final long NO_VERSION = -1;
-    private static final long NONE = 0;
+    private static final long NO_POLL = 0;
 
     private final Consumer<Effect> effects;
     private final SplittableRandom random;
     private PropagationDeadline deadline;
     private Address address;
-    private long seq;
-    private long lastCall;
+    private long version;
+    private long lastPoll;
 
-    /** The call whose answer goes on with the watch, if one is out. */
-    private long current = NONE;
+    /** The poll whose answer continues the watch, if one is outstanding. */
+    private long current = NO_POLL;
 
-    /** A call that fell silent: still read until the one after it is answered. */
-    private long former = NONE;
+    /** A poll that timed out: its answer still counts until the one after it is answered. */
+    private long former = NO_POLL;
 
-    private long calledAt;
+    private long polledAt;
 
-    /** The version that the call that is out asks from. */
-    private long calledFrom;
+    /** The version that the outstanding poll asks from. */
+    private long polledFrom;
 
-    /** Whether a call of this watch was answered: it is open, and not only asked for. */
-    private boolean answered;
+    /** Whether a poll of this watch was answered. */
+    private boolean open;
 
     private int failures;
 
-    /** How many lists in a row could not be taken. */
-    private int notTaken;
+    /** How many lists in a row were rejected. */
+    private int rejections;
 
-    /** Another source than discovery tells of the list. */
+    /** Whether the endpoints come from another source than discovery. */
     private boolean ended;
 
-    /** When the newest list was in hand. */
-    private long heardAt = Long.MAX_VALUE;
+    /** When the newest list was received. */
+    private long currentAt = Long.MAX_VALUE;
 
+    /** A watch that has not begun, from the version that the configuration knows. */
     DiscoveryWatch(NodeConfig config, Consumer<Effect> effects) {
         this.effects = effects;
         random = new SplittableRandom(~config.seed());
         deadline = PropagationDeadline.of(config.settings().maxPollInterval());
         address = config.discovery();
-        seq = config.knownEndpoints().version();
+        version = config.knownEndpoints().version();
     }
 
     /**
-     * Whether the list is older than it may be. It is not while discovery is known to be away: then
-     * there is none newer. It is after the node itself has stood still.
+     * Whether the list may miss a change that is older than the deadline. It does not count as
+     * stale while discovery is known to be unreachable, as there is no newer one to be had; it does
+     * after the node itself was suspended.
      */
-    boolean stale(long now) {
-        return failures == 0 && now - heardAt > deadline.within();
+    boolean isStale(long now) {
+        return failures == 0 && now - currentAt > deadline.micros();
     }
 
-    /** Begins a watch: the decisions ask for one at the start. */
+    /** Begins the watch; the decision module asks for it at its start. */
     void begin(long now) {
         if (!ended) {
-            heardAt = now;
-            if (current == NONE) {
-                open(now);
+            currentAt = now;
+            if (current == NO_POLL) {
+                openWatch(now);
             }
         }
     }
 
-    /** Another source tells of the list from now on: discovery is not asked any more. */
+    /** Ends the watch: the endpoints come from another source from now on. */
     void end() {
         if (!ended) {
             ended = true;
-            heardAt = Long.MAX_VALUE;
-            giveUp(former, CloseReason.DISCOVERY_LEFT);
-            giveUp(current, CloseReason.DISCOVERY_LEFT);
-            former = NONE;
-            current = NONE;
+            currentAt = Long.MAX_VALUE;
+            cancel(former, CloseReason.DISCOVERY_LEFT);
+            cancel(current, CloseReason.DISCOVERY_LEFT);
+            former = NO_POLL;
+            current = NO_POLL;
         }
     }
 
-    /** Nodes have to be able to ask once in this time: it counts from the next call on. */
-    void askWithin(long span) {
-        deadline = PropagationDeadline.of(span);
+    /** Sets the longest time between two polls, in microseconds, from the next poll on. */
+    void setMaxPollInterval(long interval) {
+        deadline = PropagationDeadline.of(interval);
     }
 
-    /**
-     * Discovery is at another address from now on. The call that is out is not waited for: its
-     * address takes no further calls, and what it does not tell any more counts as told soon.
-     */
+    /** Moves the watch to another address. Outstanding polls are cancelled: nobody answers them. */
     void move(long now, Address to) {
         if (!to.equals(address) && !ended) {
             address = to;
-            seq = NO_VERSION;
-            giveUp(former, CloseReason.DISCOVERY_MOVED);
-            giveUp(current, CloseReason.DISCOVERY_MOVED);
-            former = NONE;
+            version = NO_VERSION;
+            cancel(former, CloseReason.DISCOVERY_MOVED);
+            cancel(current, CloseReason.DISCOVERY_MOVED);
+            former = NO_POLL;
             failures = 0;
-            notTaken = 0;
-            heardAt = now;
-            open(now);
+            rejections = 0;
+            currentAt = now;
+            openWatch(now);
         }
     }
 
-    /** A pause after a call is over. One that another call has overtaken would add to the calls. */
-    void resume(long now, long after) {
-        if (current == NONE && after == lastCall && !ended) {
-            next(now);
+    /** A pause after a poll is over; ignored if another poll was sent meanwhile. */
+    void resume(long now, long afterPoll) {
+        if (current == NO_POLL && afterPoll == lastPoll && !ended) {
+            pollNext(now);
         }
     }
 
-    // Goes on with the watch, or asks anew for one that could not be opened.
-    private void next(long now) {
-        if (answered) {
-            long shortest = deadline.shortestWait();
-            // Nodes that lose their watches together must not ask anew together: discovery answers
-            // in turn.
-            long waits = shortest + random.nextLong(deadline.longestWait() - shortest + 1);
-            call(now, waits, deadline.silentAfter());
-        } else {
-            open(now);
+    private void pollNext(long now) {
+        if (!open) {
+            openWatch(now);
+            return;
         }
+        long shortest = deadline.minPollWait();
+        // Nodes that lose their watches together must not poll together again.
+        long wait = shortest + random.nextLong(deadline.maxPollWait() - shortest + 1);
+        poll(now, wait, deadline.answerDelay());
     }
 
-    // The first call of a watch hardly waits: its answer says that the watch is alive.
-    private void open(long now) {
-        answered = false;
-        call(
+    // The first poll of a watch hardly waits: its answer shows that the watch is open.
+    private void openWatch(long now) {
+        open = false;
+        poll(
                 now,
-                seq < 0 ? 0 : deadline.silentAfter(),
-                deadline.answerWithin() - deadline.silentAfter());
+                version < 0 ? 0 : deadline.answerDelay(),
+                deadline.openingTimeout() - deadline.answerDelay());
     }
 
-    private void call(long now, long waits, long within) {
-        current = ++lastCall;
-        calledAt = now;
-        calledFrom = seq;
-        effects.accept(new PollDiscovery(current, address, seq, waits));
-        effects.accept(new StartTimer(waits + within, new Timer.PollTimeout(current)));
+    private void poll(long now, long maxWait, long answerTimeout) {
+        current = ++lastPoll;
+        polledAt = now;
+        polledFrom = version;
+        effects.accept(new PollDiscovery(current, address, version, maxWait));
+        effects.accept(new StartTimer(maxWait + answerTimeout, new Timer.PollTimeout(current)));
     }
 
-    /** A call's time is over: discovery is slow or away, or the watch has fallen silent. */
-    void due(long now, long call) {
-        if (call == current) {
-            // What it may still bring counts as told when it is written: it is read until the next
-            // answers.
-            giveUp(former, CloseReason.WATCH_SILENT);
+    /** A poll's answer is due; ignored if it has arrived. */
+    void pollTimedOut(long now, long poll) {
+        if (poll == current) {
+            // Its answer may still arrive, and counts until the next poll is answered.
+            cancel(former, CloseReason.WATCH_SILENT);
             former = current;
             lost(now);
         }
     }
 
-    /** A call ended with no answer. */
-    void failed(long now, long call) {
-        if (call == former) {
-            former = NONE;
+    /** A poll ended without an answer. */
+    void pollFailed(long now, long poll) {
+        if (poll == former) {
+            former = NO_POLL;
         }
-        if (call == current) {
+        if (poll == current) {
             lost(now);
         }
     }
 
-    // What was a watch is opened anew at once. What could not be opened would not be helped by
-    // that:
-    // discovery is away, or has too many callers.
+    // An open watch is reopened at once. If it could not be opened, discovery is unreachable or
+    // overloaded, and another poll at once would not help.
     private void lost(long now) {
-        current = NONE;
-        if (answered) {
-            open(now);
+        current = NO_POLL;
+        if (open) {
+            openWatch(now);
         } else {
-            long longest = deadline.pause(failures++);
-            effects.accept(
-                    new StartTimer(
-                            longest / 2 + random.nextLong(longest / 2 + 1),
-                            new Timer.NextPoll(lastCall)));
+            backOff(deadline.maxBackoff(failures++));
         }
     }
 
+    private void backOff(long longest) {
+        effects.accept(
+                new StartTimer(
+                        longest / 2 + random.nextLong(longest / 2 + 1),
+                        new Timer.NextPoll(lastPoll)));
+    }
+
     /**
-     * A call was answered by a list that can't be taken: the one before stays in force. Asked for
-     * again at once it would come again at its full size, from each node and for ever.
+     * A poll's answer was rejected: the list before it stays effective. Polled again at once, a
+     * malformed list would be sent at its full size over and over.
      */
-    void notTaken(long now, long call) {
-        if (call != current || ++notTaken <= SPOILT_BY_CHANCE) {
-            failed(now, call);
-        } else {
-            current = NONE;
-            failures++;
-            int doublings = Math.min(notTaken - SPOILT_BY_CHANCE - 1, MOST_DOUBLINGS);
-            long longest = deadline.within() << doublings;
-            effects.accept(
-                    new StartTimer(
-                            longest / 2 + random.nextLong(longest / 2 + 1),
-                            new Timer.NextPoll(lastCall)));
+    void listRejected(long now, long poll) {
+        if (poll != current || ++rejections <= MAX_ACCIDENTAL_REJECTIONS) {
+            pollFailed(now, poll);
+            return;
         }
+        current = NO_POLL;
+        failures++;
+        int doublings = Math.min(rejections - MAX_ACCIDENTAL_REJECTIONS - 1, MAX_BACKOFF_DOUBLINGS);
+        backOff(deadline.micros() << doublings);
     }
 
-    private void giveUp(long call, CloseReason why) {
-        if (call != NONE) {
-            effects.accept(new CancelPoll(call, why));
+    private void cancel(long poll, CloseReason reason) {
+        if (poll != NO_POLL) {
+            effects.accept(new CancelPoll(poll, reason));
         }
     }
 
     /**
-     * Whether an answer of this call counts. One that is older than what a call beside it brought
-     * would undo that; one that is older than what was asked for tells that discovery has begun its
-     * versions anew.
+     * Whether a poll's answer is to be applied. One that is older than another poll's answer would
+     * undo that; one that is older than what the poll asked for shows that discovery has restarted
+     * its versions.
      */
-    boolean takes(long call, EndpointList list) {
-        if (call == current) {
-            return calledFrom < 0
-                    ? list.complete()
-                    : list.version() >= seq || (list.complete() && list.version() < calledFrom);
+    boolean accepts(long poll, EndpointList answer) {
+        if (poll == current) {
+            return polledFrom < 0
+                    ? answer.complete()
+                    : answer.version() >= version
+                            || (answer.complete() && answer.version() < polledFrom);
         }
-        return call == former && list.version() > seq;
+        return poll == former && answer.version() > version;
     }
 
-    /** An answer has come that does not count. */
-    void passOver(long now, long call, EndpointList list) {
-        if (call == former) {
-            former = NONE;
-        } else if (call == current && calledFrom < 0) {
+    /** An answer that is not accepted has arrived. */
+    void answerIgnored(long now, long poll, EndpointList answer) {
+        if (poll == former) {
+            former = NO_POLL;
+        } else if (poll == current && polledFrom < 0) {
             lost(now);
-        } else if (call == current && list.version() >= calledFrom) {
+        } else if (poll == current && answer.version() >= polledFrom) {
             goOn(now, false);
-        } else if (call == current) {
-            giveUp(former, CloseReason.WATCH_SILENT);
-            former = NONE;
-            seq = NO_VERSION;
-            open(now);
+        } else if (poll == current) {
+            cancel(former, CloseReason.WATCH_SILENT);
+            former = NO_POLL;
+            version = NO_VERSION;
+            openWatch(now);
         }
     }
 
     /**
-     * Takes an answer that counts and goes on with the watch; says what of the list is news, if any
-     * is.
+     * Takes an answer that is accepted, and continues the watch.
+     *
+     * @return the scope of the answer for the decision module; empty if nothing has changed
      */
-    Optional<UpdateScope> read(long now, long call, EndpointList list) {
-        boolean news = list.complete() || !list.endpoints().isEmpty();
-        seq = list.version();
-        if (call == former) {
-            former = NONE;
+    Optional<UpdateScope> answerAccepted(long now, long poll, EndpointList answer) {
+        boolean changed = answer.complete() || !answer.endpoints().isEmpty();
+        version = answer.version();
+        if (poll == former) {
+            former = NO_POLL;
         } else {
-            news |= !answered;
-            goOn(now, news);
+            changed |= !open;
+            goOn(now, changed);
+        }
+        if (!changed) {
+            return Optional.empty();
         }
-        return news
-                ? Optional.of(list.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL)
-                : Optional.empty();
+        return Optional.of(answer.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
     }
 
-    // The call that is out was answered: the watch is open, and goes on from what is known now.
-    private void goOn(long now, boolean news) {
-        heardAt = now;
-        giveUp(former, CloseReason.WATCH_SILENT);
-        former = NONE;
-        current = NONE;
-        answered = true;
+    // The outstanding poll was answered: the watch is open and the list is current.
+    private void goOn(long now, boolean changed) {
+        currentAt = now;
+        cancel(former, CloseReason.WATCH_SILENT);
+        former = NO_POLL;
+        current = NO_POLL;
+        open = true;
         failures = 0;
-        notTaken = 0;
-        if (!news && now - calledAt < LEAST_GAP) {
-            effects.accept(new StartTimer(LEAST_GAP, new Timer.NextPoll(lastCall)));
+        rejections = 0;
+        if (!changed && now - polledAt < MIN_POLL_GAP_MICROS) {
+            effects.accept(new StartTimer(MIN_POLL_GAP_MICROS, new Timer.NextPoll(lastPoll)));
         } else {
-            next(now);
+            pollNext(now);
         }
     }
 }
--- a/src/main/java/ottergauge/routing/DownstreamConnections.java
+++ b/src/main/java/ottergauge/routing/DownstreamConnections.java
@@ -5,6 +5,7 @@
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import ottergauge.protocol.Content;
 import ottergauge.routing.Effect.CloseClient;
@@ -12,292 +13,318 @@
 import ottergauge.routing.Effect.ReportInvalidRequest;
 import ottergauge.routing.Effect.Respond;
 
-/** The clients' connections and what each is doing. */
+/**
+ * The clients' connections: what each is doing, and until when it may go on with it. Spans are
+ * microseconds.
+ */
 final class DownstreamConnections {
 
-    // A body that stands still for so long does not come any more.
-    private static final long PATIENCE = 2_000_000;
-    // A head may take 2 s. A bad client is owed an end within 3 s of connecting, and a sweep may
-    // come late.
-    private static final long HEAD_WITHIN = 2_600_000;
-    // What is left for a first body when its head took all of that.
-    private static final long BODY_BEGINS_WITHIN = 350_000;
-    // Bytes a second that a body comes with on the whole: a quarter of the slowest that is
-    // promised. At a
-    // byte now and then a connection would be held for as long as its client likes.
-    private static final long LEAST_RATE = 16_000;
-    // An answer that flows: the system's own buffers take so much that a slow reader's stand still
-    // for long.
-    private static final long FLOW_PATIENCE = 10_000_000;
-    // A client that is going to ask again does so sooner as a rule; connections kept for nothing
-    // only grow.
-    private static final long IDLE_FOR = 5_000_000;
-    // What connects sends its request at once: this young, a connection is not idle but on its way.
-    private static final long FRESH = 250_000;
-    // A line for each bad request would let its sender fill the log and the node's time.
-    private static final int LINES_A_SECOND = 5;
+    private static final long BODY_STALL_TIMEOUT_MICROS = 2_000_000;
+    // A silent client is closed within 3 s of connecting, and the sweep may come late.
+    private static final long HEAD_TIMEOUT_MICROS = 2_600_000;
+    // What a first body has to begin when its head took all of the timeout.
+    private static final long MIN_BODY_START_MICROS = 350_000;
+    // A quarter of the slowest rate that the protocol allows: bounds how long a client that sends
+    // single bytes keeps its connection.
+    private static final long MIN_BODY_BYTES_PER_SECOND = 16_000;
+    // The system's buffers take so much of a stream that a slow reader's progress comes in steps.
+    private static final long STREAM_STALL_TIMEOUT_MICROS = 10_000_000;
+    private static final long IDLE_TIMEOUT_MICROS = 5_000_000;
+    // A connection this young is not idle: its request is on its way.
+    private static final long RECENT_MICROS = 250_000;
+    // Bounds how fast a client that sends invalid requests fills the log.
+    private static final int MAX_REPORTS_PER_SECOND = 5;
+    private static final long MICROS_PER_SECOND = 1_000_000;
 
     private enum Stage {
         IDLE,
-        READING,
-        OPEN,
-        ANSWERING
+        READING_REQUEST,
+        AWAITING_RESPONSE,
+        WRITING_RESPONSE
     }
 
-    private static final class Client {
+    private static final class Connection {
         Stage stage = Stage.IDLE;
+
+        /** When the stage, or the reading of the body, began. */
         long since;
 
-        /** When it is closed, should it stay as it is; what is open has its own time. */
+        /** When it is closed unless it makes progress; does not count while awaiting a response. */
         long closeAt;
 
-        boolean asked;
-        long moved;
-        InFlightRequest exchange;
+        /** Whether it has had a response before. */
+        boolean reused;
+
+        long bodyBytes;
+
+        /** The request that it carries, or null. */
+        InFlightRequest request;
     }
 
     private final Consumer<Effect> effects;
-    private final Map<Long, Client> clients = new LinkedHashMap<>();
+    private final Map<Long, Connection> connections = new LinkedHashMap<>();
 
     /** In the order in which they became idle. */
-    private final Map<Long, Client> idle = new LinkedHashMap<>();
+    private final Map<Long, Connection> idle = new LinkedHashMap<>();
 
-    private long linesSince;
-    private int lines;
-    private int linesLeftOut;
-    private boolean stopping;
+    private long reportsSince;
+    private int reports;
+    private int suppressedReports;
+    private boolean closesAfterResponses;
 
     DownstreamConnections(Consumer<Effect> effects) {
         this.effects = effects;
     }
 
-    int open() {
-        return clients.size();
+    int openCount() {
+        return connections.size();
     }
 
-    void connected(long now, long number) {
-        Client client = new Client();
-        clients.put(number, client);
-        rest(now, number, client, HEAD_WITHIN);
+    /** A client has connected. */
+    void connected(long now, long client) {
+        Connection connection = new Connection();
+        connections.put(client, connection);
+        setIdle(now, client, connection, HEAD_TIMEOUT_MICROS);
     }
 
-    private void rest(long now, long number, Client client, long patience) {
-        client.stage = Stage.IDLE;
-        client.since = now;
-        client.closeAt = now + patience;
-        idle.put(number, client);
+    private void setIdle(long now, long client, Connection connection, long timeout) {
+        connection.stage = Stage.IDLE;
+        connection.since = now;
+        connection.closeAt = now + timeout;
+        idle.put(client, connection);
     }
 
-    private void busy(long number, Client client, Stage stage) {
-        client.stage = stage;
-        idle.remove(number);
+    private void setBusy(long client, Connection connection, Stage stage) {
+        connection.stage = stage;
+        idle.remove(client);
     }
 
-    void headBegan(long now, long number) {
-        Client client = clients.get(number);
-        if (client != null && client.stage == Stage.IDLE) {
-            busy(number, client, Stage.READING);
-            if (client.asked) {
-                client.closeAt = now + HEAD_WITHIN;
+    /** The first bytes of a request's head have arrived. */
+    void headStarted(long now, long client) {
+        Connection connection = connections.get(client);
+        if (connection != null && connection.stage == Stage.IDLE) {
+            setBusy(client, connection, Stage.READING_REQUEST);
+            if (connection.reused) {
+                connection.closeAt = now + HEAD_TIMEOUT_MICROS;
             }
         }
     }
 
-    /** A body gets on, from the client or to it. */
-    void moved(long now, long number, long bytes) {
-        Client client = clients.get(number);
-        if (client == null) {
-            return;
-        }
-        client.moved += bytes;
-        if (client.stage == Stage.READING) {
-            client.closeAt =
-                    Math.min(
-                            now + PATIENCE,
-                            client.since + PATIENCE + client.moved * 1_000_000 / LEAST_RATE);
-        } else if (client.stage == Stage.ANSWERING) {
-            client.closeAt = now + (client.exchange == null ? PATIENCE : FLOW_PATIENCE);
+    /** The head of a request has arrived. */
+    void headReceived(long now, long client) {
+        Connection connection = connections.get(client);
+        if (connection != null) {
+            setBusy(client, connection, Stage.READING_REQUEST);
+            connection.since = now;
+            connection.bodyBytes = 0;
+            connection.closeAt =
+                    connection.reused
+                            ? now + BODY_STALL_TIMEOUT_MICROS
+                            : Math.max(connection.closeAt, now + MIN_BODY_START_MICROS);
         }
     }
 
-    void began(long now, long number) {
-        Client client = clients.get(number);
-        if (client != null) {
-            busy(number, client, Stage.READING);
-            client.since = now;
-            client.moved = 0;
-            client.closeAt =
-                    client.asked
-                            ? now + PATIENCE
-                            : Math.max(client.closeAt, now + BODY_BEGINS_WITHIN);
+    /** A part of a body has been read or written. */
+    void bodyProgress(long now, long client, long bytes) {
+        Connection connection = connections.get(client);
+        if (connection == null) {
+            return;
+        }
+        connection.bodyBytes += bytes;
+        if (connection.stage == Stage.READING_REQUEST) {
+            long atMinRate = connection.bodyBytes * MICROS_PER_SECOND / MIN_BODY_BYTES_PER_SECOND;
+            connection.closeAt =
+                    Math.min(
+                            now + BODY_STALL_TIMEOUT_MICROS,
+                            connection.since + BODY_STALL_TIMEOUT_MICROS + atMinRate);
+        } else if (connection.stage == Stage.WRITING_RESPONSE) {
+            boolean relaying = connection.request != null;
+            connection.closeAt =
+                    now + (relaying ? STREAM_STALL_TIMEOUT_MICROS : BODY_STALL_TIMEOUT_MICROS);
         }
     }
 
-    void took(long number, InFlightRequest exchange) {
-        Client client = clients.get(number);
-        if (client != null) {
-            // What flows goes on being read.
-            busy(number, client, exchange.whole ? Stage.OPEN : Stage.READING);
-            client.exchange = exchange;
+    /** A client's request is accepted; a streamed one continues to be read. */
+    void accepted(InFlightRequest request) {
+        Connection connection = connections.get(request.client);
+        if (connection != null) {
+            setBusy(
+                    request.client,
+                    connection,
+                    request.complete ? Stage.AWAITING_RESPONSE : Stage.READING_REQUEST);
+            connection.request = request;
         }
     }
 
-    /** The last byte of a request that flows has come; gives back the request. */
-    InFlightRequest readWhole(long number) {
-        Client client = clients.get(number);
-        if (client == null || client.exchange == null) {
-            return null;
+    /** The last byte of a streamed request has arrived; returns the request. */
+    Optional<InFlightRequest> requestCompleted(long client) {
+        Connection connection = connections.get(client);
+        if (connection == null || connection.request == null) {
+            return Optional.empty();
         }
-        busy(number, client, Stage.OPEN);
-        return client.exchange;
+        setBusy(client, connection, Stage.AWAITING_RESPONSE);
+        return Optional.of(connection.request);
     }
 
-    /** An answer begins to be passed on; false if the client has gone. */
-    boolean passOn(long now, long number, long connection) {
-        Client client = clients.get(number);
-        if (client == null) {
+    /** Starts to relay a streamed response; false if the client has gone. */
+    boolean relay(long now, long client, long upstream) {
+        Connection connection = connections.get(client);
+        if (connection == null) {
             return false;
         }
-        busy(number, client, Stage.ANSWERING);
-        client.asked = true;
-        client.closeAt = now + FLOW_PATIENCE;
-        effects.accept(new RelayResponse(number, connection, stopping));
+        setBusy(client, connection, Stage.WRITING_RESPONSE);
+        connection.reused = true;
+        connection.closeAt = now + STREAM_STALL_TIMEOUT_MICROS;
+        effects.accept(new RelayResponse(client, upstream, closesAfterResponses));
         return true;
     }
 
-    /** The answer that was passed on is whole: the rest is the client's connection's. */
-    void passedOn(long now, long number) {
-        Client client = clients.get(number);
-        if (client != null) {
-            client.exchange = null;
-            client.closeAt = now + FLOW_PATIENCE;
+    /** The last byte of a streamed response is relayed and remains to be written. */
+    void relayCompleted(long now, long client) {
+        Connection connection = connections.get(client);
+        if (connection != null) {
+            connection.request = null;
+            connection.closeAt = now + STREAM_STALL_TIMEOUT_MICROS;
         }
     }
 
     /**
-     * Ends a connection whose answer can't be finished: short of its length, so that the client can
-     * tell.
+     * Closes a connection before the end of its response, which shows the client that it failed.
      */
-    void cutShort(long number) {
-        if (clients.containsKey(number)) {
-            close(number, CloseReason.CUT_SHORT);
+    void truncate(long client) {
+        if (connections.containsKey(client)) {
+            close(client, CloseReason.CUT_SHORT);
         }
     }
 
-    /** Takes back the request that a connection carries; null if it carries none. */
-    InFlightRequest withdraw(long number) {
-        Client client = clients.get(number);
-        InFlightRequest exchange = client == null ? null : client.exchange;
-        if (exchange != null) {
-            client.exchange = null;
+    /** Takes the request that a connection carries away from it. */
+    Optional<InFlightRequest> detach(long client) {
+        Connection connection = connections.get(client);
+        if (connection == null || connection.request == null) {
+            return Optional.empty();
         }
-        return exchange;
+        InFlightRequest request = connection.request;
+        connection.request = null;
+        return Optional.of(request);
     }
 
-    /** Answers what the connection carries, if it is still there. */
+    /** Answers the request that a connection carries, if its client is still there. */
     void respond(
-            long now, long number, int status, long retryAfter, Content content, boolean close) {
-        Client client = clients.get(number);
-        if (client != null) {
-            // What is answered before it has come whole has no end that a next request could
-            // follow.
-            boolean half = client.stage == Stage.READING && client.exchange != null;
-            busy(number, client, Stage.ANSWERING);
-            client.exchange = null;
-            client.asked = true;
-            client.closeAt = now + PATIENCE;
-            effects.accept(
-                    new Respond(number, status, retryAfter, content, close || half || stopping));
+            long now,
+            long client,
+            int status,
+            long retryAfterMicros,
+            Content content,
+            boolean close) {
+        Connection connection = connections.get(client);
+        if (connection == null) {
+            return;
         }
+        // After an incomplete request it is unknown where the next one starts.
+        boolean incomplete =
+                connection.stage == Stage.READING_REQUEST && connection.request != null;
+        setBusy(client, connection, Stage.WRITING_RESPONSE);
+        connection.request = null;
+        connection.reused = true;
+        connection.closeAt = now + BODY_STALL_TIMEOUT_MICROS;
+        effects.accept(
+                new Respond(
+                        client,
+                        status,
+                        retryAfterMicros,
+                        content,
+                        close || incomplete || closesAfterResponses));
     }
 
-    /** Answers what is no request that the node takes; the connection ends with that. */
-    void reject(long now, long number, int status, String why) {
-        if (now - linesSince >= 1_000_000) {
-            linesSince = now;
-            lines = 0;
+    /** Answers an invalid request, reports it, and closes the connection after the response. */
+    void reject(long now, long client, int status, String reason) {
+        if (now - reportsSince >= MICROS_PER_SECOND) {
+            reportsSince = now;
+            reports = 0;
         }
-        if (lines++ < LINES_A_SECOND) {
-            effects.accept(new ReportInvalidRequest(number, status, why, linesLeftOut));
-            linesLeftOut = 0;
+        if (reports++ < MAX_REPORTS_PER_SECOND) {
+            effects.accept(new ReportInvalidRequest(client, status, reason, suppressedReports));
+            suppressedReports = 0;
         } else {
-            linesLeftOut++;
+            suppressedReports++;
         }
-        respond(now, number, status, 0, Content.NONE, true);
+        respond(now, client, status, 0, Content.NONE, true);
     }
 
-    void answerWritten(long now, long number) {
-        Client client = clients.get(number);
-        if (client != null && client.stage == Stage.ANSWERING) {
-            rest(now, number, client, IDLE_FOR);
+    /** A response is written. */
+    void responseWritten(long now, long client) {
+        Connection connection = connections.get(client);
+        if (connection != null && connection.stage == Stage.WRITING_RESPONSE) {
+            setIdle(now, client, connection, IDLE_TIMEOUT_MICROS);
         }
     }
 
-    /** Forgets a connection and gives back the request that it leaves unanswered, or null. */
-    InFlightRequest closed(long number) {
-        idle.remove(number);
-        Client client = clients.remove(number);
-        return client == null ? null : client.exchange;
+    /** A connection has ended; returns the request that it leaves unanswered. */
+    Optional<InFlightRequest> closed(long client) {
+        idle.remove(client);
+        Connection connection = connections.remove(client);
+        return connection == null ? Optional.empty() : Optional.ofNullable(connection.request);
     }
 
-    /** From now on every answer is the last of its connection. */
-    void stop() {
-        stopping = true;
+    /** From now on every connection is closed after its next response. */
+    void closeAfterResponses() {
+        closesAfterResponses = true;
     }
 
+    /** Closes all idle connections. */
     void closeIdle(CloseReason reason) {
-        new ArrayList<>(idle.keySet()).forEach(number -> close(number, reason));
+        new ArrayList<>(idle.keySet()).forEach(client -> close(client, reason));
     }
 
-    /**
-     * Closes what has been silent, or has not got on with its request or its answer, for too long.
-     */
+    /** Closes the connections that have been idle, or without progress, for too long. */
     void sweep(long now) {
-        for (Map.Entry<Long, Client> entry : new ArrayList<>(clients.entrySet())) {
-            Client client = entry.getValue();
-            if (client.stage != Stage.OPEN && now >= client.closeAt) {
-                if (client.exchange != null) {
-                    // Its end comes back as an event, and with it what becomes of the request.
-                    client.closeAt = Long.MAX_VALUE;
-                    effects.accept(
-                            new CloseClient(
-                                    entry.getKey(),
-                                    client.stage == Stage.READING
-                                            ? CloseReason.SLOW_REQUEST
-                                            : CloseReason.SLOW_ANSWER));
-                    continue;
-                }
-                close(
-                        entry.getKey(),
-                        switch (client.stage) {
-                            case READING -> CloseReason.SLOW_REQUEST;
-                            case ANSWERING -> CloseReason.SLOW_ANSWER;
-                            default -> client.asked ? CloseReason.IDLE : CloseReason.SILENT;
-                        });
+        for (Map.Entry<Long, Connection> entry : new ArrayList<>(connections.entrySet())) {
+            Connection connection = entry.getValue();
+            if (connection.stage == Stage.AWAITING_RESPONSE || now < connection.closeAt) {
+                continue;
+            }
+            if (connection.request == null) {
+                close(entry.getKey(), timeoutReason(connection));
+            } else {
+                // Its end comes back as an event, which also ends the request.
+                connection.closeAt = Long.MAX_VALUE;
+                effects.accept(new CloseClient(entry.getKey(), timeoutReason(connection)));
             }
         }
     }
 
+    private static CloseReason timeoutReason(Connection connection) {
+        if (connection.stage == Stage.READING_REQUEST) {
+            return CloseReason.SLOW_REQUEST;
+        }
+        if (connection.stage == Stage.WRITING_RESPONSE || connection.request != null) {
+            return CloseReason.SLOW_ANSWER;
+        }
+        return connection.reused ? CloseReason.IDLE : CloseReason.SILENT;
+    }
+
     /**
-     * Closes the connection that has been idle for longest, if for long enough; false if there is
-     * none.
+     * Closes the connection that has been idle for longest.
+     *
+     * @param includeRecent whether one that has just become idle may be closed too
+     * @return false if there is none
      */
-    boolean closeOneIdle(long now, boolean alsoFresh) {
-        Iterator<Map.Entry<Long, Client>> oldest = idle.entrySet().iterator();
+    boolean closeLongestIdle(long now, boolean includeRecent) {
+        Iterator<Map.Entry<Long, Connection>> oldest = idle.entrySet().iterator();
         if (!oldest.hasNext()) {
             return false;
         }
-        Map.Entry<Long, Client> entry = oldest.next();
-        if (!alsoFresh && now - entry.getValue().since < FRESH) {
+        Map.Entry<Long, Connection> entry = oldest.next();
+        if (!includeRecent && now - entry.getValue().since < RECENT_MICROS) {
             return false;
         }
         close(entry.getKey(), CloseReason.SOCKETS_SHORT);
         return true;
     }
 
-    private void close(long number, CloseReason reason) {
-        idle.remove(number);
-        clients.remove(number);
-        effects.accept(new CloseClient(number, reason));
+    private void close(long client, CloseReason reason) {
+        idle.remove(client);
+        connections.remove(client);
+        effects.accept(new CloseClient(client, reason));
     }
 }
--- a/src/main/java/ottergauge/routing/EffectiveEndpoints.java
+++ b/src/main/java/ottergauge/routing/EffectiveEndpoints.java
@@ -14,126 +14,122 @@
 import ottergauge.routing.Effect.CacheEndpoints;
 
 /**
- * The list of servers in force: discovery, the log of changes and operators tell what changes of
- * it, and the connections to servers and the decisions follow. Settings pass through here on their
- * way to the decisions, since they come in force together with the list.
+ * The effective endpoints. Updates come from discovery, the change log and operators; the upstream
+ * connection pool and the decision module follow. Settings pass through here on their way to the
+ * decision module, since they take effect together with the endpoints.
  */
 final class EffectiveEndpoints {
 
     private final DiscoveryWatch watch;
-    private final EndpointRegistry roster;
+    private final EndpointRegistry registry;
     private final UpstreamPool upstreams;
-    private final boolean keeps;
-    private final Consumer<DecisionEvent> learn;
-    private final Consumer<Attempt> withdraw;
+    private final boolean cachesEndpoints;
+    private final Consumer<DecisionEvent> decisionEvents;
+    private final Consumer<Attempt> withdrawn;
     private final Consumer<Effect> effects;
-    private EndpointSnapshotMapper lists;
+    private EndpointSnapshotMapper mapper;
 
     /**
-     * {@code learn} takes what the decisions have to know, {@code withdraw} the jobs that waited
-     * for a server which takes nothing new any more: after the list, or the decisions would choose
-     * that server again.
+     * Effective endpoints that have not started.
+     *
+     * @param withdrawn receives the attempts that waited for a server which accepts nothing new,
+     *     after the decision module has the update: else it would choose that server again
      */
     EffectiveEndpoints(
             NodeConfig config,
             UpstreamPool upstreams,
-            Consumer<DecisionEvent> learn,
-            Consumer<Attempt> withdraw,
+            Consumer<DecisionEvent> decisionEvents,
+            Consumer<Attempt> withdrawn,
             Consumer<Effect> effects) {
         this.upstreams = upstreams;
-        this.learn = learn;
-        this.withdraw = withdraw;
+        this.decisionEvents = decisionEvents;
+        this.withdrawn = withdrawn;
         this.effects = effects;
-        // Only a node with a door has processes that follow each other.
-        keeps = config.admin().isPresent();
+        // Hot restarts need the admin listener; without it no other process reads the cache.
+        cachesEndpoints = config.admin().isPresent();
         watch = new DiscoveryWatch(config, effects);
-        roster = new EndpointRegistry(config.settings().decisions().rules().slowStartDuration());
-        lists = new EndpointSnapshotMapper(config.settings());
+        registry = new EndpointRegistry(config.settings().decisions().rules().slowStartDuration());
+        mapper = new EndpointSnapshotMapper(config.settings());
     }
 
     DiscoveryWatch watch() {
         return watch;
     }
 
-    EndpointRegistry roster() {
-        return roster;
+    EndpointRegistry registry() {
+        return registry;
     }
 
-    /** Begins with the list that the node had last. */
+    /** Starts with the endpoints that the node had last. */
     void start(long now, EndpointList known) {
-        EndpointList list = roster.follow(now, known);
-        upstreams.follow(list);
-        learn.accept(lists.list(list, UpdateScope.LAST_KNOWN));
+        EndpointList list = registry.apply(now, known);
+        upstreams.apply(list);
+        decisionEvents.accept(mapper.map(list, UpdateScope.LAST_KNOWN));
     }
 
-    /** Discovery has answered a call. */
-    void read(long now, long call, EndpointList told) {
-        if (!watch.takes(call, told)) {
-            watch.passOver(now, call, told);
+    /** Discovery has answered a poll. */
+    void received(long now, long poll, EndpointList answer) {
+        if (!watch.accepts(poll, answer)) {
+            watch.answerIgnored(now, poll, answer);
             return;
         }
-        EndpointList list = roster.follow(now, told);
-        List<Attempt> withdrawn = upstreams.follow(list);
-        watch.read(now, call, list)
-                .ifPresent(
-                        scope -> {
-                            learn.accept(lists.list(list, scope));
-                            keep();
-                        });
-        withdrawn.forEach(withdraw);
+        EndpointList list = registry.apply(now, answer);
+        List<Attempt> waiting = upstreams.apply(list);
+        Optional<UpdateScope> scope = watch.answerAccepted(now, poll, list);
+        if (scope.isPresent()) {
+            decisionEvents.accept(mapper.map(list, scope.get()));
+            cache();
+        }
+        waiting.forEach(withdrawn);
     }
 
-    /** A hand changes the list as discovery does. */
-    void changedByHand(EndpointList changes) {
+    /** An operator has changed which endpoints are in maintenance. */
+    void applyMaintenance(EndpointList changes) {
         if (!changes.endpoints().isEmpty()) {
-            List<Attempt> withdrawn = upstreams.follow(changes);
-            learn.accept(lists.list(changes, UpdateScope.INCREMENTAL));
-            withdrawn.forEach(withdraw);
-            keep();
+            List<Attempt> waiting = upstreams.apply(changes);
+            decisionEvents.accept(mapper.map(changes, UpdateScope.INCREMENTAL));
+            waiting.forEach(withdrawn);
+            cache();
         }
     }
 
-    /** Other settings come in force, the list stays. */
-    void takeOver(long now, NodeSettings settings) {
-        takeOver(now, new EndpointList(roster.version(), false, List.of()), Optional.of(settings));
+    /** Other settings take effect, the endpoints stay. */
+    void apply(long now, NodeSettings settings) {
+        apply(now, new EndpointList(registry.version(), false, List.of()), Optional.of(settings));
     }
 
-    /**
-     * A change of the list, or a whole one, comes in force, together with other settings if there
-     * are.
-     */
-    void takeOver(long now, EndpointList told, Optional<NodeSettings> settings) {
-        EndpointList list = roster.follow(now, told);
-        List<Attempt> withdrawn = upstreams.follow(list);
+    /** An update of the endpoints takes effect, together with other settings if there are any. */
+    void apply(long now, EndpointList update, Optional<NodeSettings> settings) {
+        EndpointList list = registry.apply(now, update);
+        List<Attempt> waiting = upstreams.apply(list);
         EndpointUpdate change =
-                lists.list(list, list.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
+                mapper.map(list, list.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
         if (settings.isPresent()) {
-            learn.accept(
-                    new SettingsChanged(
-                            settings.get().decisions(), renumber(settings.get(), change)));
+            NodeSettings next = settings.get();
+            decisionEvents.accept(new SettingsChanged(next.decisions(), applied(next, change)));
         } else {
-            learn.accept(change);
+            decisionEvents.accept(change);
         }
-        withdrawn.forEach(withdraw);
+        waiting.forEach(withdrawn);
         if (list.complete() || !list.endpoints().isEmpty()) {
-            keep();
+            cache();
         }
     }
 
-    // Under other numbers of zones or kinds all servers are told anew.
-    private EndpointUpdate renumber(NodeSettings settings, EndpointUpdate change) {
-        roster.coldFor(settings.decisions().rules().slowStartDuration());
-        watch.askWithin(settings.maxPollInterval());
-        if (lists.numberLike(settings)) {
+    // If zones or kinds have other indices, the decision module gets all endpoints anew.
+    private EndpointUpdate applied(NodeSettings settings, EndpointUpdate change) {
+        registry.setSlowStartDuration(settings.decisions().rules().slowStartDuration());
+        watch.setMaxPollInterval(settings.maxPollInterval());
+        if (mapper.hasSameIndices(settings)) {
             return change;
         }
-        lists = new EndpointSnapshotMapper(settings);
-        return lists.list(roster.inForce(), UpdateScope.FULL);
+        mapper = new EndpointSnapshotMapper(settings);
+        return mapper.map(registry.effective(), UpdateScope.FULL);
     }
 
-    private void keep() {
-        if (keeps) {
-            effects.accept(new CacheEndpoints(roster.whole()));
+    private void cache() {
+        if (cachesEndpoints) {
+            effects.accept(new CacheEndpoints(registry.snapshot()));
         }
     }
 }
--- a/src/main/java/ottergauge/routing/EndpointIds.java
+++ b/src/main/java/ottergauge/routing/EndpointIds.java
@@ -4,20 +4,20 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Numbers for servers, the same at every node and after every restart: the decisions sort by them.
+ * Numbers servers by the 64-bit FNV-1a hash of their names: the same at every node and after every
+ * restart, as the decision module orders servers by them.
  */
 final class EndpointIds {
 
-    // The 64-bit FNV-1a hash.
-    private static final long OFFSET = 0xcbf29ce484222325L;
-    private static final long PRIME = 0x100000001b3L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
 
     private EndpointIds() {}
 
-    static long of(String host) {
-        long hash = OFFSET;
-        for (byte b : host.getBytes(StandardCharsets.UTF_8)) {
-            hash = (hash ^ (b & 0xff)) * PRIME;
+    static long of(String name) {
+        long hash = FNV_OFFSET_BASIS;
+        for (byte b : name.getBytes(StandardCharsets.UTF_8)) {
+            hash = (hash ^ (b & 0xff)) * FNV_PRIME;
         }
         return hash;
     }
--- a/src/main/java/ottergauge/routing/EndpointRegistry.java
+++ b/src/main/java/ottergauge/routing/EndpointRegistry.java
@@ -12,156 +12,157 @@
 import ottergauge.protocol.EndpointList;
 
 /**
- * The servers that are listed, and over that list what operators hold out: a server held out is a
- * draining one for all that comes after, whatever the list says of it meanwhile. The decision
- * module knows of no hand.
+ * The listed endpoints, and those of them that operators have put into maintenance. An endpoint in
+ * maintenance counts as draining whatever the list says; the decision module knows nothing of
+ * maintenance. Instants and spans are microseconds.
  */
 final class EndpointRegistry {
 
-    // What operators may hold out at one time: they can name no server that was never listed, so a
-    // fleet that
-    // replaces its servers under new names is the only way to so many.
-    private static final int MOST_HELD = 4096;
+    // Only listed servers can be named, so only a fleet that renames its servers gets this far.
+    private static final int MAX_IN_MAINTENANCE = 4096;
+    private static final int MICROS_PER_MS = 1000;
 
-    private record Back(long outSince, long backAt) {}
+    private record Reenabled(long maintenanceSince, long at) {}
 
-    private long coldFor;
     private final Map<String, DiscoveredEndpoint> listed = new LinkedHashMap<>();
 
-    /** By name, since when: in the order of names, so that all is told in one order. */
-    private final Map<String, Long> held = new TreeMap<>();
+    /** By name, since when. Sorted, so that changes are reported in the same order everywhere. */
+    private final Map<String, Long> maintenanceSince = new TreeMap<>();
 
-    private final Map<String, Back> back = new TreeMap<>();
-    private long seq;
+    private final Map<String, Reenabled> reenabled = new TreeMap<>();
+    private long slowStartDuration;
+    private long version;
 
-    EndpointRegistry(long coldFor) {
-        this.coldFor = coldFor;
+    EndpointRegistry(long slowStartDuration) {
+        this.slowStartDuration = slowStartDuration;
     }
 
-    /** So long a server counts as cold from now on. */
-    void coldFor(long span) {
-        coldFor = span;
+    void setSlowStartDuration(long duration) {
+        slowStartDuration = duration;
     }
 
-    /** The version of what was told last. */
+    /** The version of the last update. */
     long version() {
-        return seq;
+        return version;
     }
 
-    /** Takes what is told of the list and gives back what counts. */
-    EndpointList follow(long now, EndpointList told) {
-        back.values().removeIf(each -> now - each.backAt >= coldFor);
-        seq = told.version();
-        if (told.complete()) {
+    /** Applies an update of the list; returns it with maintenance taken into account. */
+    EndpointList apply(long now, EndpointList update) {
+        reenabled.values().removeIf(each -> now - each.at >= slowStartDuration);
+        version = update.version();
+        if (update.complete()) {
             listed.clear();
         }
-        List<DiscoveredEndpoint> counts = new ArrayList<>();
-        for (DiscoveredEndpoint host : told.endpoints()) {
-            if (host.state() == EndpointState.REMOVED) {
-                listed.remove(host.name());
+        List<DiscoveredEndpoint> effective = new ArrayList<>();
+        for (DiscoveredEndpoint endpoint : update.endpoints()) {
+            if (endpoint.state() == EndpointState.REMOVED) {
+                listed.remove(endpoint.name());
             } else {
-                listed.put(host.name(), host);
+                listed.put(endpoint.name(), endpoint);
             }
-            counts.add(overlaid(host));
+            effective.add(effective(endpoint));
         }
-        return new EndpointList(told.version(), told.complete(), counts);
+        return new EndpointList(update.version(), update.complete(), effective);
     }
 
-    private DiscoveredEndpoint overlaid(DiscoveredEndpoint host) {
-        EndpointState state =
-                host.state() != EndpointState.REMOVED && held.containsKey(host.name())
-                        ? EndpointState.DRAINING
-                        : host.state();
-        DiscoveredEndpoint born = born(host);
+    private DiscoveredEndpoint effective(DiscoveredEndpoint endpoint) {
+        boolean drained =
+                endpoint.state() != EndpointState.REMOVED
+                        && maintenanceSince.containsKey(endpoint.name());
+        return copy(
+                endpoint, drained ? EndpointState.DRAINING : endpoint.state(), startedAt(endpoint));
+    }
+
+    // Servers are restarted during maintenance, and the list reports it seconds late. Until it
+    // does,
+    // a re-enabled one counts as started when it was re-enabled, so that slow start applies.
+    private long startedAt(DiscoveredEndpoint endpoint) {
+        Reenabled since = reenabled.get(endpoint.name());
+        return since == null || endpoint.startedAtMs() * MICROS_PER_MS >= since.maintenanceSince
+                ? endpoint.startedAtMs()
+                : since.at / MICROS_PER_MS;
+    }
+
+    private static DiscoveredEndpoint copy(
+            DiscoveredEndpoint endpoint, EndpointState state, long startedAtMs) {
         return new DiscoveredEndpoint(
-                born.name(),
-                born.address(),
-                born.zone(),
-                born.kind(),
-                born.cell(),
+                endpoint.name(),
+                endpoint.address(),
+                endpoint.zone(),
+                endpoint.kind(),
+                endpoint.cell(),
                 state,
-                born.weight(),
-                born.startedAtMs());
-    }
-
-    private DiscoveredEndpoint born(DiscoveredEndpoint host) {
-        Back since = back.get(host.name());
-        // Servers are restarted while they are out. The list tells of it seconds late: until it
-        // does, one
-        // that was put back counts as started at that moment, and so is not pushed over while it is
-        // cold.
-        long born =
-                since == null || host.startedAtMs() * 1000 >= since.outSince
-                        ? host.startedAtMs()
-                        : since.backAt / 1000;
-        return new DiscoveredEndpoint(
-                host.name(),
-                host.address(),
-                host.zone(),
-                host.kind(),
-                host.cell(),
-                host.state(),
-                host.weight(),
-                born);
+                endpoint.weight(),
+                startedAtMs);
     }
 
-    /** Whether an operator may name this server. */
-    boolean knows(String name) {
-        return listed.containsKey(name) || held.containsKey(name);
+    /** Whether a server of this name is listed or in maintenance. */
+    boolean contains(String name) {
+        return listed.containsKey(name) || maintenanceSince.containsKey(name);
     }
 
-    boolean holds(String name) {
-        return held.containsKey(name);
+    boolean isInMaintenance(String name) {
+        return maintenanceSince.containsKey(name);
     }
 
-    /** Since when a server is held out. */
-    long heldSince(String name) {
-        return held.get(name);
+    /** Since when a server that is in maintenance is so. */
+    long maintenanceSince(String name) {
+        return maintenanceSince.get(name);
     }
 
-    /** Holds a server out; gives back what changes by that. */
-    EndpointList hold(String name, long since) {
-        if (held.size() < MOST_HELD && held.putIfAbsent(name, since) == null) {
-            back.remove(name);
+    /** Starts a server's maintenance, unless too many are in maintenance; returns what changes. */
+    EndpointList startMaintenance(String name, long since) {
+        if (maintenanceSince.size() < MAX_IN_MAINTENANCE
+                && maintenanceSince.putIfAbsent(name, since) == null) {
+            reenabled.remove(name);
             return change(name);
         }
-        return none();
+        return noChange();
     }
 
-    /** Puts a server back; gives back what changes by that. */
-    EndpointList release(long now, String name) {
-        Long since = held.remove(name);
+    /** Ends a server's maintenance; returns what changes. */
+    EndpointList endMaintenance(long now, String name) {
+        Long since = maintenanceSince.remove(name);
         if (since == null) {
-            return none();
+            return noChange();
         }
-        back.put(name, new Back(since, now));
+        reenabled.put(name, new Reenabled(since, now));
         return change(name);
     }
 
-    /** Those of the servers held out that are not among these. */
-    List<String> heldBeside(Collection<String> names) {
-        return held.keySet().stream().filter(name -> !names.contains(name)).toList();
+    /** The servers in maintenance whose names are not among these, by name. */
+    List<String> inMaintenanceExcept(Collection<String> names) {
+        return maintenanceSince.keySet().stream().filter(name -> !names.contains(name)).toList();
     }
 
     private EndpointList change(String name) {
-        DiscoveredEndpoint host = listed.get(name);
-        return host == null ? none() : new EndpointList(seq, false, List.of(overlaid(host)));
+        DiscoveredEndpoint endpoint = listed.get(name);
+        return endpoint == null
+                ? noChange()
+                : new EndpointList(version, false, List.of(effective(endpoint)));
     }
 
-    private EndpointList none() {
-        return new EndpointList(seq, false, List.of());
+    private EndpointList noChange() {
+        return new EndpointList(version, false, List.of());
     }
 
-    /** The whole list as it counts. */
-    EndpointList inForce() {
-        return new EndpointList(seq, true, listed.values().stream().map(this::overlaid).toList());
+    /** The complete list with maintenance taken into account. */
+    EndpointList effective() {
+        return new EndpointList(
+                version, true, listed.values().stream().map(this::effective).toList());
     }
 
-    /** The whole list for a process that comes after; what is held out is kept apart from it. */
-    EndpointList whole() {
-        return new EndpointList(seq, true, listed.values().stream().map(this::born).toList());
+    /** The complete list to cache for the next process; maintenance is stored apart from it. */
+    EndpointList snapshot() {
+        return new EndpointList(
+                version,
+                true,
+                listed.values().stream()
+                        .map(each -> copy(each, each.state(), startedAt(each)))
+                        .toList());
     }
 
+    /** The listed servers' names, in the order of the list. */
     Collection<String> names() {
         return listed.keySet();
     }
--- a/src/main/java/ottergauge/routing/EndpointSnapshotMapper.java
+++ b/src/main/java/ottergauge/routing/EndpointSnapshotMapper.java
@@ -12,50 +12,51 @@
 import ottergauge.protocol.NodeSettings;
 
 /**
- * Puts a list as the decisions take it: zones and kinds by their numbers in the settings, servers
- * by ids.
+ * Maps endpoint lists to the decision module's form: zones and kinds by their index in the
+ * settings, servers by id, start times in microseconds.
  */
 final class EndpointSnapshotMapper {
 
     private static final int UNKNOWN = -1;
+    private static final int MICROS_PER_MS = 1000;
 
     private final List<String> zones;
     private final List<String> kinds;
-    private final Map<String, Integer> zoneNumbers;
-    private final Map<String, Integer> kindNumbers;
+    private final Map<String, Integer> zoneIndices;
+    private final Map<String, Integer> kindIndices;
 
     EndpointSnapshotMapper(NodeSettings settings) {
         zones = settings.zones();
         kinds = settings.kinds();
-        zoneNumbers = numbers(zones);
-        kindNumbers = numbers(kinds);
+        zoneIndices = indices(zones);
+        kindIndices = indices(kinds);
     }
 
-    private static Map<String, Integer> numbers(List<String> names) {
-        Map<String, Integer> numbers = new HashMap<>();
-        for (int number = 0; number < names.size(); number++) {
-            numbers.putIfAbsent(names.get(number), number);
+    private static Map<String, Integer> indices(List<String> names) {
+        Map<String, Integer> indices = new HashMap<>();
+        for (int index = 0; index < names.size(); index++) {
+            indices.putIfAbsent(names.get(index), index);
         }
-        return numbers;
+        return indices;
     }
 
-    /** Whether zones and kinds have the same numbers under other settings. */
-    boolean numberLike(NodeSettings settings) {
+    /** Whether zones and kinds have the same indices under other settings. */
+    boolean hasSameIndices(NodeSettings settings) {
         return zones.equals(settings.zones()) && kinds.equals(settings.kinds());
     }
 
-    EndpointUpdate list(EndpointList list, UpdateScope scope) {
-        return new EndpointUpdate(scope, list.endpoints().stream().map(this::listed).toList());
+    EndpointUpdate map(EndpointList list, UpdateScope scope) {
+        return new EndpointUpdate(scope, list.endpoints().stream().map(this::map).toList());
     }
 
-    private Endpoint listed(DiscoveredEndpoint host) {
+    private Endpoint map(DiscoveredEndpoint endpoint) {
         return new Endpoint(
-                EndpointIds.of(host.name()),
-                zoneNumbers.getOrDefault(host.zone(), UNKNOWN),
-                kindNumbers.getOrDefault(host.kind(), UNKNOWN),
-                host.cell(),
-                host.state(),
-                host.weight(),
-                host.startedAtMs() * 1000);
+                EndpointIds.of(endpoint.name()),
+                zoneIndices.getOrDefault(endpoint.zone(), UNKNOWN),
+                kindIndices.getOrDefault(endpoint.kind(), UNKNOWN),
+                endpoint.cell(),
+                endpoint.state(),
+                endpoint.weight(),
+                endpoint.startedAtMs() * MICROS_PER_MS);
     }
 }
--- a/src/main/java/ottergauge/routing/InFlightRequest.java
+++ b/src/main/java/ottergauge/routing/InFlightRequest.java
@@ -6,49 +6,58 @@
 import ottergauge.decision.api.RequestClass;
 import ottergauge.routing.Event.ClientRequest;
 
-/** A request that the node has taken, until it is answered and none of its attempts is out. */
+/**
+ * A request that the node has accepted, until it is answered and none of its attempts is
+ * outstanding. Instants and spans are microseconds.
+ */
 final class InFlightRequest {
+    /** Its id for the decision module. */
     final String id;
+
     final long client;
 
-    /** The class that it was taken with, whatever its name stands for later. */
-    final RequestClass type;
+    /** The class that it was accepted with, whatever the settings say of that name later. */
+    final RequestClass requestClass;
 
-    final ClientRequest request;
+    final ClientRequest content;
 
     /** How long the client waits from the last byte of its request. */
-    final long waits;
+    final long timeout;
+
+    long deadline;
+
+    /** Too large to be buffered: it is forwarded as it arrives and can be sent once. */
+    final boolean streamed;
 
-    long giveUpAt;
+    /** Whether its last byte has arrived. */
+    boolean complete;
 
-    /** It is too large to be kept: passed on as it comes, it can be sent once. */
-    final boolean flows;
+    /** The attempt whose response is being relayed to the client, or null. */
+    Attempt relaying;
 
-    /** Whether its last byte has come. */
-    boolean whole;
+    final List<Attempt> outstanding = new ArrayList<>(1);
 
-    /** The attempt whose answer is being passed on. */
-    Attempt passing;
+    /** How many attempts the decision module has asked for. */
+    int attemptCount;
 
-    final List<Attempt> out = new ArrayList<>(1);
-    int attempts;
-    boolean over;
+    /** Whether it is answered, or its client has gone. */
+    boolean finished;
 
     InFlightRequest(
             String id,
             long client,
-            RequestClass type,
-            ClientRequest request,
-            long giveUpAt,
-            long waits,
-            boolean flows) {
+            RequestClass requestClass,
+            ClientRequest content,
+            long deadline,
+            long timeout,
+            boolean streamed) {
         this.id = id;
         this.client = client;
-        this.type = type;
-        this.request = request;
-        this.giveUpAt = giveUpAt;
-        this.waits = waits;
-        this.flows = flows;
-        whole = !flows;
+        this.requestClass = requestClass;
+        this.content = content;
+        this.deadline = deadline;
+        this.timeout = timeout;
+        this.streamed = streamed;
+        complete = !streamed;
     }
 }
--- a/src/main/java/ottergauge/routing/Metrics.java
+++ b/src/main/java/ottergauge/routing/Metrics.java
@@ -9,87 +9,89 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * Counts since the start of the process. Each request that was taken ends under one count at the
- * most. A class keeps its counts for as long as the settings name it; what ends after that is no
- * longer pending, and else not counted.
+ * Counters since the start of the process. Each request that was accepted ends under one counter at
+ * most. A class has its counters for as long as the settings define it; a request that ends after
+ * that only stops being pending.
  */
 final class Metrics {
 
-    private static final class Counts {
+    private static final class Counters {
         long completed;
         long rejected;
         long failed;
     }
 
-    private Map<String, Counts> byClass = new LinkedHashMap<>();
+    private Map<String, Counters> byClass = new LinkedHashMap<>();
     private long upstreamRequests;
     private long pending;
-    private Optional<LogPosition> version = Optional.empty();
+    private Optional<LogPosition> stateVersion = Optional.empty();
 
     Metrics(List<RequestClass> classes) {
-        takeOver(classes);
+        setClasses(classes);
     }
 
-    /** These classes are in force from now on. */
-    void takeOver(List<RequestClass> classes) {
-        Map<String, Counts> before = byClass;
+    /** Replaces the classes; those that stay keep their counters. */
+    void setClasses(List<RequestClass> classes) {
+        Map<String, Counters> before = byClass;
         byClass = new LinkedHashMap<>();
-        for (RequestClass type : classes) {
-            byClass.put(type.name(), before.getOrDefault(type.name(), new Counts()));
+        for (RequestClass requestClass : classes) {
+            String name = requestClass.name();
+            byClass.put(name, before.getOrDefault(name, new Counters()));
         }
     }
 
-    /** What all nodes share has reached this version here. */
-    void reached(LogPosition position) {
-        version = Optional.of(position);
+    /** A version of the state that all nodes share is effective. */
+    void stateReached(LogPosition version) {
+        stateVersion = Optional.of(version);
     }
 
-    void taken() {
+    void requestAccepted() {
         pending++;
     }
 
-    void completed(RequestClass type) {
+    void completed(RequestClass requestClass) {
         pending--;
-        counts(type).completed++;
+        counters(requestClass).completed++;
     }
 
-    void rejected(RequestClass type) {
+    void rejected(RequestClass requestClass) {
         pending--;
-        counts(type).rejected++;
+        counters(requestClass).rejected++;
     }
 
-    void failed(RequestClass type) {
+    void failed(RequestClass requestClass) {
         pending--;
-        counts(type).failed++;
+        counters(requestClass).failed++;
     }
 
-    private Counts counts(RequestClass type) {
-        return byClass.getOrDefault(type.name(), new Counts());
+    private Counters counters(RequestClass requestClass) {
+        return byClass.getOrDefault(requestClass.name(), new Counters());
     }
 
-    /** Its client has left: whatever became of it reached nobody. */
-    void abandoned() {
+    /** A client has gone before its response: the request counts under no outcome. */
+    void clientDisconnected() {
         pending--;
     }
 
-    /** The last byte of an attempt is written to a server. */
-    void attempted() {
+    /** The last byte of an attempt is written. */
+    void attemptSent() {
         upstreamRequests++;
     }
 
-    String text(int members, int unavailable) {
+    /** All metrics, one a line; docs/operations.md defines their names. */
+    String text(int servers, int unavailableServers) {
         StringBuilder text = new StringBuilder();
         byClass.forEach(
-                (name, counts) -> {
-                    line(text, "completed." + name, counts.completed);
-                    line(text, "rejected." + name, counts.rejected);
-                    line(text, "failed." + name, counts.failed);
+                (name, counters) -> {
+                    line(text, "completed." + name, counters.completed);
+                    line(text, "rejected." + name, counters.rejected);
+                    line(text, "failed." + name, counters.failed);
                 });
         line(text, "upstream_requests", upstreamRequests);
         line(text, "pending", pending);
-        version.ifPresent(position -> line(text, "state_version", position.version()));
-        line(text, "members", members);
-        line(text, "members_unavailable", unavailable);
+        stateVersion.ifPresent(position -> line(text, "state_version", position.version()));
+        line(text, "members", servers);
+        line(text, "members_unavailable", unavailableServers);
         return text.toString();
     }
 
--- a/src/main/java/ottergauge/routing/PooledConnection.java
+++ b/src/main/java/ottergauge/routing/PooledConnection.java
@@ -1,27 +1,27 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
-/** A connection to a server, from the moment it is asked for. */
+/** A connection to a server, from the moment when it is asked for. Instants are microseconds. */
 final class PooledConnection {
     final long number;
-    final ServerPool upstream;
+    final ServerPool pool;
     final long openedAt;
-    boolean up;
+    boolean established;
 
-    /** Whether it is not up yet, and nothing waits for it any more. */
-    boolean late;
+    /** Whether it is not established yet and no attempt waits for it any more. */
+    boolean overdue;
 
-    /** What it carries, or is about to carry, or null. */
-    Attempt job;
+    /** The attempt that it carries or is about to carry, or null. */
+    Attempt attempt;
 
-    /** Whether it has carried an answer before. */
-    boolean kept;
+    /** Whether it has carried a response before. */
+    boolean reused;
 
     long idleSince;
 
-    PooledConnection(long number, ServerPool upstream, long openedAt) {
+    PooledConnection(long number, ServerPool pool, long openedAt) {
         this.number = number;
-        this.upstream = upstream;
+        this.pool = pool;
         this.openedAt = openedAt;
     }
 }
--- a/src/main/java/ottergauge/routing/PropagationDeadline.java
+++ b/src/main/java/ottergauge/routing/PropagationDeadline.java
@@ -2,56 +2,61 @@
 package ottergauge.routing;
 
 /**
- * How soon a change of the list has to be in hand, and what follows from it, reckoned backwards,
- * for the calls to discovery. A change counts as told this long after discovery had it and could be
- * reached, whatever calls failed, were refused or fell silent meanwhile; where the settings want
- * nodes to ask more often, sooner.
+ * How soon a change of the endpoints must have reached the node, and the timeouts of discovery's
+ * polls that follow from it. The deadline counts from when discovery had the change and was
+ * reachable, whatever polls failed, were rejected or stayed unanswered meanwhile.
  *
- * <p>The longest way: a watch falls silent as its call begins, that is noticed, the call that opens
- * it anew is turned away, and the one after it waits for its whole turn. Or, once discovery is
- * back: a call that began just before is never answered, the longest pause, and a call that waits
- * for its whole turn. Either leaves a sixteenth of the time to spare. Spans are microseconds.
+ * <p>The slowest case: a watch breaks as its poll begins, that is noticed, the poll that reopens it
+ * is rejected, and the next one waits for its turn at discovery. Or, once discovery is back: a poll
+ * that began just before is never answered, then the longest backoff, then a poll that waits for
+ * its turn. Each leaves a sixteenth of the deadline to spare.
+ *
+ * @param micros the deadline in microseconds
  */
-record PropagationDeadline(long within) {
-
-    private static final long COUNTS_AS_TOLD = 6_000_000;
-    private static final long PARTS = 48;
-
-    static PropagationDeadline of(long askWithin) {
-        return new PropagationDeadline(Math.min(COUNTS_AS_TOLD, askWithin));
+record PropagationDeadline(long micros) {
+
+    private static final long MAX_MICROS = 6_000_000;
+
+    // The timeouts are multiples of a 48th of the deadline.
+    private static final int FRACTIONS = 48;
+    private static final int MAX_POLL_WAIT = 21;
+    private static final int MIN_POLL_WAIT = 2;
+    private static final int ANSWER_DELAY = 2;
+    private static final int OPENING_TIMEOUT = 18;
+    private static final int FIRST_BACKOFF = 4;
+    private static final int MAX_BACKOFF = 9;
+
+    /** The deadline for nodes that must poll at least this often. */
+    static PropagationDeadline of(long maxPollInterval) {
+        return new PropagationDeadline(Math.min(MAX_MICROS, maxPollInterval));
     }
 
-    private long parts(int parts) {
-        return within * parts / PARTS;
+    private long fraction(int numerator) {
+        return micros * numerator / FRACTIONS;
     }
 
-    /** The longest time for which a call of a watch that goes on may wait. */
-    long longestWait() {
-        return parts(21);
+    /** The longest time that a poll of an open watch asks discovery to wait for a change. */
+    long maxPollWait() {
+        return fraction(MAX_POLL_WAIT);
     }
 
-    /**
-     * And the shortest: nodes that lose their watches together then keep discovery busy from the
-     * start.
-     */
-    long shortestWait() {
-        return parts(2);
+    /** The shortest such time; nodes whose watches break together spread their polls over both. */
+    long minPollWait() {
+        return fraction(MIN_POLL_WAIT);
     }
 
-    /**
-     * A wait that is over is answered after a trip: this is for what makes it late at either end.
-     */
-    long silentAfter() {
-        return parts(2);
+    /** How much later than the wait an answer may arrive. */
+    long answerDelay() {
+        return fraction(ANSWER_DELAY);
     }
 
-    /** What a call that opens a watch may take, its turn in discovery's line included. */
-    long answerWithin() {
-        return parts(18);
+    /** How long a poll that opens a watch may take, including its turn at discovery. */
+    long openingTimeout() {
+        return fraction(OPENING_TIMEOUT);
     }
 
-    /** The longest pause after a call that failed, by how many failed in a row before it. */
-    long pause(int failures) {
-        return failures == 0 ? parts(4) : parts(9);
+    /** The longest backoff after a failed poll, by the number of failures in a row before it. */
+    long maxBackoff(int failures) {
+        return fraction(failures == 0 ? FIRST_BACKOFF : MAX_BACKOFF);
     }
 }
--- a/src/main/java/ottergauge/routing/RequestClasses.java
+++ b/src/main/java/ottergauge/routing/RequestClasses.java
@@ -7,28 +7,29 @@
 import java.util.Optional;
 import ottergauge.decision.api.RequestClass;
 
-/** The classes of requests that are in force, by name. */
+/** The effective request classes, by name. */
 final class RequestClasses {
 
-    /** A class, and its number for the decisions for as long as these classes are in force. */
-    record Numbered(int number, RequestClass type) {}
+    /** A class and its index, which identifies it to the decision module. */
+    record Indexed(int index, RequestClass requestClass) {}
 
-    private final Map<String, Numbered> byName = new HashMap<>();
+    private final Map<String, Indexed> byName = new HashMap<>();
     private final long longestDeadline;
 
     RequestClasses(List<RequestClass> classes) {
-        for (int number = 0; number < classes.size(); number++) {
-            RequestClass type = classes.get(number);
-            byName.put(type.name(), new Numbered(number, type));
+        for (int index = 0; index < classes.size(); index++) {
+            RequestClass requestClass = classes.get(index);
+            byName.put(requestClass.name(), new Indexed(index, requestClass));
         }
         longestDeadline = classes.stream().mapToLong(RequestClass::deadline).max().orElse(0);
     }
 
-    Optional<Numbered> named(String name) {
+    /** The class of this name; empty if there is none. */
+    Optional<Indexed> find(String name) {
         return Optional.ofNullable(byName.get(name));
     }
 
-    /** The longest time that a client waits which does not say how long it does. */
+    /** The longest deadline of a class, in microseconds. */
     long longestDeadline() {
         return longestDeadline;
     }
--- /dev/null
+++ b/src/main/java/ottergauge/routing/RequestHandler.java
@@ -0,0 +1,247 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.decision.api.DecisionEvent;
+import ottergauge.decision.api.DecisionEvent.ClientDisconnected;
+import ottergauge.decision.api.DecisionEvent.RequestArrived;
+import ottergauge.decision.api.Idempotency;
+import ottergauge.decision.api.RequestClass;
+import ottergauge.decision.api.RequestLimits;
+import ottergauge.protocol.AttemptResults;
+import ottergauge.protocol.Content;
+import ottergauge.protocol.RequestFields;
+import ottergauge.routing.Event.ClientRequest;
+import ottergauge.routing.Event.ServerResponse;
+
+/**
+ * Clients' requests from their arrival to their final response: each one that is accepted is handed
+ * to the decision module and answered once.
+ */
+final class RequestHandler {
+
+    private static final String GET = "GET";
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int CONFLICT = 409;
+    private static final int BAD_GATEWAY = 502;
+    private static final int UNAVAILABLE = 503;
+    private static final int MICROS_PER_MS = 1000;
+
+    private final InFlightRequests requests;
+    private final DownstreamConnections clients;
+    private final Attempts attempts;
+    private final UpstreamPool upstreams;
+    private final StreamBudget streams;
+    private final EffectiveSettings settings;
+    private final Shutdown shutdown;
+    private final Metrics metrics;
+    private final Consumer<DecisionEvent> decisionEvents;
+
+    RequestHandler(
+            InFlightRequests requests,
+            DownstreamConnections clients,
+            Attempts attempts,
+            UpstreamPool upstreams,
+            StreamBudget streams,
+            EffectiveSettings settings,
+            Shutdown shutdown,
+            Metrics metrics,
+            Consumer<DecisionEvent> decisionEvents) {
+        this.requests = requests;
+        this.clients = clients;
+        this.attempts = attempts;
+        this.upstreams = upstreams;
+        this.streams = streams;
+        this.settings = settings;
+        this.shutdown = shutdown;
+        this.metrics = metrics;
+        this.decisionEvents = decisionEvents;
+    }
+
+    /**
+     * A request has arrived: completely, or up to the first part of a body that is streamed.
+     *
+     * @param ageMicros an upper bound of the time since its last byte arrived
+     */
+    void received(long now, long client, ClientRequest content, long ageMicros, boolean streamed) {
+        RequestFields fields = content.fields();
+        RequestClasses.Indexed indexed =
+                settings.classes().find(fields.requestClass()).orElse(null);
+        if (indexed == null) {
+            clients.reject(now, client, BAD_REQUEST, "unknown class " + fields.requestClass());
+            return;
+        }
+        RequestClass requestClass = indexed.requestClass();
+        Idempotency idempotency = requestClass.idempotency();
+        if ((streamed && idempotency == Idempotency.IDEMPOTENT) || !fits(content, idempotency)) {
+            clients.reject(now, client, BAD_REQUEST, "method, key or body are not the class's");
+            return;
+        }
+        if (requests.containsTraceId(fields.traceId())) {
+            // Forwarded, two copies of one request would be outstanding at a server.
+            clients.reject(now, client, CONFLICT, "a request with this id is open");
+            return;
+        }
+        long timeout = fields.expiresInMs() * MICROS_PER_MS;
+        if (timeout < 0) {
+            timeout = requestClass.deadline();
+        }
+        // The client's time runs from the last byte of its request, whenever that is read.
+        long deadline = Math.min(shutdown.lastResponseAt(), now - ageMicros + timeout);
+        accept(
+                now,
+                requests.add(client, requestClass, content, deadline, timeout, streamed),
+                indexed.index());
+    }
+
+    private void accept(long now, InFlightRequest request, int classIndex) {
+        clients.accepted(request);
+        if (!request.streamed) {
+            metrics.requestAccepted();
+        } else if (streams.admitsRequest()) {
+            streams.add(request);
+        } else {
+            RequestLimits limits = settings.current().decisions().limits();
+            reject(now, request.id, limits.retryAfterAllowed() ? limits.maxRetryAfter() : 0);
+            return;
+        }
+        decisionEvents.accept(
+                new RequestArrived(
+                        request.id,
+                        classIndex,
+                        request.deadline,
+                        request.content.fields().retry(),
+                        affinityKey(request.content)));
+    }
+
+    // Requests for one URI profit from each other's work at a server.
+    private static long affinityKey(ClientRequest request) {
+        return request.uri().hashCode();
+    }
+
+    // The method follows from the class: a keyed request without its key could take effect twice.
+    private static boolean fits(ClientRequest request, Idempotency idempotency) {
+        boolean keyed = request.fields().idempotencyKey() != null;
+        return switch (idempotency) {
+            case IDEMPOTENT ->
+                    GET.equals(request.method()) && request.content().bytes().length == 0;
+            case KEYED -> !GET.equals(request.method()) && keyed;
+            case NON_IDEMPOTENT -> !GET.equals(request.method()) && !keyed;
+        };
+    }
+
+    /** A client sent something that is no acceptable request. */
+    void invalid(long now, Event.InvalidRequest event) {
+        Optional<InFlightRequest> detached = clients.detach(event.client());
+        if (detached.isEmpty()) {
+            clients.reject(now, event.client(), event.status(), event.reason());
+            return;
+        }
+        // It follows a request that is in flight: its response could not be told from the other's.
+        InFlightRequest request = detached.get();
+        countAccepted(request);
+        metrics.failed(request.requestClass);
+        if (request.relaying != null) {
+            stopRelaying(now, request);
+            clients.truncate(event.client());
+            return;
+        }
+        decisionEvents.accept(new ClientDisconnected(request.id));
+        finish(now, request);
+        clients.reject(now, event.client(), event.status(), event.reason());
+    }
+
+    /** The last byte of a streamed request has arrived. */
+    void streamCompleted(long now, long client) {
+        clients.requestCompleted(client)
+                .ifPresent(
+                        request -> {
+                            request.deadline =
+                                    Math.min(shutdown.lastResponseAt(), now + request.timeout);
+                            streams.remove(request);
+                            countAccepted(request);
+                        });
+    }
+
+    // A streamed request counts as accepted once it is complete, or answered before that.
+    private void countAccepted(InFlightRequest request) {
+        if (!request.complete) {
+            request.complete = true;
+            metrics.requestAccepted();
+        }
+    }
+
+    /** A client's connection has ended. */
+    void clientClosed(long now, long client) {
+        clients.closed(client).ifPresent(request -> clientGone(now, request));
+    }
+
+    private void clientGone(long now, InFlightRequest request) {
+        if (request.complete) {
+            metrics.clientDisconnected();
+        }
+        if (request.relaying != null) {
+            stopRelaying(now, request);
+            return;
+        }
+        decisionEvents.accept(new ClientDisconnected(request.id));
+        finish(now, request);
+    }
+
+    private void stopRelaying(long now, InFlightRequest request) {
+        upstreams.abandon(now, request.relaying, CloseReason.CLIENT_GONE);
+        request.relaying = null;
+        streams.remove(request);
+    }
+
+    /** A server has answered an attempt or a probe completely. */
+    void responseReceived(long now, Attempt attempt, ServerResponse response) {
+        AttemptResult result = AttemptResults.ofResponse(response.status(), response.neverRan());
+        if (!attempt.isProbe() && result == AttemptResult.SERVED) {
+            respond(now, attempt.request.id, OK, 0, response.content());
+        }
+        attempts.end(now, attempt, result, response.report());
+    }
+
+    /** Rejects a request: nothing of it ran, a retry is harmless. */
+    void reject(long now, String id, long retryAfterMicros) {
+        respond(now, id, UNAVAILABLE, retryAfterMicros, Content.NONE);
+    }
+
+    /** Fails a request: it may have run. */
+    void fail(long now, String id) {
+        respond(now, id, BAD_GATEWAY, 0, Content.NONE);
+    }
+
+    private void respond(long now, String id, int status, long retryAfterMicros, Content content) {
+        InFlightRequest request = requests.get(id);
+        if (request == null || request.finished) {
+            return;
+        }
+        countAccepted(request);
+        switch (status) {
+            case OK -> metrics.completed(request.requestClass);
+            case UNAVAILABLE -> metrics.rejected(request.requestClass);
+            default -> metrics.failed(request.requestClass);
+        }
+        finish(now, request);
+        clients.respond(now, request.client, status, retryAfterMicros, content, false);
+    }
+
+    /** Withdraws what is not sent of a request; attempts that are sent end with their result. */
+    void finish(long now, InFlightRequest request) {
+        request.finished = true;
+        streams.remove(request);
+        // Withdrawing is possible whether or not the settings allow to cancel.
+        for (Attempt attempt : List.copyOf(request.outstanding)) {
+            if (!attempt.sendStarted) {
+                attempts.withdraw(now, attempt);
+            }
+        }
+        requests.removeIfDone(request);
+    }
+}
--- a/src/main/java/ottergauge/routing/ServerPool.java
+++ b/src/main/java/ottergauge/routing/ServerPool.java
@@ -5,31 +5,33 @@
 import java.util.Deque;
 import ottergauge.protocol.Address;
 
-/** A server's connections, and what waits for one. */
+/** One server's connections, and the attempts that wait for one. */
 final class ServerPool {
     final long server;
-    Address dial;
+    final Address address;
+
+    /** Whether this pool is the one of the server as it is listed now. */
     boolean listed = true;
 
-    /** Whether anything new may be sent; what drains keeps no connections for later. */
-    boolean usable = true;
+    /** Whether attempts may be sent; a draining server's connections are not kept. */
+    boolean accepting = true;
 
-    /** Most recently used first, so that those in excess grow old. */
+    /** Most recently used first, so that surplus connections become the oldest. */
     final Deque<PooledConnection> idle = new ArrayDeque<>();
 
     final Deque<Attempt> waiting = new ArrayDeque<>();
 
-    /** Connections on their way that jobs wait for. */
+    /** Connections in progress that attempts wait for. */
     int connecting;
 
-    /** Connections on their way past the patience of jobs. */
-    int late;
+    /** Connections in progress that attempts no longer wait for. */
+    int overdue;
 
-    /** When its process started, as far as the list tells. */
-    long bornMs;
+    /** When the server's process started, in milliseconds since the epoch. */
+    long startedAtMs;
 
-    ServerPool(long server, Address dial) {
+    ServerPool(long server, Address address) {
         this.server = server;
-        this.dial = dial;
+        this.address = address;
     }
 }
--- /dev/null
+++ b/src/main/java/ottergauge/routing/Shutdown.java
@@ -0,0 +1,87 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import java.util.function.Consumer;
+import ottergauge.routing.Effect.StartTimer;
+import ottergauge.routing.Effect.StopAccepting;
+
+/** Graceful shutdown: the last deadline, when idle clients are closed, and when the node exits. */
+final class Shutdown {
+
+    // The load balancers in front of the node stop sending new clients within 0.4 s.
+    private static final long QUIET_PERIOD_MICROS = 500_000;
+    // After a handover the process is killed 0.7 s after the longest deadline.
+    private static final long HANDOVER_MARGIN_MICROS = 500_000;
+    // A request that arrives last has at least this long.
+    private static final long LAST_REQUEST_MICROS = 400_000;
+
+    private final DownstreamConnections clients;
+    private final Consumer<Effect> effects;
+    private boolean begun;
+    private boolean quietPeriodOver;
+    private boolean exited;
+    private long lastResponseAt = Long.MAX_VALUE;
+
+    Shutdown(DownstreamConnections clients, Consumer<Effect> effects) {
+        this.clients = clients;
+        this.effects = effects;
+    }
+
+    /**
+     * Begins to stop, unless it has begun before.
+     *
+     * @param handover whether another process of the node accepts its clients from now on
+     * @param longestDeadline the longest deadline of the request classes, in microseconds
+     */
+    void begin(long now, boolean handover, long longestDeadline) {
+        if (begun) {
+            return;
+        }
+        begun = true;
+        clients.closeAfterResponses();
+        if (handover) {
+            // Open connections end with their next response. Closed while idle, they might be
+            // closed just as a request arrives.
+            effects.accept(new StopAccepting());
+            lastResponseAt = now + longestDeadline + HANDOVER_MARGIN_MICROS;
+            long quietPeriod =
+                    longestDeadline
+                            + HANDOVER_MARGIN_MICROS
+                            - Math.min(LAST_REQUEST_MICROS, longestDeadline);
+            effects.accept(new StartTimer(quietPeriod, new Timer.QuietPeriodOver()));
+        } else {
+            effects.accept(new StartTimer(QUIET_PERIOD_MICROS, new Timer.QuietPeriodOver()));
+        }
+    }
+
+    /** Whether the node was told to stop. */
+    boolean hasBegun() {
+        return begun;
+    }
+
+    /** When the last response must be written, in microseconds. */
+    long lastResponseAt() {
+        return lastResponseAt;
+    }
+
+    /** New clients are no longer expected. */
+    void quietPeriodOver() {
+        quietPeriodOver = true;
+        clients.closeIdle(CloseReason.STOPPING);
+    }
+
+    /** Closes clients that connected after the quiet period and would delay the exit. */
+    void sweep() {
+        if (quietPeriodOver) {
+            clients.closeIdle(CloseReason.STOPPING);
+        }
+    }
+
+    /** Asks for the exit, once, when no client is connected any more. */
+    void exitIfDone() {
+        if (quietPeriodOver && !exited && clients.openCount() == 0) {
+            exited = true;
+            effects.accept(new Effect.Exit());
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/ottergauge/routing/StreamBudget.java
@@ -0,0 +1,49 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import java.util.HashSet;
+import java.util.Set;
+
+/**
+ * Bounds the bodies of requests and responses that are streamed at the same time, by the memory
+ * limit. During a hot restart each of the node's two processes has half of it.
+ */
+final class StreamBudget {
+
+    // A stream holds at most 64 KiB in memory: all together, an eighth of the limit.
+    private static final int STREAMS_PER_MB = 2;
+    private static final int MIN_STREAMS = 2;
+    // The rest is for responses: the work for them is done, they can't be rejected any more.
+    private static final double REQUEST_RATIO = 0.75;
+
+    private final int memoryMb;
+    private final SocketBudget sockets;
+    private final Set<InFlightRequest> streaming = new HashSet<>();
+
+    StreamBudget(int memoryMb, SocketBudget sockets) {
+        this.memoryMb = memoryMb;
+        this.sockets = sockets;
+    }
+
+    private int maxStreams() {
+        return Math.max(MIN_STREAMS, memoryMb * STREAMS_PER_MB / (sockets.isShared() ? 2 : 1));
+    }
+
+    /** Whether one more request may be streamed. */
+    boolean admitsRequest() {
+        return streaming.size() < maxStreams() * REQUEST_RATIO;
+    }
+
+    /** Whether one more response may be streamed. */
+    boolean admitsResponse() {
+        return streaming.size() < maxStreams();
+    }
+
+    void add(InFlightRequest request) {
+        streaming.add(request);
+    }
+
+    void remove(InFlightRequest request) {
+        streaming.remove(request);
+    }
+}
--- /dev/null
+++ b/src/main/java/ottergauge/routing/StreamedResponses.java
@@ -0,0 +1,131 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import java.util.Optional;
+import java.util.function.Consumer;
+import ottergauge.decision.api.AttemptResult;
+import ottergauge.protocol.AttemptResults;
+import ottergauge.routing.Effect.StartTimer;
+import ottergauge.routing.Effect.StreamResponse;
+import ottergauge.routing.Event.ServerResponse;
+
+/** Responses that are too large to be buffered, or of unknown length: relayed as they arrive. */
+final class StreamedResponses {
+
+    private final RequestHandler requests;
+    private final Attempts attempts;
+    private final DownstreamConnections clients;
+    private final UpstreamPool upstreams;
+    private final StreamBudget streams;
+    private final Metrics metrics;
+    private final Consumer<Effect> effects;
+
+    StreamedResponses(
+            RequestHandler requests,
+            Attempts attempts,
+            DownstreamConnections clients,
+            UpstreamPool upstreams,
+            StreamBudget streams,
+            Metrics metrics,
+            Consumer<Effect> effects) {
+        this.requests = requests;
+        this.attempts = attempts;
+        this.clients = clients;
+        this.upstreams = upstreams;
+        this.streams = streams;
+        this.metrics = metrics;
+        this.effects = effects;
+    }
+
+    /**
+     * A response is too large to be buffered; its head arrived so long ago. The attempt ends here
+     * for the decision module, so that the client's reading speed is not charged to the server, and
+     * no deadline cuts the response from now on.
+     */
+    void started(long now, long connection, ServerResponse response, long sinceHeadMicros) {
+        upstreams
+                .attemptOn(connection)
+                .ifPresent(attempt -> started(now, connection, attempt, response, sinceHeadMicros));
+    }
+
+    private void started(
+            long now,
+            long connection,
+            Attempt attempt,
+            ServerResponse response,
+            long sinceHeadMicros) {
+        InFlightRequest request = attempt.request;
+        AttemptResult result = result(request, response);
+        if (result == AttemptResult.SERVED
+                && !request.finished
+                && streams.admitsResponse()
+                && clients.relay(now, request.client, connection)) {
+            requests.finish(now, request);
+            request.relaying = attempt;
+            streams.add(request);
+        } else {
+            upstreams.abandon(now, attempt, CloseReason.NOT_REUSABLE);
+            result = result == AttemptResult.SERVED ? AttemptResult.ERROR : result;
+        }
+        attempt.startedAt = Math.min(now, attempt.startedAt + sinceHeadMicros);
+        attempts.end(now, attempt, result, response.report());
+    }
+
+    // A response to a probe is never this large; one to an incomplete request is no answer to it.
+    private static AttemptResult result(InFlightRequest request, ServerResponse response) {
+        return request == null || !request.complete
+                ? AttemptResult.ERROR
+                : AttemptResults.ofResponse(response.status(), response.neverRan());
+    }
+
+    /**
+     * A response of unknown length has started. A short one ends within half of the remaining time;
+     * a longer one is streamed from then on, early enough for its first bytes to count.
+     */
+    void unsizedStarted(long now, Attempt attempt) {
+        if (!attempt.isProbe()) {
+            effects.accept(
+                    new StartTimer(
+                            Math.max(1, (attempt.dueAt - now) / 2),
+                            new Timer.ResponseBufferTimeout(attempt.number)));
+        }
+    }
+
+    /** A response of unknown length is buffered no longer. */
+    void bufferTimedOut(long number) {
+        Optional<Attempt> found = attempts.find(number);
+        if (found.isPresent() && found.get().connection != null && !found.get().request.finished) {
+            effects.accept(new StreamResponse(found.get().connection.number));
+        }
+    }
+
+    /** The last byte of a streamed response is relayed. */
+    void completed(long now, long connection, boolean reusable) {
+        upstreams
+                .responseCompleted(now, connection, reusable)
+                .ifPresent(
+                        attempt -> {
+                            InFlightRequest request = attempt.request;
+                            relayed(request);
+                            metrics.completed(request.requestClass);
+                            clients.relayCompleted(now, request.client);
+                        });
+    }
+
+    /** A server's connection has ended: a response that it was relaying is truncated. */
+    void connectionClosed(long now, Attempt attempt, boolean malformed) {
+        InFlightRequest request = attempt.request;
+        if (request == null || request.relaying != attempt) {
+            attempts.connectionClosed(now, attempt, malformed);
+            return;
+        }
+        relayed(request);
+        metrics.failed(request.requestClass);
+        clients.truncate(request.client);
+    }
+
+    private void relayed(InFlightRequest request) {
+        request.relaying = null;
+        streams.remove(request);
+    }
+}
--- a/src/main/java/ottergauge/routing/UpstreamPool.java
+++ b/src/main/java/ottergauge/routing/UpstreamPool.java
@@ -23,85 +23,81 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * The connections to all servers: each carries one job at a time, is kept while idle, and a job
- * that finds none idle waits for a new one or for the next that comes free. A job that has a
- * connection begins only once all that has come by then is read, and the router has looked whether
- * it still may.
+ * The connections to all servers. Each carries one attempt at a time and is kept while idle; an
+ * attempt that finds none idle waits for a new one or for the next that becomes idle. An attempt
+ * that has a connection is sent only after all input that had arrived by then is read and the
+ * router has checked again that it still may be.
  */
 final class UpstreamPool {
 
-    // Of the time after which a server closes an idle connection: sooner, so that none is closed
-    // under a
-    // request that is being written, which would end as a reset.
-    private static final double IDLE_PART = 0.75;
-    // A connection whose first segment is lost comes up after 1 s, or after 3 s if the second one
-    // is lost
-    // too (RFC 6298). Jobs wait by far less; once up it serves the next ones: its handshake is not
-    // in vain.
-    private static final long UP_WITHIN = 3_200_000;
-    // At a server that is cut off none comes up: with so many on their way others are given up by
-    // then.
-    private static final int MOST_LATE = 2;
-
-    private final ConnectTimeoutEstimator patience;
-    private long connectTimeout;
-    private long idleFor;
+    // Closes idle connections before the server does: a request written just then would be reset.
+    private static final double IDLE_TIMEOUT_RATIO = 0.75;
+    // A connection whose first segments are lost is established after 1 s or 3 s (RFC 6298). No
+    // attempt waits that long, but later ones can use it.
+    private static final long OVERDUE_TIMEOUT_MICROS = 3_200_000;
+    // An unreachable server never accepts: further connections to it time out early.
+    private static final int MAX_OVERDUE = 2;
+
+    private final ConnectTimeoutEstimator connectTimeoutEstimator;
     private final Consumer<Effect> effects;
-    private final Consumer<Attempt> carried;
     private final Map<Long, ServerPool> byServer = new HashMap<>();
     private final Map<Long, PooledConnection> connections = new HashMap<>();
 
     /** In the order in which they became idle. */
     private final Set<PooledConnection> idle = new LinkedHashSet<>();
 
+    private long maxConnectTimeout;
+    private long idleTimeout;
     private long lastNumber;
 
-    /** {@code carried} hears of each job whose first byte is written. */
-    UpstreamPool(
-            long connectTimeout, long serverIdle, Consumer<Effect> effects, Consumer<Attempt> carried) {
-        this.carried = carried;
-        patience = new ConnectTimeoutEstimator(connectTimeout);
+    /** A pool without servers; for the spans see {@link #limit}. */
+    UpstreamPool(long connectTimeout, long serverIdleTimeout, Consumer<Effect> effects) {
+        connectTimeoutEstimator = new ConnectTimeoutEstimator(connectTimeout);
         this.effects = effects;
-        limit(connectTimeout, serverIdle);
+        limit(connectTimeout, serverIdleTimeout);
     }
 
-    /** How long a connection may take to come up, and after which time servers close idle ones. */
-    void limit(long longestConnect, long serverIdle) {
-        connectTimeout = longestConnect;
-        idleFor = (long) (serverIdle * IDLE_PART);
-        patience.atMost(longestConnect);
+    /**
+     * Sets how long a connection may take to be established, and after what time servers close idle
+     * ones, in microseconds.
+     */
+    void limit(long connectTimeout, long serverIdleTimeout) {
+        maxConnectTimeout = connectTimeout;
+        idleTimeout = (long) (serverIdleTimeout * IDLE_TIMEOUT_RATIO);
+        connectTimeoutEstimator.setMax(connectTimeout);
     }
 
-    int open() {
+    int openCount() {
         return connections.size();
     }
 
-    boolean knows(long server) {
+    boolean contains(long server) {
         return byServer.containsKey(server);
     }
 
-    /** Whether a job at this server would need a new connection. */
+    /** Whether an attempt at this server would need a new connection. */
     boolean needsConnection(long server) {
         return byServer.get(server).idle.isEmpty();
     }
 
     /**
-     * Takes a list; gives back the jobs that were waiting for servers which drain, are gone or
-     * moved.
+     * Applies an update of the endpoints.
+     *
+     * @return the attempts that were waiting for servers that are draining, removed or replaced
      */
-    List<Attempt> follow(EndpointList list) {
+    List<Attempt> apply(EndpointList update) {
         List<Attempt> withdrawn = new ArrayList<>();
         Set<Long> named = new HashSet<>();
-        for (DiscoveredEndpoint host : list.endpoints()) {
-            long server = EndpointIds.of(host.name());
+        for (DiscoveredEndpoint endpoint : update.endpoints()) {
+            long server = EndpointIds.of(endpoint.name());
             named.add(server);
-            if (host.state() == EndpointState.REMOVED) {
+            if (endpoint.state() == EndpointState.REMOVED) {
                 remove(server, withdrawn);
             } else {
-                update(server, host, withdrawn);
+                update(server, endpoint, withdrawn);
             }
         }
-        if (list.complete()) {
+        if (update.complete()) {
             new ArrayList<>(byServer.keySet())
                     .stream()
                             .filter(server -> !named.contains(server))
@@ -111,220 +107,226 @@
         return withdrawn;
     }
 
-    private void update(long server, DiscoveredEndpoint host, List<Attempt> withdrawn) {
-        Address dial = host.address();
-        ServerPool upstream = byServer.computeIfAbsent(server, id -> new ServerPool(id, dial));
-        upstream.usable = host.state() == EndpointState.UP;
-        // What was chosen before a start was told was chosen for a server that is warm.
-        boolean another = !upstream.dial.equals(dial) || host.startedAtMs() > upstream.bornMs;
-        if (!upstream.usable || another) {
-            withdraw(upstream, withdrawn);
+    private void update(long server, DiscoveredEndpoint endpoint, List<Attempt> withdrawn) {
+        Address address = endpoint.address();
+        ServerPool pool = byServer.computeIfAbsent(server, id -> new ServerPool(id, address));
+        pool.accepting = endpoint.state() == EndpointState.UP;
+        // Attempts that wait were decided for the process before this one, which was warmed up.
+        boolean replaced =
+                !pool.address.equals(address) || endpoint.startedAtMs() > pool.startedAtMs;
+        if (!pool.accepting || replaced) {
+            withdrawWaiting(pool, withdrawn);
         }
-        if (another) {
-            upstream.listed = false;
-            ServerPool next = new ServerPool(server, dial);
-            next.usable = upstream.usable;
+        if (replaced) {
+            pool.listed = false;
+            ServerPool next = new ServerPool(server, address);
+            next.accepting = pool.accepting;
             byServer.put(server, next);
         }
-        byServer.get(server).bornMs = host.startedAtMs();
+        byServer.get(server).startedAtMs = endpoint.startedAtMs();
     }
 
     private void remove(long server, List<Attempt> withdrawn) {
-        ServerPool upstream = byServer.remove(server);
-        if (upstream != null) {
-            upstream.listed = false;
-            withdraw(upstream, withdrawn);
+        ServerPool pool = byServer.remove(server);
+        if (pool != null) {
+            pool.listed = false;
+            withdrawWaiting(pool, withdrawn);
         }
     }
 
-    // A waiting job would be written when its connection is up, perhaps later than a drain allows.
-    private void withdraw(ServerPool upstream, List<Attempt> withdrawn) {
-        withdrawn.addAll(upstream.waiting);
-        upstream.waiting.clear();
-        while (!upstream.idle.isEmpty()) {
-            close(upstream.idle.getFirst(), CloseReason.DELISTED);
+    // Sent when its connection is established, a waiting attempt might exceed the drain period.
+    private void withdrawWaiting(ServerPool pool, List<Attempt> withdrawn) {
+        withdrawn.addAll(pool.waiting);
+        pool.waiting.clear();
+        while (!pool.idle.isEmpty()) {
+            close(pool.idle.getFirst(), CloseReason.DELISTED);
         }
     }
 
-    /** Gives a job an idle connection, or lets it wait for one. */
-    void start(long now, Attempt job) {
-        ServerPool upstream = byServer.get(job.server);
-        PooledConnection kept = upstream.idle.pollFirst();
-        if (kept != null) {
-            idle.remove(kept);
-            assign(kept, job);
+    /** Gives an attempt an idle connection, or lets it wait for one. */
+    void start(long now, Attempt attempt) {
+        ServerPool pool = byServer.get(attempt.server);
+        PooledConnection reusable = pool.idle.pollFirst();
+        if (reusable != null) {
+            idle.remove(reusable);
+            assign(reusable, attempt);
             return;
         }
-        upstream.waiting.add(job);
-        if (upstream.connecting < upstream.waiting.size()) {
-            PooledConnection connection = new PooledConnection(++lastNumber, upstream, now);
-            connections.put(connection.number, connection);
-            upstream.connecting++;
-            boolean keeps = upstream.connecting + upstream.late <= MOST_LATE;
-            effects.accept(
-                    new ConnectUpstream(
-                            connection.number,
-                            upstream.dial,
-                            keeps ? Math.max(UP_WITHIN, connectTimeout) : patience.limit()));
-            effects.accept(
-                    new StartTimer(patience.limit(), new Timer.ConnectTimeout(connection.number)));
+        pool.waiting.add(attempt);
+        if (pool.connecting < pool.waiting.size()) {
+            connect(now, pool);
         }
     }
 
-    private void assign(PooledConnection connection, Attempt job) {
-        connection.job = job;
-        job.connection = connection;
+    private void connect(long now, ServerPool pool) {
+        PooledConnection connection = new PooledConnection(++lastNumber, pool, now);
+        connections.put(connection.number, connection);
+        pool.connecting++;
+        boolean keepsOverdue = pool.connecting + pool.overdue <= MAX_OVERDUE;
+        long attemptTimeout = connectTimeoutEstimator.timeout();
+        effects.accept(
+                new ConnectUpstream(
+                        connection.number,
+                        pool.address,
+                        keepsOverdue
+                                ? Math.max(OVERDUE_TIMEOUT_MICROS, maxConnectTimeout)
+                                : attemptTimeout));
+        effects.accept(new StartTimer(attemptTimeout, new Timer.ConnectTimeout(connection.number)));
+    }
+
+    private void assign(PooledConnection connection, Attempt attempt) {
+        connection.attempt = attempt;
+        attempt.connection = connection;
         effects.accept(new ReadPendingInput(connection.number));
     }
 
-    /** The job that this connection is about to carry, if it is still so. */
-    Optional<Attempt> aboutToBegin(long number) {
-        return carriedBy(number).filter(job -> !job.begun);
+    /** The attempt that a connection carries or is about to carry. */
+    Optional<Attempt> attemptOn(long number) {
+        PooledConnection connection = connections.get(number);
+        return connection == null ? Optional.empty() : Optional.ofNullable(connection.attempt);
     }
 
-    /**
-     * Whether a job's server is listed, takes what is new, and is the one that the job was chosen
-     * for.
-     */
-    boolean mayCarry(Attempt job) {
-        return job.connection.upstream.listed && job.connection.upstream.usable;
+    /** The attempt that a connection is about to carry. */
+    Optional<Attempt> pendingSend(long number) {
+        return attemptOn(number).filter(attempt -> !attempt.sendStarted);
+    }
+
+    /** Whether an attempt's server accepts requests and is still the process it was decided for. */
+    boolean isEligible(Attempt attempt) {
+        ServerPool pool = attempt.connection.pool;
+        return pool.listed && pool.accepting;
     }
 
-    /** Begins a job: the one place where the first byte of anything goes to a server. */
-    void begin(long now, Attempt job) {
-        job.begun = true;
-        long number = job.connection.number;
-        if (job.isProbe()) {
+    /** Sends an attempt: the one place where the first byte of anything goes to a server. */
+    void send(long now, Attempt attempt) {
+        attempt.sendStarted = true;
+        long number = attempt.connection.number;
+        InFlightRequest request = attempt.request;
+        if (attempt.isProbe()) {
             effects.accept(new ProbeLoad(number));
-        } else if (job.exchange.flows) {
+        } else if (request.streamed) {
             effects.accept(
                     new ForwardStream(
-                            number, job.exchange.request, job.dueAt - now, job.exchange.client));
+                            number, request.content, attempt.dueAt - now, request.client));
         } else {
-            effects.accept(new Forward(number, job.exchange.request, job.dueAt - now));
+            effects.accept(new Forward(number, request.content, attempt.dueAt - now));
         }
-        carried.accept(job);
     }
 
     /**
-     * Ends a job that is not waited for any more: what carries it is closed, as the protocol says.
-     * A connection that has nothing of it yet serves the next one.
+     * Ends an attempt that is no longer waited for: the connection that carries it is closed, as
+     * the protocol demands. A connection that has nothing of it yet serves the next attempt.
      */
-    void giveUp(long now, Attempt job, CloseReason reason) {
-        if (job.begun) {
-            close(job.connection, reason);
-        } else if (job.connection != null) {
-            job.connection.job = null;
-            rest(now, job.connection);
-        } else if (knows(job.server)) {
-            byServer.get(job.server).waiting.remove(job);
+    void abandon(long now, Attempt attempt, CloseReason reason) {
+        if (attempt.sendStarted) {
+            close(attempt.connection, reason);
+        } else if (attempt.connection != null) {
+            attempt.connection.attempt = null;
+            release(now, attempt.connection);
+        } else if (contains(attempt.server)) {
+            byServer.get(attempt.server).waiting.remove(attempt);
         }
     }
 
+    /** A connection is established. */
     void connected(long now, long number) {
         PooledConnection connection = connections.get(number);
         if (connection == null) {
             return;
         }
-        if (connection.late) {
-            connection.upstream.late--;
+        if (connection.overdue) {
+            connection.pool.overdue--;
         } else {
-            patience.connected(now - connection.openedAt);
-            connection.upstream.connecting--;
+            connectTimeoutEstimator.connected(now - connection.openedAt);
+            connection.pool.connecting--;
         }
-        connection.late = false;
-        connection.up = true;
-        rest(now, connection);
+        connection.overdue = false;
+        connection.established = true;
+        release(now, connection);
     }
 
-    /** Gives back the job that has no connection to wait for any more. */
+    /** A connection failed; returns the attempt that has none to wait for any more. */
     Optional<Attempt> connectFailed(long now, long number) {
         PooledConnection connection = connections.remove(number);
         if (connection == null) {
             return Optional.empty();
         }
-        if (connection.late) {
-            connection.upstream.late--;
+        if (connection.overdue) {
+            connection.pool.overdue--;
             return Optional.empty();
         }
-        return notWaitedFor(now, connection);
+        return stopWaiting(now, connection);
     }
 
-    /** A connection has not come up in time: gives back the job that waits for it no longer. */
-    Optional<Attempt> connectDue(long now, long number) {
+    /** A connection was not established in time; returns the attempt that stops waiting for it. */
+    Optional<Attempt> connectTimedOut(long now, long number) {
         PooledConnection connection = connections.get(number);
-        if (connection == null || connection.up || connection.late) {
+        if (connection == null || connection.established || connection.overdue) {
             return Optional.empty();
         }
-        connection.late = true;
-        connection.upstream.late++;
-        return notWaitedFor(now, connection);
+        connection.overdue = true;
+        connection.pool.overdue++;
+        return stopWaiting(now, connection);
     }
 
-    /** Whether several connections to a server are late at once. */
-    boolean severalLate(long server) {
-        return knows(server) && byServer.get(server).late >= MOST_LATE;
+    /** Whether several connections to a server are overdue at once. */
+    boolean hasSeveralOverdue(long server) {
+        return contains(server) && byServer.get(server).overdue >= MAX_OVERDUE;
     }
 
-    private Optional<Attempt> notWaitedFor(long now, PooledConnection connection) {
-        patience.failed(now - connection.openedAt);
-        ServerPool upstream = connection.upstream;
-        upstream.connecting--;
-        return upstream.waiting.size() > upstream.connecting
-                ? Optional.of(upstream.waiting.poll())
+    private Optional<Attempt> stopWaiting(long now, PooledConnection connection) {
+        connectTimeoutEstimator.failed(now - connection.openedAt);
+        ServerPool pool = connection.pool;
+        pool.connecting--;
+        return pool.waiting.size() > pool.connecting
+                ? Optional.of(pool.waiting.poll())
                 : Optional.empty();
     }
 
-    /** Notes that a job's last byte is written, and gives it back. */
-    Optional<Attempt> written(long number) {
-        Optional<Attempt> job = carriedBy(number);
-        job.ifPresent(each -> each.written = true);
-        return job;
-    }
-
-    /** The job that a connection carries. */
-    Optional<Attempt> carriedBy(long number) {
-        PooledConnection connection = connections.get(number);
-        return connection == null ? Optional.empty() : Optional.ofNullable(connection.job);
+    /** The last byte of the attempt on a connection is written; returns the attempt. */
+    Optional<Attempt> sendCompleted(long number) {
+        Optional<Attempt> attempt = attemptOn(number);
+        attempt.ifPresent(each -> each.sendCompleted = true);
+        return attempt;
     }
 
-    /** Frees a connection whose answer has come and gives back the job that it carried. */
-    Optional<Attempt> answered(long now, long number, boolean reusable) {
+    /** A response is complete: releases its connection and returns the attempt. */
+    Optional<Attempt> responseCompleted(long now, long number, boolean reusable) {
         PooledConnection connection = connections.get(number);
-        if (connection == null || connection.job == null) {
+        if (connection == null || connection.attempt == null) {
             return Optional.empty();
         }
-        Attempt job = connection.job;
-        connection.job = null;
-        connection.kept = true;
-        if (reusable && job.written) {
-            rest(now, connection);
+        Attempt attempt = connection.attempt;
+        connection.attempt = null;
+        connection.reused = true;
+        if (reusable && attempt.sendCompleted) {
+            release(now, connection);
         } else {
             close(connection, CloseReason.NOT_REUSABLE);
         }
-        return Optional.of(job);
+        return Optional.of(attempt);
     }
 
-    /** Forgets a connection that has ended and gives back the job that it carried. */
+    /** A connection has ended; returns the attempt that it carried. */
     Optional<Attempt> closed(long number) {
         PooledConnection connection = connections.remove(number);
         if (connection == null) {
             return Optional.empty();
         }
-        forgetIdle(connection);
-        Optional<Attempt> job = Optional.ofNullable(connection.job);
-        job.ifPresent(each -> connection.job = null);
-        return job;
+        removeIdle(connection);
+        Optional<Attempt> attempt = Optional.ofNullable(connection.attempt);
+        attempt.ifPresent(each -> connection.attempt = null);
+        return attempt;
     }
 
-    private void rest(long now, PooledConnection connection) {
-        ServerPool upstream = connection.upstream;
-        Attempt next = upstream.waiting.poll();
+    private void release(long now, PooledConnection connection) {
+        ServerPool pool = connection.pool;
+        Attempt next = pool.waiting.poll();
         if (next != null) {
             assign(connection, next);
-        } else if (upstream.listed && upstream.usable) {
+        } else if (pool.listed && pool.accepting) {
             connection.idleSince = now;
-            upstream.idle.addFirst(connection);
+            pool.idle.addFirst(connection);
             idle.add(connection);
         } else {
             close(connection, CloseReason.DELISTED);
@@ -334,14 +336,14 @@
     /** Closes the connections that have been idle for too long. */
     void sweep(long now) {
         for (PooledConnection connection : new ArrayList<>(idle)) {
-            if (now - connection.idleSince >= idleFor) {
+            if (now - connection.idleSince >= idleTimeout) {
                 close(connection, CloseReason.IDLE);
             }
         }
     }
 
-    /** Closes the connection that has been idle for longest; false if there is none. */
-    boolean closeOneIdle() {
+    /** Closes the connection that has been idle for longest; false if none is idle. */
+    boolean closeLongestIdle() {
         if (idle.isEmpty()) {
             return false;
         }
@@ -349,15 +351,15 @@
         return true;
     }
 
-    private void forgetIdle(PooledConnection connection) {
+    private void removeIdle(PooledConnection connection) {
         if (idle.remove(connection)) {
-            connection.upstream.idle.remove(connection);
+            connection.pool.idle.remove(connection);
         }
     }
 
     private void close(PooledConnection connection, CloseReason reason) {
         connections.remove(connection.number);
-        forgetIdle(connection);
+        removeIdle(connection);
         effects.accept(new CloseUpstream(connection.number, reason));
     }
 }
--- a/src/test/java/ottergauge/routing/AdminStateTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -133,13 +133,15 @@
     /** Its list is late: without the moment of its return a restarted server counted as warm. */
     @Test
     void aServerPutBackCountsAsStartedThen() {
-        EndpointRegistry roster = new EndpointRegistry(9_000_000);
-        roster.follow(1_000_000, list(500));
-        roster.hold("s-1", 2_000_000);
-        assertEquals(3_000, roster.release(3_000_000, "s-1").endpoints().get(0).startedAtMs());
-        assertEquals(3_000, roster.follow(4_000_000, list(500)).endpoints().get(0).startedAtMs());
-        assertEquals(2_400, roster.follow(5_000_000, list(2_400)).endpoints().get(0).startedAtMs());
-        assertEquals(500, roster.follow(12_000_001, list(500)).endpoints().get(0).startedAtMs());
+        EndpointRegistry registry = new EndpointRegistry(9_000_000);
+        registry.apply(1_000_000, list(500));
+        registry.startMaintenance("s-1", 2_000_000);
+        assertEquals(
+                3_000, registry.endMaintenance(3_000_000, "s-1").endpoints().get(0).startedAtMs());
+        assertEquals(3_000, registry.apply(4_000_000, list(500)).endpoints().get(0).startedAtMs());
+        assertEquals(
+                2_400, registry.apply(5_000_000, list(2_400)).endpoints().get(0).startedAtMs());
+        assertEquals(500, registry.apply(12_000_001, list(500)).endpoints().get(0).startedAtMs());
     }
 
     private static EndpointList list(long bornMs) {
--- a/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
+++ b/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
@@ -25,42 +25,42 @@
 
     @Test
     void beforeOneHasComeUpTheSettingsCount() {
-        assertEquals(MOST, new ConnectTimeoutEstimator(MOST).limit());
+        assertEquals(MOST, new ConnectTimeoutEstimator(MOST).timeout());
     }
 
     /** At a machine that is cut off, a request lost 200 of its 140 ms waiting for a connection. */
     @Test
     void itFollowsWhatConnectionsTake() {
-        assertTrue(used(20, 1_000).limit() <= MOST / 5);
-        assertTrue(used(20, 15_000).limit() > 30_000);
+        assertTrue(used(20, 1_000).timeout() <= MOST / 5);
+        assertTrue(used(20, 15_000).timeout() > 30_000);
     }
 
     @Test
     void itNeverPassesTheSettings() {
-        assertEquals(MOST, used(20, 150_000).limit());
+        assertEquals(MOST, used(20, 150_000).timeout());
     }
 
     /** Without it, connections that have become slow for good would all be given up. */
     @Test
     void manyGivenUpWithNoneMadeMakeItLonger() {
         ConnectTimeoutEstimator patience = used(20, 1_000);
-        long before = patience.limit();
+        long before = patience.timeout();
         for (int i = 0; i < 8; i++) {
             patience.failed(before);
         }
-        assertTrue(patience.limit() >= 2 * before);
+        assertTrue(patience.timeout() >= 2 * before);
         patience.connected(1_000);
-        assertEquals((double) before, (double) patience.limit(), before / 4.0);
+        assertEquals((double) before, (double) patience.timeout(), before / 4.0);
     }
 
     @Test
     void oneThatIsRefusedAtOnceSaysNothing() {
         ConnectTimeoutEstimator patience = used(20, 1_000);
-        long before = patience.limit();
+        long before = patience.timeout();
         for (int i = 0; i < 100; i++) {
             patience.failed(500);
         }
-        assertEquals(before, patience.limit());
+        assertEquals(before, patience.timeout());
     }
 
     private static RouterDriver usedToQuickConnections() {
--- a/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
@@ -59,7 +59,7 @@
         PollDiscovery first = expect(PollDiscovery.class);
         assertTrue(first.maxWaitMicros() < SECOND, "the first answer says that the watch is alive");
         effects.clear();
-        watch.read(SECOND, first.poll(), NOTHING);
+        watch.answerAccepted(SECOND, first.poll(), NOTHING);
         return expect(PollDiscovery.class);
     }
 
@@ -73,14 +73,14 @@
         StartTimer timer = expect(StartTimer.class);
         assertTrue(
                 timer.delayMicros() <= COUNTS_AS_TOLD / 2, "noticed after " + timer.delayMicros());
-        watch.due(SECOND + timer.delayMicros(), silent.poll());
+        watch.pollTimedOut(SECOND + timer.delayMicros(), silent.poll());
         PollDiscovery again = expect(PollDiscovery.class);
         assertEquals(41, again.afterVersion());
         assertTrue(
                 effects.stream().noneMatch(CancelPoll.class::isInstance),
                 "the old call is still read");
-        assertTrue(watch.takes(again.poll(), DRAINS));
-        assertTrue(watch.read(14 * SECOND, again.poll(), DRAINS).isPresent());
+        assertTrue(watch.accepts(again.poll(), DRAINS));
+        assertTrue(watch.answerAccepted(14 * SECOND, again.poll(), DRAINS).isPresent());
         assertEquals(silent.poll(), expect(CancelPoll.class).poll());
     }
 
@@ -91,17 +91,17 @@
     @Test
     void aLateAnswerOfASilentWatchCountsUntilTheNextOneIsThere() {
         PollDiscovery silent = watching();
-        watch.due(12 * SECOND, silent.poll());
+        watch.pollTimedOut(12 * SECOND, silent.poll());
         effects.clear();
         PollDiscovery unused = new PollDiscovery(silent.poll() + 1, silent.address(), 41, 0);
-        assertTrue(watch.takes(silent.poll(), DRAINS));
-        assertTrue(watch.read(12 * SECOND, silent.poll(), DRAINS).isPresent());
+        assertTrue(watch.accepts(silent.poll(), DRAINS));
+        assertTrue(watch.answerAccepted(12 * SECOND, silent.poll(), DRAINS).isPresent());
         assertTrue(effects.isEmpty(), "the watch goes on with the newer call alone: " + effects);
-        assertFalse(watch.takes(silent.poll(), list(43, false, "in_service")), "answered twice");
+        assertFalse(watch.accepts(silent.poll(), list(43, false, "in_service")), "answered twice");
         // What the newer call brings was known before, or is newer still.
-        assertFalse(watch.takes(unused.poll(), NOTHING), "an old word would undo a newer one");
-        assertTrue(watch.takes(unused.poll(), DRAINS));
-        watch.read(13 * SECOND, unused.poll(), DRAINS);
+        assertFalse(watch.accepts(unused.poll(), NOTHING), "an old word would undo a newer one");
+        assertTrue(watch.accepts(unused.poll(), DRAINS));
+        watch.answerAccepted(13 * SECOND, unused.poll(), DRAINS);
         assertEquals(42, expect(PollDiscovery.class).afterVersion());
     }
 
@@ -113,7 +113,7 @@
     void aFirstCallThatIsNotAnsweredIsReadOnWhileTheNextOneIsPausedFor() {
         watch.begin(0);
         PollDiscovery first = expect(PollDiscovery.class);
-        watch.due(3 * SECOND, first.poll());
+        watch.pollTimedOut(3 * SECOND, first.poll());
         assertTrue(
                 effects.stream().noneMatch(PollDiscovery.class::isInstance), "asked with no pause");
         StartTimer pause =
@@ -124,22 +124,22 @@
                         .findFirst()
                         .orElseThrow();
         assertTrue(pause.delayMicros() <= SECOND / 2, "paused for " + pause.delayMicros());
-        assertTrue(watch.takes(first.poll(), DRAINS));
+        assertTrue(watch.accepts(first.poll(), DRAINS));
         watch.resume(4 * SECOND, first.poll());
         PollDiscovery second = expect(PollDiscovery.class);
-        watch.due(7 * SECOND, second.poll());
+        watch.pollTimedOut(7 * SECOND, second.poll());
         assertEquals(first.poll(), expect(CancelPoll.class).poll(), "more calls are read than two");
     }
 
     @Test
     void aSilentCallThatEndsLaterIsNoFailureOfTheWatch() {
         PollDiscovery silent = watching();
-        watch.due(12 * SECOND, silent.poll());
+        watch.pollTimedOut(12 * SECOND, silent.poll());
         PollDiscovery again = expect(PollDiscovery.class);
         effects.clear();
-        watch.failed(12 * SECOND, silent.poll());
+        watch.pollFailed(12 * SECOND, silent.poll());
         assertTrue(effects.isEmpty());
-        watch.failed(12 * SECOND, again.poll());
+        watch.pollFailed(12 * SECOND, again.poll());
         assertTrue(expect(StartTimer.class).timer() instanceof Timer.NextPoll);
     }
 
@@ -147,7 +147,7 @@
     @Test
     void aWatchThatBreaksIsOpenedAnewAtOnce() {
         PollDiscovery broken = watching();
-        watch.failed(2 * SECOND, broken.poll());
+        watch.pollFailed(2 * SECOND, broken.poll());
         assertEquals(41, expect(PollDiscovery.class).afterVersion());
     }
 
@@ -159,27 +159,28 @@
     void versionsThatBeginAnewAreAskedForWhole() {
         PollDiscovery call = watching();
         EndpointList lower = new EndpointList(3, false, List.of());
-        assertFalse(watch.takes(call.poll(), lower));
+        assertFalse(watch.accepts(call.poll(), lower));
         effects.clear();
-        watch.passOver(2 * SECOND, call.poll(), lower);
+        watch.answerIgnored(2 * SECOND, call.poll(), lower);
         PollDiscovery whole = expect(PollDiscovery.class);
         assertEquals(-1, whole.afterVersion());
-        assertFalse(watch.takes(whole.poll(), lower), "changes where the whole list was asked for");
-        assertTrue(watch.takes(whole.poll(), list(3, true, "in_service")));
+        assertFalse(
+                watch.accepts(whole.poll(), lower), "changes where the whole list was asked for");
+        assertTrue(watch.accepts(whole.poll(), list(3, true, "in_service")));
     }
 
     /** Guards against an older whole list that undoes what a call beside it has brought. */
     @Test
     void anOlderAnswerUndoesNothingAndTheWatchGoesOn() {
         PollDiscovery silent = watching();
-        watch.due(3 * SECOND, silent.poll());
+        watch.pollTimedOut(3 * SECOND, silent.poll());
         PollDiscovery again = expect(PollDiscovery.class);
-        assertTrue(watch.takes(silent.poll(), DRAINS));
-        watch.read(3 * SECOND, silent.poll(), DRAINS);
+        assertTrue(watch.accepts(silent.poll(), DRAINS));
+        watch.answerAccepted(3 * SECOND, silent.poll(), DRAINS);
         EndpointList old = list(41, true, "in_service");
-        assertFalse(watch.takes(again.poll(), old));
+        assertFalse(watch.accepts(again.poll(), old));
         effects.clear();
-        watch.passOver(4 * SECOND, again.poll(), old);
+        watch.answerIgnored(4 * SECOND, again.poll(), old);
         assertEquals(42, expect(PollDiscovery.class).afterVersion());
     }
 
@@ -194,7 +195,7 @@
         for (int i = 0; i < 20; i++) {
             PollDiscovery call = expect(PollDiscovery.class);
             effects.clear();
-            watch.notTaken(now, call.poll());
+            watch.listRejected(now, call.poll());
             StartTimer pause = expect(StartTimer.class);
             assertEquals(call.poll(), ((Timer.NextPoll) pause.timer()).afterPoll());
             pauses.add(pause.delayMicros());
@@ -209,7 +210,7 @@
                 pauses.subList(10, 20).stream().allMatch(pause -> pause >= 100 * SECOND),
                 pauses.toString());
         assertTrue(pauses.stream().allMatch(pause -> pause <= 400 * SECOND), pauses.toString());
-        assertFalse(watch.stale(now), "the list before stays in force");
+        assertFalse(watch.isStale(now), "the list before stays in force");
     }
 
     @Test
@@ -217,14 +218,14 @@
         PollDiscovery call = watching();
         for (int i = 0; i < 6; i++) {
             effects.clear();
-            watch.notTaken(2 * SECOND, call.poll());
+            watch.listRejected(2 * SECOND, call.poll());
             watch.resume(3 * SECOND, call.poll());
             call = expect(PollDiscovery.class);
         }
-        watch.read(4 * SECOND, call.poll(), DRAINS);
+        watch.answerAccepted(4 * SECOND, call.poll(), DRAINS);
         PollDiscovery next = expect(PollDiscovery.class);
         effects.clear();
-        watch.notTaken(5 * SECOND, next.poll());
+        watch.listRejected(5 * SECOND, next.poll());
         assertEquals(
                 42,
                 expect(PollDiscovery.class).afterVersion(),
@@ -251,9 +252,9 @@
             watches.add(each);
             told.add(own);
             each.begin(0);
-            each.read(0, 1, NOTHING);
+            each.answerAccepted(0, 1, NOTHING);
             long noticed = lastTimer(own);
-            each.due(noticed, last(own).poll());
+            each.pollTimedOut(noticed, last(own).poll());
             asked.add(new Asked(i, noticed, last(own)));
         }
         long free = 0;
@@ -264,7 +265,7 @@
                 watches.get(next.node).resume(next.at, last(told.get(next.node)).poll());
                 asked.add(new Asked(next.node, next.at, last(told.get(next.node))));
             } else if (free > next.at + 2 * SECOND - turn) {
-                watches.get(next.node).failed(next.at, next.call.poll());
+                watches.get(next.node).pollFailed(next.at, next.call.poll());
                 asked.add(new Asked(next.node, next.at + lastTimer(told.get(next.node)), null));
             } else {
                 free = Math.max(free, next.at) + turn;
--- a/src/test/java/ottergauge/routing/SimulatedDiscovery.java
+++ b/src/test/java/ottergauge/routing/SimulatedDiscovery.java
@@ -156,7 +156,7 @@
 
     private void fired(Timer timer) {
         if (timer instanceof Timer.PollTimeout due) {
-            watch.due(now, due.poll());
+            watch.pollTimedOut(now, due.poll());
         } else if (timer instanceof Timer.NextPoll next) {
             watch.resume(now, next.afterPoll());
         }
@@ -201,7 +201,7 @@
                 now + after,
                 () -> {
                     note("failed " + call.poll());
-                    watch.failed(now, call.poll());
+                    watch.pollFailed(now, call.poll());
                 });
     }
 
@@ -216,12 +216,12 @@
                 now + TRIP,
                 () -> {
                     note("answer " + call.poll() + " seq=" + list.version());
-                    if (watch.takes(call.poll(), list)) {
+                    if (watch.accepts(call.poll(), list)) {
                         had.add(new Had(now, from, list.version()));
                         answeredAt = now;
-                        watch.read(now, call.poll(), list);
+                        watch.answerAccepted(now, call.poll(), list);
                     } else {
-                        watch.passOver(now, call.poll(), list);
+                        watch.answerIgnored(now, call.poll(), list);
                     }
                 });
     }
