--- a/src/main/java/ottergauge/decision/index/ClassIndex.java
+++ b/src/main/java/ottergauge/decision/index/ClassIndex.java
@@ -11,65 +11,72 @@
 import java.util.function.Supplier;
 
 /**
- * Numbers the rows of a table: one for each name, as far as there are any, and a last one that all
- * names without a row of their own share. When the names change, a name that stays keeps its row,
- * though its number may be another one; what is kept by row elsewhere is then laid out anew with
- * {@link #remap}.
+ * Assigns rows of a table to class names: one to each name, up to a bound, and a last one that all
+ * other names share. When the names change, a name that stays keeps its row, though its number may
+ * be another one; what is kept by row elsewhere is then laid out again by {@link #remap}.
  */
 public final class ClassIndex {
 
     private static final int NEW = -1;
 
-    private final int mostOwn;
-    private final Map<String, Integer> own = new HashMap<>();
+    private final int maxOwnRows;
+    private final Map<String, Integer> ownRows = new HashMap<>();
 
-    /** For each row the number that it had before the names changed last. */
-    private final List<Integer> before = new ArrayList<>(List.of(NEW));
+    /** The number that each row had before the names changed last. */
+    private final List<Integer> previousRows = new ArrayList<>(List.of(NEW));
 
-    /** A table with no names, which will have so many rows of their own at the most. */
-    public ClassIndex(int mostOwn) {
-        this.mostOwn = mostOwn;
+    /** Creates an index without names, which assigns at most so many rows of their own. */
+    public ClassIndex(int maxOwnRows) {
+        this.maxOwnRows = maxOwnRows;
     }
 
-    /** Takes names in place of those there were; the first new ones get rows before the others. */
+    /** Replaces the names; the first new ones are assigned rows before the others. */
     public void rename(Collection<String> names) {
-        int sharedBefore = shared();
+        int previousShared = shared();
         Set<String> distinct = new LinkedHashSet<>(names);
-        Map<String, Integer> ownBefore = new HashMap<>(own);
-        ownBefore.keySet().retainAll(distinct);
-        int free = mostOwn - ownBefore.size();
-        own.clear();
-        before.clear();
+        Map<String, Integer> kept = new HashMap<>(ownRows);
+        kept.keySet().retainAll(distinct);
+        int free = maxOwnRows - kept.size();
+        ownRows.clear();
+        previousRows.clear();
         for (String name : distinct) {
-            boolean stays = ownBefore.containsKey(name);
-            if (stays || free > 0) {
-                free -= stays ? 0 : 1;
-                own.put(name, before.size());
-                before.add(stays ? ownBefore.get(name) : NEW);
+            Integer previous = kept.get(name);
+            if (previous != null) {
+                assign(name, previous);
+            } else if (free > 0) {
+                free--;
+                assign(name, NEW);
             }
         }
-        before.add(sharedBefore);
+        previousRows.add(previousShared);
     }
 
-    /** The row of a name: its own, or the shared one. */
+    private void assign(String name, int previous) {
+        ownRows.put(name, previousRows.size());
+        previousRows.add(previous);
+    }
+
+    /** Returns the row of a name: its own, or the shared one. */
     public int of(String name) {
-        return own.getOrDefault(name, shared());
+        return ownRows.getOrDefault(name, shared());
     }
 
-    /** The row that names share which have none of their own. */
+    /** Returns the row that names share which have none of their own. */
     public int shared() {
-        return before.size() - 1;
+        return previousRows.size() - 1;
     }
 
     /**
-     * What belongs to the rows, by row: what belonged to a row before the names changed last, or
-     * something new where there was none. Nothing at all before makes all of it new.
+     * Lays out what belongs to rows by their present numbers.
+     *
+     * @param previous what belonged to each row before the names changed last; all is new if empty
+     * @param fresh creates what belongs to a new row
      */
-    public <T> List<T> remap(List<T> belonged, Supplier<T> fresh) {
-        List<T> belongs = new ArrayList<>(before.size());
-        for (int number : before) {
-            belongs.add(number == NEW || belonged.isEmpty() ? fresh.get() : belonged.get(number));
+    public <T> List<T> remap(List<T> previous, Supplier<T> fresh) {
+        List<T> remapped = new ArrayList<>(previousRows.size());
+        for (int row : previousRows) {
+            remapped.add(row == NEW || previous.isEmpty() ? fresh.get() : previous.get(row));
         }
-        return belongs;
+        return remapped;
     }
 }
--- a/src/main/java/ottergauge/decision/ring/ConsistentHashRing.java
+++ b/src/main/java/ottergauge/decision/ring/ConsistentHashRing.java
@@ -7,16 +7,15 @@
 import java.util.function.Consumer;
 
 /**
- * Elements side by side on a circle, in the order of a hash of their ids, each with an arc as long
- * as its size. Insertion, removal and both kinds of lookup visit a number of elements that grows
- * with the logarithm of how many there are.
+ * A consistent-hash ring: elements in the order of a hash of their ids, each with an arc as long as
+ * its size. Insertion, removal and both kinds of lookup visit a logarithmic number of elements.
  *
  * <p>It is a treap (Seidel and Aragon, 1996) whose priorities are hashes of the ids too, and which
- * keeps with each subtree the length of its arcs. The same elements make the same tree, whatever
- * was put and removed before: where an arc lies is the same to the last bit at all that hold the
- * same elements.
+ * keeps the length of each subtree's arcs. The same elements make the same tree, whatever was put
+ * and removed before: an arc lies at the same place, to the last bit, at all nodes that hold the
+ * same elements. Not thread-safe.
  *
- * @param <E> what is found by an id or a point
+ * @param <E> type of the elements
  */
 public final class ConsistentHashRing<E> {
 
@@ -29,7 +28,7 @@
         Node<E> left;
         Node<E> right;
 
-        /** The length of all arcs of this subtree. */
+        /** Sum of the arcs of this subtree. */
         double length;
 
         Node(long id, double size, E element) {
@@ -51,7 +50,7 @@
             return priority > other.priority || (priority == other.priority && id < other.id);
         }
 
-        void addUp() {
+        void updateLength() {
             length = lengthOf(left) + size + lengthOf(right);
         }
     }
@@ -60,20 +59,17 @@
     private int count;
     private long visits;
 
-    /** How many elements there are. */
+    /** Returns how many elements there are. */
     public int count() {
         return count;
     }
 
-    /**
-     * How many elements have been visited by all calls so far: the cost of what was done, as a
-     * count.
-     */
+    /** Returns how many elements all calls so far have visited: their cost as a count. */
     public long visits() {
         return visits;
     }
 
-    /** The element of this id; null if there is none. */
+    /** Returns the element of this id; null if there is none. */
     public E get(long id) {
         Node<E> wanted = new Node<>(id, 0, null);
         Node<E> node = root;
@@ -84,7 +80,7 @@
         return node == null ? null : node.element;
     }
 
-    /** Adds an element, or replaces the one of this id; its size is above 0. */
+    /** Adds an element, or replaces the one of this id; its size must be above 0. */
     public void put(long id, double size, E element) {
         remove(id);
         root = insert(root, new Node<>(id, size, element));
@@ -100,8 +96,9 @@
     }
 
     /**
-     * The element in whose arc a point lies, which is a part of the whole circle; null on an empty
-     * ring.
+     * Returns the element in whose arc a point lies; null on an empty ring.
+     *
+     * @param point part of the whole ring, 0 to 1
      */
     public E at(double point) {
         Node<E> node = root;
@@ -121,27 +118,27 @@
         return null;
     }
 
-    /** The first elements in the order of the ring, at most so many. */
-    public List<E> first(int most) {
-        List<E> found = new ArrayList<>(Math.min(most, count));
-        collect(root, most, found);
+    /** Returns a new list of the first elements in the order of the ring, at most so many. */
+    public List<E> first(int limit) {
+        List<E> found = new ArrayList<>(Math.min(limit, count));
+        collect(root, limit, found);
         return found;
     }
 
-    /** Hands over all elements in the order of the ring. */
+    /** Passes all elements to an action, in the order of the ring. */
     public void forEach(Consumer<E> action) {
         first(count).forEach(action);
     }
 
-    private void collect(Node<E> node, int most, List<E> found) {
-        if (node == null || found.size() >= most) {
+    private void collect(Node<E> node, int limit, List<E> found) {
+        if (node == null || found.size() >= limit) {
             return;
         }
         visits++;
-        collect(node.left, most, found);
-        if (found.size() < most) {
+        collect(node.left, limit, found);
+        if (found.size() < limit) {
             found.add(node.element);
-            collect(node.right, most, found);
+            collect(node.right, limit, found);
         }
     }
 
@@ -152,7 +149,7 @@
         }
         if (fresh.outranks(node)) {
             split(node, fresh);
-            fresh.addUp();
+            fresh.updateLength();
             return fresh;
         }
         if (fresh.precedes(node)) {
@@ -160,11 +157,11 @@
         } else {
             node.right = insert(node.right, fresh);
         }
-        node.addUp();
+        node.updateLength();
         return node;
     }
 
-    /** Makes what precedes a node in a subtree its left one, and the rest its right one. */
+    /** Makes what precedes a node its left subtree, and the other nodes its right one. */
     private void split(Node<E> node, Node<E> at) {
         visits++;
         if (node == null) {
@@ -173,12 +170,12 @@
         } else if (node.precedes(at)) {
             split(node.right, at);
             node.right = at.left;
-            node.addUp();
+            node.updateLength();
             at.left = node;
         } else {
             split(node.left, at);
             node.left = at.right;
-            node.addUp();
+            node.updateLength();
             at.right = node;
         }
     }
@@ -193,11 +190,11 @@
         } else {
             node.right = remove(node.right, wanted);
         }
-        node.addUp();
+        node.updateLength();
         return node;
     }
 
-    /** One subtree of two, of which the first precedes the second. */
+    /** Merges two subtrees, of which the first precedes the second. */
     private Node<E> merge(Node<E> first, Node<E> second) {
         visits++;
         if (first == null || second == null) {
@@ -205,11 +202,11 @@
         }
         if (first.outranks(second)) {
             first.right = merge(first.right, second);
-            first.addUp();
+            first.updateLength();
             return first;
         }
         second.left = merge(first, second.left);
-        second.addUp();
+        second.updateLength();
         return second;
     }
 
--- a/src/main/java/ottergauge/decision/ring/package-info.java
+++ b/src/main/java/ottergauge/decision/ring/package-info.java
@@ -1,6 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/**
- * A circle of weighted arcs, as consistent hashing uses it: a data structure that holds no choice.
- */
+/** A consistent-hash ring with weighted arcs: a data structure that makes no choice. */
 package ottergauge.decision.ring;
