--- a/src/main/java/ottergauge/decision/DecisionEngine.java
+++ b/src/main/java/ottergauge/decision/DecisionEngine.java
@@ -115,51 +115,10 @@
         discovery = new DiscoveryPoller(random);
         endpoints = new EndpointUpdater(ring, subset, outliers, probes);
         ServerSelector selector = newSelector();
-        lifecycle =
-                new RequestLifecycle(
-                        requests,
-                        pending,
-                        new AdmissionControl(pending, serviceTimes, loadSource),
-                        clientRetries,
-                        retryBudget,
-                        weights,
-                        new CacheAffinity(subset),
-                        selector);
-        dispatcher =
-                new Dispatcher(
-                        pending,
-                        selector,
-                        subset,
-                        outstanding,
-                        loadSource,
-                        loads,
-                        probes,
-                        probeBudget,
-                        slowStart,
-                        retryBudget,
-                        weights);
-        feedback =
-                new ResultFeedback(
-                        weights,
-                        subset,
-                        loadSource,
-                        serviceTimes,
-                        servedRate,
-                        loads,
-                        capacities,
-                        probes,
-                        outliers,
-                        silence);
-        timer =
-                new TimerSchedule(
-                        window,
-                        discovery,
-                        pending,
-                        outstanding,
-                        silence,
-                        loadSource,
-                        loads,
-                        probes);
+        lifecycle = newLifecycle(selector);
+        dispatcher = newDispatcher(selector);
+        feedback = newFeedback();
+        timer = newTimer();
         applySettings(settings);
     }
 
@@ -180,6 +139,52 @@
                 deadlineFit);
     }
 
+    private RequestLifecycle newLifecycle(ServerSelector selector) {
+        return new RequestLifecycle(
+                requests,
+                pending,
+                new AdmissionControl(pending, serviceTimes, loadSource),
+                clientRetries,
+                retryBudget,
+                weights,
+                new CacheAffinity(subset),
+                selector);
+    }
+
+    private Dispatcher newDispatcher(ServerSelector selector) {
+        return new Dispatcher(
+                pending,
+                selector,
+                subset,
+                outstanding,
+                loadSource,
+                loads,
+                probes,
+                probeBudget,
+                slowStart,
+                retryBudget,
+                weights);
+    }
+
+    private ResultFeedback newFeedback() {
+        return new ResultFeedback(
+                weights,
+                subset,
+                loadSource,
+                serviceTimes,
+                servedRate,
+                loads,
+                capacities,
+                probes,
+                outliers,
+                silence);
+    }
+
+    private TimerSchedule newTimer() {
+        return new TimerSchedule(
+                window, discovery, pending, outstanding, silence, loadSource, loads, probes);
+    }
+
     private double reportedServerCapacity() {
         return loadSource.usesReports() && capacities.isKnown() ? capacities.fleetMean() : 1;
     }
