--- a/src/main/java/ottergauge/replica/PendingChanges.java
+++ b/src/main/java/ottergauge/replica/ChangeBatch.java
@@ -17,7 +17,7 @@
  * What a page of changes makes of a state: gathers the newest value of each resource that it
  * touches, so that all of it comes in force at once, and nothing of what it takes back itself.
  */
-final class PendingChanges {
+final class ChangeBatch {
 
     private final ResourceTable table;
     private final Subscription subscription;
@@ -29,7 +29,7 @@
     private int size;
     private long bytes;
 
-    PendingChanges(ResourceTable table, Subscription subscription, ReplicaLimits limits) {
+    ChangeBatch(ResourceTable table, Subscription subscription, ReplicaLimits limits) {
         this.table = table;
         this.subscription = subscription;
         this.limits = limits;
@@ -54,13 +54,13 @@
         for (Change.Delete delete : change.deletes()) {
             set(delete.key(), Optional.empty(), before);
         }
-        Optional<FieldError> fault = sizeFault(sizeBefore, bytesBefore);
-        if (fault.isPresent()) {
+        Optional<FieldError> error = sizeFault(sizeBefore, bytesBefore);
+        if (error.isPresent()) {
             before.forEach((key, value) -> touched.put(key, value));
             size = sizeBefore;
             bytes = bytesBefore;
         }
-        return fault;
+        return error;
     }
 
     private void set(
--- a/src/main/java/ottergauge/replica/ChangesQuery.java
+++ b/src/main/java/ottergauge/replica/ChangesQuery.java
@@ -11,10 +11,10 @@
  */
 public record ChangesQuery(
         LogPosition after,
-        long waits,
+        long waitMicros,
         int maxBytes,
         Subscription subscription,
         String node,
         String region,
-        long inForce,
-        long refused) {}
+        long effectiveVersion,
+        long rejected) {}
--- a/src/main/java/ottergauge/replica/ControlAddress.java
+++ b/src/main/java/ottergauge/replica/ControlEndpoint.java
@@ -4,4 +4,4 @@
 import ottergauge.protocol.Address;
 
 /** Where a control process is reached, and the region that it runs in. */
-public record ControlAddress(Address address, String region) {}
+public record ControlEndpoint(Address address, String region) {}
--- a/src/main/java/ottergauge/replica/ControlOrder.java
+++ b/src/main/java/ottergauge/replica/ControlEndpointSelector.java
@@ -11,7 +11,7 @@
  * of a rendezvous hash, so that the nodes of a process that is lost spread over all that are left.
  * A round asks each of them once.
  */
-final class ControlOrder {
+final class ControlEndpointSelector {
 
     private static final long HASH_START = 0xcbf29ce484222325L;
     private static final long HASH_PRIME = 0x100000001b3L;
@@ -19,28 +19,28 @@
     private static final long MIX_SECOND = 0xc4ceb9fe1a85ec53L;
     private static final int MIX_SHIFT = 33;
 
-    private final List<ControlAddress> order;
+    private final List<ControlEndpoint> order;
 
     /** Those that this round has not asked yet. */
-    private final Deque<ControlAddress> left = new ArrayDeque<>();
+    private final Deque<ControlEndpoint> left = new ArrayDeque<>();
 
-    private ControlAddress current;
+    private ControlEndpoint current;
     private int failedRounds;
 
-    ControlOrder(String node, String region, List<ControlAddress> addresses) {
+    ControlEndpointSelector(String node, String region, List<ControlEndpoint> addresses) {
         order =
                 addresses.stream()
                         .sorted(
                                 Comparator.comparing(
-                                                (ControlAddress each) ->
+                                                (ControlEndpoint each) ->
                                                         !each.region().equals(region))
                                         .thenComparing(
                                                 each -> hash(node, each), Long::compareUnsigned))
                         .toList();
-        beginRound();
+        restart();
     }
 
-    private static long hash(String node, ControlAddress address) {
+    private static long hash(String node, ControlEndpoint address) {
         long hash = HASH_START;
         String text = node + '\n' + address.address();
         for (int i = 0; i < text.length(); i++) {
@@ -52,11 +52,11 @@
     }
 
     /** The process that the node goes by, or asks. */
-    ControlAddress current() {
+    ControlEndpoint current() {
         return current;
     }
 
-    boolean isAtFirst() {
+    boolean isPreferred() {
         return current.equals(order.get(0));
     }
 
@@ -70,16 +70,16 @@
     }
 
     /** Begins a round with the first process. */
-    void beginRound() {
+    void restart() {
         left.clear();
         left.addAll(order);
         current = left.poll();
     }
 
     /** Begins a round with the first process, whose last one is the one that the node goes by. */
-    void returnToFirst() {
-        ControlAddress before = current;
-        beginRound();
+    void returnToPreferred() {
+        ControlEndpoint before = current;
+        restart();
         if (!before.equals(current)) {
             left.remove(before);
             left.addFirst(before);
@@ -87,7 +87,7 @@
     }
 
     /** Begins a round with this process. */
-    void beginRoundWith(ControlAddress address) {
+    void restartAt(ControlEndpoint address) {
         left.clear();
         left.addAll(order);
         left.remove(address);
@@ -97,12 +97,12 @@
     /** The current process has answered: if it is lost later, all the others come first. */
     void answered() {
         failedRounds = 0;
-        beginRoundWith(current);
+        restartAt(current);
         left.addLast(current);
     }
 
     /** How many rounds in a row had no answer that could be used, before this one. */
-    int roundFailed() {
+    int recordFailedRound() {
         return failedRounds++;
     }
 }
--- a/src/main/java/ottergauge/replica/StateInForce.java
+++ b/src/main/java/ottergauge/replica/EffectiveState.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import ottergauge.replica.ReplicaEffect.Keep;
+import ottergauge.replica.ReplicaEffect.ApplyState;
 import ottergauge.replica.ReplicaEffect.Report;
 import ottergauge.replica.ReplicaEffect.StartTimer;
-import ottergauge.replica.ReplicaEffect.TakeOver;
+import ottergauge.replica.ReplicaEffect.StoreState;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.FieldError;
@@ -20,7 +20,7 @@
  * The state that the node goes by: what comes in force does so whole, and only what differs is
  * told.
  */
-final class StateInForce {
+final class EffectiveState {
 
     private final ReplicaConfig config;
     private final Function<Change, Optional<FieldError>> check;
@@ -30,14 +30,14 @@
     /** Empty until a first state is in force. */
     private Optional<LogPosition> position = Optional.empty();
 
-    private long refused;
+    private long rejected;
 
     /** Whether anything has changed since a state was handed out to be kept. */
-    private boolean unkept;
+    private boolean unstored;
 
-    private boolean keepTimerRuns;
+    private boolean storeTimerRunning;
 
-    StateInForce(
+    EffectiveState(
             ReplicaConfig config,
             Function<Change, Optional<FieldError>> check,
             Consumer<ReplicaEffect> effects) {
@@ -59,8 +59,8 @@
         return position.map(LogPosition::version).orElse(0L);
     }
 
-    long refused() {
-        return refused;
+    long rejected() {
+        return rejected;
     }
 
     int size() {
@@ -83,19 +83,19 @@
             }
         }
         position = Optional.of(stored.position());
-        tell(new StateChange(stored.position(), true, List.copyOf(table.all()), List.of()));
+        apply(new StateChange(stored.position(), true, List.copyOf(table.all()), List.of()));
         return complete;
     }
 
     private boolean restore(Resource resource) {
-        Optional<FieldError> fault =
+        Optional<FieldError> error =
                 check.apply(
                         new Change(
                                 resource.version(),
                                 List.of(new Change.Put(resource.key(), resource.value())),
                                 List.of()));
-        if (fault.isPresent()) {
-            report(new ReplicaReport.ResourceRefused(Optional.of(resource.key()), fault.get()));
+        if (error.isPresent()) {
+            report(new ReplicaReport.ResourceRejected(Optional.of(resource.key()), error.get()));
             return false;
         }
         if (table.size() >= config.limits().resources()
@@ -108,40 +108,40 @@
 
     /** Takes a page of changes that begins at the position in force. */
     void apply(ChangePage page) {
-        PendingChanges pending = new PendingChanges(table, config.subscription(), config.limits());
-        for (CheckedChange each : CheckedChange.of(page, check)) {
+        ChangeBatch pending = new ChangeBatch(table, config.subscription(), config.limits());
+        for (ValidatedChange each : ValidatedChange.of(page, check)) {
             if (each.version() > version()) {
-                Optional<FieldError> fault =
-                        each.fault().isPresent() ? each.fault() : pending.add(each.change());
-                fault.ifPresent(found -> refuse(each.version(), found));
+                Optional<FieldError> error =
+                        each.error().isPresent() ? each.error() : pending.add(each.change());
+                error.ifPresent(found -> reject(each.version(), found));
             }
         }
         boolean advances = page.upTo().version() > version();
         StateChange change = pending.commit(page.upTo());
         position = Optional.of(page.upTo());
         if (!change.puts().isEmpty() || !change.deletes().isEmpty()) {
-            tell(change);
+            apply(change);
         }
         if (advances) {
-            keepLater();
+            scheduleStore();
         }
     }
 
     /** Refuses changes that were read while a snapshot was put together. */
-    void refuse(long version, FieldError fault) {
-        refused = version;
-        report(new ReplicaReport.ChangeRefused(version, fault));
+    void reject(long version, FieldError error) {
+        rejected = version;
+        report(new ReplicaReport.ChangeRejected(version, error));
     }
 
-    void refuse(ReplicaReport.ResourceRefused entry, long version) {
-        refused = version;
+    void reject(ReplicaReport.ResourceRejected entry, long version) {
+        rejected = version;
         report(entry);
     }
 
     /** Goes by the state of a snapshot from now on. */
     void replaceWith(SnapshotAssembly snapshot) {
         ResourceTable next = snapshot.table();
-        for (var entry : snapshot.refused().entrySet()) {
+        for (var entry : snapshot.rejected().entrySet()) {
             table.get(entry.getKey()).ifPresent(next::put);
         }
         boolean first = position.isEmpty();
@@ -151,9 +151,9 @@
         StateChange change =
                 new StateChange(snapshot.reached(), first, putsSince(before), deletesSince(before));
         if (first || !change.puts().isEmpty() || !change.deletes().isEmpty()) {
-            tell(change);
+            apply(change);
         }
-        keepLater();
+        scheduleStore();
     }
 
     private List<Resource> putsSince(ResourceTable before) {
@@ -177,10 +177,10 @@
         return deletes;
     }
 
-    private void tell(StateChange change) {
-        effects.accept(new TakeOver(change));
+    private void apply(StateChange change) {
+        effects.accept(new ApplyState(change));
         report(
-                new ReplicaReport.StateInForce(
+                new ReplicaReport.StateEffective(
                         change.position(), change.puts().size(), change.deletes().size()));
     }
 
@@ -191,25 +191,26 @@
     // ---- Kept for the next process
     // -------------------------------------------------------------------
 
-    private void keepLater() {
-        unkept = true;
-        if (config.keepEvery() > 0 && !keepTimerRuns) {
-            keepTimerRuns = true;
-            effects.accept(new StartTimer(config.keepEvery(), new ReplicaTimer.KeepDue()));
+    private void scheduleStore() {
+        unstored = true;
+        if (config.storeIntervalMicros() > 0 && !storeTimerRunning) {
+            storeTimerRunning = true;
+            effects.accept(
+                    new StartTimer(config.storeIntervalMicros(), new ReplicaTimer.StoreStateDue()));
         }
     }
 
-    void keepDue() {
-        keepTimerRuns = false;
-        keepNow();
+    void onStoreTimer() {
+        storeTimerRunning = false;
+        storeIfChanged();
     }
 
     /** Hands out the state if that was not done since it changed. */
-    void keepNow() {
-        if (unkept && config.keepEvery() > 0 && position.isPresent()) {
-            unkept = false;
+    void storeIfChanged() {
+        if (unstored && config.storeIntervalMicros() > 0 && position.isPresent()) {
+            unstored = false;
             effects.accept(
-                    new Keep(
+                    new StoreState(
                             new StoredState(
                                     position.get(),
                                     config.subscription(),
--- a/src/main/java/ottergauge/replica/PageChecks.java
+++ b/src/main/java/ottergauge/replica/PageValidator.java
@@ -14,12 +14,12 @@
 /**
  * Says why a page can't be what a log holds: its parts are out of order, or end before they begin.
  */
-final class PageChecks {
+final class PageValidator {
 
-    private PageChecks() {}
+    private PageValidator() {}
 
     /** What is wrong with the versions of a page of changes, if anything is. */
-    static Optional<String> fault(ChangePage page) {
+    static Optional<String> error(ChangePage page) {
         Set<Long> versions = new HashSet<>();
         long before = 0;
         for (Change change : page.changes()) {
@@ -46,7 +46,7 @@
      * What is wrong with the keys and versions of a page that was to begin at a key, if anything
      * is.
      */
-    static Optional<String> fault(SnapshotPage page, Optional<ResourceKey> from) {
+    static Optional<String> error(SnapshotPage page, Optional<ResourceKey> from) {
         ResourceKey before = null;
         for (Resource resource : page.resources()) {
             ResourceKey key = resource.key();
--- a/src/main/java/ottergauge/replica/CallTimes.java
+++ b/src/main/java/ottergauge/replica/PollTimeouts.java
@@ -11,41 +11,41 @@
  * just before is never answered, then the longest pause, and the next call is answered: 22 + 18
  * parts.
  */
-record CallTimes(long within) {
+record PollTimeouts(long propagationDeadlineMicros) {
 
     private static final long PARTS = 48;
 
     /** Control processes answer after this time at the latest, whatever a call asks for. */
-    private static final long MOST_WAIT = 10_000_000;
+    private static final long MAX_WAIT_MICROS = 10_000_000;
 
     private long parts(int parts) {
-        return within * parts / PARTS;
+        return propagationDeadlineMicros * parts / PARTS;
     }
 
     /** The longest time for which a call may wait for a change. */
-    long longestWait() {
-        return Math.min(MOST_WAIT, parts(18));
+    long maxWaitMicros() {
+        return Math.min(MAX_WAIT_MICROS, parts(18));
     }
 
     /** And the shortest, so that nodes which begin together don't go on asking together. */
-    long shortestWait() {
-        return Math.min(MOST_WAIT, parts(12));
+    long minWaitMicros() {
+        return Math.min(MAX_WAIT_MICROS, parts(12));
     }
 
     /** How much later than its wait an answer may come. */
-    long silentAfter() {
+    long responseGraceMicros() {
         return parts(4);
     }
 
     /**
      * For which the first call to a process may wait: its answer says that the process is there.
      */
-    long openingWait() {
+    long initialWaitMicros() {
         return parts(1);
     }
 
     /** What that call may take, its connection included. */
-    long openingWithin() {
+    long initialTimeoutMicros() {
         return parts(8);
     }
 
--- a/src/main/java/ottergauge/replica/Replica.java
+++ b/src/main/java/ottergauge/replica/Replica.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import ottergauge.protocol.Address;
-import ottergauge.replica.ReplicaEffect.CallChanges;
-import ottergauge.replica.ReplicaEffect.CallSnapshot;
-import ottergauge.replica.ReplicaEffect.GiveUpCall;
+import ottergauge.replica.ReplicaEffect.CancelCall;
+import ottergauge.replica.ReplicaEffect.FetchSnapshotPage;
+import ottergauge.replica.ReplicaEffect.PollChanges;
 import ottergauge.replica.ReplicaEffect.Report;
 import ottergauge.replica.ReplicaEffect.StartTimer;
 import ottergauge.resources.Change;
@@ -30,26 +30,26 @@
 public final class Replica {
 
     /** Bytes of changes that a control process sends at once, unless one change has more. */
-    static final int MOST_CHANGES_BYTES = 64 * 1024;
+    static final int MAX_CHANGES_BYTES = 64 * 1024;
 
-    static final int LEAST_SNAPSHOT_BYTES = 4 * 1024;
-    static final int MOST_SNAPSHOT_BYTES = 64 * 1024;
+    static final int MIN_SNAPSHOT_BYTES = 4 * 1024;
+    static final int MAX_SNAPSHOT_BYTES = 64 * 1024;
 
     /** An empty answer that came sooner than it should have is not worth another call at once. */
-    static final long LEAST_GAP = 50_000;
+    static final long MIN_POLL_GAP_MICROS = 50_000;
 
     /** Control processes pace the pages of all nodes together: an answer may take some seconds. */
-    static final long SNAPSHOT_WITHIN = 6_000_000;
+    static final long SNAPSHOT_PAGE_TIMEOUT_MICROS = 6_000_000;
 
-    static final int MOST_SNAPSHOT_DOUBLINGS = 2;
+    static final int MAX_SNAPSHOT_TIMEOUT_DOUBLINGS = 2;
 
     /** The longest pause before a state is fetched again that was too large. */
-    static final long TOO_LARGE_PAUSE = 60_000_000;
+    static final long TOO_LARGE_BACKOFF_MICROS = 60_000_000;
 
     /** The longest time at another process before the first one is tried again. */
-    static final long RETURN_AFTER = 90_000_000;
+    static final long FAIL_BACK_DELAY_MICROS = 90_000_000;
 
-    private static final long MICROS_A_SECOND = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long NONE = 0;
 
     private enum Phase {
@@ -62,9 +62,9 @@
     private final Function<Change, Optional<FieldError>> check;
     private final Consumer<ReplicaEffect> effects;
     private final SplittableRandom random;
-    private final CallTimes times;
-    private final ControlOrder order;
-    private final StateInForce state;
+    private final PollTimeouts times;
+    private final ControlEndpointSelector order;
+    private final EffectiveState state;
     private Phase phase = Phase.FOLLOWING;
 
     /** The state that is being fetched; null before its first page. */
@@ -74,7 +74,7 @@
      * A process that has another log than the one that is followed, seen in this round; null for
      * none.
      */
-    private ControlAddress otherLog;
+    private ControlEndpoint otherLog;
 
     private long lastCall;
 
@@ -82,7 +82,7 @@
     private long current = NONE;
 
     private long calledAt;
-    private long waits;
+    private long waitMicros;
     private long dueAt;
     private boolean graceGiven;
 
@@ -92,10 +92,10 @@
     private boolean returnTimerRuns;
 
     /** Snapshots that were begun since changes could be followed. */
-    private int snapshotsInARow;
+    private int consecutiveSnapshots;
 
     /** Calls for a page of a snapshot that had no answer in time, in a row. */
-    private int slowPages;
+    private int consecutivePageTimeouts;
 
     private long confirmedAt;
     private boolean stopped;
@@ -113,9 +113,9 @@
         this.check = check;
         this.effects = effects;
         random = new SplittableRandom(seed);
-        times = new CallTimes(config.within());
-        order = new ControlOrder(config.node(), config.region(), config.addresses());
-        state = new StateInForce(config, check, effects);
+        times = new PollTimeouts(config.propagationDeadlineMicros());
+        order = new ControlEndpointSelector(config.node(), config.region(), config.addresses());
+        state = new EffectiveState(config, check, effects);
     }
 
     /** Begins, with the state that the node's last process kept, if there is one. */
@@ -133,17 +133,17 @@
         if (stopped) {
             return;
         }
-        if (event instanceof ReplicaEvent.ChangesRead e) {
+        if (event instanceof ReplicaEvent.ChangesReceived e) {
             if (takes(e.call())) {
-                changesRead(now, e.page());
+                changesReceived(now, e.page());
             }
-        } else if (event instanceof ReplicaEvent.SnapshotRead e) {
+        } else if (event instanceof ReplicaEvent.SnapshotPageReceived e) {
             if (takes(e.call())) {
-                snapshotRead(now, e.page(), e.bytes());
+                snapshotPageReceived(now, e.page(), e.bytes());
             }
-        } else if (event instanceof ReplicaEvent.TooOldRead e) {
+        } else if (event instanceof ReplicaEvent.VersionUnavailableReceived e) {
             if (takes(e.call())) {
-                tooOldRead(now, e.answer());
+                versionUnavailableReceived(now, e.answer());
             }
         } else if (event instanceof ReplicaEvent.CallFailed e) {
             if (takes(e.call())) {
@@ -157,10 +157,10 @@
     }
 
     /** How the replica stands. */
-    public ReplicaFigures figures(long now) {
-        return new ReplicaFigures(
+    public ReplicaMetrics metrics(long now) {
+        return new ReplicaMetrics(
                 state.position().orElse(new LogPosition("", 0)),
-                state.refused(),
+                state.rejected(),
                 Math.max(0, now - confirmedAt),
                 state.size(),
                 state.bytes());
@@ -178,7 +178,7 @@
     private void stop() {
         stopped = true;
         giveUp();
-        state.keepNow();
+        state.storeIfChanged();
     }
 
     // ---- Calls
@@ -188,14 +188,17 @@
         current = ++lastCall;
         calledAt = now;
         graceGiven = false;
-        Address to = order.current().address();
+        Address endpoint = order.current().address();
         if (phase == Phase.SNAPSHOT_PAGES) {
-            waits = 0;
-            callWithin(now, SNAPSHOT_WITHIN << Math.min(slowPages, MOST_SNAPSHOT_DOUBLINGS));
+            waitMicros = 0;
+            callWithin(
+                    now,
+                    SNAPSHOT_PAGE_TIMEOUT_MICROS
+                            << Math.min(consecutivePageTimeouts, MAX_SNAPSHOT_TIMEOUT_DOUBLINGS));
             effects.accept(
-                    new CallSnapshot(
+                    new FetchSnapshotPage(
                             current,
-                            to,
+                            endpoint,
                             new SnapshotQuery(
                                     Optional.ofNullable(assembly).map(each -> each.reached().log()),
                                     Optional.ofNullable(assembly).flatMap(SnapshotAssembly::next),
@@ -203,23 +206,27 @@
                                     config.subscription(),
                                     config.node())));
         } else {
-            waits = waitOfCall();
+            waitMicros = waitOfCall();
             boolean goesOn = answered && phase == Phase.FOLLOWING;
-            callWithin(now, goesOn ? waits + times.silentAfter() : times.openingWithin());
+            callWithin(
+                    now,
+                    goesOn
+                            ? waitMicros + times.responseGraceMicros()
+                            : times.initialTimeoutMicros());
             LogPosition after = followed().orElseThrow();
             effects.accept(
-                    new CallChanges(
+                    new PollChanges(
                             current,
-                            to,
+                            endpoint,
                             new ChangesQuery(
                                     after,
-                                    waits,
-                                    MOST_CHANGES_BYTES,
+                                    waitMicros,
+                                    MAX_CHANGES_BYTES,
                                     config.subscription(),
                                     config.node(),
                                     config.region(),
                                     state.versionOf(after.log()),
-                                    state.refused())));
+                                    state.rejected())));
         }
     }
 
@@ -227,22 +234,23 @@
         if (phase == Phase.CHANGES_SINCE_SNAPSHOT) {
             return 0;
         }
-        long shortest = times.shortestWait();
+        long shortest = times.minWaitMicros();
         return answered
-                ? shortest + random.nextLong(times.longestWait() - shortest + 1)
-                : times.openingWait();
+                ? shortest + random.nextLong(times.maxWaitMicros() - shortest + 1)
+                : times.initialWaitMicros();
     }
 
-    private void callWithin(long now, long within) {
-        dueAt = now + within;
-        effects.accept(new StartTimer(within, new ReplicaTimer.CallDue(current)));
+    private void callWithin(long now, long propagationDeadlineMicros) {
+        dueAt = now + propagationDeadlineMicros;
+        effects.accept(
+                new StartTimer(propagationDeadlineMicros, new ReplicaTimer.CallTimeout(current)));
     }
 
     private int snapshotBytes() {
         return (int)
                 Math.max(
-                        LEAST_SNAPSHOT_BYTES,
-                        Math.min(MOST_SNAPSHOT_BYTES, config.bytesPerSecond()));
+                        MIN_SNAPSHOT_BYTES,
+                        Math.min(MAX_SNAPSHOT_BYTES, config.snapshotBytesPerSecond()));
     }
 
     /** The position that is followed: of the state in force or of the one that is being fetched. */
@@ -254,7 +262,7 @@
 
     private void giveUp() {
         if (current != NONE) {
-            effects.accept(new GiveUpCall(current));
+            effects.accept(new CancelCall(current));
             current = NONE;
         }
     }
@@ -263,16 +271,18 @@
         if (call != current) {
             return;
         }
-        if (now - dueAt > times.silentAfter() && !graceGiven) {
+        if (now - dueAt > times.responseGraceMicros() && !graceGiven) {
             // The node itself stood still: an answer may be there that it has not read yet.
             graceGiven = true;
-            effects.accept(new StartTimer(times.silentAfter(), new ReplicaTimer.CallDue(call)));
+            effects.accept(
+                    new StartTimer(
+                            times.responseGraceMicros(), new ReplicaTimer.CallTimeout(call)));
             return;
         }
-        report(new ReplicaReport.CallSilent(order.current().address()));
+        report(new ReplicaReport.CallTimedOut(order.current().address()));
         giveUp();
         if (phase == Phase.SNAPSHOT_PAGES) {
-            slowPages++;
+            consecutivePageTimeouts++;
         }
         askElsewhere(now);
     }
@@ -284,22 +294,22 @@
         if (order.next()) {
             ask(now);
         } else if (otherLog != null) {
-            order.beginRoundWith(otherLog);
+            order.restartAt(otherLog);
             beginSnapshot(now);
         } else {
-            pause(times.pause(order.roundFailed()));
+            pause(times.pause(order.recordFailedRound()));
         }
     }
 
-    private void pause(long longest) {
+    private void pause(long max) {
         effects.accept(
                 new StartTimer(
-                        longest / 2 + random.nextLong(longest / 2 + 1),
-                        new ReplicaTimer.PauseOver(lastCall)));
+                        max / 2 + random.nextLong(max / 2 + 1),
+                        new ReplicaTimer.DelayElapsed(lastCall)));
     }
 
-    private void refuseAnswer(long now, String why) {
-        report(new ReplicaReport.AnswerRefused(order.current().address(), why));
+    private void refuseAnswer(long now, String reason) {
+        report(new ReplicaReport.ResponseRejected(order.current().address(), reason));
         askElsewhere(now);
     }
 
@@ -308,12 +318,13 @@
         answered = true;
         otherLog = null;
         order.answered();
-        if (!order.isAtFirst() && !returnTimerRuns) {
+        if (!order.isPreferred() && !returnTimerRuns) {
             returnTimerRuns = true;
             effects.accept(
                     new StartTimer(
-                            RETURN_AFTER / 2 + random.nextLong(RETURN_AFTER / 2 + 1),
-                            new ReplicaTimer.ReturnDue()));
+                            FAIL_BACK_DELAY_MICROS / 2
+                                    + random.nextLong(FAIL_BACK_DELAY_MICROS / 2 + 1),
+                            new ReplicaTimer.FailBackDue()));
         }
     }
 
@@ -321,48 +332,48 @@
     // -------------------------------------------------------------------------------------
 
     private void timerFired(long now, ReplicaTimer timer) {
-        if (timer instanceof ReplicaTimer.CallDue due) {
+        if (timer instanceof ReplicaTimer.CallTimeout due) {
             callDue(now, due.call());
-        } else if (timer instanceof ReplicaTimer.PauseOver over) {
+        } else if (timer instanceof ReplicaTimer.DelayElapsed over) {
             if (current == NONE && over.after() == lastCall) {
                 resume(now);
             }
-        } else if (timer instanceof ReplicaTimer.ReturnDue) {
+        } else if (timer instanceof ReplicaTimer.FailBackDue) {
             returnTimerRuns = false;
-            returnToFirst(now);
-        } else if (timer instanceof ReplicaTimer.KeepDue) {
-            state.keepDue();
+            returnToPreferred(now);
+        } else if (timer instanceof ReplicaTimer.StoreStateDue) {
+            state.onStoreTimer();
         }
     }
 
     private void resume(long now) {
         if (!answered) {
-            order.beginRound();
+            order.restart();
         }
         ask(now);
     }
 
     // The call that is out is given up for it: the version that the node has is asked from
     // elsewhere.
-    private void returnToFirst(long now) {
-        if (order.isAtFirst() || !answered) {
+    private void returnToPreferred(long now) {
+        if (order.isPreferred() || !answered) {
             return;
         }
         if (phase == Phase.FOLLOWING) {
             giveUp();
             answered = false;
-            order.returnToFirst();
+            order.returnToPreferred();
             ask(now);
         } else {
             returnTimerRuns = true;
-            effects.accept(new StartTimer(RETURN_AFTER, new ReplicaTimer.ReturnDue()));
+            effects.accept(new StartTimer(FAIL_BACK_DELAY_MICROS, new ReplicaTimer.FailBackDue()));
         }
     }
 
     // ---- Changes
     // ------------------------------------------------------------------------------------
 
-    private void changesRead(long now, ChangePage page) {
+    private void changesReceived(long now, ChangePage page) {
         LogPosition asked = followed().orElseThrow();
         if (!page.upTo().log().equals(asked.log())) {
             otherLogSeen(now);
@@ -377,9 +388,9 @@
                             + asked.version());
             return;
         }
-        Optional<String> fault = PageChecks.fault(page);
-        if (fault.isPresent()) {
-            refuseAnswer(now, fault.get());
+        Optional<String> error = PageValidator.error(page);
+        if (error.isPresent()) {
+            refuseAnswer(now, error.get());
             return;
         }
         answerTaken();
@@ -392,20 +403,20 @@
 
     private void followedTo(long now, LogPosition asked, ChangePage page) {
         confirmedAt = now;
-        snapshotsInARow = 0;
+        consecutiveSnapshots = 0;
         state.apply(page);
         askOn(now, asked, page);
     }
 
     private void caughtUpTo(long now, LogPosition asked, ChangePage page) {
-        for (CheckedChange each : applyToAssembly(page)) {
+        for (ValidatedChange each : applyToAssembly(page)) {
             if (each.version() > asked.version()) {
-                each.fault().ifPresent(fault -> state.refuse(each.version(), fault));
+                each.error().ifPresent(error -> state.reject(each.version(), error));
             }
         }
         if (isTooLarge()) {
             giveUpSnapshot();
-        } else if (assembly.isWhole()) {
+        } else if (assembly.isComplete()) {
             goByAssembly(now);
         } else {
             askOn(now, asked, page);
@@ -420,22 +431,23 @@
         ask(now);
     }
 
-    private List<CheckedChange> applyToAssembly(ChangePage page) {
-        List<CheckedChange> changes = CheckedChange.of(page, check);
+    private List<ValidatedChange> applyToAssembly(ChangePage page) {
+        List<ValidatedChange> changes = ValidatedChange.of(page, check);
         assembly.apply(changes, page.upTo().version());
         return changes;
     }
 
     private void askOn(long now, LogPosition asked, ChangePage page) {
         boolean advanced = page.upTo().version() > asked.version();
-        if (!advanced && now - calledAt < Math.max(LEAST_GAP, waits)) {
-            effects.accept(new StartTimer(LEAST_GAP, new ReplicaTimer.PauseOver(lastCall)));
+        if (!advanced && now - calledAt < Math.max(MIN_POLL_GAP_MICROS, waitMicros)) {
+            effects.accept(
+                    new StartTimer(MIN_POLL_GAP_MICROS, new ReplicaTimer.DelayElapsed(lastCall)));
         } else {
             ask(now);
         }
     }
 
-    private void tooOldRead(long now, VersionUnavailable answer) {
+    private void versionUnavailableReceived(long now, VersionUnavailable answer) {
         Optional<LogPosition> followed = followed();
         if (followed.isEmpty() || !answer.log().equals(followed.get().log())) {
             otherLogSeen(now);
@@ -468,38 +480,38 @@
         assembly = null;
         otherLog = null;
         answered = true;
-        report(new ReplicaReport.SnapshotBegun(order.current().address()));
-        if (snapshotsInARow++ == 0) {
+        report(new ReplicaReport.SnapshotStarted(order.current().address()));
+        if (consecutiveSnapshots++ == 0) {
             ask(now);
         } else {
-            pause(times.pause(snapshotsInARow));
+            pause(times.pause(consecutiveSnapshots));
         }
     }
 
-    private void snapshotRead(long now, SnapshotPage page, long bytes) {
-        slowPages = 0;
+    private void snapshotPageReceived(long now, SnapshotPage page, long bytes) {
+        consecutivePageTimeouts = 0;
         if (assembly != null && !page.at().log().equals(assembly.reached().log())) {
             otherLogSeen(now);
             return;
         }
-        long least = assembly != null ? assembly.firstVersion() : state.versionOf(page.at().log());
-        if (page.at().version() < least) {
+        long min = assembly != null ? assembly.firstVersion() : state.versionOf(page.at().log());
+        if (page.at().version() < min) {
             refuseAnswer(
-                    now, "it has reached " + page.at().version() + " only, the node has " + least);
+                    now, "it has reached " + page.at().version() + " only, the node has " + min);
             return;
         }
-        Optional<String> fault =
-                PageChecks.fault(
+        Optional<String> error =
+                PageValidator.error(
                         page, Optional.ofNullable(assembly).flatMap(SnapshotAssembly::next));
-        if (fault.isPresent()) {
-            refuseAnswer(now, fault.get());
+        if (error.isPresent()) {
+            refuseAnswer(now, error.get());
             return;
         }
         answerTaken();
         addPage(page);
         if (isTooLarge()) {
             giveUpSnapshot();
-        } else if (assembly.isWhole()) {
+        } else if (assembly.isComplete()) {
             goByAssembly(now);
         } else if (assembly.hasAllPages()) {
             phase = Phase.CHANGES_SINCE_SNAPSHOT;
@@ -507,8 +519,8 @@
         } else {
             effects.accept(
                     new StartTimer(
-                            bytes * MICROS_A_SECOND / config.bytesPerSecond(),
-                            new ReplicaTimer.PauseOver(lastCall)));
+                            bytes * MICROS_PER_SECOND / config.snapshotBytesPerSecond(),
+                            new ReplicaTimer.DelayElapsed(lastCall)));
         }
     }
 
@@ -516,7 +528,7 @@
         if (assembly == null) {
             assembly = new SnapshotAssembly(page.at(), config.subscription(), check);
         }
-        assembly.add(page).forEach(refused -> state.refuse(refused, page.at().version()));
+        assembly.add(page).forEach(rejected -> state.reject(rejected, page.at().version()));
     }
 
     private boolean isTooLarge() {
@@ -530,7 +542,7 @@
         report(new ReplicaReport.StateTooLarge(assembly.size(), assembly.bytes(), config.limits()));
         assembly = null;
         phase = Phase.SNAPSHOT_PAGES;
-        pause(TOO_LARGE_PAUSE);
+        pause(TOO_LARGE_BACKOFF_MICROS);
     }
 
     private void report(ReplicaReport report) {
--- a/src/main/java/ottergauge/replica/ReplicaConfig.java
+++ b/src/main/java/ottergauge/replica/ReplicaConfig.java
@@ -12,9 +12,9 @@
 public record ReplicaConfig(
         String node,
         String region,
-        List<ControlAddress> addresses,
+        List<ControlEndpoint> addresses,
         Subscription subscription,
-        long within,
-        long bytesPerSecond,
-        long keepEvery,
+        long propagationDeadlineMicros,
+        long snapshotBytesPerSecond,
+        long storeIntervalMicros,
         ReplicaLimits limits) {}
--- a/src/main/java/ottergauge/replica/ReplicaEffect.java
+++ b/src/main/java/ottergauge/replica/ReplicaEffect.java
@@ -8,20 +8,21 @@
  */
 public sealed interface ReplicaEffect {
 
-    record CallChanges(long call, Address to, ChangesQuery query) implements ReplicaEffect {}
+    record PollChanges(long call, Address endpoint, ChangesQuery query) implements ReplicaEffect {}
 
-    record CallSnapshot(long call, Address to, SnapshotQuery query) implements ReplicaEffect {}
+    record FetchSnapshotPage(long call, Address endpoint, SnapshotQuery query)
+            implements ReplicaEffect {}
 
     /** Ends a call: nothing that it brings counts any more. */
-    record GiveUpCall(long call) implements ReplicaEffect {}
+    record CancelCall(long call) implements ReplicaEffect {}
 
-    record StartTimer(long delay, ReplicaTimer timer) implements ReplicaEffect {}
+    record StartTimer(long delayMicros, ReplicaTimer timer) implements ReplicaEffect {}
 
     /** Goes by a changed state from this instant on. */
-    record TakeOver(StateChange change) implements ReplicaEffect {}
+    record ApplyState(StateChange change) implements ReplicaEffect {}
 
     /** Keeps a state for the node's next process. */
-    record Keep(StoredState state) implements ReplicaEffect {}
+    record StoreState(StoredState state) implements ReplicaEffect {}
 
     /** Tells people. */
     record Report(ReplicaReport report) implements ReplicaEffect {}
--- a/src/main/java/ottergauge/replica/ReplicaEvent.java
+++ b/src/main/java/ottergauge/replica/ReplicaEvent.java
@@ -9,13 +9,14 @@
 public sealed interface ReplicaEvent {
 
     /** A page of changes was read. */
-    record ChangesRead(long call, ChangePage page) implements ReplicaEvent {}
+    record ChangesReceived(long call, ChangePage page) implements ReplicaEvent {}
 
     /** A page of a snapshot was read, of so many bytes. */
-    record SnapshotRead(long call, SnapshotPage page, long bytes) implements ReplicaEvent {}
+    record SnapshotPageReceived(long call, SnapshotPage page, long bytes) implements ReplicaEvent {}
 
     /** The control process can't go on from the position that was asked for. */
-    record TooOldRead(long call, VersionUnavailable answer) implements ReplicaEvent {}
+    record VersionUnavailableReceived(long call, VersionUnavailable answer)
+            implements ReplicaEvent {}
 
     /** A call ended with no answer that can be used. */
     record CallFailed(long call) implements ReplicaEvent {}
--- a/src/main/java/ottergauge/replica/ReplicaFigures.java
+++ b/src/main/java/ottergauge/replica/ReplicaMetrics.java
@@ -7,5 +7,5 @@
  * How a replica stands: the position in force, the version that was refused last (0 for none), the
  * microseconds since a control process last confirmed the state, and the state's size.
  */
-public record ReplicaFigures(
-        LogPosition position, long refused, long age, int resources, long bytes) {}
+public record ReplicaMetrics(
+        LogPosition position, long rejected, long ageMicros, int resources, long bytes) {}
--- a/src/main/java/ottergauge/replica/ReplicaReport.java
+++ b/src/main/java/ottergauge/replica/ReplicaReport.java
@@ -11,20 +11,20 @@
 public sealed interface ReplicaReport {
 
     /** A change was refused whole: what it touches keeps the value that it had. */
-    record ChangeRefused(long version, FieldError fault) implements ReplicaReport {
+    record ChangeRejected(long version, FieldError error) implements ReplicaReport {
         @Override
         public String toString() {
-            return "change " + version + " is refused: " + fault;
+            return "change " + version + " is refused: " + error;
         }
     }
 
     /** An entry of a snapshot or of a stored state was refused: it keeps the value that it had. */
-    record ResourceRefused(Optional<ResourceKey> key, FieldError fault) implements ReplicaReport {
+    record ResourceRejected(Optional<ResourceKey> key, FieldError error) implements ReplicaReport {
         @Override
         public String toString() {
             return key.map(each -> "resource " + each).orElse("a resource")
                     + " is refused: "
-                    + fault;
+                    + error;
         }
     }
 
@@ -45,23 +45,23 @@
     }
 
     /** An answer was not taken. */
-    record AnswerRefused(Address from, String why) implements ReplicaReport {
+    record ResponseRejected(Address from, String reason) implements ReplicaReport {
         @Override
         public String toString() {
-            return "an answer of " + from + " is not taken: " + why;
+            return "an answer of " + from + " is not taken: " + reason;
         }
     }
 
     /** A call had no answer in time. */
-    record CallSilent(Address to) implements ReplicaReport {
+    record CallTimedOut(Address endpoint) implements ReplicaReport {
         @Override
         public String toString() {
-            return "a call to " + to + " had no answer in time";
+            return "a call to " + endpoint + " had no answer in time";
         }
     }
 
     /** Whole snapshots are fetched from here on. */
-    record SnapshotBegun(Address from) implements ReplicaReport {
+    record SnapshotStarted(Address from) implements ReplicaReport {
         @Override
         public String toString() {
             return "a snapshot is fetched from " + from;
@@ -69,7 +69,7 @@
     }
 
     /** A state has come in force. */
-    record StateInForce(LogPosition position, int puts, int deletes) implements ReplicaReport {
+    record StateEffective(LogPosition position, int puts, int deletes) implements ReplicaReport {
         @Override
         public String toString() {
             return "version "
--- a/src/main/java/ottergauge/replica/ReplicaTimer.java
+++ b/src/main/java/ottergauge/replica/ReplicaTimer.java
@@ -5,14 +5,14 @@
 public sealed interface ReplicaTimer {
 
     /** The time of this call is over. */
-    record CallDue(long call) implements ReplicaTimer {}
+    record CallTimeout(long call) implements ReplicaTimer {}
 
     /** A pause after this call is over. */
-    record PauseOver(long after) implements ReplicaTimer {}
+    record DelayElapsed(long after) implements ReplicaTimer {}
 
     /** It is time to go back to the control process that is the first one for this node. */
-    record ReturnDue() implements ReplicaTimer {}
+    record FailBackDue() implements ReplicaTimer {}
 
     /** A state in force may be handed out to be kept. */
-    record KeepDue() implements ReplicaTimer {}
+    record StoreStateDue() implements ReplicaTimer {}
 }
--- a/src/main/java/ottergauge/replica/ResourceSize.java
+++ b/src/main/java/ottergauge/replica/ResourceSize.java
@@ -21,7 +21,7 @@
     /** A string and its array, beside the characters. */
     private static final int TEXT = 48;
 
-    private static final int BYTES_A_CHARACTER = 2;
+    private static final int BYTES_PER_CHARACTER = 2;
     private static final int MAP_ENTRY = 48;
     private static final int MAP = 112;
     private static final int LIST_ENTRY = 8;
@@ -71,6 +71,6 @@
     }
 
     private static long text(String text) {
-        return text == null ? 0 : TEXT + (long) BYTES_A_CHARACTER * text.length();
+        return text == null ? 0 : TEXT + (long) BYTES_PER_CHARACTER * text.length();
     }
 }
--- a/src/main/java/ottergauge/replica/SnapshotAssembly.java
+++ b/src/main/java/ottergauge/replica/SnapshotAssembly.java
@@ -35,7 +35,7 @@
     /**
      * Resources that keep the value in force, because theirs was refused: by the version of that.
      */
-    private final Map<ResourceKey, Long> refused = new TreeMap<>();
+    private final Map<ResourceKey, Long> rejected = new TreeMap<>();
 
     /**
      * The version that all changes are in up to: the first page's, until the first changes are
@@ -45,7 +45,7 @@
 
     private long newestPage;
     private Optional<ResourceKey> next = Optional.empty();
-    private boolean pagesDone;
+    private boolean hasAllPages;
 
     /** Begins with what the first page is of. */
     SnapshotAssembly(
@@ -74,16 +74,16 @@
 
     /** Whether all pages are in. */
     boolean hasAllPages() {
-        return pagesDone;
+        return hasAllPages;
     }
 
     /** Whether the state is one version's. */
-    boolean isWhole() {
-        return pagesDone && reached >= newestPage;
+    boolean isComplete() {
+        return hasAllPages && reached >= newestPage;
     }
 
     int size() {
-        return table.size() + refused.size();
+        return table.size() + rejected.size();
     }
 
     long bytes() {
@@ -94,38 +94,38 @@
         return table;
     }
 
-    Map<ResourceKey, Long> refused() {
-        return refused;
+    Map<ResourceKey, Long> rejected() {
+        return rejected;
     }
 
     /** Adds the page that begins at {@link #next}; gives back what is wrong with entries of it. */
-    List<ReplicaReport.ResourceRefused> add(SnapshotPage page) {
+    List<ReplicaReport.ResourceRejected> add(SnapshotPage page) {
         newestPage = Math.max(newestPage, page.at().version());
         next = page.next();
-        pagesDone = next.isEmpty();
-        List<ReplicaReport.ResourceRefused> reports = new ArrayList<>();
+        hasAllPages = next.isEmpty();
+        List<ReplicaReport.ResourceRejected> reports = new ArrayList<>();
         for (Resource resource : page.resources()) {
             if (subscription.matches(resource.key(), resource.value().service())) {
-                Optional<FieldError> fault = fault(resource);
-                if (fault.isEmpty()) {
+                Optional<FieldError> error = error(resource);
+                if (error.isEmpty()) {
                     table.put(resource);
                 } else {
-                    refused.put(resource.key(), resource.version());
+                    rejected.put(resource.key(), resource.version());
                     reports.add(
-                            new ReplicaReport.ResourceRefused(
-                                    Optional.of(resource.key()), fault.get()));
+                            new ReplicaReport.ResourceRejected(
+                                    Optional.of(resource.key()), error.get()));
                 }
             }
         }
         for (UnreadableResource entry : page.unreadable()) {
             // Its version can't be known, but no change of it up to the page's can be newer.
-            entry.key().ifPresent(key -> refused.put(key, page.at().version()));
-            reports.add(new ReplicaReport.ResourceRefused(entry.key(), entry.error()));
+            entry.key().ifPresent(key -> rejected.put(key, page.at().version()));
+            reports.add(new ReplicaReport.ResourceRejected(entry.key(), entry.error()));
         }
         return reports;
     }
 
-    private Optional<FieldError> fault(Resource resource) {
+    private Optional<FieldError> error(Resource resource) {
         Change.Put put = new Change.Put(resource.key(), resource.value());
         return check.apply(new Change(resource.version(), List.of(put), List.of()));
     }
@@ -134,16 +134,16 @@
      * Takes the changes up to a version; those that were refused count for nothing, also where
      * pages had them.
      */
-    void apply(List<CheckedChange> changes, long upTo) {
+    void apply(List<ValidatedChange> changes, long upTo) {
         Set<Long> refusedVersions = new HashSet<>();
-        for (CheckedChange each : changes) {
-            if (each.version() > reached && each.fault().isEmpty()) {
+        for (ValidatedChange each : changes) {
+            if (each.version() > reached && each.error().isEmpty()) {
                 apply(each.change());
             } else if (each.version() > reached) {
                 refusedVersions.add(each.version());
             }
         }
-        takeBack(refusedVersions);
+        discardRejected(refusedVersions);
         reached = Math.max(reached, upTo);
     }
 
@@ -161,11 +161,11 @@
 
     private void remove(ResourceKey key) {
         table.remove(key);
-        refused.remove(key);
+        rejected.remove(key);
     }
 
     // A page that is newer than a refused change has what that put.
-    private void takeBack(Set<Long> versions) {
+    private void discardRejected(Set<Long> versions) {
         if (versions.isEmpty()) {
             return;
         }
@@ -173,7 +173,7 @@
                 table.all().stream().filter(each -> versions.contains(each.version())).toList();
         for (Resource resource : taken) {
             table.remove(resource.key());
-            refused.put(resource.key(), resource.version());
+            rejected.put(resource.key(), resource.version());
         }
     }
 }
--- a/src/main/java/ottergauge/replica/StateChange.java
+++ b/src/main/java/ottergauge/replica/StateChange.java
@@ -11,4 +11,4 @@
  * differs, in the order of the keys. {@code whole}: there was none before, and this is all of it.
  */
 public record StateChange(
-        LogPosition position, boolean whole, List<Resource> puts, List<Change.Delete> deletes) {}
+        LogPosition position, boolean full, List<Resource> puts, List<Change.Delete> deletes) {}
--- a/src/main/java/ottergauge/replica/CheckedChange.java
+++ b/src/main/java/ottergauge/replica/ValidatedChange.java
@@ -14,18 +14,18 @@
 /**
  * A change of a page, and what is wrong with it; {@code change} is null if it could not be read.
  */
-record CheckedChange(long version, Change change, Optional<FieldError> fault) {
+record ValidatedChange(long version, Change change, Optional<FieldError> error) {
 
     /** The changes of a page, in the order of their versions. */
-    static List<CheckedChange> of(ChangePage page, Function<Change, Optional<FieldError>> check) {
-        List<CheckedChange> changes = new ArrayList<>();
+    static List<ValidatedChange> of(ChangePage page, Function<Change, Optional<FieldError>> check) {
+        List<ValidatedChange> changes = new ArrayList<>();
         for (Change change : page.changes()) {
-            changes.add(new CheckedChange(change.version(), change, check.apply(change)));
+            changes.add(new ValidatedChange(change.version(), change, check.apply(change)));
         }
         for (UnreadableChange change : page.unreadable()) {
-            changes.add(new CheckedChange(change.version(), null, Optional.of(change.error())));
+            changes.add(new ValidatedChange(change.version(), null, Optional.of(change.error())));
         }
-        changes.sort(Comparator.comparingLong(CheckedChange::version));
+        changes.sort(Comparator.comparingLong(ValidatedChange::version));
         return changes;
     }
 }
--- a/src/test/java/ottergauge/replica/ControlOrderTest.java
+++ b/src/test/java/ottergauge/replica/ControlEndpointSelectorTest.java
@@ -13,14 +13,14 @@
 import org.junit.jupiter.api.Test;
 import ottergauge.protocol.Address;
 
-class ControlOrderTest {
+class ControlEndpointSelectorTest {
 
     private static final int NODES = 780;
 
-    private static List<ControlAddress> addresses(String... regions) {
-        List<ControlAddress> addresses = new ArrayList<>();
+    private static List<ControlEndpoint> addresses(String... regions) {
+        List<ControlEndpoint> addresses = new ArrayList<>();
         for (int i = 0; i < regions.length; i++) {
-            addresses.add(new ControlAddress(new Address("10.0.0." + i, 9000), regions[i]));
+            addresses.add(new ControlEndpoint(new Address("10.0.0." + i, 9000), regions[i]));
         }
         return addresses;
     }
@@ -28,7 +28,8 @@
     @Test
     void theOwnRegionComesFirst() {
         for (int i = 0; i < NODES; i++) {
-            ControlOrder order = new ControlOrder("n" + i, "b", addresses("a", "b", "c", "b"));
+            ControlEndpointSelector order =
+                    new ControlEndpointSelector("n" + i, "b", addresses("a", "b", "c", "b"));
             assertEquals("b", order.current().region());
             assertTrue(order.next());
             assertEquals("b", order.current().region());
@@ -37,14 +38,16 @@
 
     @Test
     void nodesSpreadOverTheProcessesOfARegionAndOverAllWhenTheirsIsLost() {
-        Map<ControlAddress, Integer> firsts = new HashMap<>();
-        Map<ControlAddress, Integer> seconds = new HashMap<>();
+        Map<ControlEndpoint, Integer> firsts = new HashMap<>();
+        Map<ControlEndpoint, Integer> seconds = new HashMap<>();
         for (int i = 0; i < NODES; i++) {
-            ControlOrder order = new ControlOrder("n" + i, "a", addresses("a", "b", "c", "d"));
+            ControlEndpointSelector order =
+                    new ControlEndpointSelector("n" + i, "a", addresses("a", "b", "c", "d"));
             order.next();
             seconds.merge(order.current(), 1, Integer::sum);
             firsts.merge(
-                    new ControlOrder("n" + i, "a", addresses("a", "a", "a", "a")).current(),
+                    new ControlEndpointSelector("n" + i, "a", addresses("a", "a", "a", "a"))
+                            .current(),
                     1,
                     Integer::sum);
         }
@@ -57,12 +60,13 @@
 
     @Test
     void aRoundAsksEachOnceAndTheOneThatAnsweredLast() {
-        ControlOrder order = new ControlOrder("n", "a", addresses("a", "b", "c", "d"));
+        ControlEndpointSelector order =
+                new ControlEndpointSelector("n", "a", addresses("a", "b", "c", "d"));
         order.next();
-        ControlAddress answered = order.current();
+        ControlEndpoint answered = order.current();
         order.answered();
-        HashSet<ControlAddress> asked = new HashSet<>();
-        ControlAddress last = answered;
+        HashSet<ControlEndpoint> asked = new HashSet<>();
+        ControlEndpoint last = answered;
         while (order.next()) {
             last = order.current();
             assertTrue(asked.add(last));
--- a/src/test/java/ottergauge/replica/ModelChanges.java
+++ b/src/test/java/ottergauge/replica/ModelChanges.java
@@ -23,7 +23,7 @@
 
     private static final int NAMES = 4;
     private static final int VALUES = 3;
-    private static final int MOST_ENTRIES = 4;
+    private static final int MAX_ENTRIES = 4;
 
     /** One in so many changes deletes what it touches. */
     private static final int DELETES = 3;
@@ -37,7 +37,7 @@
         Map<ResourceKey, Resource> state = log.stateAt(log.version(), false);
         Map<ResourceKey, Change.Put> puts = new TreeMap<>();
         List<Change.Delete> deletes = new ArrayList<>();
-        int entries = random.nextInt(1, MOST_ENTRIES + 1);
+        int entries = random.nextInt(1, MAX_ENTRIES + 1);
         for (int i = 0; i < entries; i++) {
             ResourceKey key = key(random);
             Resource now = state.remove(key);
--- a/src/test/java/ottergauge/replica/ModelProcess.java
+++ b/src/test/java/ottergauge/replica/ModelControlProcess.java
@@ -16,10 +16,10 @@
 /**
  * A control process on made-up time: what it has of a log, what befalls it, and what it answers.
  */
-final class ModelProcess {
+final class ModelControlProcess {
 
     /** What may befall a process for a while. */
-    enum Trouble {
+    enum FaultKind {
         /** Nothing that is sent to it arrives, nor what it sends. */
         SILENT,
         /** It does not run: calls end at once. */
@@ -35,24 +35,24 @@
     }
 
     /** A trouble of a process, from an instant until another. */
-    record TroubleSpan(int process, Trouble trouble, long from, long until) {}
+    record FaultWindow(int process, FaultKind fault, long from, long until) {}
 
-    static final int MOST_CHANGES = 3;
-    static final int MOST_RESOURCES = 3;
+    static final int MAX_CHANGES = 3;
+    static final int MAX_RESOURCES = 3;
 
-    private final ControlAddress address;
+    private final ControlEndpoint address;
     private final int retained;
     private ModelLog log;
     private long reached;
 
-    ModelProcess(ControlAddress address, ModelLog log, int retained) {
+    ModelControlProcess(ControlEndpoint address, ModelLog log, int retained) {
         this.address = address;
         this.log = log;
         this.retained = retained;
         reached = log.version();
     }
 
-    ControlAddress address() {
+    ControlEndpoint address() {
         return address;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** Why it can't tell the changes after a position, if it can't. */
-    Optional<VersionUnavailable> tooOld(LogPosition after) {
+    Optional<VersionUnavailable> versionUnavailable(LogPosition after) {
         boolean told =
                 after.log().equals(log.id())
                         && after.version() >= oldest() - 1
@@ -94,11 +94,11 @@
     }
 
     ChangePage changes(LogPosition after, Subscription subscription) {
-        return log.changes(after.version(), reached, subscription, MOST_CHANGES);
+        return log.changes(after.version(), reached, subscription, MAX_CHANGES);
     }
 
     SnapshotPage snapshot(Optional<ResourceKey> from, Subscription subscription) {
-        return log.snapshot(from, reached, subscription, MOST_RESOURCES);
+        return log.snapshot(from, reached, subscription, MAX_RESOURCES);
     }
 
     /** What becomes of a page where answers are garbled: by a number that was drawn. */
--- a/src/test/java/ottergauge/replica/ModelLog.java
+++ b/src/test/java/ottergauge/replica/ModelLog.java
@@ -80,10 +80,10 @@
     }
 
     /** What a process that has reached a version answers for changes: so many at the most. */
-    ChangePage changes(long after, long reached, Subscription subscription, int most) {
+    ChangePage changes(long after, long reached, Subscription subscription, int max) {
         List<Change> page = new ArrayList<>();
         long upTo = after;
-        while (upTo < reached && page.size() < most) {
+        while (upTo < reached && page.size() < max) {
             followed(changes.get((int) upTo), subscription).ifPresent(page::add);
             upTo++;
         }
@@ -116,15 +116,15 @@
      * most.
      */
     SnapshotPage snapshot(
-            Optional<ResourceKey> from, long reached, Subscription subscription, int most) {
+            Optional<ResourceKey> from, long reached, Subscription subscription, int max) {
         List<Resource> rest =
                 stateAt(reached, subscription, false).values().stream()
                         .filter(each -> from.isEmpty() || each.key().compareTo(from.get()) >= 0)
                         .toList();
-        boolean last = rest.size() <= most;
+        boolean last = rest.size() <= max;
         return new SnapshotPage(
                 new LogPosition(id, reached),
-                last ? rest : rest.subList(0, most),
-                last ? Optional.empty() : Optional.of(rest.get(most).key()));
+                last ? rest : rest.subList(0, max),
+                last ? Optional.empty() : Optional.of(rest.get(max).key()));
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaDriver.java
+++ b/src/test/java/ottergauge/replica/ReplicaDriver.java
@@ -27,7 +27,7 @@
  */
 final class ReplicaDriver {
 
-    static final long WITHIN = 4_800_000;
+    static final long PROPAGATION_DEADLINE_MICROS = 4_800_000;
     static final long BYTES_PER_SECOND = 10_000;
     static final String LOG = "log";
 
@@ -40,9 +40,9 @@
     }
 
     ReplicaDriver(ReplicaLimits limits, Subscription subscription) {
-        List<ControlAddress> addresses = new ArrayList<>();
+        List<ControlEndpoint> addresses = new ArrayList<>();
         for (int i = 0; i < 3; i++) {
-            addresses.add(new ControlAddress(new Address("127.0.0.1", 9001 + i), "r" + i));
+            addresses.add(new ControlEndpoint(new Address("127.0.0.1", 9001 + i), "r" + i));
         }
         replica =
                 new Replica(
@@ -51,7 +51,7 @@
                                 "r1",
                                 addresses,
                                 subscription,
-                                WITHIN,
+                                PROPAGATION_DEADLINE_MICROS,
                                 BYTES_PER_SECOND,
                                 30_000_000,
                                 limits),
@@ -73,7 +73,7 @@
         for (String tenant : tenants) {
             resources.add(new Resource(key(tenant), 5, tenant(1)));
         }
-        snapshotRead(10, null, resources.toArray(Resource[]::new));
+        snapshotPageReceived(10, null, resources.toArray(Resource[]::new));
     }
 
     static ResourceKey key(String tenant) {
@@ -111,58 +111,58 @@
         return effects.stream()
                 .filter(
                         each ->
-                                each instanceof ReplicaEffect.CallChanges
-                                        || each instanceof ReplicaEffect.CallSnapshot)
+                                each instanceof ReplicaEffect.PollChanges
+                                        || each instanceof ReplicaEffect.FetchSnapshotPage)
                 .reduce((one, other) -> other)
                 .orElseThrow();
     }
 
     long callNumber() {
-        return lastCall() instanceof ReplicaEffect.CallChanges call
+        return lastCall() instanceof ReplicaEffect.PollChanges call
                 ? call.call()
-                : ((ReplicaEffect.CallSnapshot) lastCall()).call();
+                : ((ReplicaEffect.FetchSnapshotPage) lastCall()).call();
     }
 
     Address calledAddress() {
-        return lastCall() instanceof ReplicaEffect.CallChanges call
-                ? call.to()
-                : ((ReplicaEffect.CallSnapshot) lastCall()).to();
+        return lastCall() instanceof ReplicaEffect.PollChanges call
+                ? call.endpoint()
+                : ((ReplicaEffect.FetchSnapshotPage) lastCall()).endpoint();
     }
 
     ChangesQuery query() {
         assertTrue(
-                lastCall() instanceof ReplicaEffect.CallChanges,
+                lastCall() instanceof ReplicaEffect.PollChanges,
                 "calls for changes: " + lastCall());
-        return ((ReplicaEffect.CallChanges) lastCall()).query();
+        return ((ReplicaEffect.PollChanges) lastCall()).query();
     }
 
     SnapshotQuery snapshotQuery() {
         assertTrue(
-                lastCall() instanceof ReplicaEffect.CallSnapshot,
+                lastCall() instanceof ReplicaEffect.FetchSnapshotPage,
                 "calls for a snapshot: " + lastCall());
-        return ((ReplicaEffect.CallSnapshot) lastCall()).query();
+        return ((ReplicaEffect.FetchSnapshotPage) lastCall()).query();
     }
 
     void handle(ReplicaEvent event) {
         replica.handle(now, event);
     }
 
-    void changesRead(long upTo, Change... changes) {
-        changesRead(new ChangePage(new LogPosition(LOG, upTo), List.of(changes)));
+    void changesReceived(long upTo, Change... changes) {
+        changesReceived(new ChangePage(new LogPosition(LOG, upTo), List.of(changes)));
     }
 
-    void changesRead(ChangePage page) {
-        handle(new ReplicaEvent.ChangesRead(callNumber(), page));
+    void changesReceived(ChangePage page) {
+        handle(new ReplicaEvent.ChangesReceived(callNumber(), page));
     }
 
     /** A page of a snapshot of this version; {@code next} is null on the last one. */
-    void snapshotRead(long version, String next, Resource... resources) {
-        snapshotRead(LOG, version, next, resources);
+    void snapshotPageReceived(long version, String next, Resource... resources) {
+        snapshotPageReceived(LOG, version, next, resources);
     }
 
-    void snapshotRead(String log, long version, String next, Resource... resources) {
+    void snapshotPageReceived(String log, long version, String next, Resource... resources) {
         handle(
-                new ReplicaEvent.SnapshotRead(
+                new ReplicaEvent.SnapshotPageReceived(
                         callNumber(),
                         new SnapshotPage(
                                 new LogPosition(log, version),
@@ -175,9 +175,9 @@
         return new Resource(key(tenant), version, tenant(weight));
     }
 
-    void tooOld(String log, long oldest, long newest) {
+    void versionUnavailable(String log, long oldest, long newest) {
         handle(
-                new ReplicaEvent.TooOldRead(
+                new ReplicaEvent.VersionUnavailableReceived(
                         callNumber(), new VersionUnavailable(log, oldest, newest)));
     }
 
@@ -188,7 +188,7 @@
     /** Lets the timer that was started last, of this kind, fire at its time. */
     <T extends ReplicaTimer> void fire(Class<T> type) {
         ReplicaEffect.StartTimer timer = timer(type);
-        now += timer.delay();
+        now += timer.delayMicros();
         handle(new ReplicaEvent.TimerFired(timer.timer()));
     }
 
@@ -200,17 +200,18 @@
     }
 
     /** The tenants in force, by name and weight: what all changes so far have made of nothing. */
-    TreeMap<String, Double> inForce() {
+    TreeMap<String, Double> effectiveVersion() {
         TreeMap<String, Double> tenants = new TreeMap<>();
-        for (ReplicaEffect.TakeOver takeOver : all(ReplicaEffect.TakeOver.class)) {
-            takeOver.change()
+        for (ReplicaEffect.ApplyState applyState : all(ReplicaEffect.ApplyState.class)) {
+            applyState
+                    .change()
                     .puts()
                     .forEach(
                             each ->
                                     tenants.put(
                                             each.key().name(),
                                             ((ResourceValue.Tenant) each.value()).weight()));
-            takeOver.change().deletes().forEach(each -> tenants.remove(each.key().name()));
+            applyState.change().deletes().forEach(each -> tenants.remove(each.key().name()));
         }
         return tenants;
     }
@@ -222,7 +223,7 @@
     }
 
     void assertInForce(long version, String tenants) {
-        assertEquals(tenants, inForce().toString());
-        assertEquals(new LogPosition(LOG, version), replica.figures(now).position());
+        assertEquals(tenants, effectiveVersion().toString());
+        assertEquals(new LogPosition(LOG, version), replica.metrics(now).position());
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -16,39 +16,39 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import ottergauge.replica.ModelProcess.Trouble;
-import ottergauge.replica.ModelProcess.TroubleSpan;
-import ottergauge.replica.ReplicaPlay.Script;
-import ottergauge.replica.ReplicaPlay.Stall;
+import ottergauge.replica.ModelControlProcess.FaultKind;
+import ottergauge.replica.ModelControlProcess.FaultWindow;
+import ottergauge.replica.ReplicaSimulation.Script;
+import ottergauge.replica.ReplicaSimulation.Stall;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Subscription;
 
 /** Random histories of a log, its control processes and the network between them and a node. */
 class ReplicaHistoryTest {
 
-    private static final long SECOND = ReplicaPlay.SECOND;
+    private static final long SECOND = ReplicaSimulation.SECOND;
     private static final long TROUBLES_END = 40 * SECOND;
     private static final long LENGTH = 80 * SECOND;
     private static final int PROCESSES = 4;
     // Rounds of four calls that end at once, each followed by a pause, or a snapshot's pages.
-    private static final int MOST_CALLS = 32;
+    private static final int MAX_CALLS = 32;
     private static final Subscription ALL = new Subscription(Set.of(), "default");
 
     private static Arbitrary<Long> instants() {
         return Arbitraries.longs().between(0, TROUBLES_END - SECOND);
     }
 
-    private static Arbitrary<TroubleSpan> troubles() {
+    private static Arbitrary<FaultWindow> faults() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, PROCESSES - 1),
-                        Arbitraries.of(Trouble.values()),
+                        Arbitraries.of(FaultKind.values()),
                         instants(),
                         Arbitraries.longs().between(1, 20 * SECOND))
                 .as(
-                        (process, trouble, from, length) ->
-                                new TroubleSpan(
+                        (process, fault, from, length) ->
+                                new FaultWindow(
                                         process,
-                                        trouble,
+                                        fault,
                                         from,
                                         Math.min(TROUBLES_END, from + length)));
     }
@@ -81,7 +81,7 @@
                                 instants().list().ofMaxSize(badChanges))
                         .as(List::of);
         return Combinators.combine(
-                        troubles().list().ofMaxSize(8),
+                        faults().list().ofMaxSize(8),
                         changes,
                         stalls,
                         seldom(),
@@ -113,14 +113,14 @@
     void whateverHappensTheStateInForceIsOneVersionsAndInTheEndTheNewest(
             @ForAll("anything") Script script) {
         // The play itself holds each state that comes in force against the log.
-        ReplicaPlay play = new ReplicaPlay(script);
+        ReplicaSimulation play = new ReplicaSimulation(script);
         play.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertEquals(play.newest().id(), play.figures().position().log(), play.journal.toString());
+        assertEquals(play.newest().id(), play.metrics().position().log(), play.journal.toString());
         assertEquals(
-                ReplicaPlay.values(
+                ReplicaSimulation.values(
                         play.newest()
                                 .stateAt(play.newest().version(), script.subscription(), false)),
-                ReplicaPlay.values(play.state()),
+                ReplicaSimulation.values(play.state()),
                 play.journal.toString());
     }
 
@@ -132,13 +132,13 @@
     @Property(tries = 1000, seed = "62")
     void whatIsRefusedNeverComesInForceAndWhatComesAfterItDoes(
             @ForAll("withBadChanges") Script script) {
-        ReplicaPlay play = new ReplicaPlay(script);
+        ReplicaSimulation play = new ReplicaSimulation(script);
         play.run(LENGTH, TROUBLES_END, Optional.empty());
         Map<ResourceKey, Object> newest =
-                ReplicaPlay.values(
+                ReplicaSimulation.values(
                         play.newest()
                                 .stateAt(play.newest().version(), script.subscription(), false));
-        Map<ResourceKey, Object> state = ReplicaPlay.values(play.state());
+        Map<ResourceKey, Object> state = ReplicaSimulation.values(play.state());
         Set<ResourceKey> spoilt = new HashSet<>();
         for (long version = 1; version <= play.newest().version(); version++) {
             if (play.newest().isBad(version)) {
@@ -157,28 +157,29 @@
             @ForAll("anything") Script script,
             @ForAll("anything") Script after,
             @ForAll boolean endsWell) {
-        ReplicaPlay first = new ReplicaPlay(script);
+        ReplicaSimulation first = new ReplicaSimulation(script);
         first.run(LENGTH, TROUBLES_END, Optional.empty());
         if (endsWell) {
             first.stop();
         }
-        ReplicaPlay second = new ReplicaPlay(after, first.newest());
+        ReplicaSimulation second = new ReplicaSimulation(after, first.newest());
         second.run(LENGTH, TROUBLES_END, Optional.ofNullable(first.kept));
         assertEquals(
-                second.newest().id(), second.figures().position().log(), second.journal.toString());
+                second.newest().id(), second.metrics().position().log(), second.journal.toString());
         assertEquals(
-                ReplicaPlay.values(
+                ReplicaSimulation.values(
                         second.newest()
                                 .stateAt(second.newest().version(), after.subscription(), false)),
-                ReplicaPlay.values(second.state()),
+                ReplicaSimulation.values(second.state()),
                 second.journal.toString());
     }
 
     /** Up to three processes are in trouble at a time, often from the same instant on. */
     @Provide
     Arbitrary<Script> threeInTrouble() {
-        Arbitrary<Trouble> kinds = Arbitraries.of(Trouble.SILENT, Trouble.KILLED, Trouble.CUT_OFF);
-        Arbitrary<List<TroubleSpan>> together =
+        Arbitrary<FaultKind> kinds =
+                Arbitraries.of(FaultKind.SILENT, FaultKind.KILLED, FaultKind.CUT_OFF);
+        Arbitrary<List<FaultWindow>> together =
                 Combinators.combine(
                                 kinds.list().ofSize(3),
                                 instants(),
@@ -186,10 +187,10 @@
                                 Arbitraries.longs().between(0, 50_000))
                         .as(
                                 (three, from, length, apart) -> {
-                                    List<TroubleSpan> spans = new ArrayList<>();
+                                    List<FaultWindow> spans = new ArrayList<>();
                                     for (int i = 0; i < three.size(); i++) {
                                         spans.add(
-                                                new TroubleSpan(
+                                                new FaultWindow(
                                                         i,
                                                         three.get(i),
                                                         from + i * apart,
@@ -205,17 +206,17 @@
                 .as(
                         (drawn, changes, well, seed) -> {
                             List<Long> all = new ArrayList<>(changes);
-                            List<TroubleSpan> spans = new ArrayList<>();
+                            List<FaultWindow> spans = new ArrayList<>();
                             drawn.forEach(
                                     each ->
                                             each.forEach(
                                                     span -> {
                                                         all.add(span.from());
                                                         spans.add(
-                                                                new TroubleSpan(
+                                                                new FaultWindow(
                                                                         (span.process() + well + 1)
                                                                                 % PROCESSES,
-                                                                        span.trouble(),
+                                                                        span.fault(),
                                                                         span.from(),
                                                                         span.until()));
                                                     }));
@@ -236,18 +237,19 @@
     @Property(tries = 3000, seed = "64")
     void aChangeIsInForceInTimeThoughThreeProcessesFallSilent(
             @ForAll("threeInTrouble") Script script) {
-        ReplicaPlay play = new ReplicaPlay(script);
+        ReplicaSimulation play = new ReplicaSimulation(script);
         play.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertEachInForceWithin(play, ReplicaPlay.WITHIN);
+        assertEachInForceWithin(play, ReplicaSimulation.PROPAGATION_DEADLINE_MICROS);
     }
 
-    private static void assertEachInForceWithin(ReplicaPlay play, long within) {
+    private static void assertEachInForceWithin(
+            ReplicaSimulation play, long propagationDeadlineMicros) {
         // The first state is fetched in pages, at its own rate.
-        long begins = play.inForceAt.get((long) ReplicaPlay.FIRST_CHANGES);
+        long begins = play.inForceAt.get((long) ReplicaSimulation.FIRST_CHANGES);
         play.publishedAt.forEach(
                 (version, published) -> {
                     Long at = play.inForceAt.get(version);
-                    long due = Math.max(published, begins) + within;
+                    long due = Math.max(published, begins) + propagationDeadlineMicros;
                     assertTrue(
                             play.isNothing(version) || (at != null && at <= due),
                             "version "
@@ -264,11 +266,12 @@
     /** All four are away together for a while. */
     @Provide
     Arbitrary<Script> allInTrouble() {
-        Arbitrary<List<Trouble>> mixed =
-                Arbitraries.of(Trouble.SILENT, Trouble.KILLED, Trouble.CUT_OFF)
+        Arbitrary<List<FaultKind>> mixed =
+                Arbitraries.of(FaultKind.SILENT, FaultKind.KILLED, FaultKind.CUT_OFF)
                         .list()
                         .ofSize(PROCESSES);
-        Arbitrary<List<Trouble>> killed = Arbitraries.of(Trouble.KILLED).list().ofSize(PROCESSES);
+        Arbitrary<List<FaultKind>> killed =
+                Arbitraries.of(FaultKind.KILLED).list().ofSize(PROCESSES);
         return Combinators.combine(
                         Arbitraries.oneOf(mixed, killed),
                         Arbitraries.longs().between(6 * SECOND, 20 * SECOND),
@@ -276,9 +279,9 @@
                         Arbitraries.longs())
                 .as(
                         (kinds, from, length, seed) -> {
-                            List<TroubleSpan> spans = new ArrayList<>();
+                            List<FaultWindow> spans = new ArrayList<>();
                             for (int i = 0; i < PROCESSES; i++) {
-                                spans.add(new TroubleSpan(i, kinds.get(i), from, from + length));
+                                spans.add(new FaultWindow(i, kinds.get(i), from, from + length));
                             }
                             return new Script(
                                     spans,
@@ -296,22 +299,24 @@
 
     @Property(tries = 1000, seed = "65")
     void aHealIsFollowedInTime(@ForAll("allInTrouble") Script script) {
-        ReplicaPlay play = new ReplicaPlay(script);
+        ReplicaSimulation play = new ReplicaSimulation(script);
         play.run(LENGTH, TROUBLES_END, Optional.empty());
-        long healed = script.troubles().get(0).until();
+        long healed = script.faults().get(0).until();
         long version = play.newest().version();
         Long at = play.inForceAt.get(version);
         assertTrue(
-                play.isNothing(version) || (at != null && at <= healed + ReplicaPlay.WITHIN),
+                play.isNothing(version)
+                        || (at != null
+                                && at <= healed + ReplicaSimulation.PROPAGATION_DEADLINE_MICROS),
                 "healed at " + healed + ", in force at " + at + ": " + play.journal);
     }
 
     @Property(tries = 1000, seed = "66")
     void controlIsNotCalledByTheDozen(@ForAll("anything") Script script) {
-        ReplicaPlay play =
-                new ReplicaPlay(
+        ReplicaSimulation play =
+                new ReplicaSimulation(
                         new Script(
-                                script.troubles(),
+                                script.faults(),
                                 List.of(),
                                 List.of(),
                                 script.stalls(),
@@ -322,24 +327,24 @@
                                 1000,
                                 script.seed()));
         play.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertCallsWithinFourSeconds(play, MOST_CALLS);
+        assertCallsWithinFourSeconds(play, MAX_CALLS);
     }
 
     @Property(tries = 300, seed = "67")
     void processesThatAreAwayAreNotCalledByTheDozen(@ForAll("allInTrouble") Script script) {
-        ReplicaPlay play = new ReplicaPlay(script);
+        ReplicaSimulation play = new ReplicaSimulation(script);
         play.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertCallsWithinFourSeconds(play, MOST_CALLS);
+        assertCallsWithinFourSeconds(play, MAX_CALLS);
     }
 
-    private static void assertCallsWithinFourSeconds(ReplicaPlay play, int most) {
-        for (int i = most; i < play.calls.size(); i++) {
+    private static void assertCallsWithinFourSeconds(ReplicaSimulation play, int max) {
+        for (int i = max; i < play.calls.size(); i++) {
             assertTrue(
-                    play.calls.get(i) - play.calls.get(i - most) >= 4 * SECOND,
+                    play.calls.get(i) - play.calls.get(i - max) >= 4 * SECOND,
                     "called "
-                            + most
+                            + max
                             + " times from "
-                            + play.calls.get(i - most)
+                            + play.calls.get(i - max)
                             + ": "
                             + play.journal);
         }
--- a/src/test/java/ottergauge/replica/ReplicaPlay.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -18,8 +18,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import ottergauge.protocol.Address;
-import ottergauge.replica.ModelProcess.Trouble;
-import ottergauge.replica.ModelProcess.TroubleSpan;
+import ottergauge.replica.ModelControlProcess.FaultKind;
+import ottergauge.replica.ModelControlProcess.FaultWindow;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
@@ -35,17 +35,17 @@
  * loses, delays, doubles and reorders. Each state that comes in force is held against the log: it
  * is one version's, whole, and told by its differences.
  */
-final class ReplicaPlay {
+final class ReplicaSimulation {
 
     static final long SECOND = 1_000_000;
-    static final long WITHIN = 4 * SECOND;
+    static final long PROPAGATION_DEADLINE_MICROS = 4 * SECOND;
 
     /** The node stands still, and what comes meanwhile is handled after it in any order. */
     record Stall(long from, long until) {}
 
     /** All that is drawn for a play. */
     record Script(
-            List<TroubleSpan> troubles,
+            List<FaultWindow> faults,
             List<Long> changes,
             List<Long> badChanges,
             List<Stall> stalls,
@@ -59,19 +59,19 @@
     private static final List<String> REGIONS = List.of("r1", "r1", "r2", "r3");
     static final int FIRST_CHANGES = 6;
 
-    private static final long MOST_TRIP = 20_000;
+    private static final long MAX_TRIP = 20_000;
     private static final long SLOW_TRIP = 500_000;
     private static final long SET_BACK = 3_600 * SECOND;
     private static final int LOSES = 12;
     private static final int DOUBLES = 6;
-    private static final int BYTES_A_RESOURCE = 100;
+    private static final int BYTES_PER_RESOURCE = 100;
     private static final long BYTES_PER_SECOND = 20_000;
 
     /** What happens at an instant, and in which order if several do. */
     private record Task(long at, long number, Runnable job) {}
 
     /** A call that a process keeps until it has news. */
-    private record Poll(long call, ModelProcess process, LogPosition after) {}
+    private record Poll(long call, ModelControlProcess process, LogPosition after) {}
 
     final List<String> journal = new ArrayList<>();
 
@@ -88,7 +88,7 @@
     private final SplittableRandom random;
     private final SplittableRandom changes;
     private final Map<String, ModelLog> logs = new HashMap<>();
-    private final List<ModelProcess> processes = new ArrayList<>();
+    private final List<ModelControlProcess> processes = new ArrayList<>();
     private final PriorityQueue<Task> tasks =
             new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
     private final Map<Long, Poll> polls = new TreeMap<>();
@@ -106,7 +106,7 @@
     private boolean restoresOther;
 
     /** A node that begins with nothing, before a log with a few changes in it. */
-    ReplicaPlay(Script script) {
+    ReplicaSimulation(Script script) {
         this(script, new ModelLog("first"));
         for (int i = 0; i < FIRST_CHANGES; i++) {
             ModelChanges.append(newest, changes, false);
@@ -115,7 +115,7 @@
     }
 
     /** A node before a log that is there. */
-    ReplicaPlay(Script script, ModelLog log) {
+    ReplicaSimulation(Script script, ModelLog log) {
         this.script = script;
         random = new SplittableRandom(script.seed());
         changes = new SplittableRandom(~script.seed());
@@ -123,8 +123,8 @@
         logs.put(newest.id(), newest);
         for (int i = 0; i < REGIONS.size(); i++) {
             processes.add(
-                    new ModelProcess(
-                            new ControlAddress(new Address("127.0.0.1", 9001 + i), REGIONS.get(i)),
+                    new ModelControlProcess(
+                            new ControlEndpoint(new Address("127.0.0.1", 9001 + i), REGIONS.get(i)),
                             newest,
                             script.retained()));
         }
@@ -133,9 +133,9 @@
                         new ReplicaConfig(
                                 "n1",
                                 "r1",
-                                processes.stream().map(ModelProcess::address).toList(),
+                                processes.stream().map(ModelControlProcess::address).toList(),
                                 script.subscription(),
-                                WITHIN,
+                                PROPAGATION_DEADLINE_MICROS,
                                 BYTES_PER_SECOND,
                                 SECOND,
                                 ReplicaLimits.DEFAULT),
@@ -159,7 +159,7 @@
         script.changes().forEach(at -> schedule(at, () -> publish(false)));
         script.badChanges().forEach(at -> schedule(at, () -> publish(true)));
         script.newLogAt().ifPresent(at -> schedule(at, this::beginNewLog));
-        script.troubles()
+        script.faults()
                 .forEach(
                         span -> {
                             schedule(span.from(), () -> begin(span));
@@ -178,8 +178,8 @@
         replica.handle(now, new ReplicaEvent.Stopped());
     }
 
-    ReplicaFigures figures() {
-        return replica.figures(nodesClock());
+    ReplicaMetrics metrics() {
+        return replica.metrics(nodesClock());
     }
 
     ModelLog newest() {
@@ -209,15 +209,13 @@
         ModelLog log = newest;
         long version = newest.version();
         processes.forEach(
-                each ->
-                        schedule(
-                                now + random.nextLong(MOST_TRIP), () -> learn(each, log, version)));
+                each -> schedule(now + random.nextLong(MAX_TRIP), () -> learn(each, log, version)));
     }
 
-    private void learn(ModelProcess process, ModelLog log, long version) {
-        if (!isIn(process, Trouble.CUT_OFF)
-                && !isIn(process, Trouble.LAGGING)
-                && !isIn(process, Trouble.KILLED)
+    private void learn(ModelControlProcess process, ModelLog log, long version) {
+        if (!isIn(process, FaultKind.CUT_OFF)
+                && !isIn(process, FaultKind.LAGGING)
+                && !isIn(process, FaultKind.KILLED)
                 && log == newest) {
             process.learn(log, version);
             answerPolls(process);
@@ -233,20 +231,20 @@
         publish(false);
     }
 
-    private boolean isIn(ModelProcess process, Trouble trouble) {
-        return script.troubles().stream()
+    private boolean isIn(ModelControlProcess process, FaultKind fault) {
+        return script.faults().stream()
                 .anyMatch(
                         span ->
-                                span.trouble() == trouble
+                                span.fault() == fault
                                         && span.from() <= now
                                         && now < span.until()
                                         && processes.get(span.process()) == process);
     }
 
-    private void begin(TroubleSpan span) {
+    private void begin(FaultWindow span) {
         journal.add(now + " " + span);
-        ModelProcess process = processes.get(span.process());
-        if (span.trouble() == Trouble.KILLED) {
+        ModelControlProcess process = processes.get(span.process());
+        if (span.fault() == FaultKind.KILLED) {
             List.copyOf(polls.values()).stream()
                     .filter(poll -> poll.process() == process)
                     .forEach(
@@ -257,11 +255,11 @@
         }
     }
 
-    private void end(TroubleSpan span) {
+    private void end(FaultWindow span) {
         learn(processes.get(span.process()), newest, newest.version());
     }
 
-    private void answerPolls(ModelProcess process) {
+    private void answerPolls(ModelControlProcess process) {
         List.copyOf(polls.values()).stream()
                 .filter(
                         poll ->
@@ -274,23 +272,23 @@
     // ----------------------------------------------------------------------------------------
 
     private void carryOut(ReplicaEffect effect) {
-        if (effect instanceof ReplicaEffect.CallChanges call) {
+        if (effect instanceof ReplicaEffect.PollChanges call) {
             begins(call.call());
-            reach(call.call(), call.to(), process -> changesAsked(process, call));
-        } else if (effect instanceof ReplicaEffect.CallSnapshot call) {
+            reach(call.call(), call.endpoint(), process -> changesAsked(process, call));
+        } else if (effect instanceof ReplicaEffect.FetchSnapshotPage call) {
             begins(call.call());
-            reach(call.call(), call.to(), process -> snapshotAsked(process, call));
-        } else if (effect instanceof ReplicaEffect.GiveUpCall call) {
+            reach(call.call(), call.endpoint(), process -> snapshotAsked(process, call));
+        } else if (effect instanceof ReplicaEffect.CancelCall call) {
             assertEquals(callOut, call.call(), "gives up a call that is not out");
             callOut = 0;
         } else if (effect instanceof ReplicaEffect.StartTimer timer) {
-            assertTrue(timer.delay() >= 0, "a timer runs backwards: " + timer);
-            tell(now + timer.delay(), new ReplicaEvent.TimerFired(timer.timer()));
-        } else if (effect instanceof ReplicaEffect.TakeOver takeOver) {
-            takeOver(takeOver.change());
-        } else if (effect instanceof ReplicaEffect.Keep keep) {
+            assertTrue(timer.delayMicros() >= 0, "a timer runs backwards: " + timer);
+            apply(now + timer.delayMicros(), new ReplicaEvent.TimerFired(timer.timer()));
+        } else if (effect instanceof ReplicaEffect.ApplyState applyState) {
+            applyState(applyState.change());
+        } else if (effect instanceof ReplicaEffect.StoreState keep) {
             kept = keep.state();
-            assertEquals(replica.figures(now).position(), kept.position());
+            assertEquals(replica.metrics(now).position(), kept.position());
             Map<ResourceKey, Resource> resources = new TreeMap<>();
             kept.resources().forEach(each -> resources.put(each.key(), each));
             assertEquals(values(state), values(resources));
@@ -306,33 +304,36 @@
     }
 
     /** Brings a call to the process at an address, or not. */
-    private void reach(long call, Address to, Consumer<ModelProcess> arrives) {
-        ModelProcess process =
+    private void reach(long call, Address endpoint, Consumer<ModelControlProcess> arrives) {
+        ModelControlProcess process =
                 processes.stream()
-                        .filter(each -> each.address().address().equals(to))
+                        .filter(each -> each.address().address().equals(endpoint))
                         .findFirst()
                         .orElseThrow();
-        if (isIn(process, Trouble.KILLED)) {
+        if (isIn(process, FaultKind.KILLED)) {
             deliver(process, new ReplicaEvent.CallFailed(call));
         } else if (!isLost(process)) {
             schedule(
                     now + trip(process),
                     () -> {
-                        if (isIn(process, Trouble.KILLED)) {
+                        if (isIn(process, FaultKind.KILLED)) {
                             deliver(process, new ReplicaEvent.CallFailed(call));
-                        } else if (!isIn(process, Trouble.SILENT)
-                                && !isIn(process, Trouble.CUT_OFF)) {
+                        } else if (!isIn(process, FaultKind.SILENT)
+                                && !isIn(process, FaultKind.CUT_OFF)) {
                             arrives.accept(process);
                         }
                     });
         }
     }
 
-    private void changesAsked(ModelProcess process, ReplicaEffect.CallChanges call) {
+    private void changesAsked(ModelControlProcess process, ReplicaEffect.PollChanges call) {
         LogPosition after = call.query().after();
-        Optional<VersionUnavailable> tooOld = process.tooOld(after);
-        if (tooOld.isPresent()) {
-            deliver(process, new ReplicaEvent.TooOldRead(call.call(), tooOld.get()));
+        Optional<VersionUnavailable> versionUnavailable = process.versionUnavailable(after);
+        if (versionUnavailable.isPresent()) {
+            deliver(
+                    process,
+                    new ReplicaEvent.VersionUnavailableReceived(
+                            call.call(), versionUnavailable.get()));
             return;
         }
         polls.put(call.call(), new Poll(call.call(), process, after));
@@ -340,7 +341,7 @@
             answer(polls.get(call.call()));
         } else {
             schedule(
-                    now + call.query().waits(),
+                    now + call.query().waitMicros(),
                     () -> {
                         if (polls.containsKey(call.call())) {
                             answer(polls.get(call.call()));
@@ -351,52 +352,56 @@
 
     private void answer(Poll poll) {
         polls.remove(poll.call());
-        Optional<VersionUnavailable> tooOld = poll.process().tooOld(poll.after());
-        if (tooOld.isPresent()) {
-            deliver(poll.process(), new ReplicaEvent.TooOldRead(poll.call(), tooOld.get()));
+        Optional<VersionUnavailable> versionUnavailable =
+                poll.process().versionUnavailable(poll.after());
+        if (versionUnavailable.isPresent()) {
+            deliver(
+                    poll.process(),
+                    new ReplicaEvent.VersionUnavailableReceived(
+                            poll.call(), versionUnavailable.get()));
             return;
         }
         ChangePage page = poll.process().changes(poll.after(), script.subscription());
         deliver(
                 poll.process(),
-                new ReplicaEvent.ChangesRead(
+                new ReplicaEvent.ChangesReceived(
                         poll.call(),
-                        isIn(poll.process(), Trouble.GARBLED)
-                                ? ModelProcess.garbled(page, random.nextInt(100))
+                        isIn(poll.process(), FaultKind.GARBLED)
+                                ? ModelControlProcess.garbled(page, random.nextInt(100))
                                 : page));
     }
 
-    private void snapshotAsked(ModelProcess process, ReplicaEffect.CallSnapshot call) {
+    private void snapshotAsked(ModelControlProcess process, ReplicaEffect.FetchSnapshotPage call) {
         SnapshotPage page = process.snapshot(call.query().from(), script.subscription());
         SnapshotPage sent =
-                isIn(process, Trouble.GARBLED)
-                        ? ModelProcess.garbled(
+                isIn(process, FaultKind.GARBLED)
+                        ? ModelControlProcess.garbled(
                                 page, call.query().from().isEmpty(), random.nextInt(100))
                         : page;
         deliver(
                 process,
-                new ReplicaEvent.SnapshotRead(
-                        call.call(), sent, (long) BYTES_A_RESOURCE * page.resources().size()));
+                new ReplicaEvent.SnapshotPageReceived(
+                        call.call(), sent, (long) BYTES_PER_RESOURCE * page.resources().size()));
     }
 
     // ---- The network
     // ----------------------------------------------------------------------------------
 
-    private long trip(ModelProcess process) {
-        return 1_000 + random.nextLong(isIn(process, Trouble.SLOW) ? SLOW_TRIP : MOST_TRIP);
+    private long trip(ModelControlProcess process) {
+        return 1_000 + random.nextLong(isIn(process, FaultKind.SLOW) ? SLOW_TRIP : MAX_TRIP);
     }
 
-    private boolean isLost(ModelProcess process) {
-        return isIn(process, Trouble.SILENT)
-                || isIn(process, Trouble.CUT_OFF)
+    private boolean isLost(ModelControlProcess process) {
+        return isIn(process, FaultKind.SILENT)
+                || isIn(process, FaultKind.CUT_OFF)
                 || (now < networkIsBadUntil && random.nextInt(LOSES) == 0);
     }
 
-    private void deliver(ModelProcess process, ReplicaEvent answer) {
+    private void deliver(ModelControlProcess process, ReplicaEvent answer) {
         if (!isLost(process)) {
-            tell(now + trip(process), answer);
+            apply(now + trip(process), answer);
             if (now < networkIsBadUntil && random.nextInt(DOUBLES) == 0) {
-                tell(now + trip(process) + random.nextLong(3 * SECOND), answer);
+                apply(now + trip(process) + random.nextLong(3 * SECOND), answer);
             }
         }
     }
@@ -404,7 +409,7 @@
     // ---- The node
     // -------------------------------------------------------------------------------------
 
-    private void tell(long at, ReplicaEvent event) {
+    private void apply(long at, ReplicaEvent event) {
         schedule(
                 at,
                 () -> {
@@ -425,7 +430,7 @@
             callOut = 0;
         }
         replica.handle(nodesClock(), event);
-        LogPosition reached = replica.figures(now).position();
+        LogPosition reached = replica.metrics(now).position();
         for (long version = 1;
                 reached.log().equals(newest.id()) && version <= reached.version();
                 version++) {
@@ -434,9 +439,10 @@
     }
 
     private boolean endsCall(ReplicaEvent event) {
-        return (event instanceof ReplicaEvent.ChangesRead e && e.call() == callOut)
-                || (event instanceof ReplicaEvent.SnapshotRead e2 && e2.call() == callOut)
-                || (event instanceof ReplicaEvent.TooOldRead e3 && e3.call() == callOut)
+        return (event instanceof ReplicaEvent.ChangesReceived e && e.call() == callOut)
+                || (event instanceof ReplicaEvent.SnapshotPageReceived e2 && e2.call() == callOut)
+                || (event instanceof ReplicaEvent.VersionUnavailableReceived e3
+                        && e3.call() == callOut)
                 || (event instanceof ReplicaEvent.CallFailed e4 && e4.call() == callOut);
     }
 
@@ -444,15 +450,15 @@
         return script.clockBackAt().filter(at -> at <= now).isPresent() ? now - SET_BACK : now;
     }
 
-    private void takeOver(StateChange change) {
+    private void applyState(StateChange change) {
         journal.add(now + " in force " + change.position());
-        if (change.whole()) {
+        if (change.full()) {
             assertEquals(null, state, "a whole state comes first and never again");
             state = new TreeMap<>();
         }
         assertNotNull(state, "a difference to no state");
         assertFalse(
-                !change.whole() && change.puts().isEmpty() && change.deletes().isEmpty(),
+                !change.full() && change.puts().isEmpty() && change.deletes().isEmpty(),
                 "nothing is taken over");
         assertGoesForward(change.position());
         for (Resource resource : change.puts()) {
@@ -464,7 +470,7 @@
             assertNotNull(state.remove(delete.key()), "deletes what is not there");
         }
         position = change.position();
-        if (script.badChanges().isEmpty() && !(change.whole() && restoresOther)) {
+        if (script.badChanges().isEmpty() && !(change.full() && restoresOther)) {
             assertEquals(
                     values(
                             logs.get(position.log())
--- a/src/test/java/ottergauge/replica/ReplicaTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaTest.java
@@ -17,13 +17,13 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import ottergauge.protocol.Address;
-import ottergauge.replica.ReplicaEffect.CallChanges;
-import ottergauge.replica.ReplicaEffect.CallSnapshot;
-import ottergauge.replica.ReplicaEffect.GiveUpCall;
-import ottergauge.replica.ReplicaEffect.Keep;
+import ottergauge.replica.ReplicaEffect.ApplyState;
+import ottergauge.replica.ReplicaEffect.CancelCall;
+import ottergauge.replica.ReplicaEffect.FetchSnapshotPage;
+import ottergauge.replica.ReplicaEffect.PollChanges;
 import ottergauge.replica.ReplicaEffect.Report;
 import ottergauge.replica.ReplicaEffect.StartTimer;
-import ottergauge.replica.ReplicaEffect.TakeOver;
+import ottergauge.replica.ReplicaEffect.StoreState;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.FieldError;
@@ -49,15 +49,15 @@
         assertEquals(new Address("127.0.0.1", 9002), node.calledAddress());
         assertEquals(Optional.empty(), node.snapshotQuery().from());
         assertEquals(10_000, node.snapshotQuery().maxBytes());
-        node.snapshotRead(10, "b", resource("a", 5, 1));
-        StartTimer pause = node.timer(ReplicaTimer.PauseOver.class);
-        assertEquals(200_000, pause.delay(), "2,000 bytes at 10,000 a second");
-        node.fire(ReplicaTimer.PauseOver.class);
+        node.snapshotPageReceived(10, "b", resource("a", 5, 1));
+        StartTimer pause = node.timer(ReplicaTimer.DelayElapsed.class);
+        assertEquals(200_000, pause.delayMicros(), "2,000 bytes at 10,000 a second");
+        node.fire(ReplicaTimer.DelayElapsed.class);
         assertEquals(Optional.of(key("b")), node.snapshotQuery().from());
         assertEquals(Optional.of(LOG), node.snapshotQuery().log());
-        node.snapshotRead(10, null, resource("b", 6, 1));
+        node.snapshotPageReceived(10, null, resource("b", 6, 1));
         node.assertInForce(10, "{a=1.0, b=1.0}");
-        assertTrue(node.last(TakeOver.class).change().whole());
+        assertTrue(node.last(ApplyState.class).change().full());
         assertEquals(10, node.query().after().version());
     }
 
@@ -65,29 +65,29 @@
     void pagesOfSeveralVersionsAreOneStateOnlyWithTheChangesBetween() {
         ReplicaDriver node = new ReplicaDriver();
         node.replica.start(node.now, Optional.empty());
-        node.snapshotRead(10, "b", resource("a", 5, 1));
-        node.fire(ReplicaTimer.PauseOver.class);
-        node.snapshotRead(13, null, resource("b", 13, 3));
-        assertTrue(node.all(TakeOver.class).isEmpty(), "in force before it is whole");
+        node.snapshotPageReceived(10, "b", resource("a", 5, 1));
+        node.fire(ReplicaTimer.DelayElapsed.class);
+        node.snapshotPageReceived(13, null, resource("b", 13, 3));
+        assertTrue(node.all(ApplyState.class).isEmpty(), "in force before it is whole");
         assertEquals(new LogPosition(LOG, 10), node.query().after());
-        node.changesRead(12, change(11, put("a", 2)), change(12, put("b", 2)));
-        assertTrue(node.all(TakeOver.class).isEmpty(), "in force before it is whole");
-        node.changesRead(14, change(13, put("b", 3)), change(14, put("c", 4)));
+        node.changesReceived(12, change(11, put("a", 2)), change(12, put("b", 2)));
+        assertTrue(node.all(ApplyState.class).isEmpty(), "in force before it is whole");
+        node.changesReceived(14, change(13, put("b", 3)), change(14, put("c", 4)));
         node.assertInForce(14, "{a=2.0, b=3.0, c=4.0}");
-        assertEquals(1, node.all(TakeOver.class).size());
+        assertEquals(1, node.all(ApplyState.class).size());
     }
 
     @Test
     void aPageThatIsOlderThanTheFirstIsAskedForElsewhere() {
         ReplicaDriver node = new ReplicaDriver();
         node.replica.start(node.now, Optional.empty());
-        node.snapshotRead(10, "b", resource("a", 5, 1));
-        node.fire(ReplicaTimer.PauseOver.class);
+        node.snapshotPageReceived(10, "b", resource("a", 5, 1));
+        node.fire(ReplicaTimer.DelayElapsed.class);
         Address first = node.calledAddress();
-        node.snapshotRead(9, null, resource("b", 6, 1));
+        node.snapshotPageReceived(9, null, resource("b", 6, 1));
         assertNotEquals(first, node.calledAddress());
         assertEquals(Optional.of(key("b")), node.snapshotQuery().from());
-        node.snapshotRead(10, null, resource("b", 6, 1));
+        node.snapshotPageReceived(10, null, resource("b", 6, 1));
         node.assertInForce(10, "{a=1.0, b=1.0}");
     }
 
@@ -95,49 +95,49 @@
     void aSnapshotOfALogThatIsGoneInTheMiddleBeginsAnew() {
         ReplicaDriver node = new ReplicaDriver();
         node.replica.start(node.now, Optional.empty());
-        node.snapshotRead(10, "b", resource("a", 5, 1));
-        node.fire(ReplicaTimer.PauseOver.class);
+        node.snapshotPageReceived(10, "b", resource("a", 5, 1));
+        node.fire(ReplicaTimer.DelayElapsed.class);
         // The one that sent the first page, the two others, and that one again.
         for (int i = 0; i < 4; i++) {
             assertEquals(
                     Optional.of(LOG),
                     node.snapshotQuery().log(),
                     "all are asked for the rest first");
-            node.snapshotRead("new", 2, null, resource("b", 1, 7));
+            node.snapshotPageReceived("new", 2, null, resource("b", 1, 7));
         }
         assertEquals(Optional.empty(), node.snapshotQuery().log());
         assertEquals(Optional.empty(), node.snapshotQuery().from());
-        node.snapshotRead("new", 2, null, resource("c", 1, 7));
-        assertEquals("{c=7.0}", node.inForce().toString());
-        assertEquals(new LogPosition("new", 2), node.replica.figures(node.now).position());
+        node.snapshotPageReceived("new", 2, null, resource("c", 1, 7));
+        assertEquals("{c=7.0}", node.effectiveVersion().toString());
+        assertEquals(new LogPosition("new", 2), node.replica.metrics(node.now).position());
     }
 
     @Test
     void aPageThatDoesNotAdvanceIsNotTaken() {
         ReplicaDriver node = new ReplicaDriver();
         node.replica.start(node.now, Optional.empty());
-        node.snapshotRead(10, "b", resource("b", 5, 1));
+        node.snapshotPageReceived(10, "b", resource("b", 5, 1));
         assertEquals(
                 Optional.empty(),
                 node.snapshotQuery().from(),
                 "the page ends before its last entry");
-        node.snapshotRead(10, "c", resource("b", 5, 1), resource("a", 5, 1));
+        node.snapshotPageReceived(10, "c", resource("b", 5, 1), resource("a", 5, 1));
         assertEquals(Optional.empty(), node.snapshotQuery().from(), "the page is out of order");
-        node.snapshotRead(10, "c", resource("b", 11, 1));
+        node.snapshotPageReceived(10, "c", resource("b", 11, 1));
         assertEquals(3, node.reports().stream().filter(each -> each.contains("not taken")).count());
-        node.fire(ReplicaTimer.PauseOver.class);
-        node.snapshotRead(10, "c", resource("b", 5, 1));
-        node.fire(ReplicaTimer.PauseOver.class);
-        node.snapshotRead(10, "c", resource("c", 5, 1));
-        node.snapshotRead(10, null, resource("b", 5, 1));
+        node.fire(ReplicaTimer.DelayElapsed.class);
+        node.snapshotPageReceived(10, "c", resource("b", 5, 1));
+        node.fire(ReplicaTimer.DelayElapsed.class);
+        node.snapshotPageReceived(10, "c", resource("c", 5, 1));
+        node.snapshotPageReceived(10, null, resource("b", 5, 1));
         assertTrue(
-                node.all(TakeOver.class).isEmpty(), "pages that begin before what was asked for");
+                node.all(ApplyState.class).isEmpty(), "pages that begin before what was asked for");
     }
 
     @Test
     void aBadEntryOfASnapshotKeepsItsLastGoodValue() {
         ReplicaDriver node = ReplicaDriver.following("a", "b", "c");
-        node.tooOld(LOG, 90, 100);
+        node.versionUnavailable(LOG, 90, 100);
         Resource fine = resource("d", 80, 4);
         UnreadableResource unreadable =
                 new UnreadableResource(
@@ -149,29 +149,29 @@
                         List.of(resource("a", 80, -1), fine),
                         Optional.empty(),
                         List.of(unreadable));
-        node.handle(new ReplicaEvent.SnapshotRead(node.callNumber(), page, 100));
+        node.handle(new ReplicaEvent.SnapshotPageReceived(node.callNumber(), page, 100));
         node.assertInForce(100, "{a=1.0, b=1.0, d=4.0}");
-        assertEquals(100, node.query().refused());
+        assertEquals(100, node.query().rejected());
         assertTrue(
                 node.reports()
                         .contains(
                                 "resource tenant a is refused: put[0].value.weight is a number "
                                         + "from 0 to 1000000, not -1"),
                 node.reports().toString());
-        node.changesRead(101, change(101, put("a", 3)));
-        assertEquals("{a=3.0, b=1.0, d=4.0}", node.inForce().toString());
+        node.changesReceived(101, change(101, put("a", 3)));
+        assertEquals("{a=3.0, b=1.0, d=4.0}", node.effectiveVersion().toString());
     }
 
     @Test
     void whatARefusedChangeLeftInAPageIsTakenBack() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.tooOld(LOG, 90, 100);
-        node.snapshotRead(100, "b", resource("a", 80, 5));
-        node.fire(ReplicaTimer.PauseOver.class);
-        node.snapshotRead(102, null, resource("b", 102, 6), resource("c", 80, 7));
-        node.changesRead(102, change(101, put("c", 7)), change(102, put("b", 6), put("a", -1)));
+        node.versionUnavailable(LOG, 90, 100);
+        node.snapshotPageReceived(100, "b", resource("a", 80, 5));
+        node.fire(ReplicaTimer.DelayElapsed.class);
+        node.snapshotPageReceived(102, null, resource("b", 102, 6), resource("c", 80, 7));
+        node.changesReceived(102, change(101, put("c", 7)), change(102, put("b", 6), put("a", -1)));
         node.assertInForce(102, "{a=5.0, c=7.0}");
-        assertEquals(102, node.query().refused());
+        assertEquals(102, node.query().rejected());
     }
 
     @Test
@@ -180,18 +180,18 @@
                 new ReplicaDriver(
                         new ReplicaLimits(2, 1 << 20), new Subscription(Set.of(), "default"));
         node.follow("a");
-        node.tooOld(LOG, 90, 100);
-        node.snapshotRead(
+        node.versionUnavailable(LOG, 90, 100);
+        node.snapshotPageReceived(
                 100, null, resource("a", 80, 2), resource("b", 80, 2), resource("c", 80, 2));
         node.assertInForce(10, "{a=1.0}");
-        assertTrue(node.timer(ReplicaTimer.PauseOver.class).delay() >= 30_000_000);
+        assertTrue(node.timer(ReplicaTimer.DelayElapsed.class).delayMicros() >= 30_000_000);
         assertTrue(
                 node.reports()
                         .get(node.reports().size() - 1)
                         .startsWith("the state is refused: it has at least 3 resources"),
                 node.reports().toString());
-        node.fire(ReplicaTimer.PauseOver.class);
-        node.snapshotRead(100, null, resource("a", 80, 2), resource("b", 80, 2));
+        node.fire(ReplicaTimer.DelayElapsed.class);
+        node.snapshotPageReceived(100, null, resource("a", 80, 2), resource("b", 80, 2));
         node.assertInForce(100, "{a=2.0, b=2.0}");
     }
 
@@ -201,25 +201,25 @@
                 new ReplicaDriver(
                         new ReplicaLimits(1000, 1_000), new Subscription(Set.of(), "default"));
         node.replica.start(node.now, Optional.empty());
-        node.snapshotRead(
+        node.snapshotPageReceived(
                 100,
                 null,
                 resource("a".repeat(128), 80, 2),
                 resource("b".repeat(128), 80, 2),
                 resource("c".repeat(128), 80, 2));
-        assertTrue(node.all(TakeOver.class).isEmpty());
+        assertTrue(node.all(ApplyState.class).isEmpty());
     }
 
     @Test
     void snapshotsThatLeadToNothingAreNotBegunAgainAtOnce() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.tooOld(LOG, 90, 100);
-        int calls = node.all(CallSnapshot.class).size();
-        node.snapshotRead(100, null, resource("a", 80, 2));
-        node.tooOld(LOG, 190, 200);
-        assertEquals(calls, node.all(CallSnapshot.class).size());
-        node.fire(ReplicaTimer.PauseOver.class);
-        assertEquals(calls + 1, node.all(CallSnapshot.class).size());
+        node.versionUnavailable(LOG, 90, 100);
+        int calls = node.all(FetchSnapshotPage.class).size();
+        node.snapshotPageReceived(100, null, resource("a", 80, 2));
+        node.versionUnavailable(LOG, 190, 200);
+        assertEquals(calls, node.all(FetchSnapshotPage.class).size());
+        node.fire(ReplicaTimer.DelayElapsed.class);
+        assertEquals(calls + 1, node.all(FetchSnapshotPage.class).size());
     }
 
     // ---- Changes
@@ -228,44 +228,44 @@
     @Test
     void aPageOfChangesComesInForceAtOnce() {
         ReplicaDriver node = ReplicaDriver.following("a", "b");
-        node.changesRead(
+        node.changesReceived(
                 13,
                 change(11, put("a", 2), put("c", 1)),
                 change(12, put("a", 3)),
                 new Change(13, List.of(), List.of(delete("b"))));
         node.assertInForce(13, "{a=3.0, c=1.0}");
-        assertEquals(2, node.all(TakeOver.class).size());
-        StateChange change = node.last(TakeOver.class).change();
-        assertFalse(change.whole());
+        assertEquals(2, node.all(ApplyState.class).size());
+        StateChange change = node.last(ApplyState.class).change();
+        assertFalse(change.full());
         assertEquals(
                 List.of(
                         new Resource(key("a"), 12, ReplicaDriver.tenant(3)),
                         new Resource(key("c"), 11, ReplicaDriver.tenant(1))),
                 change.puts());
         assertEquals(List.of(delete("b")), change.deletes());
-        assertEquals(13, node.query().inForce());
+        assertEquals(13, node.query().effectiveVersion());
         assertEquals(new LogPosition(LOG, 13), node.query().after());
     }
 
     @Test
     void aChangeAndItsReverseInOnePageAreNotTakenOver() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.changesRead(
+        node.changesReceived(
                 14,
                 change(11, put("a", 2)),
                 change(12, put("a", 1)),
                 change(13, put("b", 1)),
                 new Change(14, List.of(), List.of(delete("b"))));
         node.assertInForce(14, "{a=1.0}");
-        assertEquals(1, node.all(TakeOver.class).size());
+        assertEquals(1, node.all(ApplyState.class).size());
         assertEquals(14, node.query().after().version());
     }
 
     @Test
     void changesThatTheNodeHasAreNotTakenAgain() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.changesRead(11, change(11, put("a", 2)));
-        node.changesRead(
+        node.changesReceived(11, change(11, put("a", 2)));
+        node.changesReceived(
                 12, change(10, put("a", 9)), change(11, put("a", 8)), change(12, put("b", 1)));
         node.assertInForce(12, "{a=2.0, b=1.0}");
     }
@@ -274,11 +274,11 @@
     void changesOutOfOrderAreNotTaken() {
         ReplicaDriver node = ReplicaDriver.following("a");
         Address first = node.calledAddress();
-        node.changesRead(12, change(12, put("a", 2)), change(11, put("a", 3)));
+        node.changesReceived(12, change(12, put("a", 2)), change(11, put("a", 3)));
         node.assertInForce(10, "{a=1.0}");
         assertNotEquals(first, node.calledAddress());
-        node.changesRead(12, change(11, put("a", 3)), change(11, put("a", 2)));
-        node.changesRead(12, change(13, put("a", 3)));
+        node.changesReceived(12, change(11, put("a", 3)), change(11, put("a", 2)));
+        node.changesReceived(12, change(13, put("a", 3)));
         node.assertInForce(10, "{a=1.0}");
         assertEquals(10, node.query().after().version());
     }
@@ -289,37 +289,37 @@
         ChangePage page =
                 new ChangePage(new LogPosition(LOG, 11), List.of(change(11, put("a", 2))));
         long call = node.callNumber();
-        node.fire(ReplicaTimer.CallDue.class);
-        node.handle(new ReplicaEvent.ChangesRead(call, page));
+        node.fire(ReplicaTimer.CallTimeout.class);
+        node.handle(new ReplicaEvent.ChangesReceived(call, page));
         node.assertInForce(10, "{a=1.0}");
-        node.changesRead(page);
-        long calls = node.all(CallChanges.class).size();
-        node.handle(new ReplicaEvent.ChangesRead(node.callNumber() - 1, page));
-        assertEquals(calls, node.all(CallChanges.class).size());
+        node.changesReceived(page);
+        long calls = node.all(PollChanges.class).size();
+        node.handle(new ReplicaEvent.ChangesReceived(node.callNumber() - 1, page));
+        assertEquals(calls, node.all(PollChanges.class).size());
     }
 
     @Test
     void aBadChangeIsRefusedWholeAndALaterOneSetsWhatItTouched() {
         ReplicaDriver node = ReplicaDriver.following("a", "b", "c");
-        node.changesRead(
+        node.changesReceived(
                 12,
                 new Change(11, List.of(put("a", 2), put("b", -1)), List.of(delete("c"))),
                 change(12, put("d", 1)));
         node.assertInForce(12, "{a=1.0, b=1.0, c=1.0, d=1.0}");
-        assertEquals(11, node.query().refused());
+        assertEquals(11, node.query().rejected());
         assertEquals(
                 List.of(
                         "change 11 is refused: put[1].value.weight is a number from 0 to 1000000, "
                                 + "not -1"),
                 node.reports().stream().filter(each -> each.contains("refused")).toList());
-        node.changesRead(13, change(13, put("b", 4)));
-        assertEquals("{a=1.0, b=4.0, c=1.0, d=1.0}", node.inForce().toString());
+        node.changesReceived(13, change(13, put("b", 4)));
+        assertEquals("{a=1.0, b=4.0, c=1.0, d=1.0}", node.effectiveVersion().toString());
     }
 
     @Test
     void aChangeThatCouldNotBeReadIsRefusedByItsVersion() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.changesRead(
+        node.changesReceived(
                 new ChangePage(
                         new LogPosition(LOG, 13),
                         List.of(change(11, put("a", 2)), change(13, put("b", 1))),
@@ -331,7 +331,7 @@
                                                 "star",
                                                 "service, server, route, tenant or settings")))));
         node.assertInForce(13, "{a=2.0, b=1.0}");
-        assertEquals(12, node.query().refused());
+        assertEquals(12, node.query().rejected());
         assertTrue(
                 node.reports()
                         .contains(
@@ -346,15 +346,15 @@
                 new ReplicaDriver(
                         new ReplicaLimits(2, 1 << 20), new Subscription(Set.of(), "default"));
         node.follow("a");
-        node.changesRead(
+        node.changesReceived(
                 13,
                 change(11, put("b", 1), put("c", 1)),
                 change(12, put("b", 2)),
                 change(13, put("a", 3)));
         node.assertInForce(13, "{a=3.0, b=2.0}");
-        assertEquals(11, node.query().refused());
-        node.changesRead(14, new Change(14, List.of(put("c", 1)), List.of(delete("a"))));
-        assertEquals("{b=2.0, c=1.0}", node.inForce().toString());
+        assertEquals(11, node.query().rejected());
+        node.changesReceived(14, new Change(14, List.of(put("c", 1)), List.of(delete("a"))));
+        assertEquals("{b=2.0, c=1.0}", node.effectiveVersion().toString());
     }
 
     @Test
@@ -363,14 +363,14 @@
         ReplicaDriver node = new ReplicaDriver(ReplicaLimits.DEFAULT, one);
         node.follow("a");
         ResourceKey route = new ResourceKey(ResourceKind.ROUTE, "r");
-        node.changesRead(
+        node.changesReceived(
                 11, change(11, new Change.Put(route, new ResourceValue.Route("mine", "/", "c"))));
-        assertEquals(1, node.last(TakeOver.class).change().puts().size());
-        node.changesRead(
+        assertEquals(1, node.last(ApplyState.class).change().puts().size());
+        node.changesReceived(
                 12, change(12, new Change.Put(route, new ResourceValue.Route("other", "/", "c"))));
         assertEquals(
                 List.of(new Change.Delete(route, "mine")),
-                node.last(TakeOver.class).change().deletes());
+                node.last(ApplyState.class).change().deletes());
     }
 
     // ---- Which process is asked
@@ -380,42 +380,42 @@
     void aProcessThatLagsBehindTheNodeIsNotFollowed() {
         ReplicaDriver node = ReplicaDriver.following("a");
         Address first = node.calledAddress();
-        node.tooOld(LOG, 1, 9);
+        node.versionUnavailable(LOG, 1, 9);
         assertNotEquals(first, node.calledAddress());
         assertEquals(10, node.query().after().version());
-        node.changesRead(9);
-        node.tooOld(LOG, 1, 9);
-        node.tooOld(LOG, 1, 9);
-        assertEquals(new LogPosition(LOG, 10), node.replica.figures(node.now).position());
-        node.fire(ReplicaTimer.PauseOver.class);
+        node.changesReceived(9);
+        node.versionUnavailable(LOG, 1, 9);
+        node.versionUnavailable(LOG, 1, 9);
+        assertEquals(new LogPosition(LOG, 10), node.replica.metrics(node.now).position());
+        node.fire(ReplicaTimer.DelayElapsed.class);
         assertEquals(10, node.query().after().version());
-        assertEquals(1, node.all(CallSnapshot.class).size(), "the one at the start");
+        assertEquals(1, node.all(FetchSnapshotPage.class).size(), "the one at the start");
     }
 
     @Test
     void aSnapshotOfAProcessThatLagsBehindTheNodeIsNotTaken() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.tooOld(LOG, 90, 100);
-        node.snapshotRead(9, null, resource("a", 5, 8));
+        node.versionUnavailable(LOG, 90, 100);
+        node.snapshotPageReceived(9, null, resource("a", 5, 8));
         node.assertInForce(10, "{a=1.0}");
-        node.snapshotRead(100, null, resource("a", 50, 2));
+        node.snapshotPageReceived(100, null, resource("a", 50, 2));
         node.assertInForce(100, "{a=2.0}");
     }
 
     @Test
     void anotherLogIsFollowedOnceNoProcessHasTheNodes() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.tooOld("new", 1, 3);
+        node.versionUnavailable("new", 1, 3);
         assertEquals(LOG, node.query().after().log(), "another process may have it");
-        node.tooOld("new", 1, 3);
+        node.versionUnavailable("new", 1, 3);
         node.failed();
         assertEquals(LOG, node.query().after().log(), "the first one again");
-        node.tooOld("new", 1, 3);
+        node.versionUnavailable("new", 1, 3);
         assertEquals(Optional.empty(), node.snapshotQuery().log());
-        node.snapshotRead("new", 3, null, resource("a", 2, 9));
-        assertEquals("{a=9.0}", node.inForce().toString());
-        assertEquals(new LogPosition("new", 3), node.replica.figures(node.now).position());
-        assertFalse(node.last(TakeOver.class).change().whole(), "only what differs");
+        node.snapshotPageReceived("new", 3, null, resource("a", 2, 9));
+        assertEquals("{a=9.0}", node.effectiveVersion().toString());
+        assertEquals(new LogPosition("new", 3), node.replica.metrics(node.now).position());
+        assertFalse(node.last(ApplyState.class).change().full(), "only what differs");
     }
 
     @Test
@@ -423,10 +423,10 @@
         ReplicaDriver node = ReplicaDriver.following("a");
         Address first = node.calledAddress();
         long call = node.callNumber();
-        node.fire(ReplicaTimer.CallDue.class);
-        assertEquals(call, node.last(GiveUpCall.class).call());
+        node.fire(ReplicaTimer.CallTimeout.class);
+        assertEquals(call, node.last(CancelCall.class).call());
         assertNotEquals(first, node.calledAddress());
-        assertTrue(node.query().waits() < 200_000, "the first call there hardly waits");
+        assertTrue(node.query().waitMicros() < 200_000, "the first call there hardly waits");
         assertEquals(
                 "a call to " + first + " had no answer in time",
                 node.reports().get(node.reports().size() - 1));
@@ -435,23 +435,23 @@
     @Test
     void afterAWholeRoundThereIsAPauseThatGrowsAndIsBounded() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        long longest = 0;
+        long max = 0;
         node.failed();
         for (int round = 0; round < 8; round++) {
             int timers = node.all(StartTimer.class).size();
             for (int i = 0; i < 3; i++) {
                 node.failed();
             }
-            StartTimer pause = node.timer(ReplicaTimer.PauseOver.class);
+            StartTimer pause = node.timer(ReplicaTimer.DelayElapsed.class);
             assertTrue(
                     node.all(StartTimer.class).indexOf(pause) >= timers,
                     "a pause after each round");
-            assertTrue(pause.delay() >= 300_000, "a pause of " + pause.delay());
-            assertTrue(pause.delay() <= 1_800_000, "a pause of " + pause.delay());
-            longest = Math.max(longest, pause.delay());
-            node.fire(ReplicaTimer.PauseOver.class);
+            assertTrue(pause.delayMicros() >= 300_000, "a pause of " + pause.delayMicros());
+            assertTrue(pause.delayMicros() <= 1_800_000, "a pause of " + pause.delayMicros());
+            max = Math.max(max, pause.delayMicros());
+            node.fire(ReplicaTimer.DelayElapsed.class);
         }
-        assertTrue(longest >= 900_000, "the longest pause was " + longest);
+        assertTrue(max >= 900_000, "the longest pause was " + max);
     }
 
     @Test
@@ -460,16 +460,16 @@
         Address first = node.calledAddress();
         node.failed();
         Address second = node.calledAddress();
-        node.changesRead(10);
+        node.changesReceived(10);
         assertEquals(second, node.calledAddress());
-        node.fire(ReplicaTimer.ReturnDue.class);
+        node.fire(ReplicaTimer.FailBackDue.class);
         assertEquals(first, node.calledAddress());
         node.failed();
         assertEquals(second, node.calledAddress(), "back to the one that answered");
-        node.changesRead(10);
-        node.fire(ReplicaTimer.ReturnDue.class);
+        node.changesReceived(10);
+        node.fire(ReplicaTimer.FailBackDue.class);
         assertEquals(first, node.calledAddress());
-        node.changesRead(10);
+        node.changesReceived(10);
         assertEquals(first, node.calledAddress());
     }
 
@@ -479,14 +479,14 @@
     @Test
     void anEmptyAnswerThatComesAtOnceIsNotFollowedByACallAtOnce() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        int calls = node.all(CallChanges.class).size();
-        node.changesRead(10);
-        assertEquals(calls, node.all(CallChanges.class).size());
-        node.fire(ReplicaTimer.PauseOver.class);
-        assertEquals(calls + 1, node.all(CallChanges.class).size());
-        node.now += node.query().waits();
-        node.changesRead(10);
-        assertEquals(calls + 2, node.all(CallChanges.class).size());
+        int calls = node.all(PollChanges.class).size();
+        node.changesReceived(10);
+        assertEquals(calls, node.all(PollChanges.class).size());
+        node.fire(ReplicaTimer.DelayElapsed.class);
+        assertEquals(calls + 1, node.all(PollChanges.class).size());
+        node.now += node.query().waitMicros();
+        node.changesReceived(10);
+        assertEquals(calls + 2, node.all(PollChanges.class).size());
     }
 
     @Test
@@ -494,9 +494,10 @@
         ReplicaDriver node = ReplicaDriver.following("a");
         Address first = node.calledAddress();
         node.now += 10_000_000;
-        node.handle(new ReplicaEvent.TimerFired(node.timer(ReplicaTimer.CallDue.class).timer()));
-        assertTrue(node.all(GiveUpCall.class).isEmpty(), "given up unread");
-        node.changesRead(11, change(11, put("a", 2)));
+        node.handle(
+                new ReplicaEvent.TimerFired(node.timer(ReplicaTimer.CallTimeout.class).timer()));
+        assertTrue(node.all(CancelCall.class).isEmpty(), "given up unread");
+        node.changesReceived(11, change(11, put("a", 2)));
         node.assertInForce(11, "{a=2.0}");
         assertEquals(first, node.calledAddress());
     }
@@ -505,34 +506,35 @@
     void aNodeThatStoodStillGivesUpACallThatIsSilentAllTheSame() {
         ReplicaDriver node = ReplicaDriver.following("a");
         node.now += 10_000_000;
-        node.handle(new ReplicaEvent.TimerFired(node.timer(ReplicaTimer.CallDue.class).timer()));
-        node.fire(ReplicaTimer.CallDue.class);
-        assertEquals(1, node.all(GiveUpCall.class).size());
+        node.handle(
+                new ReplicaEvent.TimerFired(node.timer(ReplicaTimer.CallTimeout.class).timer()));
+        node.fire(ReplicaTimer.CallTimeout.class);
+        assertEquals(1, node.all(CancelCall.class).size());
     }
 
     @Test
     void aClockSetBackChangesNothing() {
         ReplicaDriver node = ReplicaDriver.following("a");
         node.now -= 3_600_000_000L;
-        assertEquals(0, node.replica.figures(node.now).age());
-        node.changesRead(11, change(11, put("a", 2)));
+        assertEquals(0, node.replica.metrics(node.now).ageMicros());
+        node.changesReceived(11, change(11, put("a", 2)));
         node.assertInForce(11, "{a=2.0}");
-        node.changesRead(11);
-        node.fire(ReplicaTimer.PauseOver.class);
-        node.fire(ReplicaTimer.CallDue.class);
-        assertEquals(1, node.all(GiveUpCall.class).size());
+        node.changesReceived(11);
+        node.fire(ReplicaTimer.DelayElapsed.class);
+        node.fire(ReplicaTimer.CallTimeout.class);
+        assertEquals(1, node.all(CancelCall.class).size());
     }
 
     @Test
     void theFiguresTellHowOldTheStateIs() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.changesRead(10);
+        node.changesReceived(10);
         node.now += 2_000_000;
         node.failed();
-        ReplicaFigures figures = node.replica.figures(node.now);
-        assertEquals(2_000_000, figures.age());
-        assertEquals(1, figures.resources());
-        assertTrue(figures.bytes() > 100);
+        ReplicaMetrics metrics = node.replica.metrics(node.now);
+        assertEquals(2_000_000, metrics.ageMicros());
+        assertEquals(1, metrics.resources());
+        assertTrue(metrics.bytes() > 100);
     }
 
     // ---- What is kept
@@ -541,25 +543,26 @@
     @Test
     void theStateIsHandedOutOnceInAnIntervalAndAtTheEnd() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.changesRead(11, change(11, put("a", 2)));
-        assertTrue(node.all(Keep.class).isEmpty());
+        node.changesReceived(11, change(11, put("a", 2)));
+        assertTrue(node.all(StoreState.class).isEmpty());
         assertEquals(
                 1,
                 node.all(StartTimer.class).stream()
-                        .filter(each -> each.timer() instanceof ReplicaTimer.KeepDue)
+                        .filter(each -> each.timer() instanceof ReplicaTimer.StoreStateDue)
                         .count());
-        node.fire(ReplicaTimer.KeepDue.class);
-        assertEquals(new LogPosition(LOG, 11), node.last(Keep.class).state().position());
+        node.fire(ReplicaTimer.StoreStateDue.class);
+        assertEquals(new LogPosition(LOG, 11), node.last(StoreState.class).state().position());
         node.handle(new ReplicaEvent.Stopped());
-        assertEquals(1, node.all(Keep.class).size(), "nothing has changed since");
-        assertEquals(node.callNumber(), node.last(GiveUpCall.class).call());
+        assertEquals(1, node.all(StoreState.class).size(), "nothing has changed since");
+        assertEquals(node.callNumber(), node.last(CancelCall.class).call());
 
         ReplicaDriver other = ReplicaDriver.following("a");
         other.handle(new ReplicaEvent.Stopped());
-        assertEquals(List.of(resource("a", 5, 1)), other.last(Keep.class).state().resources());
+        assertEquals(
+                List.of(resource("a", 5, 1)), other.last(StoreState.class).state().resources());
         int effects = other.effects.size();
-        other.fire(ReplicaTimer.KeepDue.class);
-        other.fire(ReplicaTimer.CallDue.class);
+        other.fire(ReplicaTimer.StoreStateDue.class);
+        other.fire(ReplicaTimer.CallTimeout.class);
         assertEquals(effects, other.effects.size(), "nothing comes after the end");
     }
 
@@ -573,9 +576,9 @@
                         new StoredState(
                                 new LogPosition(LOG, 42), all, List.of(resource("a", 40, 1)))));
         node.assertInForce(42, "{a=1.0}");
-        assertTrue(node.last(TakeOver.class).change().whole());
+        assertTrue(node.last(ApplyState.class).change().full());
         assertEquals(new LogPosition(LOG, 42), node.query().after());
-        assertTrue(node.all(CallSnapshot.class).isEmpty());
+        assertTrue(node.all(FetchSnapshotPage.class).isEmpty());
     }
 
     @Test
@@ -593,18 +596,18 @@
             ReplicaDriver node = new ReplicaDriver();
             node.replica.start(node.now, Optional.of(stored));
             node.assertInForce(42, "{a=1.0}");
-            node.snapshotRead(41, null, resource("a", 40, 1));
-            assertEquals(1, node.all(TakeOver.class).size(), "an older state of the same log");
-            node.snapshotRead(43, null, resource("a", 40, 1), resource("b", 43, 2));
-            assertEquals("{a=1.0, b=2.0}", node.inForce().toString());
+            node.snapshotPageReceived(41, null, resource("a", 40, 1));
+            assertEquals(1, node.all(ApplyState.class).size(), "an older state of the same log");
+            node.snapshotPageReceived(43, null, resource("a", 40, 1), resource("b", 43, 2));
+            assertEquals("{a=1.0, b=2.0}", node.effectiveVersion().toString());
         }
     }
 
     @Test
     void eachReportIsOneLine() {
         ReplicaDriver node = ReplicaDriver.following("a");
-        node.changesRead(12, change(11, put("a", -1)));
-        node.tooOld("new", 1, 3);
+        node.changesReceived(12, change(11, put("a", -1)));
+        node.versionUnavailable("new", 1, 3);
         node.failed();
         node.failed();
         assertFalse(node.all(Report.class).isEmpty());
