--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -1,11 +1,28 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+import ottergauge.control.log.Submissions;
+import ottergauge.protocol.ProtocolException;
+import ottergauge.resources.Change;
+import ottergauge.resources.ChangePage;
+import ottergauge.resources.FieldError;
+import ottergauge.resources.LogPosition;
+import ottergauge.resources.Resource;
+import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceKind;
+import ottergauge.resources.SnapshotPage;
+import ottergauge.resources.VersionTooOld;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -24,20 +41,6 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-import ottergauge.control.log.Submissions;
-import ottergauge.protocol.ProtocolException;
-import ottergauge.resources.Change;
-import ottergauge.resources.ChangePage;
-import ottergauge.resources.FieldError;
-import ottergauge.resources.LogPosition;
-import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.ResourceKey;
-import ottergauge.resources.ResourceKind;
-import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.VersionTooOld;
 
 /** Starts the jar and speaks to it over loopback sockets. */
 class ControlIT {
@@ -271,12 +274,8 @@
             assertTrue(
                     raw(
                                     control,
-                                    """
-                                    GET /control/v1/status HTTP/1.1
-                                    Content-Length: 5
-
-                                    hello\
-                                    """)
+                                    "GET /control/v1/status HTTP/1.1\r\n"
+                                            + "Content-Length: 5\r\n\r\nhello")
                             .startsWith("HTTP/1.1 400"));
             assertTrue(
                     raw(control, "PUT /control/v1/changes HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
@@ -284,11 +283,8 @@
             assertTrue(
                     raw(
                                     control,
-                                    """
-                                    POST /control/v1/changes HTTP/1.1
-                                    Content-Length: 99999999
-
-                                    """)
+                                    "POST /control/v1/changes HTTP/1.1\r\n"
+                                        + "Content-Length: 99999999\r\n\r\n")
                             .startsWith("HTTP/1.1 413"));
             assertTrue(
                     raw(control, "POST /control/v1/changes HTTP/1.1\r\nContent-Length: x\r\n\r\n")
