--- a/control/src/test/java/ottergauge/control/log/Submissions.java
+++ b/control/src/test/java/ottergauge/control/log/Submissions.java
@@ -1,10 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
-import java.util.Map;
 import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.DiscoveredEndpoint;
@@ -14,6 +10,12 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
 /** Makes submissions for tests. */
 public final class Submissions {
 
@@ -58,7 +60,9 @@
     }
 
     public Submissions settings(String name, double aimMs) {
-        Map<String, Object> requestClass = Map.of("name", "read", "aimMs", aimMs);
+        Map<String, Object> requestClass = new LinkedHashMap<>();
+        requestClass.put("aimMs", aimMs);
+        requestClass.put("name", "read");
         return put(
                 ResourceKind.SETTINGS,
                 name,
