--- a/control/src/main/java/ottergauge/control/client/HttpCalls.java
+++ b/control/src/main/java/ottergauge/control/client/BoundedHttpClient.java
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
+import ottergauge.protocol.Address;
+
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -12,50 +14,49 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import ottergauge.protocol.Address;
 
 /** HTTP calls that end within a time, with answers of bounded length. */
-public final class HttpCalls {
+public final class BoundedHttpClient {
 
     static final int TOO_LARGE = 413;
     static final int UNAVAILABLE = 503;
 
-    private static final Duration CONNECT_WITHIN = Duration.ofSeconds(2);
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
     /** An answer. */
-    public record HttpAnswer(int status, byte[] body) {}
+    public record RawResponse(int status, byte[] body) {}
 
     private final HttpClient client =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
-                    .connectTimeout(CONNECT_WITHIN)
+                    .connectTimeout(CONNECT_TIMEOUT)
                     .build();
 
     /** Asks for a path with its query. */
-    public HttpAnswer get(Address address, String path, Duration within, long mostBytes)
+    public RawResponse get(Address address, String path, Duration within, long maxBytes)
             throws IOException, InterruptedException {
-        return call(request(address, path).GET().build(), within, mostBytes);
+        return call(request(address, path).GET().build(), within, maxBytes);
     }
 
     /** Sends a body. */
-    public HttpAnswer post(
-            Address address, String path, byte[] body, Duration within, long mostBytes)
+    public RawResponse post(
+            Address address, String path, byte[] body, Duration within, long maxBytes)
             throws IOException, InterruptedException {
         HttpRequest request = request(address, path).POST(BodyPublishers.ofByteArray(body)).build();
-        return call(request, within, mostBytes);
+        return call(request, within, maxBytes);
     }
 
     private static HttpRequest.Builder request(Address address, String path) {
         return HttpRequest.newBuilder(URI.create("http://" + address + path));
     }
 
-    private HttpAnswer call(HttpRequest request, Duration within, long mostBytes)
+    private RawResponse call(HttpRequest request, Duration within, long maxBytes)
             throws IOException, InterruptedException {
         CompletableFuture<HttpResponse<byte[]>> answer =
-                client.sendAsync(request, LimitedBody.ofAtMost(mostBytes));
+                client.sendAsync(request, LimitedBodySubscriber.ofAtMost(maxBytes));
         try {
             HttpResponse<byte[]> response = answer.get(within.toMillis(), TimeUnit.MILLISECONDS);
-            return new HttpAnswer(response.statusCode(), response.body());
+            return new RawResponse(response.statusCode(), response.body());
         } catch (TimeoutException e) {
             answer.cancel(true);
             throw new IOException("no answer within " + within.toMillis() + " ms", e);
--- a/control/src/main/java/ottergauge/control/client/CallFailedException.java
+++ b/control/src/main/java/ottergauge/control/client/ControlCallException.java
@@ -2,11 +2,11 @@
 package ottergauge.control.client;
 
 /** No process could be reached or answered as expected; the message says so in one line. */
-public final class CallFailedException extends Exception {
+public final class ControlCallException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    public CallFailedException(String message) {
+    public ControlCallException(String message) {
         super(message);
     }
 }
--- a/control/src/main/java/ottergauge/control/client/ControlClient.java
+++ b/control/src/main/java/ottergauge/control/client/ControlClient.java
@@ -1,14 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.time.Duration;
-import java.util.List;
-import java.util.Optional;
-import java.util.concurrent.ThreadLocalRandom;
-import java.util.concurrent.TimeUnit;
-import ottergauge.control.client.HttpCalls.HttpAnswer;
+import ottergauge.control.client.BoundedHttpClient.RawResponse;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ChangePage;
@@ -18,6 +11,14 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.concurrent.TimeUnit;
+
 /** Calls control processes, one after the other until one answers. */
 public final class ControlClient {
 
@@ -25,16 +26,16 @@
     private static final int BAD_REQUEST = 400;
     private static final int GONE = 410;
     private static final String CHANGES_PATH = "/control/v1/changes";
-    private static final Duration CALL_WITHIN = Duration.ofSeconds(5);
+    private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
 
     /** A page may have to wait for its turn. */
-    private static final Duration SNAPSHOT_WITHIN = Duration.ofSeconds(60);
+    private static final Duration SNAPSHOT_TIMEOUT = Duration.ofSeconds(60);
 
-    private static final long MOST_STATUS_BYTES = 8 << 20;
-    private static final long FIRST_PAUSE_MS = 100;
-    private static final long LONGEST_PAUSE_MS = 2_000;
+    private static final long MAX_STATUS_BYTES = 8 << 20;
+    private static final long INITIAL_BACKOFF_MS = 100;
+    private static final long MAX_BACKOFF_MS = 2_000;
 
-    private final HttpCalls calls = new HttpCalls();
+    private final BoundedHttpClient calls = new BoundedHttpClient();
     private final List<Address> addresses;
 
     /** The address that answered last: asked first. */
@@ -47,8 +48,8 @@
     /** Publishes a submission, again and again under its id until it is known what became of it. */
     public PublishResult publish(byte[] submission, Duration within) throws InterruptedException {
         long until = System.nanoTime() + within.toNanos();
-        long pauseMs = FIRST_PAUSE_MS;
-        String why = "";
+        long pauseMs = INITIAL_BACKOFF_MS;
+        String reason = "";
         while (true) {
             for (int i = 0; i < addresses.size(); i++) {
                 int at = (preferred + i) % addresses.size();
@@ -58,17 +59,17 @@
                         preferred = at;
                         return result.get();
                     }
-                    why = addresses.get(at) + " can't accept anything now";
+                    reason = addresses.get(at) + " can't accept anything now";
                 } catch (IOException | ProtocolException e) {
-                    why = addresses.get(at) + ": " + e.getMessage();
+                    reason = addresses.get(at) + ": " + e.getMessage();
                 }
             }
             long leftMs = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
             if (leftMs <= 0) {
-                return new PublishResult.Unknown(why);
+                return new PublishResult.Unknown(reason);
             }
             pause(Math.min(leftMs, pauseMs));
-            pauseMs = Math.min(LONGEST_PAUSE_MS, 2 * pauseMs);
+            pauseMs = Math.min(MAX_BACKOFF_MS, 2 * pauseMs);
         }
     }
 
@@ -79,21 +80,21 @@
 
     private Optional<PublishResult> publishAt(Address address, byte[] submission)
             throws IOException, ProtocolException, InterruptedException {
-        HttpAnswer answer =
+        RawResponse answer =
                 calls.post(
                         address,
                         CHANGES_PATH,
                         submission,
-                        CALL_WITHIN,
+                        CALL_TIMEOUT,
                         ResourceCodec.MOST_PAGE_BYTES);
         return switch (answer.status()) {
             case OK ->
                     Optional.of(
                             new PublishResult.Accepted(ResourceCodec.readPosition(answer.body())));
-            case BAD_REQUEST -> Optional.of(new PublishResult.Refused(faults(answer.body())));
-            case HttpCalls.TOO_LARGE ->
+            case BAD_REQUEST -> Optional.of(new PublishResult.Rejected(faults(answer.body())));
+            case BoundedHttpClient.TOO_LARGE ->
                     Optional.of(
-                            new PublishResult.Refused(
+                            new PublishResult.Rejected(
                                     List.of(
                                             new FieldError(
                                                     "the submission",
@@ -118,8 +119,8 @@
 
     /** What one process tells of itself. */
     public ProcessStatus status(Address address) throws IOException, InterruptedException {
-        HttpAnswer answer =
-                calls.get(address, "/control/v1/status", CALL_WITHIN, MOST_STATUS_BYTES);
+        RawResponse answer =
+                calls.get(address, "/control/v1/status", CALL_TIMEOUT, MAX_STATUS_BYTES);
         if (answer.status() != OK) {
             throw new IOException("status " + answer.status());
         }
@@ -131,27 +132,27 @@
      */
     public SnapshotPage snapshot(
             String service, Optional<LogPosition> first, Optional<ResourceKey> from)
-            throws CallFailedException, InterruptedException {
+            throws ControlCallException, InterruptedException {
         String query =
                 "?services="
                         + service
                         + first.map(at -> "&log=" + at.log()).orElse("")
                         + from.map(key -> "&from=" + key.path()).orElse("");
-        HttpAnswer answer = ask("/control/v1/snapshot" + query, SNAPSHOT_WITHIN);
+        RawResponse answer = ask("/control/v1/snapshot" + query, SNAPSHOT_TIMEOUT);
         if (answer.status() != OK) {
-            throw new CallFailedException("a snapshot is answered by status " + answer.status());
+            throw new ControlCallException("a snapshot is answered by status " + answer.status());
         }
         try {
             return ResourceCodec.readSnapshot(answer.body());
         } catch (ProtocolException e) {
-            throw new CallFailedException(e.getMessage());
+            throw new ControlCallException(e.getMessage());
         }
     }
 
     /** The changes of one service that are there by now; empty if a snapshot is needed. */
     public Optional<ChangePage> changes(String service, LogPosition after)
-            throws CallFailedException, InterruptedException {
-        HttpAnswer answer =
+            throws ControlCallException, InterruptedException {
+        RawResponse answer =
                 ask(
                         CHANGES_PATH
                                 + "?services="
@@ -160,38 +161,38 @@
                                 + after.log()
                                 + "&after="
                                 + after.version(),
-                        CALL_WITHIN);
+                        CALL_TIMEOUT);
         if (answer.status() == GONE) {
             return Optional.empty();
         }
         if (answer.status() != OK) {
-            throw new CallFailedException("changes are answered by status " + answer.status());
+            throw new ControlCallException("changes are answered by status " + answer.status());
         }
         try {
             return Optional.of(ResourceCodec.readChanges(answer.body()));
         } catch (ProtocolException e) {
-            throw new CallFailedException(e.getMessage());
+            throw new ControlCallException(e.getMessage());
         }
     }
 
     // Of the first process that answers with anything but that it can't now.
-    private HttpAnswer ask(String path, Duration within)
-            throws CallFailedException, InterruptedException {
-        String why = "";
+    private RawResponse ask(String path, Duration within)
+            throws ControlCallException, InterruptedException {
+        String reason = "";
         for (int i = 0; i < addresses.size(); i++) {
             int at = (preferred + i) % addresses.size();
             try {
-                HttpAnswer answer =
+                RawResponse answer =
                         calls.get(addresses.get(at), path, within, ResourceCodec.MOST_PAGE_BYTES);
-                if (answer.status() != HttpCalls.UNAVAILABLE) {
+                if (answer.status() != BoundedHttpClient.UNAVAILABLE) {
                     preferred = at;
                     return answer;
                 }
-                why = addresses.get(at) + ": status " + answer.status();
+                reason = addresses.get(at) + ": status " + answer.status();
             } catch (IOException e) {
-                why = addresses.get(at) + ": " + e.getMessage();
+                reason = addresses.get(at) + ": " + e.getMessage();
             }
         }
-        throw new CallFailedException(why);
+        throw new ControlCallException(reason);
     }
 }
--- a/control/src/main/java/ottergauge/control/client/LimitedBody.java
+++ b/control/src/main/java/ottergauge/control/client/LimitedBodySubscriber.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.Flow.Subscription;
 
 /** Reads the body of an answer up to a bound; a longer one fails. */
-final class LimitedBody implements BodySubscriber<byte[]> {
+final class LimitedBodySubscriber implements BodySubscriber<byte[]> {
 
     private final BodySubscriber<byte[]> whole = BodySubscribers.ofByteArray();
     private final long most;
     private Subscription subscription;
     private long read;
 
-    private LimitedBody(long most) {
+    private LimitedBodySubscriber(long most) {
         this.most = most;
     }
 
     static BodyHandler<byte[]> ofAtMost(long bytes) {
-        return head -> new LimitedBody(bytes);
+        return head -> new LimitedBodySubscriber(bytes);
     }
 
     @Override
--- a/control/src/main/java/ottergauge/control/client/ProcessStatus.java
+++ b/control/src/main/java/ottergauge/control/client/ProcessStatus.java
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
+import ottergauge.resources.LogPosition;
+import ottergauge.settings.JsonTree;
+
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import ottergauge.resources.LogPosition;
-import ottergauge.settings.JsonTree;
 
 /** What a control process tells of itself and of the nodes that call it. */
 public record ProcessStatus(
@@ -14,7 +15,11 @@
 
     /** What a node told last, and how long ago. */
     public record NodeStatus(
-            String name, String region, LogPosition inForce, long refused, long heardMs) {}
+            String name,
+            String region,
+            LogPosition effectiveVersion,
+            long refused,
+            long reportAgeMs) {}
 
     static ProcessStatus read(byte[] body) throws IOException {
         Map<String, Object> tree = JsonTree.read(body);
--- a/control/src/main/java/ottergauge/control/client/PublishResult.java
+++ b/control/src/main/java/ottergauge/control/client/PublishResult.java
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
-import java.util.List;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 
+import java.util.List;
+
 /** What became of a submission that was published. */
 public sealed interface PublishResult {
 
@@ -12,11 +13,11 @@
     record Accepted(LogPosition position) implements PublishResult {}
 
     /** Nothing of it is taken, and won't be. */
-    record Refused(List<FieldError> faults) implements PublishResult {}
+    record Rejected(List<FieldError> faults) implements PublishResult {}
 
     /**
      * It was not accepted in time, or is not known to be; it may be published again under the same
      * id.
      */
-    record Unknown(String why) implements PublishResult {}
+    record Unknown(String reason) implements PublishResult {}
 }
--- a/control/src/main/java/ottergauge/control/config/ConfigFields.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigObjectReader.java
@@ -1,28 +1,29 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.config;
 
+import ottergauge.protocol.Address;
+import ottergauge.protocol.ProtocolException;
+import ottergauge.resources.FieldError;
+import ottergauge.resources.ResourceChecks;
+
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ottergauge.protocol.Address;
-import ottergauge.protocol.ProtocolException;
-import ottergauge.resources.FieldError;
-import ottergauge.resources.ResourceChecks;
 
 /**
  * Reads the keys of one object of a configuration; reports what is wrong, and keys that none asked
  * for.
  */
-final class ConfigFields {
+final class ConfigObjectReader {
 
     private final Map<?, ?> fields;
     private final String path;
     private final List<FieldError> faults;
     private final Set<String> known = new HashSet<>();
 
-    ConfigFields(Map<?, ?> fields, String path, List<FieldError> faults) {
+    ConfigObjectReader(Map<?, ?> fields, String path, List<FieldError> faults) {
         this.fields = fields;
         this.path = path;
         this.faults = faults;
@@ -86,7 +87,7 @@
     }
 
     /** The objects of a list; what is none is reported and left out. */
-    List<ConfigFields> objects(String key, int most) {
+    List<ConfigObjectReader> objects(String key, int most) {
         Object value = value(key);
         if (!(value instanceof List<?> list)
                 || list.isEmpty()
@@ -95,24 +96,25 @@
             fault(key, "a list of 1 to " + most + " objects");
             return List.of();
         }
-        List<ConfigFields> objects = new ArrayList<>();
+        List<ConfigObjectReader> objects = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
             objects.add(
-                    new ConfigFields((Map<?, ?>) list.get(i), path + key + "[" + i + "].", faults));
+                    new ConfigObjectReader(
+                            (Map<?, ?>) list.get(i), path + key + "[" + i + "].", faults));
         }
         return objects;
     }
 
-    ConfigFields object(String key) {
+    ConfigObjectReader object(String key) {
         if (value(key) instanceof Map<?, ?> object) {
-            return new ConfigFields(object, path + key + ".", faults);
+            return new ConfigObjectReader(object, path + key + ".", faults);
         }
         fault(key, "an object");
-        return new ConfigFields(Map.of(), path + key + ".", faults);
+        return new ConfigObjectReader(Map.of(), path + key + ".", faults);
     }
 
     /** Reports all keys that were not asked for. */
-    void refuseOthers() {
+    void rejectUnknownKeys() {
         for (Object key : fields.keySet()) {
             if (!known.contains(key)) {
                 faults.add(
--- a/control/src/main/java/ottergauge/control/config/ServerLimits.java
+++ b/control/src/main/java/ottergauge/control/config/ServerLimits.java
@@ -14,7 +14,7 @@
  */
 public record ServerLimits(
         int connections,
-        int waitingPolls,
+        int maxPendingPolls,
         long snapshotBytesPerSecond,
         long slowReaderMs,
         long idleMs) {
--- a/control/src/main/java/ottergauge/control/consensus/Consensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/Consensus.java
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.consensus;
 
+import ottergauge.control.log.SubmissionOutcome;
+import ottergauge.resources.Submission;
+
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import ottergauge.control.log.Outcome;
-import ottergauge.resources.Submission;
 
 /**
  * Orders submissions and has them applied to the {@link SharedLog}, in the same order at each
@@ -17,7 +18,7 @@
      * bounded time; it fails with {@link NoQuorumException} if that isn't reached or isn't known to
      * be.
      */
-    CompletableFuture<Outcome> propose(Submission submission);
+    CompletableFuture<SubmissionOutcome> propose(Submission submission);
 
     Role role();
 
--- a/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
@@ -1,13 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.consensus;
 
+import ottergauge.control.log.ChangeLog;
+import ottergauge.control.log.LogRetention;
+import ottergauge.control.log.SubmissionOutcome;
+import ottergauge.resources.Submission;
+
 import java.util.Optional;
 import java.util.UUID;
 import java.util.concurrent.CompletableFuture;
-import ottergauge.control.log.ChangeLog;
-import ottergauge.control.log.LogLimits;
-import ottergauge.control.log.Outcome;
-import ottergauge.resources.Submission;
 
 /**
  * One process that agrees with itself and keeps nothing: each start begins another log. For trials,
@@ -19,14 +20,14 @@
     private final SharedLog log;
 
     /** Begins a new log. */
-    public InMemoryConsensus(String name, SharedLog log, LogLimits limits) {
+    public InMemoryConsensus(String name, SharedLog log, LogRetention limits) {
         this.name = name;
         this.log = log;
         log.replace(new ChangeLog(UUID.randomUUID().toString(), limits));
     }
 
     @Override
-    public CompletableFuture<Outcome> propose(Submission submission) {
+    public CompletableFuture<SubmissionOutcome> propose(Submission submission) {
         return CompletableFuture.completedFuture(log.apply(submission));
     }
 
--- a/control/src/main/java/ottergauge/control/consensus/SharedLog.java
+++ b/control/src/main/java/ottergauge/control/consensus/SharedLog.java
@@ -1,17 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.consensus;
 
-import java.util.Optional;
-import ottergauge.control.log.Answer;
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.EncodedSnapshot;
-import ottergauge.control.log.LogImage;
-import ottergauge.control.log.Outcome;
+import ottergauge.control.log.LogSnapshot;
+import ottergauge.control.log.PollResponse;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
+import java.util.Optional;
+
 /**
  * The log of this process, for the thread that applies changes and the one that answers calls.
  * There is none before the group has begun one; another may take its place when a newer state is
@@ -38,8 +39,8 @@
     }
 
     /** Applies a submission; there has to be a log. */
-    public Outcome apply(Submission submission) {
-        Outcome outcome;
+    public SubmissionOutcome apply(Submission submission) {
+        SubmissionOutcome outcome;
         Runnable told;
         synchronized (this) {
             outcome = log.apply(submission);
@@ -60,19 +61,19 @@
     }
 
     /** See {@link ChangeLog#changesAfter}; there has to be a log. */
-    public synchronized Answer changesAfter(
-            LogPosition after, Subscription subscription, int mostBytes) {
-        return log.changesAfter(after, subscription, mostBytes);
+    public synchronized PollResponse changesAfter(
+            LogPosition after, Subscription subscription, int maxBytes) {
+        return log.changesAfter(after, subscription, maxBytes);
     }
 
     /** See {@link ChangeLog#snapshot}; there has to be a log. */
     public synchronized EncodedSnapshot snapshot(
-            Optional<ResourceKey> from, Subscription subscription, int mostBytes) {
-        return log.snapshot(from, subscription, mostBytes);
+            Optional<ResourceKey> from, Subscription subscription, int maxBytes) {
+        return log.snapshot(from, subscription, maxBytes);
     }
 
     /** What the log holds now; empty as long as there is none. */
-    public synchronized Optional<LogImage> capture() {
+    public synchronized Optional<LogSnapshot> capture() {
         return Optional.ofNullable(log).map(ChangeLog::capture);
     }
 }
--- a/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
+++ b/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
@@ -1,25 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.discovery;
 
-import java.io.IOException;
-import java.time.Duration;
-import ottergauge.control.client.HttpCalls;
-import ottergauge.control.client.HttpCalls.HttpAnswer;
+import ottergauge.control.client.BoundedHttpClient;
+import ottergauge.control.client.BoundedHttpClient.RawResponse;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.Headers;
 import ottergauge.protocol.ProtocolException;
 
+import java.io.IOException;
+import java.time.Duration;
+
 /** Follows discovery's list by a watch: whole at first, then what has changed. */
 public final class DiscoveryClient {
 
     private static final int OK = 200;
     private static final long WAIT_MS = 5_000;
-    private static final Duration CALL_WITHIN = Duration.ofMillis(WAIT_MS + 5_000);
-    private static final long MOST_LIST_BYTES = 32L << 20;
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(WAIT_MS + 5_000);
+    private static final long MAX_LIST_BYTES = 32L << 20;
     private static final long NO_VERSION = -1;
 
-    private final HttpCalls calls = new HttpCalls();
+    private final BoundedHttpClient calls = new BoundedHttpClient();
     private final Address address;
     private long version = NO_VERSION;
 
@@ -33,8 +34,8 @@
      */
     public EndpointList next() throws IOException, ProtocolException, InterruptedException {
         String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + WAIT_MS;
-        HttpAnswer answer =
-                calls.get(address, Headers.LIST_PATH + query, CALL_WITHIN, MOST_LIST_BYTES);
+        RawResponse answer =
+                calls.get(address, Headers.LIST_PATH + query, CALL_TIMEOUT, MAX_LIST_BYTES);
         if (answer.status() != OK) {
             throw new IOException("discovery answers with status " + answer.status());
         }
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -1,16 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.discovery;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.Iterator;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
 import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.EndpointList;
@@ -24,6 +14,17 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+
 /**
  * The servers of one service as discovery lists them and as the log has them, and the submissions
  * that make the log's like discovery's. Does no I/O. What costs is what differs: names that are
@@ -32,9 +33,9 @@
 public final class ServiceReconciler {
 
     /** Of one submission; well within the bounds of one. */
-    private static final int MOST_ENTRIES = 500;
+    private static final int MAX_ENTRIES = 500;
 
-    private static final int MOST_BYTES = 192 * 1024;
+    private static final int MAX_BYTES = 192 * 1024;
 
     /** A server's entry has little beside its value: kind and name. */
     private static final int ENTRY_OVERHEAD = 200;
@@ -133,9 +134,7 @@
         List<ResourceKey> deletes = new ArrayList<>();
         int bytes = 0;
         Iterator<String> names = toCompare.iterator();
-        while (names.hasNext()
-                && puts.size() + deletes.size() < MOST_ENTRIES
-                && bytes < MOST_BYTES) {
+        while (names.hasNext() && puts.size() + deletes.size() < MAX_ENTRIES && bytes < MAX_BYTES) {
             String name = names.next();
             DiscoveredEndpoint wanted = listed.get(name);
             if (wanted == null ? !published.containsKey(name) : isSettled(name, wanted)) {
@@ -169,7 +168,7 @@
      * What is wrong with servers of the list that can't be published; they are left out from now
      * on.
      */
-    public List<FieldError> refuseMalformed(Submission submission) {
+    public List<FieldError> rejectMalformed(Submission submission) {
         List<FieldError> faults = new ArrayList<>();
         for (Change.Put put : submission.puts()) {
             Optional<FieldError> fault = ResourceChecks.fault(put.key(), put.value());
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -1,9 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.FieldError;
@@ -15,6 +12,10 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+
 /**
  * A log of changes with the state that they make: accepts submissions and tells subscribers of
  * them. What an operation costs goes by the change, or by the changes that a subscriber is behind,
@@ -29,16 +30,16 @@
 
     private final String log;
     private final ResourceState state = new ResourceState();
-    private final OutcomeMemory outcomes = new OutcomeMemory();
+    private final IdempotencyCache outcomes = new IdempotencyCache();
     private final RecentChanges changes;
     private long version;
 
     /** A log with this identifier and nothing in it. */
-    public ChangeLog(String log, LogLimits limits) {
+    public ChangeLog(String log, LogRetention limits) {
         this(log, limits, NO_VERSION, NO_VERSION);
     }
 
-    private ChangeLog(String log, LogLimits limits, long version, long changesAfter) {
+    private ChangeLog(String log, LogRetention limits, long version, long changesAfter) {
         if (!ResourceChecks.isName(log)) {
             throw new IllegalArgumentException("a log's identifier is " + ResourceChecks.NAME_FORM);
         }
@@ -65,30 +66,30 @@
      * Checks a submission whole and, if nothing is wrong with it, makes it the newest change. One
      * of which the id was seen lately changes nothing and gets the answer that it got then.
      */
-    public Outcome apply(Submission submission) {
-        Optional<Outcome> before = outcomes.of(submission.id());
+    public SubmissionOutcome apply(Submission submission) {
+        Optional<SubmissionOutcome> before = outcomes.of(submission.id());
         if (before.isPresent()) {
             return before.get();
         }
-        Outcome outcome = decide(submission);
+        SubmissionOutcome outcome = decide(submission);
         if (ResourceChecks.isName(submission.id())) {
             outcomes.remember(submission.id(), outcome);
         }
         return outcome;
     }
 
-    private Outcome decide(Submission submission) {
+    private SubmissionOutcome decide(Submission submission) {
         List<FieldError> faults = ResourceChecks.faults(submission);
         if (!faults.isEmpty()) {
-            return new Outcome.Invalid(faults);
+            return new SubmissionOutcome.Rejected(faults);
         }
         List<StoredResource> puts = encode(submission.puts(), version + 1);
-        faults = SubmissionCheck.faults(state, submission, puts);
+        faults = SubmissionValidator.faults(state, submission, puts);
         if (!faults.isEmpty()) {
-            return new Outcome.Invalid(faults);
+            return new SubmissionOutcome.Rejected(faults);
         }
         accept(new StoredChange(version + 1, puts, deletesOf(submission)));
-        return new Outcome.Accepted(position());
+        return new SubmissionOutcome.Accepted(position());
     }
 
     private static List<StoredResource> encode(List<Change.Put> puts, long version) {
@@ -116,27 +117,28 @@
      * The changes that a subscription follows after a version, in order: as many as fit into this
      * many bytes, but one at least. What the answer reaches up to may be past its last change.
      */
-    public Answer changesAfter(LogPosition after, Subscription subscription, int mostBytes) {
+    public PollResponse changesAfter(LogPosition after, Subscription subscription, int maxBytes) {
         if (!after.log().equals(log) || after.version() < changes.oldest() - 1) {
-            return new Answer.VersionTooOld(position(), changes.oldest());
+            return new PollResponse.VersionTooOld(position(), changes.oldest());
         }
         if (after.version() > version) {
-            return new Answer.Ahead(position());
+            return new PollResponse.Ahead(position());
         }
         List<StoredChange> page = new ArrayList<>();
         int bytes = 0;
         for (long each = after.version() + 1; each <= version; each++) {
             StoredChange followed = changes.get(each).followedBy(subscription);
-            int size = followed.isEmpty() ? 0 : JsonBytes.sizeOf(followed);
-            if (!page.isEmpty() && bytes + size > mostBytes) {
-                return new Answer.Changes(new EncodedChanges(new LogPosition(log, each - 1), page));
+            int size = followed.isEmpty() ? 0 : JsonPageBuilder.sizeOf(followed);
+            if (!page.isEmpty() && bytes + size > maxBytes) {
+                return new PollResponse.Changes(
+                        new EncodedChanges(new LogPosition(log, each - 1), page));
             }
             if (!followed.isEmpty()) {
                 page.add(followed);
                 bytes += size;
             }
         }
-        return new Answer.Changes(new EncodedChanges(position(), page));
+        return new PollResponse.Changes(new EncodedChanges(position(), page));
     }
 
     /**
@@ -144,15 +146,15 @@
      * many as fit into this many bytes, but one at least.
      */
     public EncodedSnapshot snapshot(
-            Optional<ResourceKey> from, Subscription subscription, int mostBytes) {
+            Optional<ResourceKey> from, Subscription subscription, int maxBytes) {
         List<StoredResource> page = new ArrayList<>();
         int bytes = 0;
         for (StoredResource resource : state.from(from.orElse(FIRST_KEY))) {
             if (!subscription.follows(resource.key(), resource.service())) {
                 continue;
             }
-            int size = JsonBytes.sizeOf(resource);
-            if (!page.isEmpty() && bytes + size > mostBytes) {
+            int size = JsonPageBuilder.sizeOf(resource);
+            if (!page.isEmpty() && bytes + size > maxBytes) {
                 return new EncodedSnapshot(position(), page, Optional.of(resource.key()));
             }
             page.add(resource);
@@ -162,18 +164,19 @@
     }
 
     /** What the log holds at this instant; it can be encoded later, by another thread. */
-    public LogImage capture() {
-        return new LogImage(position(), List.copyOf(state.all()), changes.all(), outcomes.all());
+    public LogSnapshot capture() {
+        return new LogSnapshot(position(), List.copyOf(state.all()), changes.all(), outcomes.all());
     }
 
     /** The whole log as bytes, from which it can be restored. */
-    public byte[] image() {
+    public byte[] snapshotBytes() {
         return capture().encode();
     }
 
     /** A log as an image has it; of its changes the newest are kept that the limits allow. */
-    public static ChangeLog restore(byte[] image, LogLimits limits) throws ProtocolException {
-        LogImage read = LogImage.decode(image);
+    public static ChangeLog restore(byte[] snapshotBytes, LogRetention limits)
+            throws ProtocolException {
+        LogSnapshot read = LogSnapshot.decode(snapshotBytes);
         long changesAfter = read.position().version() - read.changes().size();
         ChangeLog restored =
                 new ChangeLog(
--- a/control/src/main/java/ottergauge/control/log/EncodedChanges.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedChanges.java
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
-import java.util.List;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
 
+import java.util.List;
+
 /**
  * A page of changes: as a value, and as JSON that shares the encoded values with all other answers.
  */
@@ -34,8 +35,10 @@
 
     /** The body of the answer, as {@code ResourceCodec.readChanges} reads it. */
     public byte[] json() {
-        int size = JsonBytes.FRAME_OVERHEAD + changes.stream().mapToInt(JsonBytes::sizeOf).sum();
-        JsonBytes json = new JsonBytes(size).position(upTo).text(",\"changes\":[");
+        int size =
+                JsonPageBuilder.FRAME_OVERHEAD
+                        + changes.stream().mapToInt(JsonPageBuilder::sizeOf).sum();
+        JsonPageBuilder json = new JsonPageBuilder(size).position(upTo).text(",\"changes\":[");
         String separator = "";
         for (StoredChange change : changes) {
             json.text(separator);
@@ -45,7 +48,7 @@
         return json.text("]}").toByteArray();
     }
 
-    private static void write(JsonBytes json, StoredChange change) {
+    private static void write(JsonPageBuilder json, StoredChange change) {
         json.text("{\"version\":" + change.version() + ",\"put\":[");
         String separator = "";
         for (StoredResource put : change.puts()) {
--- a/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
-import java.util.List;
-import java.util.Optional;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 
+import java.util.List;
+import java.util.Optional;
+
 /**
  * A page of the state: as a value, and as JSON that shares the encoded values with all other
  * answers.
@@ -40,8 +41,9 @@
     /** The body of the answer, as {@code ResourceCodec.readSnapshot} reads it. */
     public byte[] json() {
         int size =
-                2 * JsonBytes.FRAME_OVERHEAD + resources.stream().mapToInt(JsonBytes::sizeOf).sum();
-        JsonBytes json = new JsonBytes(size).position(at).text(",\"resources\":[");
+                2 * JsonPageBuilder.FRAME_OVERHEAD
+                        + resources.stream().mapToInt(JsonPageBuilder::sizeOf).sum();
+        JsonPageBuilder json = new JsonPageBuilder(size).position(at).text(",\"resources\":[");
         String separator = "";
         for (StoredResource resource : resources) {
             json.text(separator).resource(resource);
--- a/control/src/main/java/ottergauge/control/log/OutcomeMemory.java
+++ b/control/src/main/java/ottergauge/control/log/IdempotencyCache.java
@@ -11,38 +11,38 @@
  * The outcomes of the last submissions, by id. Accepted and refused ones have bounds of their own,
  * so that a caller that keeps sending bad submissions can't have the accepted ones forgotten.
  */
-final class OutcomeMemory {
+final class IdempotencyCache {
 
     // The same for all processes of a group: it decides whether a repetition is a change.
-    static final int MOST_ACCEPTED = 10_000;
-    static final int MOST_REFUSED = 200;
+    static final int MAX_ACCEPTED = 10_000;
+    static final int MAX_REJECTED = 200;
 
     /** A submission's id and what became of it. */
-    record Remembered(String id, Outcome outcome) {}
+    record CachedOutcome(String id, SubmissionOutcome outcome) {}
 
-    private final Map<String, Outcome> accepted = new BoundedMap(MOST_ACCEPTED);
-    private final Map<String, Outcome> refused = new BoundedMap(MOST_REFUSED);
+    private final Map<String, SubmissionOutcome> accepted = new BoundedMap(MAX_ACCEPTED);
+    private final Map<String, SubmissionOutcome> refused = new BoundedMap(MAX_REJECTED);
 
-    Optional<Outcome> of(String id) {
-        Outcome outcome = accepted.get(id);
+    Optional<SubmissionOutcome> of(String id) {
+        SubmissionOutcome outcome = accepted.get(id);
         return Optional.ofNullable(outcome != null ? outcome : refused.get(id));
     }
 
-    void remember(String id, Outcome outcome) {
-        boolean wasAccepted = outcome instanceof Outcome.Accepted;
+    void remember(String id, SubmissionOutcome outcome) {
+        boolean wasAccepted = outcome instanceof SubmissionOutcome.Accepted;
         (wasAccepted ? accepted : refused).put(id, outcome);
     }
 
     /** All that is remembered, in an order in which it can be remembered again. */
-    List<Remembered> all() {
-        List<Remembered> all = new ArrayList<>(accepted.size() + refused.size());
-        accepted.forEach((id, outcome) -> all.add(new Remembered(id, outcome)));
-        refused.forEach((id, outcome) -> all.add(new Remembered(id, outcome)));
+    List<CachedOutcome> all() {
+        List<CachedOutcome> all = new ArrayList<>(accepted.size() + refused.size());
+        accepted.forEach((id, outcome) -> all.add(new CachedOutcome(id, outcome)));
+        refused.forEach((id, outcome) -> all.add(new CachedOutcome(id, outcome)));
         return all;
     }
 
     /** Forgets the entry that came first when there are too many. */
-    private static final class BoundedMap extends LinkedHashMap<String, Outcome> {
+    private static final class BoundedMap extends LinkedHashMap<String, SubmissionOutcome> {
 
         private static final long serialVersionUID = 1L;
         private final int most;
@@ -52,7 +52,7 @@
         }
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Outcome> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, SubmissionOutcome> eldest) {
             return size() > most;
         }
     }
--- a/control/src/main/java/ottergauge/control/log/JsonBytes.java
+++ b/control/src/main/java/ottergauge/control/log/JsonPageBuilder.java
@@ -1,17 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
-import java.io.ByteArrayOutputStream;
-import java.nio.charset.StandardCharsets;
 import ottergauge.resources.Change;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+
 /**
  * Puts answers together from values that were encoded once. Names and identifiers of logs consist
  * of characters that JSON doesn't escape, which the checks on acceptance see to.
  */
-final class JsonBytes {
+final class JsonPageBuilder {
 
     /** An upper bound of what an entry has beside its name, its service and its value. */
     static final int ENTRY_OVERHEAD = 80;
@@ -21,7 +22,7 @@
 
     private final ByteArrayOutputStream bytes;
 
-    JsonBytes(int expectedSize) {
+    JsonPageBuilder(int expectedSize) {
         bytes = new ByteArrayOutputStream(expectedSize);
     }
 
@@ -29,36 +30,36 @@
         return bytes.toByteArray();
     }
 
-    JsonBytes text(String plain) {
+    JsonPageBuilder text(String plain) {
         bytes.writeBytes(plain.getBytes(StandardCharsets.US_ASCII));
         return this;
     }
 
-    JsonBytes position(LogPosition position) {
+    JsonPageBuilder position(LogPosition position) {
         return text("{\"log\":\"" + position.log() + "\",\"version\":" + position.version());
     }
 
-    JsonBytes key(ResourceKey key) {
+    JsonPageBuilder key(ResourceKey key) {
         return text("{\"kind\":\"" + key.kind().wireName() + "\",\"name\":\"" + key.name() + '"');
     }
 
-    JsonBytes value(byte[] valueJson) {
+    JsonPageBuilder value(byte[] valueJson) {
         text(",\"value\":");
         bytes.writeBytes(valueJson);
         return text("}");
     }
 
-    JsonBytes put(StoredResource put) {
+    JsonPageBuilder put(StoredResource put) {
         return key(put.key()).value(put.valueJson());
     }
 
-    JsonBytes resource(StoredResource resource) {
+    JsonPageBuilder resource(StoredResource resource) {
         return key(resource.key())
                 .text(",\"version\":" + resource.version())
                 .value(resource.valueJson());
     }
 
-    JsonBytes delete(Change.Delete delete) {
+    JsonPageBuilder delete(Change.Delete delete) {
         return key(delete.key()).text(",\"service\":\"" + delete.service() + "\"}");
     }
 
--- a/control/src/main/java/ottergauge/control/log/LogLimits.java
+++ b/control/src/main/java/ottergauge/control/log/LogRetention.java
@@ -6,14 +6,14 @@
  * JSON. The newest change is always kept. Processes of one group may differ in it: it decides no
  * outcome.
  */
-public record LogLimits(int mostChanges, long mostBytes) {
+public record LogRetention(int maxChanges, long maxBytes) {
 
-    public static final LogLimits DEFAULT = new LogLimits(50_000, 32L << 20);
+    public static final LogRetention DEFAULT = new LogRetention(50_000, 32L << 20);
 
-    public LogLimits {
-        if (mostChanges < 1 || mostBytes < 1) {
+    public LogRetention {
+        if (maxChanges < 1 || maxBytes < 1) {
             throw new IllegalArgumentException(
-                    "limits are at least 1: " + mostChanges + ", " + mostBytes);
+                    "limits are at least 1: " + maxChanges + ", " + maxBytes);
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/log/LogImage.java
+++ b/control/src/main/java/ottergauge/control/log/LogSnapshot.java
@@ -1,6 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import ottergauge.control.log.IdempotencyCache.CachedOutcome;
+import ottergauge.protocol.ProtocolException;
+import ottergauge.resources.Change;
+import ottergauge.resources.ChangePage;
+import ottergauge.resources.FieldError;
+import ottergauge.resources.LogPosition;
+import ottergauge.resources.Resource;
+import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.SnapshotPage;
+
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -12,39 +23,29 @@
 import java.util.Optional;
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
-import ottergauge.control.log.OutcomeMemory.Remembered;
-import ottergauge.protocol.ProtocolException;
-import ottergauge.resources.Change;
-import ottergauge.resources.ChangePage;
-import ottergauge.resources.FieldError;
-import ottergauge.resources.LogPosition;
-import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
-import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.SnapshotPage;
 
 /**
  * All that a log holds at one instant. As bytes: a mark, the position, the resources and the
  * changes as pages in the JSON of the protocol, and the remembered outcomes.
  */
-public final class LogImage {
+public final class LogSnapshot {
 
     // "OGL" and the form's number.
     private static final int MARK = 0x4f474c01;
     // Well within what the codec reads.
-    private static final int MOST_PAGE_ENTRIES = 1_000;
+    private static final int MAX_PAGE_ENTRIES = 1_000;
     private static final int MOST_PAGE_BYTES = 512 << 10;
 
     private final LogPosition position;
     private final List<StoredResource> resources;
     private final List<StoredChange> changes;
-    private final List<Remembered> outcomes;
+    private final List<CachedOutcome> outcomes;
 
-    LogImage(
+    LogSnapshot(
             LogPosition position,
             List<StoredResource> resources,
             List<StoredChange> changes,
-            List<Remembered> outcomes) {
+            List<CachedOutcome> outcomes) {
         this.position = position;
         this.resources = resources;
         this.changes = changes;
@@ -64,7 +65,7 @@
         return changes;
     }
 
-    List<Remembered> outcomes() {
+    List<CachedOutcome> outcomes() {
         return outcomes;
     }
 
@@ -78,15 +79,15 @@
             writePages(
                     out,
                     resources,
-                    JsonBytes::sizeOf,
+                    JsonPageBuilder::sizeOf,
                     page -> new EncodedSnapshot(position, page, Optional.empty()).json());
             writePages(
                     out,
                     changes,
-                    JsonBytes::sizeOf,
+                    JsonPageBuilder::sizeOf,
                     page -> new EncodedChanges(position, page).json());
             out.writeInt(outcomes.size());
-            for (Remembered remembered : outcomes) {
+            for (CachedOutcome remembered : outcomes) {
                 write(out, remembered);
             }
         } catch (IOException e) {
@@ -119,17 +120,17 @@
             bytes += sizeOf.applyAsInt(entries.get(to));
             to++;
         } while (to < entries.size()
-                && to - from < MOST_PAGE_ENTRIES
+                && to - from < MAX_PAGE_ENTRIES
                 && bytes + sizeOf.applyAsInt(entries.get(to)) <= MOST_PAGE_BYTES);
         return to;
     }
 
-    private static void write(DataOutputStream out, Remembered remembered) throws IOException {
+    private static void write(DataOutputStream out, CachedOutcome remembered) throws IOException {
         out.writeUTF(remembered.id());
-        if (remembered.outcome() instanceof Outcome.Accepted accepted) {
+        if (remembered.outcome() instanceof SubmissionOutcome.Accepted accepted) {
             out.writeBoolean(true);
             out.writeLong(accepted.position().version());
-        } else if (remembered.outcome() instanceof Outcome.Invalid invalid) {
+        } else if (remembered.outcome() instanceof SubmissionOutcome.Rejected invalid) {
             out.writeBoolean(false);
             out.writeInt(invalid.faults().size());
             for (FieldError fault : invalid.faults()) {
@@ -141,9 +142,9 @@
     }
 
     /** Reads an image; one that isn't whole is refused with one line. */
-    public static LogImage decode(byte[] image) throws ProtocolException {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(image))) {
-            LogImage read = read(in);
+    public static LogSnapshot decode(byte[] snapshotBytes) throws ProtocolException {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(snapshotBytes))) {
+            LogSnapshot read = read(in);
             if (in.read() >= 0) {
                 throw new ProtocolException("the image has something behind its end");
             }
@@ -153,7 +154,7 @@
         }
     }
 
-    private static LogImage read(DataInputStream in) throws IOException, ProtocolException {
+    private static LogSnapshot read(DataInputStream in) throws IOException, ProtocolException {
         require(in.readInt() == MARK, "the image begins with another mark, or has a later form");
         LogPosition position = new LogPosition(in.readUTF(), in.readLong());
         require(
@@ -161,14 +162,14 @@
                 "the image has no log and version: " + position);
         List<StoredResource> resources = readResources(in, position);
         List<StoredChange> changes = readChanges(in, position);
-        List<Remembered> outcomes = readOutcomes(in, position);
-        return new LogImage(position, resources, changes, outcomes);
+        List<CachedOutcome> outcomes = readOutcomes(in, position);
+        return new LogSnapshot(position, resources, changes, outcomes);
     }
 
     private static List<StoredResource> readResources(DataInputStream in, LogPosition position)
             throws IOException, ProtocolException {
         List<StoredResource> resources = new ArrayList<>();
-        int entries = readCount(in, StateLimits.MOST_RESOURCES);
+        int entries = readCount(in, StateLimits.MAX_RESOURCES);
         while (resources.size() < entries) {
             SnapshotPage page = ResourceCodec.readSnapshot(readPage(in));
             require(
@@ -219,17 +220,18 @@
         return new StoredChange(change.version(), puts, change.deletes());
     }
 
-    private static List<Remembered> readOutcomes(DataInputStream in, LogPosition position)
+    private static List<CachedOutcome> readOutcomes(DataInputStream in, LogPosition position)
             throws IOException, ProtocolException {
-        List<Remembered> outcomes = new ArrayList<>();
-        int entries = readCount(in, OutcomeMemory.MOST_ACCEPTED + OutcomeMemory.MOST_REFUSED);
+        List<CachedOutcome> outcomes = new ArrayList<>();
+        int entries = readCount(in, IdempotencyCache.MAX_ACCEPTED + IdempotencyCache.MAX_REJECTED);
         for (int i = 0; i < entries; i++) {
             String id = in.readUTF();
-            Outcome outcome =
+            SubmissionOutcome outcome =
                     in.readBoolean()
-                            ? new Outcome.Accepted(new LogPosition(position.log(), in.readLong()))
-                            : new Outcome.Invalid(readFaults(in));
-            outcomes.add(new Remembered(id, outcome));
+                            ? new SubmissionOutcome.Accepted(
+                                    new LogPosition(position.log(), in.readLong()))
+                            : new SubmissionOutcome.Rejected(readFaults(in));
+            outcomes.add(new CachedOutcome(id, outcome));
         }
         return outcomes;
     }
@@ -237,7 +239,7 @@
     private static List<FieldError> readFaults(DataInputStream in)
             throws IOException, ProtocolException {
         List<FieldError> faults = new ArrayList<>();
-        int entries = readCount(in, SubmissionCheck.MOST_FAULTS);
+        int entries = readCount(in, SubmissionValidator.MAX_FAULTS);
         for (int i = 0; i < entries; i++) {
             faults.add(new FieldError(in.readUTF(), in.readUTF(), in.readUTF()));
         }
--- a/control/src/main/java/ottergauge/control/log/RecentChanges.java
+++ b/control/src/main/java/ottergauge/control/log/RecentChanges.java
@@ -9,7 +9,7 @@
  */
 final class RecentChanges {
 
-    private final LogLimits limits;
+    private final LogRetention limits;
 
     /**
      * A ring of slots, indexed by version: a change is found without a walk over those before it.
@@ -21,7 +21,7 @@
     private long bytes;
 
     /** No changes, after the one of this version. */
-    RecentChanges(LogLimits limits, long version) {
+    RecentChanges(LogRetention limits, long version) {
         this.limits = limits;
         newest = version;
     }
@@ -36,8 +36,8 @@
         newest = change.version();
         ring[slot(newest)] = change;
         count++;
-        bytes += JsonBytes.sizeOf(change);
-        while (count > 1 && (count > limits.mostChanges() || bytes > limits.mostBytes())) {
+        bytes += JsonPageBuilder.sizeOf(change);
+        while (count > 1 && (count > limits.maxChanges() || bytes > limits.maxBytes())) {
             dropOldest();
         }
     }
@@ -73,7 +73,7 @@
 
     private void dropOldest() {
         int slot = slot(oldest());
-        bytes -= JsonBytes.sizeOf(ring[slot]);
+        bytes -= JsonPageBuilder.sizeOf(ring[slot]);
         ring[slot] = null;
         count--;
     }
--- a/control/src/main/java/ottergauge/control/log/ResourceState.java
+++ b/control/src/main/java/ottergauge/control/log/ResourceState.java
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import ottergauge.resources.Change;
+import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceKind;
+
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.NavigableMap;
 import java.util.TreeMap;
-import ottergauge.resources.Change;
-import ottergauge.resources.ResourceKey;
-import ottergauge.resources.ResourceKind;
 
 /** All resources as the newest change left them, in the order of their keys. */
 final class ResourceState {
@@ -57,7 +58,7 @@
 
     void put(StoredResource resource) {
         StoredResource before = resources.put(resource.key(), resource);
-        bytes += JsonBytes.sizeOf(resource);
+        bytes += JsonPageBuilder.sizeOf(resource);
         countUser(resource, 1);
         if (before != null) {
             forget(before);
@@ -72,7 +73,7 @@
     }
 
     private void forget(StoredResource resource) {
-        bytes -= JsonBytes.sizeOf(resource);
+        bytes -= JsonPageBuilder.sizeOf(resource);
         countUser(resource, -1);
     }
 
--- a/control/src/main/java/ottergauge/control/log/StateLimits.java
+++ b/control/src/main/java/ottergauge/control/log/StateLimits.java
@@ -8,13 +8,13 @@
 public final class StateLimits {
 
     /** Resources in all. */
-    public static final int MOST_RESOURCES = 200_000;
+    public static final int MAX_RESOURCES = 200_000;
 
     /** Bytes of JSON of all resources together. */
-    public static final long MOST_STATE_BYTES = 64L << 20;
+    public static final long MAX_STATE_BYTES = 64L << 20;
 
     /** Bytes of JSON of one change. */
-    public static final int MOST_CHANGE_BYTES = 256 << 10;
+    public static final int MAX_CHANGE_BYTES = 256 << 10;
 
     private StateLimits() {}
 }
--- a/control/src/main/java/ottergauge/control/log/SubmissionCheck.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
@@ -1,25 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import ottergauge.resources.Change;
+import ottergauge.resources.FieldError;
+import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceKind;
+import ottergauge.resources.Submission;
+
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ottergauge.resources.Change;
-import ottergauge.resources.FieldError;
-import ottergauge.resources.ResourceKey;
-import ottergauge.resources.ResourceKind;
-import ottergauge.resources.Submission;
 
 /**
  * Says whether a submission that is well formed fits the state: by what the state would be after
  * it, so that a change may bring a service with its servers, or take away both.
  */
-final class SubmissionCheck {
+final class SubmissionValidator {
 
-    static final int MOST_FAULTS = 100;
+    static final int MAX_FAULTS = 100;
 
     private final ResourceState state;
     private final Submission submission;
@@ -30,7 +31,7 @@
     /** By how many the servers and routes that name a service become fewer. */
     private final Map<String, Integer> usersLost = new HashMap<>();
 
-    private SubmissionCheck(ResourceState state, Submission submission) {
+    private SubmissionValidator(ResourceState state, Submission submission) {
         this.state = state;
         this.submission = submission;
         deleted = new HashSet<>(submission.deletes());
@@ -39,7 +40,7 @@
     /** All that doesn't fit, up to a bound; empty if it may be applied. */
     static List<FieldError> faults(
             ResourceState state, Submission submission, List<StoredResource> puts) {
-        SubmissionCheck check = new SubmissionCheck(state, submission);
+        SubmissionValidator check = new SubmissionValidator(state, submission);
         check.countServices();
         check.checkPuts();
         check.checkDeletes();
@@ -113,13 +114,15 @@
         long stateBytes = state.bytes();
         for (StoredResource put : puts) {
             StoredResource before = state.get(put.key());
-            changeBytes += JsonBytes.sizeOf(put);
-            stateBytes += JsonBytes.sizeOf(put) - (before == null ? 0 : JsonBytes.sizeOf(before));
+            changeBytes += JsonPageBuilder.sizeOf(put);
+            stateBytes +=
+                    JsonPageBuilder.sizeOf(put)
+                            - (before == null ? 0 : JsonPageBuilder.sizeOf(before));
             resources += before == null ? 1 : 0;
         }
-        checkSize("bytes of the change", changeBytes, StateLimits.MOST_CHANGE_BYTES);
-        checkSize("resources in all", resources, StateLimits.MOST_RESOURCES);
-        checkSize("bytes of all resources", stateBytes, StateLimits.MOST_STATE_BYTES);
+        checkSize("bytes of the change", changeBytes, StateLimits.MAX_CHANGE_BYTES);
+        checkSize("resources in all", resources, StateLimits.MAX_RESOURCES);
+        checkSize("bytes of all resources", stateBytes, StateLimits.MAX_STATE_BYTES);
     }
 
     private void checkSize(String what, long size, long most) {
@@ -129,7 +132,7 @@
     }
 
     private void fault(String key, String value, String allowed) {
-        if (faults.size() < MOST_FAULTS) {
+        if (faults.size() < MAX_FAULTS) {
             faults.add(new FieldError(key, value, allowed));
         }
     }
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -1,17 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
-import java.io.IOException;
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-import java.util.UUID;
-import java.util.concurrent.Callable;
-import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import ottergauge.control.client.CallFailedException;
+
+import ottergauge.control.client.ControlCallException;
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.PublishResult;
 import ottergauge.control.discovery.DiscoveryClient;
@@ -27,6 +20,7 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Submission;
+
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -34,6 +28,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+import java.io.IOException;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.UUID;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
+
 /** Keeps a service's servers in the log like discovery's list, until it is told to stop. */
 @Command(
         name = "import",
@@ -45,9 +48,9 @@
 final class ImportCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(ImportCommand.class);
-    private static final Duration PUBLISH_WITHIN = Duration.ofSeconds(30);
-    private static final long PAUSE_MS = 1_000;
-    private static final int MOST_FAULTS_TOLD = 5;
+    private static final Duration PUBLISH_TIMEOUT = Duration.ofSeconds(30);
+    private static final long RETRY_PAUSE_MS = 1_000;
+    private static final int MAX_LOGGED_FAULTS = 5;
 
     @Spec private CommandSpec spec;
 
@@ -74,7 +77,7 @@
             description =
                     "The least time between two changes, what comes meanwhile is put together; "
                             + "${DEFAULT-VALUE} unless given.")
-    private long everyMs;
+    private long intervalMs;
 
     @Parameters(
             paramLabel = "DISCOVERY",
@@ -106,15 +109,15 @@
                 reconciler.takeList(discovery.next());
                 followLog();
                 publishDifferences();
-            } catch (IOException | ProtocolException | CallFailedException e) {
+            } catch (IOException | ProtocolException | ControlCallException e) {
                 LOG.warn("goes on in a moment: {}", e.getMessage());
-                Thread.sleep(PAUSE_MS);
+                Thread.sleep(RETRY_PAUSE_MS);
             }
         }
     }
 
     // What others have published, or that the log has begun anew.
-    private void followLog() throws CallFailedException, InterruptedException {
+    private void followLog() throws ControlCallException, InterruptedException {
         while (known.isPresent()) {
             Optional<ChangePage> page = control.changes(service, known.get());
             if (page.isEmpty()) {
@@ -132,7 +135,7 @@
     }
 
     // The changes after the first page follow with the next call for changes.
-    private void takeState() throws CallFailedException, InterruptedException {
+    private void takeState() throws ControlCallException, InterruptedException {
         List<Resource> resources = new ArrayList<>();
         Optional<LogPosition> first = Optional.empty();
         Optional<ResourceKey> from = Optional.empty();
@@ -146,15 +149,15 @@
         known = first;
     }
 
-    private void publishDifferences() throws CallFailedException, InterruptedException {
+    private void publishDifferences() throws ControlCallException, InterruptedException {
         Optional<Submission> next = reconciler.next(UUID.randomUUID().toString());
         while (next.isPresent()) {
             long begun = System.nanoTime();
-            List<FieldError> malformed = reconciler.refuseMalformed(next.get());
+            List<FieldError> malformed = reconciler.rejectMalformed(next.get());
             if (malformed.isEmpty()) {
                 publish(next.get());
                 long spentMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-                Thread.sleep(Math.max(0, everyMs - spentMs));
+                Thread.sleep(Math.max(0, intervalMs - spentMs));
             } else {
                 tell(malformed);
             }
@@ -162,8 +165,8 @@
         }
     }
 
-    private void publish(Submission submission) throws CallFailedException, InterruptedException {
-        PublishResult result = control.publish(ResourceCodec.write(submission), PUBLISH_WITHIN);
+    private void publish(Submission submission) throws ControlCallException, InterruptedException {
+        PublishResult result = control.publish(ResourceCodec.write(submission), PUBLISH_TIMEOUT);
         if (result instanceof PublishResult.Accepted accepted) {
             reconciler.accepted(submission);
             LOG.info(
@@ -171,20 +174,21 @@
                     accepted.position().version(),
                     submission.puts().size(),
                     submission.deletes().size());
-        } else if (result instanceof PublishResult.Refused refused) {
+        } else if (result instanceof PublishResult.Rejected refused) {
             tell(refused.faults());
             reconciler.refuse(submission, refused.faults());
         } else if (result instanceof PublishResult.Unknown unknown) {
             known = Optional.empty();
-            throw new CallFailedException(
-                    "a change is not known to be accepted, the log is read anew: " + unknown.why());
+            throw new ControlCallException(
+                    "a change is not known to be accepted, the log is read anew: "
+                            + unknown.reason());
         }
     }
 
     private static void tell(List<FieldError> faults) {
-        faults.stream().limit(MOST_FAULTS_TOLD).forEach(fault -> LOG.warn("left out: {}", fault));
-        if (faults.size() > MOST_FAULTS_TOLD) {
-            LOG.warn("left out: {} more", faults.size() - MOST_FAULTS_TOLD);
+        faults.stream().limit(MAX_LOGGED_FAULTS).forEach(fault -> LOG.warn("left out: {}", fault));
+        if (faults.size() > MAX_LOGGED_FAULTS) {
+            LOG.warn("left out: {} more", faults.size() - MAX_LOGGED_FAULTS);
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/program/PublishCommand.java
+++ b/control/src/main/java/ottergauge/control/program/PublishCommand.java
@@ -1,22 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
-import java.io.IOException;
-import java.io.PrintWriter;
-import java.nio.file.Path;
-import java.time.Duration;
-import java.util.List;
-import java.util.concurrent.Callable;
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.PublishResult;
 import ottergauge.control.program.SubmissionFile.Part;
 import ottergauge.protocol.Address;
+
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.List;
+import java.util.concurrent.Callable;
+
 /** Publishes what a file says. */
 @Command(
         name = "publish",
@@ -49,7 +51,7 @@
             paramLabel = "MS",
             defaultValue = "30000",
             description = "How long to try; ${DEFAULT-VALUE} unless given.")
-    private long withinMs;
+    private long timeoutMs;
 
     @Option(
             names = "--split",
@@ -71,7 +73,7 @@
         }
         ControlClient client = new ControlClient(addresses);
         for (Part part : parts) {
-            if (!tell(part, client.publish(part.body(), Duration.ofMillis(withinMs)))) {
+            if (!tell(part, client.publish(part.body(), Duration.ofMillis(timeoutMs)))) {
                 return 1;
             }
         }
@@ -91,13 +93,13 @@
                                     + accepted.position().log());
             return true;
         }
-        if (result instanceof PublishResult.Refused refused) {
+        if (result instanceof PublishResult.Rejected refused) {
             refused.faults().forEach(fault -> err.println(part.id() + " is refused: " + fault));
         } else if (result instanceof PublishResult.Unknown unknown) {
             err.println(
                     part.id()
                             + " is not known to be accepted, publish it again under this id: "
-                            + unknown.why());
+                            + unknown.reason());
         }
         return false;
     }
--- a/control/src/main/java/ottergauge/control/program/LagTable.java
+++ b/control/src/main/java/ottergauge/control/program/ReplicationLagTable.java
@@ -1,6 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import ottergauge.control.client.ProcessStatus;
+import ottergauge.control.client.ProcessStatus.NodeStatus;
+import ottergauge.resources.LogPosition;
+
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,15 +12,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import ottergauge.control.client.ProcessStatus;
-import ottergauge.control.client.ProcessStatus.NodeStatus;
-import ottergauge.resources.LogPosition;
 
 /**
  * Who has which version in force, and by how much each is behind the newest one that any process
  * has.
  */
-final class LagTable {
+final class ReplicationLagTable {
 
     /** Of one that goes by another log, or by none. */
     private static final long ANOTHER_LOG = Long.MAX_VALUE;
@@ -29,19 +30,19 @@
             String name,
             String region,
             String process,
-            LogPosition inForce,
+            LogPosition effectiveVersion,
             long refused,
             String heard) {}
 
     private final LogPosition newest;
     private final List<Row> rows;
 
-    private LagTable(LogPosition newest, List<Row> rows) {
+    private ReplicationLagTable(LogPosition newest, List<Row> rows) {
         this.newest = newest;
         this.rows = rows;
     }
 
-    static LagTable of(List<ProcessStatus> processes) {
+    static ReplicationLagTable of(List<ProcessStatus> processes) {
         List<Row> rows = new ArrayList<>();
         Map<String, NodeStatus> nodes = new TreeMap<>();
         Map<String, String> heardBy = new HashMap<>();
@@ -50,7 +51,7 @@
                     new Row(process.name(), "control", process.role(), process.position(), 0, "-"));
             for (NodeStatus node : process.nodes()) {
                 NodeStatus before = nodes.get(node.name());
-                if (before == null || node.heardMs() < before.heardMs()) {
+                if (before == null || node.reportAgeMs() < before.reportAgeMs()) {
                     nodes.put(node.name(), node);
                     heardBy.put(node.name(), process.name());
                 }
@@ -64,10 +65,10 @@
                                                 node.name(),
                                                 node.region(),
                                                 heardBy.get(node.name()),
-                                                node.inForce(),
+                                                node.effectiveVersion(),
                                                 node.refused(),
-                                                heard(node.heardMs()))));
-        return new LagTable(newest(processes), rows);
+                                                heard(node.reportAgeMs()))));
+        return new ReplicationLagTable(newest(processes), rows);
     }
 
     private static String heard(long ms) {
@@ -89,13 +90,13 @@
     }
 
     private long behind(Row row) {
-        return row.inForce().log().equals(newest.log())
-                ? Math.max(0, newest.version() - row.inForce().version())
+        return row.effectiveVersion().log().equals(newest.log())
+                ? Math.max(0, newest.version() - row.effectiveVersion().version())
                 : ANOTHER_LOG;
     }
 
     /** The largest lag of all. */
-    long mostBehind() {
+    long maxLagVersions() {
         return rows.stream().mapToLong(this::behind).max().orElse(0);
     }
 
@@ -108,7 +109,7 @@
                     row.name(),
                     row.region(),
                     row.process(),
-                    row.inForce().version(),
+                    row.effectiveVersion().version(),
                     behind == ANOTHER_LOG ? "other log" : behind,
                     row.refused() == 0 ? "-" : row.refused(),
                     row.heard());
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -1,23 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.concurrent.Callable;
-import java.util.concurrent.CountDownLatch;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+
 import ottergauge.control.config.ConfigException;
-import ottergauge.control.config.ControlConfig;
+import ottergauge.control.config.ControlProcessConfig;
 import ottergauge.control.consensus.Consensus;
 import ottergauge.control.consensus.InMemoryConsensus;
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.control.server.ControlServer;
 import ottergauge.resources.FieldError;
+
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CountDownLatch;
+
 /** Runs one control process until it is told to stop. */
 @Command(
         name = "serve",
@@ -39,9 +42,9 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        ControlConfig config;
+        ControlProcessConfig config;
         try {
-            config = ControlConfig.read(Files.readAllBytes(configFile));
+            config = ControlProcessConfig.read(Files.readAllBytes(configFile));
         } catch (ConfigException e) {
             for (FieldError fault : e.faults()) {
                 LOG.error("bad configuration {}: {}", configFile, fault);
@@ -54,7 +57,7 @@
         return run(config);
     }
 
-    private static int run(ControlConfig config) throws InterruptedException {
+    private static int run(ControlProcessConfig config) throws InterruptedException {
         SharedLog log = new SharedLog();
         Consensus consensus = new InMemoryConsensus(config.name(), log, config.logLimits());
         ControlServer server = new ControlServer(config, log, consensus);
@@ -74,7 +77,8 @@
     }
 
     // The virtual machine ends once this has run: not before what waits is answered.
-    private static void stop(ControlConfig config, ControlServer server, Consensus consensus) {
+    private static void stop(
+            ControlProcessConfig config, ControlServer server, Consensus consensus) {
         CountDownLatch ended = new CountDownLatch(1);
         server.stop().onComplete(done -> ended.countDown());
         try {
--- a/control/src/main/java/ottergauge/control/program/StatusCommand.java
+++ b/control/src/main/java/ottergauge/control/program/StatusCommand.java
@@ -1,19 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
-import java.io.IOException;
-import java.io.PrintWriter;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.concurrent.Callable;
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.ProcessStatus;
 import ottergauge.protocol.Address;
+
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Callable;
+
 /** Shows which node has which version in force. */
 @Command(
         name = "status",
@@ -46,7 +48,7 @@
             description =
                     "By how many versions a node or a process may lag; ${DEFAULT-VALUE} unless"
                             + " given.")
-    private long mostBehind;
+    private long maxLagVersions;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -64,8 +66,8 @@
             spec.commandLine().getErr().println("no control process is reached");
             return 1;
         }
-        LagTable table = LagTable.of(processes);
+        ReplicationLagTable table = ReplicationLagTable.of(processes);
         table.print(out);
-        return table.mostBehind() > mostBehind ? 1 : 0;
+        return table.maxLagVersions() > maxLagVersions ? 1 : 0;
     }
 }
--- a/control/src/main/java/ottergauge/control/program/SubmissionFile.java
+++ b/control/src/main/java/ottergauge/control/program/SubmissionFile.java
@@ -3,6 +3,9 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+
+import ottergauge.settings.JsonTree;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -12,7 +15,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.UUID;
-import ottergauge.settings.JsonTree;
 
 /**
  * A file with what is to be changed, in the JSON of a submission. Without an id it gets one of its
@@ -21,9 +23,9 @@
 final class SubmissionFile {
 
     /** Of a submission that a file is split into: well within the bounds of one. */
-    static final int MOST_ENTRIES = 500;
+    static final int MAX_ENTRIES = 500;
 
-    static final int MOST_BYTES = 192 * 1024;
+    static final int MAX_BYTES = 192 * 1024;
 
     private static final JsonFactory JSON = new JsonFactory();
     private static final String SERVICE = "service";
@@ -87,7 +89,7 @@
         int bytes = 0;
         for (Object entry : entries) {
             int size = write(out -> JsonTree.write(out, entry)).length + 1;
-            if (!chunk.isEmpty() && (chunk.size() == MOST_ENTRIES || bytes + size > MOST_BYTES)) {
+            if (!chunk.isEmpty() && (chunk.size() == MAX_ENTRIES || bytes + size > MAX_BYTES)) {
                 chunks.add(chunk);
                 chunk = new ArrayList<>();
                 bytes = 0;
--- a/control/src/main/java/ottergauge/control/server/Connections.java
+++ b/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
@@ -3,12 +3,13 @@
 
 import io.vertx.core.http.HttpConnection;
 import io.vertx.core.net.impl.ConnectionBase;
+
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** The connections that are open: bounded by number, and closed when nothing happens on them. */
-final class Connections {
+final class ConnectionTracker {
 
     /** What a connection waits for. */
     private enum Phase {
@@ -24,7 +25,7 @@
     private final long slowReaderMs;
     private final Map<HttpConnection, Activity> open = new HashMap<>();
 
-    Connections(int most, long idleMs, long slowReaderMs) {
+    ConnectionTracker(int most, long idleMs, long slowReaderMs) {
         this.most = most;
         this.idleMs = idleMs;
         this.slowReaderMs = slowReaderMs;
@@ -73,7 +74,7 @@
                                                 > allowedMs(each.getValue().phase()))
                         .map(Map.Entry::getKey)
                         .toList();
-        overdue.forEach(Connections::close);
+        overdue.forEach(ConnectionTracker::close);
     }
 
     // The library's own close waits until all that was written is read, which a client may never
--- a/control/src/main/java/ottergauge/control/server/ControlServer.java
+++ b/control/src/main/java/ottergauge/control/server/ControlServer.java
@@ -14,15 +14,18 @@
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerOptions;
 import io.vertx.core.http.HttpServerRequest;
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
+
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import ottergauge.control.config.ControlConfig;
+
+import ottergauge.control.config.ControlProcessConfig;
 import ottergauge.control.config.ServerLimits;
 import ottergauge.control.consensus.Consensus;
 import ottergauge.control.consensus.SharedLog;
 
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+
 /**
  * The HTTP server of a control process. One event loop owns all of its state; changes are applied
  * by the consensus' thread, which wakes the calls that wait for them.
@@ -35,34 +38,35 @@
     private static final String SNAPSHOT_PATH = "/control/v1/snapshot";
     private static final String STATUS_PATH = "/control/v1/status";
 
-    private static final int MOST_LINE_BYTES = 64 * 1024;
-    private static final int MOST_HEADER_BYTES = 16 * 1024;
+    private static final int MAX_REQUEST_LINE_BYTES = 64 * 1024;
+    private static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final int BACKLOG = 1_024;
 
     /** Of one connection: what a client doesn't read is held by the system, up to this. */
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
-    private static final long SWEEP_EVERY_MS = 1_000;
-    private static final long STOP_WITHIN_MS = 3_000;
-    private static final long STOP_LOOK_EVERY_MS = 10;
+    private static final long SWEEP_INTERVAL_MS = 1_000;
+    private static final long STOP_TIMEOUT_MS = 3_000;
+    private static final long STOP_POLL_INTERVAL_MS = 10;
 
-    private final ControlConfig config;
+    private final ControlProcessConfig config;
     private final SharedLog log;
     private final Consensus consensus;
     private final Vertx vertx;
     private final Context context;
-    private final Connections connections;
-    private final WaitingPolls polls;
+    private final ConnectionTracker connections;
+    private final PendingPolls polls;
     private final SnapshotQueue snapshots;
-    private final Publishing publishing;
-    private final NodeTable nodes = new NodeTable();
-    private final LimitedLog warnings = new LimitedLog(LOG::warn, ControlServer::nowMs);
+    private final SubmissionHandler publishing;
+    private final NodeStatusTable nodes = new NodeStatusTable();
+    private final RateLimitedLogger warnings =
+            new RateLimitedLogger(LOG::warn, ControlServer::nowMs);
     private final AtomicBoolean wakes = new AtomicBoolean();
     private HttpServer server;
     private boolean stopping;
 
     /** A server that doesn't listen yet. */
-    public ControlServer(ControlConfig config, SharedLog log, Consensus consensus) {
+    public ControlServer(ControlProcessConfig config, SharedLog log, Consensus consensus) {
         this.config = config;
         this.log = log;
         this.consensus = consensus;
@@ -81,12 +85,13 @@
         context = vertx.getOrCreateContext();
         ServerLimits limits = config.serverLimits();
         Timers timers = new VertxTimers(vertx);
-        connections = new Connections(limits.connections(), limits.idleMs(), limits.slowReaderMs());
-        polls = new WaitingPolls(log, timers, limits.waitingPolls());
+        connections =
+                new ConnectionTracker(limits.connections(), limits.idleMs(), limits.slowReaderMs());
+        polls = new PendingPolls(log, timers, limits.maxPendingPolls());
         snapshots =
                 new SnapshotQueue(
                         log, timers, ControlServer::nowMicros, limits.snapshotBytesPerSecond());
-        publishing = new Publishing(consensus, context, warnings);
+        publishing = new SubmissionHandler(consensus, context, warnings);
     }
 
     private static long nowMs() {
@@ -103,12 +108,13 @@
         context.runOnContext(
                 run -> {
                     log.onChange(this::wake);
-                    vertx.setPeriodic(SWEEP_EVERY_MS, sweep -> connections.closeOverdue(nowMs()));
+                    vertx.setPeriodic(
+                            SWEEP_INTERVAL_MS, sweep -> connections.closeOverdue(nowMs()));
                     server =
                             vertx.createHttpServer(options())
                                     .connectionHandler(
                                             connection -> connections.opened(connection, nowMs()))
-                                    .invalidRequestHandler(this::refuseMalformed)
+                                    .invalidRequestHandler(this::rejectMalformed)
                                     .exceptionHandler(e -> LOG.debug("a connection failed", e))
                                     .requestHandler(this::handle);
                     server.listen()
@@ -130,8 +136,8 @@
                         .setHost(config.listen().host())
                         .setPort(config.listen().port())
                         .setHttp2ClearTextEnabled(false)
-                        .setMaxInitialLineLength(MOST_LINE_BYTES)
-                        .setMaxHeaderSize(MOST_HEADER_BYTES);
+                        .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                        .setMaxHeaderSize(MAX_HEADER_BYTES);
         options.setAcceptBacklog(BACKLOG).setTcpNoDelay(true).setSendBufferSize(SEND_BUFFER_BYTES);
         return options;
     }
@@ -147,49 +153,49 @@
         }
     }
 
-    private void refuseMalformed(HttpServerRequest request) {
+    private void rejectMalformed(HttpServerRequest request) {
         Throwable cause = request.decoderResult().cause();
         int status =
                 cause instanceof TooLongHttpLineException
-                        ? Status.URI_TOO_LONG
+                        ? HttpStatus.URI_TOO_LONG
                         : cause instanceof TooLongHttpHeaderException
-                                ? Status.HEADERS_TOO_LARGE
-                                : Status.BAD_REQUEST;
+                                ? HttpStatus.HEADERS_TOO_LARGE
+                                : HttpStatus.BAD_REQUEST;
         refuse(
                 exchange(request),
-                new CallException(
+                new HttpException(
                         status,
                         "no request that can be read: "
                                 + (cause == null ? "" : cause.getClass().getSimpleName())));
     }
 
-    private Exchange exchange(HttpServerRequest request) {
-        Exchange exchange = new Exchange(request, connections, ControlServer::nowMs);
+    private HttpExchange exchange(HttpServerRequest request) {
+        HttpExchange exchange = new HttpExchange(request, connections, ControlServer::nowMs);
         return stopping ? exchange.closing() : exchange;
     }
 
-    private void refuse(Exchange exchange, CallException why) {
+    private void refuse(HttpExchange exchange, HttpException reason) {
         warnings.warn(
                 "a call from "
                         + exchange.request().remoteAddress()
                         + " is refused: "
-                        + why.getMessage());
-        exchange.closing().answer(why.status(), ErrorJson.of(why.getMessage()));
+                        + reason.getMessage());
+        exchange.closing().answer(reason.status(), ErrorJson.of(reason.getMessage()));
     }
 
     private void handle(HttpServerRequest request) {
-        Exchange exchange = exchange(request);
+        HttpExchange exchange = exchange(request);
         try {
             dispatch(exchange);
-        } catch (CallException e) {
+        } catch (HttpException e) {
             refuse(exchange, e);
         } catch (RuntimeException e) {
             LOG.error("a call failed: {}", e.toString(), e);
-            exchange.closing().answer(Status.BAD_REQUEST, ErrorJson.of("the call failed"));
+            exchange.closing().answer(HttpStatus.BAD_REQUEST, ErrorJson.of("the call failed"));
         }
     }
 
-    private void dispatch(Exchange exchange) throws CallException {
+    private void dispatch(HttpExchange exchange) throws HttpException {
         HttpServerRequest request = exchange.request();
         String path = request.path() == null ? "" : request.path();
         boolean post = request.method().equals(HttpMethod.POST);
@@ -201,17 +207,17 @@
         } else if (post) {
             throw notFound();
         } else {
-            CallBody.refuseAny(request);
+            RequestBody.refuseAny(request);
             connections.called(request.connection(), nowMs());
             answer(exchange, path);
         }
     }
 
-    private static CallException notFound() {
-        return new CallException(Status.NOT_FOUND, "no such call");
+    private static HttpException notFound() {
+        return new HttpException(HttpStatus.NOT_FOUND, "no such call");
     }
 
-    private void answer(Exchange exchange, String path) throws CallException {
+    private void answer(HttpExchange exchange, String path) throws HttpException {
         switch (path) {
             case CHANGES_PATH -> changes(exchange);
             case SNAPSHOT_PATH -> snapshot(exchange);
@@ -220,22 +226,22 @@
         }
     }
 
-    private void changes(Exchange exchange) throws CallException {
-        ChangesCall call = Parameters.changes(exchange.request());
+    private void changes(HttpExchange exchange) throws HttpException {
+        ChangesRequest call = QueryParameters.changes(exchange.request());
         call.report().ifPresent(report -> nodes.heard(report, nowMs()));
         if (hasLog(exchange)) {
             polls.take(exchange, call);
         }
     }
 
-    private void snapshot(Exchange exchange) throws CallException {
-        SnapshotCall call = Parameters.snapshot(exchange.request());
+    private void snapshot(HttpExchange exchange) throws HttpException {
+        SnapshotRequest call = QueryParameters.snapshot(exchange.request());
         if (hasLog(exchange)) {
             snapshots.take(exchange, call);
         }
     }
 
-    private boolean hasLog(Exchange exchange) {
+    private boolean hasLog(HttpExchange exchange) {
         if (log.position().isEmpty()) {
             exchange.unavailable(ErrorJson.STARTING);
             return false;
@@ -243,27 +249,29 @@
         return true;
     }
 
-    private void status(Exchange exchange) {
+    private void status(HttpExchange exchange) {
         long oldest = log.position().isEmpty() ? 0 : log.oldest();
         long now = nowMs();
         exchange.answer(
-                Status.OK,
+                HttpStatus.OK,
                 StatusJson.of(
                         config.name(),
                         consensus.role(),
                         consensus.leader(),
                         log.position(),
                         oldest,
-                        nodes.lately(now),
+                        nodes.recent(now),
                         now));
     }
 
-    private void publish(Exchange exchange) throws CallException {
-        CallBody.read(
-                exchange.request(), body -> submit(exchange, body), why -> refuse(exchange, why));
+    private void publish(HttpExchange exchange) throws HttpException {
+        RequestBody.read(
+                exchange.request(),
+                body -> submit(exchange, body),
+                reason -> refuse(exchange, reason));
     }
 
-    private void submit(Exchange exchange, Buffer body) {
+    private void submit(HttpExchange exchange, Buffer body) {
         connections.called(exchange.request().connection(), nowMs());
         if (stopping) {
             exchange.unavailable(ErrorJson.STOPPING);
@@ -280,20 +288,20 @@
                     stopping = true;
                     polls.stop();
                     snapshots.stop();
-                    awaitSubmissions(nowMs() + STOP_WITHIN_MS, stopped);
+                    awaitSubmissions(nowMs() + STOP_TIMEOUT_MS, stopped);
                 });
         return stopped.future();
     }
 
     private void awaitSubmissions(long untilMs, Promise<Void> stopped) {
         if (publishing.open() > 0 && nowMs() < untilMs) {
-            vertx.setTimer(STOP_LOOK_EVERY_MS, look -> awaitSubmissions(untilMs, stopped));
+            vertx.setTimer(STOP_POLL_INTERVAL_MS, look -> awaitSubmissions(untilMs, stopped));
             return;
         }
         Future<Void> closed =
                 server == null
                         ? Future.succeededFuture()
-                        : server.shutdown(STOP_WITHIN_MS, TimeUnit.MILLISECONDS);
+                        : server.shutdown(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         closed.onComplete(done -> vertx.close().onComplete(stopped));
     }
 }
--- a/control/src/main/java/ottergauge/control/server/CallException.java
+++ b/control/src/main/java/ottergauge/control/server/HttpException.java
@@ -2,13 +2,13 @@
 package ottergauge.control.server;
 
 /** A call that isn't carried out; the message says in one line why. */
-final class CallException extends Exception {
+final class HttpException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     private final int status;
 
-    CallException(int status, String message) {
+    HttpException(int status, String message) {
         super(message);
         this.status = status;
     }
--- a/control/src/main/java/ottergauge/control/server/Exchange.java
+++ b/control/src/main/java/ottergauge/control/server/HttpExchange.java
@@ -5,21 +5,22 @@
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.http.HttpServerResponse;
+
 import java.util.function.LongSupplier;
 
 /** One call over HTTP and its answer. */
-final class Exchange implements Responder {
+final class HttpExchange implements Responder {
 
     private static final String JSON = "application/json";
     private static final String RETRY_AFTER_S = "1";
 
     private final HttpServerRequest request;
     private final HttpServerResponse response;
-    private final Connections connections;
+    private final ConnectionTracker connections;
     private final LongSupplier clockMs;
     private boolean lastOnConnection;
 
-    Exchange(HttpServerRequest request, Connections connections, LongSupplier clockMs) {
+    HttpExchange(HttpServerRequest request, ConnectionTracker connections, LongSupplier clockMs) {
         this.request = request;
         this.connections = connections;
         this.clockMs = clockMs;
@@ -36,7 +37,7 @@
     }
 
     @Override
-    public void onGone(Runnable handler) {
+    public void onDisconnect(Runnable handler) {
         response.closeHandler(
                 closed -> {
                     if (!response.ended()) {
@@ -46,7 +47,7 @@
     }
 
     @Override
-    public Exchange closing() {
+    public HttpExchange closing() {
         lastOnConnection = true;
         return this;
     }
@@ -57,7 +58,7 @@
             return;
         }
         response.setStatusCode(status).putHeader(HttpHeaders.CONTENT_TYPE, JSON);
-        if (status == Status.UNAVAILABLE) {
+        if (status == HttpStatus.UNAVAILABLE) {
             response.putHeader(HttpHeaders.RETRY_AFTER, RETRY_AFTER_S);
         }
         if (lastOnConnection) {
--- a/control/src/main/java/ottergauge/control/server/Status.java
+++ b/control/src/main/java/ottergauge/control/server/HttpStatus.java
@@ -2,7 +2,7 @@
 package ottergauge.control.server;
 
 /** The status codes of answers. */
-final class Status {
+final class HttpStatus {
 
     static final int OK = 200;
     static final int BAD_REQUEST = 400;
@@ -13,5 +13,5 @@
     static final int HEADERS_TOO_LARGE = 431;
     static final int UNAVAILABLE = 503;
 
-    private Status() {}
+    private HttpStatus() {}
 }
--- a/control/src/main/java/ottergauge/control/server/WaitingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -1,25 +1,26 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-import java.util.Iterator;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
 import ottergauge.control.consensus.SharedLog;
-import ottergauge.control.log.Answer;
+import ottergauge.control.log.PollResponse;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.VersionTooOld;
 
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+
 /**
  * The calls for changes. One for which there is nothing yet waits for the change that it follows,
  * or for its time to be over. Each change is looked at once for each call that waits; a call that
  * is up to date costs nothing meanwhile.
  */
-final class WaitingPolls {
+final class PendingPolls {
 
     /** How long a caller that is ahead of this process may wait for it to catch up. */
-    private static final long MOST_BEHIND_MS = 1_000;
+    private static final long MAX_CATCH_UP_WAIT_MS = 1_000;
 
     private final SharedLog log;
     private final Timers timers;
@@ -30,7 +31,7 @@
 
     private boolean stopping;
 
-    WaitingPolls(SharedLog log, Timers timers, int most) {
+    PendingPolls(SharedLog log, Timers timers, int most) {
         this.log = log;
         this.timers = timers;
         this.most = most;
@@ -40,12 +41,12 @@
     private static final class Poll {
 
         private final Responder responder;
-        private final ChangesCall call;
+        private final ChangesRequest call;
         private LogPosition reached;
         private boolean ahead;
         private long timer;
 
-        Poll(Responder responder, ChangesCall call) {
+        Poll(Responder responder, ChangesRequest call) {
             this.responder = responder;
             this.call = call;
             reached = call.after();
@@ -57,7 +58,7 @@
     }
 
     /** Answers a call, now or when there is something to tell. */
-    void take(Responder responder, ChangesCall call) {
+    void take(Responder responder, ChangesRequest call) {
         Poll poll = new Poll(responder, call);
         if (answerIfAny(poll)) {
             return;
@@ -73,7 +74,9 @@
 
     private void park(Poll poll) {
         long waitMs =
-                poll.ahead ? Math.min(MOST_BEHIND_MS, poll.call.waitMs()) : poll.call.waitMs();
+                poll.ahead
+                        ? Math.min(MAX_CATCH_UP_WAIT_MS, poll.call.waitMs())
+                        : poll.call.waitMs();
         waiting.add(poll);
         poll.timer =
                 timers.start(
@@ -82,7 +85,7 @@
                             waiting.remove(poll);
                             answerAnyway(poll);
                         });
-        poll.responder.onGone(
+        poll.responder.onDisconnect(
                 () -> {
                     waiting.remove(poll);
                     timers.cancel(poll.timer);
@@ -115,17 +118,17 @@
 
     // Answers if there are changes, or if there is no going on from where the caller is.
     private boolean answerIfAny(Poll poll) {
-        Answer answer =
-                log.changesAfter(poll.reached, poll.call.subscription(), poll.call.mostBytes());
-        poll.ahead = answer instanceof Answer.Ahead;
-        if (answer instanceof Answer.VersionTooOld tooOld) {
+        PollResponse answer =
+                log.changesAfter(poll.reached, poll.call.subscription(), poll.call.maxBytes());
+        poll.ahead = answer instanceof PollResponse.Ahead;
+        if (answer instanceof PollResponse.VersionTooOld tooOld) {
             tellTooOld(poll, tooOld);
             return true;
         }
-        if (answer instanceof Answer.Changes changes) {
+        if (answer instanceof PollResponse.Changes changes) {
             poll.reached = changes.page().upTo();
             if (!changes.page().isEmpty()) {
-                poll.responder.answer(Status.OK, changes.page().json());
+                poll.responder.answer(HttpStatus.OK, changes.page().json());
                 return true;
             }
         }
@@ -138,20 +141,20 @@
             poll.responder.unavailable(ErrorJson.BEHIND);
             return;
         }
-        Answer answer =
-                log.changesAfter(poll.reached, poll.call.subscription(), poll.call.mostBytes());
-        if (answer instanceof Answer.Changes changes) {
-            poll.responder.answer(Status.OK, changes.page().json());
-        } else if (answer instanceof Answer.VersionTooOld tooOld) {
+        PollResponse answer =
+                log.changesAfter(poll.reached, poll.call.subscription(), poll.call.maxBytes());
+        if (answer instanceof PollResponse.Changes changes) {
+            poll.responder.answer(HttpStatus.OK, changes.page().json());
+        } else if (answer instanceof PollResponse.VersionTooOld tooOld) {
             tellTooOld(poll, tooOld);
         } else {
             poll.responder.unavailable(ErrorJson.BEHIND);
         }
     }
 
-    private static void tellTooOld(Poll poll, Answer.VersionTooOld tooOld) {
+    private static void tellTooOld(Poll poll, PollResponse.VersionTooOld tooOld) {
         poll.responder.answer(
-                Status.GONE,
+                HttpStatus.GONE,
                 ResourceCodec.write(
                         new VersionTooOld(
                                 tooOld.newest().log(),
--- a/control/src/main/java/ottergauge/control/server/Parameters.java
+++ b/control/src/main/java/ottergauge/control/server/QueryParameters.java
@@ -3,64 +3,66 @@
 
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpServerRequest;
-import java.util.Arrays;
-import java.util.HashSet;
-import java.util.Optional;
-import java.util.Set;
+
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Subscription;
 
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
+
 /** Reads the parameters of calls; unknown ones are passed over. */
-final class Parameters {
+final class QueryParameters {
 
-    static final long MOST_WAIT_MS = 10_000;
+    static final long MAX_WAIT_MS = 10_000;
     static final int DEFAULT_PAGE_BYTES = 65_536;
 
     /** With one change at least, however long, a page stays within what a node reads. */
     static final int MOST_PAGE_BYTES = 512 * 1024;
 
-    static final int MOST_SERVICES = 1_000;
+    static final int MAX_SERVICES = 1_000;
 
     // The largest whole number that a JSON number tells exactly.
-    private static final long MOST_VERSION = 1L << 53;
+    private static final long MAX_VERSION = 1L << 53;
     private static final String DEFAULT_SETTINGS = "default";
 
     private final MultiMap values;
 
-    private Parameters(MultiMap values) {
+    private QueryParameters(MultiMap values) {
         this.values = values;
     }
 
-    static ChangesCall changes(HttpServerRequest request) throws CallException {
-        Parameters parameters = of(request);
+    static ChangesRequest changes(HttpServerRequest request) throws HttpException {
+        QueryParameters parameters = of(request);
         String log = parameters.name("log").orElseThrow(() -> missing("log"));
-        LogPosition after = new LogPosition(log, parameters.whole("after", 0, MOST_VERSION, null));
-        return new ChangesCall(
+        LogPosition after = new LogPosition(log, parameters.whole("after", 0, MAX_VERSION, null));
+        return new ChangesRequest(
                 after,
-                parameters.whole("wait_ms", 0, MOST_WAIT_MS, 0L),
+                parameters.whole("wait_ms", 0, MAX_WAIT_MS, 0L),
                 parameters.pageBytes(),
                 parameters.subscription(),
                 parameters.report(log));
     }
 
-    static SnapshotCall snapshot(HttpServerRequest request) throws CallException {
-        Parameters parameters = of(request);
-        return new SnapshotCall(
+    static SnapshotRequest snapshot(HttpServerRequest request) throws HttpException {
+        QueryParameters parameters = of(request);
+        return new SnapshotRequest(
                 parameters.name("log"),
                 parameters.key("from"),
                 parameters.pageBytes(),
                 parameters.subscription());
     }
 
-    private static Parameters of(HttpServerRequest request) throws CallException {
+    private static QueryParameters of(HttpServerRequest request) throws HttpException {
         try {
-            return new Parameters(request.params());
+            return new QueryParameters(request.params());
         } catch (IllegalArgumentException e) {
-            throw new CallException(
-                    Status.BAD_REQUEST,
+            throw new HttpException(
+                    HttpStatus.BAD_REQUEST,
                     "the query can't be decoded: "
                             + new FieldError(
                                             "it", String.valueOf(e.getMessage()), "percent-encoded")
@@ -68,7 +70,7 @@
         }
     }
 
-    private Optional<NodeReport> report(String log) throws CallException {
+    private Optional<NodeReport> report(String log) throws HttpException {
         Optional<String> node = name("node");
         if (node.isEmpty()) {
             return Optional.empty();
@@ -78,22 +80,22 @@
                         node.get(),
                         name("region").orElse(""),
                         log,
-                        whole("in_force", 0, MOST_VERSION, 0L),
-                        whole("refused", 0, MOST_VERSION, 0L)));
+                        whole("in_force", 0, MAX_VERSION, 0L),
+                        whole("refused", 0, MAX_VERSION, 0L)));
     }
 
-    private int pageBytes() throws CallException {
+    private int pageBytes() throws HttpException {
         return (int) whole("max_bytes", 1, MOST_PAGE_BYTES, (long) DEFAULT_PAGE_BYTES);
     }
 
-    private Subscription subscription() throws CallException {
+    private Subscription subscription() throws HttpException {
         String services = values.get("services");
         if (services == null || services.isEmpty()) {
             return new Subscription(Set.of(), name("settings").orElse(DEFAULT_SETTINGS));
         }
         Set<String> names = new HashSet<>(Arrays.asList(services.split(",", -1)));
-        if (names.size() > MOST_SERVICES) {
-            throw bad("services", names.size() + " names", MOST_SERVICES + " names at most");
+        if (names.size() > MAX_SERVICES) {
+            throw bad("services", names.size() + " names", MAX_SERVICES + " names at most");
         }
         for (String name : names) {
             if (!ResourceChecks.isName(name)) {
@@ -106,7 +108,7 @@
         return new Subscription(Set.copyOf(names), name("settings").orElse(DEFAULT_SETTINGS));
     }
 
-    private Optional<String> name(String key) throws CallException {
+    private Optional<String> name(String key) throws HttpException {
         String value = values.get(key);
         if (value == null || value.isEmpty()) {
             return Optional.empty();
@@ -117,7 +119,7 @@
         return Optional.of(value);
     }
 
-    private Optional<ResourceKey> key(String parameter) throws CallException {
+    private Optional<ResourceKey> key(String parameter) throws HttpException {
         String value = values.get(parameter);
         if (value == null || value.isEmpty()) {
             return Optional.empty();
@@ -130,7 +132,7 @@
         return key;
     }
 
-    private long whole(String key, long least, long most, Long absent) throws CallException {
+    private long whole(String key, long least, long most, Long absent) throws HttpException {
         String value = values.get(key);
         if (value == null && absent != null) {
             return absent;
@@ -149,12 +151,12 @@
         throw bad(key, value, "a whole number from " + least + " to " + most);
     }
 
-    private static CallException missing(String key) {
-        return new CallException(Status.BAD_REQUEST, key + " is missing");
+    private static HttpException missing(String key) {
+        return new HttpException(HttpStatus.BAD_REQUEST, key + " is missing");
     }
 
-    private static CallException bad(String key, String value, String allowed) {
-        return new CallException(
-                Status.BAD_REQUEST, new FieldError(key, value, allowed).toString());
+    private static HttpException bad(String key, String value, String allowed) {
+        return new HttpException(
+                HttpStatus.BAD_REQUEST, new FieldError(key, value, allowed).toString());
     }
 }
--- a/control/src/main/java/ottergauge/control/server/LimitedLog.java
+++ b/control/src/main/java/ottergauge/control/server/RateLimitedLogger.java
@@ -5,9 +5,9 @@
 import java.util.function.LongSupplier;
 
 /** Writes so many warnings a second at the most, so that a caller can't fill a disk with them. */
-final class LimitedLog {
+final class RateLimitedLogger {
 
-    private static final int MOST_A_SECOND = 20;
+    private static final int MAX_LINES_PER_SECOND = 20;
     private static final long SECOND_MS = 1_000;
 
     private final Consumer<String> lines;
@@ -16,7 +16,7 @@
     private int written;
     private long left;
 
-    LimitedLog(Consumer<String> lines, LongSupplier clockMs) {
+    RateLimitedLogger(Consumer<String> lines, LongSupplier clockMs) {
         this.lines = lines;
         this.clockMs = clockMs;
     }
@@ -27,7 +27,7 @@
             second = now;
             written = 0;
         }
-        if (written == MOST_A_SECOND) {
+        if (written == MAX_LINES_PER_SECOND) {
             left++;
             return;
         }
--- a/control/src/main/java/ottergauge/control/server/CallBody.java
+++ b/control/src/main/java/ottergauge/control/server/RequestBody.java
@@ -4,34 +4,36 @@
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.http.HttpServerRequest;
-import java.util.function.Consumer;
+
 import ottergauge.resources.ResourceCodec;
 
+import java.util.function.Consumer;
+
 /** Reads the body of a call, up to the longest submission. */
-final class CallBody {
+final class RequestBody {
 
-    private static final int MOST_BYTES = ResourceCodec.MOST_SUBMISSION_BYTES;
+    private static final int MAX_BYTES = ResourceCodec.MOST_SUBMISSION_BYTES;
 
     private final Buffer body = Buffer.buffer();
     private boolean refused;
 
-    private CallBody() {}
+    private RequestBody() {}
 
     /** Refuses a call that has a body where none is wanted. */
-    static void refuseAny(HttpServerRequest request) throws CallException {
+    static void refuseAny(HttpServerRequest request) throws HttpException {
         String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
         boolean chunked = request.headers().contains(HttpHeaders.TRANSFER_ENCODING);
         if (chunked || (length != null && !length.equals("0"))) {
-            throw new CallException(Status.BAD_REQUEST, "this call has no body");
+            throw new HttpException(HttpStatus.BAD_REQUEST, "this call has no body");
         }
     }
 
     /** Reads a body; the first handler gets it whole, the second hears if it is too long. */
     static void read(
-            HttpServerRequest request, Consumer<Buffer> whole, Consumer<CallException> refuse)
-            throws CallException {
+            HttpServerRequest request, Consumer<Buffer> whole, Consumer<HttpException> refuse)
+            throws HttpException {
         checkLength(request.getHeader(HttpHeaders.CONTENT_LENGTH));
-        CallBody reading = new CallBody();
+        RequestBody reading = new RequestBody();
         request.handler(part -> reading.take(part, refuse));
         request.endHandler(
                 end -> {
@@ -41,15 +43,15 @@
                 });
     }
 
-    private static void checkLength(String length) throws CallException {
+    private static void checkLength(String length) throws HttpException {
         // The decoder has refused what is no number.
-        if (length != null && Long.parseLong(length.trim()) > MOST_BYTES) {
+        if (length != null && Long.parseLong(length.trim()) > MAX_BYTES) {
             throw tooLong();
         }
     }
 
-    private void take(Buffer part, Consumer<CallException> refuse) {
-        if (!refused && body.length() + part.length() > MOST_BYTES) {
+    private void take(Buffer part, Consumer<HttpException> refuse) {
+        if (!refused && body.length() + part.length() > MAX_BYTES) {
             refused = true;
             refuse.accept(tooLong());
         } else if (!refused) {
@@ -57,8 +59,8 @@
         }
     }
 
-    private static CallException tooLong() {
-        return new CallException(
-                Status.TOO_LARGE, "a submission has " + MOST_BYTES + " bytes at most");
+    private static HttpException tooLong() {
+        return new HttpException(
+                HttpStatus.TOO_LARGE, "a submission has " + MAX_BYTES + " bytes at most");
     }
 }
--- a/control/src/main/java/ottergauge/control/server/Responder.java
+++ b/control/src/main/java/ottergauge/control/server/Responder.java
@@ -11,12 +11,12 @@
 
     /** Answers that the call can't be carried out now. */
     default void unavailable(String error) {
-        answer(Status.UNAVAILABLE, ErrorJson.of(error));
+        answer(HttpStatus.UNAVAILABLE, ErrorJson.of(error));
     }
 
     /** Has the connection closed once the answer is written. */
     Responder closing();
 
     /** The handler is called if the client goes before it is answered. */
-    void onGone(Runnable handler);
+    void onDisconnect(Runnable handler);
 }
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-import java.util.ArrayDeque;
-import java.util.Optional;
-import java.util.Queue;
-import java.util.function.LongSupplier;
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.VersionTooOld;
 
+import java.util.ArrayDeque;
+import java.util.Optional;
+import java.util.Queue;
+import java.util.function.LongSupplier;
+
 /**
  * Writes pages of snapshots at a rate for all callers together, in the order in which they called.
  * A page is made when its turn comes. There is one call a connection, so that the connections bound
@@ -21,9 +22,9 @@
     private static final long MICROS_PER_MS = 1_000;
 
     /** What the timers are late by is caught up with, up to this. */
-    private static final long MOST_CATCH_UP_MICROS = 20_000;
+    private static final long MAX_CATCH_UP_MICROS = 20_000;
 
-    private record Waiting(Responder responder, SnapshotCall call) {}
+    private record Waiting(Responder responder, SnapshotRequest call) {}
 
     private final SharedLog log;
     private final Timers timers;
@@ -49,14 +50,14 @@
     }
 
     /** Answers a call when its turn comes. */
-    void take(Responder responder, SnapshotCall call) {
+    void take(Responder responder, SnapshotRequest call) {
         if (stopping) {
             responder.unavailable(ErrorJson.STOPPING);
             return;
         }
         Waiting waiting = new Waiting(responder, call);
         queue.add(waiting);
-        responder.onGone(() -> queue.remove(waiting));
+        responder.onDisconnect(() -> queue.remove(waiting));
         if (!timerRuns) {
             writeWhatIsDue();
         }
@@ -71,7 +72,7 @@
 
     private void writeWhatIsDue() {
         long now = clockMicros.getAsLong();
-        nextAt = Math.max(nextAt, now - MOST_CATCH_UP_MICROS);
+        nextAt = Math.max(nextAt, now - MAX_CATCH_UP_MICROS);
         while (!queue.isEmpty() && nextAt <= now) {
             nextAt += write(queue.remove()) * MICROS_PER_SECOND / bytesPerSecond;
         }
@@ -88,20 +89,20 @@
 
     // Gives how many bytes the answer has.
     private long write(Waiting waiting) {
-        SnapshotCall call = waiting.call();
+        SnapshotRequest call = waiting.call();
         LogPosition position = log.position().orElseThrow();
         Optional<String> other = call.log().filter(each -> !each.equals(position.log()));
         if (other.isPresent()) {
             waiting.responder()
                     .answer(
-                            Status.GONE,
+                            HttpStatus.GONE,
                             ResourceCodec.write(
                                     new VersionTooOld(
                                             position.log(), log.oldest(), position.version())));
             return 0;
         }
-        byte[] page = log.snapshot(call.from(), call.subscription(), call.mostBytes()).json();
-        waiting.responder().answer(Status.OK, page);
+        byte[] page = log.snapshot(call.from(), call.subscription(), call.maxBytes()).json();
+        waiting.responder().answer(HttpStatus.OK, page);
         return page.length;
     }
 }
--- a/control/src/main/java/ottergauge/control/server/StatusJson.java
+++ b/control/src/main/java/ottergauge/control/server/StatusJson.java
@@ -3,13 +3,15 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
+
+import ottergauge.control.consensus.Role;
+import ottergauge.resources.LogPosition;
+
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Optional;
-import ottergauge.control.consensus.Role;
-import ottergauge.resources.LogPosition;
 
 /** The body of an answer to a call for the status. */
 final class StatusJson {
@@ -24,7 +26,7 @@
             Optional<String> leader,
             Optional<LogPosition> position,
             long oldest,
-            List<NodeTable.Heard> nodes,
+            List<NodeStatusTable.NodeStatus> nodes,
             long nowMs) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
@@ -36,7 +38,7 @@
             out.writeStringField("role", role.wireName());
             out.writeStringField("leader", leader.orElse(""));
             out.writeArrayFieldStart("nodes");
-            for (NodeTable.Heard heard : nodes) {
+            for (NodeStatusTable.NodeStatus heard : nodes) {
                 write(out, heard, nowMs);
             }
             out.writeEndArray();
@@ -47,13 +49,13 @@
         return bytes.toByteArray();
     }
 
-    private static void write(JsonGenerator out, NodeTable.Heard heard, long nowMs)
+    private static void write(JsonGenerator out, NodeStatusTable.NodeStatus heard, long nowMs)
             throws IOException {
         out.writeStartObject();
         out.writeStringField("name", heard.report().name());
         out.writeStringField("region", heard.report().region());
         out.writeStringField("log", heard.report().log());
-        out.writeNumberField("in_force", heard.report().inForce());
+        out.writeNumberField("in_force", heard.report().effectiveVersion());
         out.writeNumberField("refused", heard.report().refused());
         out.writeNumberField("heard_ms", nowMs - heard.atMs());
         out.writeEndObject();
--- a/control/src/main/java/ottergauge/control/server/Publishing.java
+++ b/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
@@ -2,26 +2,28 @@
 package ottergauge.control.server;
 
 import io.vertx.core.Context;
-import java.util.concurrent.CompletionException;
+
 import ottergauge.control.consensus.Consensus;
 import ottergauge.control.consensus.NoQuorumException;
-import ottergauge.control.log.Outcome;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.InvalidSubmissionException;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Submission;
 
+import java.util.concurrent.CompletionException;
+
 /** The submissions that are on their way: bounded by number, each answered with its outcome. */
-final class Publishing {
+final class SubmissionHandler {
 
-    private static final int MOST_OPEN = 256;
+    private static final int MAX_PENDING_SUBMISSIONS = 256;
 
     private final Consensus consensus;
     private final Context context;
-    private final LimitedLog warnings;
+    private final RateLimitedLogger warnings;
     private int open;
 
-    Publishing(Consensus consensus, Context context, LimitedLog warnings) {
+    SubmissionHandler(Consensus consensus, Context context, RateLimitedLogger warnings) {
         this.consensus = consensus;
         this.context = context;
         this.warnings = warnings;
@@ -32,20 +34,20 @@
         return open;
     }
 
-    void take(Exchange exchange, byte[] body) {
+    void take(HttpExchange exchange, byte[] body) {
         Submission submission;
         try {
             submission = ResourceCodec.readSubmission(body);
         } catch (InvalidSubmissionException e) {
             warn(exchange, e.getMessage());
-            exchange.answer(Status.BAD_REQUEST, ResourceCodec.writeFaults(e.faults()));
+            exchange.answer(HttpStatus.BAD_REQUEST, ResourceCodec.writeFaults(e.faults()));
             return;
         } catch (ProtocolException e) {
             warn(exchange, e.getMessage());
-            exchange.answer(Status.BAD_REQUEST, ErrorJson.of(e.getMessage()));
+            exchange.answer(HttpStatus.BAD_REQUEST, ErrorJson.of(e.getMessage()));
             return;
         }
-        if (open >= MOST_OPEN) {
+        if (open >= MAX_PENDING_SUBMISSIONS) {
             exchange.unavailable(ErrorJson.BUSY);
             return;
         }
@@ -59,23 +61,31 @@
     }
 
     private void decided(
-            Exchange exchange, Submission submission, Outcome outcome, Throwable failure) {
+            HttpExchange exchange,
+            Submission submission,
+            SubmissionOutcome outcome,
+            Throwable failure) {
         open--;
         if (failure != null) {
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-            String why = cause instanceof NoQuorumException ? cause.getMessage() : cause.toString();
-            warnings.warn("submission " + submission.id() + " is not known to be accepted: " + why);
+            String reason =
+                    cause instanceof NoQuorumException ? cause.getMessage() : cause.toString();
+            warnings.warn(
+                    "submission " + submission.id() + " is not known to be accepted: " + reason);
             exchange.unavailable(ErrorJson.NO_QUORUM);
-        } else if (outcome instanceof Outcome.Invalid invalid) {
+        } else if (outcome instanceof SubmissionOutcome.Rejected invalid) {
             warn(exchange, invalid.faults().get(0).toString());
-            exchange.answer(Status.BAD_REQUEST, ResourceCodec.writeFaults(invalid.faults()));
-        } else if (outcome instanceof Outcome.Accepted accepted) {
-            exchange.answer(Status.OK, ResourceCodec.write(accepted.position()));
+            exchange.answer(HttpStatus.BAD_REQUEST, ResourceCodec.writeFaults(invalid.faults()));
+        } else if (outcome instanceof SubmissionOutcome.Accepted accepted) {
+            exchange.answer(HttpStatus.OK, ResourceCodec.write(accepted.position()));
         }
     }
 
-    private void warn(Exchange exchange, String why) {
+    private void warn(HttpExchange exchange, String reason) {
         warnings.warn(
-                "a submission from " + exchange.request().remoteAddress() + " is refused: " + why);
+                "a submission from "
+                        + exchange.request().remoteAddress()
+                        + " is refused: "
+                        + reason);
     }
 }
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -5,23 +5,18 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.stream.Collectors;
-import java.util.stream.IntStream;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
+
 import org.junit.jupiter.api.Test;
+
 import ottergauge.control.log.ChangeLog;
-import ottergauge.control.log.LogLimits;
-import ottergauge.control.log.Outcome;
+import ottergauge.control.log.LogRetention;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.control.log.Submissions;
 import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
@@ -34,13 +29,21 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
+
 /** What is published so that the log has the servers that discovery lists. */
 class ServiceReconcilerTest {
 
     private static final String SERVICE = "checkout";
 
     private final ServiceReconciler reconciler = new ServiceReconciler(SERVICE);
-    private final ChangeLog log = new ChangeLog("a1", LogLimits.DEFAULT);
+    private final ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
     private int ids;
 
     private static DiscoveredEndpoint host(String name, EndpointState state, double share) {
@@ -83,8 +86,8 @@
             assertTrue(
                     next.get().puts().size() + next.get().deletes().size() <= 501,
                     "too many entries");
-            Outcome outcome = log.apply(next.get());
-            if (outcome instanceof Outcome.Invalid invalid) {
+            SubmissionOutcome outcome = log.apply(next.get());
+            if (outcome instanceof SubmissionOutcome.Rejected invalid) {
                 reconciler.refuse(next.get(), invalid.faults());
             } else {
                 reconciler.accepted(next.get());
@@ -204,7 +207,7 @@
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("no name"), host("s-2", EndpointState.UP, -1));
         Submission all = next().orElseThrow();
-        assertEquals(2, reconciler.refuseMalformed(all).size());
+        assertEquals(2, reconciler.rejectMalformed(all).size());
         assertEquals(1, publishAll());
         assertEquals(Map.of("s-1", up("s-1")), servers(log));
     }
--- a/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
@@ -6,16 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.stream.Collectors;
-import java.util.stream.Stream;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -25,6 +15,7 @@
 import net.jqwik.api.RandomDistribution;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.statistics.Statistics;
+
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
@@ -38,11 +29,22 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+
 /** Random histories: the log against a plain model, and subscribers against the log. */
 class ChangeLogHistoryTest {
 
     private static final String LOG = "a1";
-    private static final LogLimits MANY = new LogLimits(10_000, 1 << 24);
+    private static final LogRetention MANY = new LogRetention(10_000, 1 << 24);
 
     /** Of histories that have enough in them to show anything, in percent. */
     private static final double MANY_OUTCOMES = 10;
@@ -225,9 +227,9 @@
         Model model = new Model();
         for (Submission submission : history) {
             Optional<Long> expected = model.apply(submission);
-            Outcome outcome = log.apply(submission);
+            SubmissionOutcome outcome = log.apply(submission);
             Optional<Long> actual =
-                    outcome instanceof Outcome.Accepted accepted
+                    outcome instanceof SubmissionOutcome.Accepted accepted
                             ? Optional.of(accepted.position().version())
                             : Optional.empty();
             assertEquals(expected, actual, () -> submission + ": " + outcome);
@@ -287,8 +289,8 @@
             Map<ResourceKey, Resource> copy) {
         LogPosition at = new LogPosition(LOG, after);
         while (at.version() < log.position().version()) {
-            Answer answer = log.changesAfter(at, subscription, bytes);
-            ChangePage page = assertInstanceOf(Answer.Changes.class, answer).page().page();
+            PollResponse answer = log.changesAfter(at, subscription, bytes);
+            ChangePage page = assertInstanceOf(PollResponse.Changes.class, answer).page().page();
             for (Change change : page.changes()) {
                 for (Change.Delete delete : change.deletes()) {
                     Resource before = copy.get(delete.key());
@@ -322,28 +324,28 @@
             @ForAll @IntRange(max = 60) int cut,
             @ForAll @IntRange(min = 1, max = 40) int keptChanges)
             throws ProtocolException {
-        LogLimits limits = new LogLimits(keptChanges, 1 << 20);
+        LogRetention limits = new LogRetention(keptChanges, 1 << 20);
         ChangeLog log = new ChangeLog(LOG, limits);
         int before = Math.min(cut, history.size());
         history.subList(0, before).forEach(log::apply);
-        ChangeLog restored = ChangeLog.restore(log.image(), limits);
+        ChangeLog restored = ChangeLog.restore(log.snapshotBytes(), limits);
         assertEquals(log.position(), restored.position());
         assertEquals(log.oldest(), restored.oldest());
-        assertArrayEquals(log.image(), restored.image());
+        assertArrayEquals(log.snapshotBytes(), restored.snapshotBytes());
         for (Submission submission : history.subList(before, history.size())) {
             assertEquals(log.apply(submission), restored.apply(submission));
         }
         history.forEach(
                 submission -> assertEquals(log.apply(submission), restored.apply(submission)));
-        assertArrayEquals(log.image(), restored.image());
+        assertArrayEquals(log.snapshotBytes(), restored.snapshotBytes());
     }
 
     @Property(tries = 200, seed = "54")
     void theSameSubmissionsAgainChangeNothing(@ForAll("histories") List<Submission> history) {
         ChangeLog log = new ChangeLog(LOG, MANY);
-        List<Outcome> outcomes = history.stream().map(log::apply).toList();
-        byte[] image = log.image();
+        List<SubmissionOutcome> outcomes = history.stream().map(log::apply).toList();
+        byte[] snapshotBytes = log.snapshotBytes();
         assertEquals(outcomes, history.stream().map(log::apply).toList());
-        assertArrayEquals(image, log.image());
+        assertArrayEquals(snapshotBytes, log.snapshotBytes());
     }
 }
--- a/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
@@ -1,19 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.List;
-import java.util.Optional;
-import java.util.Set;
+import static java.nio.charset.StandardCharsets.UTF_8;
+
 import org.junit.jupiter.api.Test;
+
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
@@ -28,6 +25,12 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+
 /** What is accepted, what subscribers are told, and what is kept, case by case. */
 class ChangeLogTest {
 
@@ -35,20 +38,20 @@
     private static final int ALL_BYTES = 1 << 19;
     private static final Subscription EVERYTHING = new Subscription(Set.of(), "default");
 
-    private final ChangeLog log = new ChangeLog(LOG, LogLimits.DEFAULT);
+    private final ChangeLog log = new ChangeLog(LOG, LogRetention.DEFAULT);
 
     private long accepted(Submissions submission) {
-        Outcome outcome = log.apply(submission.build());
-        return assertInstanceOf(Outcome.Accepted.class, outcome, outcome::toString)
+        SubmissionOutcome outcome = log.apply(submission.build());
+        return assertInstanceOf(SubmissionOutcome.Accepted.class, outcome, outcome::toString)
                 .position()
                 .version();
     }
 
     private List<FieldError> refused(Submissions submission) {
         LogPosition before = log.position();
-        Outcome outcome = log.apply(submission.build());
+        SubmissionOutcome outcome = log.apply(submission.build());
         assertEquals(before, log.position(), "something of it was taken");
-        return assertInstanceOf(Outcome.Invalid.class, outcome).faults();
+        return assertInstanceOf(SubmissionOutcome.Rejected.class, outcome).faults();
     }
 
     private static void assertFault(
@@ -57,8 +60,9 @@
     }
 
     private ChangePage changesAfter(long version, Subscription subscription) {
-        Answer answer = log.changesAfter(new LogPosition(LOG, version), subscription, ALL_BYTES);
-        return assertInstanceOf(Answer.Changes.class, answer).page().page();
+        PollResponse answer =
+                log.changesAfter(new LogPosition(LOG, version), subscription, ALL_BYTES);
+        return assertInstanceOf(PollResponse.Changes.class, answer).page().page();
     }
 
     private static List<Long> versions(ChangePage page) {
@@ -183,7 +187,7 @@
     @Test
     void resourcesAreBoundedByNumber() {
         for (int change = 0;
-                change < StateLimits.MOST_RESOURCES / ResourceChecks.MOST_ENTRIES;
+                change < StateLimits.MAX_RESOURCES / ResourceChecks.MOST_ENTRIES;
                 change++) {
             Submissions tenants = Submissions.of("id-" + change);
             for (int i = 0; i < ResourceChecks.MOST_ENTRIES; i++) {
@@ -208,16 +212,17 @@
         ResourceValue longValue = new ResourceValue.Service("d".repeat(1_000));
         int changes = 0;
         while (log.apply(services("id-" + changes, changes, longValue))
-                instanceof Outcome.Accepted) {
+                instanceof SubmissionOutcome.Accepted) {
             changes++;
         }
-        long bytes = 230L * (changes + 1) * (1_000 + JsonBytes.ENTRY_OVERHEAD);
-        assertTrue(bytes > StateLimits.MOST_STATE_BYTES * 9 / 10, "refused after " + bytes);
+        long bytes = 230L * (changes + 1) * (1_000 + JsonPageBuilder.ENTRY_OVERHEAD);
+        assertTrue(bytes > StateLimits.MAX_STATE_BYTES * 9 / 10, "refused after " + bytes);
         assertInstanceOf(
-                Outcome.Accepted.class,
+                SubmissionOutcome.Accepted.class,
                 log.apply(services("shorter", 0, new ResourceValue.Service(""))));
         assertInstanceOf(
-                Outcome.Accepted.class, log.apply(services("fits-now", changes, longValue)));
+                SubmissionOutcome.Accepted.class,
+                log.apply(services("fits-now", changes, longValue)));
     }
 
     private static Submission services(String id, int change, ResourceValue value) {
@@ -242,19 +247,19 @@
     @Test
     void theIdsOfAcceptedSubmissionsAreForgottenAfterABound() {
         accepted(Submissions.of("first").tenant("gold", 1));
-        for (int i = 0; i < OutcomeMemory.MOST_ACCEPTED; i++) {
+        for (int i = 0; i < IdempotencyCache.MAX_ACCEPTED; i++) {
             accepted(Submissions.of("id-" + i).tenant("gold", i));
         }
         assertEquals(2, accepted(Submissions.of("id-0").tenant("gold", 0)));
         assertEquals(
-                OutcomeMemory.MOST_ACCEPTED + 2,
+                IdempotencyCache.MAX_ACCEPTED + 2,
                 accepted(Submissions.of("first").tenant("gold", 1)));
     }
 
     @Test
     void badSubmissionsDoNotHaveAcceptedOnesForgotten() {
         accepted(Submissions.of("good").tenant("gold", 1));
-        for (int i = 0; i < OutcomeMemory.MOST_ACCEPTED + 1; i++) {
+        for (int i = 0; i < IdempotencyCache.MAX_ACCEPTED + 1; i++) {
             refused(Submissions.of("bad-" + i).server("s-1", "none"));
         }
         assertEquals(1, accepted(Submissions.of("good").tenant("gold", 1)));
@@ -295,8 +300,8 @@
         List<Long> seen = new ArrayList<>();
         int pages = 0;
         while (at.version() < 10) {
-            Answer answer = log.changesAfter(at, EVERYTHING, 600);
-            EncodedChanges page = assertInstanceOf(Answer.Changes.class, answer).page();
+            PollResponse answer = log.changesAfter(at, EVERYTHING, 600);
+            EncodedChanges page = assertInstanceOf(PollResponse.Changes.class, answer).page();
             assertTrue(page.json().length <= 600, "bytes: " + page.json().length);
             seen.addAll(versions(page.page()));
             assertTrue(page.upTo().version() > at.version(), "no progress from " + at);
@@ -311,36 +316,36 @@
     void aPageHasOneChangeAtLeast() {
         accepted(Submissions.of("a").tenant("gold", 1));
         accepted(Submissions.of("b").tenant("gold", 2));
-        Answer answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, 1);
+        PollResponse answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, 1);
         assertEquals(
                 List.of(1L),
-                versions(assertInstanceOf(Answer.Changes.class, answer).page().page()));
+                versions(assertInstanceOf(PollResponse.Changes.class, answer).page().page()));
     }
 
     @Test
     void changesThatAreNotKeptAreTooOld() {
-        ChangeLog small = new ChangeLog(LOG, new LogLimits(3, 1 << 20));
+        ChangeLog small = new ChangeLog(LOG, new LogRetention(3, 1 << 20));
         for (int i = 1; i <= 10; i++) {
             small.apply(Submissions.of("id-" + i).tenant("t", i).build());
         }
         LogPosition newest = new LogPosition(LOG, 10);
         assertEquals(
-                new Answer.VersionTooOld(newest, 8),
+                new PollResponse.VersionTooOld(newest, 8),
                 small.changesAfter(new LogPosition(LOG, 6), EVERYTHING, ALL_BYTES));
         assertInstanceOf(
-                Answer.Changes.class,
+                PollResponse.Changes.class,
                 small.changesAfter(new LogPosition(LOG, 7), EVERYTHING, ALL_BYTES));
         assertEquals(
-                new Answer.VersionTooOld(newest, 8),
+                new PollResponse.VersionTooOld(newest, 8),
                 small.changesAfter(new LogPosition("other", 9), EVERYTHING, ALL_BYTES));
         assertEquals(
-                new Answer.Ahead(newest),
+                new PollResponse.Ahead(newest),
                 small.changesAfter(new LogPosition(LOG, 11), EVERYTHING, ALL_BYTES));
     }
 
     @Test
     void keptChangesAreBoundedByBytes() {
-        ChangeLog small = new ChangeLog(LOG, new LogLimits(1_000, 2_000));
+        ChangeLog small = new ChangeLog(LOG, new LogRetention(1_000, 2_000));
         for (int i = 1; i <= 100; i++) {
             small.apply(Submissions.of("id-" + i).tenant("t", i).build());
         }
@@ -348,8 +353,8 @@
         assertTrue(kept >= 5 && kept <= 20, "kept: " + kept);
         StoredChange change = small.capture().changes().get(0);
         assertTrue(
-                kept * JsonBytes.sizeOf(change) <= 2_100,
-                "bytes: " + kept * JsonBytes.sizeOf(change));
+                kept * JsonPageBuilder.sizeOf(change) <= 2_100,
+                "bytes: " + kept * JsonPageBuilder.sizeOf(change));
     }
 
     @Test
@@ -362,8 +367,8 @@
                         .tenant("a/b.c_d", 1.5)
                         .settings("default", 20));
         accepted(Submissions.of("b").delete(ResourceKind.SERVER, "s-1").service("checkout"));
-        Answer answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, ALL_BYTES);
-        EncodedChanges changes = assertInstanceOf(Answer.Changes.class, answer).page();
+        PollResponse answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, ALL_BYTES);
+        EncodedChanges changes = assertInstanceOf(PollResponse.Changes.class, answer).page();
         assertEquals(
                 new String(ResourceCodec.write(changes.page()), UTF_8),
                 new String(changes.json(), UTF_8));
@@ -387,7 +392,9 @@
         for (StoredChange change : log.capture().changes()) {
             int bytes = new EncodedChanges(log.position(), List.of(change)).json().length;
             int frame = new EncodedChanges(log.position(), List.of()).json().length;
-            assertTrue(JsonBytes.sizeOf(change) >= bytes - frame, change.version() + ": " + bytes);
+            assertTrue(
+                    JsonPageBuilder.sizeOf(change) >= bytes - frame,
+                    change.version() + ": " + bytes);
         }
     }
 
@@ -403,7 +410,7 @@
         do {
             EncodedSnapshot page =
                     log.snapshot(from, new Subscription(Set.of("search"), "default"), 1_000);
-            assertTrue(page.json().length <= 1_000 + 2 * JsonBytes.FRAME_OVERHEAD);
+            assertTrue(page.json().length <= 1_000 + 2 * JsonPageBuilder.FRAME_OVERHEAD);
             assertFalse(page.page().resources().isEmpty());
             keys.addAll(page.page().resources().stream().map(Resource::key).toList());
             from = page.next();
@@ -417,15 +424,17 @@
         accepted(Submissions.of("a").service("checkout").server("s-1", "checkout"));
         accepted(Submissions.of("b").delete(ResourceKind.SERVER, "s-1"));
         refused(Submissions.of("c").server("s-1", "none"));
-        byte[] image = log.image();
-        for (int length = 0; length < image.length; length++) {
-            byte[] cut = Arrays.copyOf(image, length);
-            assertThrows(ProtocolException.class, () -> ChangeLog.restore(cut, LogLimits.DEFAULT));
+        byte[] snapshotBytes = log.snapshotBytes();
+        for (int length = 0; length < snapshotBytes.length; length++) {
+            byte[] cut = Arrays.copyOf(snapshotBytes, length);
+            assertThrows(
+                    ProtocolException.class, () -> ChangeLog.restore(cut, LogRetention.DEFAULT));
         }
-        byte[] longer = Arrays.copyOf(image, image.length + 1);
-        assertThrows(ProtocolException.class, () -> ChangeLog.restore(longer, LogLimits.DEFAULT));
-        byte[] later = image.clone();
+        byte[] longer = Arrays.copyOf(snapshotBytes, snapshotBytes.length + 1);
+        assertThrows(
+                ProtocolException.class, () -> ChangeLog.restore(longer, LogRetention.DEFAULT));
+        byte[] later = snapshotBytes.clone();
         later[3]++;
-        assertThrows(ProtocolException.class, () -> ChangeLog.restore(later, LogLimits.DEFAULT));
+        assertThrows(ProtocolException.class, () -> ChangeLog.restore(later, LogRetention.DEFAULT));
     }
 }
--- a/control/src/test/java/ottergauge/control/log/LogSnapshotCompatibilityTest.java
+++ b/control/src/test/java/ottergauge/control/log/LogSnapshotCompatibilityTest.java
@@ -29,7 +29,7 @@
 class LogSnapshotCompatibilityTest {
 
     private static final String FOLDER = "/compatibility/";
-    private static final LogLimits THREE_CHANGES = new LogLimits(3, 1 << 20);
+    private static final LogRetention THREE_CHANGES = new LogRetention(3, 1 << 20);
     private static final Subscription EVERYTHING = new Subscription(Set.of(), "default");
     private static final int PAGE_BYTES = 1 << 16;
 
@@ -46,7 +46,7 @@
 
     @Test
     void storedLog_isWrittenBackByteByByte() throws IOException, ProtocolException {
-        assertArrayEquals(sample("log-v1.bin"), sampleLog().image());
+        assertArrayEquals(sample("log-v1.bin"), sampleLog().snapshotBytes());
     }
 
     @Test
@@ -79,18 +79,19 @@
     @Test
     void storedLog_keepsOutcomesOfAcceptedSubmissions() throws IOException, ProtocolException {
         assertEquals(
-                new Outcome.Accepted(new LogPosition("9f3c", 2)),
+                new SubmissionOutcome.Accepted(new LogPosition("9f3c", 2)),
                 sampleLog().apply(Submissions.of("id-2").tenant("unused", 1).build()));
     }
 
     @Test
     void storedLog_keepsOutcomesOfRejectedSubmissions() throws IOException, ProtocolException {
-        Outcome outcome = sampleLog().apply(Submissions.of("id-bad").tenant("unused", 1).build());
+        SubmissionOutcome outcome =
+                sampleLog().apply(Submissions.of("id-bad").tenant("unused", 1).build());
         assertEquals(
                 List.of(
                         new FieldError("put[0].value.service", "none", "a service that exists"),
                         new FieldError("delete[0].name", "silver", "a tenant that exists")),
-                assertInstanceOf(Outcome.Invalid.class, outcome).faults());
+                assertInstanceOf(SubmissionOutcome.Rejected.class, outcome).faults());
     }
 
     @Test
@@ -114,16 +115,17 @@
                 Submissions.of("id-5")
                         .put(ResourceKind.TENANT, "gold", new ResourceValue.Tenant(3, 20, 10, 2))
                         .build());
-        assertArrayEquals(sample("log-v1.bin"), log.image());
+        assertArrayEquals(sample("log-v1.bin"), log.snapshotBytes());
     }
 
     @Test
     void changesPage_keepsItsJson() throws IOException, ProtocolException {
-        Answer answer =
+        PollResponse answer =
                 sampleLog().changesAfter(new LogPosition("9f3c", 2), EVERYTHING, PAGE_BYTES);
         assertEquals(
                 new String(sample("changes.json"), UTF_8),
-                new String(assertInstanceOf(Answer.Changes.class, answer).page().json(), UTF_8));
+                new String(
+                        assertInstanceOf(PollResponse.Changes.class, answer).page().json(), UTF_8));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/program/RunningControl.java
+++ b/control/src/test/java/ottergauge/control/program/RunningControl.java
@@ -1,10 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.fail;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
+
+import ottergauge.protocol.ProtocolException;
+import ottergauge.resources.LogPosition;
+import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.Submission;
+import ottergauge.settings.JsonTree;
+
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -25,16 +32,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
-import ottergauge.protocol.ProtocolException;
-import ottergauge.resources.LogPosition;
-import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.Submission;
-import ottergauge.settings.JsonTree;
 
 /** A process of the jar, with its output kept in a file. */
 final class RunningControl implements AutoCloseable {
 
-    private static final long PATIENCE_S = 60;
+    private static final long TIMEOUT_S = 60;
     private static final Path JAR =
             Path.of(System.getProperty("control.jar", "target/ottergauge-control.jar"));
     private static final AtomicLong START = new AtomicLong();
@@ -108,7 +110,7 @@
 
     /** Waits for something to become true, looking often. */
     void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > until || !process.isAlive()) {
                 fail("not " + what + "; output:\n" + output());
@@ -130,7 +132,7 @@
     }
 
     int exitCode() throws InterruptedException {
-        if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             fail("still running; output:\n" + output());
         }
         return process.exitValue();
@@ -141,7 +143,7 @@
     }
 
     void kill() throws InterruptedException {
-        process.destroyForcibly().waitFor(PATIENCE_S, TimeUnit.SECONDS);
+        process.destroyForcibly().waitFor(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     HttpResponse<String> get(String path) throws IOException, InterruptedException {
@@ -161,7 +163,7 @@
 
     private HttpRequest.Builder request(String path) {
         return HttpRequest.newBuilder(URI.create("http://" + address() + path))
-                .timeout(Duration.ofSeconds(PATIENCE_S));
+                .timeout(Duration.ofSeconds(TIMEOUT_S));
     }
 
     /** Publishes and expects that it is accepted. */
@@ -180,7 +182,7 @@
 
     Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
         return socket;
     }
 
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -6,15 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+
 import ottergauge.control.log.ChangeLog;
-import ottergauge.control.log.LogLimits;
-import ottergauge.control.log.Outcome;
+import ottergauge.control.log.LogRetention;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.control.log.Submissions;
 import ottergauge.control.program.SubmissionFile.Part;
 import ottergauge.protocol.ProtocolException;
@@ -23,6 +20,11 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+
 /** Files that are published, whole or in parts. */
 class SubmissionFileTest {
 
@@ -45,8 +47,8 @@
         for (Part part : parts) {
             Submission submission = ResourceCodec.readSubmission(part.body());
             assertEquals(part.id(), submission.id());
-            Outcome outcome = log.apply(submission);
-            assertInstanceOf(Outcome.Accepted.class, outcome, outcome::toString);
+            SubmissionOutcome outcome = log.apply(submission);
+            assertInstanceOf(SubmissionOutcome.Accepted.class, outcome, outcome::toString);
         }
         return log.size();
     }
@@ -59,7 +61,7 @@
 
     @Test
     void partsCanBeAppliedOneAfterTheOther() throws IOException, ProtocolException {
-        ChangeLog log = new ChangeLog("a1", LogLimits.DEFAULT);
+        ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
         List<Part> parts = file(many().build()).split();
         assertEquals(List.of("load:1", "load:2", "load:3"), parts.stream().map(Part::id).toList());
         assertEquals(1_301, apply(log, parts));
@@ -72,7 +74,7 @@
 
     @Test
     void aSecondTimeChangesNothing() throws IOException, ProtocolException {
-        ChangeLog log = new ChangeLog("a1", LogLimits.DEFAULT);
+        ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
         apply(log, file(many().build()).split());
         long version = log.position().version();
         apply(log, file(many().build()).split());
--- a/control/src/test/java/ottergauge/control/server/MadeUpTimers.java
+++ b/control/src/test/java/ottergauge/control/server/FakeTimers.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 
 /** Timers and a clock that go on only when a test says so. */
-final class MadeUpTimers implements Timers {
+final class FakeTimers implements Timers {
 
     private record Due(long timer, long atMs, Runnable task) {}
 
--- a/control/src/test/java/ottergauge/control/server/NodeTableTest.java
+++ b/control/src/test/java/ottergauge/control/server/NodeStatusTableTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /** The nodes that were heard lately. */
-class NodeTableTest {
+class NodeStatusTableTest {
 
-    private final NodeTable table = new NodeTable();
+    private final NodeStatusTable table = new NodeStatusTable();
 
     private void heard(String name, long atMs) {
         table.heard(new NodeReport(name, "r1", "a1", atMs, 0), atMs);
@@ -18,26 +18,26 @@
     void theLastReportCounts() {
         heard("n1", 1);
         heard("n1", 5);
-        assertEquals(1, table.lately(6).size());
-        assertEquals(5, table.lately(6).get(0).report().inForce());
+        assertEquals(1, table.recent(6).size());
+        assertEquals(5, table.recent(6).get(0).report().effectiveVersion());
     }
 
     @Test
     void aNodeIsForgottenAfterTenMinutes() {
         heard("n1", 0);
         heard("n2", 1);
-        assertEquals(2, table.lately(NodeTable.FORGOTTEN_AFTER_MS).size());
-        assertEquals("n2", table.lately(NodeTable.FORGOTTEN_AFTER_MS + 1).get(0).report().name());
+        assertEquals(2, table.recent(NodeStatusTable.NODE_EXPIRY_MS).size());
+        assertEquals("n2", table.recent(NodeStatusTable.NODE_EXPIRY_MS + 1).get(0).report().name());
     }
 
     @Test
     void theOneThatWasNotHeardForLongestMakesRoom() {
-        for (int i = 0; i < NodeTable.MOST_NODES; i++) {
+        for (int i = 0; i < NodeStatusTable.MAX_NODES; i++) {
             heard("n" + i, i);
         }
         heard("n0", 5_000);
         heard("another", 5_001);
-        assertEquals(NodeTable.MOST_NODES, table.lately(5_001).size());
-        assertEquals("n2", table.lately(5_001).get(0).report().name());
+        assertEquals(NodeStatusTable.MAX_NODES, table.recent(5_001).size());
+        assertEquals("n2", table.recent(5_001).get(0).report().name());
     }
 }
--- a/control/src/test/java/ottergauge/control/server/WaitingPollsTest.java
+++ b/control/src/test/java/ottergauge/control/server/PendingPollsTest.java
@@ -5,13 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.List;
-import java.util.Optional;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
+
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.control.log.ChangeLog;
-import ottergauge.control.log.LogLimits;
+import ottergauge.control.log.LogRetention;
 import ottergauge.control.log.Submissions;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
@@ -21,18 +19,22 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionTooOld;
 
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+
 /** Calls that wait for changes, on made-up time. */
-class WaitingPollsTest {
+class PendingPollsTest {
 
     private static final String LOG = "a1";
-    private static final int MOST_WAITING = 3;
+    private static final int MAX_PENDING = 3;
 
     private final SharedLog log = new SharedLog();
-    private final MadeUpTimers timers = new MadeUpTimers();
-    private final WaitingPolls polls = new WaitingPolls(log, timers, MOST_WAITING);
+    private final FakeTimers timers = new FakeTimers();
+    private final PendingPolls polls = new PendingPolls(log, timers, MAX_PENDING);
 
-    WaitingPollsTest() {
-        log.replace(new ChangeLog(LOG, new LogLimits(5, 1 << 20)));
+    PendingPollsTest() {
+        log.replace(new ChangeLog(LOG, new LogRetention(5, 1 << 20)));
         log.onChange(polls::wake);
         log.apply(Submissions.of("services").service("checkout").service("search").build());
     }
@@ -45,7 +47,7 @@
         RecordingResponder responder = new RecordingResponder();
         polls.take(
                 responder,
-                new ChangesCall(
+                new ChangesRequest(
                         after,
                         waitMs,
                         1 << 16,
@@ -55,7 +57,7 @@
     }
 
     private static ChangePage page(RecordingResponder responder) throws ProtocolException {
-        assertEquals(Status.OK, responder.status);
+        assertEquals(HttpStatus.OK, responder.status);
         return ResourceCodec.readChanges(responder.body);
     }
 
@@ -118,12 +120,12 @@
     void theCallsThatWaitAreBounded() throws ProtocolException {
         List<RecordingResponder> waiting = List.of(ask(1, 10_000), ask(1, 10_000), ask(1, 10_000));
         RecordingResponder tooMany = ask(1, 10_000);
-        assertEquals(Status.UNAVAILABLE, tooMany.status);
+        assertEquals(HttpStatus.UNAVAILABLE, tooMany.status);
         assertEquals("{\"error\":\"busy\"}", tooMany.text());
         waiting.get(0).leave();
         assertFalse(ask(1, 10_000).isAnswered());
         assertEquals(List.of(1L), versions(ask(0, 10_000)));
-        assertEquals(MOST_WAITING, polls.count());
+        assertEquals(MAX_PENDING, polls.count());
     }
 
     @Test
@@ -139,7 +141,7 @@
     @Test
     void anotherLogAndChangesThatAreNotKeptAreTooOld() throws ProtocolException {
         RecordingResponder other = ask(new LogPosition("other", 1), 10_000);
-        assertEquals(Status.GONE, other.status);
+        assertEquals(HttpStatus.GONE, other.status);
         assertEquals(new VersionTooOld(LOG, 1, 1), ResourceCodec.readTooOld(other.body));
         for (int i = 0; i < 9; i++) {
             log.apply(Submissions.of("id-" + i).tenant("gold", i).build());
@@ -165,7 +167,7 @@
         timers.pass(999);
         assertFalse(ahead.isAnswered());
         timers.pass(1);
-        assertEquals(Status.UNAVAILABLE, ahead.status);
+        assertEquals(HttpStatus.UNAVAILABLE, ahead.status);
         assertEquals("{\"error\":\"behind\"}", ahead.text());
         assertEquals("{\"error\":\"behind\"}", ask(3, 0).text());
     }
@@ -173,7 +175,7 @@
     @Test
     void aLogThatTakesThePlaceOfAnotherIsToldToThoseThatWait() throws ProtocolException {
         RecordingResponder waiting = ask(1, 10_000);
-        log.replace(new ChangeLog("b2", LogLimits.DEFAULT));
+        log.replace(new ChangeLog("b2", LogRetention.DEFAULT));
         assertEquals(new VersionTooOld("b2", 1, 0), ResourceCodec.readTooOld(waiting.body));
     }
 
--- a/control/src/test/java/ottergauge/control/server/LimitedLogTest.java
+++ b/control/src/test/java/ottergauge/control/server/RateLimitedLoggerTest.java
@@ -3,19 +3,20 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import org.junit.jupiter.api.Test;
+
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
-import org.junit.jupiter.api.Test;
 
 /** Warnings are bounded by the second. */
-class LimitedLogTest {
+class RateLimitedLoggerTest {
 
     @Test
     void twentyLinesASecondAreWrittenAndTheRestIsCounted() {
         List<String> written = new ArrayList<>();
         AtomicLong nowMs = new AtomicLong(5_000);
-        LimitedLog log = new LimitedLog(written::add, nowMs::get);
+        RateLimitedLogger log = new RateLimitedLogger(written::add, nowMs::get);
         for (int i = 0; i < 100; i++) {
             log.warn("line " + i);
         }
--- a/control/src/test/java/ottergauge/control/server/RecordingResponder.java
+++ b/control/src/test/java/ottergauge/control/server/RecordingResponder.java
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public void onGone(Runnable handler) {
+    public void onDisconnect(Runnable handler) {
         gone = handler;
     }
 
--- a/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
+++ b/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
@@ -5,20 +5,22 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
+
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.control.log.ChangeLog;
-import ottergauge.control.log.LogLimits;
+import ottergauge.control.log.LogRetention;
 import ottergauge.control.log.Submissions;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionTooOld;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
+
 /** Pages of snapshots at a paced rate, on made-up time. */
 class SnapshotQueueTest {
 
@@ -26,12 +28,12 @@
     private static final long BYTES_PER_SECOND = 100_000;
 
     private final SharedLog log = new SharedLog();
-    private final MadeUpTimers timers = new MadeUpTimers();
+    private final FakeTimers timers = new FakeTimers();
     private final SnapshotQueue queue =
             new SnapshotQueue(log, timers, timers::nowMicros, BYTES_PER_SECOND);
 
     SnapshotQueueTest() {
-        log.replace(new ChangeLog("a1", LogLimits.DEFAULT));
+        log.replace(new ChangeLog("a1", LogRetention.DEFAULT));
         Submissions tenants = Submissions.of("tenants");
         for (int i = 0; i < 200; i++) {
             tenants.tenant("t-" + i, i);
@@ -43,7 +45,7 @@
         RecordingResponder responder = new RecordingResponder();
         queue.take(
                 responder,
-                new SnapshotCall(
+                new SnapshotRequest(
                         ofLog,
                         Optional.empty(),
                         PAGE_BYTES,
@@ -66,7 +68,7 @@
     @Test
     void theFirstPageIsWrittenAtOnce() throws ProtocolException {
         RecordingResponder first = ask(Optional.of("a1"));
-        assertEquals(Status.OK, first.status);
+        assertEquals(HttpStatus.OK, first.status);
         assertTrue(ResourceCodec.readSnapshot(first.body).next().isPresent());
     }
 
@@ -128,7 +130,7 @@
     @Test
     void pagesOfAnotherLogAreTooOld() throws ProtocolException {
         RecordingResponder other = ask(Optional.of("b2"));
-        assertEquals(Status.GONE, other.status);
+        assertEquals(HttpStatus.GONE, other.status);
         assertEquals(new VersionTooOld("a1", 1, 1), ResourceCodec.readTooOld(other.body));
     }
 
@@ -141,7 +143,7 @@
         assertEquals(10, answered(responders));
         assertEquals("{\"error\":\"stopping\"}", responders.get(9).text());
         assertTrue(responders.get(9).closes);
-        assertEquals(Status.UNAVAILABLE, ask(Optional.empty()).status);
+        assertEquals(HttpStatus.UNAVAILABLE, ask(Optional.empty()).status);
         timers.pass(1_000);
         assertEquals(0, queue.length());
     }
--- a/control/src/test/java/ottergauge/control/server/StatusJsonTest.java
+++ b/control/src/test/java/ottergauge/control/server/StatusJsonTest.java
@@ -28,7 +28,7 @@
                         Optional.of("c1"),
                         Optional.of(new LogPosition("9f3c", 121)),
                         80,
-                        List.of(new NodeTable.Heard(node, NOW_MS - 310)),
+                        List.of(new NodeStatusTable.NodeStatus(node, NOW_MS - 310)),
                         NOW_MS);
         assertEquals(
                 "{\"name\":\"c1\",\"log\":\"9f3c\",\"version\":121,\"oldest\":80,"
