--- a/control/src/main/java/ottergauge/control/client/BoundedHttpClient.java
+++ b/control/src/main/java/ottergauge/control/client/BoundedHttpClient.java
@@ -1,8 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
-import ottergauge.protocol.Address;
-
 import java.io.IOException;
 import java.net.URI;
 import java.net.http.HttpClient;
@@ -14,6 +12,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
+import ottergauge.protocol.Address;
 
 /** HTTP calls that end within a time, with answers of bounded length. */
 public final class BoundedHttpClient {
--- a/control/src/main/java/ottergauge/control/client/ControlClient.java
+++ b/control/src/main/java/ottergauge/control/client/ControlClient.java
@@ -1,6 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import java.util.List;
+import java.util.Optional;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.concurrent.TimeUnit;
 import ottergauge.control.client.BoundedHttpClient.RawResponse;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.ProtocolException;
@@ -11,14 +18,6 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 
-import java.io.IOException;
-import java.nio.charset.StandardCharsets;
-import java.time.Duration;
-import java.util.List;
-import java.util.Optional;
-import java.util.concurrent.ThreadLocalRandom;
-import java.util.concurrent.TimeUnit;
-
 /** Calls control processes, one after the other until one answers. */
 public final class ControlClient {
 
--- a/control/src/main/java/ottergauge/control/client/ProcessStatus.java
+++ b/control/src/main/java/ottergauge/control/client/ProcessStatus.java
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
-import ottergauge.resources.LogPosition;
-import ottergauge.settings.JsonTree;
-
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import ottergauge.resources.LogPosition;
+import ottergauge.settings.JsonTree;
 
 /** What a control process tells of itself and of the nodes that call it. */
 public record ProcessStatus(
--- a/control/src/main/java/ottergauge/control/client/PublishResult.java
+++ b/control/src/main/java/ottergauge/control/client/PublishResult.java
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
+import java.util.List;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 
-import java.util.List;
-
 /** What became of a submission that was published. */
 public sealed interface PublishResult {
 
--- a/control/src/main/java/ottergauge/control/config/ConfigObjectReader.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigObjectReader.java
@@ -1,16 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.config;
 
-import ottergauge.protocol.Address;
-import ottergauge.protocol.ProtocolException;
-import ottergauge.resources.FieldError;
-import ottergauge.resources.ResourceChecks;
-
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import ottergauge.protocol.Address;
+import ottergauge.protocol.ProtocolException;
+import ottergauge.resources.FieldError;
+import ottergauge.resources.ResourceChecks;
 
 /**
  * Reads the keys of one object of a configuration; reports what is wrong, and keys that none asked
--- a/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
+++ b/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.config;
 
-import ottergauge.control.log.LogRetention;
-import ottergauge.protocol.Address;
-import ottergauge.resources.FieldError;
-import ottergauge.settings.JsonTree;
-
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import ottergauge.control.log.LogRetention;
+import ottergauge.protocol.Address;
+import ottergauge.resources.FieldError;
+import ottergauge.settings.JsonTree;
 
 /**
  * What a control process is told at its start.
--- a/control/src/main/java/ottergauge/control/consensus/Consensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/Consensus.java
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.consensus;
 
-import ottergauge.control.log.SubmissionOutcome;
-import ottergauge.resources.Submission;
-
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
+import ottergauge.control.log.SubmissionOutcome;
+import ottergauge.resources.Submission;
 
 /**
  * Orders submissions and has them applied to the {@link SharedLog}, in the same order at each
--- a/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.consensus;
 
+import java.util.Optional;
+import java.util.UUID;
+import java.util.concurrent.CompletableFuture;
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.LogRetention;
 import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.resources.Submission;
 
-import java.util.Optional;
-import java.util.UUID;
-import java.util.concurrent.CompletableFuture;
-
 /**
  * One process that agrees with itself and keeps nothing: each start begins another log. For trials,
  * and where all state can be published again.
--- a/control/src/main/java/ottergauge/control/consensus/SharedLog.java
+++ b/control/src/main/java/ottergauge/control/consensus/SharedLog.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.consensus;
 
+import java.util.Optional;
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.EncodedSnapshot;
 import ottergauge.control.log.LogSnapshot;
@@ -11,8 +12,6 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
-import java.util.Optional;
-
 /**
  * The log of this process, for the thread that applies changes and the one that answers calls.
  * There is none before the group has begun one; another may take its place when a newer state is
--- a/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
+++ b/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.discovery;
 
+import java.io.IOException;
+import java.time.Duration;
 import ottergauge.control.client.BoundedHttpClient;
 import ottergauge.control.client.BoundedHttpClient.RawResponse;
 import ottergauge.protocol.Address;
@@ -8,9 +10,6 @@
 import ottergauge.protocol.Headers;
 import ottergauge.protocol.ProtocolException;
 
-import java.io.IOException;
-import java.time.Duration;
-
 /** Follows discovery's list by a watch: whole at first, then what has changed. */
 public final class DiscoveryClient {
 
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -1,6 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.discovery;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
 import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.EndpointList;
@@ -14,17 +24,6 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.Iterator;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.regex.Matcher;
-import java.util.regex.Pattern;
-
 /**
  * The servers of one service as discovery lists them and as the log has them, and the submissions
  * that make the log's like discovery's. Does no I/O. What costs is what differs: names that are
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -1,25 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
+import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceChecks;
-import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-
 /**
- * A log of changes with the state that they make: accepts submissions and tells subscribers of
- * them. What an operation costs goes by the change, or by the changes that a subscriber is behind,
- * never by the state. Not safe for use by several threads at once.
+ * A log of changes with the state that they make: applies submissions and serves subscribers. The
+ * cost of an operation is proportional to the change, to the changes that a subscriber lags, or to
+ * the page, never to the whole state. Not thread-safe.
  */
 public final class ChangeLog {
 
@@ -34,51 +33,58 @@
     private final RecentChanges changes;
     private long version;
 
-    /** A log with this identifier and nothing in it. */
-    public ChangeLog(String log, LogRetention limits) {
-        this(log, limits, NO_VERSION, NO_VERSION);
+    /**
+     * Creates an empty log.
+     *
+     * @param log the log's identifier
+     * @throws IllegalArgumentException if the identifier is no valid name
+     */
+    public ChangeLog(String log, LogRetention retention) {
+        this(log, retention, NO_VERSION, NO_VERSION);
     }
 
-    private ChangeLog(String log, LogRetention limits, long version, long changesAfter) {
+    private ChangeLog(String log, LogRetention retention, long version, long changesAfter) {
         if (!ResourceChecks.isName(log)) {
-            throw new IllegalArgumentException("a log's identifier is " + ResourceChecks.NAME_FORM);
+            throw new IllegalArgumentException(
+                    "log identifier \"" + log + "\" is not " + ResourceChecks.NAME_FORM);
         }
         this.log = log;
         this.version = version;
-        changes = new RecentChanges(limits, changesAfter);
+        changes = new RecentChanges(retention, changesAfter);
     }
 
+    /** The version of the newest change. */
     public LogPosition position() {
         return new LogPosition(log, version);
     }
 
-    /** The oldest change that is kept; the one after the newest if none is. */
+    /** The oldest version that is retained; the one after the newest if none is. */
     public long oldest() {
         return changes.oldest();
     }
 
-    /** How many resources there are. */
+    /** The number of resources. */
     public int size() {
         return state.size();
     }
 
     /**
-     * Checks a submission whole and, if nothing is wrong with it, makes it the newest change. One
-     * of which the id was seen lately changes nothing and gets the answer that it got then.
+     * Validates a submission and, if it is valid, appends it as the newest change. A submission
+     * whose id was applied recently changes nothing and has the outcome of the first one.
      */
     public SubmissionOutcome apply(Submission submission) {
-        Optional<SubmissionOutcome> before = outcomes.of(submission.id());
-        if (before.isPresent()) {
-            return before.get();
+        Optional<SubmissionOutcome> cached = outcomes.get(submission.id());
+        if (cached.isPresent()) {
+            return cached.get();
         }
-        SubmissionOutcome outcome = decide(submission);
+        SubmissionOutcome outcome = validateAndAppend(submission);
         if (ResourceChecks.isName(submission.id())) {
-            outcomes.remember(submission.id(), outcome);
+            outcomes.put(submission.id(), outcome);
         }
         return outcome;
     }
 
-    private SubmissionOutcome decide(Submission submission) {
+    private SubmissionOutcome validateAndAppend(Submission submission) {
         List<FieldError> faults = ResourceChecks.faults(submission);
         if (!faults.isEmpty()) {
             return new SubmissionOutcome.Rejected(faults);
@@ -88,34 +94,35 @@
         if (!faults.isEmpty()) {
             return new SubmissionOutcome.Rejected(faults);
         }
-        accept(new StoredChange(version + 1, puts, deletesOf(submission)));
+        append(new StoredChange(version + 1, puts, deletesOf(submission)));
         return new SubmissionOutcome.Accepted(position());
     }
 
     private static List<StoredResource> encode(List<Change.Put> puts, long version) {
         List<StoredResource> encoded = new ArrayList<>(puts.size());
         for (Change.Put put : puts) {
-            byte[] json = ResourceCodec.write(put.value());
-            encoded.add(new StoredResource(put.key(), version, put.value(), json));
+            encoded.add(StoredResource.of(new Resource(put.key(), version, put.value())));
         }
         return encoded;
     }
 
     private List<Change.Delete> deletesOf(Submission submission) {
         return submission.deletes().stream()
-                .map(key -> new Change.Delete(key, state.get(key).service()))
+                .map(key -> new Change.Delete(key, state.find(key).orElseThrow().service()))
                 .toList();
     }
 
-    private void accept(StoredChange change) {
+    private void append(StoredChange change) {
         state.apply(change);
         changes.add(change);
         version = change.version();
     }
 
     /**
-     * The changes that a subscription follows after a version, in order: as many as fit into this
-     * many bytes, but one at least. What the answer reaches up to may be past its last change.
+     * The changes after a position that a subscription follows, in order: as many as fit into
+     * {@code maxBytes}, but at least one. The page's end position may be past its last change.
+     *
+     * @param maxBytes bytes of JSON
      */
     public PollResponse changesAfter(LogPosition after, Subscription subscription, int maxBytes) {
         if (!after.log().equals(log) || after.version() < changes.oldest() - 1) {
@@ -126,12 +133,12 @@
         }
         List<StoredChange> page = new ArrayList<>();
         int bytes = 0;
-        for (long each = after.version() + 1; each <= version; each++) {
-            StoredChange followed = changes.get(each).followedBy(subscription);
+        for (long next = after.version() + 1; next <= version; next++) {
+            StoredChange followed = changes.get(next).followedBy(subscription);
             int size = followed.isEmpty() ? 0 : JsonPageBuilder.sizeOf(followed);
             if (!page.isEmpty() && bytes + size > maxBytes) {
                 return new PollResponse.Changes(
-                        new EncodedChanges(new LogPosition(log, each - 1), page));
+                        new EncodedChanges(new LogPosition(log, next - 1), page));
             }
             if (!followed.isEmpty()) {
                 page.add(followed);
@@ -142,8 +149,11 @@
     }
 
     /**
-     * A page of the resources that a subscription follows, from a key on or from the first one: as
-     * many as fit into this many bytes, but one at least.
+     * A page of the resources that a subscription follows, in the order of their keys: as many as
+     * fit into {@code maxBytes}, but at least one if there are any.
+     *
+     * @param from the first key of the page; empty for the first page
+     * @param maxBytes bytes of JSON
      */
     public EncodedSnapshot snapshot(
             Optional<ResourceKey> from, Subscription subscription, int maxBytes) {
@@ -163,27 +173,27 @@
         return new EncodedSnapshot(position(), page, Optional.empty());
     }
 
-    /** What the log holds at this instant; it can be encoded later, by another thread. */
+    /** Everything that the log holds now; may be encoded later by another thread. */
     public LogSnapshot capture() {
         return new LogSnapshot(position(), List.copyOf(state.all()), changes.all(), outcomes.all());
     }
 
-    /** The whole log as bytes, from which it can be restored. */
-    public byte[] snapshotBytes() {
-        return capture().encode();
-    }
-
-    /** A log as an image has it; of its changes the newest are kept that the limits allow. */
-    public static ChangeLog restore(byte[] snapshotBytes, LogRetention limits)
+    /**
+     * Restores a log from a snapshot's stored form; of its changes, the newest that the retention
+     * allows are kept.
+     *
+     * @throws ProtocolException if the bytes are no valid log snapshot
+     */
+    public static ChangeLog restore(byte[] storedSnapshot, LogRetention retention)
             throws ProtocolException {
-        LogSnapshot read = LogSnapshot.decode(snapshotBytes);
-        long changesAfter = read.position().version() - read.changes().size();
+        LogSnapshot snapshot = LogSnapshot.decode(storedSnapshot);
+        LogPosition position = snapshot.position();
+        long changesAfter = position.version() - snapshot.changes().size();
         ChangeLog restored =
-                new ChangeLog(
-                        read.position().log(), limits, read.position().version(), changesAfter);
-        read.resources().forEach(restored.state::put);
-        read.changes().forEach(restored.changes::add);
-        read.outcomes().forEach(each -> restored.outcomes.remember(each.id(), each.outcome()));
+                new ChangeLog(position.log(), retention, position.version(), changesAfter);
+        snapshot.resources().forEach(restored.state::put);
+        snapshot.changes().forEach(restored.changes::add);
+        snapshot.outcomes().forEach(each -> restored.outcomes.put(each.id(), each.outcome()));
         return restored;
     }
 }
--- a/control/src/main/java/ottergauge/control/log/EncodedChanges.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedChanges.java
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import java.util.List;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
 
-import java.util.List;
-
 /**
- * A page of changes: as a value, and as JSON that shares the encoded values with all other answers.
+ * A page of changes, as a value and as JSON. The JSON is assembled from encoded values that all
+ * responses share.
  */
 public final class EncodedChanges {
 
@@ -20,20 +20,22 @@
         this.changes = List.copyOf(changes);
     }
 
+    /** The position up to which the log was searched: where the next poll continues. */
     public LogPosition upTo() {
         return upTo;
     }
 
-    /** Whether there is no change on it. */
+    /** Whether the page has no change. */
     public boolean isEmpty() {
         return changes.isEmpty();
     }
 
+    /** The page as a value. */
     public ChangePage page() {
         return new ChangePage(upTo, changes.stream().map(StoredChange::change).toList());
     }
 
-    /** The body of the answer, as {@code ResourceCodec.readChanges} reads it. */
+    /** The page as the response body that {@code ResourceCodec.readChanges} reads. */
     public byte[] json() {
         int size =
                 JsonPageBuilder.FRAME_OVERHEAD
--- a/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
@@ -1,16 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import java.util.List;
+import java.util.Optional;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 
-import java.util.List;
-import java.util.Optional;
-
 /**
- * A page of the state: as a value, and as JSON that shares the encoded values with all other
- * answers.
+ * A page of the state, as a value and as JSON. The JSON is assembled from encoded values that all
+ * responses share.
  */
 public final class EncodedSnapshot {
 
@@ -24,21 +23,23 @@
         this.next = next;
     }
 
+    /** The position of the log at which the page was read. */
     public LogPosition at() {
         return at;
     }
 
-    /** Where the following page begins; empty on the last one. */
+    /** The first key of the next page; empty on the last page. */
     public Optional<ResourceKey> next() {
         return next;
     }
 
+    /** The page as a value. */
     public SnapshotPage page() {
         return new SnapshotPage(
                 at, resources.stream().map(StoredResource::resource).toList(), next);
     }
 
-    /** The body of the answer, as {@code ResourceCodec.readSnapshot} reads it. */
+    /** The page as the response body that {@code ResourceCodec.readSnapshot} reads. */
     public byte[] json() {
         int size =
                 2 * JsonPageBuilder.FRAME_OVERHEAD
--- a/control/src/main/java/ottergauge/control/log/IdempotencyCache.java
+++ b/control/src/main/java/ottergauge/control/log/IdempotencyCache.java
@@ -8,52 +8,53 @@
 import java.util.Optional;
 
 /**
- * The outcomes of the last submissions, by id. Accepted and refused ones have bounds of their own,
- * so that a caller that keeps sending bad submissions can't have the accepted ones forgotten.
+ * The outcomes of the latest submissions by idempotency key (the submission's id). Accepted and
+ * rejected ones are bounded separately, so that a caller that repeats bad submissions can't evict
+ * the accepted ones.
  */
 final class IdempotencyCache {
 
-    // The same for all processes of a group: it decides whether a repetition is a change.
+    // Equal in all processes of a group, since they decide whether a retry is a new change.
     static final int MAX_ACCEPTED = 10_000;
     static final int MAX_REJECTED = 200;
 
-    /** A submission's id and what became of it. */
+    /** A submission's id and its outcome. */
     record CachedOutcome(String id, SubmissionOutcome outcome) {}
 
     private final Map<String, SubmissionOutcome> accepted = new BoundedMap(MAX_ACCEPTED);
-    private final Map<String, SubmissionOutcome> refused = new BoundedMap(MAX_REJECTED);
+    private final Map<String, SubmissionOutcome> rejected = new BoundedMap(MAX_REJECTED);
 
-    Optional<SubmissionOutcome> of(String id) {
+    Optional<SubmissionOutcome> get(String id) {
         SubmissionOutcome outcome = accepted.get(id);
-        return Optional.ofNullable(outcome != null ? outcome : refused.get(id));
+        return Optional.ofNullable(outcome != null ? outcome : rejected.get(id));
     }
 
-    void remember(String id, SubmissionOutcome outcome) {
-        boolean wasAccepted = outcome instanceof SubmissionOutcome.Accepted;
-        (wasAccepted ? accepted : refused).put(id, outcome);
+    void put(String id, SubmissionOutcome outcome) {
+        boolean isAccepted = outcome instanceof SubmissionOutcome.Accepted;
+        (isAccepted ? accepted : rejected).put(id, outcome);
     }
 
-    /** All that is remembered, in an order in which it can be remembered again. */
+    /** All entries, each group oldest first: put in this order, they give an equal cache. */
     List<CachedOutcome> all() {
-        List<CachedOutcome> all = new ArrayList<>(accepted.size() + refused.size());
+        List<CachedOutcome> all = new ArrayList<>(accepted.size() + rejected.size());
         accepted.forEach((id, outcome) -> all.add(new CachedOutcome(id, outcome)));
-        refused.forEach((id, outcome) -> all.add(new CachedOutcome(id, outcome)));
+        rejected.forEach((id, outcome) -> all.add(new CachedOutcome(id, outcome)));
         return all;
     }
 
-    /** Forgets the entry that came first when there are too many. */
+    /** Evicts the entry that was inserted first once there are more than the maximum. */
     private static final class BoundedMap extends LinkedHashMap<String, SubmissionOutcome> {
 
         private static final long serialVersionUID = 1L;
-        private final int most;
+        private final int maxEntries;
 
-        BoundedMap(int most) {
-            this.most = most;
+        BoundedMap(int maxEntries) {
+            this.maxEntries = maxEntries;
         }
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, SubmissionOutcome> eldest) {
-            return size() > most;
+            return size() > maxEntries;
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/log/JsonPageBuilder.java
+++ b/control/src/main/java/ottergauge/control/log/JsonPageBuilder.java
@@ -1,23 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
 import ottergauge.resources.Change;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 
-import java.io.ByteArrayOutputStream;
-import java.nio.charset.StandardCharsets;
-
 /**
- * Puts answers together from values that were encoded once. Names and identifiers of logs consist
- * of characters that JSON doesn't escape, which the checks on acceptance see to.
+ * Assembles pages of JSON from values that were encoded once. Names and log identifiers are written
+ * unescaped: validation admits only characters that JSON doesn't escape.
  */
 final class JsonPageBuilder {
 
-    /** An upper bound of what an entry has beside its name, its service and its value. */
+    /** Upper bound of the bytes of an entry beside its name, service and value. */
     static final int ENTRY_OVERHEAD = 80;
 
-    /** An upper bound of what a page or a change has beside its entries. */
+    /** Upper bound of the bytes of a page or a change beside its entries. */
     static final int FRAME_OVERHEAD = 80;
 
     private final ByteArrayOutputStream bytes;
@@ -30,8 +29,8 @@
         return bytes.toByteArray();
     }
 
-    JsonPageBuilder text(String plain) {
-        bytes.writeBytes(plain.getBytes(StandardCharsets.US_ASCII));
+    JsonPageBuilder text(String ascii) {
+        bytes.writeBytes(ascii.getBytes(StandardCharsets.US_ASCII));
         return this;
     }
 
@@ -63,6 +62,7 @@
         return key(delete.key()).text(",\"service\":\"" + delete.service() + "\"}");
     }
 
+    /** Upper bound of the entry's bytes. */
     static int sizeOf(StoredResource resource) {
         return ENTRY_OVERHEAD + resource.key().name().length() + resource.valueJson().length;
     }
@@ -71,6 +71,7 @@
         return ENTRY_OVERHEAD + delete.key().name().length() + delete.service().length();
     }
 
+    /** Upper bound of the change's bytes. */
     static int sizeOf(StoredChange change) {
         int size = FRAME_OVERHEAD;
         for (StoredResource put : change.puts()) {
--- a/control/src/main/java/ottergauge/control/log/PollResponse.java
+++ b/control/src/main/java/ottergauge/control/log/PollResponse.java
@@ -3,17 +3,25 @@
 
 import ottergauge.resources.LogPosition;
 
-/** The answer to a subscriber that asks for changes. */
+/** The response to a subscriber that polls for changes. */
 public sealed interface PollResponse {
 
-    /** The changes that the subscription follows. */
+    /** The changes that the subscription follows; the page may be empty. */
     record Changes(EncodedChanges page) implements PollResponse {}
 
     /**
-     * Another log, or changes after the version that aren't kept any more: a snapshot is needed.
+     * The subscriber has to take a snapshot: it follows another log, or the changes after its
+     * version are no longer retained.
+     *
+     * @param newest the newest position of this log
+     * @param oldest the oldest version that is retained
      */
     record VersionTooOld(LogPosition newest, long oldest) implements PollResponse {}
 
-    /** A version of this log that this copy of it has not reached yet. */
+    /**
+     * The subscriber has a version of this log that this replica hasn't reached yet.
+     *
+     * @param newest the newest position of this replica
+     */
     record Ahead(LogPosition newest) implements PollResponse {}
 }
--- a/control/src/main/java/ottergauge/control/log/RecentChanges.java
+++ b/control/src/main/java/ottergauge/control/log/RecentChanges.java
@@ -5,30 +5,32 @@
 import java.util.List;
 
 /**
- * The newest changes in their order, with no gap between versions; the oldest go as new ones come.
+ * The newest changes with consecutive versions, bounded by {@link LogRetention}: the oldest are
+ * evicted first.
  */
 final class RecentChanges {
 
-    private final LogRetention limits;
+    private static final int INITIAL_CAPACITY = 64;
 
-    /**
-     * A ring of slots, indexed by version: a change is found without a walk over those before it.
-     */
-    private StoredChange[] ring = new StoredChange[64];
+    private final LogRetention retention;
+
+    /** Ring buffer indexed by version modulo its length. */
+    private StoredChange[] ring = new StoredChange[INITIAL_CAPACITY];
 
     private long newest;
     private int count;
     private long bytes;
 
-    /** No changes, after the one of this version. */
-    RecentChanges(LogRetention limits, long version) {
-        this.limits = limits;
+    /** No changes yet; the first one to be added has the version after this one. */
+    RecentChanges(LogRetention retention, long version) {
+        this.retention = retention;
         newest = version;
     }
 
     void add(StoredChange change) {
         if (change.version() != newest + 1) {
-            throw new IllegalArgumentException("version " + change.version() + " after " + newest);
+            throw new IllegalArgumentException(
+                    "change " + change.version() + " is not the successor of " + newest);
         }
         if (count == ring.length) {
             grow();
@@ -37,32 +39,25 @@
         ring[slot(newest)] = change;
         count++;
         bytes += JsonPageBuilder.sizeOf(change);
-        while (count > 1 && (count > limits.maxChanges() || bytes > limits.maxBytes())) {
-            dropOldest();
+        while (count > 1 && (count > retention.maxChanges() || bytes > retention.maxBytes())) {
+            evictOldest();
         }
     }
 
-    /** The oldest version that is kept; the one after the newest if none is. */
+    /** The oldest version that is retained; the one after the newest if none is. */
     long oldest() {
         return newest - count + 1;
     }
 
-    /** The change of a version that is kept. */
+    /** The change of a version that is retained. */
     StoredChange get(long version) {
         if (version < oldest() || version > newest) {
-            throw new IllegalArgumentException("version " + version + " is not kept");
+            throw new IllegalArgumentException("version " + version + " is not retained");
         }
         return ring[slot(version)];
     }
 
-    int count() {
-        return count;
-    }
-
-    long bytes() {
-        return bytes;
-    }
-
+    /** All retained changes, oldest first. */
     List<StoredChange> all() {
         List<StoredChange> all = new ArrayList<>(count);
         for (long version = oldest(); version <= newest; version++) {
@@ -71,7 +66,7 @@
         return all;
     }
 
-    private void dropOldest() {
+    private void evictOldest() {
         int slot = slot(oldest());
         bytes -= JsonPageBuilder.sizeOf(ring[slot]);
         ring[slot] = null;
--- a/control/src/main/java/ottergauge/control/log/ResourceState.java
+++ b/control/src/main/java/ottergauge/control/log/ResourceState.java
@@ -1,33 +1,34 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
-import ottergauge.resources.Change;
-import ottergauge.resources.ResourceKey;
-import ottergauge.resources.ResourceKind;
-
 import java.util.Collection;
 import java.util.Collections;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.NavigableMap;
+import java.util.Optional;
 import java.util.TreeMap;
+import ottergauge.resources.Change;
+import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceKind;
 
-/** All resources as the newest change left them, in the order of their keys. */
+/** The newest value of each resource, in the order of keys. */
 final class ResourceState {
 
     private final NavigableMap<ResourceKey, StoredResource> resources = new TreeMap<>();
 
-    /** How many servers and routes name a service; those that none names are absent. */
-    private final Map<String, Integer> usersByService = new HashMap<>();
+    /** Number of servers and routes that refer to a service; absent if there are none. */
+    private final Map<String, Integer> referencesByService = new HashMap<>();
 
+    /** Upper bound of the bytes of JSON of all resources. */
     private long bytes;
 
-    /** The resource of this key; null if there is none. */
-    StoredResource get(ResourceKey key) {
-        return resources.get(key);
+    /** The resource of this key. */
+    Optional<StoredResource> find(ResourceKey key) {
+        return Optional.ofNullable(resources.get(key));
     }
 
-    /** All resources from a key on, in order. */
+    /** All resources whose key is not before {@code first}, in order. */
     Collection<StoredResource> from(ResourceKey first) {
         return Collections.unmodifiableCollection(resources.tailMap(first, true).values());
     }
@@ -41,12 +42,14 @@
         return resources.size();
     }
 
+    /** Upper bound of the bytes of JSON of all resources. */
     long bytes() {
         return bytes;
     }
 
-    int usersOf(String service) {
-        return usersByService.getOrDefault(service, 0);
+    /** How many servers and routes refer to a service. */
+    int referencesTo(String service) {
+        return referencesByService.getOrDefault(service, 0);
     }
 
     void apply(StoredChange change) {
@@ -59,32 +62,32 @@
     void put(StoredResource resource) {
         StoredResource before = resources.put(resource.key(), resource);
         bytes += JsonPageBuilder.sizeOf(resource);
-        countUser(resource, 1);
+        countReference(resource, 1);
         if (before != null) {
-            forget(before);
+            subtract(before);
         }
     }
 
     private void remove(ResourceKey key) {
         StoredResource before = resources.remove(key);
         if (before != null) {
-            forget(before);
+            subtract(before);
         }
     }
 
-    private void forget(StoredResource resource) {
+    private void subtract(StoredResource resource) {
         bytes -= JsonPageBuilder.sizeOf(resource);
-        countUser(resource, -1);
+        countReference(resource, -1);
     }
 
-    private void countUser(StoredResource resource, int difference) {
-        boolean uses =
+    private void countReference(StoredResource resource, int delta) {
+        boolean refers =
                 resource.key().kind() != ResourceKind.SERVICE && !resource.service().isEmpty();
-        if (uses) {
-            usersByService.merge(
+        if (refers) {
+            referencesByService.merge(
                     resource.service(),
-                    difference,
-                    (count, by) -> count + by == 0 ? null : count + by);
+                    delta,
+                    (count, change) -> count + change == 0 ? null : count + change);
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/log/StateLimits.java
+++ b/control/src/main/java/ottergauge/control/log/StateLimits.java
@@ -2,15 +2,15 @@
 package ottergauge.control.log;
 
 /**
- * Bounds of what a log accepts. They decide outcomes, so that they are the same for all processes
- * of a group: constants, and no settings.
+ * Limits of the state that a log accepts. They decide outcomes, which have to be the same in all
+ * processes of a group: therefore constants rather than settings.
  */
 public final class StateLimits {
 
-    /** Resources in all. */
+    /** Resources in total. */
     public static final int MAX_RESOURCES = 200_000;
 
-    /** Bytes of JSON of all resources together. */
+    /** Bytes of JSON of all resources in total. */
     public static final long MAX_STATE_BYTES = 64L << 20;
 
     /** Bytes of JSON of one change. */
--- a/control/src/main/java/ottergauge/control/log/StoredChange.java
+++ b/control/src/main/java/ottergauge/control/log/StoredChange.java
@@ -3,12 +3,22 @@
 
 import java.util.List;
 import ottergauge.resources.Change;
+import ottergauge.resources.Resource;
 import ottergauge.resources.Subscription;
 
-/** A change of the log, or that part of one which a subscription follows. */
+/** A change of the log with encoded values, or the part of one that a subscription follows. */
 record StoredChange(long version, List<StoredResource> puts, List<Change.Delete> deletes) {
 
-    /** The part that this subscription follows; the change itself if that is all of it. */
+    static StoredChange of(Change change) {
+        List<StoredResource> puts =
+                change.puts().stream()
+                        .map(put -> new Resource(put.key(), change.version(), put.value()))
+                        .map(StoredResource::of)
+                        .toList();
+        return new StoredChange(change.version(), puts, change.deletes());
+    }
+
+    /** The part that the subscription follows; this instance if that is all of it. */
     StoredChange followedBy(Subscription subscription) {
         List<StoredResource> followedPuts =
                 puts.stream()
@@ -18,9 +28,9 @@
                 deletes.stream()
                         .filter(delete -> subscription.follows(delete.key(), delete.service()))
                         .toList();
-        boolean whole =
+        boolean followsAll =
                 followedPuts.size() == puts.size() && followedDeletes.size() == deletes.size();
-        return whole ? this : new StoredChange(version, followedPuts, followedDeletes);
+        return followsAll ? this : new StoredChange(version, followedPuts, followedDeletes);
     }
 
     boolean isEmpty() {
--- a/control/src/main/java/ottergauge/control/log/SubmissionOutcome.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionOutcome.java
@@ -1,17 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import java.util.List;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 
-import java.util.List;
-
-/** What became of a submission. */
+/** The outcome of a submission: the same at each process that applies the log. */
 public sealed interface SubmissionOutcome {
 
-    /** It is the change of this version. */
+    /**
+     * The submission became a change.
+     *
+     * @param position the version of that change
+     */
     record Accepted(LogPosition position) implements SubmissionOutcome {}
 
-    /** Nothing of it was taken. */
+    /**
+     * The submission is invalid and nothing of it was applied.
+     *
+     * @param faults what is wrong with it, at least one and at most 100
+     */
     record Rejected(List<FieldError> faults) implements SubmissionOutcome {}
 }
--- a/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
@@ -1,22 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
-import ottergauge.resources.Change;
-import ottergauge.resources.FieldError;
-import ottergauge.resources.ResourceKey;
-import ottergauge.resources.ResourceKind;
-import ottergauge.resources.Submission;
-
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
+import ottergauge.resources.Change;
+import ottergauge.resources.FieldError;
+import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceKind;
+import ottergauge.resources.Submission;
 
 /**
- * Says whether a submission that is well formed fits the state: by what the state would be after
- * it, so that a change may bring a service with its servers, or take away both.
+ * Validates a well-formed submission against the state that it would make: a change may therefore
+ * put a service together with its servers, or delete both.
  */
 final class SubmissionValidator {
 
@@ -26,10 +26,10 @@
     private final Submission submission;
     private final List<FieldError> faults = new ArrayList<>();
     private final Set<ResourceKey> deleted;
-    private final Set<String> newServices = new HashSet<>();
+    private final Set<String> putServices = new HashSet<>();
 
-    /** By how many the servers and routes that name a service become fewer. */
-    private final Map<String, Integer> usersLost = new HashMap<>();
+    /** By service, how many servers and routes that refer to it are deleted. */
+    private final Map<String, Integer> deletedReferences = new HashMap<>();
 
     private SubmissionValidator(ResourceState state, Submission submission) {
         this.state = state;
@@ -37,27 +37,31 @@
         deleted = new HashSet<>(submission.deletes());
     }
 
-    /** All that doesn't fit, up to a bound; empty if it may be applied. */
+    /** What is invalid, at most {@link #MAX_FAULTS}; empty if the submission may be applied. */
     static List<FieldError> faults(
             ResourceState state, Submission submission, List<StoredResource> puts) {
-        SubmissionValidator check = new SubmissionValidator(state, submission);
-        check.countServices();
-        check.checkPuts();
-        check.checkDeletes();
-        check.checkSizes(puts);
-        return List.copyOf(check.faults);
+        SubmissionValidator validator = new SubmissionValidator(state, submission);
+        validator.collectServices();
+        validator.collectDeletedReferences();
+        validator.checkPuts();
+        validator.checkDeletes();
+        validator.checkSizes(puts);
+        return List.copyOf(validator.faults);
     }
 
-    private void countServices() {
+    private void collectServices() {
         for (Change.Put put : submission.puts()) {
             if (put.key().kind() == ResourceKind.SERVICE) {
-                newServices.add(put.key().name());
+                putServices.add(put.key().name());
             }
         }
+    }
+
+    private void collectDeletedReferences() {
         for (ResourceKey key : submission.deletes()) {
-            StoredResource resource = state.get(key);
-            if (resource != null && !resource.service().isEmpty()) {
-                usersLost.merge(resource.service(), 1, Integer::sum);
+            String service = state.find(key).map(StoredResource::service).orElse("");
+            if (!service.isEmpty()) {
+                deletedReferences.merge(service, 1, Integer::sum);
             }
         }
     }
@@ -73,17 +77,21 @@
         if (service.isEmpty()) {
             return;
         }
-        StoredResource before = state.get(put.key());
-        if (before != null && !before.service().equals(service)) {
-            fault(path, service, before.service() + ", the service that the resource belongs to");
-        } else if (!existsAfterwards(service)) {
-            fault(path, service, "a service that exists");
+        Optional<String> currentService = state.find(put.key()).map(StoredResource::service);
+        if (currentService.isPresent() && !currentService.get().equals(service)) {
+            addFault(
+                    path,
+                    service,
+                    currentService.get() + ", the service that the resource belongs to");
+        } else if (!willExist(service)) {
+            addFault(path, service, "a service that exists");
         }
     }
 
-    private boolean existsAfterwards(String service) {
+    private boolean willExist(String service) {
         ResourceKey key = new ResourceKey(ResourceKind.SERVICE, service);
-        return newServices.contains(service) || (state.get(key) != null && !deleted.contains(key));
+        return putServices.contains(service)
+                || (state.find(key).isPresent() && !deleted.contains(key));
     }
 
     private void checkDeletes() {
@@ -93,19 +101,19 @@
     }
 
     private void checkDelete(String path, ResourceKey key) {
-        if (state.get(key) == null) {
-            fault(path, key.name(), "a " + key.kind().wireName() + " that exists");
-        } else if (key.kind() == ResourceKind.SERVICE && usersLeft(key.name()) > 0) {
-            fault(
+        if (state.find(key).isEmpty()) {
+            addFault(path, key.name(), "a " + key.kind().wireName() + " that exists");
+        } else if (key.kind() == ResourceKind.SERVICE && remainingReferences(key.name()) > 0) {
+            addFault(
                     path,
                     key.name(),
                     "a service that no server and no route names; this one has "
-                            + usersLeft(key.name()));
+                            + remainingReferences(key.name()));
         }
     }
 
-    private int usersLeft(String service) {
-        return state.usersOf(service) - usersLost.getOrDefault(service, 0);
+    private int remainingReferences(String service) {
+        return state.referencesTo(service) - deletedReferences.getOrDefault(service, 0);
     }
 
     private void checkSizes(List<StoredResource> puts) {
@@ -113,25 +121,24 @@
         long resources = (long) state.size() - submission.deletes().size();
         long stateBytes = state.bytes();
         for (StoredResource put : puts) {
-            StoredResource before = state.get(put.key());
-            changeBytes += JsonPageBuilder.sizeOf(put);
-            stateBytes +=
-                    JsonPageBuilder.sizeOf(put)
-                            - (before == null ? 0 : JsonPageBuilder.sizeOf(before));
-            resources += before == null ? 1 : 0;
+            Optional<StoredResource> current = state.find(put.key());
+            int bytes = JsonPageBuilder.sizeOf(put);
+            changeBytes += bytes;
+            stateBytes += bytes - current.map(JsonPageBuilder::sizeOf).orElse(0);
+            resources += current.isEmpty() ? 1 : 0;
         }
         checkSize("bytes of the change", changeBytes, StateLimits.MAX_CHANGE_BYTES);
         checkSize("resources in all", resources, StateLimits.MAX_RESOURCES);
         checkSize("bytes of all resources", stateBytes, StateLimits.MAX_STATE_BYTES);
     }
 
-    private void checkSize(String what, long size, long most) {
-        if (size > most) {
-            fault("put", size + " " + what, most + " " + what + " at most");
+    private void checkSize(String what, long size, long max) {
+        if (size > max) {
+            addFault("put", size + " " + what, max + " " + what + " at most");
         }
     }
 
-    private void fault(String key, String value, String allowed) {
+    private void addFault(String key, String value, String allowed) {
         if (faults.size() < MAX_FAULTS) {
             faults.add(new FieldError(key, value, allowed));
         }
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -1,9 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import java.io.IOException;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.UUID;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-
 import ottergauge.control.client.ControlCallException;
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.PublishResult;
@@ -20,7 +27,6 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Submission;
-
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -28,15 +34,6 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-import java.io.IOException;
-import java.time.Duration;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-import java.util.UUID;
-import java.util.concurrent.Callable;
-import java.util.concurrent.TimeUnit;
-
 /** Keeps a service's servers in the log like discovery's list, until it is told to stop. */
 @Command(
         name = "import",
--- a/control/src/main/java/ottergauge/control/program/PublishCommand.java
+++ b/control/src/main/java/ottergauge/control/program/PublishCommand.java
@@ -1,24 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.List;
+import java.util.concurrent.Callable;
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.PublishResult;
 import ottergauge.control.program.SubmissionFile.Part;
 import ottergauge.protocol.Address;
-
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-import java.io.IOException;
-import java.io.PrintWriter;
-import java.nio.file.Path;
-import java.time.Duration;
-import java.util.List;
-import java.util.concurrent.Callable;
-
 /** Publishes what a file says. */
 @Command(
         name = "publish",
--- a/control/src/main/java/ottergauge/control/program/ReplicationLagTable.java
+++ b/control/src/main/java/ottergauge/control/program/ReplicationLagTable.java
@@ -1,10 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
-import ottergauge.control.client.ProcessStatus;
-import ottergauge.control.client.ProcessStatus.NodeStatus;
-import ottergauge.resources.LogPosition;
-
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -12,6 +8,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import ottergauge.control.client.ProcessStatus;
+import ottergauge.control.client.ProcessStatus.NodeStatus;
+import ottergauge.resources.LogPosition;
 
 /**
  * Who has which version in force, and by how much each is behind the newest one that any process
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -1,9 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CountDownLatch;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-
 import ottergauge.control.config.ConfigException;
 import ottergauge.control.config.ControlProcessConfig;
 import ottergauge.control.consensus.Consensus;
@@ -11,16 +15,9 @@
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.control.server.ControlServer;
 import ottergauge.resources.FieldError;
-
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.concurrent.Callable;
-import java.util.concurrent.CountDownLatch;
-
 /** Runs one control process until it is told to stop. */
 @Command(
         name = "serve",
--- a/control/src/main/java/ottergauge/control/program/StatusCommand.java
+++ b/control/src/main/java/ottergauge/control/program/StatusCommand.java
@@ -1,21 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import java.io.IOException;
+import java.io.PrintWriter;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.Callable;
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.ProcessStatus;
 import ottergauge.protocol.Address;
-
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-import java.io.IOException;
-import java.io.PrintWriter;
-import java.util.ArrayList;
-import java.util.List;
-import java.util.concurrent.Callable;
-
 /** Shows which node has which version in force. */
 @Command(
         name = "status",
--- a/control/src/main/java/ottergauge/control/program/SubmissionFile.java
+++ b/control/src/main/java/ottergauge/control/program/SubmissionFile.java
@@ -3,9 +3,6 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-
-import ottergauge.settings.JsonTree;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -15,6 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.UUID;
+import ottergauge.settings.JsonTree;
 
 /**
  * A file with what is to be changed, in the JSON of a submission. Without an id it gets one of its
--- a/control/src/main/java/ottergauge/control/server/ChangesRequest.java
+++ b/control/src/main/java/ottergauge/control/server/ChangesRequest.java
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
+import java.util.Optional;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Subscription;
 
-import java.util.Optional;
-
 /** A call for changes: answered as soon as there are any, and after {@code waitMs} in any case. */
 record ChangesRequest(
         LogPosition after,
--- a/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
+++ b/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
@@ -3,7 +3,6 @@
 
 import io.vertx.core.http.HttpConnection;
 import io.vertx.core.net.impl.ConnectionBase;
-
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/control/src/main/java/ottergauge/control/server/ControlServer.java
+++ b/control/src/main/java/ottergauge/control/server/ControlServer.java
@@ -14,18 +14,15 @@
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerOptions;
 import io.vertx.core.http.HttpServerRequest;
-
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-
 import ottergauge.control.config.ControlProcessConfig;
 import ottergauge.control.config.ServerLimits;
 import ottergauge.control.consensus.Consensus;
 import ottergauge.control.consensus.SharedLog;
 
-import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicBoolean;
-
 /**
  * The HTTP server of a control process. One event loop owns all of its state; changes are applied
  * by the consensus' thread, which wakes the calls that wait for them.
--- a/control/src/main/java/ottergauge/control/server/HttpExchange.java
+++ b/control/src/main/java/ottergauge/control/server/HttpExchange.java
@@ -5,7 +5,6 @@
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.http.HttpServerRequest;
 import io.vertx.core.http.HttpServerResponse;
-
 import java.util.function.LongSupplier;
 
 /** One call over HTTP and its answer. */
--- a/control/src/main/java/ottergauge/control/server/PendingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -1,17 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.control.log.PollResponse;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.VersionTooOld;
 
-import java.util.Iterator;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Set;
-
 /**
  * The calls for changes. One for which there is nothing yet waits for the change that it follows,
  * or for its time to be over. Each change is looked at once for each call that waits; a call that
--- a/control/src/main/java/ottergauge/control/server/QueryParameters.java
+++ b/control/src/main/java/ottergauge/control/server/QueryParameters.java
@@ -3,18 +3,16 @@
 
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpServerRequest;
-
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.Optional;
+import java.util.Set;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceChecks;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Subscription;
 
-import java.util.Arrays;
-import java.util.HashSet;
-import java.util.Optional;
-import java.util.Set;
-
 /** Reads the parameters of calls; unknown ones are passed over. */
 final class QueryParameters {
 
--- a/control/src/main/java/ottergauge/control/server/RequestBody.java
+++ b/control/src/main/java/ottergauge/control/server/RequestBody.java
@@ -4,10 +4,8 @@
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.http.HttpServerRequest;
-
-import ottergauge.resources.ResourceCodec;
-
 import java.util.function.Consumer;
+import ottergauge.resources.ResourceCodec;
 
 /** Reads the body of a call, up to the longest submission. */
 final class RequestBody {
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-import ottergauge.control.consensus.SharedLog;
-import ottergauge.resources.LogPosition;
-import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.VersionTooOld;
-
 import java.util.ArrayDeque;
 import java.util.Optional;
 import java.util.Queue;
 import java.util.function.LongSupplier;
+import ottergauge.control.consensus.SharedLog;
+import ottergauge.resources.LogPosition;
+import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.VersionTooOld;
 
 /**
  * Writes pages of snapshots at a rate for all callers together, in the order in which they called.
--- a/control/src/main/java/ottergauge/control/server/StatusJson.java
+++ b/control/src/main/java/ottergauge/control/server/StatusJson.java
@@ -3,15 +3,13 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-
-import ottergauge.control.consensus.Role;
-import ottergauge.resources.LogPosition;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.List;
 import java.util.Optional;
+import ottergauge.control.consensus.Role;
+import ottergauge.resources.LogPosition;
 
 /** The body of an answer to a call for the status. */
 final class StatusJson {
--- a/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
+++ b/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
@@ -2,7 +2,7 @@
 package ottergauge.control.server;
 
 import io.vertx.core.Context;
-
+import java.util.concurrent.CompletionException;
 import ottergauge.control.consensus.Consensus;
 import ottergauge.control.consensus.NoQuorumException;
 import ottergauge.control.log.SubmissionOutcome;
@@ -11,8 +11,6 @@
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Submission;
 
-import java.util.concurrent.CompletionException;
-
 /** The submissions that are on their way: bounded by number, each answered with its outcome. */
 final class SubmissionHandler {
 
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -5,19 +5,24 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.stream.Collectors;
+import java.util.stream.IntStream;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-
 import org.junit.jupiter.api.Test;
-
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.LogRetention;
+import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.control.log.SubmissionOutcome;
-import ottergauge.control.log.Submissions;
 import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.DiscoveredEndpoint;
@@ -29,14 +34,6 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.stream.Collectors;
-import java.util.stream.IntStream;
-
 /** What is published so that the log has the servers that discovery lists. */
 class ServiceReconcilerTest {
 
@@ -101,7 +98,7 @@
 
     @Test
     void nothingIsPublishedBeforeDiscoveryWasHeardWhole() {
-        log.apply(Submissions.of("a").service(SERVICE).server("s-1", SERVICE).build());
+        log.apply(SubmissionBuilder.of("a").service(SERVICE).server("s-1", SERVICE).build());
         reconciler.takeState(state(log));
         assertEquals(Optional.empty(), next());
         list(false, up("s-2"));
@@ -134,10 +131,10 @@
         assertEquals(
                 List.of(
                         new Change.Put(
-                                Submissions.key(ResourceKind.SERVER, "s-2"),
+                                SubmissionBuilder.key(ResourceKind.SERVER, "s-2"),
                                 new Server(SERVICE, host("s-2", EndpointState.DRAINING, 1)))),
                 next.puts());
-        assertEquals(List.of(Submissions.key(ResourceKind.SERVER, "s-3")), next.deletes());
+        assertEquals(List.of(SubmissionBuilder.key(ResourceKind.SERVER, "s-3")), next.deletes());
         publishAll();
         list(true, up("s-1"), host("s-2", EndpointState.DRAINING, 1));
         assertEquals(Optional.empty(), next());
@@ -149,7 +146,7 @@
         list(true, up("s-1"), up("s-2"));
         publishAll();
         Submission other =
-                Submissions.of("other")
+                SubmissionBuilder.of("other")
                         .delete(ResourceKind.SERVER, "s-1")
                         .server("s-2", SERVICE, 7)
                         .server("s-9", SERVICE)
@@ -161,7 +158,8 @@
                         other.puts(),
                         List.of(
                                 new Change.Delete(
-                                        Submissions.key(ResourceKind.SERVER, "s-1"), SERVICE))));
+                                        SubmissionBuilder.key(ResourceKind.SERVER, "s-1"),
+                                        SERVICE))));
         publishAll();
         assertEquals(Map.of("s-1", up("s-1"), "s-2", up("s-2")), servers(log));
     }
@@ -193,7 +191,7 @@
 
     @Test
     void aServerOfAnotherServiceIsLeftOutAlone() {
-        log.apply(Submissions.of("a").service("search").server("s-2", "search").build());
+        log.apply(SubmissionBuilder.of("a").service("search").server("s-2", "search").build());
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"), up("s-3"));
         publishAll();
@@ -260,7 +258,7 @@
     // Somebody else puts a server of this service, and the reconciler hears of it.
     private void meddle(DiscoveredEndpoint host) {
         Submission other =
-                Submissions.of("meddled-" + ids++)
+                SubmissionBuilder.of("meddled-" + ids++)
                         .service(SERVICE)
                         .server(host.name(), SERVICE, host.weight() + 10)
                         .build();
--- a/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
@@ -6,6 +6,16 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.Combinators;
@@ -15,7 +25,6 @@
 import net.jqwik.api.RandomDistribution;
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.statistics.Statistics;
-
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
@@ -29,17 +38,6 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Optional;
-import java.util.Set;
-import java.util.TreeMap;
-import java.util.stream.Collectors;
-import java.util.stream.Stream;
-
 /** Random histories: the log against a plain model, and subscribers against the log. */
 class ChangeLogHistoryTest {
 
@@ -76,9 +74,9 @@
                 .map(ChangeLogHistoryTest::afterServices);
     }
 
-    // Most entries name a service: with none to begin with, most submissions would be refused.
+    // Most entries name a service: with none to begin with, most submissions would be rejected.
     private static List<Submission> afterServices(List<Submission> drawn) {
-        Submissions first = Submissions.of("services");
+        SubmissionBuilder first = SubmissionBuilder.of("services");
         SERVICES.forEach(first::service);
         List<Submission> history = new ArrayList<>(List.of(first.build()));
         history.addAll(drawn);
@@ -94,7 +92,7 @@
     }
 
     private static Submission submission(String id, List<Entry> entries) {
-        Submissions submission = Submissions.of(id);
+        SubmissionBuilder submission = SubmissionBuilder.of(id);
         for (Entry entry : entries) {
             String service = SERVICES.get(entry.service());
             switch (entry.kind()) {
@@ -134,7 +132,7 @@
         return submission.build();
     }
 
-    private static void put(Submissions submission, Entry entry, String name, Runnable put) {
+    private static void put(SubmissionBuilder submission, Entry entry, String name, Runnable put) {
         if (entry.delete()) {
             submission.delete(entry.kind(), name);
         } else {
@@ -150,15 +148,16 @@
 
         final Map<ResourceKey, Resource> resources = new TreeMap<>();
         final Map<String, Long> versionsById = new HashMap<>();
-        final Set<String> refusedIds = new HashSet<>();
+        final Set<String> rejectedIds = new HashSet<>();
         long version;
 
         Optional<Long> apply(Submission submission) {
-            if (versionsById.containsKey(submission.id()) || refusedIds.contains(submission.id())) {
+            if (versionsById.containsKey(submission.id())
+                    || rejectedIds.contains(submission.id())) {
                 return Optional.ofNullable(versionsById.get(submission.id()));
             }
             if (!fits(submission)) {
-                refusedIds.add(submission.id());
+                rejectedIds.add(submission.id());
                 return Optional.empty();
             }
             version++;
@@ -222,7 +221,7 @@
     }
 
     @Property(tries = 300, seed = "51")
-    void theStateIsThatOfAPlainModel(@ForAll("histories") List<Submission> history) {
+    void state_equalsAPlainModels(@ForAll("histories") List<Submission> history) {
         ChangeLog log = new ChangeLog(LOG, MANY);
         Model model = new Model();
         for (Submission submission : history) {
@@ -241,7 +240,7 @@
                         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
         assertEquals(expected, state(log));
         assertEquals(model.resources.size(), log.size());
-        boolean many = model.version > 10 && model.refusedIds.size() > 10;
+        boolean many = model.version > 10 && model.rejectedIds.size() > 10;
         Statistics.label("outcomes")
                 .collect(many ? "many" : "few")
                 .coverage(
@@ -250,7 +249,7 @@
     }
 
     @Property(tries = 300, seed = "52")
-    void pagesTakenWhileChangesComeAndTheChangesMakeTheState(
+    void pagesTakenDuringChangesPlusChanges_giveTheState(
             @ForAll("histories") List<Submission> history,
             @ForAll("subscriptions") Subscription subscription,
             @ForAll @IntRange(min = 1, max = 500) int bytes,
@@ -319,7 +318,7 @@
     }
 
     @Property(tries = 200, seed = "53")
-    void aRestoredLogGoesOnAsTheOneThatItWasTakenFrom(
+    void restoredLog_behavesLikeTheOriginal(
             @ForAll("histories") List<Submission> history,
             @ForAll @IntRange(max = 60) int cut,
             @ForAll @IntRange(min = 1, max = 40) int keptChanges)
@@ -328,24 +327,24 @@
         ChangeLog log = new ChangeLog(LOG, limits);
         int before = Math.min(cut, history.size());
         history.subList(0, before).forEach(log::apply);
-        ChangeLog restored = ChangeLog.restore(log.snapshotBytes(), limits);
+        ChangeLog restored = ChangeLog.restore(log.capture().encode(), limits);
         assertEquals(log.position(), restored.position());
         assertEquals(log.oldest(), restored.oldest());
-        assertArrayEquals(log.snapshotBytes(), restored.snapshotBytes());
+        assertArrayEquals(log.capture().encode(), restored.capture().encode());
         for (Submission submission : history.subList(before, history.size())) {
             assertEquals(log.apply(submission), restored.apply(submission));
         }
         history.forEach(
                 submission -> assertEquals(log.apply(submission), restored.apply(submission)));
-        assertArrayEquals(log.snapshotBytes(), restored.snapshotBytes());
+        assertArrayEquals(log.capture().encode(), restored.capture().encode());
     }
 
     @Property(tries = 200, seed = "54")
-    void theSameSubmissionsAgainChangeNothing(@ForAll("histories") List<Submission> history) {
+    void repeatedSubmissions_changeNothing(@ForAll("histories") List<Submission> history) {
         ChangeLog log = new ChangeLog(LOG, MANY);
         List<SubmissionOutcome> outcomes = history.stream().map(log::apply).toList();
-        byte[] snapshotBytes = log.snapshotBytes();
+        byte[] stored = log.capture().encode();
         assertEquals(outcomes, history.stream().map(log::apply).toList());
-        assertArrayEquals(snapshotBytes, log.snapshotBytes());
+        assertArrayEquals(stored, log.capture().encode());
     }
 }
--- a/control/src/test/java/ottergauge/control/log/LogSnapshotCompatibilityTest.java
+++ b/control/src/test/java/ottergauge/control/log/LogSnapshotCompatibilityTest.java
@@ -1,14 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
+import java.io.IOException;
+import java.io.InputStream;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
-
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
@@ -16,12 +19,6 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Subscription;
 
-import java.io.IOException;
-import java.io.InputStream;
-import java.util.List;
-import java.util.Optional;
-import java.util.Set;
-
 /**
  * Holds the stored log and the pages on the wire to samples that were written by an earlier
  * version: version 1 of the stored form is read, and written back byte by byte.
@@ -46,7 +43,7 @@
 
     @Test
     void storedLog_isWrittenBackByteByByte() throws IOException, ProtocolException {
-        assertArrayEquals(sample("log-v1.bin"), sampleLog().snapshotBytes());
+        assertArrayEquals(sample("log-v1.bin"), sampleLog().capture().encode());
     }
 
     @Test
@@ -80,13 +77,13 @@
     void storedLog_keepsOutcomesOfAcceptedSubmissions() throws IOException, ProtocolException {
         assertEquals(
                 new SubmissionOutcome.Accepted(new LogPosition("9f3c", 2)),
-                sampleLog().apply(Submissions.of("id-2").tenant("unused", 1).build()));
+                sampleLog().apply(SubmissionBuilder.of("id-2").tenant("unused", 1).build()));
     }
 
     @Test
     void storedLog_keepsOutcomesOfRejectedSubmissions() throws IOException, ProtocolException {
         SubmissionOutcome outcome =
-                sampleLog().apply(Submissions.of("id-bad").tenant("unused", 1).build());
+                sampleLog().apply(SubmissionBuilder.of("id-bad").tenant("unused", 1).build());
         assertEquals(
                 List.of(
                         new FieldError("put[0].value.service", "none", "a service that exists"),
@@ -97,25 +94,25 @@
     @Test
     void sameSubmissions_giveTheSameBytes() throws IOException {
         ChangeLog log = new ChangeLog("9f3c", THREE_CHANGES);
-        log.apply(Submissions.of("id-1").service("checkout").tenant("gold", 2.5).build());
+        log.apply(SubmissionBuilder.of("id-1").service("checkout").tenant("gold", 2.5).build());
         log.apply(
-                Submissions.of("id-2")
+                SubmissionBuilder.of("id-2")
                         .server("s-1", "checkout")
                         .server("s-2", "checkout", 0.25)
                         .route("r:1", "checkout")
                         .build());
-        log.apply(Submissions.of("id-3").settings("default", 20).build());
+        log.apply(SubmissionBuilder.of("id-3").settings("default", 20).build());
         log.apply(
-                Submissions.of("id-bad")
+                SubmissionBuilder.of("id-bad")
                         .server("s-9", "none")
                         .delete(ResourceKind.TENANT, "silver")
                         .build());
-        log.apply(Submissions.of("id-4").delete(ResourceKind.SERVER, "s-1").build());
+        log.apply(SubmissionBuilder.of("id-4").delete(ResourceKind.SERVER, "s-1").build());
         log.apply(
-                Submissions.of("id-5")
+                SubmissionBuilder.of("id-5")
                         .put(ResourceKind.TENANT, "gold", new ResourceValue.Tenant(3, 20, 10, 2))
                         .build());
-        assertArrayEquals(sample("log-v1.bin"), log.snapshotBytes());
+        assertArrayEquals(sample("log-v1.bin"), log.capture().encode());
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/log/Submissions.java
+++ b/control/src/test/java/ottergauge/control/log/SubmissionBuilder.java
@@ -1,6 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.log;
 
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
 import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.DiscoveredEndpoint;
@@ -10,56 +15,50 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
-import java.util.ArrayList;
-import java.util.Arrays;
-import java.util.LinkedHashMap;
-import java.util.List;
-import java.util.Map;
-
-/** Makes submissions for tests. */
-public final class Submissions {
+/** Builds submissions for tests. */
+public final class SubmissionBuilder {
 
     private final String id;
     private final List<Change.Put> puts = new ArrayList<>();
     private final List<ResourceKey> deletes = new ArrayList<>();
 
-    private Submissions(String id) {
+    private SubmissionBuilder(String id) {
         this.id = id;
     }
 
-    public static Submissions of(String id) {
-        return new Submissions(id);
+    public static SubmissionBuilder of(String id) {
+        return new SubmissionBuilder(id);
     }
 
     public static ResourceKey key(ResourceKind kind, String name) {
         return new ResourceKey(kind, name);
     }
 
-    public Submissions service(String name) {
+    public SubmissionBuilder service(String name) {
         return put(ResourceKind.SERVICE, name, new ResourceValue.Service("about " + name));
     }
 
-    public Submissions server(String name, String service) {
+    public SubmissionBuilder server(String name, String service) {
         return server(name, service, 1);
     }
 
-    public Submissions server(String name, String service, double share) {
+    public SubmissionBuilder server(String name, String service, double share) {
         Address dial = new Address("127.0.0.1", 4000);
         DiscoveredEndpoint host =
                 new DiscoveredEndpoint(name, dial, "zone-a", "std", 0, EndpointState.UP, share, 0);
         return put(ResourceKind.SERVER, name, new ResourceValue.Server(service, host));
     }
 
-    public Submissions route(String name, String service) {
+    public SubmissionBuilder route(String name, String service) {
         return put(ResourceKind.ROUTE, name, new ResourceValue.Route(service, "/" + name, "read"));
     }
 
-    public Submissions tenant(String name, double requestsPerSecond) {
+    public SubmissionBuilder tenant(String name, double requestsPerSecond) {
         return put(
                 ResourceKind.TENANT, name, new ResourceValue.Tenant(requestsPerSecond, 10, 5, 1));
     }
 
-    public Submissions settings(String name, double aimMs) {
+    public SubmissionBuilder settings(String name, double aimMs) {
         Map<String, Object> requestClass = new LinkedHashMap<>();
         requestClass.put("aimMs", aimMs);
         requestClass.put("name", "read");
@@ -69,17 +68,17 @@
                 new ResourceValue.Settings(Map.of("classes", List.of(requestClass))));
     }
 
-    public Submissions put(ResourceKind kind, String name, ResourceValue value) {
+    public SubmissionBuilder put(ResourceKind kind, String name, ResourceValue value) {
         puts.add(new Change.Put(key(kind, name), value));
         return this;
     }
 
-    public Submissions delete(ResourceKey... keys) {
+    public SubmissionBuilder delete(ResourceKey... keys) {
         deletes.addAll(Arrays.asList(keys));
         return this;
     }
 
-    public Submissions delete(ResourceKind kind, String name) {
+    public SubmissionBuilder delete(ResourceKind kind, String name) {
         return delete(key(kind, name));
     }
 
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -1,28 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
-import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
-
-import ottergauge.control.log.Submissions;
-import ottergauge.protocol.ProtocolException;
-import ottergauge.resources.Change;
-import ottergauge.resources.ChangePage;
-import ottergauge.resources.FieldError;
-import ottergauge.resources.LogPosition;
-import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.ResourceKey;
-import ottergauge.resources.ResourceKind;
-import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.VersionTooOld;
-
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.OutputStream;
@@ -41,6 +24,20 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import ottergauge.control.log.SubmissionBuilder;
+import ottergauge.protocol.ProtocolException;
+import ottergauge.resources.Change;
+import ottergauge.resources.ChangePage;
+import ottergauge.resources.FieldError;
+import ottergauge.resources.LogPosition;
+import ottergauge.resources.Resource;
+import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceKind;
+import ottergauge.resources.SnapshotPage;
+import ottergauge.resources.VersionTooOld;
 
 /** Starts the jar and speaks to it over loopback sockets. */
 class ControlIT {
@@ -73,13 +70,16 @@
         try (RunningControl control = RunningControl.serving(folder, "")) {
             LogPosition begin =
                     control.publish(
-                            Submissions.of("a").service("checkout").service("search").build());
+                            SubmissionBuilder.of("a")
+                                    .service("checkout")
+                                    .service("search")
+                                    .build());
             long asked = System.nanoTime();
             CompletableFuture<HttpResponse<String>> waiting =
                     control.getLater(changes(begin, "&wait_ms=10000&services=checkout"));
-            control.publish(Submissions.of("b").server("s-1", "search").build());
+            control.publish(SubmissionBuilder.of("b").server("s-1", "search").build());
             LogPosition second =
-                    control.publish(Submissions.of("c").server("s-2", "checkout").build());
+                    control.publish(SubmissionBuilder.of("c").server("s-2", "checkout").build());
             ChangePage page = page(waiting.get());
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
             assertEquals(List.of(second.version()), versions(page));
@@ -93,7 +93,8 @@
         try (RunningControl control = RunningControl.serving(folder, ",\"kept_changes\":3")) {
             List<LogPosition> positions = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                positions.add(control.publish(Submissions.of("id-" + i).tenant("gold", i).build()));
+                positions.add(
+                        control.publish(SubmissionBuilder.of("id-" + i).tenant("gold", i).build()));
             }
             assertEquals(
                     List.of(4L, 5L, 6L),
@@ -120,11 +121,12 @@
         int port = RunningControl.freePort();
         LogPosition before;
         try (RunningControl control = RunningControl.serving(folder, port, "")) {
-            before = control.publish(Submissions.of("a").tenant("gold", 1).build());
+            before = control.publish(SubmissionBuilder.of("a").tenant("gold", 1).build());
             control.kill();
         }
         try (RunningControl control = RunningControl.serving(folder, port, "")) {
-            LogPosition after = control.publish(Submissions.of("b").tenant("gold", 2).build());
+            LogPosition after =
+                    control.publish(SubmissionBuilder.of("b").tenant("gold", 2).build());
             assertEquals(before.version(), after.version());
             assertEquals(410, control.get(changes(before, "&wait_ms=10000")).statusCode());
         }
@@ -133,7 +135,7 @@
     @Test
     void pagesTakenWhileChangesComeAndTheChangesMakeTheState() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            Submissions first = Submissions.of("first").service("checkout");
+            SubmissionBuilder first = SubmissionBuilder.of("first").service("checkout");
             for (int i = 0; i < 300; i++) {
                 first.server("s-" + i, "checkout").tenant("t-" + i, i);
             }
@@ -154,7 +156,7 @@
                 page.resources().forEach(each -> copy.put(each.key(), each));
                 from = page.next();
                 control.publish(
-                        Submissions.of("meanwhile-" + pages)
+                        SubmissionBuilder.of("meanwhile-" + pages)
                                 .delete(ResourceKind.SERVER, "s-" + pages)
                                 .server("new-" + pages, "checkout")
                                 .tenant("t-" + pages, 1_000)
@@ -202,7 +204,9 @@
                     control.post(
                             new String(
                                     ResourceCodec.write(
-                                            Submissions.of("z").server("s-1", "none").build()),
+                                            SubmissionBuilder.of("z")
+                                                    .server("s-1", "none")
+                                                    .build()),
                                     UTF_8));
             assertEquals(400, unfit.statusCode());
             assertEquals(
@@ -284,7 +288,7 @@
                     raw(
                                     control,
                                     "POST /control/v1/changes HTTP/1.1\r\n"
-                                        + "Content-Length: 99999999\r\n\r\n")
+                                            + "Content-Length: 99999999\r\n\r\n")
                             .startsWith("HTTP/1.1 413"));
             assertTrue(
                     raw(control, "POST /control/v1/changes HTTP/1.1\r\nContent-Length: x\r\n\r\n")
@@ -305,7 +309,7 @@
     @Test
     void waitingCallsAreBounded() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"waiting_polls\":2")) {
-            LogPosition at = control.publish(Submissions.of("a").tenant("gold", 1).build());
+            LogPosition at = control.publish(SubmissionBuilder.of("a").tenant("gold", 1).build());
             List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 calls.add(control.getLater(changes(at, "&wait_ms=10000&node=n" + i)));
@@ -315,7 +319,7 @@
             CompletableFuture<HttpResponse<String>> turnedAway =
                     calls.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow();
             assertRefused(503, "busy", turnedAway.get());
-            control.publish(Submissions.of("b").tenant("gold", 2).build());
+            control.publish(SubmissionBuilder.of("b").tenant("gold", 2).build());
             calls.remove(turnedAway);
             for (CompletableFuture<HttpResponse<String>> call : calls) {
                 assertEquals(List.of(2L), versions(page(call.get())));
@@ -403,7 +407,7 @@
 
     private static void publishMuch(RunningControl control) throws Exception {
         for (int change = 0; change < 8; change++) {
-            Submissions tenants = Submissions.of("much-" + change);
+            SubmissionBuilder tenants = SubmissionBuilder.of("much-" + change);
             for (int i = 0; i < 500; i++) {
                 tenants.tenant("t-" + change + "-" + i, i);
             }
@@ -444,7 +448,7 @@
     @Test
     void nodesTellWhatTheyGoBy() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            LogPosition at = control.publish(Submissions.of("a").tenant("gold", 1).build());
+            LogPosition at = control.publish(SubmissionBuilder.of("a").tenant("gold", 1).build());
             control.get(changes(at, "&node=n1&region=r1&in_force=1"));
             control.get(changes(at, "&node=n2&region=r2&in_force=0&refused=1"));
             String status = control.get("/control/v1/status").body();
@@ -467,7 +471,7 @@
     @Test
     void whatWaitsIsAnsweredAtTheEnd() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            LogPosition at = control.publish(Submissions.of("a").service("checkout").build());
+            LogPosition at = control.publish(SubmissionBuilder.of("a").service("checkout").build());
             CompletableFuture<HttpResponse<String>> waiting =
                     control.getLater(changes(at, "&wait_ms=10000&services=checkout&node=n1"));
             control.await(
--- a/control/src/test/java/ottergauge/control/program/RunningControl.java
+++ b/control/src/test/java/ottergauge/control/program/RunningControl.java
@@ -1,17 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.program;
 
+import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.fail;
 
-import static java.nio.charset.StandardCharsets.UTF_8;
-
-import ottergauge.protocol.ProtocolException;
-import ottergauge.resources.LogPosition;
-import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.Submission;
-import ottergauge.settings.JsonTree;
-
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -32,6 +25,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
+import ottergauge.protocol.ProtocolException;
+import ottergauge.resources.LogPosition;
+import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.Submission;
+import ottergauge.settings.JsonTree;
 
 /** A process of the jar, with its output kept in a file. */
 final class RunningControl implements AutoCloseable {
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -6,13 +6,16 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.LogRetention;
+import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.control.log.SubmissionOutcome;
-import ottergauge.control.log.Submissions;
 import ottergauge.control.program.SubmissionFile.Part;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceCodec;
@@ -20,11 +23,6 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.Path;
-import java.util.List;
-
 /** Files that are published, whole or in parts. */
 class SubmissionFileTest {
 
@@ -35,8 +33,8 @@
                 Files.write(folder.resolve("file.json"), ResourceCodec.write(submission)));
     }
 
-    private static Submissions many() {
-        Submissions many = Submissions.of("load");
+    private static SubmissionBuilder many() {
+        SubmissionBuilder many = SubmissionBuilder.of("load");
         for (int i = 0; i < 1_300; i++) {
             many.server("s-" + i, "checkout");
         }
@@ -55,7 +53,8 @@
 
     @Test
     void aFileIsOneSubmission() throws IOException, ProtocolException {
-        Submission submission = Submissions.of("a").service("checkout").tenant("gold", 2.5).build();
+        Submission submission =
+                SubmissionBuilder.of("a").service("checkout").tenant("gold", 2.5).build();
         assertEquals(submission, ResourceCodec.readSubmission(file(submission).whole().body()));
     }
 
@@ -65,7 +64,8 @@
         List<Part> parts = file(many().build()).split();
         assertEquals(List.of("load:1", "load:2", "load:3"), parts.stream().map(Part::id).toList());
         assertEquals(1_301, apply(log, parts));
-        Submissions none = Submissions.of("unload").delete(ResourceKind.SERVICE, "checkout");
+        SubmissionBuilder none =
+                SubmissionBuilder.of("unload").delete(ResourceKind.SERVICE, "checkout");
         for (int i = 0; i < 1_300; i++) {
             none.delete(ResourceKind.SERVER, "s-" + i);
         }
@@ -83,7 +83,7 @@
 
     @Test
     void partsAreBoundedByBytes() throws IOException {
-        Submissions longValues = Submissions.of("long");
+        SubmissionBuilder longValues = SubmissionBuilder.of("long");
         for (int i = 0; i < 600; i++) {
             longValues.put(
                     ResourceKind.SERVICE, "s-" + i, new ResourceValue.Service("d".repeat(1_000)));
--- a/control/src/test/java/ottergauge/control/program/ToolsIT.java
+++ b/control/src/test/java/ottergauge/control/program/ToolsIT.java
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ottergauge.control.log.Submissions;
+import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceCodec;
@@ -32,7 +32,7 @@
     void aFileIsPublishedOnceWhereverItIsAskedFor() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             String nobody = "127.0.0.1:" + RunningControl.freePort();
-            String file = file(Submissions.of("a").service("checkout").build());
+            String file = file(SubmissionBuilder.of("a").service("checkout").build());
             for (int i = 0; i < 2; i++) {
                 RunningControl tool =
                         RunningControl.run(
@@ -53,7 +53,7 @@
                             "publish",
                             "--to",
                             control.address(),
-                            file(Submissions.of("a").server("s-1", "none").build()));
+                            file(SubmissionBuilder.of("a").server("s-1", "none").build()));
             assertEquals(1, refused.exitCode());
             assertTrue(
                     refused.output()
@@ -68,7 +68,7 @@
                         "300",
                         "--to",
                         "127.0.0.1:" + RunningControl.freePort(),
-                        file(Submissions.of("b").service("x").build()));
+                        file(SubmissionBuilder.of("b").service("x").build()));
         assertEquals(1, unknown.exitCode());
         assertTrue(unknown.output().contains("b is not known to be accepted"), unknown.output());
         RunningControl none =
@@ -80,7 +80,7 @@
     @Test
     void aLongFileIsSplit() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            Submissions many = Submissions.of("many").service("checkout");
+            SubmissionBuilder many = SubmissionBuilder.of("many").service("checkout");
             for (int i = 0; i < 1_200; i++) {
                 many.tenant("t-" + i, i);
             }
@@ -100,8 +100,10 @@
     @Test
     void theStatusShowsWhoLagsAndWhoRefused() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            LogPosition first = control.publish(Submissions.of("a").service("checkout").build());
-            LogPosition second = control.publish(Submissions.of("b").tenant("gold", 1).build());
+            LogPosition first =
+                    control.publish(SubmissionBuilder.of("a").service("checkout").build());
+            LogPosition second =
+                    control.publish(SubmissionBuilder.of("b").tenant("gold", 1).build());
             String call = "/control/v1/changes?log=" + first.log() + "&after=0&node=";
             control.get(call + "n1&region=r1&in_force=" + second.version());
             RunningControl fine = RunningControl.run(folder, "status", "--to", control.address());
@@ -177,7 +179,8 @@
                 tool.await("followed", () -> servers(first).equals(Set.of("s-2", "s-3")));
                 discovery.beginAnew(StubDiscovery.up("s-3"), StubDiscovery.up("s-4"));
                 tool.await("followed anew", () -> servers(first).equals(Set.of("s-3", "s-4")));
-                first.publish(Submissions.of("by-hand").delete(ResourceKind.SERVER, "s-4").build());
+                first.publish(
+                        SubmissionBuilder.of("by-hand").delete(ResourceKind.SERVER, "s-4").build());
                 tool.await("put right", () -> servers(first).equals(Set.of("s-3", "s-4")));
                 first.kill();
                 try (RunningControl second = RunningControl.serving(folder, port, "")) {
--- a/control/src/test/java/ottergauge/control/server/ErrorJsonTest.java
+++ b/control/src/test/java/ottergauge/control/server/ErrorJsonTest.java
@@ -1,13 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import static java.nio.charset.StandardCharsets.UTF_8;
-
-import org.junit.jupiter.api.Test;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
+import org.junit.jupiter.api.Test;
 
 /** The JSON of errors, byte by byte. */
 class ErrorJsonTest {
--- a/control/src/test/java/ottergauge/control/server/PendingPollsTest.java
+++ b/control/src/test/java/ottergauge/control/server/PendingPollsTest.java
@@ -5,12 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
-
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.LogRetention;
-import ottergauge.control.log.Submissions;
+import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
@@ -19,10 +21,6 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionTooOld;
 
-import java.util.List;
-import java.util.Optional;
-import java.util.Set;
-
 /** Calls that wait for changes, on made-up time. */
 class PendingPollsTest {
 
@@ -36,7 +34,7 @@
     PendingPollsTest() {
         log.replace(new ChangeLog(LOG, new LogRetention(5, 1 << 20)));
         log.onChange(polls::wake);
-        log.apply(Submissions.of("services").service("checkout").service("search").build());
+        log.apply(SubmissionBuilder.of("services").service("checkout").service("search").build());
     }
 
     private RecordingResponder ask(long after, long waitMs, String... services) {
@@ -83,11 +81,11 @@
         RecordingResponder checkout = ask(1, 10_000, "checkout");
         RecordingResponder search = ask(1, 10_000, "search");
         RecordingResponder all = ask(1, 10_000);
-        log.apply(Submissions.of("a").server("s-1", "search").build());
+        log.apply(SubmissionBuilder.of("a").server("s-1", "search").build());
         assertFalse(checkout.isAnswered());
         assertEquals(List.of(2L), versions(search));
         assertEquals(List.of(2L), versions(all));
-        log.apply(Submissions.of("b").tenant("gold", 1).build());
+        log.apply(SubmissionBuilder.of("b").tenant("gold", 1).build());
         assertEquals(List.of(3L), versions(checkout));
         assertEquals(0, polls.count());
         assertEquals(0, timers.count());
@@ -96,7 +94,7 @@
     @Test
     void aCallIsAnsweredWhenItsTimeIsOver() throws ProtocolException {
         RecordingResponder checkout = ask(1, 5_000, "checkout");
-        log.apply(Submissions.of("a").server("s-1", "search").build());
+        log.apply(SubmissionBuilder.of("a").server("s-1", "search").build());
         timers.pass(4_999);
         assertFalse(checkout.isAnswered());
         timers.pass(1);
@@ -109,10 +107,10 @@
     void aCallThatWaitsOutlivesTheChangesThatItDoesNotFollow() throws ProtocolException {
         RecordingResponder checkout = ask(1, 10_000, "checkout");
         for (int i = 0; i < 20; i++) {
-            log.apply(Submissions.of("id-" + i).server("s-1", "search", i).build());
+            log.apply(SubmissionBuilder.of("id-" + i).server("s-1", "search", i).build());
         }
         assertFalse(checkout.isAnswered());
-        log.apply(Submissions.of("last").server("s-2", "checkout").build());
+        log.apply(SubmissionBuilder.of("last").server("s-2", "checkout").build());
         assertEquals(List.of(22L), versions(checkout));
     }
 
@@ -134,7 +132,7 @@
         gone.leave();
         assertEquals(0, polls.count());
         assertEquals(0, timers.count());
-        log.apply(Submissions.of("a").tenant("gold", 1).build());
+        log.apply(SubmissionBuilder.of("a").tenant("gold", 1).build());
         assertFalse(gone.isAnswered());
     }
 
@@ -144,7 +142,7 @@
         assertEquals(HttpStatus.GONE, other.status);
         assertEquals(new VersionTooOld(LOG, 1, 1), ResourceCodec.readTooOld(other.body));
         for (int i = 0; i < 9; i++) {
-            log.apply(Submissions.of("id-" + i).tenant("gold", i).build());
+            log.apply(SubmissionBuilder.of("id-" + i).tenant("gold", i).build());
         }
         RecordingResponder old = ask(4, 10_000);
         assertEquals(new VersionTooOld(LOG, 6, 10), ResourceCodec.readTooOld(old.body));
@@ -154,10 +152,10 @@
     @Test
     void aCallerThatIsAheadMayWaitForThisProcessToCatchUp() throws ProtocolException {
         RecordingResponder ahead = ask(3, 10_000);
-        log.apply(Submissions.of("a").tenant("gold", 1).build());
-        log.apply(Submissions.of("b").tenant("gold", 2).build());
+        log.apply(SubmissionBuilder.of("a").tenant("gold", 1).build());
+        log.apply(SubmissionBuilder.of("b").tenant("gold", 2).build());
         assertFalse(ahead.isAnswered());
-        log.apply(Submissions.of("c").tenant("gold", 3).build());
+        log.apply(SubmissionBuilder.of("c").tenant("gold", 3).build());
         assertEquals(List.of(4L), versions(ahead));
     }
 
--- a/control/src/test/java/ottergauge/control/server/RateLimitedLoggerTest.java
+++ b/control/src/test/java/ottergauge/control/server/RateLimitedLoggerTest.java
@@ -3,11 +3,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.junit.jupiter.api.Test;
-
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
+import org.junit.jupiter.api.Test;
 
 /** Warnings are bounded by the second. */
 class RateLimitedLoggerTest {
--- a/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
+++ b/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
@@ -5,22 +5,20 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.Set;
 import org.junit.jupiter.api.Test;
-
 import ottergauge.control.consensus.SharedLog;
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.LogRetention;
-import ottergauge.control.log.Submissions;
+import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionTooOld;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.Optional;
-import java.util.Set;
-
 /** Pages of snapshots at a paced rate, on made-up time. */
 class SnapshotQueueTest {
 
@@ -34,7 +32,7 @@
 
     SnapshotQueueTest() {
         log.replace(new ChangeLog("a1", LogRetention.DEFAULT));
-        Submissions tenants = Submissions.of("tenants");
+        SubmissionBuilder tenants = SubmissionBuilder.of("tenants");
         for (int i = 0; i < 200; i++) {
             tenants.tenant("t-" + i, i);
         }
@@ -112,7 +110,7 @@
     @Test
     void aPageIsMadeWhenItsTurnComes() throws ProtocolException {
         List<RecordingResponder> responders = askOften(10);
-        log.apply(Submissions.of("later").tenant("t-0", 7).build());
+        log.apply(SubmissionBuilder.of("later").tenant("t-0", 7).build());
         timers.pass(5_000);
         assertEquals(1, ResourceCodec.readSnapshot(responders.get(0).body).at().version());
         assertEquals(2, ResourceCodec.readSnapshot(responders.get(9).body).at().version());
--- a/control/src/test/java/ottergauge/control/server/StatusJsonTest.java
+++ b/control/src/test/java/ottergauge/control/server/StatusJsonTest.java
@@ -1,18 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
 import static java.nio.charset.StandardCharsets.UTF_8;
+import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.util.List;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
-
 import ottergauge.control.consensus.Role;
 import ottergauge.resources.LogPosition;
 
-import java.util.List;
-import java.util.Optional;
-
 /** The JSON of the status call, byte by byte. */
 class StatusJsonTest {
 
