--- a/control/src/main/java/ottergauge/control/client/PublishResult.java
+++ b/control/src/main/java/ottergauge/control/client/PublishResult.java
@@ -12,7 +12,7 @@
     record Accepted(LogPosition position) implements PublishResult {}
 
     /** Nothing of it is taken, and won't be. */
-    record Rejected(List<FieldError> faults) implements PublishResult {}
+    record Rejected(List<FieldError> errors) implements PublishResult {}
 
     /**
      * It was not accepted in time, or is not known to be; it may be published again under the same
--- a/control/src/main/java/ottergauge/control/config/ConfigException.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigException.java
@@ -10,14 +10,14 @@
 
     private static final long serialVersionUID = 1L;
 
-    private final transient List<FieldError> faults;
+    private final transient List<FieldError> errors;
 
-    ConfigException(List<FieldError> faults) {
-        super(faults.stream().map(FieldError::toString).collect(Collectors.joining("; ")));
-        this.faults = List.copyOf(faults);
+    ConfigException(List<FieldError> errors) {
+        super(errors.stream().map(FieldError::toString).collect(Collectors.joining("; ")));
+        this.errors = List.copyOf(errors);
     }
 
-    public List<FieldError> faults() {
-        return faults;
+    public List<FieldError> errors() {
+        return errors;
     }
 }
--- a/control/src/main/java/ottergauge/control/config/ConfigObjectReader.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigObjectReader.java
@@ -9,7 +9,7 @@
 import ottergauge.protocol.Address;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.FieldError;
-import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceValidator;
 
 /**
  * Reads the keys of one object of a configuration; reports what is wrong, and keys that none asked
@@ -19,13 +19,13 @@
 
     private final Map<?, ?> fields;
     private final String path;
-    private final List<FieldError> faults;
+    private final List<FieldError> errors;
     private final Set<String> known = new HashSet<>();
 
-    ConfigObjectReader(Map<?, ?> fields, String path, List<FieldError> faults) {
+    ConfigObjectReader(Map<?, ?> fields, String path, List<FieldError> errors) {
         this.fields = fields;
         this.path = path;
-        this.faults = faults;
+        this.errors = errors;
     }
 
     boolean has(String key) {
@@ -33,10 +33,10 @@
     }
 
     String name(String key) {
-        if (value(key) instanceof String text && ResourceChecks.isName(text)) {
+        if (value(key) instanceof String text && ResourceValidator.isValidName(text)) {
             return text;
         }
-        fault(key, ResourceChecks.NAME_FORM);
+        error(key, ResourceValidator.NAME_FORMAT);
         return "";
     }
 
@@ -46,7 +46,7 @@
         if (value == null || (value instanceof String text && !text.isEmpty())) {
             return (String) value;
         }
-        fault(key, "a text of one character at least");
+        error(key, "a text of one character at least");
         return null;
     }
 
@@ -59,7 +59,7 @@
                 // Reported below.
             }
         }
-        fault(key, "a numeric host, : and a port from 1 to 65535");
+        error(key, "a numeric host, : and a port from 1 to 65535");
         return null;
     }
 
@@ -72,7 +72,7 @@
         if (whole && (Double) value >= least && (Double) value <= most) {
             return ((Double) value).longValue();
         }
-        fault(key, "a whole number from " + least + " to " + most);
+        error(key, "a whole number from " + least + " to " + most);
         return absent;
     }
 
@@ -81,7 +81,7 @@
         if (value == null || value instanceof Boolean) {
             return value == null ? absent : (Boolean) value;
         }
-        fault(key, "true or false");
+        error(key, "true or false");
         return absent;
     }
 
@@ -92,31 +92,31 @@
                 || list.isEmpty()
                 || list.size() > most
                 || !list.stream().allMatch(Map.class::isInstance)) {
-            fault(key, "a list of 1 to " + most + " objects");
+            error(key, "a list of 1 to " + most + " objects");
             return List.of();
         }
         List<ConfigObjectReader> objects = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
             objects.add(
                     new ConfigObjectReader(
-                            (Map<?, ?>) list.get(i), path + key + "[" + i + "].", faults));
+                            (Map<?, ?>) list.get(i), path + key + "[" + i + "].", errors));
         }
         return objects;
     }
 
     ConfigObjectReader object(String key) {
         if (value(key) instanceof Map<?, ?> object) {
-            return new ConfigObjectReader(object, path + key + ".", faults);
+            return new ConfigObjectReader(object, path + key + ".", errors);
         }
-        fault(key, "an object");
-        return new ConfigObjectReader(Map.of(), path + key + ".", faults);
+        error(key, "an object");
+        return new ConfigObjectReader(Map.of(), path + key + ".", errors);
     }
 
     /** Reports all keys that were not asked for. */
     void rejectUnknownKeys() {
         for (Object key : fields.keySet()) {
             if (!known.contains(key)) {
-                faults.add(
+                errors.add(
                         new FieldError(
                                 path + key,
                                 String.valueOf(fields.get(key)),
@@ -125,7 +125,7 @@
         }
     }
 
-    void fault(String key, String allowed) {
+    void error(String key, String allowed) {
         Object value = fields.get(key);
         String found =
                 value == null
@@ -133,7 +133,7 @@
                         : value instanceof Map
                                 ? "an object"
                                 : value instanceof List ? "a list" : String.valueOf(value);
-        faults.add(new FieldError(path + key, found, allowed));
+        errors.add(new FieldError(path + key, found, allowed));
     }
 
     private Object value(String key) {
--- a/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
+++ b/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
@@ -44,10 +44,10 @@
                                     String.valueOf(e.getMessage()),
                                     "one JSON object")));
         }
-        List<FieldError> faults = new ArrayList<>();
-        ControlProcessConfig config = of(new ConfigObjectReader(tree, "", faults));
-        if (!faults.isEmpty()) {
-            throw new ConfigException(faults);
+        List<FieldError> errors = new ArrayList<>();
+        ControlProcessConfig config = of(new ConfigObjectReader(tree, "", errors));
+        if (!errors.isEmpty()) {
+            throw new ConfigException(errors);
         }
         return config;
     }
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -17,7 +17,7 @@
 import ottergauge.resources.Change;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
@@ -104,7 +104,7 @@
             serviceExists = true;
         } else if (value instanceof ResourceValue.Server server
                 && server.service().equals(service)) {
-            published.put(key.name(), server.host());
+            published.put(key.name(), server.endpoint());
             toCompare.add(key.name());
         }
     }
@@ -168,23 +168,23 @@
      * on.
      */
     public List<FieldError> rejectMalformed(Submission submission) {
-        List<FieldError> faults = new ArrayList<>();
+        List<FieldError> errors = new ArrayList<>();
         for (Change.Put put : submission.puts()) {
-            Optional<FieldError> fault = ResourceChecks.fault(put.key(), put.value());
-            fault.ifPresent(
+            Optional<FieldError> error = ResourceValidator.firstError(put.key(), put.value());
+            error.ifPresent(
                     found -> {
-                        faults.add(found);
+                        errors.add(found);
                         refuse(put);
                     });
         }
-        return faults;
+        return errors;
     }
 
     /** The log has refused a submission: what its faults name is left out from now on. */
-    public void refuse(Submission submission, List<FieldError> faults) {
+    public void refuse(Submission submission, List<FieldError> errors) {
         boolean named = false;
-        for (FieldError fault : faults) {
-            Matcher entry = ENTRY_OF_FAULT.matcher(fault.key());
+        for (FieldError error : errors) {
+            Matcher entry = ENTRY_OF_FAULT.matcher(error.key());
             if (!entry.matches()) {
                 continue;
             }
@@ -205,7 +205,7 @@
 
     private void refuse(Change.Put put) {
         if (put.value() instanceof ResourceValue.Server server) {
-            refused.put(put.key().name(), server.host());
+            refused.put(put.key().name(), server.endpoint());
         } else {
             serviceExists = true;
         }
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -9,7 +9,7 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.Submission;
@@ -44,9 +44,9 @@
     }
 
     private ChangeLog(String log, LogRetention retention, long version, long changesAfter) {
-        if (!ResourceChecks.isName(log)) {
+        if (!ResourceValidator.isValidName(log)) {
             throw new IllegalArgumentException(
-                    "log identifier \"" + log + "\" is not " + ResourceChecks.NAME_FORM);
+                    "log identifier \"" + log + "\" is not " + ResourceValidator.NAME_FORMAT);
         }
         this.log = log;
         this.version = version;
@@ -78,21 +78,21 @@
             return cached.get();
         }
         SubmissionOutcome outcome = validateAndAppend(submission);
-        if (ResourceChecks.isName(submission.id())) {
+        if (ResourceValidator.isValidName(submission.id())) {
             outcomes.put(submission.id(), outcome);
         }
         return outcome;
     }
 
     private SubmissionOutcome validateAndAppend(Submission submission) {
-        List<FieldError> faults = ResourceChecks.faults(submission);
-        if (!faults.isEmpty()) {
-            return new SubmissionOutcome.Rejected(faults);
+        List<FieldError> errors = ResourceValidator.errors(submission);
+        if (!errors.isEmpty()) {
+            return new SubmissionOutcome.Rejected(errors);
         }
         List<StoredResource> puts = encode(submission.puts(), version + 1);
-        faults = SubmissionValidator.faults(state, submission, puts);
-        if (!faults.isEmpty()) {
-            return new SubmissionOutcome.Rejected(faults);
+        errors = SubmissionValidator.errors(state, submission, puts);
+        if (!errors.isEmpty()) {
+            return new SubmissionOutcome.Rejected(errors);
         }
         append(new StoredChange(version + 1, puts, deletesOf(submission)));
         return new SubmissionOutcome.Accepted(position());
@@ -126,7 +126,7 @@
      */
     public PollResponse changesAfter(LogPosition after, Subscription subscription, int maxBytes) {
         if (!after.log().equals(log) || after.version() < changes.oldest() - 1) {
-            return new PollResponse.VersionTooOld(position(), changes.oldest());
+            return new PollResponse.VersionUnavailable(position(), changes.oldest());
         }
         if (after.version() > version) {
             return new PollResponse.Ahead(position());
@@ -160,7 +160,7 @@
         List<StoredResource> page = new ArrayList<>();
         int bytes = 0;
         for (StoredResource resource : state.from(from.orElse(FIRST_KEY))) {
-            if (!subscription.follows(resource.key(), resource.service())) {
+            if (!subscription.matches(resource.key(), resource.service())) {
                 continue;
             }
             int size = JsonPageBuilder.sizeOf(resource);
--- a/control/src/main/java/ottergauge/control/log/EncodedChanges.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedChanges.java
@@ -35,7 +35,7 @@
         return new ChangePage(upTo, changes.stream().map(StoredChange::change).toList());
     }
 
-    /** The page as the response body that {@code ResourceCodec.readChanges} reads. */
+    /** The page as the response body that {@code ResourceCodec.readChangePage} reads. */
     public byte[] json() {
         int size =
                 JsonPageBuilder.FRAME_OVERHEAD
--- a/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
@@ -39,7 +39,7 @@
                 at, resources.stream().map(StoredResource::resource).toList(), next);
     }
 
-    /** The page as the response body that {@code ResourceCodec.readSnapshot} reads. */
+    /** The page as the response body that {@code ResourceCodec.readSnapshotPage} reads. */
     public byte[] json() {
         int size =
                 2 * JsonPageBuilder.FRAME_OVERHEAD
--- a/control/src/main/java/ottergauge/control/log/LogSnapshotDecoder.java
+++ b/control/src/main/java/ottergauge/control/log/LogSnapshotDecoder.java
@@ -13,7 +13,7 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.SnapshotPage;
 
@@ -43,10 +43,10 @@
                 "the log snapshot has unknown magic number 0x" + Integer.toHexString(magic));
         LogPosition position = new LogPosition(in.readUTF(), in.readLong());
         require(
-                ResourceChecks.isName(position.log()) && position.version() >= 0,
+                ResourceValidator.isValidName(position.log()) && position.version() >= 0,
                 "the log snapshot has invalid position " + position);
         List<StoredResource> resources = readResources(position);
-        List<StoredChange> changes = readChanges(position);
+        List<StoredChange> changes = readChangePage(position);
         List<CachedOutcome> outcomes = readOutcomes(position);
         return new LogSnapshot(position, resources, changes, outcomes);
     }
@@ -56,7 +56,7 @@
         List<StoredResource> resources = new ArrayList<>();
         int count = readCount(StateLimits.MAX_RESOURCES);
         while (resources.size() < count) {
-            SnapshotPage page = ResourceCodec.readSnapshot(readPage());
+            SnapshotPage page = ResourceCodec.readSnapshotPage(readPage());
             require(
                     !page.resources().isEmpty() && page.unreadable().isEmpty(),
                     "the log snapshot has an unreadable resource: " + page.unreadable());
@@ -73,12 +73,12 @@
         return resources;
     }
 
-    private List<StoredChange> readChanges(LogPosition position)
+    private List<StoredChange> readChangePage(LogPosition position)
             throws IOException, ProtocolException {
         List<StoredChange> changes = new ArrayList<>();
         int count = readCount((int) Math.min(Integer.MAX_VALUE, position.version()));
         while (changes.size() < count) {
-            ChangePage page = ResourceCodec.readChanges(readPage());
+            ChangePage page = ResourceCodec.readChangePage(readPage());
             require(
                     !page.changes().isEmpty() && page.unreadable().isEmpty(),
                     "the log snapshot has an unreadable change: " + page.unreadable());
@@ -114,16 +114,16 @@
     }
 
     private SubmissionOutcome readRejected() throws IOException, ProtocolException {
-        List<FieldError> faults = new ArrayList<>();
-        int count = readCount(SubmissionValidator.MAX_FAULTS);
+        List<FieldError> errors = new ArrayList<>();
+        int count = readCount(SubmissionValidator.MAX_ERRORS);
         for (int i = 0; i < count; i++) {
-            faults.add(new FieldError(in.readUTF(), in.readUTF(), in.readUTF()));
+            errors.add(new FieldError(in.readUTF(), in.readUTF(), in.readUTF()));
         }
-        return new SubmissionOutcome.Rejected(faults);
+        return new SubmissionOutcome.Rejected(errors);
     }
 
     private byte[] readPage() throws IOException, ProtocolException {
-        int length = readCount(Math.min(ResourceCodec.MOST_PAGE_BYTES, in.available()));
+        int length = readCount(Math.min(ResourceCodec.MAX_PAGE_BYTES, in.available()));
         byte[] page = new byte[length];
         in.readFully(page);
         return page;
--- a/control/src/main/java/ottergauge/control/log/LogSnapshotEncoder.java
+++ b/control/src/main/java/ottergauge/control/log/LogSnapshotEncoder.java
@@ -91,17 +91,17 @@
                 out.writeLong(accepted.position().version());
             } else if (cached.outcome() instanceof SubmissionOutcome.Rejected rejected) {
                 out.writeBoolean(false);
-                writeFaults(rejected.faults());
+                writeErrors(rejected.errors());
             }
         }
     }
 
-    private void writeFaults(List<FieldError> faults) throws IOException {
-        out.writeInt(faults.size());
-        for (FieldError fault : faults) {
-            out.writeUTF(fault.key());
-            out.writeUTF(fault.value());
-            out.writeUTF(fault.allowed());
+    private void writeErrors(List<FieldError> errors) throws IOException {
+        out.writeInt(errors.size());
+        for (FieldError error : errors) {
+            out.writeUTF(error.key());
+            out.writeUTF(error.value());
+            out.writeUTF(error.allowed());
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/log/PollResponse.java
+++ b/control/src/main/java/ottergauge/control/log/PollResponse.java
@@ -16,7 +16,7 @@
      * @param newest the newest position of this log
      * @param oldest the oldest version that is retained
      */
-    record VersionTooOld(LogPosition newest, long oldest) implements PollResponse {}
+    record VersionUnavailable(LogPosition newest, long oldest) implements PollResponse {}
 
     /**
      * The subscriber has a version of this log that this replica hasn't reached yet.
--- a/control/src/main/java/ottergauge/control/log/SubmissionOutcome.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionOutcome.java
@@ -20,5 +20,5 @@
      *
      * @param faults what is wrong with it, at least one and at most 100
      */
-    record Rejected(List<FieldError> faults) implements SubmissionOutcome {}
+    record Rejected(List<FieldError> errors) implements SubmissionOutcome {}
 }
--- a/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
@@ -20,11 +20,11 @@
  */
 final class SubmissionValidator {
 
-    static final int MAX_FAULTS = 100;
+    static final int MAX_ERRORS = 100;
 
     private final ResourceState state;
     private final Submission submission;
-    private final List<FieldError> faults = new ArrayList<>();
+    private final List<FieldError> errors = new ArrayList<>();
     private final Set<ResourceKey> deleted;
     private final Set<String> putServices = new HashSet<>();
 
@@ -38,7 +38,7 @@
     }
 
     /** What is invalid, at most {@link #MAX_FAULTS}; empty if the submission may be applied. */
-    static List<FieldError> faults(
+    static List<FieldError> errors(
             ResourceState state, Submission submission, List<StoredResource> puts) {
         SubmissionValidator validator = new SubmissionValidator(state, submission);
         validator.collectServices();
@@ -46,7 +46,7 @@
         validator.checkPuts();
         validator.checkDeletes();
         validator.checkSizes(puts);
-        return List.copyOf(validator.faults);
+        return List.copyOf(validator.errors);
     }
 
     private void collectServices() {
@@ -79,12 +79,12 @@
         }
         Optional<String> currentService = state.find(put.key()).map(StoredResource::service);
         if (currentService.isPresent() && !currentService.get().equals(service)) {
-            addFault(
+            addError(
                     path,
                     service,
                     currentService.get() + ", the service that the resource belongs to");
         } else if (!willExist(service)) {
-            addFault(path, service, "a service that exists");
+            addError(path, service, "a service that exists");
         }
     }
 
@@ -102,9 +102,9 @@
 
     private void checkDelete(String path, ResourceKey key) {
         if (state.find(key).isEmpty()) {
-            addFault(path, key.name(), "a " + key.kind().wireName() + " that exists");
+            addError(path, key.name(), "a " + key.kind().wireName() + " that exists");
         } else if (key.kind() == ResourceKind.SERVICE && remainingReferences(key.name()) > 0) {
-            addFault(
+            addError(
                     path,
                     key.name(),
                     "a service that no server and no route names; this one has "
@@ -134,13 +134,13 @@
 
     private void checkSize(String what, long size, long max) {
         if (size > max) {
-            addFault("put", size + " " + what, max + " " + what + " at most");
+            addError("put", size + " " + what, max + " " + what + " at most");
         }
     }
 
-    private void addFault(String key, String value, String allowed) {
-        if (faults.size() < MAX_FAULTS) {
-            faults.add(new FieldError(key, value, allowed));
+    private void addError(String key, String value, String allowed) {
+        if (errors.size() < MAX_ERRORS) {
+            errors.add(new FieldError(key, value, allowed));
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -22,7 +22,7 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
@@ -47,7 +47,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ImportCommand.class);
     private static final Duration PUBLISH_TIMEOUT = Duration.ofSeconds(30);
     private static final long RETRY_PAUSE_MS = 1_000;
-    private static final int MAX_LOGGED_FAULTS = 5;
+    private static final int MAX_LOGGED_ERRORS = 5;
 
     @Spec private CommandSpec spec;
 
@@ -91,10 +91,10 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        if (!ResourceChecks.isName(service)) {
+        if (!ResourceValidator.isValidName(service)) {
             throw new ParameterException(
                     spec.commandLine(),
-                    "--service is " + ResourceChecks.NAME_FORM + ", not '" + service + "'");
+                    "--service is " + ResourceValidator.NAME_FORMAT + ", not '" + service + "'");
         }
         control = new ControlClient(addresses);
         discovery = new DiscoveryClient(discoveryAddress);
@@ -172,8 +172,8 @@
                     submission.puts().size(),
                     submission.deletes().size());
         } else if (result instanceof PublishResult.Rejected refused) {
-            tell(refused.faults());
-            reconciler.refuse(submission, refused.faults());
+            tell(refused.errors());
+            reconciler.refuse(submission, refused.errors());
         } else if (result instanceof PublishResult.Unknown unknown) {
             known = Optional.empty();
             throw new ControlCallException(
@@ -182,10 +182,10 @@
         }
     }
 
-    private static void tell(List<FieldError> faults) {
-        faults.stream().limit(MAX_LOGGED_FAULTS).forEach(fault -> LOG.warn("left out: {}", fault));
-        if (faults.size() > MAX_LOGGED_FAULTS) {
-            LOG.warn("left out: {} more", faults.size() - MAX_LOGGED_FAULTS);
+    private static void tell(List<FieldError> errors) {
+        errors.stream().limit(MAX_LOGGED_ERRORS).forEach(error -> LOG.warn("left out: {}", error));
+        if (errors.size() > MAX_LOGGED_ERRORS) {
+            LOG.warn("left out: {} more", errors.size() - MAX_LOGGED_ERRORS);
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/program/PublishCommand.java
+++ b/control/src/main/java/ottergauge/control/program/PublishCommand.java
@@ -92,7 +92,7 @@
             return true;
         }
         if (result instanceof PublishResult.Rejected refused) {
-            refused.faults().forEach(fault -> err.println(part.id() + " is refused: " + fault));
+            refused.errors().forEach(error -> err.println(part.id() + " is refused: " + error));
         } else if (result instanceof PublishResult.Unknown unknown) {
             err.println(
                     part.id()
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -43,8 +43,8 @@
         try {
             config = ControlProcessConfig.read(Files.readAllBytes(configFile));
         } catch (ConfigException e) {
-            for (FieldError fault : e.faults()) {
-                LOG.error("bad configuration {}: {}", configFile, fault);
+            for (FieldError error : e.errors()) {
+                LOG.error("bad configuration {}: {}", configFile, error);
             }
             return 1;
         } catch (IOException e) {
--- a/control/src/main/java/ottergauge/control/server/PendingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -9,7 +9,7 @@
 import ottergauge.control.log.PollResponse;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
-import ottergauge.resources.VersionTooOld;
+import ottergauge.resources.VersionUnavailable;
 
 /**
  * The calls for changes. One for which there is nothing yet waits for the change that it follows,
@@ -120,7 +120,7 @@
         PollResponse answer =
                 log.changesAfter(poll.reached, poll.call.subscription(), poll.call.maxBytes());
         poll.ahead = answer instanceof PollResponse.Ahead;
-        if (answer instanceof PollResponse.VersionTooOld tooOld) {
+        if (answer instanceof PollResponse.VersionUnavailable tooOld) {
             tellTooOld(poll, tooOld);
             return true;
         }
@@ -144,18 +144,18 @@
                 log.changesAfter(poll.reached, poll.call.subscription(), poll.call.maxBytes());
         if (answer instanceof PollResponse.Changes changes) {
             poll.responder.answer(HttpStatus.OK, changes.page().json());
-        } else if (answer instanceof PollResponse.VersionTooOld tooOld) {
+        } else if (answer instanceof PollResponse.VersionUnavailable tooOld) {
             tellTooOld(poll, tooOld);
         } else {
             poll.responder.unavailable(ErrorJson.BEHIND);
         }
     }
 
-    private static void tellTooOld(Poll poll, PollResponse.VersionTooOld tooOld) {
+    private static void tellTooOld(Poll poll, PollResponse.VersionUnavailable tooOld) {
         poll.responder.answer(
                 HttpStatus.GONE,
                 ResourceCodec.write(
-                        new VersionTooOld(
+                        new VersionUnavailable(
                                 tooOld.newest().log(),
                                 tooOld.oldest(),
                                 tooOld.newest().version())));
--- a/control/src/main/java/ottergauge/control/server/QueryParameters.java
+++ b/control/src/main/java/ottergauge/control/server/QueryParameters.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
-import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Subscription;
 
@@ -20,7 +20,7 @@
     static final int DEFAULT_PAGE_BYTES = 65_536;
 
     /** With one change at least, however long, a page stays within what a node reads. */
-    static final int MOST_PAGE_BYTES = 512 * 1024;
+    static final int MAX_PAGE_BYTES = 512 * 1024;
 
     static final int MAX_SERVICES = 1_000;
 
@@ -83,7 +83,7 @@
     }
 
     private int pageBytes() throws HttpException {
-        return (int) whole("max_bytes", 1, MOST_PAGE_BYTES, (long) DEFAULT_PAGE_BYTES);
+        return (int) whole("max_bytes", 1, MAX_PAGE_BYTES, (long) DEFAULT_PAGE_BYTES);
     }
 
     private Subscription subscription() throws HttpException {
@@ -96,11 +96,11 @@
             throw bad("services", names.size() + " names", MAX_SERVICES + " names at most");
         }
         for (String name : names) {
-            if (!ResourceChecks.isName(name)) {
+            if (!ResourceValidator.isValidName(name)) {
                 throw bad(
                         "services",
                         name,
-                        "names with commas between them, each " + ResourceChecks.NAME_FORM);
+                        "names with commas between them, each " + ResourceValidator.NAME_FORMAT);
             }
         }
         return new Subscription(Set.copyOf(names), name("settings").orElse(DEFAULT_SETTINGS));
@@ -111,8 +111,8 @@
         if (value == null || value.isEmpty()) {
             return Optional.empty();
         }
-        if (!ResourceChecks.isName(value)) {
-            throw bad(key, value, ResourceChecks.NAME_FORM);
+        if (!ResourceValidator.isValidName(value)) {
+            throw bad(key, value, ResourceValidator.NAME_FORMAT);
         }
         return Optional.of(value);
     }
@@ -123,7 +123,7 @@
             return Optional.empty();
         }
         Optional<ResourceKey> key =
-                ResourceKey.ofPath(value).filter(each -> ResourceChecks.isName(each.name()));
+                ResourceKey.parsePath(value).filter(each -> ResourceValidator.isValidName(each.name()));
         if (key.isEmpty()) {
             throw bad(parameter, value, "a kind, / and a name");
         }
--- a/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
+++ b/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
@@ -38,7 +38,7 @@
             submission = ResourceCodec.readSubmission(body);
         } catch (InvalidSubmissionException e) {
             warn(exchange, e.getMessage());
-            exchange.answer(HttpStatus.BAD_REQUEST, ResourceCodec.writeFaults(e.faults()));
+            exchange.answer(HttpStatus.BAD_REQUEST, ResourceCodec.writeErrors(e.errors()));
             return;
         } catch (ProtocolException e) {
             warn(exchange, e.getMessage());
@@ -72,8 +72,8 @@
                     "submission " + submission.id() + " is not known to be accepted: " + reason);
             exchange.unavailable(ErrorJson.NO_QUORUM);
         } else if (outcome instanceof SubmissionOutcome.Rejected invalid) {
-            warn(exchange, invalid.faults().get(0).toString());
-            exchange.answer(HttpStatus.BAD_REQUEST, ResourceCodec.writeFaults(invalid.faults()));
+            warn(exchange, invalid.errors().get(0).toString());
+            exchange.answer(HttpStatus.BAD_REQUEST, ResourceCodec.writeErrors(invalid.errors()));
         } else if (outcome instanceof SubmissionOutcome.Accepted accepted) {
             exchange.answer(HttpStatus.OK, ResourceCodec.write(accepted.position()));
         }
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -67,7 +67,7 @@
                 .filter(each -> each.key().kind() == ResourceKind.SERVER)
                 .collect(
                         Collectors.toMap(
-                                each -> each.key().name(), each -> ((Server) each.value()).host()));
+                                each -> each.key().name(), each -> ((Server) each.value()).endpoint()));
     }
 
     private Optional<Submission> next() {
@@ -85,7 +85,7 @@
                     "too many entries");
             SubmissionOutcome outcome = log.apply(next.get());
             if (outcome instanceof SubmissionOutcome.Rejected invalid) {
-                reconciler.refuse(next.get(), invalid.faults());
+                reconciler.refuse(next.get(), invalid.errors());
             } else {
                 reconciler.accepted(next.get());
                 changes++;
--- a/control/src/test/java/ottergauge/control/log/ChangeLogFixture.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogFixture.java
@@ -32,11 +32,11 @@
         LogPosition before = log.position();
         SubmissionOutcome outcome = log.apply(submission.build());
         assertEquals(before, log.position(), "a rejected submission changed the log");
-        return assertInstanceOf(SubmissionOutcome.Rejected.class, outcome).faults();
+        return assertInstanceOf(SubmissionOutcome.Rejected.class, outcome).errors();
     }
 
-    static void assertFault(String key, String value, String allowed, List<FieldError> faults) {
-        assertEquals(List.of(new FieldError(key, value, allowed)), faults);
+    static void assertError(String key, String value, String allowed, List<FieldError> errors) {
+        assertEquals(List.of(new FieldError(key, value, allowed)), errors);
     }
 
     ChangePage changesAfter(long version, Subscription subscription) {
--- a/control/src/test/java/ottergauge/control/log/ChangePollTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangePollTest.java
@@ -82,13 +82,13 @@
         }
         LogPosition newest = new LogPosition(LOG, 10);
         assertEquals(
-                new PollResponse.VersionTooOld(newest, 8),
+                new PollResponse.VersionUnavailable(newest, 8),
                 small.changesAfter(new LogPosition(LOG, 6), EVERYTHING, ALL_BYTES));
         assertInstanceOf(
                 PollResponse.Changes.class,
                 small.changesAfter(new LogPosition(LOG, 7), EVERYTHING, ALL_BYTES));
         assertEquals(
-                new PollResponse.VersionTooOld(newest, 8),
+                new PollResponse.VersionUnavailable(newest, 8),
                 small.changesAfter(new LogPosition("other", 9), EVERYTHING, ALL_BYTES));
         assertEquals(
                 new PollResponse.Ahead(newest),
--- a/control/src/test/java/ottergauge/control/log/IdempotencyCacheTest.java
+++ b/control/src/test/java/ottergauge/control/log/IdempotencyCacheTest.java
@@ -16,9 +16,9 @@
         assertEquals(2, accepted(SubmissionBuilder.of("b").tenant("gold", 2)));
         assertEquals(1, accepted(SubmissionBuilder.of("a").tenant("gold", 1)));
         assertEquals(2, log.position().version());
-        List<FieldError> faults = rejected(SubmissionBuilder.of("c").server("s-1", "checkout"));
+        List<FieldError> errors = rejected(SubmissionBuilder.of("c").server("s-1", "checkout"));
         accepted(SubmissionBuilder.of("d").service("checkout"));
-        assertEquals(faults, rejected(SubmissionBuilder.of("c").server("s-1", "checkout")));
+        assertEquals(errors, rejected(SubmissionBuilder.of("c").server("s-1", "checkout")));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/log/LogSnapshotCompatibilityTest.java
+++ b/control/src/test/java/ottergauge/control/log/LogSnapshotCompatibilityTest.java
@@ -88,7 +88,7 @@
                 List.of(
                         new FieldError("put[0].value.service", "none", "a service that exists"),
                         new FieldError("delete[0].name", "silver", "a tenant that exists")),
-                assertInstanceOf(SubmissionOutcome.Rejected.class, outcome).faults());
+                assertInstanceOf(SubmissionOutcome.Rejected.class, outcome).errors());
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/log/PageJsonTest.java
+++ b/control/src/test/java/ottergauge/control/log/PageJsonTest.java
@@ -38,7 +38,7 @@
         assertEquals(
                 new String(ResourceCodec.write(changes.page()), UTF_8),
                 new String(changes.json(), UTF_8));
-        assertEquals(changes.page(), ResourceCodec.readChanges(changes.json()));
+        assertEquals(changes.page(), ResourceCodec.readChangePage(changes.json()));
         EncodedSnapshot last = log.snapshot(Optional.empty(), EVERYTHING, ALL_BYTES);
         assertEquals(
                 new String(ResourceCodec.write(last.page()), UTF_8),
@@ -48,7 +48,7 @@
         assertEquals(
                 new String(ResourceCodec.write(first.page()), UTF_8),
                 new String(first.json(), UTF_8));
-        assertEquals(first.page(), ResourceCodec.readSnapshot(first.json()));
+        assertEquals(first.page(), ResourceCodec.readSnapshotPage(first.json()));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/log/SubmissionValidatorTest.java
+++ b/control/src/test/java/ottergauge/control/log/SubmissionValidatorTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import ottergauge.resources.FieldError;
-import ottergauge.resources.ResourceChecks;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
@@ -19,7 +19,7 @@
 
     @Test
     void serverOfUnknownService_isRejected() {
-        assertFault(
+        assertError(
                 "put[0].value.service",
                 "checkout",
                 "a service that exists",
@@ -34,7 +34,7 @@
                         .service("checkout")
                         .service("search")
                         .server("s-1", "checkout"));
-        assertFault(
+        assertError(
                 "put[0].value.service",
                 "search",
                 "checkout, the service that the resource belongs to",
@@ -50,12 +50,12 @@
                         .server("s-1", "checkout")
                         .route("r", "checkout"));
         String allowed = "a service that no server and no route names; this one has ";
-        assertFault(
+        assertError(
                 "delete[0].name",
                 "checkout",
                 allowed + 2,
                 rejected(SubmissionBuilder.of("b").delete(ResourceKind.SERVICE, "checkout")));
-        assertFault(
+        assertError(
                 "delete[1].name",
                 "checkout",
                 allowed + 1,
@@ -74,7 +74,7 @@
     @Test
     void serverPutWithDeletedService_isRejected() {
         accepted(SubmissionBuilder.of("a").service("checkout"));
-        assertFault(
+        assertError(
                 "put[0].value.service",
                 "checkout",
                 "a service that exists",
@@ -86,7 +86,7 @@
 
     @Test
     void deleteOfUnknownResource_isRejected() {
-        assertFault(
+        assertError(
                 "delete[0].name",
                 "gold",
                 "a tenant that exists",
@@ -99,9 +99,9 @@
         for (int i = 0; i < 150; i++) {
             many.server("s-" + i, "checkout");
         }
-        List<FieldError> faults = rejected(many);
-        assertEquals(100, faults.size());
-        assertEquals("put[99].value.service", faults.get(99).key());
+        List<FieldError> errors = rejected(many);
+        assertEquals(100, errors.size());
+        assertEquals("put[99].value.service", errors.get(99).key());
     }
 
     @Test
@@ -128,15 +128,15 @@
     @Test
     void resources_areLimitedInNumber() {
         for (int change = 0;
-                change < StateLimits.MAX_RESOURCES / ResourceChecks.MOST_ENTRIES;
+                change < StateLimits.MAX_RESOURCES / ResourceValidator.MAX_ENTRIES;
                 change++) {
             SubmissionBuilder tenants = SubmissionBuilder.of("id-" + change);
-            for (int i = 0; i < ResourceChecks.MOST_ENTRIES; i++) {
+            for (int i = 0; i < ResourceValidator.MAX_ENTRIES; i++) {
                 tenants.tenant(change + "-" + i, 1);
             }
             accepted(tenants);
         }
-        assertFault(
+        assertError(
                 "put",
                 "200001 resources in all",
                 "200000 resources in all at most",
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -92,7 +92,7 @@
         assertTrue(
                 parts.stream()
                         .allMatch(
-                                part -> part.body().length < ResourceCodec.MOST_SUBMISSION_BYTES));
+                                part -> part.body().length < ResourceCodec.MAX_SUBMISSION_BYTES));
     }
 
     @Test
