--- a/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
+++ b/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
@@ -78,7 +78,7 @@
     private static ServerLimits serverLimits(ConfigObjectReader fields) {
         ServerLimits absent = ServerLimits.DEFAULT;
         return new ServerLimits(
-                (int) fields.whole("connections", 1, MAX_CONNECTIONS, absent.connections()),
+                (int) fields.whole("connections", 1, MAX_CONNECTIONS, absent.maxConnections()),
                 (int) fields.whole("waiting_polls", 1, MAX_CONNECTIONS, absent.maxPendingPolls()),
                 fields.whole(
                         "snapshot_bytes_per_second",
@@ -86,7 +86,10 @@
                         MAX_BYTES_PER_SECOND,
                         absent.snapshotBytesPerSecond()),
                 fields.whole(
-                        "slow_reader_ms", MIN_DURATION_MS, MAX_DURATION_MS, absent.slowReaderMs()),
-                fields.whole("idle_ms", MIN_DURATION_MS, MAX_DURATION_MS, absent.idleMs()));
+                        "slow_reader_ms",
+                        MIN_DURATION_MS,
+                        MAX_DURATION_MS,
+                        absent.slowReaderTimeoutMs()),
+                fields.whole("idle_ms", MIN_DURATION_MS, MAX_DURATION_MS, absent.idleTimeoutMs()));
     }
 }
--- a/control/src/main/java/ottergauge/control/config/ServerLimits.java
+++ b/control/src/main/java/ottergauge/control/config/ServerLimits.java
@@ -13,11 +13,11 @@
  *     in whole
  */
 public record ServerLimits(
-        int connections,
+        int maxConnections,
         int maxPendingPolls,
         long snapshotBytesPerSecond,
-        long slowReaderMs,
-        long idleMs) {
+        long slowReaderTimeoutMs,
+        long idleTimeoutMs) {
 
     public static final ServerLimits DEFAULT =
             new ServerLimits(8_192, 4_096, 20_000_000, 10_000, 60_000);
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -17,10 +17,10 @@
 import ottergauge.resources.Change;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -9,9 +9,9 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
--- a/control/src/main/java/ottergauge/control/log/LogSnapshotDecoder.java
+++ b/control/src/main/java/ottergauge/control/log/LogSnapshotDecoder.java
@@ -13,8 +13,8 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
-import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.SnapshotPage;
 
 /** Reads and validates the stored form that {@link LogSnapshotEncoder} writes. */
--- a/control/src/main/java/ottergauge/control/server/ControlServer.java
+++ b/control/src/main/java/ottergauge/control/server/ControlServer.java
@@ -1,19 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-import io.netty.handler.codec.http.TooLongHttpHeaderException;
-import io.netty.handler.codec.http.TooLongHttpLineException;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
-import io.vertx.core.buffer.Buffer;
 import io.vertx.core.file.FileSystemOptions;
-import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.HttpServer;
 import io.vertx.core.http.HttpServerOptions;
-import io.vertx.core.http.HttpServerRequest;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.slf4j.Logger;
@@ -24,22 +19,18 @@
 import ottergauge.control.consensus.SharedLog;
 
 /**
- * The HTTP server of a control process. One event loop owns all of its state; changes are applied
- * by the consensus' thread, which wakes the calls that wait for them.
+ * The HTTP server of a control process. One event loop owns all of its state; the consensus' thread
+ * applies changes and notifies the event loop, which completes the pending polls.
  */
 public final class ControlServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlServer.class);
 
-    private static final String CHANGES_PATH = "/control/v1/changes";
-    private static final String SNAPSHOT_PATH = "/control/v1/snapshot";
-    private static final String STATUS_PATH = "/control/v1/status";
-
     private static final int MAX_REQUEST_LINE_BYTES = 64 * 1024;
     private static final int MAX_HEADER_BYTES = 16 * 1024;
-    private static final int BACKLOG = 1_024;
+    private static final int ACCEPT_BACKLOG = 1_024;
 
-    /** Of one connection: what a client doesn't read is held by the system, up to this. */
+    /** Per connection: the responses that the kernel buffers for a slow reader. */
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
     private static final long SWEEP_INTERVAL_MS = 1_000;
@@ -48,47 +39,57 @@
 
     private final ControlProcessConfig config;
     private final SharedLog log;
-    private final Consensus consensus;
     private final Vertx vertx;
     private final Context context;
     private final ConnectionTracker connections;
     private final PendingPolls polls;
-    private final SnapshotQueue snapshots;
-    private final SubmissionHandler publishing;
-    private final NodeStatusTable nodes = new NodeStatusTable();
-    private final RateLimitedLogger warnings =
-            new RateLimitedLogger(LOG::warn, ControlServer::nowMs);
-    private final AtomicBoolean wakes = new AtomicBoolean();
+    private final SubmissionHandler submissions;
+    private final RequestDispatcher dispatcher;
+    private final AtomicBoolean notificationPending = new AtomicBoolean();
     private HttpServer server;
-    private boolean stopping;
 
-    /** A server that doesn't listen yet. */
+    /** Creates a server that doesn't listen yet. */
     public ControlServer(ControlProcessConfig config, SharedLog log, Consensus consensus) {
         this.config = config;
         this.log = log;
-        this.consensus = consensus;
-        // Addresses are numbers: nothing is asked of DNS. No files: nothing is served from any.
-        System.setProperty("vertx.disableDnsResolver", "true");
-        vertx =
-                Vertx.vertx(
-                        new VertxOptions()
-                                .setEventLoopPoolSize(1)
-                                .setWorkerPoolSize(1)
-                                .setInternalBlockingPoolSize(1)
-                                .setFileSystemOptions(
-                                        new FileSystemOptions()
-                                                .setClassPathResolvingEnabled(false)
-                                                .setFileCachingEnabled(false)));
+        vertx = newVertx();
         context = vertx.getOrCreateContext();
         ServerLimits limits = config.serverLimits();
         Timers timers = new VertxTimers(vertx);
+        RateLimitedLogger warnings = new RateLimitedLogger(LOG::warn, ControlServer::nowMs);
         connections =
-                new ConnectionTracker(limits.connections(), limits.idleMs(), limits.slowReaderMs());
+                new ConnectionTracker(
+                        limits.maxConnections(),
+                        limits.idleTimeoutMs(),
+                        limits.slowReaderTimeoutMs());
         polls = new PendingPolls(log, timers, limits.maxPendingPolls());
-        snapshots =
+        submissions = new SubmissionHandler(consensus, context, warnings);
+        SnapshotQueue snapshots =
                 new SnapshotQueue(
                         log, timers, ControlServer::nowMicros, limits.snapshotBytesPerSecond());
-        publishing = new SubmissionHandler(consensus, context, warnings);
+        dispatcher =
+                new RequestDispatcher(
+                        config.name(),
+                        log,
+                        consensus,
+                        new RequestDispatcher.Handlers(polls, snapshots, submissions),
+                        connections,
+                        warnings,
+                        ControlServer::nowMs);
+    }
+
+    private static Vertx newVertx() {
+        // Addresses are numeric and no files are served.
+        System.setProperty("vertx.disableDnsResolver", "true");
+        return Vertx.vertx(
+                new VertxOptions()
+                        .setEventLoopPoolSize(1)
+                        .setWorkerPoolSize(1)
+                        .setInternalBlockingPoolSize(1)
+                        .setFileSystemOptions(
+                                new FileSystemOptions()
+                                        .setClassPathResolvingEnabled(false)
+                                        .setFileCachingEnabled(false)));
     }
 
     private static long nowMs() {
@@ -99,34 +100,29 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    /** Listens; the future says whether the address could be had. */
+    /** Starts to listen; the future fails if the address can't be bound. */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
-        context.runOnContext(
-                run -> {
-                    log.onChange(this::wake);
-                    vertx.setPeriodic(
-                            SWEEP_INTERVAL_MS, sweep -> connections.closeOverdue(nowMs()));
-                    server =
-                            vertx.createHttpServer(options())
-                                    .connectionHandler(
-                                            connection -> connections.opened(connection, nowMs()))
-                                    .invalidRequestHandler(this::rejectMalformed)
-                                    .exceptionHandler(e -> LOG.debug("a connection failed", e))
-                                    .requestHandler(this::handle);
-                    server.listen()
-                            .<Void>mapEmpty()
-                            .onSuccess(
-                                    listening ->
-                                            LOG.info(
-                                                    "{} listens on {}",
-                                                    config.name(),
-                                                    config.listen()))
-                            .onComplete(started);
-                });
+        context.runOnContext(run -> listen(started));
         return started.future();
     }
 
+    private void listen(Promise<Void> started) {
+        log.onChange(this::notifyPolls);
+        vertx.setPeriodic(SWEEP_INTERVAL_MS, sweep -> connections.closeOverdue(nowMs()));
+        server =
+                vertx.createHttpServer(options())
+                        .connectionHandler(connection -> connections.opened(connection, nowMs()))
+                        .invalidRequestHandler(dispatcher::rejectMalformed)
+                        .exceptionHandler(e -> LOG.debug("connection failed", e))
+                        .requestHandler(dispatcher::handle);
+        server.listen()
+                .<Void>mapEmpty()
+                .onSuccess(
+                        listening -> LOG.info("{} listening on {}", config.name(), config.listen()))
+                .onComplete(started);
+    }
+
     private HttpServerOptions options() {
         HttpServerOptions options =
                 new HttpServerOptions()
@@ -135,164 +131,37 @@
                         .setHttp2ClearTextEnabled(false)
                         .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
                         .setMaxHeaderSize(MAX_HEADER_BYTES);
-        options.setAcceptBacklog(BACKLOG).setTcpNoDelay(true).setSendBufferSize(SEND_BUFFER_BYTES);
+        options.setAcceptBacklog(ACCEPT_BACKLOG)
+                .setTcpNoDelay(true)
+                .setSendBufferSize(SEND_BUFFER_BYTES);
         return options;
     }
 
-    // Called by the thread that applied a change: several changes at once wake the calls once.
-    private void wake() {
-        if (wakes.compareAndSet(false, true)) {
+    // Called on the thread that applied a change; a burst of changes notifies the event loop once.
+    private void notifyPolls() {
+        if (notificationPending.compareAndSet(false, true)) {
             context.runOnContext(
                     run -> {
-                        wakes.set(false);
-                        polls.wake();
+                        notificationPending.set(false);
+                        polls.logChanged();
                     });
         }
     }
 
-    private void rejectMalformed(HttpServerRequest request) {
-        Throwable cause = request.decoderResult().cause();
-        int status =
-                cause instanceof TooLongHttpLineException
-                        ? HttpStatus.URI_TOO_LONG
-                        : cause instanceof TooLongHttpHeaderException
-                                ? HttpStatus.HEADERS_TOO_LARGE
-                                : HttpStatus.BAD_REQUEST;
-        refuse(
-                exchange(request),
-                new HttpException(
-                        status,
-                        "no request that can be read: "
-                                + (cause == null ? "" : cause.getClass().getSimpleName())));
-    }
-
-    private HttpExchange exchange(HttpServerRequest request) {
-        HttpExchange exchange = new HttpExchange(request, connections, ControlServer::nowMs);
-        return stopping ? exchange.closing() : exchange;
-    }
-
-    private void refuse(HttpExchange exchange, HttpException reason) {
-        warnings.warn(
-                "a call from "
-                        + exchange.request().remoteAddress()
-                        + " is refused: "
-                        + reason.getMessage());
-        exchange.closing().answer(reason.status(), ErrorJson.of(reason.getMessage()));
-    }
-
-    private void handle(HttpServerRequest request) {
-        HttpExchange exchange = exchange(request);
-        try {
-            dispatch(exchange);
-        } catch (HttpException e) {
-            refuse(exchange, e);
-        } catch (RuntimeException e) {
-            LOG.error("a call failed: {}", e.toString(), e);
-            exchange.closing().answer(HttpStatus.BAD_REQUEST, ErrorJson.of("the call failed"));
-        }
-    }
-
-    private void dispatch(HttpExchange exchange) throws HttpException {
-        HttpServerRequest request = exchange.request();
-        String path = request.path() == null ? "" : request.path();
-        boolean post = request.method().equals(HttpMethod.POST);
-        if (!post && !request.method().equals(HttpMethod.GET)) {
-            throw notFound();
-        }
-        if (post && path.equals(CHANGES_PATH)) {
-            publish(exchange);
-        } else if (post) {
-            throw notFound();
-        } else {
-            RequestBody.refuseAny(request);
-            connections.called(request.connection(), nowMs());
-            answer(exchange, path);
-        }
-    }
-
-    private static HttpException notFound() {
-        return new HttpException(HttpStatus.NOT_FOUND, "no such call");
-    }
-
-    private void answer(HttpExchange exchange, String path) throws HttpException {
-        switch (path) {
-            case CHANGES_PATH -> changes(exchange);
-            case SNAPSHOT_PATH -> snapshot(exchange);
-            case STATUS_PATH -> status(exchange);
-            default -> throw notFound();
-        }
-    }
-
-    private void changes(HttpExchange exchange) throws HttpException {
-        ChangesRequest call = QueryParameters.changes(exchange.request());
-        call.report().ifPresent(report -> nodes.heard(report, nowMs()));
-        if (hasLog(exchange)) {
-            polls.take(exchange, call);
-        }
-    }
-
-    private void snapshot(HttpExchange exchange) throws HttpException {
-        SnapshotRequest call = QueryParameters.snapshot(exchange.request());
-        if (hasLog(exchange)) {
-            snapshots.take(exchange, call);
-        }
-    }
-
-    private boolean hasLog(HttpExchange exchange) {
-        if (log.position().isEmpty()) {
-            exchange.unavailable(ErrorJson.STARTING);
-            return false;
-        }
-        return true;
-    }
-
-    private void status(HttpExchange exchange) {
-        long oldest = log.position().isEmpty() ? 0 : log.oldest();
-        long now = nowMs();
-        exchange.answer(
-                HttpStatus.OK,
-                StatusJson.of(
-                        config.name(),
-                        consensus.role(),
-                        consensus.leader(),
-                        log.position(),
-                        oldest,
-                        nodes.recent(now),
-                        now));
-    }
-
-    private void publish(HttpExchange exchange) throws HttpException {
-        RequestBody.read(
-                exchange.request(),
-                body -> submit(exchange, body),
-                reason -> refuse(exchange, reason));
-    }
-
-    private void submit(HttpExchange exchange, Buffer body) {
-        connections.called(exchange.request().connection(), nowMs());
-        if (stopping) {
-            exchange.unavailable(ErrorJson.STOPPING);
-        } else if (hasLog(exchange)) {
-            publishing.take(exchange, body.getBytes());
-        }
-    }
-
-    /** Answers what waits and ends, within a bounded time. */
+    /** Responds to all pending requests and stops, within a bounded time. */
     public Future<Void> stop() {
         Promise<Void> stopped = Promise.promise();
         context.runOnContext(
                 run -> {
-                    stopping = true;
-                    polls.stop();
-                    snapshots.stop();
+                    dispatcher.stop();
                     awaitSubmissions(nowMs() + STOP_TIMEOUT_MS, stopped);
                 });
         return stopped.future();
     }
 
-    private void awaitSubmissions(long untilMs, Promise<Void> stopped) {
-        if (publishing.open() > 0 && nowMs() < untilMs) {
-            vertx.setTimer(STOP_POLL_INTERVAL_MS, look -> awaitSubmissions(untilMs, stopped));
+    private void awaitSubmissions(long deadlineMs, Promise<Void> stopped) {
+        if (submissions.pending() > 0 && nowMs() < deadlineMs) {
+            vertx.setTimer(STOP_POLL_INTERVAL_MS, poll -> awaitSubmissions(deadlineMs, stopped));
             return;
         }
         Future<Void> closed =
--- a/control/src/main/java/ottergauge/control/server/ErrorJson.java
+++ b/control/src/main/java/ottergauge/control/server/ErrorJson.java
@@ -7,22 +7,22 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The body of an answer that says what went wrong. */
+/** The response body that names an error. */
 final class ErrorJson {
 
-    /** A submission isn't accepted, or isn't known to be. */
+    /** A submission is not committed, or not known to be. */
     static final String NO_QUORUM = "no_quorum";
 
-    /** This process hasn't reached the version that the caller has. */
+    /** This replica lags behind the version that the client has. */
     static final String BEHIND = "behind";
 
     /** This process has no log yet. */
     static final String STARTING = "starting";
 
-    /** This process ends. */
+    /** This process is shutting down. */
     static final String STOPPING = "stopping";
 
-    /** There is no room for another call of this kind. */
+    /** Too many requests of this kind are pending. */
     static final String BUSY = "busy";
 
     private static final JsonFactory JSON = new JsonFactory();
--- a/control/src/main/java/ottergauge/control/server/HttpException.java
+++ b/control/src/main/java/ottergauge/control/server/HttpException.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-/** A call that isn't carried out; the message says in one line why. */
+/** A request that is rejected with an HTTP status; the message is one line for the client. */
 final class HttpException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -13,6 +13,7 @@
         this.status = status;
     }
 
+    /** The response's status code. */
     int status() {
         return status;
     }
--- a/control/src/main/java/ottergauge/control/server/HttpExchange.java
+++ b/control/src/main/java/ottergauge/control/server/HttpExchange.java
@@ -7,17 +7,17 @@
 import io.vertx.core.http.HttpServerResponse;
 import java.util.function.LongSupplier;
 
-/** One call over HTTP and its answer. */
+/** An HTTP request and its response; used on the event loop alone. */
 final class HttpExchange implements Responder {
 
     private static final String JSON = "application/json";
-    private static final String RETRY_AFTER_S = "1";
+    private static final String RETRY_AFTER_SECONDS = "1";
 
     private final HttpServerRequest request;
     private final HttpServerResponse response;
     private final ConnectionTracker connections;
     private final LongSupplier clockMs;
-    private boolean lastOnConnection;
+    private boolean closeAfterResponse;
 
     HttpExchange(HttpServerRequest request, ConnectionTracker connections, LongSupplier clockMs) {
         this.request = request;
@@ -30,8 +30,7 @@
         return request;
     }
 
-    /** Whether it is answered, or its client has gone. */
-    boolean isOver() {
+    private boolean isFinished() {
         return response.ended() || response.closed();
     }
 
@@ -46,31 +45,31 @@
     }
 
     @Override
-    public HttpExchange closing() {
-        lastOnConnection = true;
+    public HttpExchange closeAfterResponse() {
+        closeAfterResponse = true;
         return this;
     }
 
     @Override
-    public void answer(int status, byte[] json) {
-        if (isOver()) {
+    public void respond(int status, byte[] json) {
+        if (isFinished()) {
             return;
         }
         response.setStatusCode(status).putHeader(HttpHeaders.CONTENT_TYPE, JSON);
         if (status == HttpStatus.UNAVAILABLE) {
-            response.putHeader(HttpHeaders.RETRY_AFTER, RETRY_AFTER_S);
+            response.putHeader(HttpHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS);
         }
-        if (lastOnConnection) {
+        if (closeAfterResponse) {
             response.putHeader(HttpHeaders.CONNECTION, HttpHeaders.CLOSE);
         }
-        connections.answered(request.connection(), clockMs.getAsLong());
-        response.end(Buffer.buffer(json))
-                .onComplete(
-                        written -> {
-                            connections.written(request.connection(), clockMs.getAsLong());
-                            if (lastOnConnection) {
-                                request.connection().close();
-                            }
-                        });
+        connections.responseStarted(request.connection(), clockMs.getAsLong());
+        response.end(Buffer.buffer(json)).onComplete(written -> responseWritten());
+    }
+
+    private void responseWritten() {
+        connections.responseWritten(request.connection(), clockMs.getAsLong());
+        if (closeAfterResponse) {
+            request.connection().close();
+        }
     }
 }
--- a/control/src/main/java/ottergauge/control/server/HttpStatus.java
+++ b/control/src/main/java/ottergauge/control/server/HttpStatus.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-/** The status codes of answers. */
+/** The status codes of responses. */
 final class HttpStatus {
 
     static final int OK = 200;
--- a/control/src/main/java/ottergauge/control/server/NodeStatusTable.java
+++ b/control/src/main/java/ottergauge/control/server/NodeStatusTable.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 
 /**
- * The nodes that were heard lately, with what they told last; the one not heard for longest goes
- * first.
+ * The latest report of each node: expired after ten minutes and bounded in number, with the least
+ * recently reported node evicted first.
  */
 final class NodeStatusTable {
 
     static final int MAX_NODES = 4_096;
     static final long NODE_EXPIRY_MS = 600_000;
 
-    /** A node's report, and when it came. */
-    record NodeStatus(NodeReport report, long atMs) {}
+    /** A node's latest report and when it was received. */
+    record NodeStatus(NodeReport report, long receivedAtMs) {}
 
-    /** By name, in the order in which they were heard. */
+    /** By node name, least recently reported first. */
     private final Map<String, NodeStatus> nodes = new LinkedHashMap<>();
 
-    void heard(NodeReport report, long nowMs) {
+    void record(NodeReport report, long nowMs) {
         nodes.remove(report.name());
         nodes.put(report.name(), new NodeStatus(report, nowMs));
         if (nodes.size() > MAX_NODES) {
@@ -29,9 +29,9 @@
         }
     }
 
-    /** All that were heard within the last ten minutes. */
-    List<NodeStatus> recent(long nowMs) {
-        nodes.values().removeIf(heard -> nowMs - heard.atMs() > NODE_EXPIRY_MS);
+    /** All nodes that are not expired, least recently reported first. */
+    List<NodeStatus> current(long nowMs) {
+        nodes.values().removeIf(node -> nowMs - node.receivedAtMs() > NODE_EXPIRY_MS);
         return new ArrayList<>(nodes.values());
     }
 }
--- a/control/src/main/java/ottergauge/control/server/PendingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -12,152 +12,154 @@
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * The calls for changes. One for which there is nothing yet waits for the change that it follows,
- * or for its time to be over. Each change is looked at once for each call that waits; a call that
- * is up to date costs nothing meanwhile.
+ * The pending long polls for changes: each is responded to once the log has a change that its
+ * subscription follows, or when its wait is over. Each change is matched once against each pending
+ * poll. Used on the event loop alone.
  */
 final class PendingPolls {
 
-    /** How long a caller that is ahead of this process may wait for it to catch up. */
+    /** How long a client that is ahead of this replica waits for it to catch up. */
     private static final long MAX_CATCH_UP_WAIT_MS = 1_000;
 
     private final SharedLog log;
     private final Timers timers;
-    private final int most;
+    private final int maxPending;
 
-    /** In the order in which they came. */
-    private final Set<Poll> waiting = new LinkedHashSet<>();
+    /** In the order of arrival. */
+    private final Set<Poll> pending = new LinkedHashSet<>();
 
     private boolean stopping;
 
-    PendingPolls(SharedLog log, Timers timers, int most) {
+    PendingPolls(SharedLog log, Timers timers, int maxPending) {
         this.log = log;
         this.timers = timers;
-        this.most = most;
+        this.maxPending = maxPending;
     }
 
-    /** A call that waits; {@code reached} moves on past changes that it doesn't follow. */
+    /** A poll; {@code scannedUpTo} advances past changes that its subscription doesn't follow. */
     private static final class Poll {
 
         private final Responder responder;
-        private final ChangesRequest call;
-        private LogPosition reached;
-        private boolean ahead;
-        private long timer;
+        private final ChangesRequest request;
+        private LogPosition scannedUpTo;
+        private boolean clientIsAhead;
+        private long timerId;
 
-        Poll(Responder responder, ChangesRequest call) {
+        Poll(Responder responder, ChangesRequest request) {
             this.responder = responder;
-            this.call = call;
-            reached = call.after();
+            this.request = request;
+            scannedUpTo = request.after();
         }
     }
 
+    /** The number of pending polls. */
     int count() {
-        return waiting.size();
+        return pending.size();
     }
 
-    /** Answers a call, now or when there is something to tell. */
-    void take(Responder responder, ChangesRequest call) {
-        Poll poll = new Poll(responder, call);
-        if (answerIfAny(poll)) {
+    /** Responds to a poll, at once or later. */
+    void handle(Responder responder, ChangesRequest request) {
+        Poll poll = new Poll(responder, request);
+        if (respondIfReady(poll)) {
             return;
         }
-        if (call.waitMs() == 0 || stopping) {
-            answerAnyway(poll);
-        } else if (waiting.size() >= most) {
-            responder.unavailable(ErrorJson.BUSY);
+        if (request.waitMs() == 0 || stopping) {
+            respondNow(poll);
+        } else if (pending.size() >= maxPending) {
+            responder.respondUnavailable(ErrorJson.BUSY);
         } else {
-            park(poll);
+            addPending(poll);
         }
     }
 
-    private void park(Poll poll) {
-        long waitMs =
-                poll.ahead
-                        ? Math.min(MAX_CATCH_UP_WAIT_MS, poll.call.waitMs())
-                        : poll.call.waitMs();
-        waiting.add(poll);
-        poll.timer =
+    private void addPending(Poll poll) {
+        long waitMs = poll.request.waitMs();
+        pending.add(poll);
+        poll.timerId =
                 timers.start(
-                        waitMs,
+                        poll.clientIsAhead ? Math.min(MAX_CATCH_UP_WAIT_MS, waitMs) : waitMs,
                         () -> {
-                            waiting.remove(poll);
-                            answerAnyway(poll);
+                            pending.remove(poll);
+                            respondNow(poll);
                         });
         poll.responder.onDisconnect(
                 () -> {
-                    waiting.remove(poll);
-                    timers.cancel(poll.timer);
+                    pending.remove(poll);
+                    timers.cancel(poll.timerId);
                 });
     }
 
-    /** The log has changed: answers the calls that it has something for. */
-    void wake() {
-        Iterator<Poll> each = waiting.iterator();
-        while (each.hasNext()) {
-            Poll poll = each.next();
-            if (answerIfAny(poll)) {
-                each.remove();
-                timers.cancel(poll.timer);
+    /** The log has changed: responds to the polls for which it has changes. */
+    void logChanged() {
+        Iterator<Poll> polls = pending.iterator();
+        while (polls.hasNext()) {
+            Poll poll = polls.next();
+            if (respondIfReady(poll)) {
+                polls.remove();
+                timers.cancel(poll.timerId);
             }
         }
     }
 
-    /** Answers all that wait, and from now on at once. */
+    /** Responds to all pending polls, and to new ones at once from now on. */
     void stop() {
         stopping = true;
-        List<Poll> all = List.copyOf(waiting);
-        waiting.clear();
+        List<Poll> all = List.copyOf(pending);
+        pending.clear();
         for (Poll poll : all) {
-            timers.cancel(poll.timer);
-            poll.responder.closing();
-            answerAnyway(poll);
+            timers.cancel(poll.timerId);
+            poll.responder.closeAfterResponse();
+            respondNow(poll);
         }
     }
 
-    // Answers if there are changes, or if there is no going on from where the caller is.
-    private boolean answerIfAny(Poll poll) {
-        PollResponse answer =
-                log.changesAfter(poll.reached, poll.call.subscription(), poll.call.maxBytes());
-        poll.ahead = answer instanceof PollResponse.Ahead;
-        if (answer instanceof PollResponse.VersionUnavailable tooOld) {
-            tellTooOld(poll, tooOld);
+    // Responds if there are changes, or if the client has to take a snapshot.
+    private boolean respondIfReady(Poll poll) {
+        PollResponse response = scan(poll);
+        poll.clientIsAhead = response instanceof PollResponse.Ahead;
+        if (response instanceof PollResponse.VersionUnavailable unavailable) {
+            respondVersionUnavailable(poll, unavailable);
             return true;
         }
-        if (answer instanceof PollResponse.Changes changes) {
-            poll.reached = changes.page().upTo();
+        if (response instanceof PollResponse.Changes changes) {
+            poll.scannedUpTo = changes.page().upTo();
             if (!changes.page().isEmpty()) {
-                poll.responder.answer(HttpStatus.OK, changes.page().json());
+                poll.responder.respond(HttpStatus.OK, changes.page().json());
                 return true;
             }
         }
         return false;
     }
 
-    // Its time is over, with nothing to tell but how far the log was looked through.
-    private void answerAnyway(Poll poll) {
-        if (poll.ahead) {
-            poll.responder.unavailable(ErrorJson.BEHIND);
+    // The wait is over: the response may have no change, just the position that was scanned up to.
+    private void respondNow(Poll poll) {
+        if (poll.clientIsAhead) {
+            poll.responder.respondUnavailable(ErrorJson.BEHIND);
             return;
         }
-        PollResponse answer =
-                log.changesAfter(poll.reached, poll.call.subscription(), poll.call.maxBytes());
-        if (answer instanceof PollResponse.Changes changes) {
-            poll.responder.answer(HttpStatus.OK, changes.page().json());
-        } else if (answer instanceof PollResponse.VersionUnavailable tooOld) {
-            tellTooOld(poll, tooOld);
+        PollResponse response = scan(poll);
+        if (response instanceof PollResponse.Changes changes) {
+            poll.responder.respond(HttpStatus.OK, changes.page().json());
+        } else if (response instanceof PollResponse.VersionUnavailable unavailable) {
+            respondVersionUnavailable(poll, unavailable);
         } else {
-            poll.responder.unavailable(ErrorJson.BEHIND);
+            poll.responder.respondUnavailable(ErrorJson.BEHIND);
         }
     }
 
-    private static void tellTooOld(Poll poll, PollResponse.VersionUnavailable tooOld) {
-        poll.responder.answer(
+    private PollResponse scan(Poll poll) {
+        return log.changesAfter(
+                poll.scannedUpTo, poll.request.subscription(), poll.request.maxBytes());
+    }
+
+    private static void respondVersionUnavailable(
+            Poll poll, PollResponse.VersionUnavailable unavailable) {
+        poll.responder.respond(
                 HttpStatus.GONE,
                 ResourceCodec.write(
                         new VersionUnavailable(
-                                tooOld.newest().log(),
-                                tooOld.oldest(),
-                                tooOld.newest().version())));
+                                unavailable.newest().log(),
+                                unavailable.oldest(),
+                                unavailable.newest().version())));
     }
 }
--- a/control/src/main/java/ottergauge/control/server/QueryParameters.java
+++ b/control/src/main/java/ottergauge/control/server/QueryParameters.java
@@ -9,22 +9,22 @@
 import java.util.Set;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
-import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceKey;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.Subscription;
 
-/** Reads the parameters of calls; unknown ones are passed over. */
+/** Parses and validates the query parameters of requests; unknown ones are ignored. */
 final class QueryParameters {
 
     static final long MAX_WAIT_MS = 10_000;
     static final int DEFAULT_PAGE_BYTES = 65_536;
 
-    /** With one change at least, however long, a page stays within what a node reads. */
+    /** A page may exceed it by one change, and still stays below what a node reads. */
     static final int MAX_PAGE_BYTES = 512 * 1024;
 
     static final int MAX_SERVICES = 1_000;
 
-    // The largest whole number that a JSON number tells exactly.
+    // The largest integer that a JSON number represents exactly.
     private static final long MAX_VERSION = 1L << 53;
     private static final String DEFAULT_SETTINGS = "default";
 
@@ -37,10 +37,10 @@
     static ChangesRequest changes(HttpServerRequest request) throws HttpException {
         QueryParameters parameters = of(request);
         String log = parameters.name("log").orElseThrow(() -> missing("log"));
-        LogPosition after = new LogPosition(log, parameters.whole("after", 0, MAX_VERSION, null));
+        LogPosition after = new LogPosition(log, parameters.integer("after", 0, MAX_VERSION, null));
         return new ChangesRequest(
                 after,
-                parameters.whole("wait_ms", 0, MAX_WAIT_MS, 0L),
+                parameters.integer("wait_ms", 0, MAX_WAIT_MS, 0L),
                 parameters.pageBytes(),
                 parameters.subscription(),
                 parameters.report(log));
@@ -78,12 +78,12 @@
                         node.get(),
                         name("region").orElse(""),
                         log,
-                        whole("in_force", 0, MAX_VERSION, 0L),
-                        whole("refused", 0, MAX_VERSION, 0L)));
+                        integer("in_force", 0, MAX_VERSION, 0L),
+                        integer("refused", 0, MAX_VERSION, 0L)));
     }
 
     private int pageBytes() throws HttpException {
-        return (int) whole("max_bytes", 1, MAX_PAGE_BYTES, (long) DEFAULT_PAGE_BYTES);
+        return (int) integer("max_bytes", 1, MAX_PAGE_BYTES, (long) DEFAULT_PAGE_BYTES);
     }
 
     private Subscription subscription() throws HttpException {
@@ -93,11 +93,11 @@
         }
         Set<String> names = new HashSet<>(Arrays.asList(services.split(",", -1)));
         if (names.size() > MAX_SERVICES) {
-            throw bad("services", names.size() + " names", MAX_SERVICES + " names at most");
+            throw invalid("services", names.size() + " names", MAX_SERVICES + " names at most");
         }
         for (String name : names) {
             if (!ResourceValidator.isValidName(name)) {
-                throw bad(
+                throw invalid(
                         "services",
                         name,
                         "names with commas between them, each " + ResourceValidator.NAME_FORMAT);
@@ -112,7 +112,7 @@
             return Optional.empty();
         }
         if (!ResourceValidator.isValidName(value)) {
-            throw bad(key, value, ResourceValidator.NAME_FORMAT);
+            throw invalid(key, value, ResourceValidator.NAME_FORMAT);
         }
         return Optional.of(value);
     }
@@ -123,37 +123,38 @@
             return Optional.empty();
         }
         Optional<ResourceKey> key =
-                ResourceKey.parsePath(value).filter(each -> ResourceValidator.isValidName(each.name()));
+                ResourceKey.parsePath(value)
+                        .filter(each -> ResourceValidator.isValidName(each.name()));
         if (key.isEmpty()) {
-            throw bad(parameter, value, "a kind, / and a name");
+            throw invalid(parameter, value, "a kind, / and a name");
         }
         return key;
     }
 
-    private long whole(String key, long least, long most, Long absent) throws HttpException {
+    private long integer(String key, long min, long max, Long defaultValue) throws HttpException {
         String value = values.get(key);
-        if (value == null && absent != null) {
-            return absent;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
         if (value == null) {
             throw missing(key);
         }
         try {
             long number = Long.parseLong(value);
-            if (number >= least && number <= most) {
+            if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
-        throw bad(key, value, "a whole number from " + least + " to " + most);
+        throw invalid(key, value, "a whole number from " + min + " to " + max);
     }
 
     private static HttpException missing(String key) {
         return new HttpException(HttpStatus.BAD_REQUEST, key + " is missing");
     }
 
-    private static HttpException bad(String key, String value, String allowed) {
+    private static HttpException invalid(String key, String value, String allowed) {
         return new HttpException(
                 HttpStatus.BAD_REQUEST, new FieldError(key, value, allowed).toString());
     }
--- a/control/src/main/java/ottergauge/control/server/RateLimitedLogger.java
+++ b/control/src/main/java/ottergauge/control/server/RateLimitedLogger.java
@@ -4,38 +4,38 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Writes so many warnings a second at the most, so that a caller can't fill a disk with them. */
+/** Limits warnings to 20 lines a second, so that a client can't fill a disk with them. */
 final class RateLimitedLogger {
 
     private static final int MAX_LINES_PER_SECOND = 20;
-    private static final long SECOND_MS = 1_000;
+    private static final long MILLIS_PER_SECOND = 1_000;
 
-    private final Consumer<String> lines;
+    private final Consumer<String> output;
     private final LongSupplier clockMs;
-    private long second;
-    private int written;
-    private long left;
+    private long currentSecond;
+    private int linesInSecond;
+    private long suppressedLines;
 
-    RateLimitedLogger(Consumer<String> lines, LongSupplier clockMs) {
-        this.lines = lines;
+    RateLimitedLogger(Consumer<String> output, LongSupplier clockMs) {
+        this.output = output;
         this.clockMs = clockMs;
     }
 
     void warn(String line) {
-        long now = clockMs.getAsLong() / SECOND_MS;
-        if (now != second) {
-            second = now;
-            written = 0;
+        long second = clockMs.getAsLong() / MILLIS_PER_SECOND;
+        if (second != currentSecond) {
+            currentSecond = second;
+            linesInSecond = 0;
         }
-        if (written == MAX_LINES_PER_SECOND) {
-            left++;
+        if (linesInSecond == MAX_LINES_PER_SECOND) {
+            suppressedLines++;
             return;
         }
-        written++;
-        if (left > 0) {
-            lines.accept(left + " lines were left out");
-            left = 0;
+        linesInSecond++;
+        if (suppressedLines > 0) {
+            output.accept(suppressedLines + " log lines suppressed by the rate limit");
+            suppressedLines = 0;
         }
-        lines.accept(line);
+        output.accept(line);
     }
 }
--- a/control/src/main/java/ottergauge/control/server/RequestBody.java
+++ b/control/src/main/java/ottergauge/control/server/RequestBody.java
@@ -7,18 +7,22 @@
 import java.util.function.Consumer;
 import ottergauge.resources.ResourceCodec;
 
-/** Reads the body of a call, up to the longest submission. */
+/** Reads a request's body, up to the size of the largest submission. */
 final class RequestBody {
 
     private static final int MAX_BYTES = ResourceCodec.MAX_SUBMISSION_BYTES;
 
     private final Buffer body = Buffer.buffer();
-    private boolean refused;
+    private boolean rejected;
 
     private RequestBody() {}
 
-    /** Refuses a call that has a body where none is wanted. */
-    static void refuseAny(HttpServerRequest request) throws HttpException {
+    /**
+     * Checks that a request has no body.
+     *
+     * @throws HttpException with status 400 if it has one
+     */
+    static void requireNone(HttpServerRequest request) throws HttpException {
         String length = request.getHeader(HttpHeaders.CONTENT_LENGTH);
         boolean chunked = request.headers().contains(HttpHeaders.TRANSFER_ENCODING);
         if (chunked || (length != null && !length.equals("0"))) {
@@ -26,38 +30,44 @@
         }
     }
 
-    /** Reads a body; the first handler gets it whole, the second hears if it is too long. */
+    /**
+     * Reads a body asynchronously and calls one of the handlers once.
+     *
+     * @param onBody receives the complete body
+     * @param onTooLarge receives the error, with status 413, if the body grows too large
+     * @throws HttpException with status 413 if the declared length is too large
+     */
     static void read(
-            HttpServerRequest request, Consumer<Buffer> whole, Consumer<HttpException> refuse)
+            HttpServerRequest request, Consumer<Buffer> onBody, Consumer<HttpException> onTooLarge)
             throws HttpException {
-        checkLength(request.getHeader(HttpHeaders.CONTENT_LENGTH));
+        checkDeclaredLength(request.getHeader(HttpHeaders.CONTENT_LENGTH));
         RequestBody reading = new RequestBody();
-        request.handler(part -> reading.take(part, refuse));
+        request.handler(chunk -> reading.append(chunk, onTooLarge));
         request.endHandler(
                 end -> {
-                    if (!reading.refused) {
-                        whole.accept(reading.body);
+                    if (!reading.rejected) {
+                        onBody.accept(reading.body);
                     }
                 });
     }
 
-    private static void checkLength(String length) throws HttpException {
-        // The decoder has refused what is no number.
+    private static void checkDeclaredLength(String length) throws HttpException {
+        // The decoder has already rejected a length that is no number.
         if (length != null && Long.parseLong(length.trim()) > MAX_BYTES) {
-            throw tooLong();
+            throw tooLarge();
         }
     }
 
-    private void take(Buffer part, Consumer<HttpException> refuse) {
-        if (!refused && body.length() + part.length() > MAX_BYTES) {
-            refused = true;
-            refuse.accept(tooLong());
-        } else if (!refused) {
-            body.appendBuffer(part);
+    private void append(Buffer chunk, Consumer<HttpException> onTooLarge) {
+        if (!rejected && body.length() + chunk.length() > MAX_BYTES) {
+            rejected = true;
+            onTooLarge.accept(tooLarge());
+        } else if (!rejected) {
+            body.appendBuffer(chunk);
         }
     }
 
-    private static HttpException tooLong() {
+    private static HttpException tooLarge() {
         return new HttpException(
                 HttpStatus.TOO_LARGE, "a submission has " + MAX_BYTES + " bytes at most");
     }
--- a/control/src/main/java/ottergauge/control/server/Responder.java
+++ b/control/src/main/java/ottergauge/control/server/Responder.java
@@ -2,21 +2,22 @@
 package ottergauge.control.server;
 
 /**
- * Takes the answer to one call; what comes after the first answer, or after the client left, is
- * dropped.
+ * Receives the response to one request. Responses after the first one, and those after the client
+ * has disconnected, are dropped.
  */
 interface Responder {
 
-    void answer(int status, byte[] json);
+    /** Sends the response. */
+    void respond(int status, byte[] json);
 
-    /** Answers that the call can't be carried out now. */
-    default void unavailable(String error) {
-        answer(HttpStatus.UNAVAILABLE, ErrorJson.of(error));
+    /** Responds that this process can't serve the request now, with one of {@link ErrorJson}. */
+    default void respondUnavailable(String error) {
+        respond(HttpStatus.UNAVAILABLE, ErrorJson.of(error));
     }
 
-    /** Has the connection closed once the answer is written. */
-    Responder closing();
+    /** Has the connection closed once the response is written. */
+    Responder closeAfterResponse();
 
-    /** The handler is called if the client goes before it is answered. */
+    /** Sets the handler to be called if the client disconnects before the response. */
     void onDisconnect(Runnable handler);
 }
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -2,7 +2,6 @@
 package ottergauge.control.server;
 
 import java.util.ArrayDeque;
-import java.util.Optional;
 import java.util.Queue;
 import java.util.function.LongSupplier;
 import ottergauge.control.consensus.SharedLog;
@@ -11,97 +10,102 @@
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * Writes pages of snapshots at a rate for all callers together, in the order in which they called.
- * A page is made when its turn comes. There is one call a connection, so that the connections bound
- * the queue.
+ * Writes pages of snapshots, first come, first served, at a rate for all clients together. A page
+ * is read from the log when it is written. A connection has one request at a time, so that the
+ * limit of connections bounds the queue. Used on the event loop alone.
  */
 final class SnapshotQueue {
 
     private static final long MICROS_PER_SECOND = 1_000_000;
-    private static final long MICROS_PER_MS = 1_000;
+    private static final long MICROS_PER_MILLI = 1_000;
 
-    /** What the timers are late by is caught up with, up to this. */
+    /** Up to this much lateness of timers is made up for. */
     private static final long MAX_CATCH_UP_MICROS = 20_000;
 
-    private record Waiting(Responder responder, SnapshotRequest call) {}
+    private record QueuedRequest(Responder responder, SnapshotRequest request) {}
 
     private final SharedLog log;
     private final Timers timers;
     private final LongSupplier clockMicros;
     private final long bytesPerSecond;
-    private final Queue<Waiting> queue = new ArrayDeque<>();
+    private final Queue<QueuedRequest> queue = new ArrayDeque<>();
     private boolean timerRuns;
     private boolean stopping;
 
     /** When the next page may be written. */
-    private long nextAt;
+    private long nextWriteMicros;
 
     SnapshotQueue(SharedLog log, Timers timers, LongSupplier clockMicros, long bytesPerSecond) {
         this.log = log;
         this.timers = timers;
         this.clockMicros = clockMicros;
         this.bytesPerSecond = bytesPerSecond;
-        nextAt = clockMicros.getAsLong();
+        nextWriteMicros = clockMicros.getAsLong();
     }
 
+    /** The number of queued requests. */
     int length() {
         return queue.size();
     }
 
-    /** Answers a call when its turn comes. */
-    void take(Responder responder, SnapshotRequest call) {
+    /** Responds to a request when its turn comes. */
+    void handle(Responder responder, SnapshotRequest request) {
         if (stopping) {
-            responder.unavailable(ErrorJson.STOPPING);
+            responder.respondUnavailable(ErrorJson.STOPPING);
             return;
         }
-        Waiting waiting = new Waiting(responder, call);
-        queue.add(waiting);
-        responder.onDisconnect(() -> queue.remove(waiting));
+        QueuedRequest queued = new QueuedRequest(responder, request);
+        queue.add(queued);
+        responder.onDisconnect(() -> queue.remove(queued));
         if (!timerRuns) {
-            writeWhatIsDue();
+            writeDuePages();
         }
     }
 
-    /** Turns away all that wait, and from now on at once. */
+    /** Rejects all queued requests, and new ones from now on. */
     void stop() {
         stopping = true;
-        queue.forEach(waiting -> waiting.responder().closing().unavailable(ErrorJson.STOPPING));
+        queue.forEach(
+                queued ->
+                        queued.responder()
+                                .closeAfterResponse()
+                                .respondUnavailable(ErrorJson.STOPPING));
         queue.clear();
     }
 
-    private void writeWhatIsDue() {
+    private void writeDuePages() {
         long now = clockMicros.getAsLong();
-        nextAt = Math.max(nextAt, now - MAX_CATCH_UP_MICROS);
-        while (!queue.isEmpty() && nextAt <= now) {
-            nextAt += write(queue.remove()) * MICROS_PER_SECOND / bytesPerSecond;
+        nextWriteMicros = Math.max(nextWriteMicros, now - MAX_CATCH_UP_MICROS);
+        while (!queue.isEmpty() && nextWriteMicros <= now) {
+            nextWriteMicros += write(queue.remove()) * MICROS_PER_SECOND / bytesPerSecond;
         }
         if (!queue.isEmpty()) {
             timerRuns = true;
-            timers.start(Math.max(1, (nextAt - now) / MICROS_PER_MS), this::timerFired);
+            long delayMs = (nextWriteMicros - now) / MICROS_PER_MILLI;
+            timers.start(Math.max(1, delayMs), this::timerFired);
         }
     }
 
     private void timerFired() {
         timerRuns = false;
-        writeWhatIsDue();
+        writeDuePages();
     }
 
-    // Gives how many bytes the answer has.
-    private long write(Waiting waiting) {
-        SnapshotRequest call = waiting.call();
+    // Returns the bytes that count against the rate.
+    private long write(QueuedRequest queued) {
+        SnapshotRequest request = queued.request();
         LogPosition position = log.position().orElseThrow();
-        Optional<String> other = call.log().filter(each -> !each.equals(position.log()));
-        if (other.isPresent()) {
-            waiting.responder()
-                    .answer(
-                            HttpStatus.GONE,
-                            ResourceCodec.write(
-                                    new VersionUnavailable(
-                                            position.log(), log.oldest(), position.version())));
+        boolean isOfAnotherLog =
+                request.log().filter(requested -> !requested.equals(position.log())).isPresent();
+        if (isOfAnotherLog) {
+            VersionUnavailable unavailable =
+                    new VersionUnavailable(position.log(), log.oldest(), position.version());
+            queued.responder().respond(HttpStatus.GONE, ResourceCodec.write(unavailable));
             return 0;
         }
-        byte[] page = log.snapshot(call.from(), call.subscription(), call.maxBytes()).json();
-        waiting.responder().answer(HttpStatus.OK, page);
+        byte[] page =
+                log.snapshot(request.from(), request.subscription(), request.maxBytes()).json();
+        queued.responder().respond(HttpStatus.OK, page);
         return page.length;
     }
 }
--- a/control/src/main/java/ottergauge/control/server/SnapshotRequest.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotRequest.java
@@ -5,7 +5,13 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Subscription;
 
-/** A call for a page of the state; {@code log} is the log that the pages before it are of. */
+/**
+ * A request for a page of the state.
+ *
+ * @param log the log that the previous pages are of; empty for the first page
+ * @param from the first key of the page; empty for the first page
+ * @param maxBytes bytes of JSON of the page
+ */
 record SnapshotRequest(
         Optional<String> log,
         Optional<ResourceKey> from,
--- a/control/src/main/java/ottergauge/control/server/StatusJson.java
+++ b/control/src/main/java/ottergauge/control/server/StatusJson.java
@@ -11,7 +11,7 @@
 import ottergauge.control.consensus.Role;
 import ottergauge.resources.LogPosition;
 
-/** The body of an answer to a call for the status. */
+/** The response body of the status call. */
 final class StatusJson {
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -36,8 +36,8 @@
             out.writeStringField("role", role.wireName());
             out.writeStringField("leader", leader.orElse(""));
             out.writeArrayFieldStart("nodes");
-            for (NodeStatusTable.NodeStatus heard : nodes) {
-                write(out, heard, nowMs);
+            for (NodeStatusTable.NodeStatus node : nodes) {
+                write(out, node, nowMs);
             }
             out.writeEndArray();
             out.writeEndObject();
@@ -47,15 +47,15 @@
         return bytes.toByteArray();
     }
 
-    private static void write(JsonGenerator out, NodeStatusTable.NodeStatus heard, long nowMs)
+    private static void write(JsonGenerator out, NodeStatusTable.NodeStatus node, long nowMs)
             throws IOException {
         out.writeStartObject();
-        out.writeStringField("name", heard.report().name());
-        out.writeStringField("region", heard.report().region());
-        out.writeStringField("log", heard.report().log());
-        out.writeNumberField("in_force", heard.report().effectiveVersion());
-        out.writeNumberField("refused", heard.report().refused());
-        out.writeNumberField("heard_ms", nowMs - heard.atMs());
+        out.writeStringField("name", node.report().name());
+        out.writeStringField("region", node.report().region());
+        out.writeStringField("log", node.report().log());
+        out.writeNumberField("in_force", node.report().effectiveVersion());
+        out.writeNumberField("refused", node.report().rejectedVersion());
+        out.writeNumberField("heard_ms", nowMs - node.receivedAtMs());
         out.writeEndObject();
     }
 }
--- a/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
+++ b/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
@@ -11,7 +11,10 @@
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.Submission;
 
-/** The submissions that are on their way: bounded by number, each answered with its outcome. */
+/**
+ * Proposes submissions to the consensus and responds with their outcomes; limits the number of
+ * pending ones. Used on the event loop alone.
+ */
 final class SubmissionHandler {
 
     private static final int MAX_PENDING_SUBMISSIONS = 256;
@@ -19,7 +22,7 @@
     private final Consensus consensus;
     private final Context context;
     private final RateLimitedLogger warnings;
-    private int open;
+    private int pending;
 
     SubmissionHandler(Consensus consensus, Context context, RateLimitedLogger warnings) {
         this.consensus = consensus;
@@ -27,55 +30,62 @@
         this.warnings = warnings;
     }
 
-    /** How many wait for their outcome. */
-    int open() {
-        return open;
+    /** How many submissions have no outcome yet. */
+    int pending() {
+        return pending;
     }
 
-    void take(HttpExchange exchange, byte[] body) {
+    void handle(HttpExchange exchange, byte[] body) {
         Submission submission;
         try {
             submission = ResourceCodec.readSubmission(body);
         } catch (InvalidSubmissionException e) {
             warn(exchange, e.getMessage());
-            exchange.answer(HttpStatus.BAD_REQUEST, ResourceCodec.writeErrors(e.errors()));
+            exchange.respond(HttpStatus.BAD_REQUEST, ResourceCodec.writeErrors(e.errors()));
             return;
         } catch (ProtocolException e) {
             warn(exchange, e.getMessage());
-            exchange.answer(HttpStatus.BAD_REQUEST, ErrorJson.of(e.getMessage()));
+            exchange.respond(HttpStatus.BAD_REQUEST, ErrorJson.of(e.getMessage()));
             return;
         }
-        if (open >= MAX_PENDING_SUBMISSIONS) {
-            exchange.unavailable(ErrorJson.BUSY);
+        if (pending >= MAX_PENDING_SUBMISSIONS) {
+            exchange.respondUnavailable(ErrorJson.BUSY);
             return;
         }
-        open++;
-        consensus
-                .propose(submission)
-                .whenComplete(
-                        (outcome, failure) ->
-                                context.runOnContext(
-                                        run -> decided(exchange, submission, outcome, failure)));
+        pending++;
+        // completed() handles failures, too: the returned future has nothing more to tell.
+        var unused =
+                consensus
+                        .propose(submission)
+                        .whenComplete(
+                                (outcome, failure) ->
+                                        context.runOnContext(
+                                                run ->
+                                                        completed(
+                                                                exchange,
+                                                                submission,
+                                                                outcome,
+                                                                failure)));
     }
 
-    private void decided(
+    private void completed(
             HttpExchange exchange,
             Submission submission,
             SubmissionOutcome outcome,
             Throwable failure) {
-        open--;
+        pending--;
         if (failure != null) {
             Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
             String reason =
                     cause instanceof NoQuorumException ? cause.getMessage() : cause.toString();
             warnings.warn(
-                    "submission " + submission.id() + " is not known to be accepted: " + reason);
-            exchange.unavailable(ErrorJson.NO_QUORUM);
-        } else if (outcome instanceof SubmissionOutcome.Rejected invalid) {
-            warn(exchange, invalid.errors().get(0).toString());
-            exchange.answer(HttpStatus.BAD_REQUEST, ResourceCodec.writeErrors(invalid.errors()));
+                    "submission " + submission.id() + " not known to be committed: " + reason);
+            exchange.respondUnavailable(ErrorJson.NO_QUORUM);
+        } else if (outcome instanceof SubmissionOutcome.Rejected rejected) {
+            warn(exchange, rejected.errors().get(0).toString());
+            exchange.respond(HttpStatus.BAD_REQUEST, ResourceCodec.writeErrors(rejected.errors()));
         } else if (outcome instanceof SubmissionOutcome.Accepted accepted) {
-            exchange.answer(HttpStatus.OK, ResourceCodec.write(accepted.position()));
+            exchange.respond(HttpStatus.OK, ResourceCodec.write(accepted.position()));
         }
     }
 
--- a/control/src/main/java/ottergauge/control/server/Timers.java
+++ b/control/src/main/java/ottergauge/control/server/Timers.java
@@ -1,11 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-/** Calls back on the server's thread. */
+/** One-shot timers whose tasks run on the event loop. */
 interface Timers {
 
-    /** Runs a task after so many milliseconds, 1 at least; gives the timer's number. */
+    /**
+     * Runs a task once after a delay.
+     *
+     * @param delayMs milliseconds; at least 1 is waited
+     * @return the timer's id for {@link #cancel}
+     */
     long start(long delayMs, Runnable task);
 
-    void cancel(long timer);
+    /** Cancels a timer; one that has fired is ignored. */
+    void cancel(long timerId);
 }
--- a/control/src/main/java/ottergauge/control/server/VertxTimers.java
+++ b/control/src/main/java/ottergauge/control/server/VertxTimers.java
@@ -3,7 +3,7 @@
 
 import io.vertx.core.Vertx;
 
-/** Timers of the event loop. */
+/** Timers of Vert.x. */
 final class VertxTimers implements Timers {
 
     private final Vertx vertx;
@@ -18,7 +18,7 @@
     }
 
     @Override
-    public void cancel(long timer) {
-        vertx.cancelTimer(timer);
+    public void cancel(long timerId) {
+        vertx.cancelTimer(timerId);
     }
 }
--- a/control/src/test/java/ottergauge/control/ArchitectureTest.java
+++ b/control/src/test/java/ottergauge/control/ArchitectureTest.java
@@ -24,7 +24,7 @@
                     .importPackages("ottergauge.control");
 
     @Test
-    void layersDependOneWay() {
+    void layers_dependOneWay() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("ottergauge.control..")
                 .layer("log")
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void theLogHasNoClockNoThreadsAndNoIo() {
+    void log_hasNoClockThreadsOrIo() {
         classes()
                 .that(resideInAnyPackage("ottergauge.control.log.."))
                 .should(
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void ofTheNodeOnlyValuesAreUsed() {
+    void node_isUsedForValuesOnly() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -67,7 +67,8 @@
                 .filter(each -> each.key().kind() == ResourceKind.SERVER)
                 .collect(
                         Collectors.toMap(
-                                each -> each.key().name(), each -> ((Server) each.value()).endpoint()));
+                                each -> each.key().name(),
+                                each -> ((Server) each.value()).endpoint()));
     }
 
     private Optional<Submission> next() {
@@ -97,7 +98,7 @@
     }
 
     @Test
-    void nothingIsPublishedBeforeDiscoveryWasHeardWhole() {
+    void beforeAFullList_nothingIsPublished() {
         log.apply(SubmissionBuilder.of("a").service(SERVICE).server("s-1", SERVICE).build());
         reconciler.takeState(state(log));
         assertEquals(Optional.empty(), next());
@@ -109,7 +110,7 @@
     }
 
     @Test
-    void theFirstChangeBringsTheService() {
+    void firstSubmission_putsTheService() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"));
         Submission first = next().orElseThrow();
@@ -118,7 +119,7 @@
     }
 
     @Test
-    void onlyWhatDiffersIsPublished() {
+    void submission_hasOnlyDifferences() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"), up("s-3"));
         publishAll();
@@ -141,7 +142,7 @@
     }
 
     @Test
-    void whatOthersChangeIsPutRight() {
+    void foreignChanges_areReverted() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
@@ -165,7 +166,7 @@
     }
 
     @Test
-    void aLogThatHasBegunAnewGetsAllAgain() {
+    void emptyLog_getsEverythingAgain() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
@@ -175,7 +176,7 @@
     }
 
     @Test
-    void longListsArePublishedInSeveralChanges() {
+    void longList_isPublishedInSeveralSubmissions() {
         reconciler.takeState(state(log));
         list(
                 true,
@@ -190,7 +191,7 @@
     }
 
     @Test
-    void aServerOfAnotherServiceIsLeftOutAlone() {
+    void serverOfAnotherService_isSkipped() {
         log.apply(SubmissionBuilder.of("a").service("search").server("s-2", "search").build());
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"), up("s-3"));
@@ -201,7 +202,7 @@
     }
 
     @Test
-    void aMalformedEntryIsLeftOutAlone() {
+    void malformedEntry_isSkipped() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("no name"), host("s-2", EndpointState.UP, -1));
         Submission all = next().orElseThrow();
@@ -225,7 +226,7 @@
     }
 
     @Property(tries = 300, seed = "61")
-    void inTheEndTheLogHasWhatDiscoveryLists(@ForAll("histories") List<Step> history) {
+    void log_convergesToDiscovery(@ForAll("histories") List<Step> history) {
         ServiceReconcilerTest play = new ServiceReconcilerTest();
         play.reconciler.takeState(List.of());
         Map<String, DiscoveredEndpoint> listed = new HashMap<>();
--- a/control/src/test/java/ottergauge/control/log/SubmissionValidatorTest.java
+++ b/control/src/test/java/ottergauge/control/log/SubmissionValidatorTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import ottergauge.resources.FieldError;
-import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceKind;
+import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -59,14 +59,14 @@
         return page.changes().stream().map(Change::version).toList();
     }
 
-    private static void assertRefused(int status, String says, HttpResponse<String> answer) {
+    private static void assertRejected(int status, String says, HttpResponse<String> answer) {
         assertEquals(status, answer.statusCode(), answer.body());
         assertTrue(answer.body().contains(says), answer.body());
         assertFalse(answer.body().contains("\n"), answer.body());
     }
 
     @Test
-    void aChangeIsToldToACallThatWaits() throws Exception {
+    void pendingPoll_receivesAChange() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             LogPosition begin =
                     control.publish(
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void aSubscriberResumesByVersionOrIsToldToBeginAnew() throws Exception {
+    void subscriber_resumesByVersionOrStartsOver() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"kept_changes\":3")) {
             List<LogPosition> positions = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
@@ -111,13 +111,13 @@
                     new VersionUnavailable(log, 4, 6),
                     ResourceCodec.readVersionUnavailable(other.body().getBytes(UTF_8)));
             HttpResponse<String> ahead = control.get(changes(new LogPosition(log, 7), ""));
-            assertRefused(503, "behind", ahead);
+            assertRejected(503, "behind", ahead);
             assertEquals(Optional.of("1"), ahead.headers().firstValue("Retry-After"));
         }
     }
 
     @Test
-    void versionsBeginAnewWithEachStart() throws Exception {
+    void restart_beginsANewLog() throws Exception {
         int port = RunningControl.freePort();
         LogPosition before;
         try (RunningControl control = RunningControl.serving(folder, port, "")) {
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void pagesTakenWhileChangesComeAndTheChangesMakeTheState() throws Exception {
+    void pagesTakenDuringChangesPlusChanges_giveTheState() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             SubmissionBuilder first = SubmissionBuilder.of("first").service("checkout");
             for (int i = 0; i < 300; i++) {
@@ -185,7 +185,7 @@
     }
 
     @Test
-    void aSubmissionIsAcceptedOnceAndABadOneNamesItsFaults() throws Exception {
+    void submission_isAcceptedOnceAndAnInvalidOneNamesItsErrors() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             String tenant =
                     "{\"id\":\"x\",\"put\":[{\"kind\":\"tenant\",\"name\":\"gold\",\"value\":"
@@ -217,32 +217,33 @@
     }
 
     @Test
-    void badCallsAreRefusedInOneLineAndEndNothing() throws Exception {
+    void invalidRequests_areRejectedInOneLine() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            assertRefused(404, "no such call", control.get("/control/v2/changes"));
-            assertRefused(404, "no such call", control.get("/"));
-            assertRefused(400, "log is missing", control.get(CHANGES + "?after=0"));
-            assertRefused(400, "after is missing", control.get(CHANGES + "?log=a"));
-            assertRefused(400, "after is a whole number", control.get(CHANGES + "?log=a&after=-1"));
-            assertRefused(
+            assertRejected(404, "no such call", control.get("/control/v2/changes"));
+            assertRejected(404, "no such call", control.get("/"));
+            assertRejected(400, "log is missing", control.get(CHANGES + "?after=0"));
+            assertRejected(400, "after is missing", control.get(CHANGES + "?log=a"));
+            assertRejected(
+                    400, "after is a whole number", control.get(CHANGES + "?log=a&after=-1"));
+            assertRejected(
                     400, "after is a whole number", control.get(CHANGES + "?log=a&after=1e3"));
-            assertRefused(
+            assertRejected(
                     400,
                     "wait_ms is a whole number",
                     control.get(CHANGES + "?log=a&after=0&wait_ms=10001"));
-            assertRefused(
+            assertRejected(
                     400,
                     "max_bytes is",
                     control.get(CHANGES + "?log=a&after=0&max_bytes=999999999"));
-            assertRefused(
+            assertRejected(
                     400, "services is", control.get(CHANGES + "?log=a&after=0&services=a,,b"));
-            assertRefused(400, "node is", control.get(CHANGES + "?log=a&after=0&node=%0a%0dx"));
-            assertRefused(400, "from is", control.get("/control/v1/snapshot?from=server"));
-            assertRefused(400, "from is", control.get("/control/v1/snapshot?from=sever/a"));
-            assertRefused(400, "no JSON", control.post("{\"id\":"));
-            assertRefused(400, "no JSON", control.post("[".repeat(100_000)));
-            assertRefused(400, "id", control.post("{}"));
-            assertRefused(413, "262144 bytes", control.post("x".repeat(300_000)));
+            assertRejected(400, "node is", control.get(CHANGES + "?log=a&after=0&node=%0a%0dx"));
+            assertRejected(400, "from is", control.get("/control/v1/snapshot?from=server"));
+            assertRejected(400, "from is", control.get("/control/v1/snapshot?from=sever/a"));
+            assertRejected(400, "no JSON", control.post("{\"id\":"));
+            assertRejected(400, "no JSON", control.post("[".repeat(100_000)));
+            assertRejected(400, "id", control.post("{}"));
+            assertRejected(413, "262144 bytes", control.post("x".repeat(300_000)));
             assertEquals(0, control.position().version());
         }
     }
@@ -265,7 +266,7 @@
     }
 
     @Test
-    void whatIsNoRequestIsRefusedAndTheConnectionEnds() throws Exception {
+    void malformedRequest_isRejectedAndItsConnectionClosed() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             assertTrue(raw(control, "nonsense\r\n\r\n").startsWith("HTTP/1.0 400"));
             assertTrue(raw(control, "GET / nonsense\r\n\r\n").startsWith("HTTP/1.0 400"));
@@ -307,7 +308,7 @@
     }
 
     @Test
-    void waitingCallsAreBounded() throws Exception {
+    void pendingPolls_areLimited() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"waiting_polls\":2")) {
             LogPosition at = control.publish(SubmissionBuilder.of("a").tenant("gold", 1).build());
             List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
@@ -316,11 +317,11 @@
             }
             control.await(
                     "one turned away", () -> calls.stream().anyMatch(CompletableFuture::isDone));
-            CompletableFuture<HttpResponse<String>> turnedAway =
+            CompletableFuture<HttpResponse<String>> rejected =
                     calls.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow();
-            assertRefused(503, "busy", turnedAway.get());
+            assertRejected(503, "busy", rejected.get());
             control.publish(SubmissionBuilder.of("b").tenant("gold", 2).build());
-            calls.remove(turnedAway);
+            calls.remove(rejected);
             for (CompletableFuture<HttpResponse<String>> call : calls) {
                 assertEquals(List.of(2L), versions(page(call.get())));
             }
@@ -328,7 +329,7 @@
     }
 
     @Test
-    void connectionsAreBounded() throws Exception {
+    void connections_areLimited() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"connections\":2")) {
             String status = "GET /control/v1/status HTTP/1.1\r\n\r\n";
             try (Socket first = control.connect();
@@ -356,7 +357,7 @@
     }
 
     @Test
-    void quietConnectionsAreClosed() throws Exception {
+    void idleConnections_areClosed() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"idle_ms\":300")) {
             assertEquals("", raw(control, ""));
             assertEquals("", raw(control, "GET /control/v1/status HTTP/1.1\r\nHost: x"));
@@ -376,7 +377,7 @@
     }
 
     @Test
-    void aClientThatDoesNotReadIsClosed() throws Exception {
+    void slowReader_isDisconnected() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"slow_reader_ms\":300")) {
             publishMuch(control);
             try (Socket slow = new Socket()) {
@@ -416,7 +417,7 @@
     }
 
     @Test
-    void aClientThatSendsCallsWithoutReadingIsNotReadOn() throws Exception {
+    void pipeliningWithoutReading_isBackpressured() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"slow_reader_ms\":60000")) {
             publishMuch(control);
             String call = "GET /control/v1/snapshot?max_bytes=524288 HTTP/1.1\r\n\r\n";
@@ -446,7 +447,7 @@
     }
 
     @Test
-    void nodesTellWhatTheyGoBy() throws Exception {
+    void status_showsTheNodesReports() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             LogPosition at = control.publish(SubmissionBuilder.of("a").tenant("gold", 1).build());
             control.get(changes(at, "&node=n1&region=r1&in_force=1"));
@@ -469,7 +470,7 @@
     }
 
     @Test
-    void whatWaitsIsAnsweredAtTheEnd() throws Exception {
+    void termination_completesPendingPolls() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             LogPosition at = control.publish(SubmissionBuilder.of("a").service("checkout").build());
             CompletableFuture<HttpResponse<String>> waiting =
@@ -491,7 +492,7 @@
     }
 
     @Test
-    void aBadConfigurationIsToldWhole() throws Exception {
+    void invalidConfiguration_isReportedCompletely() throws Exception {
         RunningControl bad =
                 RunningControl.starting(
                         folder, 0, ",\"waiting_polls\":0,\"pace\":1,\"idle_ms\":\"x\"");
@@ -509,7 +510,7 @@
     }
 
     @Test
-    void aTakenAddressEndsTheProcess() throws Exception {
+    void addressInUse_endsTheProcess() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             RunningControl control = RunningControl.starting(folder, taken.getLocalPort(), "");
             assertEquals(1, control.exitCode());
@@ -518,7 +519,7 @@
     }
 
     @Test
-    void wrongUsageEndsWithTwo() throws Exception {
+    void wrongUsage_exitsWithTwo() throws Exception {
         assertEquals(2, RunningControl.run(folder).exitCode());
         assertEquals(2, RunningControl.run(folder, "serve").exitCode());
         assertEquals(2, RunningControl.run(folder, "publish", "--to", "nowhere", "f").exitCode());
--- a/control/src/test/java/ottergauge/control/program/RunningControl.java
+++ b/control/src/test/java/ottergauge/control/program/RunningControl.java
@@ -67,7 +67,7 @@
 
     static RunningControl serving(Path folder, int port, String moreKeys) throws Exception {
         RunningControl control = starting(folder, port, moreKeys);
-        control.awaitOutput("listens on");
+        control.awaitOutput("listening on");
         return control;
     }
 
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -52,14 +52,14 @@
     }
 
     @Test
-    void aFileIsOneSubmission() throws IOException, ProtocolException {
+    void file_isOneSubmission() throws IOException, ProtocolException {
         Submission submission =
                 SubmissionBuilder.of("a").service("checkout").tenant("gold", 2.5).build();
         assertEquals(submission, ResourceCodec.readSubmission(file(submission).whole().body()));
     }
 
     @Test
-    void partsCanBeAppliedOneAfterTheOther() throws IOException, ProtocolException {
+    void batches_canBeAppliedInOrder() throws IOException, ProtocolException {
         ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
         List<Part> parts = file(many().build()).split();
         assertEquals(List.of("load:1", "load:2", "load:3"), parts.stream().map(Part::id).toList());
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aSecondTimeChangesNothing() throws IOException, ProtocolException {
+    void sameFileAgain_changesNothing() throws IOException, ProtocolException {
         ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
         apply(log, file(many().build()).split());
         long version = log.position().version();
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void partsAreBoundedByBytes() throws IOException {
+    void batches_areLimitedInBytes() throws IOException {
         SubmissionBuilder longValues = SubmissionBuilder.of("long");
         for (int i = 0; i < 600; i++) {
             longValues.put(
@@ -91,12 +91,11 @@
         List<Part> parts = file(longValues.build()).split();
         assertTrue(
                 parts.stream()
-                        .allMatch(
-                                part -> part.body().length < ResourceCodec.MAX_SUBMISSION_BYTES));
+                        .allMatch(part -> part.body().length < ResourceCodec.MAX_SUBMISSION_BYTES));
     }
 
     @Test
-    void aFileWithoutAnIdGetsOne() throws IOException, ProtocolException {
+    void fileWithoutId_getsAnId() throws IOException, ProtocolException {
         Path file =
                 Files.writeString(
                         folder.resolve("file.json"),
@@ -107,7 +106,7 @@
     }
 
     @Test
-    void whatIsNoObjectOrListIsToldInOneLine() throws IOException {
+    void malformedFile_isRejected() throws IOException {
         Path list = Files.writeString(folder.resolve("list.json"), "[]");
         assertThrows(IOException.class, () -> SubmissionFile.read(list));
         Path wrong = Files.writeString(folder.resolve("wrong.json"), "{\"put\":3}");
--- a/control/src/test/java/ottergauge/control/program/ToolsIT.java
+++ b/control/src/test/java/ottergauge/control/program/ToolsIT.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void aFileIsPublishedOnceWhereverItIsAskedFor() throws Exception {
+    void publishedTwice_isOneChange() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             String nobody = "127.0.0.1:" + RunningControl.freePort();
             String file = file(SubmissionBuilder.of("a").service("checkout").build());
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void aRefusedFileIsToldByItsFaults() throws Exception {
+    void invalidFile_isRejectedWithItsErrors() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             RunningControl refused =
                     RunningControl.run(
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aLongFileIsSplit() throws Exception {
+    void longFile_isSplit() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             SubmissionBuilder many = SubmissionBuilder.of("many").service("checkout");
             for (int i = 0; i < 1_200; i++) {
@@ -98,7 +98,7 @@
     }
 
     @Test
-    void theStatusShowsWhoLagsAndWhoRefused() throws Exception {
+    void status_showsLagAndRejections() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             LogPosition first =
                     control.publish(SubmissionBuilder.of("a").service("checkout").build());
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void discoverysListIsImportedAndFollowed() throws Exception {
+    void import_followsDiscovery() throws Exception {
         int port = RunningControl.freePort();
         RunningControl first = RunningControl.serving(folder, port, "");
         try (StubDiscovery discovery = new StubDiscovery()) {
--- a/control/src/test/java/ottergauge/control/server/FakeTimers.java
+++ b/control/src/test/java/ottergauge/control/server/FakeTimers.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Timers and a clock that go on only when a test says so. */
+/** Timers on a clock that a test advances. */
 final class FakeTimers implements Timers {
 
     private record Due(long timer, long atMs, Runnable task) {}
@@ -39,8 +39,8 @@
         return running.size();
     }
 
-    /** Lets so much time pass, and what is due in it happen in its order. */
-    void pass(long ms) {
+    /** Advances the clock and runs the due timers in order. */
+    void advance(long ms) {
         long until = nowMs + ms;
         Optional<Due> next = next(until);
         while (next.isPresent()) {
--- a/control/src/test/java/ottergauge/control/server/NodeStatusTableTest.java
+++ b/control/src/test/java/ottergauge/control/server/NodeStatusTableTest.java
@@ -5,39 +5,40 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The nodes that were heard lately. */
+/** The latest reports of nodes. */
 class NodeStatusTableTest {
 
     private final NodeStatusTable table = new NodeStatusTable();
 
     private void heard(String name, long atMs) {
-        table.heard(new NodeReport(name, "r1", "a1", atMs, 0), atMs);
+        table.record(new NodeReport(name, "r1", "a1", atMs, 0), atMs);
     }
 
     @Test
-    void theLastReportCounts() {
+    void record_replacesThePreviousReport() {
         heard("n1", 1);
         heard("n1", 5);
-        assertEquals(1, table.recent(6).size());
-        assertEquals(5, table.recent(6).get(0).report().effectiveVersion());
+        assertEquals(1, table.current(6).size());
+        assertEquals(5, table.current(6).get(0).report().effectiveVersion());
     }
 
     @Test
-    void aNodeIsForgottenAfterTenMinutes() {
+    void node_expiresAfterTenMinutes() {
         heard("n1", 0);
         heard("n2", 1);
-        assertEquals(2, table.recent(NodeStatusTable.NODE_EXPIRY_MS).size());
-        assertEquals("n2", table.recent(NodeStatusTable.NODE_EXPIRY_MS + 1).get(0).report().name());
+        assertEquals(2, table.current(NodeStatusTable.NODE_EXPIRY_MS).size());
+        assertEquals(
+                "n2", table.current(NodeStatusTable.NODE_EXPIRY_MS + 1).get(0).report().name());
     }
 
     @Test
-    void theOneThatWasNotHeardForLongestMakesRoom() {
+    void fullTable_evictsTheLeastRecentlyReportedNode() {
         for (int i = 0; i < NodeStatusTable.MAX_NODES; i++) {
             heard("n" + i, i);
         }
         heard("n0", 5_000);
         heard("another", 5_001);
-        assertEquals(NodeStatusTable.MAX_NODES, table.recent(5_001).size());
-        assertEquals("n2", table.recent(5_001).get(0).report().name());
+        assertEquals(NodeStatusTable.MAX_NODES, table.current(5_001).size());
+        assertEquals("n2", table.current(5_001).get(0).report().name());
     }
 }
--- a/control/src/test/java/ottergauge/control/server/PendingPollsTest.java
+++ b/control/src/test/java/ottergauge/control/server/PendingPollsTest.java
@@ -21,7 +21,7 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
-/** Calls that wait for changes, on made-up time. */
+/** Long polls for changes, on a fake clock. */
 class PendingPollsTest {
 
     private static final String LOG = "a1";
@@ -33,17 +33,17 @@
 
     PendingPollsTest() {
         log.replace(new ChangeLog(LOG, new LogRetention(5, 1 << 20)));
-        log.onChange(polls::wake);
+        log.onChange(polls::logChanged);
         log.apply(SubmissionBuilder.of("services").service("checkout").service("search").build());
     }
 
-    private RecordingResponder ask(long after, long waitMs, String... services) {
-        return ask(new LogPosition(LOG, after), waitMs, services);
+    private RecordingResponder poll(long after, long waitMs, String... services) {
+        return poll(new LogPosition(LOG, after), waitMs, services);
     }
 
-    private RecordingResponder ask(LogPosition after, long waitMs, String... services) {
+    private RecordingResponder poll(LogPosition after, long waitMs, String... services) {
         RecordingResponder responder = new RecordingResponder();
-        polls.take(
+        polls.handle(
                 responder,
                 new ChangesRequest(
                         after,
@@ -64,23 +64,23 @@
     }
 
     @Test
-    void whatIsThereIsToldAtOnce() throws ProtocolException {
-        assertEquals(List.of(1L), versions(ask(0, 10_000)));
+    void availableChanges_areReturnedImmediately() throws ProtocolException {
+        assertEquals(List.of(1L), versions(poll(0, 10_000)));
         assertEquals(0, polls.count());
     }
 
     @Test
-    void aCallThatDoesNotWaitIsAnsweredWithNothing() throws ProtocolException {
-        ChangePage page = page(ask(1, 0));
+    void pollWithoutWait_returnsAnEmptyPage() throws ProtocolException {
+        ChangePage page = page(poll(1, 0));
         assertEquals(List.of(), page.changes());
         assertEquals(1, page.upTo().version());
     }
 
     @Test
-    void aChangeWakesTheCallsThatFollowIt() throws ProtocolException {
-        RecordingResponder checkout = ask(1, 10_000, "checkout");
-        RecordingResponder search = ask(1, 10_000, "search");
-        RecordingResponder all = ask(1, 10_000);
+    void change_completesThePollsThatFollowIt() throws ProtocolException {
+        RecordingResponder checkout = poll(1, 10_000, "checkout");
+        RecordingResponder search = poll(1, 10_000, "search");
+        RecordingResponder all = poll(1, 10_000);
         log.apply(SubmissionBuilder.of("a").server("s-1", "search").build());
         assertFalse(checkout.isAnswered());
         assertEquals(List.of(2L), versions(search));
@@ -92,20 +92,20 @@
     }
 
     @Test
-    void aCallIsAnsweredWhenItsTimeIsOver() throws ProtocolException {
-        RecordingResponder checkout = ask(1, 5_000, "checkout");
+    void poll_completesWhenItsWaitIsOver() throws ProtocolException {
+        RecordingResponder checkout = poll(1, 5_000, "checkout");
         log.apply(SubmissionBuilder.of("a").server("s-1", "search").build());
-        timers.pass(4_999);
+        timers.advance(4_999);
         assertFalse(checkout.isAnswered());
-        timers.pass(1);
+        timers.advance(1);
         assertEquals(List.of(), versions(checkout));
         assertEquals(2, page(checkout).upTo().version());
         assertEquals(0, polls.count());
     }
 
     @Test
-    void aCallThatWaitsOutlivesTheChangesThatItDoesNotFollow() throws ProtocolException {
-        RecordingResponder checkout = ask(1, 10_000, "checkout");
+    void pendingPoll_skipsChangesThatItDoesNotFollow() throws ProtocolException {
+        RecordingResponder checkout = poll(1, 10_000, "checkout");
         for (int i = 0; i < 20; i++) {
             log.apply(SubmissionBuilder.of("id-" + i).server("s-1", "search", i).build());
         }
@@ -115,20 +115,21 @@
     }
 
     @Test
-    void theCallsThatWaitAreBounded() throws ProtocolException {
-        List<RecordingResponder> waiting = List.of(ask(1, 10_000), ask(1, 10_000), ask(1, 10_000));
-        RecordingResponder tooMany = ask(1, 10_000);
+    void pendingPolls_areLimited() throws ProtocolException {
+        List<RecordingResponder> waiting =
+                List.of(poll(1, 10_000), poll(1, 10_000), poll(1, 10_000));
+        RecordingResponder tooMany = poll(1, 10_000);
         assertEquals(HttpStatus.UNAVAILABLE, tooMany.status);
         assertEquals("{\"error\":\"busy\"}", tooMany.text());
         waiting.get(0).leave();
-        assertFalse(ask(1, 10_000).isAnswered());
-        assertEquals(List.of(1L), versions(ask(0, 10_000)));
+        assertFalse(poll(1, 10_000).isAnswered());
+        assertEquals(List.of(1L), versions(poll(0, 10_000)));
         assertEquals(MAX_PENDING, polls.count());
     }
 
     @Test
-    void aCallOfAClientThatLeftIsForgotten() {
-        RecordingResponder gone = ask(1, 10_000);
+    void disconnectedClient_isRemoved() {
+        RecordingResponder gone = poll(1, 10_000);
         gone.leave();
         assertEquals(0, polls.count());
         assertEquals(0, timers.count());
@@ -137,21 +138,24 @@
     }
 
     @Test
-    void anotherLogAndChangesThatAreNotKeptAreTooOld() throws ProtocolException {
-        RecordingResponder other = ask(new LogPosition("other", 1), 10_000);
+    void otherLogOrEvictedChanges_areUnavailable() throws ProtocolException {
+        RecordingResponder other = poll(new LogPosition("other", 1), 10_000);
         assertEquals(HttpStatus.GONE, other.status);
-        assertEquals(new VersionUnavailable(LOG, 1, 1), ResourceCodec.readVersionUnavailable(other.body));
+        assertEquals(
+                new VersionUnavailable(LOG, 1, 1),
+                ResourceCodec.readVersionUnavailable(other.body));
         for (int i = 0; i < 9; i++) {
             log.apply(SubmissionBuilder.of("id-" + i).tenant("gold", i).build());
         }
-        RecordingResponder old = ask(4, 10_000);
-        assertEquals(new VersionUnavailable(LOG, 6, 10), ResourceCodec.readVersionUnavailable(old.body));
-        assertEquals(List.of(6L, 7L, 8L, 9L, 10L), versions(ask(5, 10_000)));
+        RecordingResponder old = poll(4, 10_000);
+        assertEquals(
+                new VersionUnavailable(LOG, 6, 10), ResourceCodec.readVersionUnavailable(old.body));
+        assertEquals(List.of(6L, 7L, 8L, 9L, 10L), versions(poll(5, 10_000)));
     }
 
     @Test
-    void aCallerThatIsAheadMayWaitForThisProcessToCatchUp() throws ProtocolException {
-        RecordingResponder ahead = ask(3, 10_000);
+    void clientAhead_waitsForTheReplicaToCatchUp() throws ProtocolException {
+        RecordingResponder ahead = poll(3, 10_000);
         log.apply(SubmissionBuilder.of("a").tenant("gold", 1).build());
         log.apply(SubmissionBuilder.of("b").tenant("gold", 2).build());
         assertFalse(ahead.isAnswered());
@@ -160,30 +164,32 @@
     }
 
     @Test
-    void aCallerThatStaysAheadIsSentElsewhere() {
-        RecordingResponder ahead = ask(3, 10_000);
-        timers.pass(999);
+    void clientThatStaysAhead_isRejectedAsBehind() {
+        RecordingResponder ahead = poll(3, 10_000);
+        timers.advance(999);
         assertFalse(ahead.isAnswered());
-        timers.pass(1);
+        timers.advance(1);
         assertEquals(HttpStatus.UNAVAILABLE, ahead.status);
         assertEquals("{\"error\":\"behind\"}", ahead.text());
-        assertEquals("{\"error\":\"behind\"}", ask(3, 0).text());
+        assertEquals("{\"error\":\"behind\"}", poll(3, 0).text());
     }
 
     @Test
-    void aLogThatTakesThePlaceOfAnotherIsToldToThoseThatWait() throws ProtocolException {
-        RecordingResponder waiting = ask(1, 10_000);
+    void replacedLog_completesPendingPolls() throws ProtocolException {
+        RecordingResponder waiting = poll(1, 10_000);
         log.replace(new ChangeLog("b2", LogRetention.DEFAULT));
-        assertEquals(new VersionUnavailable("b2", 1, 0), ResourceCodec.readVersionUnavailable(waiting.body));
+        assertEquals(
+                new VersionUnavailable("b2", 1, 0),
+                ResourceCodec.readVersionUnavailable(waiting.body));
     }
 
     @Test
-    void allThatWaitAreAnsweredAtTheEnd() throws ProtocolException {
-        RecordingResponder waiting = ask(1, 10_000);
+    void stop_completesPendingPolls() throws ProtocolException {
+        RecordingResponder waiting = poll(1, 10_000);
         polls.stop();
         assertEquals(List.of(), versions(waiting));
-        assertTrue(waiting.closes);
-        assertTrue(ask(1, 10_000).isAnswered());
+        assertTrue(waiting.closesConnection);
+        assertTrue(poll(1, 10_000).isAnswered());
         assertEquals(0, timers.count());
     }
 }
--- a/control/src/test/java/ottergauge/control/server/RateLimitedLoggerTest.java
+++ b/control/src/test/java/ottergauge/control/server/RateLimitedLoggerTest.java
@@ -12,7 +12,7 @@
 class RateLimitedLoggerTest {
 
     @Test
-    void twentyLinesASecondAreWrittenAndTheRestIsCounted() {
+    void moreThanTwentyLinesASecond_areSuppressedAndCounted() {
         List<String> written = new ArrayList<>();
         AtomicLong nowMs = new AtomicLong(5_000);
         RateLimitedLogger log = new RateLimitedLogger(written::add, nowMs::get);
@@ -22,7 +22,9 @@
         assertEquals(20, written.size());
         nowMs.set(6_000);
         log.warn("next");
-        assertEquals(List.of("80 lines were left out", "next"), written.subList(20, 22));
+        assertEquals(
+                List.of("80 log lines suppressed by the rate limit", "next"),
+                written.subList(20, 22));
         log.warn("after");
         assertEquals(23, written.size());
     }
--- a/control/src/test/java/ottergauge/control/server/RecordingResponder.java
+++ b/control/src/test/java/ottergauge/control/server/RecordingResponder.java
@@ -5,24 +5,24 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Keeps the answer that it was given. */
+/** Records the response. */
 final class RecordingResponder implements Responder {
 
     int status;
     byte[] body;
-    boolean closes;
+    boolean closesConnection;
     private Runnable gone = () -> {};
 
     @Override
-    public void answer(int answered, byte[] json) {
+    public void respond(int answered, byte[] json) {
         assertEquals(0, status, "answered twice");
         status = answered;
         body = json;
     }
 
     @Override
-    public Responder closing() {
-        closes = true;
+    public Responder closeAfterResponse() {
+        closesConnection = true;
         return this;
     }
 
--- a/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
+++ b/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
@@ -19,7 +19,7 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
-/** Pages of snapshots at a paced rate, on made-up time. */
+/** Pages of snapshots at a paced rate, on a fake clock. */
 class SnapshotQueueTest {
 
     private static final int PAGE_BYTES = 10_000;
@@ -39,9 +39,9 @@
         log.apply(tenants.build());
     }
 
-    private RecordingResponder ask(Optional<String> ofLog) {
+    private RecordingResponder request(Optional<String> ofLog) {
         RecordingResponder responder = new RecordingResponder();
-        queue.take(
+        queue.handle(
                 responder,
                 new SnapshotRequest(
                         ofLog,
@@ -51,10 +51,10 @@
         return responder;
     }
 
-    private List<RecordingResponder> askOften(int calls) {
+    private List<RecordingResponder> requestOften(int calls) {
         List<RecordingResponder> responders = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
-            responders.add(ask(Optional.empty()));
+            responders.add(request(Optional.empty()));
         }
         return responders;
     }
@@ -64,18 +64,18 @@
     }
 
     @Test
-    void theFirstPageIsWrittenAtOnce() throws ProtocolException {
-        RecordingResponder first = ask(Optional.of("a1"));
+    void firstPage_isWrittenImmediately() throws ProtocolException {
+        RecordingResponder first = request(Optional.of("a1"));
         assertEquals(HttpStatus.OK, first.status);
         assertTrue(ResourceCodec.readSnapshotPage(first.body).next().isPresent());
     }
 
     @Test
-    void noMoreBytesAreWrittenThanTheRateAllows() {
-        List<RecordingResponder> responders = askOften(100);
+    void pages_stayWithinTheRate() {
+        List<RecordingResponder> responders = requestOften(100);
         long begun = timers.nowMs();
         while (answered(responders) < 100) {
-            timers.pass(7);
+            timers.advance(7);
             long bytes =
                     responders.stream()
                             .filter(RecordingResponder::isAnswered)
@@ -91,10 +91,10 @@
     }
 
     @Test
-    void callsAreAnsweredInTheirOrder() {
-        List<RecordingResponder> responders = askOften(20);
+    void requests_areServedInOrder() {
+        List<RecordingResponder> responders = requestOften(20);
         while (answered(responders) < 20) {
-            timers.pass(1);
+            timers.advance(1);
             long answered = answered(responders);
             assertEquals(answered, answered(responders.subList(0, (int) answered)));
         }
@@ -102,47 +102,49 @@
     }
 
     @Test
-    void theTimeInWhichNobodyAskedIsNotSavedUp() {
-        timers.pass(60_000);
-        assertTrue(answered(askOften(50)) <= 3);
+    void idleTime_isNotAccumulated() {
+        timers.advance(60_000);
+        assertTrue(answered(requestOften(50)) <= 3);
     }
 
     @Test
-    void aPageIsMadeWhenItsTurnComes() throws ProtocolException {
-        List<RecordingResponder> responders = askOften(10);
+    void page_isReadWhenItIsWritten() throws ProtocolException {
+        List<RecordingResponder> responders = requestOften(10);
         log.apply(SubmissionBuilder.of("later").tenant("t-0", 7).build());
-        timers.pass(5_000);
+        timers.advance(5_000);
         assertEquals(1, ResourceCodec.readSnapshotPage(responders.get(0).body).at().version());
         assertEquals(2, ResourceCodec.readSnapshotPage(responders.get(9).body).at().version());
     }
 
     @Test
-    void aCallerThatLeftCostsNothing() {
-        List<RecordingResponder> responders = askOften(100);
+    void disconnectedClient_isRemovedFromTheQueue() {
+        List<RecordingResponder> responders = requestOften(100);
         responders.subList(5, 99).forEach(RecordingResponder::leave);
-        timers.pass(1_000);
+        timers.advance(1_000);
         assertTrue(responders.get(99).isAnswered());
         assertFalse(responders.get(50).isAnswered());
     }
 
     @Test
-    void pagesOfAnotherLogAreTooOld() throws ProtocolException {
-        RecordingResponder other = ask(Optional.of("b2"));
+    void pageOfAnotherLog_isUnavailable() throws ProtocolException {
+        RecordingResponder other = request(Optional.of("b2"));
         assertEquals(HttpStatus.GONE, other.status);
-        assertEquals(new VersionUnavailable("a1", 1, 1), ResourceCodec.readVersionUnavailable(other.body));
+        assertEquals(
+                new VersionUnavailable("a1", 1, 1),
+                ResourceCodec.readVersionUnavailable(other.body));
     }
 
     @Test
-    void allThatWaitAreTurnedAwayAtTheEnd() {
-        List<RecordingResponder> responders = askOften(10);
+    void stop_rejectsQueuedRequests() {
+        List<RecordingResponder> responders = requestOften(10);
         long before = answered(responders);
         queue.stop();
         assertTrue(before < 10);
         assertEquals(10, answered(responders));
         assertEquals("{\"error\":\"stopping\"}", responders.get(9).text());
-        assertTrue(responders.get(9).closes);
-        assertEquals(HttpStatus.UNAVAILABLE, ask(Optional.empty()).status);
-        timers.pass(1_000);
+        assertTrue(responders.get(9).closesConnection);
+        assertEquals(HttpStatus.UNAVAILABLE, request(Optional.empty()).status);
+        timers.advance(1_000);
         assertEquals(0, queue.length());
     }
 }
