--- a/control/src/main/java/ottergauge/control/client/ProcessStatus.java
+++ b/control/src/main/java/ottergauge/control/client/ProcessStatus.java
@@ -14,7 +14,11 @@
 
     /** What a node told last, and how long ago. */
     public record NodeStatus(
-            String name, String region, LogPosition inForce, long refused, long heardMs) {}
+            String name,
+            String region,
+            LogPosition effectiveVersion,
+            long refused,
+            long reportAgeMs) {}
 
     static ProcessStatus read(byte[] body) throws IOException {
         Map<String, Object> tree = JsonTree.read(body);
--- a/control/src/main/java/ottergauge/control/config/ConfigFields.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigObjectReader.java
@@ -15,17 +15,17 @@
  * Reads the keys of one object of a configuration; reports what is wrong, and keys that none asked
  * for.
  */
-final class ConfigFields {
+final class ConfigObjectReader {
 
     private final Map<?, ?> fields;
     private final String path;
-    private final List<FieldError> faults;
+    private final List<FieldError> errors;
     private final Set<String> known = new HashSet<>();
 
-    ConfigFields(Map<?, ?> fields, String path, List<FieldError> faults) {
+    ConfigObjectReader(Map<?, ?> fields, String path, List<FieldError> errors) {
         this.fields = fields;
         this.path = path;
-        this.faults = faults;
+        this.errors = errors;
     }
 
     boolean has(String key) {
@@ -36,7 +36,7 @@
         if (value(key) instanceof String text && ResourceValidator.isValidName(text)) {
             return text;
         }
-        fault(key, ResourceValidator.NAME_FORMAT);
+        error(key, ResourceValidator.NAME_FORMAT);
         return "";
     }
 
@@ -46,7 +46,7 @@
         if (value == null || (value instanceof String text && !text.isEmpty())) {
             return (String) value;
         }
-        fault(key, "a text of one character at least");
+        error(key, "a text of one character at least");
         return null;
     }
 
@@ -59,7 +59,7 @@
                 // Reported below.
             }
         }
-        fault(key, "a numeric host, : and a port from 1 to 65535");
+        error(key, "a numeric host, : and a port from 1 to 65535");
         return null;
     }
 
@@ -72,7 +72,7 @@
         if (whole && (Double) value >= least && (Double) value <= most) {
             return ((Double) value).longValue();
         }
-        fault(key, "a whole number from " + least + " to " + most);
+        error(key, "a whole number from " + least + " to " + most);
         return absent;
     }
 
@@ -81,41 +81,42 @@
         if (value == null || value instanceof Boolean) {
             return value == null ? absent : (Boolean) value;
         }
-        fault(key, "true or false");
+        error(key, "true or false");
         return absent;
     }
 
     /** The objects of a list; what is none is reported and left out. */
-    List<ConfigFields> objects(String key, int most) {
+    List<ConfigObjectReader> objects(String key, int most) {
         Object value = value(key);
         if (!(value instanceof List<?> list)
                 || list.isEmpty()
                 || list.size() > most
                 || !list.stream().allMatch(Map.class::isInstance)) {
-            fault(key, "a list of 1 to " + most + " objects");
+            error(key, "a list of 1 to " + most + " objects");
             return List.of();
         }
-        List<ConfigFields> objects = new ArrayList<>();
+        List<ConfigObjectReader> objects = new ArrayList<>();
         for (int i = 0; i < list.size(); i++) {
             objects.add(
-                    new ConfigFields((Map<?, ?>) list.get(i), path + key + "[" + i + "].", faults));
+                    new ConfigObjectReader(
+                            (Map<?, ?>) list.get(i), path + key + "[" + i + "].", errors));
         }
         return objects;
     }
 
-    ConfigFields object(String key) {
+    ConfigObjectReader object(String key) {
         if (value(key) instanceof Map<?, ?> object) {
-            return new ConfigFields(object, path + key + ".", faults);
+            return new ConfigObjectReader(object, path + key + ".", errors);
         }
-        fault(key, "an object");
-        return new ConfigFields(Map.of(), path + key + ".", faults);
+        error(key, "an object");
+        return new ConfigObjectReader(Map.of(), path + key + ".", errors);
     }
 
     /** Reports all keys that were not asked for. */
-    void refuseOthers() {
+    void rejectUnknownKeys() {
         for (Object key : fields.keySet()) {
             if (!known.contains(key)) {
-                faults.add(
+                errors.add(
                         new FieldError(
                                 path + key,
                                 String.valueOf(fields.get(key)),
@@ -124,7 +125,7 @@
         }
     }
 
-    void fault(String key, String allowed) {
+    void error(String key, String allowed) {
         Object value = fields.get(key);
         String found =
                 value == null
@@ -132,7 +133,7 @@
                         : value instanceof Map
                                 ? "an object"
                                 : value instanceof List ? "a list" : String.valueOf(value);
-        faults.add(new FieldError(path + key, found, allowed));
+        errors.add(new FieldError(path + key, found, allowed));
     }
 
     private Object value(String key) {
--- a/control/src/main/java/ottergauge/control/consensus/Consensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/Consensus.java
@@ -3,7 +3,7 @@
 
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import ottergauge.control.log.Outcome;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.resources.Submission;
 
 /**
@@ -17,7 +17,7 @@
      * bounded time; it fails with {@link NoQuorumException} if that isn't reached or isn't known to
      * be.
      */
-    CompletableFuture<Outcome> propose(Submission submission);
+    CompletableFuture<SubmissionOutcome> propose(Submission submission);
 
     Role role();
 
--- a/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
@@ -5,8 +5,8 @@
 import java.util.UUID;
 import java.util.concurrent.CompletableFuture;
 import ottergauge.control.log.ChangeLog;
-import ottergauge.control.log.LogLimits;
-import ottergauge.control.log.Outcome;
+import ottergauge.control.log.LogRetention;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.resources.Submission;
 
 /**
@@ -19,14 +19,14 @@
     private final SharedLog log;
 
     /** Begins a new log. */
-    public InMemoryConsensus(String name, SharedLog log, LogLimits limits) {
+    public InMemoryConsensus(String name, SharedLog log, LogRetention limits) {
         this.name = name;
         this.log = log;
         log.replace(new ChangeLog(UUID.randomUUID().toString(), limits));
     }
 
     @Override
-    public CompletableFuture<Outcome> propose(Submission submission) {
+    public CompletableFuture<SubmissionOutcome> propose(Submission submission) {
         return CompletableFuture.completedFuture(log.apply(submission));
     }
 
--- a/control/src/main/java/ottergauge/control/consensus/SharedLog.java
+++ b/control/src/main/java/ottergauge/control/consensus/SharedLog.java
@@ -2,11 +2,11 @@
 package ottergauge.control.consensus;
 
 import java.util.Optional;
-import ottergauge.control.log.Answer;
 import ottergauge.control.log.ChangeLog;
 import ottergauge.control.log.EncodedSnapshot;
-import ottergauge.control.log.LogImage;
-import ottergauge.control.log.Outcome;
+import ottergauge.control.log.LogSnapshot;
+import ottergauge.control.log.PollResponse;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Submission;
@@ -38,8 +38,8 @@
     }
 
     /** Applies a submission; there has to be a log. */
-    public Outcome apply(Submission submission) {
-        Outcome outcome;
+    public SubmissionOutcome apply(Submission submission) {
+        SubmissionOutcome outcome;
         Runnable told;
         synchronized (this) {
             outcome = log.apply(submission);
@@ -60,19 +60,19 @@
     }
 
     /** See {@link ChangeLog#changesAfter}; there has to be a log. */
-    public synchronized Answer changesAfter(
-            LogPosition after, Subscription subscription, int mostBytes) {
-        return log.changesAfter(after, subscription, mostBytes);
+    public synchronized PollResponse changesAfter(
+            LogPosition after, Subscription subscription, int maxBytes) {
+        return log.changesAfter(after, subscription, maxBytes);
     }
 
     /** See {@link ChangeLog#snapshot}; there has to be a log. */
     public synchronized EncodedSnapshot snapshot(
-            Optional<ResourceKey> from, Subscription subscription, int mostBytes) {
-        return log.snapshot(from, subscription, mostBytes);
+            Optional<ResourceKey> from, Subscription subscription, int maxBytes) {
+        return log.snapshot(from, subscription, maxBytes);
     }
 
     /** What the log holds now; empty as long as there is none. */
-    public synchronized Optional<LogImage> capture() {
+    public synchronized Optional<LogSnapshot> capture() {
         return Optional.ofNullable(log).map(ChangeLog::capture);
     }
 }
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -32,9 +32,9 @@
 public final class ServiceReconciler {
 
     /** Of one submission; well within the bounds of one. */
-    private static final int MOST_ENTRIES = 500;
+    private static final int MAX_ENTRIES = 500;
 
-    private static final int MOST_BYTES = 192 * 1024;
+    private static final int MAX_BYTES = 192 * 1024;
 
     /** A server's entry has little beside its value: kind and name. */
     private static final int ENTRY_OVERHEAD = 200;
@@ -133,9 +133,7 @@
         List<ResourceKey> deletes = new ArrayList<>();
         int bytes = 0;
         Iterator<String> names = toCompare.iterator();
-        while (names.hasNext()
-                && puts.size() + deletes.size() < MOST_ENTRIES
-                && bytes < MOST_BYTES) {
+        while (names.hasNext() && puts.size() + deletes.size() < MAX_ENTRIES && bytes < MAX_BYTES) {
             String name = names.next();
             DiscoveredEndpoint wanted = listed.get(name);
             if (wanted == null ? !published.containsKey(name) : isSettled(name, wanted)) {
@@ -169,24 +167,24 @@
      * What is wrong with servers of the list that can't be published; they are left out from now
      * on.
      */
-    public List<FieldError> refuseMalformed(Submission submission) {
-        List<FieldError> faults = new ArrayList<>();
+    public List<FieldError> rejectMalformed(Submission submission) {
+        List<FieldError> errors = new ArrayList<>();
         for (Change.Put put : submission.puts()) {
-            Optional<FieldError> fault = ResourceValidator.firstError(put.key(), put.value());
-            fault.ifPresent(
+            Optional<FieldError> error = ResourceValidator.firstError(put.key(), put.value());
+            error.ifPresent(
                     found -> {
-                        faults.add(found);
+                        errors.add(found);
                         refuse(put);
                     });
         }
-        return faults;
+        return errors;
     }
 
     /** The log has refused a submission: what its faults name is left out from now on. */
-    public void refuse(Submission submission, List<FieldError> faults) {
+    public void refuse(Submission submission, List<FieldError> errors) {
         boolean named = false;
-        for (FieldError fault : faults) {
-            Matcher entry = ENTRY_OF_FAULT.matcher(fault.key());
+        for (FieldError error : errors) {
+            Matcher entry = ENTRY_OF_FAULT.matcher(error.key());
             if (!entry.matches()) {
                 continue;
             }
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -8,7 +8,7 @@
 import ottergauge.resources.Change;
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
-import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.ResourceValidator;
@@ -16,9 +16,9 @@
 import ottergauge.resources.Subscription;
 
 /**
- * A log of changes with the state that they make: accepts submissions and tells subscribers of
- * them. What an operation costs goes by the change, or by the changes that a subscriber is behind,
- * never by the state. Not safe for use by several threads at once.
+ * A log of changes with the state that they make: applies submissions and serves subscribers. The
+ * cost of an operation is proportional to the change, to the changes that a subscriber lags, or to
+ * the page, never to the whole state. Not thread-safe.
  */
 public final class ChangeLog {
 
@@ -29,131 +29,142 @@
 
     private final String log;
     private final ResourceState state = new ResourceState();
-    private final OutcomeMemory outcomes = new OutcomeMemory();
+    private final IdempotencyCache outcomes = new IdempotencyCache();
     private final RecentChanges changes;
     private long version;
 
-    /** A log with this identifier and nothing in it. */
-    public ChangeLog(String log, LogLimits limits) {
-        this(log, limits, NO_VERSION, NO_VERSION);
+    /**
+     * Creates an empty log.
+     *
+     * @param log the log's identifier
+     * @throws IllegalArgumentException if the identifier is no valid name
+     */
+    public ChangeLog(String log, LogRetention retention) {
+        this(log, retention, NO_VERSION, NO_VERSION);
     }
 
-    private ChangeLog(String log, LogLimits limits, long version, long changesAfter) {
+    private ChangeLog(String log, LogRetention retention, long version, long changesAfter) {
         if (!ResourceValidator.isValidName(log)) {
             throw new IllegalArgumentException(
-                    "a log's identifier is " + ResourceValidator.NAME_FORMAT);
+                    "log identifier \"" + log + "\" is not " + ResourceValidator.NAME_FORMAT);
         }
         this.log = log;
         this.version = version;
-        changes = new RecentChanges(limits, changesAfter);
+        changes = new RecentChanges(retention, changesAfter);
     }
 
+    /** The version of the newest change. */
     public LogPosition position() {
         return new LogPosition(log, version);
     }
 
-    /** The oldest change that is kept; the one after the newest if none is. */
+    /** The oldest version that is retained; the one after the newest if none is. */
     public long oldest() {
         return changes.oldest();
     }
 
-    /** How many resources there are. */
+    /** The number of resources. */
     public int size() {
         return state.size();
     }
 
     /**
-     * Checks a submission whole and, if nothing is wrong with it, makes it the newest change. One
-     * of which the id was seen lately changes nothing and gets the answer that it got then.
+     * Validates a submission and, if it is valid, appends it as the newest change. A submission
+     * whose id was applied recently changes nothing and has the outcome of the first one.
      */
-    public Outcome apply(Submission submission) {
-        Optional<Outcome> before = outcomes.of(submission.id());
-        if (before.isPresent()) {
-            return before.get();
+    public SubmissionOutcome apply(Submission submission) {
+        Optional<SubmissionOutcome> cached = outcomes.get(submission.id());
+        if (cached.isPresent()) {
+            return cached.get();
         }
-        Outcome outcome = decide(submission);
+        SubmissionOutcome outcome = validateAndAppend(submission);
         if (ResourceValidator.isValidName(submission.id())) {
-            outcomes.remember(submission.id(), outcome);
+            outcomes.put(submission.id(), outcome);
         }
         return outcome;
     }
 
-    private Outcome decide(Submission submission) {
-        List<FieldError> faults = ResourceValidator.errors(submission);
-        if (!faults.isEmpty()) {
-            return new Outcome.Invalid(faults);
+    private SubmissionOutcome validateAndAppend(Submission submission) {
+        List<FieldError> errors = ResourceValidator.errors(submission);
+        if (!errors.isEmpty()) {
+            return new SubmissionOutcome.Rejected(errors);
         }
         List<StoredResource> puts = encode(submission.puts(), version + 1);
-        faults = SubmissionCheck.faults(state, submission, puts);
-        if (!faults.isEmpty()) {
-            return new Outcome.Invalid(faults);
+        errors = SubmissionValidator.errors(state, submission, puts);
+        if (!errors.isEmpty()) {
+            return new SubmissionOutcome.Rejected(errors);
         }
-        accept(new StoredChange(version + 1, puts, deletesOf(submission)));
-        return new Outcome.Accepted(position());
+        append(new StoredChange(version + 1, puts, deletesOf(submission)));
+        return new SubmissionOutcome.Accepted(position());
     }
 
     private static List<StoredResource> encode(List<Change.Put> puts, long version) {
         List<StoredResource> encoded = new ArrayList<>(puts.size());
         for (Change.Put put : puts) {
-            byte[] json = ResourceCodec.write(put.value());
-            encoded.add(new StoredResource(put.key(), version, put.value(), json));
+            encoded.add(StoredResource.of(new Resource(put.key(), version, put.value())));
         }
         return encoded;
     }
 
     private List<Change.Delete> deletesOf(Submission submission) {
         return submission.deletes().stream()
-                .map(key -> new Change.Delete(key, state.get(key).service()))
+                .map(key -> new Change.Delete(key, state.find(key).orElseThrow().service()))
                 .toList();
     }
 
-    private void accept(StoredChange change) {
+    private void append(StoredChange change) {
         state.apply(change);
         changes.add(change);
         version = change.version();
     }
 
     /**
-     * The changes that a subscription follows after a version, in order: as many as fit into this
-     * many bytes, but one at least. What the answer reaches up to may be past its last change.
+     * The changes after a position that a subscription follows, in order: as many as fit into
+     * {@code maxBytes}, but at least one. The page's end position may be past its last change.
+     *
+     * @param maxBytes bytes of JSON
      */
-    public Answer changesAfter(LogPosition after, Subscription subscription, int mostBytes) {
+    public PollResponse changesAfter(LogPosition after, Subscription subscription, int maxBytes) {
         if (!after.log().equals(log) || after.version() < changes.oldest() - 1) {
-            return new Answer.VersionTooOld(position(), changes.oldest());
+            return new PollResponse.VersionUnavailable(position(), changes.oldest());
         }
         if (after.version() > version) {
-            return new Answer.Ahead(position());
+            return new PollResponse.Ahead(position());
         }
         List<StoredChange> page = new ArrayList<>();
         int bytes = 0;
-        for (long each = after.version() + 1; each <= version; each++) {
-            StoredChange followed = changes.get(each).followedBy(subscription);
-            int size = followed.isEmpty() ? 0 : JsonBytes.sizeOf(followed);
-            if (!page.isEmpty() && bytes + size > mostBytes) {
-                return new Answer.Changes(new EncodedChanges(new LogPosition(log, each - 1), page));
+        for (long next = after.version() + 1; next <= version; next++) {
+            StoredChange followed = changes.get(next).followedBy(subscription);
+            int size = followed.isEmpty() ? 0 : JsonPageBuilder.sizeOf(followed);
+            if (!page.isEmpty() && bytes + size > maxBytes) {
+                return new PollResponse.Changes(
+                        new EncodedChanges(new LogPosition(log, next - 1), page));
             }
             if (!followed.isEmpty()) {
                 page.add(followed);
                 bytes += size;
             }
         }
-        return new Answer.Changes(new EncodedChanges(position(), page));
+        return new PollResponse.Changes(new EncodedChanges(position(), page));
     }
 
     /**
-     * A page of the resources that a subscription follows, from a key on or from the first one: as
-     * many as fit into this many bytes, but one at least.
+     * A page of the resources that a subscription follows, in the order of their keys: as many as
+     * fit into {@code maxBytes}, but at least one if there are any.
+     *
+     * @param from the first key of the page; empty for the first page
+     * @param maxBytes bytes of JSON
      */
     public EncodedSnapshot snapshot(
-            Optional<ResourceKey> from, Subscription subscription, int mostBytes) {
+            Optional<ResourceKey> from, Subscription subscription, int maxBytes) {
         List<StoredResource> page = new ArrayList<>();
         int bytes = 0;
         for (StoredResource resource : state.from(from.orElse(FIRST_KEY))) {
             if (!subscription.matches(resource.key(), resource.service())) {
                 continue;
             }
-            int size = JsonBytes.sizeOf(resource);
-            if (!page.isEmpty() && bytes + size > mostBytes) {
+            int size = JsonPageBuilder.sizeOf(resource);
+            if (!page.isEmpty() && bytes + size > maxBytes) {
                 return new EncodedSnapshot(position(), page, Optional.of(resource.key()));
             }
             page.add(resource);
@@ -162,26 +173,27 @@
         return new EncodedSnapshot(position(), page, Optional.empty());
     }
 
-    /** What the log holds at this instant; it can be encoded later, by another thread. */
-    public LogImage capture() {
-        return new LogImage(position(), List.copyOf(state.all()), changes.all(), outcomes.all());
-    }
-
-    /** The whole log as bytes, from which it can be restored. */
-    public byte[] image() {
-        return capture().encode();
+    /** Everything that the log holds now; may be encoded later by another thread. */
+    public LogSnapshot capture() {
+        return new LogSnapshot(position(), List.copyOf(state.all()), changes.all(), outcomes.all());
     }
 
-    /** A log as an image has it; of its changes the newest are kept that the limits allow. */
-    public static ChangeLog restore(byte[] image, LogLimits limits) throws ProtocolException {
-        LogImage read = LogImage.decode(image);
-        long changesAfter = read.position().version() - read.changes().size();
+    /**
+     * Restores a log from a snapshot's stored form; of its changes, the newest that the retention
+     * allows are kept.
+     *
+     * @throws ProtocolException if the bytes are no valid log snapshot
+     */
+    public static ChangeLog restore(byte[] storedSnapshot, LogRetention retention)
+            throws ProtocolException {
+        LogSnapshot snapshot = LogSnapshot.decode(storedSnapshot);
+        LogPosition position = snapshot.position();
+        long changesAfter = position.version() - snapshot.changes().size();
         ChangeLog restored =
-                new ChangeLog(
-                        read.position().log(), limits, read.position().version(), changesAfter);
-        read.resources().forEach(restored.state::put);
-        read.changes().forEach(restored.changes::add);
-        read.outcomes().forEach(each -> restored.outcomes.remember(each.id(), each.outcome()));
+                new ChangeLog(position.log(), retention, position.version(), changesAfter);
+        snapshot.resources().forEach(restored.state::put);
+        snapshot.changes().forEach(restored.changes::add);
+        snapshot.outcomes().forEach(each -> restored.outcomes.put(each.id(), each.outcome()));
         return restored;
     }
 }
--- a/control/src/main/java/ottergauge/control/log/EncodedChanges.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedChanges.java
@@ -7,7 +7,8 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * A page of changes: as a value, and as JSON that shares the encoded values with all other answers.
+ * A page of changes, as a value and as JSON. The JSON is assembled from encoded values that all
+ * responses share.
  */
 public final class EncodedChanges {
 
@@ -19,23 +20,27 @@
         this.changes = List.copyOf(changes);
     }
 
+    /** The position up to which the log was searched: where the next poll continues. */
     public LogPosition upTo() {
         return upTo;
     }
 
-    /** Whether there is no change on it. */
+    /** Whether the page has no change. */
     public boolean isEmpty() {
         return changes.isEmpty();
     }
 
+    /** The page as a value. */
     public ChangePage page() {
         return new ChangePage(upTo, changes.stream().map(StoredChange::change).toList());
     }
 
-    /** The body of the answer, as {@code ResourceCodec.readChangePage} reads it. */
+    /** The page as the response body that {@code ResourceCodec.readChangePage} reads. */
     public byte[] json() {
-        int size = JsonBytes.FRAME_OVERHEAD + changes.stream().mapToInt(JsonBytes::sizeOf).sum();
-        JsonBytes json = new JsonBytes(size).position(upTo).text(",\"changes\":[");
+        int size =
+                JsonPageBuilder.FRAME_OVERHEAD
+                        + changes.stream().mapToInt(JsonPageBuilder::sizeOf).sum();
+        JsonPageBuilder json = new JsonPageBuilder(size).position(upTo).text(",\"changes\":[");
         String separator = "";
         for (StoredChange change : changes) {
             json.text(separator);
@@ -45,7 +50,7 @@
         return json.text("]}").toByteArray();
     }
 
-    private static void write(JsonBytes json, StoredChange change) {
+    private static void write(JsonPageBuilder json, StoredChange change) {
         json.text("{\"version\":" + change.version() + ",\"put\":[");
         String separator = "";
         for (StoredResource put : change.puts()) {
--- a/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
@@ -8,8 +8,8 @@
 import ottergauge.resources.SnapshotPage;
 
 /**
- * A page of the state: as a value, and as JSON that shares the encoded values with all other
- * answers.
+ * A page of the state, as a value and as JSON. The JSON is assembled from encoded values that all
+ * responses share.
  */
 public final class EncodedSnapshot {
 
@@ -23,25 +23,28 @@
         this.next = next;
     }
 
+    /** The position of the log at which the page was read. */
     public LogPosition at() {
         return at;
     }
 
-    /** Where the following page begins; empty on the last one. */
+    /** The first key of the next page; empty on the last page. */
     public Optional<ResourceKey> next() {
         return next;
     }
 
+    /** The page as a value. */
     public SnapshotPage page() {
         return new SnapshotPage(
                 at, resources.stream().map(StoredResource::resource).toList(), next);
     }
 
-    /** The body of the answer, as {@code ResourceCodec.readSnapshotPage} reads it. */
+    /** The page as the response body that {@code ResourceCodec.readSnapshotPage} reads. */
     public byte[] json() {
         int size =
-                2 * JsonBytes.FRAME_OVERHEAD + resources.stream().mapToInt(JsonBytes::sizeOf).sum();
-        JsonBytes json = new JsonBytes(size).position(at).text(",\"resources\":[");
+                2 * JsonPageBuilder.FRAME_OVERHEAD
+                        + resources.stream().mapToInt(JsonPageBuilder::sizeOf).sum();
+        JsonPageBuilder json = new JsonPageBuilder(size).position(at).text(",\"resources\":[");
         String separator = "";
         for (StoredResource resource : resources) {
             json.text(separator).resource(resource);
--- a/control/src/main/java/ottergauge/control/log/JsonBytes.java
+++ b/control/src/main/java/ottergauge/control/log/JsonPageBuilder.java
@@ -8,20 +8,20 @@
 import ottergauge.resources.ResourceKey;
 
 /**
- * Puts answers together from values that were encoded once. Names and identifiers of logs consist
- * of characters that JSON doesn't escape, which the checks on acceptance see to.
+ * Assembles pages of JSON from values that were encoded once. Names and log identifiers are written
+ * unescaped: validation admits only characters that JSON doesn't escape.
  */
-final class JsonBytes {
+final class JsonPageBuilder {
 
-    /** An upper bound of what an entry has beside its name, its service and its value. */
+    /** Upper bound of the bytes of an entry beside its name, service and value. */
     static final int ENTRY_OVERHEAD = 80;
 
-    /** An upper bound of what a page or a change has beside its entries. */
+    /** Upper bound of the bytes of a page or a change beside its entries. */
     static final int FRAME_OVERHEAD = 80;
 
     private final ByteArrayOutputStream bytes;
 
-    JsonBytes(int expectedSize) {
+    JsonPageBuilder(int expectedSize) {
         bytes = new ByteArrayOutputStream(expectedSize);
     }
 
@@ -29,39 +29,40 @@
         return bytes.toByteArray();
     }
 
-    JsonBytes text(String plain) {
-        bytes.writeBytes(plain.getBytes(StandardCharsets.US_ASCII));
+    JsonPageBuilder text(String ascii) {
+        bytes.writeBytes(ascii.getBytes(StandardCharsets.US_ASCII));
         return this;
     }
 
-    JsonBytes position(LogPosition position) {
+    JsonPageBuilder position(LogPosition position) {
         return text("{\"log\":\"" + position.log() + "\",\"version\":" + position.version());
     }
 
-    JsonBytes key(ResourceKey key) {
+    JsonPageBuilder key(ResourceKey key) {
         return text("{\"kind\":\"" + key.kind().wireName() + "\",\"name\":\"" + key.name() + '"');
     }
 
-    JsonBytes value(byte[] valueJson) {
+    JsonPageBuilder value(byte[] valueJson) {
         text(",\"value\":");
         bytes.writeBytes(valueJson);
         return text("}");
     }
 
-    JsonBytes put(StoredResource put) {
+    JsonPageBuilder put(StoredResource put) {
         return key(put.key()).value(put.valueJson());
     }
 
-    JsonBytes resource(StoredResource resource) {
+    JsonPageBuilder resource(StoredResource resource) {
         return key(resource.key())
                 .text(",\"version\":" + resource.version())
                 .value(resource.valueJson());
     }
 
-    JsonBytes delete(Change.Delete delete) {
+    JsonPageBuilder delete(Change.Delete delete) {
         return key(delete.key()).text(",\"service\":\"" + delete.service() + "\"}");
     }
 
+    /** Upper bound of the entry's bytes. */
     static int sizeOf(StoredResource resource) {
         return ENTRY_OVERHEAD + resource.key().name().length() + resource.valueJson().length;
     }
@@ -70,6 +71,7 @@
         return ENTRY_OVERHEAD + delete.key().name().length() + delete.service().length();
     }
 
+    /** Upper bound of the change's bytes. */
     static int sizeOf(StoredChange change) {
         int size = FRAME_OVERHEAD;
         for (StoredResource put : change.puts()) {
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import ottergauge.control.client.CallFailedException;
+import ottergauge.control.client.ControlCallException;
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.PublishResult;
 import ottergauge.control.discovery.DiscoveryClient;
@@ -45,9 +45,9 @@
 final class ImportCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(ImportCommand.class);
-    private static final Duration PUBLISH_WITHIN = Duration.ofSeconds(30);
-    private static final long PAUSE_MS = 1_000;
-    private static final int MOST_FAULTS_TOLD = 5;
+    private static final Duration PUBLISH_TIMEOUT = Duration.ofSeconds(30);
+    private static final long RETRY_PAUSE_MS = 1_000;
+    private static final int MAX_LOGGED_ERRORS = 5;
 
     @Spec private CommandSpec spec;
 
@@ -74,7 +74,7 @@
             description =
                     "The least time between two changes, what comes meanwhile is put together; "
                             + "${DEFAULT-VALUE} unless given.")
-    private long everyMs;
+    private long intervalMs;
 
     @Parameters(
             paramLabel = "DISCOVERY",
@@ -106,15 +106,15 @@
                 reconciler.takeList(discovery.next());
                 followLog();
                 publishDifferences();
-            } catch (IOException | ProtocolException | CallFailedException e) {
+            } catch (IOException | ProtocolException | ControlCallException e) {
                 LOG.warn("goes on in a moment: {}", e.getMessage());
-                Thread.sleep(PAUSE_MS);
+                Thread.sleep(RETRY_PAUSE_MS);
             }
         }
     }
 
     // What others have published, or that the log has begun anew.
-    private void followLog() throws CallFailedException, InterruptedException {
+    private void followLog() throws ControlCallException, InterruptedException {
         while (known.isPresent()) {
             Optional<ChangePage> page = control.changes(service, known.get());
             if (page.isEmpty()) {
@@ -132,7 +132,7 @@
     }
 
     // The changes after the first page follow with the next call for changes.
-    private void takeState() throws CallFailedException, InterruptedException {
+    private void takeState() throws ControlCallException, InterruptedException {
         List<Resource> resources = new ArrayList<>();
         Optional<LogPosition> first = Optional.empty();
         Optional<ResourceKey> from = Optional.empty();
@@ -146,15 +146,15 @@
         known = first;
     }
 
-    private void publishDifferences() throws CallFailedException, InterruptedException {
+    private void publishDifferences() throws ControlCallException, InterruptedException {
         Optional<Submission> next = reconciler.next(UUID.randomUUID().toString());
         while (next.isPresent()) {
             long begun = System.nanoTime();
-            List<FieldError> malformed = reconciler.refuseMalformed(next.get());
+            List<FieldError> malformed = reconciler.rejectMalformed(next.get());
             if (malformed.isEmpty()) {
                 publish(next.get());
                 long spentMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-                Thread.sleep(Math.max(0, everyMs - spentMs));
+                Thread.sleep(Math.max(0, intervalMs - spentMs));
             } else {
                 tell(malformed);
             }
@@ -162,8 +162,8 @@
         }
     }
 
-    private void publish(Submission submission) throws CallFailedException, InterruptedException {
-        PublishResult result = control.publish(ResourceCodec.write(submission), PUBLISH_WITHIN);
+    private void publish(Submission submission) throws ControlCallException, InterruptedException {
+        PublishResult result = control.publish(ResourceCodec.write(submission), PUBLISH_TIMEOUT);
         if (result instanceof PublishResult.Accepted accepted) {
             reconciler.accepted(submission);
             LOG.info(
@@ -171,20 +171,21 @@
                     accepted.position().version(),
                     submission.puts().size(),
                     submission.deletes().size());
-        } else if (result instanceof PublishResult.Refused refused) {
-            tell(refused.faults());
-            reconciler.refuse(submission, refused.faults());
+        } else if (result instanceof PublishResult.Rejected refused) {
+            tell(refused.errors());
+            reconciler.refuse(submission, refused.errors());
         } else if (result instanceof PublishResult.Unknown unknown) {
             known = Optional.empty();
-            throw new CallFailedException(
-                    "a change is not known to be accepted, the log is read anew: " + unknown.why());
+            throw new ControlCallException(
+                    "a change is not known to be accepted, the log is read anew: "
+                            + unknown.reason());
         }
     }
 
-    private static void tell(List<FieldError> faults) {
-        faults.stream().limit(MOST_FAULTS_TOLD).forEach(fault -> LOG.warn("left out: {}", fault));
-        if (faults.size() > MOST_FAULTS_TOLD) {
-            LOG.warn("left out: {} more", faults.size() - MOST_FAULTS_TOLD);
+    private static void tell(List<FieldError> errors) {
+        errors.stream().limit(MAX_LOGGED_ERRORS).forEach(error -> LOG.warn("left out: {}", error));
+        if (errors.size() > MAX_LOGGED_ERRORS) {
+            LOG.warn("left out: {} more", errors.size() - MAX_LOGGED_ERRORS);
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/program/PublishCommand.java
+++ b/control/src/main/java/ottergauge/control/program/PublishCommand.java
@@ -49,7 +49,7 @@
             paramLabel = "MS",
             defaultValue = "30000",
             description = "How long to try; ${DEFAULT-VALUE} unless given.")
-    private long withinMs;
+    private long timeoutMs;
 
     @Option(
             names = "--split",
@@ -71,7 +71,7 @@
         }
         ControlClient client = new ControlClient(addresses);
         for (Part part : parts) {
-            if (!tell(part, client.publish(part.body(), Duration.ofMillis(withinMs)))) {
+            if (!tell(part, client.publish(part.body(), Duration.ofMillis(timeoutMs)))) {
                 return 1;
             }
         }
@@ -91,13 +91,13 @@
                                     + accepted.position().log());
             return true;
         }
-        if (result instanceof PublishResult.Refused refused) {
-            refused.faults().forEach(fault -> err.println(part.id() + " is refused: " + fault));
+        if (result instanceof PublishResult.Rejected refused) {
+            refused.errors().forEach(error -> err.println(part.id() + " is refused: " + error));
         } else if (result instanceof PublishResult.Unknown unknown) {
             err.println(
                     part.id()
                             + " is not known to be accepted, publish it again under this id: "
-                            + unknown.why());
+                            + unknown.reason());
         }
         return false;
     }
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -9,7 +9,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import ottergauge.control.config.ConfigException;
-import ottergauge.control.config.ControlConfig;
+import ottergauge.control.config.ControlProcessConfig;
 import ottergauge.control.consensus.Consensus;
 import ottergauge.control.consensus.InMemoryConsensus;
 import ottergauge.control.consensus.SharedLog;
@@ -39,12 +39,12 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        ControlConfig config;
+        ControlProcessConfig config;
         try {
-            config = ControlConfig.read(Files.readAllBytes(configFile));
+            config = ControlProcessConfig.read(Files.readAllBytes(configFile));
         } catch (ConfigException e) {
-            for (FieldError fault : e.faults()) {
-                LOG.error("bad configuration {}: {}", configFile, fault);
+            for (FieldError error : e.errors()) {
+                LOG.error("bad configuration {}: {}", configFile, error);
             }
             return 1;
         } catch (IOException e) {
@@ -54,7 +54,7 @@
         return run(config);
     }
 
-    private static int run(ControlConfig config) throws InterruptedException {
+    private static int run(ControlProcessConfig config) throws InterruptedException {
         SharedLog log = new SharedLog();
         Consensus consensus = new InMemoryConsensus(config.name(), log, config.logLimits());
         ControlServer server = new ControlServer(config, log, consensus);
@@ -74,7 +74,8 @@
     }
 
     // The virtual machine ends once this has run: not before what waits is answered.
-    private static void stop(ControlConfig config, ControlServer server, Consensus consensus) {
+    private static void stop(
+            ControlProcessConfig config, ControlServer server, Consensus consensus) {
         CountDownLatch ended = new CountDownLatch(1);
         server.stop().onComplete(done -> ended.countDown());
         try {
--- a/control/src/main/java/ottergauge/control/program/StatusCommand.java
+++ b/control/src/main/java/ottergauge/control/program/StatusCommand.java
@@ -46,7 +46,7 @@
             description =
                     "By how many versions a node or a process may lag; ${DEFAULT-VALUE} unless"
                             + " given.")
-    private long mostBehind;
+    private long maxLagVersions;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -64,8 +64,8 @@
             spec.commandLine().getErr().println("no control process is reached");
             return 1;
         }
-        LagTable table = LagTable.of(processes);
+        ReplicationLagTable table = ReplicationLagTable.of(processes);
         table.print(out);
-        return table.mostBehind() > mostBehind ? 1 : 0;
+        return table.maxLagVersions() > maxLagVersions ? 1 : 0;
     }
 }
--- a/control/src/main/java/ottergauge/control/program/SubmissionFile.java
+++ b/control/src/main/java/ottergauge/control/program/SubmissionFile.java
@@ -21,9 +21,9 @@
 final class SubmissionFile {
 
     /** Of a submission that a file is split into: well within the bounds of one. */
-    static final int MOST_ENTRIES = 500;
+    static final int MAX_ENTRIES = 500;
 
-    static final int MOST_BYTES = 192 * 1024;
+    static final int MAX_BYTES = 192 * 1024;
 
     private static final JsonFactory JSON = new JsonFactory();
     private static final String SERVICE = "service";
@@ -87,7 +87,7 @@
         int bytes = 0;
         for (Object entry : entries) {
             int size = write(out -> JsonTree.write(out, entry)).length + 1;
-            if (!chunk.isEmpty() && (chunk.size() == MOST_ENTRIES || bytes + size > MOST_BYTES)) {
+            if (!chunk.isEmpty() && (chunk.size() == MAX_ENTRIES || bytes + size > MAX_BYTES)) {
                 chunks.add(chunk);
                 chunk = new ArrayList<>();
                 bytes = 0;
--- a/control/src/main/java/ottergauge/control/server/Exchange.java
+++ b/control/src/main/java/ottergauge/control/server/HttpExchange.java
@@ -7,19 +7,19 @@
 import io.vertx.core.http.HttpServerResponse;
 import java.util.function.LongSupplier;
 
-/** One call over HTTP and its answer. */
-final class Exchange implements Responder {
+/** An HTTP request and its response; used on the event loop alone. */
+final class HttpExchange implements Responder {
 
     private static final String JSON = "application/json";
-    private static final String RETRY_AFTER_S = "1";
+    private static final String RETRY_AFTER_SECONDS = "1";
 
     private final HttpServerRequest request;
     private final HttpServerResponse response;
-    private final Connections connections;
+    private final ConnectionTracker connections;
     private final LongSupplier clockMs;
-    private boolean lastOnConnection;
+    private boolean closeAfterResponse;
 
-    Exchange(HttpServerRequest request, Connections connections, LongSupplier clockMs) {
+    HttpExchange(HttpServerRequest request, ConnectionTracker connections, LongSupplier clockMs) {
         this.request = request;
         this.connections = connections;
         this.clockMs = clockMs;
@@ -30,13 +30,12 @@
         return request;
     }
 
-    /** Whether it is answered, or its client has gone. */
-    boolean isOver() {
+    private boolean isFinished() {
         return response.ended() || response.closed();
     }
 
     @Override
-    public void onGone(Runnable handler) {
+    public void onDisconnect(Runnable handler) {
         response.closeHandler(
                 closed -> {
                     if (!response.ended()) {
@@ -46,31 +45,31 @@
     }
 
     @Override
-    public Exchange closing() {
-        lastOnConnection = true;
+    public HttpExchange closeAfterResponse() {
+        closeAfterResponse = true;
         return this;
     }
 
     @Override
-    public void answer(int status, byte[] json) {
-        if (isOver()) {
+    public void respond(int status, byte[] json) {
+        if (isFinished()) {
             return;
         }
         response.setStatusCode(status).putHeader(HttpHeaders.CONTENT_TYPE, JSON);
-        if (status == Status.UNAVAILABLE) {
-            response.putHeader(HttpHeaders.RETRY_AFTER, RETRY_AFTER_S);
+        if (status == HttpStatus.UNAVAILABLE) {
+            response.putHeader(HttpHeaders.RETRY_AFTER, RETRY_AFTER_SECONDS);
         }
-        if (lastOnConnection) {
+        if (closeAfterResponse) {
             response.putHeader(HttpHeaders.CONNECTION, HttpHeaders.CLOSE);
         }
-        connections.answered(request.connection(), clockMs.getAsLong());
-        response.end(Buffer.buffer(json))
-                .onComplete(
-                        written -> {
-                            connections.written(request.connection(), clockMs.getAsLong());
-                            if (lastOnConnection) {
-                                request.connection().close();
-                            }
-                        });
+        connections.responseStarted(request.connection(), clockMs.getAsLong());
+        response.end(Buffer.buffer(json)).onComplete(written -> responseWritten());
+    }
+
+    private void responseWritten() {
+        connections.responseWritten(request.connection(), clockMs.getAsLong());
+        if (closeAfterResponse) {
+            request.connection().close();
+        }
     }
 }
--- /dev/null
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -0,0 +1,165 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.control.server;
+
+import java.util.Iterator;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import ottergauge.control.consensus.SharedLog;
+import ottergauge.control.log.PollResponse;
+import ottergauge.resources.LogPosition;
+import ottergauge.resources.ResourceCodec;
+import ottergauge.resources.VersionUnavailable;
+
+/**
+ * The pending long polls for changes: each is responded to once the log has a change that its
+ * subscription follows, or when its wait is over. Each change is matched once against each pending
+ * poll. Used on the event loop alone.
+ */
+final class PendingPolls {
+
+    /** How long a client that is ahead of this replica waits for it to catch up. */
+    private static final long MAX_CATCH_UP_WAIT_MS = 1_000;
+
+    private final SharedLog log;
+    private final Timers timers;
+    private final int maxPending;
+
+    /** In the order of arrival. */
+    private final Set<Poll> pending = new LinkedHashSet<>();
+
+    private boolean stopping;
+
+    PendingPolls(SharedLog log, Timers timers, int maxPending) {
+        this.log = log;
+        this.timers = timers;
+        this.maxPending = maxPending;
+    }
+
+    /** A poll; {@code scannedUpTo} advances past changes that its subscription doesn't follow. */
+    private static final class Poll {
+
+        private final Responder responder;
+        private final ChangesRequest request;
+        private LogPosition scannedUpTo;
+        private boolean clientIsAhead;
+        private long timerId;
+
+        Poll(Responder responder, ChangesRequest request) {
+            this.responder = responder;
+            this.request = request;
+            scannedUpTo = request.after();
+        }
+    }
+
+    /** The number of pending polls. */
+    int count() {
+        return pending.size();
+    }
+
+    /** Responds to a poll, at once or later. */
+    void handle(Responder responder, ChangesRequest request) {
+        Poll poll = new Poll(responder, request);
+        if (respondIfReady(poll)) {
+            return;
+        }
+        if (request.waitMs() == 0 || stopping) {
+            respondNow(poll);
+        } else if (pending.size() >= maxPending) {
+            responder.respondUnavailable(ErrorJson.BUSY);
+        } else {
+            addPending(poll);
+        }
+    }
+
+    private void addPending(Poll poll) {
+        long waitMs = poll.request.waitMs();
+        pending.add(poll);
+        poll.timerId =
+                timers.start(
+                        poll.clientIsAhead ? Math.min(MAX_CATCH_UP_WAIT_MS, waitMs) : waitMs,
+                        () -> {
+                            pending.remove(poll);
+                            respondNow(poll);
+                        });
+        poll.responder.onDisconnect(
+                () -> {
+                    pending.remove(poll);
+                    timers.cancel(poll.timerId);
+                });
+    }
+
+    /** The log has changed: responds to the polls for which it has changes. */
+    void logChanged() {
+        Iterator<Poll> polls = pending.iterator();
+        while (polls.hasNext()) {
+            Poll poll = polls.next();
+            if (respondIfReady(poll)) {
+                polls.remove();
+                timers.cancel(poll.timerId);
+            }
+        }
+    }
+
+    /** Responds to all pending polls, and to new ones at once from now on. */
+    void stop() {
+        stopping = true;
+        List<Poll> all = List.copyOf(pending);
+        pending.clear();
+        for (Poll poll : all) {
+            timers.cancel(poll.timerId);
+            poll.responder.closeAfterResponse();
+            respondNow(poll);
+        }
+    }
+
+    // Responds if there are changes, or if the client has to take a snapshot.
+    private boolean respondIfReady(Poll poll) {
+        PollResponse response = scan(poll);
+        poll.clientIsAhead = response instanceof PollResponse.Ahead;
+        if (response instanceof PollResponse.VersionUnavailable unavailable) {
+            respondVersionUnavailable(poll, unavailable);
+            return true;
+        }
+        if (response instanceof PollResponse.Changes changes) {
+            poll.scannedUpTo = changes.page().upTo();
+            if (!changes.page().isEmpty()) {
+                poll.responder.respond(HttpStatus.OK, changes.page().json());
+                return true;
+            }
+        }
+        return false;
+    }
+
+    // The wait is over: the response may have no change, just the position that was scanned up to.
+    private void respondNow(Poll poll) {
+        if (poll.clientIsAhead) {
+            poll.responder.respondUnavailable(ErrorJson.BEHIND);
+            return;
+        }
+        PollResponse response = scan(poll);
+        if (response instanceof PollResponse.Changes changes) {
+            poll.responder.respond(HttpStatus.OK, changes.page().json());
+        } else if (response instanceof PollResponse.VersionUnavailable unavailable) {
+            respondVersionUnavailable(poll, unavailable);
+        } else {
+            poll.responder.respondUnavailable(ErrorJson.BEHIND);
+        }
+    }
+
+    private PollResponse scan(Poll poll) {
+        return log.changesAfter(
+                poll.scannedUpTo, poll.request.subscription(), poll.request.maxBytes());
+    }
+
+    private static void respondVersionUnavailable(
+            Poll poll, PollResponse.VersionUnavailable unavailable) {
+        poll.responder.respond(
+                HttpStatus.GONE,
+                ResourceCodec.write(
+                        new VersionUnavailable(
+                                unavailable.newest().log(),
+                                unavailable.oldest(),
+                                unavailable.newest().version())));
+    }
+}
--- a/control/src/main/java/ottergauge/control/server/Parameters.java
+++ b/control/src/main/java/ottergauge/control/server/QueryParameters.java
@@ -13,54 +13,54 @@
 import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.Subscription;
 
-/** Reads the parameters of calls; unknown ones are passed over. */
-final class Parameters {
+/** Parses and validates the query parameters of requests; unknown ones are ignored. */
+final class QueryParameters {
 
-    static final long MOST_WAIT_MS = 10_000;
+    static final long MAX_WAIT_MS = 10_000;
     static final int DEFAULT_PAGE_BYTES = 65_536;
 
-    /** With one change at least, however long, a page stays within what a node reads. */
-    static final int MOST_PAGE_BYTES = 512 * 1024;
+    /** A page may exceed it by one change, and still stays below what a node reads. */
+    static final int MAX_PAGE_BYTES = 512 * 1024;
 
-    static final int MOST_SERVICES = 1_000;
+    static final int MAX_SERVICES = 1_000;
 
-    // The largest whole number that a JSON number tells exactly.
-    private static final long MOST_VERSION = 1L << 53;
+    // The largest integer that a JSON number represents exactly.
+    private static final long MAX_VERSION = 1L << 53;
     private static final String DEFAULT_SETTINGS = "default";
 
     private final MultiMap values;
 
-    private Parameters(MultiMap values) {
+    private QueryParameters(MultiMap values) {
         this.values = values;
     }
 
-    static ChangesCall changes(HttpServerRequest request) throws CallException {
-        Parameters parameters = of(request);
+    static ChangesRequest changes(HttpServerRequest request) throws HttpException {
+        QueryParameters parameters = of(request);
         String log = parameters.name("log").orElseThrow(() -> missing("log"));
-        LogPosition after = new LogPosition(log, parameters.whole("after", 0, MOST_VERSION, null));
-        return new ChangesCall(
+        LogPosition after = new LogPosition(log, parameters.integer("after", 0, MAX_VERSION, null));
+        return new ChangesRequest(
                 after,
-                parameters.whole("wait_ms", 0, MOST_WAIT_MS, 0L),
+                parameters.integer("wait_ms", 0, MAX_WAIT_MS, 0L),
                 parameters.pageBytes(),
                 parameters.subscription(),
                 parameters.report(log));
     }
 
-    static SnapshotCall snapshot(HttpServerRequest request) throws CallException {
-        Parameters parameters = of(request);
-        return new SnapshotCall(
+    static SnapshotRequest snapshot(HttpServerRequest request) throws HttpException {
+        QueryParameters parameters = of(request);
+        return new SnapshotRequest(
                 parameters.name("log"),
                 parameters.key("from"),
                 parameters.pageBytes(),
                 parameters.subscription());
     }
 
-    private static Parameters of(HttpServerRequest request) throws CallException {
+    private static QueryParameters of(HttpServerRequest request) throws HttpException {
         try {
-            return new Parameters(request.params());
+            return new QueryParameters(request.params());
         } catch (IllegalArgumentException e) {
-            throw new CallException(
-                    Status.BAD_REQUEST,
+            throw new HttpException(
+                    HttpStatus.BAD_REQUEST,
                     "the query can't be decoded: "
                             + new FieldError(
                                             "it", String.valueOf(e.getMessage()), "percent-encoded")
@@ -68,7 +68,7 @@
         }
     }
 
-    private Optional<NodeReport> report(String log) throws CallException {
+    private Optional<NodeReport> report(String log) throws HttpException {
         Optional<String> node = name("node");
         if (node.isEmpty()) {
             return Optional.empty();
@@ -78,26 +78,26 @@
                         node.get(),
                         name("region").orElse(""),
                         log,
-                        whole("in_force", 0, MOST_VERSION, 0L),
-                        whole("refused", 0, MOST_VERSION, 0L)));
+                        integer("in_force", 0, MAX_VERSION, 0L),
+                        integer("refused", 0, MAX_VERSION, 0L)));
     }
 
-    private int pageBytes() throws CallException {
-        return (int) whole("max_bytes", 1, MOST_PAGE_BYTES, (long) DEFAULT_PAGE_BYTES);
+    private int pageBytes() throws HttpException {
+        return (int) integer("max_bytes", 1, MAX_PAGE_BYTES, (long) DEFAULT_PAGE_BYTES);
     }
 
-    private Subscription subscription() throws CallException {
+    private Subscription subscription() throws HttpException {
         String services = values.get("services");
         if (services == null || services.isEmpty()) {
             return new Subscription(Set.of(), name("settings").orElse(DEFAULT_SETTINGS));
         }
         Set<String> names = new HashSet<>(Arrays.asList(services.split(",", -1)));
-        if (names.size() > MOST_SERVICES) {
-            throw bad("services", names.size() + " names", MOST_SERVICES + " names at most");
+        if (names.size() > MAX_SERVICES) {
+            throw invalid("services", names.size() + " names", MAX_SERVICES + " names at most");
         }
         for (String name : names) {
             if (!ResourceValidator.isValidName(name)) {
-                throw bad(
+                throw invalid(
                         "services",
                         name,
                         "names with commas between them, each " + ResourceValidator.NAME_FORMAT);
@@ -106,18 +106,18 @@
         return new Subscription(Set.copyOf(names), name("settings").orElse(DEFAULT_SETTINGS));
     }
 
-    private Optional<String> name(String key) throws CallException {
+    private Optional<String> name(String key) throws HttpException {
         String value = values.get(key);
         if (value == null || value.isEmpty()) {
             return Optional.empty();
         }
         if (!ResourceValidator.isValidName(value)) {
-            throw bad(key, value, ResourceValidator.NAME_FORMAT);
+            throw invalid(key, value, ResourceValidator.NAME_FORMAT);
         }
         return Optional.of(value);
     }
 
-    private Optional<ResourceKey> key(String parameter) throws CallException {
+    private Optional<ResourceKey> key(String parameter) throws HttpException {
         String value = values.get(parameter);
         if (value == null || value.isEmpty()) {
             return Optional.empty();
@@ -126,36 +126,36 @@
                 ResourceKey.parsePath(value)
                         .filter(each -> ResourceValidator.isValidName(each.name()));
         if (key.isEmpty()) {
-            throw bad(parameter, value, "a kind, / and a name");
+            throw invalid(parameter, value, "a kind, / and a name");
         }
         return key;
     }
 
-    private long whole(String key, long least, long most, Long absent) throws CallException {
+    private long integer(String key, long min, long max, Long defaultValue) throws HttpException {
         String value = values.get(key);
-        if (value == null && absent != null) {
-            return absent;
+        if (value == null && defaultValue != null) {
+            return defaultValue;
         }
         if (value == null) {
             throw missing(key);
         }
         try {
             long number = Long.parseLong(value);
-            if (number >= least && number <= most) {
+            if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
-        throw bad(key, value, "a whole number from " + least + " to " + most);
+        throw invalid(key, value, "a whole number from " + min + " to " + max);
     }
 
-    private static CallException missing(String key) {
-        return new CallException(Status.BAD_REQUEST, key + " is missing");
+    private static HttpException missing(String key) {
+        return new HttpException(HttpStatus.BAD_REQUEST, key + " is missing");
     }
 
-    private static CallException bad(String key, String value, String allowed) {
-        return new CallException(
-                Status.BAD_REQUEST, new FieldError(key, value, allowed).toString());
+    private static HttpException invalid(String key, String value, String allowed) {
+        return new HttpException(
+                HttpStatus.BAD_REQUEST, new FieldError(key, value, allowed).toString());
     }
 }
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -20,9 +20,9 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 import ottergauge.control.log.ChangeLog;
-import ottergauge.control.log.LogLimits;
-import ottergauge.control.log.Outcome;
-import ottergauge.control.log.Submissions;
+import ottergauge.control.log.LogRetention;
+import ottergauge.control.log.SubmissionBuilder;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.decision.api.EndpointState;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.DiscoveredEndpoint;
@@ -40,7 +40,7 @@
     private static final String SERVICE = "checkout";
 
     private final ServiceReconciler reconciler = new ServiceReconciler(SERVICE);
-    private final ChangeLog log = new ChangeLog("a1", LogLimits.DEFAULT);
+    private final ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
     private int ids;
 
     private static DiscoveredEndpoint host(String name, EndpointState state, double share) {
@@ -84,9 +84,9 @@
             assertTrue(
                     next.get().puts().size() + next.get().deletes().size() <= 501,
                     "too many entries");
-            Outcome outcome = log.apply(next.get());
-            if (outcome instanceof Outcome.Invalid invalid) {
-                reconciler.refuse(next.get(), invalid.faults());
+            SubmissionOutcome outcome = log.apply(next.get());
+            if (outcome instanceof SubmissionOutcome.Rejected invalid) {
+                reconciler.refuse(next.get(), invalid.errors());
             } else {
                 reconciler.accepted(next.get());
                 changes++;
@@ -98,8 +98,8 @@
     }
 
     @Test
-    void nothingIsPublishedBeforeDiscoveryWasHeardWhole() {
-        log.apply(Submissions.of("a").service(SERVICE).server("s-1", SERVICE).build());
+    void beforeAFullList_nothingIsPublished() {
+        log.apply(SubmissionBuilder.of("a").service(SERVICE).server("s-1", SERVICE).build());
         reconciler.takeState(state(log));
         assertEquals(Optional.empty(), next());
         list(false, up("s-2"));
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void theFirstChangeBringsTheService() {
+    void firstSubmission_putsTheService() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"));
         Submission first = next().orElseThrow();
@@ -119,7 +119,7 @@
     }
 
     @Test
-    void onlyWhatDiffersIsPublished() {
+    void submission_hasOnlyDifferences() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"), up("s-3"));
         publishAll();
@@ -132,22 +132,22 @@
         assertEquals(
                 List.of(
                         new Change.Put(
-                                Submissions.key(ResourceKind.SERVER, "s-2"),
+                                SubmissionBuilder.key(ResourceKind.SERVER, "s-2"),
                                 new Server(SERVICE, host("s-2", EndpointState.DRAINING, 1)))),
                 next.puts());
-        assertEquals(List.of(Submissions.key(ResourceKind.SERVER, "s-3")), next.deletes());
+        assertEquals(List.of(SubmissionBuilder.key(ResourceKind.SERVER, "s-3")), next.deletes());
         publishAll();
         list(true, up("s-1"), host("s-2", EndpointState.DRAINING, 1));
         assertEquals(Optional.empty(), next());
     }
 
     @Test
-    void whatOthersChangeIsPutRight() {
+    void foreignChanges_areReverted() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
         Submission other =
-                Submissions.of("other")
+                SubmissionBuilder.of("other")
                         .delete(ResourceKind.SERVER, "s-1")
                         .server("s-2", SERVICE, 7)
                         .server("s-9", SERVICE)
@@ -159,13 +159,14 @@
                         other.puts(),
                         List.of(
                                 new Change.Delete(
-                                        Submissions.key(ResourceKind.SERVER, "s-1"), SERVICE))));
+                                        SubmissionBuilder.key(ResourceKind.SERVER, "s-1"),
+                                        SERVICE))));
         publishAll();
         assertEquals(Map.of("s-1", up("s-1"), "s-2", up("s-2")), servers(log));
     }
 
     @Test
-    void aLogThatHasBegunAnewGetsAllAgain() {
+    void emptyLog_getsEverythingAgain() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
@@ -175,7 +176,7 @@
     }
 
     @Test
-    void longListsArePublishedInSeveralChanges() {
+    void longList_isPublishedInSeveralSubmissions() {
         reconciler.takeState(state(log));
         list(
                 true,
@@ -190,8 +191,8 @@
     }
 
     @Test
-    void aServerOfAnotherServiceIsLeftOutAlone() {
-        log.apply(Submissions.of("a").service("search").server("s-2", "search").build());
+    void serverOfAnotherService_isSkipped() {
+        log.apply(SubmissionBuilder.of("a").service("search").server("s-2", "search").build());
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("s-2"), up("s-3"));
         publishAll();
@@ -201,11 +202,11 @@
     }
 
     @Test
-    void aMalformedEntryIsLeftOutAlone() {
+    void malformedEntry_isSkipped() {
         reconciler.takeState(state(log));
         list(true, up("s-1"), up("no name"), host("s-2", EndpointState.UP, -1));
         Submission all = next().orElseThrow();
-        assertEquals(2, reconciler.refuseMalformed(all).size());
+        assertEquals(2, reconciler.rejectMalformed(all).size());
         assertEquals(1, publishAll());
         assertEquals(Map.of("s-1", up("s-1")), servers(log));
     }
@@ -225,7 +226,7 @@
     }
 
     @Property(tries = 300, seed = "61")
-    void inTheEndTheLogHasWhatDiscoveryLists(@ForAll("histories") List<Step> history) {
+    void log_convergesToDiscovery(@ForAll("histories") List<Step> history) {
         ServiceReconcilerTest play = new ServiceReconcilerTest();
         play.reconciler.takeState(List.of());
         Map<String, DiscoveredEndpoint> listed = new HashMap<>();
@@ -258,7 +259,7 @@
     // Somebody else puts a server of this service, and the reconciler hears of it.
     private void meddle(DiscoveredEndpoint host) {
         Submission other =
-                Submissions.of("meddled-" + ids++)
+                SubmissionBuilder.of("meddled-" + ids++)
                         .service(SERVICE)
                         .server(host.name(), SERVICE, host.weight() + 10)
                         .build();
--- a/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
@@ -42,7 +42,7 @@
 class ChangeLogHistoryTest {
 
     private static final String LOG = "a1";
-    private static final LogLimits MANY = new LogLimits(10_000, 1 << 24);
+    private static final LogRetention MANY = new LogRetention(10_000, 1 << 24);
 
     /** Of histories that have enough in them to show anything, in percent. */
     private static final double MANY_OUTCOMES = 10;
@@ -74,9 +74,9 @@
                 .map(ChangeLogHistoryTest::afterServices);
     }
 
-    // Most entries name a service: with none to begin with, most submissions would be refused.
+    // Most entries name a service: with none to begin with, most submissions would be rejected.
     private static List<Submission> afterServices(List<Submission> drawn) {
-        Submissions first = Submissions.of("services");
+        SubmissionBuilder first = SubmissionBuilder.of("services");
         SERVICES.forEach(first::service);
         List<Submission> history = new ArrayList<>(List.of(first.build()));
         history.addAll(drawn);
@@ -92,7 +92,7 @@
     }
 
     private static Submission submission(String id, List<Entry> entries) {
-        Submissions submission = Submissions.of(id);
+        SubmissionBuilder submission = SubmissionBuilder.of(id);
         for (Entry entry : entries) {
             String service = SERVICES.get(entry.service());
             switch (entry.kind()) {
@@ -132,7 +132,7 @@
         return submission.build();
     }
 
-    private static void put(Submissions submission, Entry entry, String name, Runnable put) {
+    private static void put(SubmissionBuilder submission, Entry entry, String name, Runnable put) {
         if (entry.delete()) {
             submission.delete(entry.kind(), name);
         } else {
@@ -148,15 +148,16 @@
 
         final Map<ResourceKey, Resource> resources = new TreeMap<>();
         final Map<String, Long> versionsById = new HashMap<>();
-        final Set<String> refusedIds = new HashSet<>();
+        final Set<String> rejectedIds = new HashSet<>();
         long version;
 
         Optional<Long> apply(Submission submission) {
-            if (versionsById.containsKey(submission.id()) || refusedIds.contains(submission.id())) {
+            if (versionsById.containsKey(submission.id())
+                    || rejectedIds.contains(submission.id())) {
                 return Optional.ofNullable(versionsById.get(submission.id()));
             }
             if (!fits(submission)) {
-                refusedIds.add(submission.id());
+                rejectedIds.add(submission.id());
                 return Optional.empty();
             }
             version++;
@@ -220,14 +221,14 @@
     }
 
     @Property(tries = 300, seed = "51")
-    void theStateIsThatOfAPlainModel(@ForAll("histories") List<Submission> history) {
+    void state_equalsAPlainModels(@ForAll("histories") List<Submission> history) {
         ChangeLog log = new ChangeLog(LOG, MANY);
         Model model = new Model();
         for (Submission submission : history) {
             Optional<Long> expected = model.apply(submission);
-            Outcome outcome = log.apply(submission);
+            SubmissionOutcome outcome = log.apply(submission);
             Optional<Long> actual =
-                    outcome instanceof Outcome.Accepted accepted
+                    outcome instanceof SubmissionOutcome.Accepted accepted
                             ? Optional.of(accepted.position().version())
                             : Optional.empty();
             assertEquals(expected, actual, () -> submission + ": " + outcome);
@@ -239,7 +240,7 @@
                         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
         assertEquals(expected, state(log));
         assertEquals(model.resources.size(), log.size());
-        boolean many = model.version > 10 && model.refusedIds.size() > 10;
+        boolean many = model.version > 10 && model.rejectedIds.size() > 10;
         Statistics.label("outcomes")
                 .collect(many ? "many" : "few")
                 .coverage(
@@ -248,7 +249,7 @@
     }
 
     @Property(tries = 300, seed = "52")
-    void pagesTakenWhileChangesComeAndTheChangesMakeTheState(
+    void pagesTakenDuringChangesPlusChanges_giveTheState(
             @ForAll("histories") List<Submission> history,
             @ForAll("subscriptions") Subscription subscription,
             @ForAll @IntRange(min = 1, max = 500) int bytes,
@@ -287,8 +288,8 @@
             Map<ResourceKey, Resource> copy) {
         LogPosition at = new LogPosition(LOG, after);
         while (at.version() < log.position().version()) {
-            Answer answer = log.changesAfter(at, subscription, bytes);
-            ChangePage page = assertInstanceOf(Answer.Changes.class, answer).page().page();
+            PollResponse answer = log.changesAfter(at, subscription, bytes);
+            ChangePage page = assertInstanceOf(PollResponse.Changes.class, answer).page().page();
             for (Change change : page.changes()) {
                 for (Change.Delete delete : change.deletes()) {
                     Resource before = copy.get(delete.key());
@@ -317,33 +318,33 @@
     }
 
     @Property(tries = 200, seed = "53")
-    void aRestoredLogGoesOnAsTheOneThatItWasTakenFrom(
+    void restoredLog_behavesLikeTheOriginal(
             @ForAll("histories") List<Submission> history,
             @ForAll @IntRange(max = 60) int cut,
             @ForAll @IntRange(min = 1, max = 40) int keptChanges)
             throws ProtocolException {
-        LogLimits limits = new LogLimits(keptChanges, 1 << 20);
+        LogRetention limits = new LogRetention(keptChanges, 1 << 20);
         ChangeLog log = new ChangeLog(LOG, limits);
         int before = Math.min(cut, history.size());
         history.subList(0, before).forEach(log::apply);
-        ChangeLog restored = ChangeLog.restore(log.image(), limits);
+        ChangeLog restored = ChangeLog.restore(log.capture().encode(), limits);
         assertEquals(log.position(), restored.position());
         assertEquals(log.oldest(), restored.oldest());
-        assertArrayEquals(log.image(), restored.image());
+        assertArrayEquals(log.capture().encode(), restored.capture().encode());
         for (Submission submission : history.subList(before, history.size())) {
             assertEquals(log.apply(submission), restored.apply(submission));
         }
         history.forEach(
                 submission -> assertEquals(log.apply(submission), restored.apply(submission)));
-        assertArrayEquals(log.image(), restored.image());
+        assertArrayEquals(log.capture().encode(), restored.capture().encode());
     }
 
     @Property(tries = 200, seed = "54")
-    void theSameSubmissionsAgainChangeNothing(@ForAll("histories") List<Submission> history) {
+    void repeatedSubmissions_changeNothing(@ForAll("histories") List<Submission> history) {
         ChangeLog log = new ChangeLog(LOG, MANY);
-        List<Outcome> outcomes = history.stream().map(log::apply).toList();
-        byte[] image = log.image();
+        List<SubmissionOutcome> outcomes = history.stream().map(log::apply).toList();
+        byte[] stored = log.capture().encode();
         assertEquals(outcomes, history.stream().map(log::apply).toList());
-        assertArrayEquals(image, log.image());
+        assertArrayEquals(stored, log.capture().encode());
     }
 }
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import ottergauge.control.log.Submissions;
+import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
@@ -59,24 +59,27 @@
         return page.changes().stream().map(Change::version).toList();
     }
 
-    private static void assertRefused(int status, String says, HttpResponse<String> answer) {
+    private static void assertRejected(int status, String says, HttpResponse<String> answer) {
         assertEquals(status, answer.statusCode(), answer.body());
         assertTrue(answer.body().contains(says), answer.body());
         assertFalse(answer.body().contains("\n"), answer.body());
     }
 
     @Test
-    void aChangeIsToldToACallThatWaits() throws Exception {
+    void pendingPoll_receivesAChange() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             LogPosition begin =
                     control.publish(
-                            Submissions.of("a").service("checkout").service("search").build());
+                            SubmissionBuilder.of("a")
+                                    .service("checkout")
+                                    .service("search")
+                                    .build());
             long asked = System.nanoTime();
             CompletableFuture<HttpResponse<String>> waiting =
                     control.getLater(changes(begin, "&wait_ms=10000&services=checkout"));
-            control.publish(Submissions.of("b").server("s-1", "search").build());
+            control.publish(SubmissionBuilder.of("b").server("s-1", "search").build());
             LogPosition second =
-                    control.publish(Submissions.of("c").server("s-2", "checkout").build());
+                    control.publish(SubmissionBuilder.of("c").server("s-2", "checkout").build());
             ChangePage page = page(waiting.get());
             long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
             assertEquals(List.of(second.version()), versions(page));
@@ -86,11 +89,12 @@
     }
 
     @Test
-    void aSubscriberResumesByVersionOrIsToldToBeginAnew() throws Exception {
+    void subscriber_resumesByVersionOrStartsOver() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"kept_changes\":3")) {
             List<LogPosition> positions = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
-                positions.add(control.publish(Submissions.of("id-" + i).tenant("gold", i).build()));
+                positions.add(
+                        control.publish(SubmissionBuilder.of("id-" + i).tenant("gold", i).build()));
             }
             assertEquals(
                     List.of(4L, 5L, 6L),
@@ -107,30 +111,31 @@
                     new VersionUnavailable(log, 4, 6),
                     ResourceCodec.readVersionUnavailable(other.body().getBytes(UTF_8)));
             HttpResponse<String> ahead = control.get(changes(new LogPosition(log, 7), ""));
-            assertRefused(503, "behind", ahead);
+            assertRejected(503, "behind", ahead);
             assertEquals(Optional.of("1"), ahead.headers().firstValue("Retry-After"));
         }
     }
 
     @Test
-    void versionsBeginAnewWithEachStart() throws Exception {
+    void restart_beginsANewLog() throws Exception {
         int port = RunningControl.freePort();
         LogPosition before;
         try (RunningControl control = RunningControl.serving(folder, port, "")) {
-            before = control.publish(Submissions.of("a").tenant("gold", 1).build());
+            before = control.publish(SubmissionBuilder.of("a").tenant("gold", 1).build());
             control.kill();
         }
         try (RunningControl control = RunningControl.serving(folder, port, "")) {
-            LogPosition after = control.publish(Submissions.of("b").tenant("gold", 2).build());
+            LogPosition after =
+                    control.publish(SubmissionBuilder.of("b").tenant("gold", 2).build());
             assertEquals(before.version(), after.version());
             assertEquals(410, control.get(changes(before, "&wait_ms=10000")).statusCode());
         }
     }
 
     @Test
-    void pagesTakenWhileChangesComeAndTheChangesMakeTheState() throws Exception {
+    void pagesTakenDuringChangesPlusChanges_giveTheState() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            Submissions first = Submissions.of("first").service("checkout");
+            SubmissionBuilder first = SubmissionBuilder.of("first").service("checkout");
             for (int i = 0; i < 300; i++) {
                 first.server("s-" + i, "checkout").tenant("t-" + i, i);
             }
@@ -151,7 +156,7 @@
                 page.resources().forEach(each -> copy.put(each.key(), each));
                 from = page.next();
                 control.publish(
-                        Submissions.of("meanwhile-" + pages)
+                        SubmissionBuilder.of("meanwhile-" + pages)
                                 .delete(ResourceKind.SERVER, "s-" + pages)
                                 .server("new-" + pages, "checkout")
                                 .tenant("t-" + pages, 1_000)
@@ -180,7 +185,7 @@
     }
 
     @Test
-    void aSubmissionIsAcceptedOnceAndABadOneNamesItsFaults() throws Exception {
+    void submission_isAcceptedOnceAndAnInvalidOneNamesItsErrors() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             String tenant =
                     "{\"id\":\"x\",\"put\":[{\"kind\":\"tenant\",\"name\":\"gold\",\"value\":"
@@ -192,14 +197,16 @@
             HttpResponse<String> bad =
                     control.post(tenant.replace("\"x\"", "\"y\"").replace("RATE", "-3"));
             assertEquals(400, bad.statusCode());
-            FieldError fault = ResourceCodec.readErrors(bad.body().getBytes(UTF_8)).get(0);
-            assertEquals("put[0].value.requests_per_second", fault.key());
-            assertEquals("-3", fault.value());
+            FieldError error = ResourceCodec.readErrors(bad.body().getBytes(UTF_8)).get(0);
+            assertEquals("put[0].value.requests_per_second", error.key());
+            assertEquals("-3", error.value());
             HttpResponse<String> unfit =
                     control.post(
                             new String(
                                     ResourceCodec.write(
-                                            Submissions.of("z").server("s-1", "none").build()),
+                                            SubmissionBuilder.of("z")
+                                                    .server("s-1", "none")
+                                                    .build()),
                                     UTF_8));
             assertEquals(400, unfit.statusCode());
             assertEquals(
@@ -210,32 +217,33 @@
     }
 
     @Test
-    void badCallsAreRefusedInOneLineAndEndNothing() throws Exception {
+    void invalidRequests_areRejectedInOneLine() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            assertRefused(404, "no such call", control.get("/control/v2/changes"));
-            assertRefused(404, "no such call", control.get("/"));
-            assertRefused(400, "log is missing", control.get(CHANGES + "?after=0"));
-            assertRefused(400, "after is missing", control.get(CHANGES + "?log=a"));
-            assertRefused(400, "after is a whole number", control.get(CHANGES + "?log=a&after=-1"));
-            assertRefused(
+            assertRejected(404, "no such call", control.get("/control/v2/changes"));
+            assertRejected(404, "no such call", control.get("/"));
+            assertRejected(400, "log is missing", control.get(CHANGES + "?after=0"));
+            assertRejected(400, "after is missing", control.get(CHANGES + "?log=a"));
+            assertRejected(
+                    400, "after is a whole number", control.get(CHANGES + "?log=a&after=-1"));
+            assertRejected(
                     400, "after is a whole number", control.get(CHANGES + "?log=a&after=1e3"));
-            assertRefused(
+            assertRejected(
                     400,
                     "wait_ms is a whole number",
                     control.get(CHANGES + "?log=a&after=0&wait_ms=10001"));
-            assertRefused(
+            assertRejected(
                     400,
                     "max_bytes is",
                     control.get(CHANGES + "?log=a&after=0&max_bytes=999999999"));
-            assertRefused(
+            assertRejected(
                     400, "services is", control.get(CHANGES + "?log=a&after=0&services=a,,b"));
-            assertRefused(400, "node is", control.get(CHANGES + "?log=a&after=0&node=%0a%0dx"));
-            assertRefused(400, "from is", control.get("/control/v1/snapshot?from=server"));
-            assertRefused(400, "from is", control.get("/control/v1/snapshot?from=sever/a"));
-            assertRefused(400, "no JSON", control.post("{\"id\":"));
-            assertRefused(400, "no JSON", control.post("[".repeat(100_000)));
-            assertRefused(400, "id", control.post("{}"));
-            assertRefused(413, "262144 bytes", control.post("x".repeat(300_000)));
+            assertRejected(400, "node is", control.get(CHANGES + "?log=a&after=0&node=%0a%0dx"));
+            assertRejected(400, "from is", control.get("/control/v1/snapshot?from=server"));
+            assertRejected(400, "from is", control.get("/control/v1/snapshot?from=sever/a"));
+            assertRejected(400, "no JSON", control.post("{\"id\":"));
+            assertRejected(400, "no JSON", control.post("[".repeat(100_000)));
+            assertRejected(400, "id", control.post("{}"));
+            assertRejected(413, "262144 bytes", control.post("x".repeat(300_000)));
             assertEquals(0, control.position().version());
         }
     }
@@ -258,7 +266,7 @@
     }
 
     @Test
-    void whatIsNoRequestIsRefusedAndTheConnectionEnds() throws Exception {
+    void malformedRequest_isRejectedAndItsConnectionClosed() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             assertTrue(raw(control, "nonsense\r\n\r\n").startsWith("HTTP/1.0 400"));
             assertTrue(raw(control, "GET / nonsense\r\n\r\n").startsWith("HTTP/1.0 400"));
@@ -271,12 +279,8 @@
             assertTrue(
                     raw(
                                     control,
-                                    """
-                                    GET /control/v1/status HTTP/1.1
-                                    Content-Length: 5
-
-                                    hello\
-                                    """)
+                                    "GET /control/v1/status HTTP/1.1\r\n"
+                                            + "Content-Length: 5\r\n\r\nhello")
                             .startsWith("HTTP/1.1 400"));
             assertTrue(
                     raw(control, "PUT /control/v1/changes HTTP/1.1\r\nContent-Length: 0\r\n\r\n")
@@ -284,11 +288,8 @@
             assertTrue(
                     raw(
                                     control,
-                                    """
-                                    POST /control/v1/changes HTTP/1.1
-                                    Content-Length: 99999999
-
-                                    """)
+                                    "POST /control/v1/changes HTTP/1.1\r\n"
+                                            + "Content-Length: 99999999\r\n\r\n")
                             .startsWith("HTTP/1.1 413"));
             assertTrue(
                     raw(control, "POST /control/v1/changes HTTP/1.1\r\nContent-Length: x\r\n\r\n")
@@ -307,20 +308,20 @@
     }
 
     @Test
-    void waitingCallsAreBounded() throws Exception {
+    void pendingPolls_areLimited() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"waiting_polls\":2")) {
-            LogPosition at = control.publish(Submissions.of("a").tenant("gold", 1).build());
+            LogPosition at = control.publish(SubmissionBuilder.of("a").tenant("gold", 1).build());
             List<CompletableFuture<HttpResponse<String>>> calls = new ArrayList<>();
             for (int i = 0; i < 3; i++) {
                 calls.add(control.getLater(changes(at, "&wait_ms=10000&node=n" + i)));
             }
             control.await(
                     "one turned away", () -> calls.stream().anyMatch(CompletableFuture::isDone));
-            CompletableFuture<HttpResponse<String>> turnedAway =
+            CompletableFuture<HttpResponse<String>> rejected =
                     calls.stream().filter(CompletableFuture::isDone).findFirst().orElseThrow();
-            assertRefused(503, "busy", turnedAway.get());
-            control.publish(Submissions.of("b").tenant("gold", 2).build());
-            calls.remove(turnedAway);
+            assertRejected(503, "busy", rejected.get());
+            control.publish(SubmissionBuilder.of("b").tenant("gold", 2).build());
+            calls.remove(rejected);
             for (CompletableFuture<HttpResponse<String>> call : calls) {
                 assertEquals(List.of(2L), versions(page(call.get())));
             }
@@ -328,7 +329,7 @@
     }
 
     @Test
-    void connectionsAreBounded() throws Exception {
+    void connections_areLimited() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"connections\":2")) {
             String status = "GET /control/v1/status HTTP/1.1\r\n\r\n";
             try (Socket first = control.connect();
@@ -356,7 +357,7 @@
     }
 
     @Test
-    void quietConnectionsAreClosed() throws Exception {
+    void idleConnections_areClosed() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"idle_ms\":300")) {
             assertEquals("", raw(control, ""));
             assertEquals("", raw(control, "GET /control/v1/status HTTP/1.1\r\nHost: x"));
@@ -376,7 +377,7 @@
     }
 
     @Test
-    void aClientThatDoesNotReadIsClosed() throws Exception {
+    void slowReader_isDisconnected() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"slow_reader_ms\":300")) {
             publishMuch(control);
             try (Socket slow = new Socket()) {
@@ -407,7 +408,7 @@
 
     private static void publishMuch(RunningControl control) throws Exception {
         for (int change = 0; change < 8; change++) {
-            Submissions tenants = Submissions.of("much-" + change);
+            SubmissionBuilder tenants = SubmissionBuilder.of("much-" + change);
             for (int i = 0; i < 500; i++) {
                 tenants.tenant("t-" + change + "-" + i, i);
             }
@@ -416,7 +417,7 @@
     }
 
     @Test
-    void aClientThatSendsCallsWithoutReadingIsNotReadOn() throws Exception {
+    void pipeliningWithoutReading_isBackpressured() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"slow_reader_ms\":60000")) {
             publishMuch(control);
             String call = "GET /control/v1/snapshot?max_bytes=524288 HTTP/1.1\r\n\r\n";
@@ -446,9 +447,9 @@
     }
 
     @Test
-    void nodesTellWhatTheyGoBy() throws Exception {
+    void status_showsTheNodesReports() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            LogPosition at = control.publish(Submissions.of("a").tenant("gold", 1).build());
+            LogPosition at = control.publish(SubmissionBuilder.of("a").tenant("gold", 1).build());
             control.get(changes(at, "&node=n1&region=r1&in_force=1"));
             control.get(changes(at, "&node=n2&region=r2&in_force=0&refused=1"));
             String status = control.get("/control/v1/status").body();
@@ -469,9 +470,9 @@
     }
 
     @Test
-    void whatWaitsIsAnsweredAtTheEnd() throws Exception {
+    void termination_completesPendingPolls() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            LogPosition at = control.publish(Submissions.of("a").service("checkout").build());
+            LogPosition at = control.publish(SubmissionBuilder.of("a").service("checkout").build());
             CompletableFuture<HttpResponse<String>> waiting =
                     control.getLater(changes(at, "&wait_ms=10000&services=checkout&node=n1"));
             control.await(
@@ -491,7 +492,7 @@
     }
 
     @Test
-    void aBadConfigurationIsToldWhole() throws Exception {
+    void invalidConfiguration_isReportedCompletely() throws Exception {
         RunningControl bad =
                 RunningControl.starting(
                         folder, 0, ",\"waiting_polls\":0,\"pace\":1,\"idle_ms\":\"x\"");
@@ -509,7 +510,7 @@
     }
 
     @Test
-    void aTakenAddressEndsTheProcess() throws Exception {
+    void addressInUse_endsTheProcess() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             RunningControl control = RunningControl.starting(folder, taken.getLocalPort(), "");
             assertEquals(1, control.exitCode());
@@ -518,7 +519,7 @@
     }
 
     @Test
-    void wrongUsageEndsWithTwo() throws Exception {
+    void wrongUsage_exitsWithTwo() throws Exception {
         assertEquals(2, RunningControl.run(folder).exitCode());
         assertEquals(2, RunningControl.run(folder, "serve").exitCode());
         assertEquals(2, RunningControl.run(folder, "publish", "--to", "nowhere", "f").exitCode());
--- a/control/src/test/java/ottergauge/control/program/RunningControl.java
+++ b/control/src/test/java/ottergauge/control/program/RunningControl.java
@@ -34,7 +34,7 @@
 /** A process of the jar, with its output kept in a file. */
 final class RunningControl implements AutoCloseable {
 
-    private static final long PATIENCE_S = 60;
+    private static final long TIMEOUT_S = 60;
     private static final Path JAR =
             Path.of(System.getProperty("control.jar", "target/ottergauge-control.jar"));
     private static final AtomicLong START = new AtomicLong();
@@ -67,7 +67,7 @@
 
     static RunningControl serving(Path folder, int port, String moreKeys) throws Exception {
         RunningControl control = starting(folder, port, moreKeys);
-        control.awaitOutput("listens on");
+        control.awaitOutput("listening on");
         return control;
     }
 
@@ -108,7 +108,7 @@
 
     /** Waits for something to become true, looking often. */
     void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > until || !process.isAlive()) {
                 fail("not " + what + "; output:\n" + output());
@@ -130,7 +130,7 @@
     }
 
     int exitCode() throws InterruptedException {
-        if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             fail("still running; output:\n" + output());
         }
         return process.exitValue();
@@ -141,7 +141,7 @@
     }
 
     void kill() throws InterruptedException {
-        process.destroyForcibly().waitFor(PATIENCE_S, TimeUnit.SECONDS);
+        process.destroyForcibly().waitFor(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
     HttpResponse<String> get(String path) throws IOException, InterruptedException {
@@ -161,7 +161,7 @@
 
     private HttpRequest.Builder request(String path) {
         return HttpRequest.newBuilder(URI.create("http://" + address() + path))
-                .timeout(Duration.ofSeconds(PATIENCE_S));
+                .timeout(Duration.ofSeconds(TIMEOUT_S));
     }
 
     /** Publishes and expects that it is accepted. */
@@ -180,7 +180,7 @@
 
     Socket connect() throws IOException {
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+        socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
         return socket;
     }
 
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import ottergauge.control.log.ChangeLog;
-import ottergauge.control.log.LogLimits;
-import ottergauge.control.log.Outcome;
-import ottergauge.control.log.Submissions;
+import ottergauge.control.log.LogRetention;
+import ottergauge.control.log.SubmissionBuilder;
+import ottergauge.control.log.SubmissionOutcome;
 import ottergauge.control.program.SubmissionFile.Part;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceCodec;
@@ -33,8 +33,8 @@
                 Files.write(folder.resolve("file.json"), ResourceCodec.write(submission)));
     }
 
-    private static Submissions many() {
-        Submissions many = Submissions.of("load");
+    private static SubmissionBuilder many() {
+        SubmissionBuilder many = SubmissionBuilder.of("load");
         for (int i = 0; i < 1_300; i++) {
             many.server("s-" + i, "checkout");
         }
@@ -45,25 +45,27 @@
         for (Part part : parts) {
             Submission submission = ResourceCodec.readSubmission(part.body());
             assertEquals(part.id(), submission.id());
-            Outcome outcome = log.apply(submission);
-            assertInstanceOf(Outcome.Accepted.class, outcome, outcome::toString);
+            SubmissionOutcome outcome = log.apply(submission);
+            assertInstanceOf(SubmissionOutcome.Accepted.class, outcome, outcome::toString);
         }
         return log.size();
     }
 
     @Test
-    void aFileIsOneSubmission() throws IOException, ProtocolException {
-        Submission submission = Submissions.of("a").service("checkout").tenant("gold", 2.5).build();
+    void file_isOneSubmission() throws IOException, ProtocolException {
+        Submission submission =
+                SubmissionBuilder.of("a").service("checkout").tenant("gold", 2.5).build();
         assertEquals(submission, ResourceCodec.readSubmission(file(submission).whole().body()));
     }
 
     @Test
-    void partsCanBeAppliedOneAfterTheOther() throws IOException, ProtocolException {
-        ChangeLog log = new ChangeLog("a1", LogLimits.DEFAULT);
+    void batches_canBeAppliedInOrder() throws IOException, ProtocolException {
+        ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
         List<Part> parts = file(many().build()).split();
         assertEquals(List.of("load:1", "load:2", "load:3"), parts.stream().map(Part::id).toList());
         assertEquals(1_301, apply(log, parts));
-        Submissions none = Submissions.of("unload").delete(ResourceKind.SERVICE, "checkout");
+        SubmissionBuilder none =
+                SubmissionBuilder.of("unload").delete(ResourceKind.SERVICE, "checkout");
         for (int i = 0; i < 1_300; i++) {
             none.delete(ResourceKind.SERVER, "s-" + i);
         }
@@ -71,8 +73,8 @@
     }
 
     @Test
-    void aSecondTimeChangesNothing() throws IOException, ProtocolException {
-        ChangeLog log = new ChangeLog("a1", LogLimits.DEFAULT);
+    void sameFileAgain_changesNothing() throws IOException, ProtocolException {
+        ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
         apply(log, file(many().build()).split());
         long version = log.position().version();
         apply(log, file(many().build()).split());
@@ -80,8 +82,8 @@
     }
 
     @Test
-    void partsAreBoundedByBytes() throws IOException {
-        Submissions longValues = Submissions.of("long");
+    void batches_areLimitedInBytes() throws IOException {
+        SubmissionBuilder longValues = SubmissionBuilder.of("long");
         for (int i = 0; i < 600; i++) {
             longValues.put(
                     ResourceKind.SERVICE, "s-" + i, new ResourceValue.Service("d".repeat(1_000)));
@@ -93,7 +95,7 @@
     }
 
     @Test
-    void aFileWithoutAnIdGetsOne() throws IOException, ProtocolException {
+    void fileWithoutId_getsAnId() throws IOException, ProtocolException {
         Path file =
                 Files.writeString(
                         folder.resolve("file.json"),
@@ -104,7 +106,7 @@
     }
 
     @Test
-    void whatIsNoObjectOrListIsToldInOneLine() throws IOException {
+    void malformedFile_isRejected() throws IOException {
         Path list = Files.writeString(folder.resolve("list.json"), "[]");
         assertThrows(IOException.class, () -> SubmissionFile.read(list));
         Path wrong = Files.writeString(folder.resolve("wrong.json"), "{\"put\":3}");
--- a/control/src/test/java/ottergauge/control/server/LimitedLogTest.java
+++ b/control/src/test/java/ottergauge/control/server/RateLimitedLoggerTest.java
@@ -9,20 +9,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Warnings are bounded by the second. */
-class LimitedLogTest {
+class RateLimitedLoggerTest {
 
     @Test
-    void twentyLinesASecondAreWrittenAndTheRestIsCounted() {
+    void moreThanTwentyLinesASecond_areSuppressedAndCounted() {
         List<String> written = new ArrayList<>();
         AtomicLong nowMs = new AtomicLong(5_000);
-        LimitedLog log = new LimitedLog(written::add, nowMs::get);
+        RateLimitedLogger log = new RateLimitedLogger(written::add, nowMs::get);
         for (int i = 0; i < 100; i++) {
             log.warn("line " + i);
         }
         assertEquals(20, written.size());
         nowMs.set(6_000);
         log.warn("next");
-        assertEquals(List.of("80 lines were left out", "next"), written.subList(20, 22));
+        assertEquals(
+                List.of("80 log lines suppressed by the rate limit", "next"),
+                written.subList(20, 22));
         log.warn("after");
         assertEquals(23, written.size());
     }
