--- a/src/main/java/ottergauge/program/RehearseCommand.java
+++ b/src/main/java/ottergauge/program/RehearseCommand.java
@@ -9,6 +9,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Comparator;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CompletionException;
 import java.util.concurrent.TimeUnit;
@@ -69,7 +70,7 @@
         NodeConfig config =
                 NodeConfig.read(CONFIG.formatted(port, door).getBytes(StandardCharsets.UTF_8));
         JitWarmUp.run(config);
-        NodeServer node = new NodeServer(config, folder);
+        NodeServer node = new NodeServer(config, Optional.of(folder));
         try {
             node.start()
                     .toCompletionStage()
--- a/src/main/java/ottergauge/program/ServeCommand.java
+++ b/src/main/java/ottergauge/program/ServeCommand.java
@@ -5,6 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.UUID;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
@@ -60,7 +61,7 @@
             return 1;
         }
         rehearse(config);
-        NodeServer node = new NodeServer(config, shared(config));
+        NodeServer node = new NodeServer(config, hotRestartDirectory(config));
         CountDownLatch failed = new CountDownLatch(1);
         // Before it listens: what it takes is answered, whenever it is told to stop.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, failed), "stop"));
@@ -103,15 +104,11 @@
     }
 
     // Kept from one process of a node to the next, and apart from those of other nodes beside it.
-    private static Path shared(NodeConfig config) {
-        String folder = System.getenv("TMPDIR");
-        return folder == null || folder.isEmpty()
-                ? null
-                : Path.of(
-                        folder,
-                        "ottergauge-"
-                                + UUID.nameUUIDFromBytes(
-                                        config.name().getBytes(StandardCharsets.UTF_8)));
+    private static Optional<Path> hotRestartDirectory(NodeConfig config) {
+        byte[] name = config.name().getBytes(StandardCharsets.UTF_8);
+        return Optional.ofNullable(System.getenv("TMPDIR"))
+                .filter(parent -> !parent.isEmpty())
+                .map(parent -> Path.of(parent, "ottergauge-" + UUID.nameUUIDFromBytes(name)));
     }
 
     private synchronized void started(NodeServer node) {
--- a/src/main/java/ottergauge/transport/AdminConnection.java
+++ b/src/main/java/ottergauge/transport/AdminConnection.java
@@ -16,6 +16,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.nio.charset.StandardCharsets;
+import java.util.Optional;
 import java.util.function.BiConsumer;
 import ottergauge.routing.AdminRequest;
 import ottergauge.routing.CloseReason;
@@ -25,7 +26,7 @@
 
     // Calls have no body; what a client sends along unasked is read past up to here.
     private static final int MOST_BODY = 4096;
-    static final String HEALTH = "/healthcheck";
+    static final String HEALTH_PATH = "/healthcheck";
     private static final String SERVERS = "/servers/";
 
     private final BiConsumer<AdminConnection, AdminRequest> asked;
@@ -46,7 +47,7 @@
     }
 
     @Override
-    void take(HttpObject part) {
+    void onPart(HttpObject part) {
         if (answered) {
             return;
         }
@@ -65,9 +66,9 @@
     }
 
     private void begin(HttpRequest request) {
-        String fault = HttpFraming.fault(request);
-        if (fault != null) {
-            answer(HttpResponseStatus.BAD_REQUEST, fault);
+        Optional<String> fault = HttpFraming.fault(request);
+        if (fault.isPresent()) {
+            answer(HttpResponseStatus.BAD_REQUEST, fault.get());
             return;
         }
         head = request;
@@ -86,7 +87,7 @@
         String path = head.uri().replaceFirst("\\?.*", "");
         AdminRequest get =
                 switch (path) {
-                    case HEALTH -> new AdminRequest.Health();
+                    case HEALTH_PATH -> new AdminRequest.Health();
                     case "/stats" -> new AdminRequest.Stats();
                     case "/servers" -> new AdminRequest.Servers();
                     default -> null;
@@ -147,17 +148,17 @@
         if (answered) {
             close(CloseReason.SLOW_ANSWER);
         } else {
-            because(CloseReason.SLOW_REQUEST);
+            setCloseReason(CloseReason.SLOW_REQUEST);
             answer(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call came in time");
         }
     }
 
     // A call is answered as soon as it is whole: what comes behind it has no answer.
     @Override
-    void taken() {}
+    void onReadComplete() {}
 
     @Override
-    void ended(CloseReason why) {
+    void onClosed(CloseReason reason) {
         whenEnded.run();
     }
 }
--- a/src/main/java/ottergauge/transport/AdminListener.java
+++ b/src/main/java/ottergauge/transport/AdminListener.java
@@ -23,7 +23,7 @@
 final class AdminListener {
 
     // A few operators and a collector of figures at once; what is silent beyond that gives way.
-    private static final int MOST_OPEN = 24;
+    private static final int MAX_CONNECTIONS = 24;
     private static final int BACKLOG = 256;
     // A call is one small message: what has not come whole by now does not come any more.
     private static final long CALL_WITHIN_MS = 2_000;
@@ -32,27 +32,27 @@
     private static final long FRESH_MS = 50;
 
     private final EventLoop loop;
-    private final ConnectionLimiter gate;
+    private final ConnectionLimiter limiter;
     private final Consumer<Event> events;
     private final Map<Long, AdminConnection> open = new LinkedHashMap<>();
     private final Map<Long, Long> since = new LinkedHashMap<>();
     private long lastNumber;
     private boolean makingRoom;
-    private String side = ConnectionLog.UNTOLD;
+    private String side = ConnectionLog.SELF;
 
     AdminListener(EventLoop loop, EventLoopMonitor watch, Consumer<Event> events) {
         this.loop = loop;
-        gate = new ConnectionLimiter(watch);
+        limiter = new ConnectionLimiter(watch);
         this.events = events;
     }
 
     Future<Listener> listen(Address address) {
-        gate.most(MOST_OPEN);
-        return Listener.open(loop, address, BACKLOG, false, gate, this::adopt);
+        limiter.setLimit(MAX_CONNECTIONS);
+        return Listener.open(loop, address, BACKLOG, false, limiter, this::adopt);
     }
 
     /** The node takes clients: from now on it is operators who call. */
-    void opened() {
+    void startServing() {
         side = "operator";
     }
 
@@ -68,9 +68,9 @@
                         });
         open.put(number, connection);
         since.put(number, System.nanoTime());
-        pipeline.addLast(new HttpFraming.Requests(), new HttpResponseEncoder(), connection);
+        pipeline.addLast(new HttpFraming.RequestDecoder(), new HttpResponseEncoder(), connection);
         loop.schedule(() -> late(number), CALL_WITHIN_MS, TimeUnit.MILLISECONDS);
-        if (gate.full() && !makingRoom) {
+        if (limiter.isFull() && !makingRoom) {
             makingRoom = true;
             loop.schedule(this::makeRoom, FRESH_MS, TimeUnit.MILLISECONDS);
         }
@@ -98,7 +98,7 @@
 
     private void makeRoom() {
         makingRoom = false;
-        if (!gate.full()) {
+        if (!limiter.isFull()) {
             return;
         }
         long old = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(FRESH_MS);
@@ -113,7 +113,7 @@
         loop.schedule(this::makeRoom, FRESH_MS, TimeUnit.MILLISECONDS);
     }
 
-    void tell(RespondToAdmin effect) {
+    void respond(RespondToAdmin effect) {
         AdminConnection connection = open.get(effect.connection());
         if (connection != null) {
             connection.answer(effect.status(), effect.text());
--- a/src/main/java/ottergauge/transport/BodyBuffer.java
+++ b/src/main/java/ottergauge/transport/BodyBuffer.java
@@ -4,40 +4,37 @@
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
 
-/**
- * Collects a message's body up to a limit; it grows with what has come, not with what was
- * announced.
- */
+/** Collects a body up to a limit. It grows with what has arrived, not with what was announced. */
 final class BodyBuffer {
 
-    private static final byte[] NONE = {};
-    private static final int FIRST = 256;
+    private static final byte[] EMPTY = {};
+    private static final int MIN_CAPACITY = 256;
 
-    private final int most;
-    private byte[] bytes = NONE;
+    private final int maxBytes;
+    private byte[] bytes = EMPTY;
     private int length;
 
-    BodyBuffer(int most) {
-        this.most = most;
+    BodyBuffer(int maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** Takes a part; false, and nothing is taken, if the body would be larger than it may be. */
-    boolean take(ByteBuf part) {
-        int more = part.readableBytes();
-        if (length + more > most) {
+    /** Appends a part; returns false, and appends nothing, if the limit would be exceeded. */
+    boolean append(ByteBuf part) {
+        int added = part.readableBytes();
+        if (length + added > maxBytes) {
             return false;
         }
-        if (length + more > bytes.length) {
-            // Twice as much each time: a body that comes byte by byte is not copied with each of
-            // them.
-            int wanted = Math.max(length + more, Math.max(FIRST, 2 * length));
-            bytes = Arrays.copyOf(bytes, Math.min(most, wanted));
+        if (length + added > bytes.length) {
+            // Doubled each time: a body that arrives byte by byte is not copied with each of them.
+            int capacity = Math.max(length + added, Math.max(MIN_CAPACITY, 2 * length));
+            bytes = Arrays.copyOf(bytes, Math.min(maxBytes, capacity));
         }
-        part.getBytes(part.readerIndex(), bytes, length, more);
-        length += more;
+        part.getBytes(part.readerIndex(), bytes, length, added);
+        length += added;
         return true;
     }
 
+    /** Returns the body; the array may be the buffer's own. */
     byte[] bytes() {
         return bytes.length == length ? bytes : Arrays.copyOf(bytes, length);
     }
--- a/src/main/java/ottergauge/transport/BodyRelay.java
+++ b/src/main/java/ottergauge/transport/BodyRelay.java
@@ -11,86 +11,89 @@
 import java.util.function.Consumer;
 
 /**
- * A body on its way from one connection to another, part by part: it is read no faster than the
- * other side takes it. Until that side is known the source is not read.
+ * Relays a body from one connection to another, part by part, with back-pressure: the source is
+ * read no faster than the destination is written, and not at all before there is a destination.
+ *
+ * <p>It owns a reference to each part that it holds; parts handed to the destination are released
+ * by that when they are written, those that still wait by {@link #drop}.
  */
 final class BodyRelay {
 
-    private final Connection from;
+    private final Connection source;
     private final Deque<HttpContent> waiting = new ArrayDeque<>();
-    private Connection to;
-    private Consumer<ChannelFuture> passed;
+    private Connection destination;
+    private Consumer<ChannelFuture> lastPartWritten;
     private boolean dropped;
 
-    /** Begins with the parts that are there. */
-    BodyRelay(Connection from) {
-        this.from = from;
-        from.pause();
+    /** Stops reading the source until there is a destination. */
+    BodyRelay(Connection source) {
+        this.source = source;
+        source.pauseReading();
     }
 
-    /** Takes a part that came; it is copied or counted anew, and the caller releases its own. */
-    void take(HttpContent part) {
+    /** Adds a part, of which it takes a reference of its own. */
+    void add(HttpContent part) {
         if (dropped) {
             return;
         }
-        // Trailers belong to one hop here.
+        // Trailers end at this hop.
         HttpContent own =
                 part instanceof LastHttpContent
                         ? new DefaultLastHttpContent(part.content().retain())
                         : new DefaultHttpContent(part.content().retain());
-        if (to == null) {
+        if (destination == null) {
             waiting.add(own);
         } else {
             write(own);
         }
     }
 
-    /** Whether it is known where it goes on to. */
-    boolean goesOn() {
-        return to != null;
+    boolean hasDestination() {
+        return destination != null;
     }
 
     /**
-     * Goes on to this connection; the handler hears once the last part is written, or could not be.
+     * Relays to this connection from now on.
+     *
+     * @param onLastPart is called once the last part is written, or could not be
      */
-    void on(Connection destination, Consumer<ChannelFuture> whenPassed) {
-        to = destination;
-        passed = whenPassed;
-        to.whenTakes(this::goOn);
+    void relayTo(Connection to, Consumer<ChannelFuture> onLastPart) {
+        destination = to;
+        lastPartWritten = onLastPart;
+        destination.onWritable(this::resume);
         for (HttpContent part = waiting.poll(); part != null; part = waiting.poll()) {
             write(part);
         }
-        to.context().flush();
-        goOn();
+        destination.context().flush();
+        resume();
     }
 
-    private void goOn() {
-        if (!dropped && to.takes()) {
-            from.resume();
+    private void resume() {
+        if (!dropped && destination.isWritable()) {
+            source.resumeReading();
         }
     }
 
     private void write(HttpContent part) {
-        ChannelFuture written = to.context().write(part);
+        ChannelFuture written = destination.context().write(part);
         if (part instanceof LastHttpContent) {
-            // The source carries other messages from now on, however slowly this one's end is
-            // taken.
-            to.whenTakes(() -> {});
-            from.resume();
-            written.addListener(done -> passed.accept((ChannelFuture) done));
-        } else if (!to.takes()) {
-            from.pause();
+            // The source carries other messages from now on, however slowly this end is written.
+            destination.onWritable(() -> {});
+            source.resumeReading();
+            written.addListener(done -> lastPartWritten.accept((ChannelFuture) done));
+        } else if (!destination.isWritable()) {
+            source.pauseReading();
         }
     }
 
-    /** All that one read brought is taken. */
+    /** Flushes what was written since the last flush. */
     void flush() {
-        if (to != null) {
-            to.context().flush();
+        if (destination != null) {
+            destination.context().flush();
         }
     }
 
-    /** It goes nowhere any more. */
+    /** Ends the relay: parts that wait are released, and further ones are ignored. */
     void drop() {
         dropped = true;
         for (HttpContent part = waiting.poll(); part != null; part = waiting.poll()) {
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -1,33 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.transport;
 
-import io.netty.buffer.Unpooled;
 import io.netty.channel.socket.DuplexChannel;
-import io.netty.handler.codec.http.DefaultFullHttpResponse;
-import io.netty.handler.codec.http.DefaultHttpContent;
-import io.netty.handler.codec.http.DefaultHttpResponse;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.handler.codec.http.TooLongHttpHeaderException;
-import io.netty.handler.codec.http.TooLongHttpLineException;
-import java.util.Locale;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ottergauge.protocol.BodyLimits;
 import ottergauge.protocol.Content;
 import ottergauge.protocol.Paths;
-import ottergauge.protocol.ProtocolException;
 import ottergauge.protocol.RequestFields;
 import ottergauge.routing.CloseReason;
 import ottergauge.routing.Effect.Respond;
@@ -45,405 +32,322 @@
 import ottergauge.routing.Event.StreamedRequestStarted;
 
 /**
- * A client's connection: one request at a time, each reported once it has come whole and nothing
- * with it.
+ * A client's connection. It carries one request at a time: a request is reported once it has
+ * arrived completely and nothing followed it, or as streamed once its body is too large to be
+ * buffered.
  */
 final class ClientConnection extends Connection {
 
     private enum Stage {
-        HEAD,
-        BODY,
-        FLOWING,
-        WHOLE,
-        OPEN,
-        UNREADABLE
+        AWAITING_HEAD,
+        BUFFERING_BODY,
+        STREAMING_BODY,
+        /** All parts have been handled, the end of their read is awaited. */
+        RECEIVED,
+        AWAITING_RESPONSE,
+        /** Further input is ignored. */
+        ENDING
     }
 
-    private static final double MICROS = 1e6;
-    // Twice between two looks at what stands still.
-    private static final long TOLD_EVERY = TimeUnit.MILLISECONDS.toNanos(200);
-    // As long as a client may need to notice an answer while it writes.
-    private static final long LINGERS_MS = 1_000;
+    private static final long PROGRESS_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+
+    /** As long as a client may need to notice a response while it writes. */
+    private static final long LINGER_MS = 1_000;
 
     private final long number;
-    private final HttpFraming.Requests decoder;
-    private final EventLoopMonitor watch;
+    private final HttpFraming.RequestDecoder decoder;
+    private final EventLoopMonitor monitor;
 
-    /** When it came up at the earliest, and the loop's round in which it was accepted. */
-    private final long since;
+    /** The earliest instant at which it can have come up, by the monitor's clock. */
+    private final long connectedAt;
 
-    private final long acceptedIn;
+    private final long acceptedInRound;
     private final Consumer<Event> events;
-    private Stage stage = Stage.HEAD;
+    private Stage stage = Stage.AWAITING_HEAD;
     private HttpRequest head;
+
+    /** Null for a health check, which the node answers itself. */
     private RequestFields fields;
-    private BodyBuffer body;
 
-    /**
-     * The body of a request too large to be kept, and the last part that is held until it came
-     * alone.
-     */
-    private BodyRelay flow;
+    private BodyBuffer body;
 
-    /** Whether all of that body has come, though it may not have passed on yet. */
-    private boolean flowWhole;
+    /** The request's body if it is streamed, for as long as it may have to be dropped. */
+    private StreamedBody stream;
 
-    private HttpContent last;
-    private long flowed;
-    private boolean closes;
+    private boolean streamReceived;
+    private boolean clientCloses;
     private boolean finishing;
-    private boolean headTold;
-    private long moved;
-    private long toldAt;
+    private boolean headStartReported;
+    private long unreportedBytes;
+    private long progressReportedAt;
 
     ClientConnection(
             String side,
             long number,
-            HttpFraming.Requests decoder,
-            EventLoopMonitor watch,
-            long since,
+            HttpFraming.RequestDecoder decoder,
+            EventLoopMonitor monitor,
+            long connectedAt,
             Consumer<Event> events) {
         super(side);
-        this.watch = watch;
-        this.since = since;
-        acceptedIn = watch.round();
+        this.monitor = monitor;
+        this.connectedAt = connectedAt;
+        acceptedInRound = monitor.round();
         this.number = number;
         this.decoder = decoder;
         this.events = events;
     }
 
     @Override
-    void take(HttpObject part) {
-        if (stage == Stage.UNREADABLE) {
+    void onPart(HttpObject part) {
+        if (stage == Stage.ENDING) {
             return;
         }
         if (part instanceof HttpRequest request) {
-            begin(request);
+            onHead(request);
         }
-        if (stage == Stage.BODY && part instanceof HttpContent content) {
-            read(content);
-        } else if (stage == Stage.FLOWING && part instanceof HttpContent content) {
-            flow(content);
+        if (part instanceof HttpContent content) {
+            if (stage == Stage.BUFFERING_BODY) {
+                buffer(content);
+            } else if (stage == Stage.STREAMING_BODY) {
+                stream(content);
+            }
         }
     }
 
-    private void begin(HttpRequest request) {
-        if (stage != Stage.HEAD) {
-            refuse(
+    private void onHead(HttpRequest request) {
+        if (stage != Stage.AWAITING_HEAD) {
+            reject(
                     HttpResponseStatus.BAD_REQUEST,
                     "a request before the one before it was answered");
             return;
         }
         head = request;
-        closes = !HttpUtil.isKeepAlive(request);
+        clientCloses = !HttpUtil.isKeepAlive(request);
         fields = null;
-        String fault = HttpFraming.fault(request);
-        if (fault != null) {
-            refuse(status(request), fault);
-        } else if (!isHealth(request)) {
-            check(request);
-        }
-        if (stage == Stage.HEAD) {
-            if (HttpUtil.is100ContinueExpected(request)) {
-                context().writeAndFlush(answer(HttpResponseStatus.CONTINUE, Content.NONE));
-            }
-            stage = Stage.BODY;
-            moved = 0;
-            body = new BodyBuffer(BodyLimits.MAX_BUFFERED_BYTES);
-            events.accept(new RequestHeadReceived(number));
-        }
-    }
-
-    private static HttpResponseStatus status(HttpRequest request) {
-        Throwable cause = request.decoderResult().cause();
-        return cause instanceof TooLongHttpLineException
-                ? HttpResponseStatus.REQUEST_URI_TOO_LONG
-                : cause instanceof TooLongHttpHeaderException
-                        ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
-                        : cause == null && !HttpVersion.HTTP_1_1.equals(request.protocolVersion())
-                                ? HttpResponseStatus.HTTP_VERSION_NOT_SUPPORTED
-                                : HttpResponseStatus.BAD_REQUEST;
-    }
-
-    private static boolean isHealth(HttpRequest request) {
-        return HttpMethod.GET.equals(request.method())
-                && (Paths.READY.equals(request.uri()) || Paths.LIVE.equals(request.uri()));
-    }
-
-    private void check(HttpRequest request) {
-        boolean get = HttpMethod.GET.equals(request.method());
         try {
-            for (String name : RequestFields.NAMES) {
-                if (request.headers().getAll(name).size() > 1) {
-                    throw new ProtocolException("more than one " + name);
-                }
+            RequestHeads.checkFraming(request);
+            if (!RequestHeads.isHealthCheck(request)) {
+                fields = RequestHeads.fields(request);
             }
-            fields = RequestFields.read(name -> request.headers().get(name));
-            if (!RequestFields.isVisible(request.uri())) {
-                throw new ProtocolException("the path holds other than visible characters");
-            }
-        } catch (ProtocolException e) {
-            refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
+        } catch (InvalidRequestHeadException e) {
+            reject(e.status(), e.getMessage());
             return;
         }
-        if (!get && !HttpMethod.POST.equals(request.method())) {
-            refuse(HttpResponseStatus.METHOD_NOT_ALLOWED, request.method().name());
-        } else if (HttpUtil.getContentLength(request, 0L) > BodyLimits.MAX_STREAMED_BYTES) {
-            // Read to its end, 60 MB that nobody wants would cost the node's other clients their
-            // time.
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+        if (HttpUtil.is100ContinueExpected(request)) {
+            context().writeAndFlush(ClientResponses.continueResponse());
         }
+        stage = Stage.BUFFERING_BODY;
+        unreportedBytes = 0;
+        body = new BodyBuffer(BodyLimits.MAX_BUFFERED_BYTES);
+        events.accept(new RequestHeadReceived(number));
     }
 
-    private void read(HttpContent content) {
+    private void buffer(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, String.valueOf(content.decoderResult().cause()));
-        } else if (!body.take(content.content())) {
+            rejectMalformed(content);
+        } else if (!body.append(content.content())) {
             if (fields == null) {
-                refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
+                rejectTooLarge();
             } else {
-                beginFlow(content);
+                beginStream(content);
             }
         } else if (content instanceof LastHttpContent) {
-            stage = Stage.WHOLE;
+            stage = Stage.RECEIVED;
         } else {
-            moved(content.content().readableBytes());
+            onProgress(content.content().readableBytes());
         }
     }
 
-    // What is here by now is kept until a server is chosen; nothing more is read before.
-    private void beginFlow(HttpContent content) {
-        stage = Stage.FLOWING;
-        flowWhole = false;
-        flow = new BodyRelay(this);
-        byte[] first = body.bytes();
-        flowed = first.length;
-        flow.take(new DefaultHttpContent(Unpooled.wrappedBuffer(first)));
+    // Nothing more is read until the router has chosen a server.
+    private void beginStream(HttpContent content) {
+        stage = Stage.STREAMING_BODY;
+        streamReceived = false;
+        stream = new StreamedBody(this, body.bytes());
         body = null;
-        Content type =
-                new Content(head.headers().get(HttpHeaderNames.CONTENT_TYPE), Content.NONE.bytes());
-        events.accept(
-                new StreamedRequestStarted(
-                        number, new ClientRequest(fields, head.method().name(), head.uri(), type)));
-        if (stage == Stage.FLOWING) {
-            flow(content);
+        events.accept(new StreamedRequestStarted(number, request(Content.NONE.bytes())));
+        if (stage == Stage.STREAMING_BODY) {
+            stream(content);
         }
     }
 
-    private void flow(HttpContent content) {
-        flowed += content.content().readableBytes();
+    private void stream(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, String.valueOf(content.decoderResult().cause()));
-        } else if (flowed > BodyLimits.MAX_STREAMED_BYTES) {
-            refuse(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
-        } else if (content instanceof LastHttpContent) {
-            // With it the server begins: not before it is known that nothing came behind.
-            last = content.retain();
-            stage = Stage.WHOLE;
-        } else {
-            flow.take(content);
-            moved(content.content().readableBytes());
+            rejectMalformed(content);
+            return;
         }
+        switch (stream.add(content)) {
+            case TOO_LARGE -> rejectTooLarge();
+            case KEPT_BACK_AS_LAST -> stage = Stage.RECEIVED;
+            case RELAYED -> onProgress(content.content().readableBytes());
+        }
+    }
+
+    private ClientRequest request(byte[] bytes) {
+        String type = head.headers().get(HttpHeaderNames.CONTENT_TYPE);
+        return new ClientRequest(
+                fields, head.method().name(), head.uri(), new Content(type, bytes));
     }
 
-    // Told now and then, not with each part: a body may come byte by byte.
-    private void moved(long bytes) {
-        moved += bytes;
+    // Reported now and then, not for each part: a body may arrive byte by byte.
+    private void onProgress(long bytes) {
+        unreportedBytes += bytes;
         long now = System.nanoTime();
-        if (now - toldAt > TOLD_EVERY) {
-            toldAt = now;
-            events.accept(new BodyProgress(number, moved));
-            moved = 0;
+        if (now - progressReportedAt > PROGRESS_PERIOD_NANOS) {
+            progressReportedAt = now;
+            events.accept(new BodyProgress(number, unreportedBytes));
+            unreportedBytes = 0;
         }
     }
 
-    /** Writes the body of the request that flows to a server's connection. */
-    void flowTo(OutboundConnection server, ClientRequest request, long waitsMs) {
-        if (flow != null) {
-            long length = HttpUtil.getContentLength(head, -1L);
-            BodyRelay whole = flow;
-            flow = flowWhole ? null : flow;
-            whole.on(
-                    server,
-                    server.open(UpstreamConnector.head(request, waitsMs, server.address(), length)));
+    /** Relays the body of the streamed request, if it still has one, to a server's connection. */
+    void relayRequestTo(OutboundConnection server, ClientRequest request, long timeoutMs) {
+        if (stream == null) {
+            return;
         }
+        long length = HttpUtil.getContentLength(head, -1L);
+        StreamedBody relayed = stream;
+        stream = streamReceived ? null : stream;
+        HttpRequest forwarded =
+                UpstreamRequests.head(request, timeoutMs, server.address(), length);
+        relayed.relayTo(server, server.sendHead(forwarded));
     }
 
-    /**
-     * A request goes on only when nothing has come behind it: what has would be read as another
-     * one.
-     */
+    // A request is reported only when nothing followed it, which would be read as another request.
     @Override
-    void taken() {
-        if (flow != null) {
-            flow.flush();
+    void onReadComplete() {
+        if (stream != null) {
+            stream.flush();
         }
-        if ((stage == Stage.WHOLE || stage == Stage.OPEN) && decoder.hasMore()) {
-            refuse(HttpResponseStatus.BAD_REQUEST, "more came behind the request");
-        } else if (stage == Stage.HEAD) {
-            if (!headTold && decoder.hasMore()) {
-                headTold = true;
-                events.accept(new RequestHeadStarted(number));
-            }
-        } else if (stage == Stage.WHOLE && flow != null) {
-            stage = Stage.OPEN;
-            events.accept(new StreamedRequestCompleted(number));
-            BodyRelay whole = flow;
-            flowWhole = true;
-            // With no server chosen yet it waits for one, whole as it is.
-            flow = whole.goesOn() ? null : whole;
-            whole.take(last);
-            whole.flush();
-            last.release();
-            last = null;
-        } else if (stage == Stage.WHOLE) {
-            stage = Stage.OPEN;
-            events.accept(
-                    fields == null
-                            ? new HealthRequested(number, Paths.READY.equals(head.uri()))
-                            : new RequestReceived(
-                                    number,
-                                    new ClientRequest(
-                                            fields,
-                                            head.method().name(),
-                                            head.uri(),
-                                            new Content(
-                                                    head.headers()
-                                                            .get(HttpHeaderNames.CONTENT_TYPE),
-                                                    body.bytes())),
-                                    waited()));
-            head = null;
-            body = null;
+        if ((stage == Stage.RECEIVED || stage == Stage.AWAITING_RESPONSE)
+                && decoder.hasMoreBytes()) {
+            reject(HttpResponseStatus.BAD_REQUEST, "more came behind the request");
+        } else if (stage == Stage.AWAITING_HEAD) {
+            reportHeadStart();
+        } else if (stage == Stage.RECEIVED && stream != null) {
+            stage = Stage.AWAITING_RESPONSE;
+            completeStream();
+        } else if (stage == Stage.RECEIVED) {
+            stage = Stage.AWAITING_RESPONSE;
+            reportRequest();
+        }
+    }
+
+    private void reportHeadStart() {
+        if (!headStartReported && decoder.hasMoreBytes()) {
+            headStartReported = true;
+            events.accept(new RequestHeadStarted(number));
         }
     }
 
+    private void completeStream() {
+        events.accept(new StreamedRequestCompleted(number));
+        StreamedBody received = stream;
+        streamReceived = true;
+        // Without a server yet, it is kept for the one that will be chosen.
+        stream = received.hasDestination() ? null : received;
+        received.complete();
+    }
+
+    private void reportRequest() {
+        events.accept(
+                fields == null
+                        ? new HealthRequested(number, Paths.READY.equals(head.uri()))
+                        : new RequestReceived(number, request(body.bytes()), ageMicros()));
+        head = null;
+        body = null;
+    }
+
     // What a new connection brings with it may be as old as the connection.
-    private long waited() {
-        return watch.microsSince(watch.round() <= acceptedIn + 1 ? since : watch.since());
+    private long ageMicros() {
+        boolean isNew = monitor.round() <= acceptedInRound + 1;
+        return monitor.microsSince(isNew ? connectedAt : monitor.earliestArrival());
     }
 
-    private void dropFlow() {
-        if (last != null) {
-            last.release();
-            last = null;
-        }
-        flow = null;
+    private void rejectMalformed(HttpContent content) {
+        reject(HttpResponseStatus.BAD_REQUEST, String.valueOf(content.decoderResult().cause()));
+    }
+
+    private void rejectTooLarge() {
+        reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
     }
 
-    private void refuse(HttpResponseStatus status, String why) {
-        if (flow != null) {
-            flow.drop();
-            dropFlow();
+    private void reject(HttpResponseStatus status, String reason) {
+        dropStream();
+        stage = Stage.ENDING;
+        setCloseReason(CloseReason.MALFORMED);
+        events.accept(new InvalidRequest(number, status.code(), reason));
+    }
+
+    private void dropStream() {
+        if (stream != null) {
+            stream.drop();
+            stream = null;
         }
-        stage = Stage.UNREADABLE;
-        because(CloseReason.MALFORMED);
-        events.accept(new InvalidRequest(number, status.code(), why));
     }
 
+    /** Writes the final response to the request. */
     void respond(Respond effect) {
-        FullHttpResponse response =
-                answer(HttpResponseStatus.valueOf(effect.status()), effect.content());
-        HttpHeaders headers = response.headers();
-        headers.set(HttpHeaderNames.CONTENT_LENGTH, effect.content().bytes().length);
-        if (effect.retryAfterMicros() > 0) {
-            headers.set(
-                    HttpHeaderNames.RETRY_AFTER,
-                    String.format(Locale.ROOT, "%.3f", effect.retryAfterMicros() / MICROS));
-        }
-        boolean ends = effect.closeAfter() || closes;
-        if (ends) {
-            headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        }
-        if (effect.content().type() != null) {
-            headers.set(HttpHeaderNames.CONTENT_TYPE, effect.content().type());
-        }
-        if (flow != null) {
-            flow.drop();
-            dropFlow();
-        }
+        boolean closes = effect.closeAfter() || clientCloses;
+        FullHttpResponse response = ClientResponses.complete(effect, closes);
+        dropStream();
         context()
                 .writeAndFlush(response)
-                .addListener(written -> answered(ends, written.isSuccess()));
-        next(ends);
+                .addListener(written -> onResponseWritten(closes, written.isSuccess()));
+        awaitNextRequest(closes);
     }
 
-    private void next(boolean ends) {
-        stage = ends ? Stage.UNREADABLE : Stage.HEAD;
-        headTold = false;
+    private void awaitNextRequest(boolean closes) {
+        stage = closes ? Stage.ENDING : Stage.AWAITING_HEAD;
+        headStartReported = false;
     }
 
-    private void answered(boolean ends, boolean written) {
+    private void onResponseWritten(boolean closes, boolean success) {
         events.accept(new ResponseWritten(number));
-        if (ends && written) {
+        if (closes && success) {
             finish(CloseReason.NOT_REUSABLE);
-        } else if (ends) {
+        } else if (closes) {
             close(CloseReason.NOT_REUSABLE);
         }
     }
 
     /**
-     * Ends the connection when all is written. Its client may be sending: closed over bytes that
-     * are not read, the connection would be reset, and what was written last be lost with it. So
-     * the client hears of the end first, and what it sends meanwhile is passed over.
+     * Ends the connection when everything is written. The client may be sending: if the connection
+     * was closed with unread bytes, it would be reset, and the last response lost with it. So the
+     * output is closed first, and what the client sends meanwhile is ignored.
      */
-    void finish(CloseReason why) {
+    void finish(CloseReason reason) {
         if (finishing) {
             return;
         }
         finishing = true;
-        stage = Stage.UNREADABLE;
-        because(why);
-        if (context().channel() instanceof DuplexChannel both && both.isActive()) {
-            both.shutdownOutput();
-            resume();
-            context().executor().schedule(() -> close(why), LINGERS_MS, TimeUnit.MILLISECONDS);
+        stage = Stage.ENDING;
+        setCloseReason(reason);
+        if (context().channel() instanceof DuplexChannel duplex && duplex.isActive()) {
+            duplex.shutdownOutput();
+            resumeReading();
+            context().executor().schedule(() -> close(reason), LINGER_MS, TimeUnit.MILLISECONDS);
         } else {
-            close(why);
+            close(reason);
         }
     }
 
-    /** Begins to pass a server's answer on; what of it comes goes on as it comes. */
-    void passOn(OutboundConnection server, boolean ends) {
-        boolean closing = ends || closes;
-        OutboundConnection.Answer answer = server.flowing();
-        HttpResponse response =
-                new DefaultHttpResponse(
-                        HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(answer.status()));
-        Content content =
-                new Content(answer.headers().get(HttpHeaderNames.CONTENT_TYPE), answer.body());
-        if (content.type() != null) {
-            response.headers().set(HttpHeaderNames.CONTENT_TYPE, content.type());
-        }
-        if (answer.length() >= 0) {
-            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.length());
-        } else {
-            response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        }
-        if (closing) {
-            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
-        }
-        context().write(response);
-        moved = 0;
-        server.flowTo(
+    /** Begins to relay a server's streamed response. */
+    void relayResponseOf(OutboundConnection server, boolean closeAfter) {
+        boolean closes = closeAfter || clientCloses;
+        context().write(ClientResponses.head(server.streamedResponse(), closes));
+        unreportedBytes = 0;
+        server.relayResponseTo(
                 this,
-                this::moved,
+                this::onProgress,
                 written -> {
-                    next(closing);
-                    answered(closing, written.isSuccess());
+                    awaitNextRequest(closes);
+                    onResponseWritten(closes, written.isSuccess());
                 });
     }
 
-    private static FullHttpResponse answer(HttpResponseStatus status, Content content) {
-        return new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(content.bytes()));
-    }
-
     @Override
-    void ended(CloseReason why) {
-        if (flow != null) {
-            flow.drop();
-            dropFlow();
-        }
+    void onClosed(CloseReason reason) {
+        dropStream();
         events.accept(new ClientClosed(number));
     }
 }
--- a/src/main/java/ottergauge/transport/Connection.java
+++ b/src/main/java/ottergauge/transport/Connection.java
@@ -9,74 +9,77 @@
 import java.io.IOException;
 import ottergauge.routing.CloseReason;
 
-/**
- * An open connection that carries HTTP, and why it is going to end: the first reason given counts.
- */
+/** An open HTTP connection. Of the reasons given for its end the first one is reported. */
 abstract class Connection extends ChannelInboundHandlerAdapter {
 
-    // How much waits to be written before the other side is not read any more, and from when it is
-    // again:
-    // this much of each flow is in memory.
+    /**
+     * From how many unwritten bytes on the source of a body is not read, and below how many it is
+     * again: this much of each relayed body is in memory.
+     */
     static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
     private final String side;
     private ChannelHandlerContext context;
     private String address;
-    private CloseReason reason;
-    private Runnable whenTakes = () -> {};
+    private CloseReason closeReason;
+    private Runnable writableHandler = () -> {};
 
+    /** {@code side} is what the log calls the other end. */
     Connection(String side) {
         this.side = side;
     }
 
-    /** A part of a message has come. */
-    abstract void take(HttpObject part);
+    /** Handles a part of a message; its buffer is released afterwards. */
+    abstract void onPart(HttpObject part);
 
-    /** All that had come is taken. */
-    abstract void taken();
+    /** Handles the end of a read: every part that had arrived was handled. */
+    abstract void onReadComplete();
 
-    /** It has ended. */
-    abstract void ended(CloseReason why);
+    /** Handles the connection's end. */
+    abstract void onClosed(CloseReason reason);
 
     final ChannelHandlerContext context() {
         return context;
     }
 
+    /** The other end's address. */
     final String address() {
         return address;
     }
 
-    final void because(CloseReason why) {
-        reason = reason == null ? why : reason;
+    /** Gives a reason for the connection's end, in case that no other was given before. */
+    final void setCloseReason(CloseReason reason) {
+        closeReason = closeReason == null ? reason : closeReason;
     }
 
-    final void close(CloseReason why) {
-        because(why);
+    final void close(CloseReason reason) {
+        setCloseReason(reason);
         context.close();
     }
 
-    /** Reads nothing for now: what comes waits at the sender's. */
-    final void pause() {
+    /** Stops reading: further bytes wait at the sender. */
+    final void pauseReading() {
         context.channel().config().setAutoRead(false);
     }
 
-    final void resume() {
+    final void resumeReading() {
         context.channel().config().setAutoRead(true);
     }
 
-    /** Whether it takes more at the moment than it still has to write. */
-    final boolean takes() {
+    /** Whether fewer bytes wait to be written than the high water mark. */
+    final boolean isWritable() {
         return context.channel().isWritable();
     }
 
-    final void whenTakes(Runnable handler) {
-        whenTakes = handler;
+    /** Replaces the handler that runs when the connection becomes writable again. */
+    final void onWritable(Runnable handler) {
+        writableHandler = handler;
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (takes()) {
-            whenTakes.run();
+        if (isWritable()) {
+            writableHandler.run();
         }
         ctx.fireChannelWritabilityChanged();
     }
@@ -90,9 +93,9 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            // What a decoder makes of the rest when the connection has ended is no message.
+            // What a decoder makes of leftover bytes after the connection's end is no message.
             if (ctx.channel().isActive()) {
-                take((HttpObject) message);
+                onPart((HttpObject) message);
             }
         } finally {
             ReferenceCountUtil.release(message);
@@ -102,7 +105,7 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         if (ctx.channel().isActive()) {
-            taken();
+            onReadComplete();
         }
         ctx.fireChannelReadComplete();
     }
@@ -114,9 +117,9 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        because(CloseReason.PEER_CLOSED);
-        ConnectionLog.ended(side, address, reason);
-        ended(reason);
+        setCloseReason(CloseReason.PEER_CLOSED);
+        ConnectionLog.ended(side, address, closeReason);
+        onClosed(closeReason);
         ctx.fireChannelInactive();
     }
 }
--- a/src/main/java/ottergauge/transport/ConnectionLimiter.java
+++ b/src/main/java/ottergauge/transport/ConnectionLimiter.java
@@ -6,37 +6,37 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Accepts no connection past a number: the rest waits in the system's queue and takes no
- * descriptor.
+ * Accepts connections up to a limit; further ones wait in the system's accept queue and use no
+ * descriptor. It is the handler of a listening channel.
  */
 final class ConnectionLimiter extends ChannelInboundHandlerAdapter {
 
-    /** How many connections are accepted in one round of the loop. */
-    static final int AT_ONCE = 16;
+    /** How many connections are accepted in one round of the event loop. */
+    static final int MAX_ACCEPTS_PER_ROUND = 16;
 
-    private final EventLoopMonitor watch;
-    private int most = Integer.MAX_VALUE;
+    private final EventLoopMonitor monitor;
+    private int limit = Integer.MAX_VALUE;
     private int open;
     private long accepted;
-    private int inRound;
-    private long since;
+    private int acceptedInRound;
+    private long earliestArrival;
 
-    /** The last round accepted all that it may: there may be more that have waited for as long. */
-    private boolean more;
+    /** The last round accepted all that it may: there may be more that have waited as long. */
+    private boolean moreWaiting;
 
     private Channel listener;
 
-    ConnectionLimiter(EventLoopMonitor watch) {
-        this.watch = watch;
+    ConnectionLimiter(EventLoopMonitor monitor) {
+        this.monitor = monitor;
     }
 
-    void most(int connections) {
-        most = connections;
-        update();
+    void setLimit(int connections) {
+        limit = connections;
+        updateAutoRead();
     }
 
-    boolean full() {
-        return open >= most;
+    boolean isFull() {
+        return open >= limit;
     }
 
     /** How many connections have been accepted so far. */
@@ -45,18 +45,18 @@
     }
 
     /**
-     * When, at the earliest, the connection that is being accepted can have come up, by the loop's
-     * watch. Of those that wait because the gate is full nothing is known: they count as having
-     * come now.
+     * The earliest instant, by the monitor's clock, at which the connection that is being accepted
+     * can have come up. Of those that wait because the limit is reached nothing is known: they
+     * count as having come up now.
      */
-    long since() {
-        return since;
+    long earliestArrival() {
+        return earliestArrival;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         listener = ctx.channel();
-        update();
+        updateAutoRead();
         ctx.fireChannelActive();
     }
 
@@ -64,30 +64,32 @@
     public void channelRead(ChannelHandlerContext ctx, Object connection) {
         open++;
         accepted++;
-        if (inRound++ == 0 && !more) {
-            since = watch.since();
+        if (acceptedInRound == 0 && !moreWaiting) {
+            earliestArrival = monitor.earliestArrival();
         }
+        acceptedInRound++;
         ((Channel) connection)
                 .closeFuture()
                 .addListener(
                         closed -> {
                             open--;
-                            update();
+                            updateAutoRead();
                         });
-        update();
+        updateAutoRead();
         ctx.fireChannelRead(connection);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        more = inRound >= AT_ONCE && open < most;
-        inRound = 0;
+        moreWaiting = acceptedInRound >= MAX_ACCEPTS_PER_ROUND && open < limit;
+        acceptedInRound = 0;
         ctx.fireChannelReadComplete();
     }
 
-    private void update() {
-        if (listener != null && listener.config().isAutoRead() != open < most) {
-            listener.config().setAutoRead(open < most);
+    private void updateAutoRead() {
+        boolean below = open < limit;
+        if (listener != null && listener.config().isAutoRead() != below) {
+            listener.config().setAutoRead(below);
         }
     }
 }
--- a/src/main/java/ottergauge/transport/ConnectionLog.java
+++ b/src/main/java/ottergauge/transport/ConnectionLog.java
@@ -5,18 +5,23 @@
 import org.slf4j.LoggerFactory;
 import ottergauge.routing.CloseReason;
 
-/** One line for each connection that ends. */
+/** Logs one line for each connection that ends. */
 final class ConnectionLog {
 
     private static final Logger LOG = LoggerFactory.getLogger("ottergauge.connection");
 
-    /** The side of connections that the node has with itself. */
-    static final String UNTOLD = "itself";
+    /** The side of connections that the node opens to itself, which aren't logged. */
+    static final String SELF = "itself";
 
     private ConnectionLog() {}
 
+    /**
+     * Logs that a connection ended, or did not come up.
+     *
+     * @param side what the log calls the other end: client, server, discovery or operator
+     */
     static void ended(String side, Object peer, CloseReason reason) {
-        if (!UNTOLD.equals(side)) {
+        if (!SELF.equals(side)) {
             LOG.info("ended side={} peer={} code={}", side, peer, reason);
         }
     }
--- a/src/main/java/ottergauge/transport/DiscoveryClient.java
+++ b/src/main/java/ottergauge/transport/DiscoveryClient.java
@@ -25,92 +25,94 @@
 import ottergauge.routing.Event.EndpointListReceived;
 import ottergauge.routing.Event.EndpointListRejected;
 
-/** The calls to discovery: each on a connection of its own, which is kept for the next one. */
+/**
+ * Polls discovery, each time on a connection of its own; an idle one is kept for the next poll.
+ */
 final class DiscoveryClient {
 
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
     private static final int OK = 200;
-    private static final long CONNECT_WITHIN_MS = 2_000;
+    private static final long CONNECT_TIMEOUT_MS = 2_000;
 
     private final OutboundConnection.Dialer dialer;
 
-    /** The largest list that is read, in bytes. */
-    private final int mostListBytes;
+    /** A larger list is rejected. */
+    private final int maxListBytes;
 
     private final Consumer<Event> events;
 
-    /** The calls that are out; those whose connection is not up yet have none. */
-    private final Map<Long, Optional<OutboundConnection>> out = new HashMap<>();
+    /** The open polls; one whose connection is not established yet has none. */
+    private final Map<Long, Optional<OutboundConnection>> openPolls = new HashMap<>();
 
     private OutboundConnection idle;
-    private Address idleAt;
+    private Address idleAddress;
 
-    DiscoveryClient(OutboundConnection.Dialer dialer, int mostListBytes, Consumer<Event> events) {
+    DiscoveryClient(OutboundConnection.Dialer dialer, int maxListBytes, Consumer<Event> events) {
         this.events = events;
         this.dialer = dialer;
-        this.mostListBytes = mostListBytes;
+        this.maxListBytes = maxListBytes;
     }
 
-    void call(PollDiscovery effect) {
-        if (!out.isEmpty()) {
+    void poll(PollDiscovery effect) {
+        if (!openPolls.isEmpty()) {
             LOG.warn(
-                    "{} calls to discovery are not answered in time, it is asked anew", out.size());
+                    "{} calls to discovery are not answered in time, it is asked anew", openPolls.size());
         }
-        OutboundConnection kept = idle;
+        OutboundConnection reused = idle;
         idle = null;
-        if (kept != null && effect.address().equals(idleAt)) {
-            ask(effect, kept);
+        if (reused != null && effect.address().equals(idleAddress)) {
+            send(effect, reused);
             return;
         }
-        if (kept != null) {
-            kept.close(CloseReason.DISCOVERY_MOVED);
+        if (reused != null) {
+            reused.close(CloseReason.DISCOVERY_MOVED);
         }
-        out.put(effect.poll(), Optional.empty());
-        dialer.dial("discovery", effect.address(), CONNECT_WITHIN_MS, mostListBytes)
+        openPolls.put(effect.poll(), Optional.empty());
+        dialer.dial("discovery", effect.address(), CONNECT_TIMEOUT_MS, maxListBytes)
                 .onComplete(
                         opened -> connected(effect, opened),
                         failure -> fail(effect.poll(), failure.toString()));
     }
 
     private void connected(PollDiscovery effect, OutboundConnection opened) {
-        opened.whenEnded(why -> ended(opened, why));
-        if (out.containsKey(effect.poll())) {
-            ask(effect, opened);
+        opened.onEnd(reason -> onEnd(opened, reason));
+        if (openPolls.containsKey(effect.poll())) {
+            send(effect, opened);
         } else {
             opened.close(CloseReason.DISCOVERY_MOVED);
         }
     }
 
-    private void ended(OutboundConnection connection, CloseReason why) {
+    private void onEnd(OutboundConnection connection, CloseReason reason) {
         if (connection == idle) {
             idle = null;
         }
-        List<Long> calls =
-                out.entrySet().stream()
+        List<Long> polls =
+                openPolls.entrySet().stream()
                         .filter(each -> each.getValue().orElse(null) == connection)
                         .map(Map.Entry::getKey)
                         .toList();
-        for (long call : calls) {
-            if (why == CloseReason.TOO_LARGE) {
-                tooLarge(call, connection.announced());
+        for (long poll : polls) {
+            if (reason == CloseReason.TOO_LARGE) {
+                rejectTooLarge(poll, connection.announcedLength());
             } else {
-                fail(call, "the connection ended");
+                fail(poll, "the connection ended");
             }
         }
     }
 
-    private void tooLarge(long call, long announced) {
-        out.remove(call);
+    private void rejectTooLarge(long poll, long announcedLength) {
+        openPolls.remove(poll);
         LOG.error(
                 "the list of {} bytes is over the bound of {} bytes, which follows from memory_mb:"
                         + " the one before stays in force",
-                announced > 0 ? announced : "more",
-                mostListBytes);
-        events.accept(new EndpointListRejected(call));
+                announcedLength > 0 ? announcedLength : "more",
+                maxListBytes);
+        events.accept(new EndpointListRejected(poll));
     }
 
-    private void ask(PollDiscovery effect, OutboundConnection connection) {
-        out.put(effect.poll(), Optional.of(connection));
+    private void send(PollDiscovery effect, OutboundConnection connection) {
+        openPolls.put(effect.poll(), Optional.of(connection));
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -123,39 +125,39 @@
                                                 + "&wait_ms="
                                                 + effect.maxWaitMicros() / 1000));
         request.headers().set(HttpHeaderNames.HOST, effect.address().toString());
-        connection.send(request, () -> {}, answer -> answered(effect, connection, answer));
+        connection.send(request, () -> {}, response -> onResponse(effect, connection, response));
     }
 
-    private void answered(PollDiscovery effect, OutboundConnection connection, OutboundConnection.Answer answer) {
-        if (!out.containsKey(effect.poll())) {
+    private void onResponse(PollDiscovery effect, OutboundConnection connection, OutboundConnection.Response response) {
+        if (!openPolls.containsKey(effect.poll())) {
             return;
         }
-        if (answer.status() != OK) {
-            fail(effect.poll(), "status " + answer.status());
+        if (response.status() != OK) {
+            fail(effect.poll(), "status " + response.status());
             return;
         }
         EndpointList list;
         try {
-            list = EndpointList.read(answer.body());
+            list = EndpointList.read(response.body());
         } catch (ProtocolException e) {
-            out.remove(effect.poll());
+            openPolls.remove(effect.poll());
             connection.close(CloseReason.MALFORMED);
             LOG.warn("a call to discovery failed: {}", e.getMessage());
             events.accept(new EndpointListRejected(effect.poll()));
             return;
         }
-        out.remove(effect.poll());
-        if (!answer.reusable() || idle != null) {
+        openPolls.remove(effect.poll());
+        if (!response.reusable() || idle != null) {
             connection.close(CloseReason.NOT_REUSABLE);
         } else {
             idle = connection;
-            idleAt = effect.address();
+            idleAddress = effect.address();
         }
         events.accept(new EndpointListReceived(effect.poll(), list));
     }
 
-    void giveUp(CancelPoll effect) {
-        Optional<OutboundConnection> connection = out.remove(effect.poll());
+    void cancel(CancelPoll effect) {
+        Optional<OutboundConnection> connection = openPolls.remove(effect.poll());
         if (connection != null) {
             connection.ifPresent(each -> each.close(effect.reason()));
             if (effect.reason() == CloseReason.WATCH_SILENT) {
@@ -164,12 +166,12 @@
         }
     }
 
-    private void fail(long call, String why) {
-        Optional<OutboundConnection> connection = out.remove(call);
+    private void fail(long poll, String reason) {
+        Optional<OutboundConnection> connection = openPolls.remove(poll);
         if (connection != null) {
             connection.ifPresent(each -> each.close(CloseReason.TIMED_OUT));
-            LOG.warn("a call to discovery failed: {}", why);
-            events.accept(new DiscoveryPollFailed(call));
+            LOG.warn("a call to discovery failed: {}", reason);
+            events.accept(new DiscoveryPollFailed(poll));
         }
     }
 }
--- a/src/main/java/ottergauge/transport/DownstreamConnections.java
+++ b/src/main/java/ottergauge/transport/DownstreamConnections.java
@@ -20,43 +20,51 @@
 import ottergauge.routing.Event.ClientClosed;
 import ottergauge.routing.Event.ClientConnected;
 
-/** The side that clients connect to. */
+/** The clients' open connections, and the address that they connect to. */
 final class DownstreamConnections {
 
     private static final Logger LOG = LoggerFactory.getLogger(DownstreamConnections.class);
-    // As many as a burst of clients may open before the loop comes round to accept them.
+
+    /** As many as a burst of clients may open within a round of the event loop. */
     private static final int BACKLOG = 1024;
 
-    private final EventLoopMonitor watch;
+    private static final String SIDE = "client";
+
+    private final EventLoopMonitor monitor;
     private final Consumer<Event> events;
     private final Map<Long, ClientConnection> connections = new HashMap<>();
     private long lastNumber;
-    private String side = ConnectionLog.UNTOLD;
-    private Runnable whenEmpty;
+    private String side = ConnectionLog.SELF;
+    private Runnable emptyHandler;
 
-    DownstreamConnections(EventLoopMonitor watch, Consumer<Event> events) {
-        this.watch = watch;
+    DownstreamConnections(EventLoopMonitor monitor, Consumer<Event> events) {
+        this.monitor = monitor;
         this.events = events;
     }
 
-    Future<Listener> listen(EventLoop loop, Address address, boolean shared, ConnectionLimiter gate) {
+    /** Listens; {@code shared} lets another process of the node listen on the same address. */
+    Future<Listener> listen(
+            EventLoop loop, Address address, boolean shared, ConnectionLimiter limiter) {
         return Listener.open(
-                loop, address, BACKLOG, shared, gate, pipeline -> adopt(pipeline, gate.since()));
+                loop,
+                address,
+                BACKLOG,
+                shared,
+                limiter,
+                pipeline -> add(pipeline, limiter.earliestArrival()));
     }
 
-    /** The node takes clients: from now on it is they who connect. */
-    void opened() {
-        side = "client";
+    /** The node serves clients: connections from now on are theirs, and not its own. */
+    void startServing() {
+        side = SIDE;
     }
 
-    /**
-     * Takes a new connection that came up at {@code since} at the earliest, by the loop's watch.
-     */
-    void adopt(ChannelPipeline pipeline, long since) {
+    /** Adds a new connection; {@code connectedAt} is by the monitor's clock, at the earliest. */
+    void add(ChannelPipeline pipeline, long connectedAt) {
         long number = ++lastNumber;
-        HttpFraming.Requests decoder = new HttpFraming.Requests();
+        HttpFraming.RequestDecoder decoder = new HttpFraming.RequestDecoder();
         ClientConnection connection =
-                new ClientConnection(side, number, decoder, watch, since, this::report);
+                new ClientConnection(side, number, decoder, monitor, connectedAt, this::report);
         connections.put(number, connection);
         pipeline.addFirst(decoder, new HttpResponseEncoder(), connection);
         events.accept(new ClientConnected(number));
@@ -67,18 +75,18 @@
             connections.remove(closed.client());
         }
         events.accept(event);
-        if (connections.isEmpty() && whenEmpty != null) {
-            whenEmpty.run();
+        if (connections.isEmpty() && emptyHandler != null) {
+            emptyHandler.run();
         }
     }
 
     void log(ReportInvalidRequest effect) {
         ClientConnection connection = connections.get(effect.client());
         if (effect.suppressed() > 0) {
-            LOG.warn("{} more were no requests", effect.suppressed());
+            LOG.warn("{} more invalid requests were not logged", effect.suppressed());
         }
         LOG.warn(
-                "no request from {}, answered {}: {}",
+                "invalid request from {}, answered {}: {}",
                 connection == null ? "a client that has gone" : connection.address(),
                 effect.status(),
                 effect.reason());
@@ -91,19 +99,20 @@
         }
     }
 
-    /** Writes what comes of a client's request to a server as it comes. */
-    void forward(ForwardStream effect, OutboundConnection server) {
+    /** Relays a client's streamed request to a server; null if that connection has ended. */
+    void relayRequest(ForwardStream effect, OutboundConnection server) {
         ClientConnection connection = connections.get(effect.client());
         if (connection != null && server != null) {
-            connection.flowTo(server, effect.request(), UpstreamConnector.millis(effect.timeoutMicros()));
+            long timeoutMs = UpstreamConnector.toMillis(effect.timeoutMicros());
+            connection.relayRequestTo(server, effect.request(), timeoutMs);
         }
     }
 
-    /** Passes a server's answer on to a client as it comes. */
-    void passOn(RelayResponse effect, OutboundConnection server) {
+    /** Relays a server's streamed response to a client; null if the connection has ended. */
+    void relayResponse(RelayResponse effect, OutboundConnection server) {
         ClientConnection connection = connections.get(effect.client());
         if (connection != null && server != null) {
-            connection.passOn(server, effect.closeAfter());
+            connection.relayResponseOf(server, effect.closeAfter());
         }
     }
 
@@ -114,17 +123,17 @@
         }
         switch (effect.reason()) {
             case IDLE, STOPPING -> connection.finish(effect.reason());
-            // Its descriptor is wanted at once, or there is nothing that its client would be told.
+            // Its descriptor is needed at once, or the client can't be told anything.
             default -> connection.close(effect.reason());
         }
     }
 
-    /** Runs a task once no connection is left: those that are ending are given their time. */
-    void whenNoneIsLeft(Runnable task) {
+    /** Runs a task once no connection is open, those included that are about to end. */
+    void whenEmpty(Runnable task) {
         if (connections.isEmpty()) {
             task.run();
         } else {
-            whenEmpty = task;
+            emptyHandler = task;
         }
     }
 }
--- /dev/null
+++ b/src/main/java/ottergauge/transport/EffectPerformer.java
@@ -0,0 +1,130 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.transport;
+
+import io.netty.channel.EventLoop;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import ottergauge.routing.CloseReason;
+import ottergauge.routing.Effect;
+import ottergauge.routing.Event;
+
+/** Performs the router's effects, all but those that end the node. */
+final class EffectPerformer {
+
+    private static final Logger LOG = LoggerFactory.getLogger(EffectPerformer.class);
+    private static final long NEXT_ROUND_MS = 1;
+
+    private final EventLoop loop;
+    private final EventLoopMonitor monitor;
+    private final EventQueue events;
+    private final Timers timers;
+    private final ConnectionLimiter limiter;
+    private final DownstreamConnections clients;
+    private final UpstreamConnector servers;
+    private final DiscoveryClient discovery;
+    private final AdminListener admin;
+    private final Optional<HotRestartDirectory> hotRestart;
+
+    EffectPerformer(
+            EventLoop loop,
+            EventLoopMonitor monitor,
+            EventQueue events,
+            Timers timers,
+            ConnectionLimiter limiter,
+            DownstreamConnections clients,
+            UpstreamConnector servers,
+            DiscoveryClient discovery,
+            AdminListener admin,
+            Optional<HotRestartDirectory> hotRestart) {
+        this.loop = loop;
+        this.monitor = monitor;
+        this.events = events;
+        this.timers = timers;
+        this.limiter = limiter;
+        this.clients = clients;
+        this.servers = servers;
+        this.discovery = discovery;
+        this.admin = admin;
+        this.hotRestart = hotRestart;
+    }
+
+    /** Performs an effect. */
+    void perform(Effect effect) {
+        if (effect instanceof Effect.Respond e) {
+            clients.respond(e);
+        } else if (effect instanceof Effect.Forward e) {
+            servers.forward(e);
+        } else if (effect instanceof Effect.ForwardStream e) {
+            clients.relayRequest(e, servers.connection(e.connection()));
+        } else if (effect instanceof Effect.StreamResponse e) {
+            servers.streamResponse(e);
+        } else if (effect instanceof Effect.RelayResponse e) {
+            clients.relayResponse(e, servers.connection(e.connection()));
+        } else if (effect instanceof Effect.ReadPendingInput e) {
+            readPendingInput(e);
+        } else if (effect instanceof Effect.ProbeLoad e) {
+            servers.probeLoad(e);
+        } else if (effect instanceof Effect.StartTimer e) {
+            timers.start(e.delayMicros(), () -> events.take(new Event.TimerFired(e.timer())));
+        } else if (effect instanceof Effect.ConnectUpstream e) {
+            servers.connect(e);
+        } else if (effect instanceof Effect.CloseUpstream e) {
+            servers.close(e);
+        } else if (effect instanceof Effect.CloseClient e) {
+            clients.close(e);
+        } else if (effect instanceof Effect.PollDiscovery e) {
+            discovery.poll(e);
+        } else if (effect instanceof Effect.CancelPoll e) {
+            discovery.cancel(e);
+        } else if (effect instanceof Effect.ReportInvalidRequest e) {
+            clients.log(e);
+        } else if (effect instanceof Effect.AcceptUpTo e) {
+            limiter.setLimit(e.connections());
+        } else {
+            performAdministration(effect);
+        }
+    }
+
+    // What has arrived by now is read before the loop runs tasks, and the end of a connection that
+    // was read is reported by a task: so it is the second task from now. After a long round more
+    // has arrived since, which the next round reads.
+    private void readPendingInput(Effect.ReadPendingInput effect) {
+        Event read = new Event.PendingInputRead(effect.connection());
+        Runnable afterReading = () -> loop.execute(() -> events.take(read));
+        if (monitor.isBehind()) {
+            loop.schedule(afterReading, NEXT_ROUND_MS, TimeUnit.MILLISECONDS);
+        } else {
+            loop.execute(afterReading);
+        }
+    }
+
+    private void performAdministration(Effect effect) {
+        if (effect instanceof Effect.RespondToAdmin e) {
+            admin.respond(e);
+        } else if (effect instanceof Effect.StoreMaintenance e) {
+            LOG.info("{} is in maintenance", e.server());
+            hotRestart.ifPresent(
+                    shared -> shared.maintenance().mark(e.server(), e.sinceMicros()));
+        } else if (effect instanceof Effect.ClearMaintenance e) {
+            LOG.info("{} is re-enabled", e.server());
+            hotRestart.ifPresent(shared -> shared.maintenance().unmark(e.server()));
+        } else if (effect instanceof Effect.CacheEndpoints e) {
+            hotRestart.ifPresent(shared -> shared.endpoints().write(e.list()));
+        }
+    }
+
+    /** Closes the connection that a failed effect was for, by which the router learns of it. */
+    void closeConnectionOf(Effect effect) {
+        if (effect instanceof Effect.ForwardStream e) {
+            servers.close(new Effect.CloseUpstream(e.connection(), CloseReason.MALFORMED));
+        } else if (effect instanceof Effect.RelayResponse e) {
+            clients.close(new Effect.CloseClient(e.client(), CloseReason.MALFORMED));
+        } else if (effect instanceof Effect.Forward e) {
+            servers.close(new Effect.CloseUpstream(e.connection(), CloseReason.MALFORMED));
+        } else if (effect instanceof Effect.Respond e) {
+            clients.close(new Effect.CloseClient(e.client(), CloseReason.MALFORMED));
+        }
+    }
+}
--- a/src/main/java/ottergauge/transport/EndpointCache.java
+++ b/src/main/java/ottergauge/transport/EndpointCache.java
@@ -11,22 +11,26 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 
-/** The list of servers as a process of this node had it last, for the one that comes after. */
+/** The endpoint list as a process of this node had it last, for the next process. */
 final class EndpointCache {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointCache.class);
+    private static final String FILE_NAME = "list.json";
+    private static final String PART_PREFIX = "list-";
+
     private final Path file;
     private final Path part;
-    private final int mostBytes;
+    private final int maxListBytes;
 
-    /** The list in this folder; one of more bytes is passed over. */
-    EndpointCache(Path folder, int mostBytes) {
-        this.mostBytes = mostBytes;
-        file = folder.resolve("list.json");
-        part = folder.resolve("list-" + ProcessHandle.current().pid());
+    /** The cache in this directory; a larger list than {@code maxListBytes} is ignored. */
+    EndpointCache(Path directory, int maxListBytes) {
+        this.maxListBytes = maxListBytes;
+        file = directory.resolve(FILE_NAME);
+        part = directory.resolve(PART_PREFIX + ProcessHandle.current().pid());
     }
 
-    void keep(EndpointList list) {
+    /** Replaces the list atomically; a failure is logged and leaves the list before. */
+    void write(EndpointList list) {
         try {
             Files.write(part, list.json());
             Files.move(
@@ -35,23 +39,26 @@
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            LOG.warn("the list is not kept: {}", e.toString());
+            LOG.warn("the endpoint list is not cached: {}", e.toString());
         }
     }
 
-    /** The configuration with the list that was kept, if that is the newer one. */
-    NodeConfig freshest(NodeConfig config, boolean accompanied) {
+    /**
+     * Returns the configuration with the cached list, if that is newer than its own.
+     *
+     * @param otherProcessAlive whether another process of this node keeps the cache up to date, so
+     *     that it counts whatever its version
+     */
+    NodeConfig withCachedList(NodeConfig config, boolean otherProcessAlive) {
         try {
-            if (Files.exists(file) && Files.size(file) <= mostBytes) {
-                EndpointList kept = EndpointList.read(Files.readAllBytes(file));
-                // Beside a process that lives it is up to date; left by one that has gone it may be
-                // older.
-                if (accompanied || kept.version() > config.knownEndpoints().version()) {
-                    return config.withKnownEndpoints(kept);
+            if (Files.exists(file) && Files.size(file) <= maxListBytes) {
+                EndpointList cached = EndpointList.read(Files.readAllBytes(file));
+                if (otherProcessAlive || cached.version() > config.knownEndpoints().version()) {
+                    return config.withKnownEndpoints(cached);
                 }
             }
         } catch (IOException | ProtocolException e) {
-            LOG.warn("the list that was kept is no list: {}", e.toString());
+            LOG.warn("the cached endpoint list cannot be read: {}", e.toString());
         }
         return config;
     }
--- a/src/main/java/ottergauge/transport/EventLoopLag.java
+++ b/src/main/java/ottergauge/transport/EventLoopLag.java
@@ -4,51 +4,48 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/**
- * How late a loop comes round: it is looked at in equal steps, and each look's lateness counted.
- */
+/** A histogram of an event loop's lag: how much later than due the loop runs a periodic task. */
 final class EventLoopLag {
 
-    /** The time between two looks. */
-    static final long EVERY = TimeUnit.MILLISECONDS.toNanos(10);
+    /** The task's period, in nanoseconds. */
+    static final long PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-    /**
-     * Lateness up to each of these is counted together, in milliseconds; what is later comes after
-     * them.
-     */
-    static final List<Integer> BOUNDS = List.of(1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000);
+    /** Upper bounds of the histogram's buckets, in milliseconds; the last bucket has none. */
+    static final List<Integer> BOUNDS_MS = List.of(1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000);
 
-    private long[] counts = new long[BOUNDS.size() + 1];
+    private long[] counts = new long[BOUNDS_MS.size() + 1];
     private long dueAt;
 
-    /**
-     * The first look is due from {@code now} on, by a clock in nanoseconds that only goes forward.
-     */
+    /** The first run is due one period after {@code now}, by a monotonic clock in nanoseconds. */
     EventLoopLag(long now) {
-        dueAt = now + EVERY;
+        dueAt = now + PERIOD_NANOS;
     }
 
     /**
-     * The loop looks: counts each look that was due by now, those that were missed too, and gives
-     * back the nanoseconds until the next one is due.
+     * Records the lag of each run that was due by now, of those that were missed too.
+     *
+     * @return the nanoseconds until the next run is due
      */
-    long look(long now) {
+    long record(long now) {
         while (dueAt <= now) {
-            long late = TimeUnit.NANOSECONDS.toMillis(now - dueAt);
-            int index = 0;
-            while (index < BOUNDS.size() && late >= BOUNDS.get(index)) {
-                index++;
-            }
-            counts[index]++;
-            dueAt += EVERY;
+            counts[bucket(TimeUnit.NANOSECONDS.toMillis(now - dueAt))]++;
+            dueAt += PERIOD_NANOS;
         }
         return dueAt - now;
     }
 
-    /** What has been counted since this was asked last. */
-    long[] take() {
+    private static int bucket(long lagMs) {
+        int index = 0;
+        while (index < BOUNDS_MS.size() && lagMs >= BOUNDS_MS.get(index)) {
+            index++;
+        }
+        return index;
+    }
+
+    /** Returns the counts since the last call, one for each bucket. */
+    long[] takeCounts() {
         long[] taken = counts;
-        counts = new long[BOUNDS.size() + 1];
+        counts = new long[BOUNDS_MS.size() + 1];
         return taken;
     }
 }
--- a/src/main/java/ottergauge/transport/EventLoopMonitor.java
+++ b/src/main/java/ottergauge/transport/EventLoopMonitor.java
@@ -8,84 +8,82 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells since when, at the earliest, what the loop reads now may have waited in the system's
- * buffers. A process that was short of CPU, or stopped, reads everything that came meanwhile at one
- * instant; taken for new, a request whose time had run out was sent on and waited for a whole
- * deadline more.
+ * Estimates the earliest instant at which what the event loop reads now can have arrived in the
+ * system's buffers. A process that was short of CPU, or stopped, reads everything that arrived
+ * meanwhile at one instant; if that counted as the arrival, requests whose deadline has passed
+ * would be forwarded and waited for.
  *
- * <p>In each round the loop asks for what is ready, waiting if nothing is, and handles that. What
- * is ready at once came after the asking of the round before, what ends a wait came just then. A
- * wait longer than any timer lets it be is none: the process stood still, and nobody can tell from
- * when on. It may end with nothing ready, as the system ends the wait of a process that it
- * continues.
+ * <p>In each round the loop selects what is ready, waiting if nothing is, and handles it. What is
+ * ready without waiting arrived after the select of the round before; what ends a wait arrived just
+ * then. A wait longer than any timer allows is none: the process stood still for an unknown part of
+ * it. It may end with nothing ready, as the system ends the wait of a process that it continues.
  */
 final class EventLoopMonitor implements SelectStrategy {
 
-    // A wait so short is the time that the asking takes.
-    private static final long AT_ONCE = TimeUnit.MILLISECONDS.toNanos(1);
-    // Longer than this a round takes only where the loop is short of time.
-    private static final long BEHIND = TimeUnit.MILLISECONDS.toNanos(10);
-    // The router wakes the loop every 250 ms at the least.
-    private static final long LONGEST_WAIT = TimeUnit.MILLISECONDS.toNanos(300);
-    private static final long MICROS = 1_000;
+    /** A wait no longer than this is the time that the select itself takes. */
+    private static final long MAX_SELECT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+
+    private static final long MAX_ROUND_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+
+    /** The router has a timer each 250 ms. */
+    private static final long MAX_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+
+    private static final long NANOS_PER_MICRO = 1_000;
 
     private final SelectStrategy strategy =
             DefaultSelectStrategyFactory.INSTANCE.newSelectStrategy();
     private final LongSupplier nanos;
     private long round;
-    private long askedAt;
-    private boolean handles;
+    private long selectedAt;
+    private boolean handling;
 
-    /** Until when this round's asking and the one's before surely took in what had come. */
-    private long toldUntil;
+    /** Until when this round's select, and that of the round before, reported all arrivals. */
+    private long reportedUntil;
 
-    private long toldBefore;
-    private long since;
+    private long reportedUntilBefore;
+    private long earliestArrival;
 
     /** Whether the process stood still in the round before. */
-    private boolean stood;
+    private boolean stalledBefore;
 
-    /** {@code nanos} is a clock that only goes forward, in nanoseconds. */
+    /** {@code nanos} is a monotonic clock in nanoseconds. */
     EventLoopMonitor(LongSupplier nanos) {
         this.nanos = nanos;
-        askedAt = nanos.getAsLong();
-        toldBefore = askedAt;
+        selectedAt = nanos.getAsLong();
+        reportedUntilBefore = selectedAt;
     }
 
     /** A round of the loop begins. */
     @Override
     public int calculateStrategy(IntSupplier ready, boolean hasTasks) throws Exception {
-        handles();
+        beginHandling();
         round++;
-        askedAt = nanos.getAsLong();
-        toldBefore = toldUntil;
-        handles = false;
+        selectedAt = nanos.getAsLong();
+        reportedUntilBefore = reportedUntil;
+        handling = false;
         return strategy.calculateStrategy(ready, hasTasks);
     }
 
-    /**
-     * Notes that something is handled: the first time in a round tells how long the loop has
-     * waited.
-     */
-    void handles() {
-        if (!handles) {
-            handles = true;
-            long now = nanos.getAsLong();
-            boolean stands = now - askedAt > LONGEST_WAIT;
-            toldUntil = stands ? askedAt : now;
-            // What came during a standstill may be told a round later, and on a busy machine not at
-            // once.
-            since = now - askedAt <= AT_ONCE || stood ? toldBefore : toldUntil;
-            stood = stands;
+    /** Notes that something is handled; the first call in a round tells how long it waited. */
+    void beginHandling() {
+        if (handling) {
+            return;
         }
+        handling = true;
+        long now = nanos.getAsLong();
+        long waited = now - selectedAt;
+        boolean stalled = waited > MAX_WAIT_NANOS;
+        reportedUntil = stalled ? selectedAt : now;
+        // Arrivals during a stall may be reported a round later, and on a busy machine not without
+        // a wait.
+        earliestArrival =
+                waited <= MAX_SELECT_NANOS || stalledBefore ? reportedUntilBefore : reportedUntil;
+        stalledBefore = stalled;
     }
 
-    /**
-     * Whether so much time has passed since the loop last asked what is ready that more may have
-     * come.
-     */
-    boolean behind() {
-        return nanos.getAsLong() - askedAt > BEHIND;
+    /** Whether this round has taken so long that more is likely to have arrived since its select. */
+    boolean isBehind() {
+        return nanos.getAsLong() - selectedAt > MAX_ROUND_NANOS;
     }
 
     /** The number of this round. */
@@ -93,14 +91,14 @@
         return round;
     }
 
-    /** When, at the earliest, what is read now can have come, by this watch's clock. */
-    long since() {
-        handles();
-        return since;
+    /** The earliest instant at which what is read now can have arrived, by this monitor's clock. */
+    long earliestArrival() {
+        beginHandling();
+        return earliestArrival;
     }
 
-    /** The microseconds that have passed since an instant of this watch's clock. */
+    /** The microseconds that have passed since an instant of this monitor's clock. */
     long microsSince(long instant) {
-        return Math.max(0, nanos.getAsLong() - instant) / MICROS;
+        return Math.max(0, nanos.getAsLong() - instant) / NANOS_PER_MICRO;
     }
 }
--- a/src/main/java/ottergauge/transport/HollowFleet.java
+++ b/src/main/java/ottergauge/transport/HollowFleet.java
@@ -46,7 +46,7 @@
 
     /** The bounds, in milliseconds, between which {@link HollowEvent.Late} counts. */
     public static List<Integer> latenessBounds() {
-        return EventLoopLag.BOUNDS;
+        return EventLoopLag.BOUNDS_MS;
     }
 
     /** Starts all nodes, spread evenly over so many milliseconds. */
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -27,7 +27,7 @@
     private final ContextInternal context = (ContextInternal) vertx.getOrCreateContext();
     private final NetClient client = vertx.createNetClient();
     private final HollowCallCounter calls;
-    private final EventLoopLag lateness = new EventLoopLag(System.nanoTime());
+    private final EventLoopLag lag = new EventLoopLag(System.nanoTime());
     private final List<HollowNode> nodes = new ArrayList<>();
 
     HollowLoop(
@@ -92,13 +92,13 @@
 
     private void look() {
         EventLoop loop = context.nettyEventLoop();
-        loop.schedule(this::look, lateness.look(System.nanoTime()), TimeUnit.NANOSECONDS);
+        loop.schedule(this::look, lag.record(System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
     private void tell() {
         nodes.forEach(HollowNode::tell);
         calls.tell();
-        observer.accept(new HollowEvent.Late(number, lateness.take(), wall.getAsLong()));
+        observer.accept(new HollowEvent.Late(number, lag.takeCounts(), wall.getAsLong()));
     }
 
     /** Ends all of it. */
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -150,7 +150,7 @@
             call(e);
         } else if (effect instanceof Effect.CancelPoll e) {
             calls.count(CallKind.FAILED);
-            discovery.giveUp(e);
+            discovery.cancel(e);
         } else if (effect instanceof Effect.StartTimer e) {
             timers.start(e.delayMicros(), () -> take(new Event.TimerFired(e.timer())));
         } else if (effect instanceof Effect.RespondToAdmin e) {
@@ -172,7 +172,7 @@
                 effect.afterVersion() <= EndpointList.EMPTY.version()
                         ? CallKind.WHOLE
                         : CallKind.CHANGES);
-        discovery.call(effect);
+        discovery.poll(effect);
     }
 
     private void leftOut(Effect effect) {
--- a/src/main/java/ottergauge/transport/HotRestartDirectory.java
+++ b/src/main/java/ottergauge/transport/HotRestartDirectory.java
@@ -6,35 +6,39 @@
 import java.nio.file.Path;
 import ottergauge.protocol.NodeConfig;
 
-/** What the processes of one node share: who lives, what is held out, and the list of servers. */
+/**
+ * What the processes of one node share on disk: which of them are alive, the servers in
+ * maintenance, and the endpoint list.
+ */
 final class HotRestartDirectory {
 
-    private final MaintenanceStore held;
-    private final HotRestartProcesses siblings;
-    private final EndpointCache list;
-
-    /** Opens the folder, which is made if need be; this process counts as living from now on. */
-    HotRestartDirectory(Path folder, int mostListBytes) throws IOException {
-        Files.createDirectories(folder);
-        held = new MaintenanceStore(folder);
-        siblings = new HotRestartProcesses(folder);
-        list = new EndpointCache(folder, mostListBytes);
-        siblings.appear();
+    private final MaintenanceStore maintenance;
+    private final HotRestartProcesses processes;
+    private final EndpointCache endpoints;
+
+    /** Opens the directory, which is created if need be, and registers this process in it. */
+    HotRestartDirectory(Path directory, int maxListBytes) throws IOException {
+        Files.createDirectories(directory);
+        maintenance = new MaintenanceStore(directory);
+        processes = new HotRestartProcesses(directory);
+        endpoints = new EndpointCache(directory, maxListBytes);
+        processes.register();
     }
 
-    MaintenanceStore held() {
-        return held;
+    MaintenanceStore maintenance() {
+        return maintenance;
     }
 
-    HotRestartProcesses siblings() {
-        return siblings;
+    HotRestartProcesses processes() {
+        return processes;
     }
 
-    EndpointCache list() {
-        return list;
+    EndpointCache endpoints() {
+        return endpoints;
     }
 
-    NodeConfig freshest(NodeConfig config) {
-        return list.freshest(config, siblings.look().lives());
+    /** Returns the configuration with the cached endpoint list, if that is the newer one. */
+    NodeConfig withCachedList(NodeConfig config) {
+        return endpoints.withCachedList(config, processes.others().alive());
     }
 }
--- a/src/main/java/ottergauge/transport/HotRestartProcesses.java
+++ b/src/main/java/ottergauge/transport/HotRestartProcesses.java
@@ -7,6 +7,7 @@
 import java.nio.channels.FileLock;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
@@ -14,109 +15,107 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The processes of this node. Each has a file in the folder that they share and keeps it locked
- * while it lives: the lock goes with the process, however that ends, and a file without one is a
- * leftover.
+ * The processes of this node. Each keeps a file in the hot-restart directory locked while it is
+ * alive: the system drops the lock with the process, however that ends, and a file without a lock
+ * is a leftover.
+ *
+ * <p>The file holds a byte, 1 if the process serves clients, and the number of its connections as a
+ * big-endian integer. Processes of other versions read and write the same.
  */
 final class HotRestartProcesses {
 
     private static final Logger LOG = LoggerFactory.getLogger(HotRestartProcesses.class);
-    private static final String MARK = "process-";
-    // A byte that says whether the process takes clients, and the number of its connections.
-    private static final int TOLD = 5;
+    private static final String FILE_PREFIX = "process-";
+    private static final String PART_PREFIX = "new-";
+    private static final int STATUS_BYTES = 1 + Integer.BYTES;
 
-    /**
-     * Whether another process lives and takes clients, and how many connections others have open.
-     */
-    record Company(boolean lives, boolean serves, int connections) {}
+    /** Whether other processes are alive and serve clients, and the sum of their connections. */
+    record OtherProcesses(boolean alive, boolean serving, int connections) {}
 
-    private final Path folder;
-    private final Path own;
+    private final Path directory;
+    private final Path ownFile;
 
-    /** Open for as long as the process lives: closed, it would give up the lock. */
-    private FileChannel file;
+    /** Open while the process is alive: closing it would give up the lock. */
+    private FileChannel channel;
 
     private FileLock lock;
 
-    HotRestartProcesses(Path folder) {
-        this.folder = folder;
-        own = folder.resolve(MARK + ProcessHandle.current().pid());
+    HotRestartProcesses(Path directory) {
+        this.directory = directory;
+        ownFile = directory.resolve(FILE_PREFIX + ProcessHandle.current().pid());
     }
 
-    /** From now on others see that this process lives. */
-    void appear() throws IOException {
-        // Locked before it has its name: seen without its lock, it would be taken for a leftover.
-        Path part = folder.resolve("new-" + ProcessHandle.current().pid());
-        file =
+    /** Makes this process visible to the others. */
+    void register() throws IOException {
+        // Locked before it gets its name: without its lock it would be taken for a leftover.
+        Path part = directory.resolve(PART_PREFIX + ProcessHandle.current().pid());
+        channel =
                 FileChannel.open(
                         part,
                         StandardOpenOption.CREATE,
                         StandardOpenOption.TRUNCATE_EXISTING,
                         StandardOpenOption.WRITE);
-        lock = file.lock();
-        Files.move(part, own, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        lock = channel.lock();
+        Files.move(
+                part, ownFile, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    /**
-     * Tells others whether this process takes clients by now, and how many connections it has open.
-     */
-    void tell(boolean serves, int connections) {
+    /** Publishes whether this process serves clients, and its number of connections. */
+    void publish(boolean serving, int connections) {
+        ByteBuffer status = ByteBuffer.allocate(STATUS_BYTES);
+        status.put((byte) (serving ? 1 : 0)).putInt(connections).flip();
         try {
-            file.write(
-                    ByteBuffer.allocate(TOLD)
-                            .put((byte) (serves ? 1 : 0))
-                            .putInt(connections)
-                            .flip(),
-                    0);
+            channel.write(status, 0);
         } catch (IOException e) {
-            LOG.warn("the node's other processes are not told of this one: {}", e.toString());
+            LOG.warn("this process' status cannot be written for the others: {}", e.toString());
         }
     }
 
-    /** What the node's other processes have told. */
-    Company look() {
-        boolean any = false;
-        boolean serves = false;
+    /** Reads what the node's other processes have published; deletes leftovers. */
+    OtherProcesses others() {
+        boolean alive = false;
+        boolean serving = false;
         int connections = 0;
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, MARK + "*")) {
-            for (Path each : files) {
-                if (!each.getFileName().equals(own.getFileName()) && lives(each)) {
-                    any = true;
-                    ByteBuffer told = ByteBuffer.wrap(Files.readAllBytes(each));
-                    if (told.remaining() >= TOLD) {
-                        serves |= told.get() == 1;
-                        connections += Math.max(0, told.getInt());
-                    }
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, FILE_PREFIX + "*")) {
+            for (Path file : files) {
+                if (file.getFileName().equals(ownFile.getFileName()) || !isAlive(file)) {
+                    continue;
+                }
+                alive = true;
+                ByteBuffer status = ByteBuffer.wrap(Files.readAllBytes(file));
+                if (status.remaining() >= STATUS_BYTES) {
+                    serving |= status.get() == 1;
+                    connections += Math.max(0, status.getInt());
                 }
             }
         } catch (IOException e) {
-            LOG.warn("the node's other processes cannot be seen: {}", e.toString());
+            LOG.warn("the node's other processes cannot be read: {}", e.toString());
         }
-        return new Company(any, serves, connections);
+        return new OtherProcesses(alive, serving, connections);
     }
 
-    private static boolean lives(Path each) throws IOException {
-        try (FileChannel other = FileChannel.open(each, StandardOpenOption.WRITE);
+    private static boolean isAlive(Path file) throws IOException {
+        try (FileChannel other = FileChannel.open(file, StandardOpenOption.WRITE);
                 FileLock free = other.tryLock()) {
             if (free == null) {
                 return true;
             }
-            Files.deleteIfExists(each);
+            Files.deleteIfExists(file);
             return false;
-        } catch (java.nio.file.NoSuchFileException e) {
+        } catch (NoSuchFileException e) {
             return false;
         }
     }
 
-    /** Leaves nothing behind. */
-    void vanish() {
+    /** Removes this process' file. */
+    void unregister() {
         try {
             if (lock != null) {
-                Files.deleteIfExists(own);
-                file.close();
+                Files.deleteIfExists(ownFile);
+                channel.close();
             }
         } catch (IOException e) {
-            LOG.warn("{} stays behind: {}", own.getFileName(), e.toString());
+            LOG.warn("{} cannot be deleted: {}", ownFile.getFileName(), e.toString());
         }
     }
 }
--- a/src/main/java/ottergauge/transport/HttpFraming.java
+++ b/src/main/java/ottergauge/transport/HttpFraming.java
@@ -9,76 +9,79 @@
 import io.netty.handler.codec.http.HttpResponseDecoder;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.List;
+import java.util.Optional;
 
 /**
- * How messages are told apart on a connection. Netty's decoders repair what can be read in two
- * ways; a server behind may read it in the other one and find a request inside a body. Here such a
- * message is no message.
+ * Strict message framing. Netty's decoders repair heads that can be read in two ways; a server
+ * behind the node may read them in the other one and find a request inside a body (request
+ * smuggling). Here such a message is malformed.
  */
 final class HttpFraming {
 
-    // A part as large as one read, so that a large body is not cut smaller than it came.
-    private static final int MOST_PART = 64 * 1024;
+    /** As large as one read, so that a large body is not cut into smaller parts than it came in. */
+    private static final int MAX_PART_BYTES = 64 * 1024;
+
     private static final HttpDecoderConfig CONFIG =
-            new HttpDecoderConfig().setMaxChunkSize(MOST_PART);
+            new HttpDecoderConfig().setMaxChunkSize(MAX_PART_BYTES);
 
     private HttpFraming() {}
 
-    /** Says what is wrong with the head's framing, or null. */
-    static String fault(HttpMessage head) {
+    /** Returns what is wrong with the framing of a message, by its head. */
+    static Optional<String> fault(HttpMessage head) {
         if (head.decoderResult().isFailure()) {
-            return String.valueOf(head.decoderResult().cause());
+            return Optional.of(String.valueOf(head.decoderResult().cause()));
         }
         if (!HttpVersion.HTTP_1_1.equals(head.protocolVersion())) {
-            return "the version is " + head.protocolVersion();
+            return Optional.of("the version is " + head.protocolVersion());
         }
         List<String> encodings = head.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
         boolean chunked =
                 encodings.size() == 1
                         && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0));
-        return encodings.isEmpty() || chunked ? null : "the transfer encoding is " + encodings;
+        return encodings.isEmpty() || chunked
+                ? Optional.empty()
+                : Optional.of("the transfer encoding is " + encodings);
     }
 
-    /** Whether the head says where its body ends. */
+    /** Whether the head tells where its body ends. */
     static boolean hasLength(HttpMessage head) {
         return head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 || head.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
     }
 
-    private static IllegalArgumentException twoLengths() {
+    private static IllegalArgumentException ambiguousLength() {
         return new IllegalArgumentException("both Content-Length and Transfer-Encoding");
     }
 
-    /** Reads requests. */
-    static final class Requests extends HttpRequestDecoder {
-        Requests() {
+    /** Decodes requests. */
+    static final class RequestDecoder extends HttpRequestDecoder {
+        RequestDecoder() {
             super(CONFIG);
         }
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw twoLengths();
+            throw ambiguousLength();
         }
 
-        /** Whether bytes have come that belong to no message yet. */
-        boolean hasMore() {
+        /** Whether bytes have arrived that belong to no message yet. */
+        boolean hasMoreBytes() {
             return actualReadableBytes() > 0;
         }
     }
 
-    /** Reads answers. */
-    static final class Answers extends HttpResponseDecoder {
-        Answers() {
-            super(CONFIG);
-        }
+    /** Decodes responses. */
+    static final class ResponseDecoder extends HttpResponseDecoder {
 
         private boolean inHeaders;
 
-        // As strict about header lines as for requests. For answers Netty takes a line without a
-        // colon for a
-        // field: a head that could not be read was served to 33 clients in half a minute. Only
-        // there: a
-        // status line may have no reason, and an answer without a length lasts until the close.
+        ResponseDecoder() {
+            super(CONFIG);
+        }
+
+        // Header lines are checked as strictly as those of requests: in a response Netty would take
+        // a line without a colon for a field. Only these: a status line may have no reason, and a
+        // response without a length lasts until the connection's end.
         @Override
         protected boolean isDecodingRequest() {
             return inHeaders;
@@ -99,11 +102,11 @@
 
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
-            throw twoLengths();
+            throw ambiguousLength();
         }
 
-        /** Whether bytes have come that belong to no message yet. */
-        boolean hasMore() {
+        /** Whether bytes have arrived that belong to no message yet. */
+        boolean hasMoreBytes() {
             return actualReadableBytes() > 0;
         }
     }
--- a/src/main/java/ottergauge/transport/JitWarmUp.java
+++ b/src/main/java/ottergauge/transport/JitWarmUp.java
@@ -124,7 +124,7 @@
         long from = System.nanoTime();
         router.start(now);
         EmbeddedChannel client = new EmbeddedChannel();
-        clients.adopt(client.pipeline(), 0);
+        clients.add(client.pipeline(), 0);
         int requests = 0;
         while (requests < most && System.nanoTime() - from < longest) {
             now += PACE;
@@ -233,7 +233,7 @@
         } else if (effect instanceof Effect.ReadPendingInput e) {
             events.take(new Event.PendingInputRead(e.connection()));
         } else if (effect instanceof Effect.ProbeLoad e) {
-            servers.askLoad(e);
+            servers.probeLoad(e);
         } else if (effect instanceof Effect.StartTimer e && e.timer() instanceof Timer.Decision) {
             wakes.add(now + e.delayMicros());
         }
--- a/src/main/java/ottergauge/transport/Listener.java
+++ b/src/main/java/ottergauge/transport/Listener.java
@@ -21,21 +21,21 @@
 import ottergauge.protocol.Address;
 
 /**
- * An address that the node listens on, with a gate of its own. It is Netty's and not Vert.x's: a
+ * An address that the node listens on, with a limiter of its own. It is Netty's and not Vert.x's: a
  * server of Vert.x closes all of its connections when it closes, and an old process has to end the
  * one before the rest.
  */
 final class Listener {
 
     // Of one connection in one round of the loop, as the library has it: the others are read too.
-    private static final int MOST_READS = 16;
+    private static final int MAX_READS_PER_ROUND = 16;
 
     private final Channel channel;
-    private final ConnectionLimiter gate;
+    private final ConnectionLimiter limiter;
 
-    private Listener(Channel channel, ConnectionLimiter gate) {
+    private Listener(Channel channel, ConnectionLimiter limiter) {
         this.channel = channel;
-        this.gate = gate;
+        this.limiter = limiter;
     }
 
     /** Listens; {@code shared} lets a second process of this node listen on the same address. */
@@ -44,7 +44,7 @@
             Address address,
             int backlog,
             boolean shared,
-            ConnectionLimiter gate,
+            ConnectionLimiter limiter,
             Consumer<ChannelPipeline> adopt) {
         ServerBootstrap bootstrap =
                 new ServerBootstrap()
@@ -55,7 +55,7 @@
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new ServerChannelRecvByteBufAllocator()
-                                        .maxMessagesPerRead(ConnectionLimiter.AT_ONCE))
+                                        .maxMessagesPerRead(ConnectionLimiter.MAX_ACCEPTS_PER_ROUND))
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         // Read to the end of what has come: a client that asked and left has left
                         // when it is heard.
@@ -63,9 +63,9 @@
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new AdaptiveRecvByteBufAllocator()
                                         .respectMaybeMoreData(false)
-                                        .maxMessagesPerRead(MOST_READS))
+                                        .maxMessagesPerRead(MAX_READS_PER_ROUND))
                         .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, Connection.WATER_MARK)
-                        .handler(gate)
+                        .handler(limiter)
                         .childHandler(
                                 new ChannelInitializer<>() {
                                     @Override
@@ -83,7 +83,7 @@
                         bound -> {
                             if (bound.isSuccess()) {
                                 opened.complete(
-                                        new Listener(((ChannelFuture) bound).channel(), gate));
+                                        new Listener(((ChannelFuture) bound).channel(), limiter));
                             } else {
                                 opened.fail(bound.cause());
                             }
@@ -101,12 +101,12 @@
         if (!channel.isOpen()) {
             return;
         }
-        gate.most(Integer.MAX_VALUE);
+        limiter.setLimit(Integer.MAX_VALUE);
         long before;
         do {
-            before = gate.accepted();
+            before = limiter.accepted();
             ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
-        } while (gate.accepted() > before);
+        } while (limiter.accepted() > before);
         channel.close();
     }
 }
--- a/src/main/java/ottergauge/transport/MaintenanceStore.java
+++ b/src/main/java/ottergauge/transport/MaintenanceStore.java
@@ -9,92 +9,103 @@
 import java.nio.file.StandardCopyOption;
 import java.util.HashMap;
 import java.util.Map;
-import java.util.Objects;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.UUID;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * The servers held out by hand, a file each, in the folder that the node's processes share: each
- * process sees what the other was told, and the next one begins with it. Files are made and deleted
- * whole, so that no process needs to wait for another.
+ * The servers that an operator has taken into maintenance, a mark file each in the hot-restart
+ * directory. Every process of the node sees the marks of the others, and the next process begins
+ * with them. Files are created and deleted atomically, so that no process waits for another.
+ *
+ * <p>A mark's name is {@code held-} and a UUID of the server's name; its content is the time in
+ * microseconds, a space and the server's name. Processes of other versions read and write the same.
  */
 final class MaintenanceStore {
 
     private static final Logger LOG = LoggerFactory.getLogger(MaintenanceStore.class);
-    private static final String MARK = "held-";
-    // A name of any server, with the time before it.
-    private static final int MOST_BYTES = 64 * 1024;
+    private static final String MARK_PREFIX = "held-";
+    private static final String PART_PREFIX = "part-";
+    private static final int MAX_MARK_BYTES = 64 * 1024;
 
-    private record Held(String server, long since) {}
+    private record Mark(String server, long since) {}
 
-    private final Path folder;
-    private final Map<String, Held> read = new HashMap<>();
+    private final Path directory;
 
-    MaintenanceStore(Path folder) {
-        this.folder = folder;
+    /** The marks by file name as they were read last; one that can't be read is empty. */
+    private final Map<String, Optional<Mark>> marks = new HashMap<>();
+
+    MaintenanceStore(Path directory) {
+        this.directory = directory;
     }
 
-    void keep(String server, long since) {
+    /** Marks a server as in maintenance since a time in microseconds. */
+    void mark(String server, long since) {
         try {
-            Path whole = folder.resolve(name(server));
-            Path part = folder.resolve("part-" + ProcessHandle.current().pid());
+            Path part = directory.resolve(PART_PREFIX + ProcessHandle.current().pid());
             Files.write(part, (since + " " + server).getBytes(StandardCharsets.UTF_8));
             Files.move(
                     part,
-                    whole,
+                    directory.resolve(fileName(server)),
                     StandardCopyOption.ATOMIC_MOVE,
                     StandardCopyOption.REPLACE_EXISTING);
         } catch (IOException e) {
-            LOG.error("{} is held out by this process only: {}", server, e.toString());
+            LOG.error("{} is in maintenance at this process only: {}", server, e.toString());
         }
     }
 
-    void drop(String server) {
+    /** Removes a server's mark. */
+    void unmark(String server) {
         try {
-            Files.deleteIfExists(folder.resolve(name(server)));
+            Files.deleteIfExists(directory.resolve(fileName(server)));
         } catch (IOException e) {
-            LOG.error("{} is still marked as held out: {}", server, e.toString());
+            LOG.error("{} is still marked as in maintenance: {}", server, e.toString());
         }
     }
 
-    // Names come from outside and are no paths.
-    private static String name(String server) {
-        return MARK + UUID.nameUUIDFromBytes(server.getBytes(StandardCharsets.UTF_8));
+    // A server's name comes from outside and may not be usable as a file name.
+    private static String fileName(String server) {
+        return MARK_PREFIX + UUID.nameUUIDFromBytes(server.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** All that are held out, by name and since when. */
+    /**
+     * Reads all marks.
+     *
+     * @return for each server in maintenance since when, in microseconds
+     */
     Map<String, Long> read() {
-        Map<String, Held> now = new HashMap<>();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, MARK + "*")) {
+        Map<String, Optional<Mark>> current = new HashMap<>();
+        try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, MARK_PREFIX + "*")) {
             for (Path file : files) {
                 String name = file.getFileName().toString();
-                // One that cannot be read is told of once.
-                now.put(name, read.containsKey(name) ? read.get(name) : one(file));
+                // Each file is read once: one that can't be read would be logged at each call.
+                Optional<Mark> known = marks.get(name);
+                current.put(name, known == null ? readMark(file) : known);
             }
         } catch (IOException e) {
-            LOG.error("what is held out cannot be read, it stays as it was: {}", e.toString());
-            now = new HashMap<>(read);
+            LOG.error("maintenance marks cannot be read, they stay as they were: {}", e.toString());
+            current = new HashMap<>(marks);
         }
-        read.clear();
-        read.putAll(now);
+        marks.clear();
+        marks.putAll(current);
         Map<String, Long> since = new TreeMap<>();
-        now.values().stream()
-                .filter(Objects::nonNull)
-                .forEach(held -> since.put(held.server(), held.since()));
+        for (Optional<Mark> mark : marks.values()) {
+            mark.ifPresent(each -> since.put(each.server(), each.since()));
+        }
         return since;
     }
 
-    private static Held one(Path file) {
+    private static Optional<Mark> readMark(Path file) {
         try {
-            if (Files.size(file) <= MOST_BYTES) {
+            if (Files.size(file) <= MAX_MARK_BYTES) {
                 String[] parts = Files.readString(file).split(" ", 2);
-                return new Held(parts[1], Long.parseLong(parts[0]));
+                return Optional.of(new Mark(parts[1], Long.parseLong(parts[0])));
             }
         } catch (IOException | RuntimeException e) {
-            LOG.warn("{} does not tell what is held out: {}", file.getFileName(), e.toString());
+            LOG.warn("{} is no maintenance mark: {}", file.getFileName(), e.toString());
         }
-        return null;
+        return Optional.empty();
     }
 }
--- a/src/main/java/ottergauge/transport/OutboundConnection.java
+++ b/src/main/java/ottergauge/transport/OutboundConnection.java
@@ -1,12 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.transport;
 
-import io.netty.buffer.Unpooled;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.ChannelPipeline;
 import io.netty.channel.ConnectTimeoutException;
-import io.netty.handler.codec.http.DefaultHttpContent;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpContent;
 import io.netty.handler.codec.http.HttpHeaderNames;
@@ -30,362 +28,361 @@
 import ottergauge.protocol.BodyLimits;
 import ottergauge.routing.CloseReason;
 
-/** A connection that the node opened: carries one request at a time and reads its answer. */
+/** A connection that the node opened: it carries one request at a time and reads its response. */
 final class OutboundConnection extends Connection {
 
     /**
-     * An answer, whole or as far as it has come when it begins to flow; {@code length} is what its
-     * head says of its body or negative, {@code reusable} says that the connection may carry
-     * another request.
+     * A response, complete or as far as it has arrived when it begins to be streamed.
+     *
+     * @param contentLength what its head announces; negative if nothing
+     * @param reusable whether the connection may carry another request
      */
-    record Answer(int status, HttpHeaders headers, byte[] body, long length, boolean reusable) {}
+    record Response(
+            int status, HttpHeaders headers, byte[] body, long contentLength, boolean reusable) {}
+
+    /**
+     * What happens to messages with bodies too large to be buffered.
+     *
+     * @param unsizedResponseStarted the head of a response arrived that announces no length
+     * @param responseStarted a response is too large: its head and first bytes are there
+     * @param responseCompleted its last byte has arrived; whether the connection is reusable
+     * @param requestWritten a streamed request is written completely
+     * @param responseReceived the response to a streamed request, if it is small enough
+     */
+    record StreamHandlers(
+            Runnable unsizedResponseStarted,
+            Consumer<Response> responseStarted,
+            Consumer<Boolean> responseCompleted,
+            Runnable requestWritten,
+            Consumer<Response> responseReceived) {}
 
     /** Opens connections; {@code side} is what the log calls the other end. */
     @FunctionalInterface
     interface Dialer {
-        Future<OutboundConnection> dial(String side, Address address, long timeoutMs, int mostBody);
+        Future<OutboundConnection> dial(
+                String side, Address address, long timeoutMs, int maxBodyBytes);
     }
 
     private enum Stage {
-        QUIET,
-        ASKED,
-        BODY,
-        WHOLE,
-        FLOWING,
-        FLOWED
+        IDLE,
+        AWAITING_HEAD,
+        BUFFERING_BODY,
+        /** All parts have been handled, the end of their read is awaited. */
+        RECEIVED,
+        STREAMING_BODY,
+        /** The same as RECEIVED, of a body that is streamed. */
+        STREAM_RECEIVED
     }
 
-    private final HttpFraming.Answers decoder;
-    private final int mostBody;
-    private Consumer<Answer> whenAnswered;
-    private Consumer<CloseReason> whenEnded;
-    private Consumer<Answer> flowBegan;
-    private Consumer<Boolean> flowEnded;
-    private Runnable flowWritten;
-    private Consumer<Answer> flowAnswered;
-    private Stage stage = Stage.QUIET;
-    private boolean interim;
+    private static final LongConsumer NO_PROGRESS = bytes -> {};
+    private static final long NANOS_PER_MICRO = 1_000;
+
+    private final HttpFraming.ResponseDecoder decoder;
+    private final int maxBodyBytes;
+    private Consumer<Response> responseHandler;
+    private Consumer<CloseReason> endHandler;
+
+    /** Null if larger responses than {@code maxBodyBytes} are refused. */
+    private StreamHandlers streamHandlers;
+
+    private Stage stage = Stage.IDLE;
     private HttpResponse head;
-    private BodyBuffer body;
-    private boolean more;
-    private Answer flowing;
-    private BodyRelay flow;
-    private LongConsumer moved = bytes -> {};
-    private HttpContent last;
-    private long flowed;
+    private boolean interim;
+    private long announcedLength;
     private long headAt;
-    private int reads;
-    private long announced;
-    private Runnable openEnded = () -> {};
+    private int readsSinceHead;
+    private BodyBuffer body;
+    private boolean surplusParts;
+    private StreamedBody stream;
+    private Response streamedResponse;
+    private LongConsumer progressHandler = NO_PROGRESS;
 
-    private OutboundConnection(String side, HttpFraming.Answers decoder, int mostBody) {
+    private OutboundConnection(
+            String side, HttpFraming.ResponseDecoder decoder, int maxBodyBytes) {
         super(side);
         this.decoder = decoder;
-        this.mostBody = mostBody;
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     static Dialer dialer(NetClient client) {
-        return (side, address, timeoutMs, mostBody) ->
-                connect(client, side, address, timeoutMs, mostBody);
+        return (side, address, timeoutMs, maxBodyBytes) ->
+                connect(client, side, address, timeoutMs, maxBodyBytes);
     }
 
-    /** Opens a connection; one that does not come up leaves its log line here. */
+    /** Opens a connection; a failure is logged here. */
     static Future<OutboundConnection> connect(
-            NetClient client, String side, Address address, long timeoutMs, int mostBody) {
-        return client.connect(
-                        new ConnectOptions()
-                                .setHost(address.host())
-                                .setPort(address.port())
-                                .setTimeout((int) timeoutMs))
+            NetClient client, String side, Address address, long timeoutMs, int maxBodyBytes) {
+        ConnectOptions options =
+                new ConnectOptions()
+                        .setHost(address.host())
+                        .setPort(address.port())
+                        .setTimeout((int) timeoutMs);
+        return client.connect(options)
                 .map(
-                        socket ->
-                                over(
-                                        ((NetSocketInternal) socket)
-                                                .channelHandlerContext()
-                                                .pipeline(),
-                                        side,
-                                        mostBody))
-                .onFailure(
-                        failure ->
-                                ConnectionLog.ended(
-                                        side,
-                                        address,
-                                        isTimeout(failure)
-                                                ? CloseReason.CONNECT_TIMEOUT
-                                                : CloseReason.CONNECT_FAILED));
+                        socket -> {
+                            NetSocketInternal internal = (NetSocketInternal) socket;
+                            ChannelPipeline pipeline = internal.channelHandlerContext().pipeline();
+                            return over(pipeline, side, maxBodyBytes);
+                        })
+                .onFailure(e -> ConnectionLog.ended(side, address, connectFailure(e)));
+    }
+
+    private static CloseReason connectFailure(Throwable failure) {
+        return failure instanceof ConnectTimeoutException || failure instanceof TimeoutException
+                ? CloseReason.CONNECT_TIMEOUT
+                : CloseReason.CONNECT_FAILED;
     }
 
-    /** Carries messages over a connection that is open. */
-    static OutboundConnection over(ChannelPipeline pipeline, String side, int mostBody) {
-        HttpFraming.Answers decoder = new HttpFraming.Answers();
-        OutboundConnection connection = new OutboundConnection(side, decoder, mostBody);
+    /** Carries messages over a channel that is open. */
+    static OutboundConnection over(ChannelPipeline pipeline, String side, int maxBodyBytes) {
+        HttpFraming.ResponseDecoder decoder = new HttpFraming.ResponseDecoder();
+        OutboundConnection connection = new OutboundConnection(side, decoder, maxBodyBytes);
         pipeline.channel().config().setWriteBufferWaterMark(WATER_MARK);
         pipeline.channel().config().setOption(ChannelOption.TCP_NODELAY, true);
         pipeline.addFirst(decoder, new HttpRequestEncoder(), connection);
         return connection;
     }
 
-    private static boolean isTimeout(Throwable failure) {
-        return failure instanceof ConnectTimeoutException || failure instanceof TimeoutException;
+    /** Sets the handler of the connection's end. */
+    void onEnd(Consumer<CloseReason> handler) {
+        endHandler = handler;
     }
 
-    void whenEnded(Consumer<CloseReason> handler) {
-        whenEnded = handler;
+    /** Allows that bodies are streamed. */
+    void allowStreaming(StreamHandlers handlers) {
+        streamHandlers = handlers;
     }
 
-    /**
-     * Lets bodies flow that are too large to be kept: the handlers hear that the head of an answer
-     * has come which does not tell its length, that an answer has begun to flow, that its last byte
-     * has come, that a request's is written, and of the answer to such a request.
-     */
-    void whenFlows(
-            Runnable open,
-            Consumer<Answer> began,
-            Consumer<Boolean> ended,
-            Runnable written,
-            Consumer<Answer> answered) {
-        openEnded = open;
-        flowBegan = began;
-        flowEnded = ended;
-        flowWritten = written;
-        flowAnswered = answered;
-    }
-
-    /** Sends a request; the second handler gets the answer, if it comes whole. */
-    void send(FullHttpRequest request, Runnable whenWritten, Consumer<Answer> answered) {
-        whenAnswered = answered;
-        stage = Stage.ASKED;
+    /** Sends a request; the second handler gets the response if that arrives completely. */
+    void send(
+            FullHttpRequest request, Runnable requestWritten, Consumer<Response> responseReceived) {
+        responseHandler = responseReceived;
+        stage = Stage.AWAITING_HEAD;
         context()
                 .writeAndFlush(request)
-                .addListener(written -> written(written.isSuccess(), whenWritten));
+                .addListener(written -> onRequestWritten(written.isSuccess(), requestWritten));
     }
 
-    /** Sends the head of a request whose body flows; what is given back takes the end of that. */
-    Consumer<ChannelFuture> open(HttpRequest request) {
-        whenAnswered = flowAnswered;
-        stage = Stage.ASKED;
+    /**
+     * Sends the head of a streamed request.
+     *
+     * @return the handler that has to be called once the last part of its body is written
+     */
+    Consumer<ChannelFuture> sendHead(HttpRequest request) {
+        responseHandler = streamHandlers.responseReceived();
+        stage = Stage.AWAITING_HEAD;
         context().write(request);
-        return written -> written(written.isSuccess(), flowWritten);
+        return written -> onRequestWritten(written.isSuccess(), streamHandlers.requestWritten());
     }
 
-    private void written(boolean success, Runnable whenWritten) {
+    private void onRequestWritten(boolean success, Runnable handler) {
         if (success) {
-            whenWritten.run();
+            handler.run();
         } else {
             close(CloseReason.RESET);
         }
     }
 
     @Override
-    void take(HttpObject part) {
-        if (stage == Stage.QUIET) {
-            // Bytes that nothing was asked for: taken for the next request's answer, they would
-            // serve a
-            // client with another's.
+    void onPart(HttpObject part) {
+        if (stage == Stage.IDLE) {
+            // Unrequested bytes: taken for the next request's response, they would reach a client
+            // that they are not for.
             close(CloseReason.MALFORMED);
-        } else if (stage == Stage.WHOLE || stage == Stage.FLOWED) {
-            more = true;
+        } else if (stage == Stage.RECEIVED || stage == Stage.STREAM_RECEIVED) {
+            surplusParts = true;
         } else {
             if (part instanceof HttpResponse response) {
-                begin(response);
+                onHead(response);
             }
             if (part instanceof HttpContent content) {
-                read(content);
+                onContent(content);
             }
         }
     }
 
-    private void begin(HttpResponse response) {
+    private void onHead(HttpResponse response) {
+        int status = response.status().code();
         interim =
                 response.status().codeClass() == HttpStatusClass.INFORMATIONAL
-                        && response.status().code()
-                                != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
+                        && status != HttpResponseStatus.SWITCHING_PROTOCOLS.code();
         head = response;
-        body = new BodyBuffer(mostBody);
-        stage = interim ? Stage.ASKED : Stage.BODY;
-        announced = HttpUtil.getContentLength(response, 0L);
-        if (HttpFraming.fault(response) != null) {
+        body = new BodyBuffer(maxBodyBytes);
+        stage = interim ? Stage.AWAITING_HEAD : Stage.BUFFERING_BODY;
+        announcedLength = HttpUtil.getContentLength(response, 0L);
+        if (HttpFraming.fault(response).isPresent()) {
             fail(CloseReason.MALFORMED);
-        } else if (!interim
-                && announced > (flowBegan == null ? mostBody : BodyLimits.MAX_STREAMED_BYTES)) {
-            // An answer with a huge length never ends.
+        } else if (!interim && announcedLength > maxResponseBytes()) {
             fail(CloseReason.TOO_LARGE);
-        } else if (!interim && flowBegan != null) {
+        } else if (!interim && streamHandlers != null) {
             headAt = System.nanoTime();
-            reads = 0;
-            if (HttpUtil.getContentLength(response, 0L) > mostBody) {
-                beginFlow();
+            readsSinceHead = 0;
+            if (announcedLength > maxBodyBytes) {
+                beginStream();
             } else if (!response.headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
-                openEnded.run();
+                streamHandlers.unsizedResponseStarted().run();
             }
         }
     }
 
-    private void read(HttpContent content) {
+    private long maxResponseBytes() {
+        return streamHandlers == null ? maxBodyBytes : BodyLimits.MAX_STREAMED_BYTES;
+    }
+
+    private void onContent(HttpContent content) {
         if (head == null) {
             return;
         }
         if (content.decoderResult().isFailure()) {
             fail(CloseReason.MALFORMED);
-        } else if (stage == Stage.FLOWING) {
-            flow(content);
-        } else if (!body.take(content.content())) {
-            if (flowBegan == null || interim) {
-                fail(CloseReason.TOO_LARGE);
-            } else {
-                beginFlow();
-                if (stage == Stage.FLOWING && head != null) {
-                    flow(content);
-                }
-            }
+        } else if (stage == Stage.STREAMING_BODY) {
+            stream(content);
+        } else if (!body.append(content.content())) {
+            onBufferFull(content);
         } else if (content instanceof LastHttpContent && !interim) {
-            stage = Stage.WHOLE;
+            stage = Stage.RECEIVED;
+        }
+    }
+
+    private void onBufferFull(HttpContent content) {
+        if (streamHandlers == null || interim) {
+            fail(CloseReason.TOO_LARGE);
+            return;
+        }
+        beginStream();
+        if (stage == Stage.STREAMING_BODY && head != null) {
+            stream(content);
         }
     }
 
-    // What is here by now waits for the client that it is for; nothing more is read before.
-    private void beginFlow() {
-        stage = Stage.FLOWING;
-        flow = new BodyRelay(this);
-        byte[] first = body.bytes();
+    // Nothing more is read until the response is relayed to its client.
+    private void beginStream() {
+        stage = Stage.STREAMING_BODY;
+        stream = new StreamedBody(this, body.bytes());
         body = new BodyBuffer(0);
-        flowing = answer(false);
-        flowed = first.length;
-        flow.take(new DefaultHttpContent(Unpooled.wrappedBuffer(first)));
-        whenAnswered = null;
-        flowBegan.accept(flowing);
+        streamedResponse = response(body.bytes(), false);
+        responseHandler = null;
+        streamHandlers.responseStarted().accept(streamedResponse);
     }
 
     /**
-     * What has come of an answer goes on now, though it might still be small enough to be kept. One
-     * that came at one go and stands still is not long but spoilt: its server has forgotten to say
-     * where it ends.
+     * Begins to stream a response of unknown length, though it may still be small enough to be
+     * buffered. One that arrived in a single read and then stood still isn't long: its server has
+     * failed to say where it ends.
      */
-    void flowNow() {
-        if (stage == Stage.BODY && head != null && reads > 1) {
-            beginFlow();
+    void streamUnsizedResponse() {
+        if (stage == Stage.BUFFERING_BODY && head != null && readsSinceHead > 1) {
+            beginStream();
         }
     }
 
-    /** How long ago the head of the answer came. */
+    /** How long ago the head of the response arrived, in microseconds. */
     long microsSinceHead() {
-        return (System.nanoTime() - headAt) / 1000;
+        return (System.nanoTime() - headAt) / NANOS_PER_MICRO;
     }
 
-    private void flow(HttpContent content) {
-        flowed += content.content().readableBytes();
-        if (flowed > BodyLimits.MAX_STREAMED_BYTES) {
-            fail(CloseReason.TOO_LARGE);
-        } else if (content instanceof LastHttpContent) {
-            // The client's answer ends with it: not before it is known whether it came alone.
-            last = content.retain();
-            stage = Stage.FLOWED;
-        } else {
-            flow.take(content);
-            moved.accept(content.content().readableBytes());
+    private void stream(HttpContent content) {
+        switch (stream.add(content)) {
+            case TOO_LARGE -> fail(CloseReason.TOO_LARGE);
+            case KEPT_BACK_AS_LAST -> stage = Stage.STREAM_RECEIVED;
+            case RELAYED -> progressHandler.accept(content.content().readableBytes());
         }
     }
 
-    /** The answer that has begun to flow. */
-    Answer flowing() {
-        return flowing;
+    /** The response that is streamed. */
+    Response streamedResponse() {
+        return streamedResponse;
     }
 
     /**
-     * Passes the answer that flows on; the first handler hears of its bytes, the second of its end.
+     * Relays the streamed response to a client.
+     *
+     * @param progress is told the bytes of each part
+     * @param lastPartWritten is called once the last part is written, or could not be
      */
-    void flowTo(Connection client, LongConsumer bytes, Consumer<ChannelFuture> written) {
-        moved = bytes;
-        flow.on(client, written);
+    void relayResponseTo(
+            Connection client, LongConsumer progress, Consumer<ChannelFuture> lastPartWritten) {
+        progressHandler = progress;
+        stream.relayTo(client, lastPartWritten);
     }
 
-    private void fail(CloseReason why) {
+    private void fail(CloseReason reason) {
         head = null;
-        close(why);
+        close(reason);
     }
 
-    /** The length that the answer's head tells; 0 if it tells none. */
-    long announced() {
-        return announced;
+    /** The length that the last response's head announced; 0 if none. */
+    long announcedLength() {
+        return announcedLength;
     }
 
-    private Answer answer(boolean alone) {
-        boolean keeps = HttpUtil.isKeepAlive(head) && HttpFraming.hasLength(head);
-        return new Answer(
+    private Response response(byte[] bytes, boolean arrivedAlone) {
+        return new Response(
                 head.status().code(),
                 head.headers(),
-                body.bytes(),
+                bytes,
                 HttpUtil.getContentLength(head, -1L),
-                alone && keeps);
+                isReusable(arrivedAlone));
     }
 
-    /**
-     * An answer counts when all that came with it is taken: only then is it known whether it came
-     * alone.
-     */
+    private boolean isReusable(boolean arrivedAlone) {
+        return arrivedAlone && HttpUtil.isKeepAlive(head) && HttpFraming.hasLength(head);
+    }
+
+    // Only at the end of a read is it known whether anything followed the response.
     @Override
-    void taken() {
-        if (flow != null) {
-            flow.flush();
+    void onReadComplete() {
+        if (stream != null) {
+            stream.flush();
         }
-        reads++;
-        boolean alone = !more && !decoder.hasMore();
-        if (stage == Stage.WHOLE) {
-            Consumer<Answer> answered = whenAnswered;
-            Answer answer = answer(alone);
+        readsSinceHead++;
+        boolean arrivedAlone = !surplusParts && !decoder.hasMoreBytes();
+        if (stage == Stage.RECEIVED) {
+            Consumer<Response> handler = responseHandler;
+            Response response = response(body.bytes(), arrivedAlone);
             reset();
-            answered.accept(answer);
-        } else if (stage == Stage.FLOWED) {
-            boolean keeps = answer(alone).reusable();
-            BodyRelay ending = flow;
-            HttpContent end = last;
-            last = null;
+            handler.accept(response);
+        } else if (stage == Stage.STREAM_RECEIVED) {
+            boolean reusable = isReusable(arrivedAlone);
+            StreamedBody received = stream;
             reset();
-            flowEnded.accept(keeps);
-            ending.take(end);
-            ending.flush();
-            end.release();
-        } else if (stage == Stage.QUIET && decoder.hasMore()) {
+            streamHandlers.responseCompleted().accept(reusable);
+            received.complete();
+        } else if (stage == Stage.IDLE && decoder.hasMoreBytes()) {
             close(CloseReason.MALFORMED);
         }
     }
 
     private void reset() {
-        whenAnswered = null;
-        stage = Stage.QUIET;
-        more = false;
+        responseHandler = null;
+        stage = Stage.IDLE;
+        surplusParts = false;
         head = null;
         body = null;
-        flowing = null;
-        flow = null;
-        moved = bytes -> {};
+        streamedResponse = null;
+        stream = null;
+        progressHandler = NO_PROGRESS;
     }
 
-    /**
-     * An answer without a length is whole once its connection is closed, and not if that is reset.
-     */
+    // A response without a length is complete when its connection is closed, but not when it is
+    // reset.
     @Override
-    void ended(CloseReason why) {
-        boolean whole =
-                why == CloseReason.PEER_CLOSED
+    void onClosed(CloseReason reason) {
+        boolean endsResponse =
+                reason == CloseReason.PEER_CLOSED
                         && head != null
                         && !interim
                         && !HttpFraming.hasLength(head);
-        if (whole && stage == Stage.BODY) {
-            stage = Stage.WHOLE;
-            taken();
-        } else if (whole && stage == Stage.FLOWING) {
-            stage = Stage.FLOWED;
-            last = LastHttpContent.EMPTY_LAST_CONTENT;
-            taken();
-        }
-        if (flow != null) {
-            flow.drop();
+        if (endsResponse && stage == Stage.BUFFERING_BODY) {
+            stage = Stage.RECEIVED;
+            onReadComplete();
+        } else if (endsResponse && stage == Stage.STREAMING_BODY) {
+            stream(LastHttpContent.EMPTY_LAST_CONTENT);
+            onReadComplete();
         }
-        if (last != null) {
-            last.release();
-            last = null;
+        if (stream != null) {
+            stream.drop();
         }
-        whenEnded.accept(why);
+        endHandler.accept(reason);
     }
 }
--- a/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
+++ b/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
@@ -14,74 +14,94 @@
 import ottergauge.routing.CloseReason;
 
 /**
- * Calls the node itself before it takes clients: both ends of a connection on real sockets. The
- * rehearsal runs in memory; with the socket path cold a node refused 500 requests in its first
- * second.
+ * Warms up the socket path before the node serves clients: it sends requests to itself, both ends
+ * of each connection on real sockets. {@link JitWarmUp} covers the rest, in memory.
  */
 final class SelfRequestWarmUp {
 
-    // As for the rehearsal: the compiler takes up a method after some hundred calls.
-    private static final int MOST = 400;
-    // Without a door the node is away meanwhile: what a restart loses by that is more than what it
-    // gains.
-    private static final int MOST_AWAY = 100;
-    // Beside a process that serves, whose CPU it shares, and whose clients come to it one by one.
-    private static final int MOST_BESIDE = 100;
-    // What all nodes call together, as for the rehearsal: of many nodes each counts for little.
-    private static final int BY_ALL = 1_200;
-    private static final int AT_ONCE = 8;
-    // The longest that it may keep a node from its clients.
-    private static final long LONGEST = TimeUnit.MILLISECONDS.toNanos(1_500);
-    private static final long CALL_WITHIN_MS = 500;
+    /** What the node does without while it warms up, which decides how long that may take. */
+    enum Situation {
+        /** It has no other address than the clients', so that it is away meanwhile. */
+        AWAY(100),
+        /** Another process of the node serves, whose CPU it shares. */
+        BESIDE_ANOTHER_PROCESS(100),
+        /** It starts alone, and answers on its management address. */
+        ALONE(400);
+
+        private final int maxRequests;
+
+        Situation(int maxRequests) {
+            this.maxRequests = maxRequests;
+        }
+    }
+
+    /** Of all nodes together: of many nodes each counts for little. */
+    private static final int MAX_REQUESTS_OF_ALL_NODES = 1_200;
+
+    private static final int CONCURRENT_REQUESTS = 8;
+    private static final long MAX_DURATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+    private static final long CONNECT_TIMEOUT_MS = 500;
+    private static final int MAX_RESPONSE_BYTES = 1 << 10;
 
     private final NetClient client;
-    private final Address own;
+    private final Address ownAddress;
     private final String path;
-    private final int most;
+    private final int maxRequests;
     private final Promise<Integer> done = Promise.promise();
-    private final long from = System.nanoTime();
+    private final long startedAt = System.nanoTime();
     private int begun;
     private int ended;
     private int open;
 
-    private SelfRequestWarmUp(NetClient client, Address own, String path, int most) {
-        this.path = path;
-        this.most = most;
+    private SelfRequestWarmUp(NetClient client, Address ownAddress, String path, int maxRequests) {
         this.client = client;
-        this.own = own;
+        this.ownAddress = ownAddress;
+        this.path = path;
+        this.maxRequests = maxRequests;
     }
 
-    /** Gives back how many calls there were, whatever became of them. */
+    /**
+     * Sends requests until there are enough or their time is over.
+     *
+     * @param nodes the number of all nodes
+     * @return the number of requests, whatever became of them
+     */
     static Future<Integer> run(
-            NetClient client, Address own, String path, int nodes, boolean away, boolean beside) {
-        int most = Math.min(away ? MOST_AWAY : beside ? MOST_BESIDE : MOST, BY_ALL / nodes);
-        SelfRequestWarmUp warmUp = new SelfRequestWarmUp(client, own, path, most);
-        for (int i = 0; i < AT_ONCE; i++) {
+            NetClient client, Address ownAddress, String path, int nodes, Situation situation) {
+        int maxRequests = Math.min(situation.maxRequests, MAX_REQUESTS_OF_ALL_NODES / nodes);
+        SelfRequestWarmUp warmUp = new SelfRequestWarmUp(client, ownAddress, path, maxRequests);
+        for (int i = 0; i < CONCURRENT_REQUESTS; i++) {
             warmUp.next();
         }
         return warmUp.done.future();
     }
 
     private void next() {
-        if (begun < most && System.nanoTime() - from < LONGEST) {
+        if (begun < maxRequests && System.nanoTime() - startedAt < MAX_DURATION_NANOS) {
             begun++;
             open++;
-            OutboundConnection.connect(client, ConnectionLog.UNTOLD, own, CALL_WITHIN_MS, 1 << 10)
-                    .onComplete(this::call, failure -> over());
+            OutboundConnection.connect(
+                            client,
+                            ConnectionLog.SELF,
+                            ownAddress,
+                            CONNECT_TIMEOUT_MS,
+                            MAX_RESPONSE_BYTES)
+                    .onComplete(this::send, failure -> connectionEnded());
         } else if (open == 0) {
             done.tryComplete(ended);
         }
     }
 
-    private void call(OutboundConnection connection) {
-        connection.whenEnded(why -> over());
+    private void send(OutboundConnection connection) {
+        connection.onEnd(reason -> connectionEnded());
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         request.headers().set(HttpHeaderNames.HOST, connection.address());
-        connection.send(request, () -> {}, answer -> connection.close(CloseReason.NOT_REUSABLE));
+        connection.send(
+                request, () -> {}, response -> connection.close(CloseReason.NOT_REUSABLE));
     }
 
-    private void over() {
+    private void connectionEnded() {
         open--;
         ended++;
         next();
--- a/src/main/java/ottergauge/transport/Timers.java
+++ b/src/main/java/ottergauge/transport/Timers.java
@@ -4,32 +4,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * Timers that are never early by the clock that events are stamped with, and that let what has come
- * go first when they are late. The library's run on a reading of their own; one that came before
- * its time would be taken for an old one and passed over, and what it was to end would wait for
- * ever. And a process that stood still may be given its timers before its sockets: connections were
- * closed as idle with a request in them, and attempts given up whose answers were there.
+ * Timers that never fire early by the clock that events are stamped with, and that let the event
+ * loop read its sockets first when they are late. The library's timers run on a clock of their own:
+ * one that fired early would be ignored as stale, and its timeout would never come. And a process
+ * that stood still may get its timers before its sockets: without another round, connections would
+ * be closed as idle with a request in them, and attempts timed out whose responses had arrived.
  */
 final class Timers {
 
-    /** Runs something on the loop after at least so many milliseconds, by the library's clock. */
+    /** Runs a task on the loop after at least this many milliseconds, by the library's clock. */
     @FunctionalInterface
-    interface Library {
-        void start(long millis, Runnable task);
+    interface Scheduler {
+        void schedule(long millis, Runnable task);
     }
 
-    private static final long MICROS = 1_000;
-    // Later than this the loop has not come round in time: it reads once more before it goes by the
-    // clock.
-    private static final long LATE = 10_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+
+    /** A timer that is later than this lets the loop read once more before it fires. */
+    private static final long MAX_LAG_MICROS = 10_000;
 
     private final LongSupplier clock;
-    private final Library library;
+    private final Scheduler scheduler;
 
     /** {@code clock} is in microseconds. */
-    Timers(LongSupplier clock, Library library) {
+    Timers(LongSupplier clock, Scheduler scheduler) {
         this.clock = clock;
-        this.library = library;
+        this.scheduler = scheduler;
     }
 
     /** Runs a task once {@code delay} microseconds have passed. */
@@ -39,17 +39,18 @@
 
     private void waitUntil(long due, Runnable task) {
         long left = due - clock.getAsLong();
-        library.start(
-                Math.max(1, (left + MICROS - 1) / MICROS),
-                () -> {
-                    long late = clock.getAsLong() - due;
-                    if (late < 0) {
-                        waitUntil(due, task);
-                    } else if (late > LATE) {
-                        library.start(1, task);
-                    } else {
-                        task.run();
-                    }
-                });
+        long millis = Math.max(1, (left + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
+        scheduler.schedule(millis, () -> fire(due, task));
+    }
+
+    private void fire(long due, Runnable task) {
+        long lag = clock.getAsLong() - due;
+        if (lag < 0) {
+            waitUntil(due, task);
+        } else if (lag > MAX_LAG_MICROS) {
+            scheduler.schedule(1, task);
+        } else {
+            task.run();
+        }
     }
 }
--- a/src/main/java/ottergauge/transport/UpstreamConnector.java
+++ b/src/main/java/ottergauge/transport/UpstreamConnector.java
@@ -1,16 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.transport;
 
-import io.netty.buffer.Unpooled;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.DefaultHttpRequest;
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpHeaderValues;
-import io.netty.handler.codec.http.HttpHeaders;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpRequest;
-import io.netty.handler.codec.http.HttpVersion;
 import io.vertx.core.Future;
 import java.nio.charset.StandardCharsets;
 import java.util.EnumSet;
@@ -22,8 +14,6 @@
 import ottergauge.protocol.Content;
 import ottergauge.protocol.Headers;
 import ottergauge.protocol.LoadReportReader;
-import ottergauge.protocol.Paths;
-import ottergauge.protocol.RequestFields;
 import ottergauge.routing.CloseReason;
 import ottergauge.routing.Effect.CloseUpstream;
 import ottergauge.routing.Effect.ConnectUpstream;
@@ -31,7 +21,6 @@
 import ottergauge.routing.Effect.ProbeLoad;
 import ottergauge.routing.Effect.StreamResponse;
 import ottergauge.routing.Event;
-import ottergauge.routing.Event.ClientRequest;
 import ottergauge.routing.Event.RequestWritten;
 import ottergauge.routing.Event.ResponseReceived;
 import ottergauge.routing.Event.ServerResponse;
@@ -43,21 +32,25 @@
 import ottergauge.routing.Event.UpstreamConnected;
 
 /**
- * The side that connects to servers. The connections are not pooled here: which one carries what is
- * the router's state, so that nothing waits in a queue it does not see and nothing is sent again
- * unasked.
+ * The open connections to servers, by the numbers that the router gave them. They are not pooled
+ * here: which of them carries what is the router's state, so that nothing waits in a queue that it
+ * does not see, and nothing is retried unless it says so.
  */
 final class UpstreamConnector {
 
-    /** Opens a connection. */
+    /** Opens a connection to a server. */
+    @FunctionalInterface
     interface Connector {
         Future<OutboundConnection> connect(Address address, long timeoutMs);
     }
 
-    // What came was read as far as it could be: the server is there, and its answer is none.
-    private static final Set<CloseReason> SPOILT =
+    /** The server is there, but its response can't be read. */
+    private static final Set<CloseReason> MALFORMED_RESPONSE =
             EnumSet.of(CloseReason.MALFORMED, CloseReason.TOO_LARGE);
 
+    private static final String TRUE = "1";
+    private static final long MICROS_PER_MILLI = 1_000;
+
     private final Connector connector;
     private final Consumer<Event> events;
     private final Map<Long, OutboundConnection> connections = new HashMap<>();
@@ -70,118 +63,98 @@
     void connect(ConnectUpstream effect) {
         long number = effect.connection();
         connector
-                .connect(effect.address(), millis(effect.timeoutMicros()))
+                .connect(effect.address(), toMillis(effect.timeoutMicros()))
                 .onComplete(
-                        connection -> {
-                            connections.put(number, connection);
-                            connection.whenFlows(
-                                    () -> events.accept(new UnsizedResponseStarted(number)),
-                                    answer ->
-                                            events.accept(
-                                                    new StreamedResponseStarted(
-                                                            number,
-                                                            read(answer, false),
-                                                            connection.microsSinceHead())),
-                                    reusable ->
-                                            events.accept(
-                                                    new StreamedResponseCompleted(
-                                                            number, reusable)),
-                                    () -> events.accept(new RequestWritten(number)),
-                                    answer ->
-                                            events.accept(
-                                                    new ResponseReceived(
-                                                            number, read(answer, false))));
-                            connection.whenEnded(
-                                    why -> {
-                                        connections.remove(number);
-                                        events.accept(
-                                                new UpstreamClosed(number, SPOILT.contains(why)));
-                                    });
-                            events.accept(new UpstreamConnected(number));
-                        },
+                        connection -> onConnected(number, connection),
                         failure -> events.accept(new UpstreamConnectFailed(number)));
     }
 
-    void forward(Forward effect) {
-        ClientRequest request = effect.request();
-        byte[] body = request.content().bytes();
-        HttpMethod method = HttpMethod.valueOf(request.method());
-        FullHttpRequest message =
-                new DefaultFullHttpRequest(
-                        HttpVersion.HTTP_1_1, method, request.uri(), Unpooled.wrappedBuffer(body));
-        set(message.headers(), request, millis(effect.timeoutMicros()));
-        if (body.length > 0 || !HttpMethod.GET.equals(method)) {
-            message.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-        }
-        exchange(effect.connection(), message, false);
+    private void onConnected(long number, OutboundConnection connection) {
+        connections.put(number, connection);
+        connection.allowStreaming(streamHandlers(number, connection));
+        connection.onEnd(
+                reason -> {
+                    connections.remove(number);
+                    boolean malformed = MALFORMED_RESPONSE.contains(reason);
+                    events.accept(new UpstreamClosed(number, malformed));
+                });
+        events.accept(new UpstreamConnected(number));
     }
 
-    /** The head of a request whose body flows; a length that is not known is negative. */
-    static HttpRequest head(ClientRequest request, long waitsMs, String host, long length) {
-        HttpRequest head =
-                new DefaultHttpRequest(
-                        HttpVersion.HTTP_1_1, HttpMethod.valueOf(request.method()), request.uri());
-        set(head.headers(), request, waitsMs);
-        head.headers().set(HttpHeaderNames.HOST, host);
-        if (length >= 0) {
-            head.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
-        } else {
-            head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-        }
-        return head;
+    private OutboundConnection.StreamHandlers streamHandlers(
+            long number, OutboundConnection connection) {
+        return new OutboundConnection.StreamHandlers(
+                () -> events.accept(new UnsizedResponseStarted(number)),
+                response ->
+                        events.accept(
+                                new StreamedResponseStarted(
+                                        number,
+                                        serverResponse(response, reportOf(response)),
+                                        connection.microsSinceHead())),
+                reusable -> events.accept(new StreamedResponseCompleted(number, reusable)),
+                () -> events.accept(new RequestWritten(number)),
+                response -> onResponse(number, response, reportOf(response)));
     }
 
-    private static void set(HttpHeaders headers, ClientRequest request, long waitsMs) {
-        RequestFields fields = request.fields();
-        headers.set(Headers.TRACE_ID, fields.traceId())
-                .set(Headers.REQUEST_CLASS, fields.requestClass())
-                .set(Headers.EXPIRES_IN_MS, Long.toString(waitsMs));
-        if (fields.idempotencyKey() != null) {
-            headers.set(Headers.IDEMPOTENCY_KEY, fields.idempotencyKey());
-        }
-        if (request.content().type() != null) {
-            headers.set(HttpHeaderNames.CONTENT_TYPE, request.content().type());
+    void forward(Forward effect) {
+        long number = effect.connection();
+        OutboundConnection connection = connections.get(number);
+        if (connection != null) {
+            long timeoutMs = toMillis(effect.timeoutMicros());
+            FullHttpRequest message =
+                    UpstreamRequests.complete(
+                            effect.request(), timeoutMs, connection.address());
+            connection.send(
+                    message,
+                    () -> events.accept(new RequestWritten(number)),
+                    response -> onResponse(number, response, reportOf(response)));
         }
     }
 
-    void askLoad(ProbeLoad effect) {
-        exchange(
-                effect.connection(),
-                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, Paths.STATS),
-                true);
-    }
-
-    private void exchange(long number, FullHttpRequest message, boolean probe) {
+    void probeLoad(ProbeLoad effect) {
+        long number = effect.connection();
         OutboundConnection connection = connections.get(number);
         if (connection != null) {
-            message.headers().set(HttpHeaderNames.HOST, connection.address());
             connection.send(
-                    message,
+                    UpstreamRequests.loadProbe(connection.address()),
                     () -> events.accept(new RequestWritten(number)),
-                    answer -> events.accept(new ResponseReceived(number, read(answer, probe))));
+                    response -> onResponse(number, response, probedReportOf(response)));
         }
     }
 
-    private static ServerResponse read(OutboundConnection.Answer answer, boolean probe) {
-        String report = answer.headers().get(Headers.LOAD);
-        if (report == null && probe) {
-            report = new String(answer.body(), StandardCharsets.UTF_8);
-        }
+    private void onResponse(long number, OutboundConnection.Response response, String loadReport) {
+        events.accept(new ResponseReceived(number, serverResponse(response, loadReport)));
+    }
+
+    private static String reportOf(OutboundConnection.Response response) {
+        return response.headers().get(Headers.LOAD);
+    }
+
+    // The response to a probe may carry the report as its body.
+    private static String probedReportOf(OutboundConnection.Response response) {
+        String report = reportOf(response);
+        return report == null ? new String(response.body(), StandardCharsets.UTF_8) : report;
+    }
+
+    private static ServerResponse serverResponse(
+            OutboundConnection.Response response, String loadReport) {
+        String type = response.headers().get(HttpHeaderNames.CONTENT_TYPE);
         return new ServerResponse(
-                answer.status(),
-                "1".equals(answer.headers().get(Headers.NEVER_RAN)),
-                LoadReportReader.read(report),
-                new Content(answer.headers().get(HttpHeaderNames.CONTENT_TYPE), answer.body()),
-                answer.reusable());
+                response.status(),
+                TRUE.equals(response.headers().get(Headers.NEVER_RAN)),
+                LoadReportReader.read(loadReport),
+                new Content(type, response.body()),
+                response.reusable());
     }
 
-    void flowNow(StreamResponse effect) {
+    void streamResponse(StreamResponse effect) {
         OutboundConnection connection = connections.get(effect.connection());
         if (connection != null) {
-            connection.flowNow();
+            connection.streamUnsizedResponse();
         }
     }
 
+    /** The connection of this number, or null if it has ended. */
     OutboundConnection connection(long number) {
         return connections.get(number);
     }
@@ -193,7 +166,8 @@
         }
     }
 
-    static long millis(long micros) {
-        return Math.max(1, micros / 1000);
+    /** Rounds down to milliseconds, of which there is at least one. */
+    static long toMillis(long micros) {
+        return Math.max(1, micros / MICROS_PER_MILLI);
     }
 }
--- a/src/test/java/ottergauge/transport/EventLoopLagTest.java
+++ b/src/test/java/ottergauge/transport/EventLoopLagTest.java
@@ -16,7 +16,7 @@
     }
 
     private static long[] counts(int bound, long count) {
-        long[] counts = new long[EventLoopLag.BOUNDS.size() + 1];
+        long[] counts = new long[EventLoopLag.BOUNDS_MS.size() + 1];
         if (bound >= 0) {
             counts[bound] = count;
         }
@@ -25,27 +25,27 @@
 
     @Test
     void aLookInTimeIsNotLate() {
-        EventLoopLag lateness = new EventLoopLag(0);
-        assertEquals(ms(9.5), lateness.look(ms(10.5)));
-        assertArrayEquals(counts(0, 1), lateness.take());
-        assertArrayEquals(counts(-1, 0), lateness.take());
+        EventLoopLag lag = new EventLoopLag(0);
+        assertEquals(ms(9.5), lag.record(ms(10.5)));
+        assertArrayEquals(counts(0, 1), lag.takeCounts());
+        assertArrayEquals(counts(-1, 0), lag.takeCounts());
     }
 
     @Test
     void aLookTooEarlyIsNone() {
-        EventLoopLag lateness = new EventLoopLag(0);
-        assertEquals(ms(1), lateness.look(ms(9)));
-        assertArrayEquals(counts(-1, 0), lateness.take());
+        EventLoopLag lag = new EventLoopLag(0);
+        assertEquals(ms(1), lag.record(ms(9)));
+        assertArrayEquals(counts(-1, 0), lag.takeCounts());
     }
 
     /** Guards against a standstill of a second that counts as one late look among many in time. */
     @Test
     void looksThatWereMissedCountToo() {
-        EventLoopLag lateness = new EventLoopLag(0);
-        lateness.look(ms(1_010));
-        long[] counts = lateness.take();
+        EventLoopLag lag = new EventLoopLag(0);
+        lag.record(ms(1_010));
+        long[] counts = lag.takeCounts();
         assertEquals(101, Arrays.stream(counts).sum());
         assertEquals(1, counts[counts.length - 1]);
-        assertEquals(50, counts[EventLoopLag.BOUNDS.indexOf(1_000)]);
+        assertEquals(50, counts[EventLoopLag.BOUNDS_MS.indexOf(1_000)]);
     }
 }
--- a/src/test/java/ottergauge/transport/EventLoopMonitorTest.java
+++ b/src/test/java/ottergauge/transport/EventLoopMonitorTest.java
@@ -9,14 +9,14 @@
 class EventLoopMonitorTest {
 
     private long now = TimeUnit.SECONDS.toNanos(5);
-    private final EventLoopMonitor watch = new EventLoopMonitor(() -> now);
+    private final EventLoopMonitor monitor = new EventLoopMonitor(() -> now);
 
     // Asks for what is ready, waits for so long, and then handles something for so long.
     private long round(long waits, long handles) throws Exception {
-        watch.calculateStrategy(() -> 0, false);
+        monitor.calculateStrategy(() -> 0, false);
         now += TimeUnit.MILLISECONDS.toNanos(waits);
-        long since = watch.since();
-        long waited = watch.microsSince(since) / 1000;
+        long since = monitor.earliestArrival();
+        long waited = monitor.microsSince(since) / 1000;
         now += TimeUnit.MILLISECONDS.toNanos(handles);
         return waited;
     }
@@ -52,7 +52,7 @@
         round(900, 20);
         assertEquals(920, round(0, 5));
         assertEquals(5, round(0, 0));
-        watch.calculateStrategy(() -> 0, false);
+        monitor.calculateStrategy(() -> 0, false);
         now += TimeUnit.MILLISECONDS.toNanos(800);
         assertEquals(800, round(0, 0));
     }
@@ -72,7 +72,7 @@
     @Test
     void aRoundInWhichNothingIsHandledHidesNothing() throws Exception {
         round(40, 0);
-        watch.calculateStrategy(() -> 0, false);
+        monitor.calculateStrategy(() -> 0, false);
         now += TimeUnit.MILLISECONDS.toNanos(200);
         assertEquals(0, round(0, 0));
     }
--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -69,13 +69,13 @@
     @Test
     void maintenanceMarks_areWrittenAsBefore() throws IOException {
         Files.delete(folder.resolve(MARK_OF_S1));
-        new MaintenanceStore(folder).keep("s-1", S1_SINCE);
+        new MaintenanceStore(folder).mark("s-1", S1_SINCE);
         assertArrayEquals(sample(MARK_OF_S1), written(MARK_OF_S1));
     }
 
     @Test
     void storedMaintenanceMark_isDeletedByServerName() throws IOException {
-        new MaintenanceStore(folder).drop("s-2");
+        new MaintenanceStore(folder).unmark("s-2");
         assertFalse(Files.exists(folder.resolve(MARK_OF_S2)));
         assertEquals(Map.of("s-1", S1_SINCE), new MaintenanceStore(folder).read());
     }
@@ -83,7 +83,7 @@
     @Test
     void storedEndpointList_replacesAnOlderOneOfTheConfiguration() {
         NodeConfig config = new TestConfig().knows(host("s-9", "127.0.0.1:9", "in_service")).build();
-        EndpointList list = new EndpointCache(folder, MAX_LIST_BYTES).freshest(config, false).knownEndpoints();
+        EndpointList list = new EndpointCache(folder, MAX_LIST_BYTES).withCachedList(config, false).knownEndpoints();
         assertEquals(42, list.version());
         assertTrue(list.complete());
         assertEquals(
@@ -103,14 +103,14 @@
     void endpointList_isWrittenAsBefore() throws Exception {
         EndpointList list = EndpointList.read(sample("list.json"));
         Files.delete(folder.resolve("list.json"));
-        new EndpointCache(folder, MAX_LIST_BYTES).keep(list);
+        new EndpointCache(folder, MAX_LIST_BYTES).write(list);
         assertArrayEquals(sample("list.json"), written("list.json"));
     }
 
     @Test
     void processFileWithoutItsLock_isALeftover() throws IOException {
-        HotRestartProcesses.Company others = new HotRestartProcesses(folder).look();
-        assertEquals(new HotRestartProcesses.Company(false, false, 0), others);
+        HotRestartProcesses.OtherProcesses others = new HotRestartProcesses(folder).others();
+        assertEquals(new HotRestartProcesses.OtherProcesses(false, false, 0), others);
         assertFalse(Files.exists(folder.resolve(PROCESS)));
     }
 
@@ -128,7 +128,7 @@
                         .start();
         try (InputStream output = other.getInputStream()) {
             assertEquals(LockHolder.LOCKED, output.read());
-            assertEquals(new HotRestartProcesses.Company(true, true, 258), new HotRestartProcesses(folder).look());
+            assertEquals(new HotRestartProcesses.OtherProcesses(true, true, 258), new HotRestartProcesses(folder).others());
         } finally {
             other.destroyForcibly().waitFor();
         }
@@ -137,11 +137,11 @@
     @Test
     void processFile_isWrittenAsBefore() throws IOException {
         HotRestartProcesses own = new HotRestartProcesses(folder);
-        own.appear();
-        own.tell(true, 0);
+        own.register();
+        own.publish(true, 0);
         assertArrayEquals(
                 sample(PROCESS), written("process-" + ProcessHandle.current().pid()));
-        own.vanish();
+        own.unregister();
         assertFalse(Files.exists(folder.resolve("process-" + ProcessHandle.current().pid())));
     }
 
