--- a/src/main/java/ottergauge/program/RehearseCommand.java
+++ b/src/main/java/ottergauge/program/RehearseCommand.java
@@ -16,8 +16,8 @@
 import java.util.stream.Stream;
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
-import ottergauge.transport.NodeServer;
 import ottergauge.transport.JitWarmUp;
+import ottergauge.transport.NodeServer;
 import picocli.CommandLine.Command;
 
 /**
--- a/src/main/java/ottergauge/simulator/MessageReader.java
+++ b/src/main/java/ottergauge/simulator/MessageReader.java
@@ -94,8 +94,7 @@
                 default -> in.skipChildren();
             }
         }
-        return new LoadReport(
-                inFlight, queued, utilization, latencyMs * 1000, requestsPerSecond);
+        return new LoadReport(inFlight, queued, utilization, latencyMs * 1000, requestsPerSecond);
     }
 
     private List<EndpointEntry> entries() throws IOException {
@@ -140,8 +139,7 @@
             case "on" -> EndpointState.UP;
             case "fading" -> EndpointState.DRAINING;
             case "off" -> EndpointState.REMOVED;
-            default ->
-                    throw new SimulatorFormatException("unknown availability " + availability);
+            default -> throw new SimulatorFormatException("unknown availability " + availability);
         };
     }
 
--- a/src/main/java/ottergauge/simulator/SimulatorMessage.java
+++ b/src/main/java/ottergauge/simulator/SimulatorMessage.java
@@ -32,11 +32,7 @@
      * @param affinityKey what the request is about; 0 for none
      */
     record RequestSent(
-            String id,
-            String requestClass,
-            long giveUpAt,
-            boolean clientRetry,
-            long affinityKey)
+            String id, String requestClass, long giveUpAt, boolean clientRetry, long affinityKey)
             implements SimulatorMessage {}
 
     /** An event that refers to nothing by the names of an engine's settings. */
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -207,8 +207,7 @@
         long length = HttpUtil.getContentLength(head, -1L);
         StreamedBody relayed = stream;
         stream = streamReceived ? null : stream;
-        HttpRequest forwarded =
-                UpstreamRequests.head(request, timeoutMs, server.address(), length);
+        HttpRequest forwarded = UpstreamRequests.head(request, timeoutMs, server.address(), length);
         relayed.relayTo(server, server.sendHead(forwarded));
     }
 
--- a/src/main/java/ottergauge/transport/DiscoveryClient.java
+++ b/src/main/java/ottergauge/transport/DiscoveryClient.java
@@ -25,9 +25,7 @@
 import ottergauge.routing.Event.EndpointListReceived;
 import ottergauge.routing.Event.EndpointListRejected;
 
-/**
- * Polls discovery, each time on a connection of its own; an idle one is kept for the next poll.
- */
+/** Polls discovery, each time on a connection of its own; an idle one is kept for the next poll. */
 final class DiscoveryClient {
 
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
@@ -56,7 +54,8 @@
     void poll(PollDiscovery effect) {
         if (!openPolls.isEmpty()) {
             LOG.warn(
-                    "{} calls to discovery are not answered in time, it is asked anew", openPolls.size());
+                    "{} calls to discovery are not answered in time, it is asked anew",
+                    openPolls.size());
         }
         OutboundConnection reused = idle;
         idle = null;
@@ -128,7 +127,10 @@
         connection.send(request, () -> {}, response -> onResponse(effect, connection, response));
     }
 
-    private void onResponse(PollDiscovery effect, OutboundConnection connection, OutboundConnection.Response response) {
+    private void onResponse(
+            PollDiscovery effect,
+            OutboundConnection connection,
+            OutboundConnection.Response response) {
         if (!openPolls.containsKey(effect.poll())) {
             return;
         }
--- a/src/main/java/ottergauge/transport/EffectPerformer.java
+++ b/src/main/java/ottergauge/transport/EffectPerformer.java
@@ -105,8 +105,7 @@
             admin.respond(e);
         } else if (effect instanceof Effect.StoreMaintenance e) {
             LOG.info("{} is in maintenance", e.server());
-            hotRestart.ifPresent(
-                    shared -> shared.maintenance().mark(e.server(), e.sinceMicros()));
+            hotRestart.ifPresent(shared -> shared.maintenance().mark(e.server(), e.sinceMicros()));
         } else if (effect instanceof Effect.ClearMaintenance e) {
             LOG.info("{} is re-enabled", e.server());
             hotRestart.ifPresent(shared -> shared.maintenance().unmark(e.server()));
--- a/src/main/java/ottergauge/transport/EventLoopMonitor.java
+++ b/src/main/java/ottergauge/transport/EventLoopMonitor.java
@@ -81,7 +81,9 @@
         stalledBefore = stalled;
     }
 
-    /** Whether this round has taken so long that more is likely to have arrived since its select. */
+    /**
+     * Whether this round has taken so long that more is likely to have arrived since its select.
+     */
     boolean isBehind() {
         return nanos.getAsLong() - selectedAt > MAX_ROUND_NANOS;
     }
--- a/src/main/java/ottergauge/transport/HollowEvent.java
+++ b/src/main/java/ottergauge/transport/HollowEvent.java
@@ -30,12 +30,14 @@
             implements HollowEvent {}
 
     /**
-     * So many calls began, or failed, in the span of {@link HollowCallCounter#SPAN} that begins at {@code
-     * at}.
+     * So many calls began, or failed, in the span of {@link HollowCallCounter#SPAN} that begins at
+     * {@code at}.
      */
     record Calls(Source source, CallKind kind, long count, long at) implements HollowEvent {}
 
-    /** A node's bytes in the span of {@link HollowTrafficCounter#SPAN} that begins at {@code at}. */
+    /**
+     * A node's bytes in the span of {@link HollowTrafficCounter#SPAN} that begins at {@code at}.
+     */
     record Traffic(String node, Source source, long bytesIn, long bytesOut, long at)
             implements HollowEvent {}
 
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -68,7 +68,8 @@
 
     private void add(NodeConfig config) {
         HollowNode node =
-                new HollowNode(config, vertx, OutboundConnection.dialer(client), wall, calls, observer);
+                new HollowNode(
+                        config, vertx, OutboundConnection.dialer(client), wall, calls, observer);
         nodes.add(node);
         node.start();
     }
--- a/src/main/java/ottergauge/transport/HollowTrafficCounter.java
+++ b/src/main/java/ottergauge/transport/HollowTrafficCounter.java
@@ -28,7 +28,8 @@
     private long bytesIn;
     private long bytesOut;
 
-    HollowTrafficCounter(String node, Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
+    HollowTrafficCounter(
+            String node, Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
         this.node = node;
         this.source = source;
         this.clock = clock;
--- a/src/main/java/ottergauge/transport/JitWarmUp.java
+++ b/src/main/java/ottergauge/transport/JitWarmUp.java
@@ -60,7 +60,8 @@
             answer("503 Service Unavailable", Headers.NEVER_RAN + ": 1\r\n");
 
     private final EventQueue events = new EventQueue(this::handle);
-    private final DownstreamConnections clients = new DownstreamConnections(new EventLoopMonitor(() -> 0), events::take);
+    private final DownstreamConnections clients =
+            new DownstreamConnections(new EventLoopMonitor(() -> 0), events::take);
     private final UpstreamConnector servers = new UpstreamConnector(this::connect, events::take);
     private final List<EmbeddedChannel> opened = new ArrayList<>();
     private final List<RequestClass> classes;
@@ -208,7 +209,8 @@
     private Future<OutboundConnection> connect(Address address, long timeoutMs) {
         EmbeddedChannel channel = new EmbeddedChannel();
         OutboundConnection connection =
-                OutboundConnection.over(channel.pipeline(), "rehearsal", BodyLimits.MAX_BUFFERED_BYTES);
+                OutboundConnection.over(
+                        channel.pipeline(), "rehearsal", BodyLimits.MAX_BUFFERED_BYTES);
         opened.add(channel);
         return Future.succeededFuture(connection);
     }
--- a/src/main/java/ottergauge/transport/Listener.java
+++ b/src/main/java/ottergauge/transport/Listener.java
@@ -55,7 +55,8 @@
                         .option(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new ServerChannelRecvByteBufAllocator()
-                                        .maxMessagesPerRead(ConnectionLimiter.MAX_ACCEPTS_PER_ROUND))
+                                        .maxMessagesPerRead(
+                                                ConnectionLimiter.MAX_ACCEPTS_PER_ROUND))
                         .childOption(ChannelOption.TCP_NODELAY, true)
                         // Read to the end of what has come: a client that asked and left has left
                         // when it is heard.
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -125,10 +125,7 @@
                 .compose(
                         warm ->
                                 clients.listen(
-                                        context.nettyEventLoop(),
-                                        config.listen(),
-                                        shared,
-                                        limiter))
+                                        context.nettyEventLoop(), config.listen(), shared, limiter))
                 .onSuccess(this::onListening)
                 .compose(
                         listening ->
@@ -152,9 +149,7 @@
         Situation situation =
                 config.admin().isEmpty()
                         ? Situation.AWAY
-                        : besideAnotherProcess
-                                ? Situation.BESIDE_ANOTHER_PROCESS
-                                : Situation.ALONE;
+                        : besideAnotherProcess ? Situation.BESIDE_ANOTHER_PROCESS : Situation.ALONE;
         int nodes = config.settings().decisions().nodeCount();
         return SelfRequestWarmUp.run(client, ownAddress, path, nodes, situation)
                 .onSuccess(calls -> LOG.info("{} called itself {} times", config.name(), calls));
@@ -239,8 +234,7 @@
         if (!next.listen().equals(config.listen())
                 || next.memoryMb() != config.memoryMb()
                 || !next.admin().equals(config.admin())) {
-            LOG.warn(
-                    "the new configuration's addresses and memory count from the next start on");
+            LOG.warn("the new configuration's addresses and memory count from the next start on");
         }
     }
 
--- a/src/main/java/ottergauge/transport/OutboundConnection.java
+++ b/src/main/java/ottergauge/transport/OutboundConnection.java
@@ -97,8 +97,7 @@
     private Response streamedResponse;
     private LongConsumer progressHandler = NO_PROGRESS;
 
-    private OutboundConnection(
-            String side, HttpFraming.ResponseDecoder decoder, int maxBodyBytes) {
+    private OutboundConnection(String side, HttpFraming.ResponseDecoder decoder, int maxBodyBytes) {
         super(side);
         this.decoder = decoder;
         this.maxBodyBytes = maxBodyBytes;
--- a/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
+++ b/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
@@ -97,8 +97,7 @@
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path);
         request.headers().set(HttpHeaderNames.HOST, connection.address());
-        connection.send(
-                request, () -> {}, response -> connection.close(CloseReason.NOT_REUSABLE));
+        connection.send(request, () -> {}, response -> connection.close(CloseReason.NOT_REUSABLE));
     }
 
     private void connectionEnded() {
--- a/src/main/java/ottergauge/transport/StreamedBody.java
+++ b/src/main/java/ottergauge/transport/StreamedBody.java
@@ -52,7 +52,9 @@
         return relay.hasDestination();
     }
 
-    /** Relays to this connection; the handler is called once the last part is written, or failed. */
+    /**
+     * Relays to this connection; the handler is called once the last part is written, or failed.
+     */
     void relayTo(Connection destination, Consumer<ChannelFuture> onLastPart) {
         relay.relayTo(destination, onLastPart);
     }
--- a/src/main/java/ottergauge/transport/UpstreamConnector.java
+++ b/src/main/java/ottergauge/transport/UpstreamConnector.java
@@ -102,8 +102,7 @@
         if (connection != null) {
             long timeoutMs = toMillis(effect.timeoutMicros());
             FullHttpRequest message =
-                    UpstreamRequests.complete(
-                            effect.request(), timeoutMs, connection.address());
+                    UpstreamRequests.complete(effect.request(), timeoutMs, connection.address());
             connection.send(
                     message,
                     () -> events.accept(new RequestWritten(number)),
--- a/src/test/java/ottergauge/program/RunningNode.java
+++ b/src/test/java/ottergauge/program/RunningNode.java
@@ -109,8 +109,8 @@
         return start(CHECKOUT, "", folder, file, port);
     }
 
-    private static RunningNode start(
-            Path checkout, String first, Path folder, Path file, int port) throws IOException {
+    private static RunningNode start(Path checkout, String first, Path folder, Path file, int port)
+            throws IOException {
         Path log = folder.resolve("log-" + START.incrementAndGet());
         Matcher run =
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
--- a/src/test/java/ottergauge/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/ottergauge/simulator/SimulatorAdapterTest.java
@@ -53,7 +53,8 @@
 
     private static List<String> run(String input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), out)
+                .run();
         return out.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
@@ -201,10 +202,13 @@
     void malformedTextIsRefused() {
         assertThrows(SimulatorFormatException.class, () -> run("{\"simTimeMs\":1,\"parts\":[\n"));
         assertThrows(SimulatorFormatException.class, () -> run("[]\n"));
-        assertThrows(SimulatorFormatException.class, () -> run(batch(1, part(0, "{\"msgId\":\"a\"}"))));
+        assertThrows(
+                SimulatorFormatException.class, () -> run(batch(1, part(0, "{\"msgId\":\"a\"}"))));
     }
 
     private static void assertMessage(String message, String input) {
-        assertEquals(message, assertThrows(SimulatorFormatException.class, () -> run(input)).getMessage());
+        assertEquals(
+                message,
+                assertThrows(SimulatorFormatException.class, () -> run(input)).getMessage());
     }
 }
--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -62,8 +62,7 @@
 
     @Test
     void storedMaintenanceMarks_areRead() {
-        assertEquals(
-                Map.of("s-1", S1_SINCE, "s-2", S2_SINCE), new MaintenanceStore(folder).read());
+        assertEquals(Map.of("s-1", S1_SINCE, "s-2", S2_SINCE), new MaintenanceStore(folder).read());
     }
 
     @Test
@@ -82,8 +81,12 @@
 
     @Test
     void storedEndpointList_replacesAnOlderOneOfTheConfiguration() {
-        NodeConfig config = new TestConfig().knows(host("s-9", "127.0.0.1:9", "in_service")).build();
-        EndpointList list = new EndpointCache(folder, MAX_LIST_BYTES).withCachedList(config, false).knownEndpoints();
+        NodeConfig config =
+                new TestConfig().knows(host("s-9", "127.0.0.1:9", "in_service")).build();
+        EndpointList list =
+                new EndpointCache(folder, MAX_LIST_BYTES)
+                        .withCachedList(config, false)
+                        .knownEndpoints();
         assertEquals(42, list.version());
         assertTrue(list.complete());
         assertEquals(
@@ -128,7 +131,9 @@
                         .start();
         try (InputStream output = other.getInputStream()) {
             assertEquals(LockHolder.LOCKED, output.read());
-            assertEquals(new HotRestartProcesses.OtherProcesses(true, true, 258), new HotRestartProcesses(folder).others());
+            assertEquals(
+                    new HotRestartProcesses.OtherProcesses(true, true, 258),
+                    new HotRestartProcesses(folder).others());
         } finally {
             other.destroyForcibly().waitFor();
         }
@@ -139,8 +144,7 @@
         HotRestartProcesses own = new HotRestartProcesses(folder);
         own.register();
         own.publish(true, 0);
-        assertArrayEquals(
-                sample(PROCESS), written("process-" + ProcessHandle.current().pid()));
+        assertArrayEquals(sample(PROCESS), written("process-" + ProcessHandle.current().pid()));
         own.unregister();
         assertFalse(Files.exists(folder.resolve("process-" + ProcessHandle.current().pid())));
     }
@@ -153,8 +157,7 @@
         private LockHolder() {}
 
         public static void main(String[] args) throws IOException, InterruptedException {
-            try (FileChannel file =
-                    FileChannel.open(Path.of(args[0]), StandardOpenOption.WRITE)) {
+            try (FileChannel file = FileChannel.open(Path.of(args[0]), StandardOpenOption.WRITE)) {
                 file.lock();
                 System.out.write(LOCKED);
                 System.out.flush();
