--- a/src/main/java/ottergauge/transport/JitWarmUp.java
+++ b/src/main/java/ottergauge/transport/JitWarmUp.java
@@ -60,7 +60,8 @@
             answer("503 Service Unavailable", Headers.NEVER_RAN + ": 1\r\n");
 
     private final EventQueue events = new EventQueue(this::handle);
-    private final DownstreamConnections clients = new DownstreamConnections(new EventLoopMonitor(() -> 0), events::take);
+    private final DownstreamConnections clients =
+            new DownstreamConnections(new EventLoopMonitor(() -> 0), events::take);
     private final UpstreamConnector servers = new UpstreamConnector(this::connect, events::take);
     private final List<EmbeddedChannel> opened = new ArrayList<>();
     private final List<RequestClass> classes;
@@ -124,7 +125,7 @@
         long from = System.nanoTime();
         router.start(now);
         EmbeddedChannel client = new EmbeddedChannel();
-        clients.adopt(client.pipeline(), 0);
+        clients.add(client.pipeline(), 0);
         int requests = 0;
         while (requests < most && System.nanoTime() - from < longest) {
             now += PACE;
@@ -208,7 +209,8 @@
     private Future<OutboundConnection> connect(Address address, long timeoutMs) {
         EmbeddedChannel channel = new EmbeddedChannel();
         OutboundConnection connection =
-                OutboundConnection.over(channel.pipeline(), "rehearsal", BodyLimits.MAX_BUFFERED_BYTES);
+                OutboundConnection.over(
+                        channel.pipeline(), "rehearsal", BodyLimits.MAX_BUFFERED_BYTES);
         opened.add(channel);
         return Future.succeededFuture(connection);
     }
@@ -233,7 +235,7 @@
         } else if (effect instanceof Effect.ReadPendingInput e) {
             events.take(new Event.PendingInputRead(e.connection()));
         } else if (effect instanceof Effect.ProbeLoad e) {
-            servers.askLoad(e);
+            servers.probeLoad(e);
         } else if (effect instanceof Effect.StartTimer e && e.timer() instanceof Timer.Decision) {
             wakes.add(now + e.delayMicros());
         }
