--- a/src/main/java/ottergauge/replica/ChangeBatch.java
+++ b/src/main/java/ottergauge/replica/ChangeBatch.java
@@ -14,8 +14,8 @@
 import ottergauge.resources.Subscription;
 
 /**
- * What a page of changes makes of a state: gathers the newest value of each resource that it
- * touches, so that all of it comes in force at once, and nothing of what it takes back itself.
+ * Gathers the newest value of each resource that the changes of one page touch, so that all of them
+ * take effect at once, and a change that a later one reverts takes none.
  */
 final class ChangeBatch {
 
@@ -23,7 +23,7 @@
     private final Subscription subscription;
     private final ReplicaLimits limits;
 
-    /** Empty for a resource that is deleted. */
+    /** The gathered values; empty for a resource that is deleted. */
     private final Map<ResourceKey, Optional<Resource>> touched = new TreeMap<>();
 
     private int size;
@@ -37,16 +37,16 @@
         bytes = table.bytes();
     }
 
-    /** Adds a change, or says why the state would be too large with it. */
+    /** Adds a change; or returns the limit that it would exceed, and adds nothing of it. */
     Optional<FieldError> add(Change change) {
         int sizeBefore = size;
         long bytesBefore = bytes;
         Map<ResourceKey, Optional<Resource>> before = new TreeMap<>();
         for (Change.Put put : change.puts()) {
-            boolean followed = subscription.matches(put.key(), put.value().service());
+            boolean subscribed = subscription.matches(put.key(), put.value().service());
             set(
                     put.key(),
-                    followed
+                    subscribed
                             ? Optional.of(new Resource(put.key(), change.version(), put.value()))
                             : Optional.empty(),
                     before);
@@ -54,7 +54,7 @@
         for (Change.Delete delete : change.deletes()) {
             set(delete.key(), Optional.empty(), before);
         }
-        Optional<FieldError> error = sizeFault(sizeBefore, bytesBefore);
+        Optional<FieldError> error = limitError(sizeBefore, bytesBefore);
         if (error.isPresent()) {
             before.forEach((key, value) -> touched.put(key, value));
             size = sizeBefore;
@@ -74,20 +74,20 @@
         bytes += value.map(ResourceSize::of).orElse(0L) - old.map(ResourceSize::of).orElse(0L);
     }
 
-    private Optional<FieldError> sizeFault(int sizeBefore, long bytesBefore) {
-        if (size > limits.resources() && size > sizeBefore) {
+    private Optional<FieldError> limitError(int sizeBefore, long bytesBefore) {
+        if (size > limits.maxResources() && size > sizeBefore) {
             return Optional.of(
                     new FieldError(
-                            "resources", Integer.toString(size), "up to " + limits.resources()));
+                            "resources", Integer.toString(size), "up to " + limits.maxResources()));
         }
-        if (bytes > limits.bytes() && bytes > bytesBefore) {
+        if (bytes > limits.maxBytes() && bytes > bytesBefore) {
             return Optional.of(
-                    new FieldError("bytes", Long.toString(bytes), "up to " + limits.bytes()));
+                    new FieldError("bytes", Long.toString(bytes), "up to " + limits.maxBytes()));
         }
         return Optional.empty();
     }
 
-    /** Puts all into the table and gives back what differs by that. */
+    /** Applies the batch to the table; returns the resources that differ by it. */
     StateChange commit(LogPosition position) {
         List<Resource> puts = new ArrayList<>();
         List<Change.Delete> deletes = new ArrayList<>();
--- a/src/main/java/ottergauge/replica/ChangesQuery.java
+++ b/src/main/java/ottergauge/replica/ChangesQuery.java
@@ -5,9 +5,16 @@
 import ottergauge.resources.Subscription;
 
 /**
- * Asks for the changes after a position, to wait so many microseconds for the first one. {@code
- * inForce} and {@code refused} are told with it: the version that the node goes by and the one that
- * it refused last.
+ * A long poll for the changes after a position.
+ *
+ * @param after the position that the node has
+ * @param waitMicros how long the control process may wait for a first change
+ * @param maxBytes the size of the response, unless a single change has more
+ * @param subscription the resources that the node replicates
+ * @param node the node's name
+ * @param region the node's region
+ * @param effectiveVersion the version that the node has applied of this log; 0 for none
+ * @param rejectedVersion the version that the node rejected last; 0 for none
  */
 public record ChangesQuery(
         LogPosition after,
@@ -17,4 +24,4 @@
         String node,
         String region,
         long effectiveVersion,
-        long rejected) {}
+        long rejectedVersion) {}
--- a/src/main/java/ottergauge/replica/ControlEndpoint.java
+++ b/src/main/java/ottergauge/replica/ControlEndpoint.java
@@ -3,5 +3,5 @@
 
 import ottergauge.protocol.Address;
 
-/** Where a control process is reached, and the region that it runs in. */
+/** The address of a control process, and the region that it runs in. */
 public record ControlEndpoint(Address address, String region) {}
--- a/src/main/java/ottergauge/replica/ControlEndpointSelector.java
+++ b/src/main/java/ottergauge/replica/ControlEndpointSelector.java
@@ -7,101 +7,103 @@
 import java.util.List;
 
 /**
- * Which control process a node asks: those of its region first, then the others, both in the order
- * of a rendezvous hash, so that the nodes of a process that is lost spread over all that are left.
- * A round asks each of them once.
+ * Selects the control process that a node calls: those of its region first, then the others, each
+ * in rendezvous-hash order, so that the nodes of a lost process spread over all that remain. A
+ * round visits each endpoint once.
  */
 final class ControlEndpointSelector {
 
-    private static final long HASH_START = 0xcbf29ce484222325L;
-    private static final long HASH_PRIME = 0x100000001b3L;
-    private static final long MIX_FIRST = 0xff51afd7ed558ccdL;
-    private static final long MIX_SECOND = 0xc4ceb9fe1a85ec53L;
+    // FNV-1a over the text, then MurmurHash3's finalizer.
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final long MIX_MULTIPLIER_1 = 0xff51afd7ed558ccdL;
+    private static final long MIX_MULTIPLIER_2 = 0xc4ceb9fe1a85ec53L;
     private static final int MIX_SHIFT = 33;
 
-    private final List<ControlEndpoint> order;
+    /** All endpoints, the preferred one first. */
+    private final List<ControlEndpoint> endpoints;
 
-    /** Those that this round has not asked yet. */
-    private final Deque<ControlEndpoint> left = new ArrayDeque<>();
+    /** Those that this round has yet to visit. */
+    private final Deque<ControlEndpoint> remaining = new ArrayDeque<>();
 
     private ControlEndpoint current;
     private int failedRounds;
 
-    ControlEndpointSelector(String node, String region, List<ControlEndpoint> addresses) {
-        order =
-                addresses.stream()
+    ControlEndpointSelector(String node, String region, List<ControlEndpoint> endpoints) {
+        Comparator<ControlEndpoint> otherRegionLast =
+                Comparator.comparing(each -> !each.region().equals(region));
+        this.endpoints =
+                endpoints.stream()
                         .sorted(
-                                Comparator.comparing(
-                                                (ControlEndpoint each) ->
-                                                        !each.region().equals(region))
-                                        .thenComparing(
-                                                each -> hash(node, each), Long::compareUnsigned))
+                                otherRegionLast.thenComparing(
+                                        each -> hash(node, each), Long::compareUnsigned))
                         .toList();
         restart();
     }
 
-    private static long hash(String node, ControlEndpoint address) {
-        long hash = HASH_START;
-        String text = node + '\n' + address.address();
+    private static long hash(String node, ControlEndpoint endpoint) {
+        long hash = FNV_OFFSET_BASIS;
+        String text = node + '\n' + endpoint.address();
         for (int i = 0; i < text.length(); i++) {
-            hash = (hash ^ text.charAt(i)) * HASH_PRIME;
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        hash = (hash ^ hash >>> MIX_SHIFT) * MIX_FIRST;
-        hash = (hash ^ hash >>> MIX_SHIFT) * MIX_SECOND;
+        hash = (hash ^ hash >>> MIX_SHIFT) * MIX_MULTIPLIER_1;
+        hash = (hash ^ hash >>> MIX_SHIFT) * MIX_MULTIPLIER_2;
         return hash ^ hash >>> MIX_SHIFT;
     }
 
-    /** The process that the node goes by, or asks. */
+    /** The endpoint that is called now. */
     ControlEndpoint current() {
         return current;
     }
 
+    /** Whether the current endpoint is the first choice of this node. */
     boolean isPreferred() {
-        return current.equals(order.get(0));
+        return current.equals(endpoints.get(0));
     }
 
-    /** Goes to the next process of the round; false if it has asked all. */
-    boolean next() {
-        if (left.isEmpty()) {
+    /** Goes to the next endpoint of the round; false if it has visited all. */
+    boolean advance() {
+        if (remaining.isEmpty()) {
             return false;
         }
-        current = left.poll();
+        current = remaining.poll();
         return true;
     }
 
-    /** Begins a round with the first process. */
+    /** Starts a round with the preferred endpoint. */
     void restart() {
-        left.clear();
-        left.addAll(order);
-        current = left.poll();
+        remaining.clear();
+        remaining.addAll(endpoints);
+        current = remaining.poll();
     }
 
-    /** Begins a round with the first process, whose last one is the one that the node goes by. */
+    /** Starts a round with the preferred endpoint, followed by the current one. */
     void returnToPreferred() {
-        ControlEndpoint before = current;
+        ControlEndpoint previous = current;
         restart();
-        if (!before.equals(current)) {
-            left.remove(before);
-            left.addFirst(before);
+        if (!previous.equals(current)) {
+            remaining.remove(previous);
+            remaining.addFirst(previous);
         }
     }
 
-    /** Begins a round with this process. */
-    void restartAt(ControlEndpoint address) {
-        left.clear();
-        left.addAll(order);
-        left.remove(address);
-        current = address;
+    /** Starts a round with this endpoint. */
+    void restartAt(ControlEndpoint endpoint) {
+        remaining.clear();
+        remaining.addAll(endpoints);
+        remaining.remove(endpoint);
+        current = endpoint;
     }
 
-    /** The current process has answered: if it is lost later, all the others come first. */
-    void answered() {
+    /** The current endpoint responded: a round that starts when it is lost visits it last. */
+    void recordResponse() {
         failedRounds = 0;
         restartAt(current);
-        left.addLast(current);
+        remaining.addLast(current);
     }
 
-    /** How many rounds in a row had no answer that could be used, before this one. */
+    /** Counts a round without a usable response; returns how many came directly before it. */
     int recordFailedRound() {
         return failedRounds++;
     }
--- a/src/main/java/ottergauge/replica/EffectiveState.java
+++ b/src/main/java/ottergauge/replica/EffectiveState.java
@@ -17,8 +17,9 @@
 import ottergauge.resources.Resource;
 
 /**
- * The state that the node goes by: what comes in force does so whole, and only what differs is
- * told.
+ * The state that the node has applied. Owns its resources, its position and the timer that paces
+ * the stored copies. A page or a snapshot takes effect completely at one instant, as the
+ * differences to the state before it.
  */
 final class EffectiveState {
 
@@ -27,14 +28,11 @@
     private final Consumer<ReplicaEffect> effects;
     private ResourceTable table = new ResourceTable();
 
-    /** Empty until a first state is in force. */
+    /** Empty until a first state is effective. */
     private Optional<LogPosition> position = Optional.empty();
 
-    private long rejected;
-
-    /** Whether anything has changed since a state was handed out to be kept. */
-    private boolean unstored;
-
+    private long rejectedVersion;
+    private boolean changedSinceStored;
     private boolean storeTimerRunning;
 
     EffectiveState(
@@ -50,17 +48,18 @@
         return position;
     }
 
-    /** The version in force of a log; 0 if it is another one's. */
-    long versionOf(String log) {
+    /** The effective version, if it is one of this log; otherwise 0. */
+    long versionIn(String log) {
         return position.filter(each -> each.log().equals(log)).map(LogPosition::version).orElse(0L);
     }
 
-    long version() {
+    private long version() {
         return position.map(LogPosition::version).orElse(0L);
     }
 
-    long rejected() {
-        return rejected;
+    /** The version of the change that was rejected last; 0 for none. */
+    long rejectedVersion() {
+        return rejectedVersion;
     }
 
     int size() {
@@ -72,8 +71,9 @@
     }
 
     /**
-     * Takes over a state that was kept. Changes can follow on it only if nothing is missing from
-     * it: otherwise false is given back.
+     * Applies a stored state.
+     *
+     * @return whether it is complete, so that changes can be applied on top of it
      */
     boolean restore(StoredState stored) {
         boolean complete = stored.subscription().equals(config.subscription());
@@ -83,75 +83,74 @@
             }
         }
         position = Optional.of(stored.position());
-        apply(new StateChange(stored.position(), true, List.copyOf(table.all()), List.of()));
+        emit(new StateChange(stored.position(), true, List.copyOf(table.all()), List.of()));
         return complete;
     }
 
     private boolean restore(Resource resource) {
-        Optional<FieldError> error =
-                check.apply(
-                        new Change(
-                                resource.version(),
-                                List.of(new Change.Put(resource.key(), resource.value())),
-                                List.of()));
+        Optional<FieldError> error = check.apply(resource.asChange());
         if (error.isPresent()) {
             report(new ReplicaReport.ResourceRejected(Optional.of(resource.key()), error.get()));
             return false;
         }
-        if (table.size() >= config.limits().resources()
-                || table.bytes() >= config.limits().bytes()) {
+        if (table.size() >= config.limits().maxResources()
+                || table.bytes() >= config.limits().maxBytes()) {
             return false;
         }
         table.put(resource);
         return true;
     }
 
-    /** Takes a page of changes that begins at the position in force. */
+    /** Applies a page of changes that begins at or before the effective position. */
     void apply(ChangePage page) {
-        ChangeBatch pending = new ChangeBatch(table, config.subscription(), config.limits());
-        for (ValidatedChange each : ValidatedChange.of(page, check)) {
-            if (each.version() > version()) {
-                Optional<FieldError> error =
-                        each.error().isPresent() ? each.error() : pending.add(each.change());
-                error.ifPresent(found -> reject(each.version(), found));
+        ChangeBatch batch = new ChangeBatch(table, config.subscription(), config.limits());
+        for (ValidatedChange change : ValidatedChange.of(page, check)) {
+            if (change.version() > version()) {
+                Optional<FieldError> error = addTo(batch, change);
+                error.ifPresent(found -> reject(change.version(), found));
             }
         }
         boolean advances = page.upTo().version() > version();
-        StateChange change = pending.commit(page.upTo());
+        StateChange change = batch.commit(page.upTo());
         position = Optional.of(page.upTo());
-        if (!change.puts().isEmpty() || !change.deletes().isEmpty()) {
-            apply(change);
+        if (!change.isEmpty()) {
+            emit(change);
         }
         if (advances) {
             scheduleStore();
         }
     }
 
-    /** Refuses changes that were read while a snapshot was put together. */
+    private static Optional<FieldError> addTo(ChangeBatch batch, ValidatedChange change) {
+        return change instanceof ValidatedChange.Valid valid
+                ? batch.add(valid.change())
+                : Optional.of(((ValidatedChange.Invalid) change).error());
+    }
+
+    /** Records and reports a change that is not applied. */
     void reject(long version, FieldError error) {
-        rejected = version;
+        rejectedVersion = version;
         report(new ReplicaReport.ChangeRejected(version, error));
     }
 
-    void reject(ReplicaReport.ResourceRejected entry, long version) {
-        rejected = version;
+    /** Records and reports an entry of a snapshot page of this version that is not applied. */
+    void reject(ReplicaReport.ResourceRejected entry, long pageVersion) {
+        rejectedVersion = pageVersion;
         report(entry);
     }
 
-    /** Goes by the state of a snapshot from now on. */
+    /** Replaces the state by a snapshot's; a rejected resource keeps its effective value. */
     void replaceWith(SnapshotAssembly snapshot) {
         ResourceTable next = snapshot.table();
-        for (var entry : snapshot.rejected().entrySet()) {
-            table.get(entry.getKey()).ifPresent(next::put);
-        }
+        snapshot.rejected().forEach(key -> table.get(key).ifPresent(next::put));
         boolean first = position.isEmpty();
         ResourceTable before = table;
         table = next;
         position = Optional.of(snapshot.reached());
         StateChange change =
                 new StateChange(snapshot.reached(), first, putsSince(before), deletesSince(before));
-        if (first || !change.puts().isEmpty() || !change.deletes().isEmpty()) {
-            apply(change);
+        if (first || !change.isEmpty()) {
+            emit(change);
         }
         scheduleStore();
     }
@@ -177,7 +176,7 @@
         return deletes;
     }
 
-    private void apply(StateChange change) {
+    private void emit(StateChange change) {
         effects.accept(new ApplyState(change));
         report(
                 new ReplicaReport.StateEffective(
@@ -188,11 +187,10 @@
         effects.accept(new Report(report));
     }
 
-    // ---- Kept for the next process
-    // -------------------------------------------------------------------
+    // ---- Stored copies
 
     private void scheduleStore() {
-        unstored = true;
+        changedSinceStored = true;
         if (config.storeIntervalMicros() > 0 && !storeTimerRunning) {
             storeTimerRunning = true;
             effects.accept(
@@ -200,21 +198,19 @@
         }
     }
 
-    void onStoreTimer() {
+    void storeStateDue() {
         storeTimerRunning = false;
         storeIfChanged();
     }
 
-    /** Hands out the state if that was not done since it changed. */
+    /** Emits the state to be stored, if it changed since that was last done. */
     void storeIfChanged() {
-        if (unstored && config.storeIntervalMicros() > 0 && position.isPresent()) {
-            unstored = false;
+        if (changedSinceStored && config.storeIntervalMicros() > 0 && position.isPresent()) {
+            changedSinceStored = false;
+            List<Resource> resources = List.copyOf(table.all());
             effects.accept(
                     new StoreState(
-                            new StoredState(
-                                    position.get(),
-                                    config.subscription(),
-                                    List.copyOf(table.all()))));
+                            new StoredState(position.get(), config.subscription(), resources)));
         }
     }
 }
--- a/src/main/java/ottergauge/replica/PageValidator.java
+++ b/src/main/java/ottergauge/replica/PageValidator.java
@@ -11,64 +11,65 @@
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.UnreadableChange;
 
-/**
- * Says why a page can't be what a log holds: its parts are out of order, or end before they begin.
- */
+/** Checks that the versions and keys of a page are in the order in which a log holds them. */
 final class PageValidator {
 
     private PageValidator() {}
 
-    /** What is wrong with the versions of a page of changes, if anything is. */
-    static Optional<String> error(ChangePage page) {
+    /** The first error in the versions of a page of changes, if there is any. */
+    static Optional<ResponseError> error(ChangePage page) {
         Set<Long> versions = new HashSet<>();
-        long before = 0;
+        long previous = 0;
         for (Change change : page.changes()) {
-            if (change.version() <= before) {
-                return Optional.of("change " + change.version() + " comes after " + before);
+            if (change.version() <= previous) {
+                return Optional.of(new ResponseError.ChangeOutOfOrder(change.version()));
             }
-            before = change.version();
-            versions.add(before);
+            previous = change.version();
+            versions.add(previous);
         }
-        long last = before;
-        before = 0;
+        long lastReadable = previous;
+        previous = 0;
         for (UnreadableChange change : page.unreadable()) {
-            if (change.version() <= before || !versions.add(change.version())) {
-                return Optional.of("change " + change.version() + " is out of order");
+            if (change.version() <= previous || !versions.add(change.version())) {
+                return Optional.of(new ResponseError.ChangeOutOfOrder(change.version()));
             }
-            before = change.version();
+            previous = change.version();
         }
-        return Math.max(last, before) <= page.upTo().version()
+        long last = Math.max(lastReadable, previous);
+        long upTo = page.upTo().version();
+        return last <= upTo
                 ? Optional.empty()
-                : Optional.of("it has changes past its version " + page.upTo().version());
+                : Optional.of(new ResponseError.ChangePastPage(last, upTo));
     }
 
     /**
-     * What is wrong with the keys and versions of a page that was to begin at a key, if anything
-     * is.
+     * The first error in the keys and versions of a snapshot page, if there is any.
+     *
+     * @param from the key that the page was to begin at; empty for the first page
      */
-    static Optional<String> error(SnapshotPage page, Optional<ResourceKey> from) {
-        ResourceKey before = null;
+    static Optional<ResponseError> error(SnapshotPage page, Optional<ResourceKey> from) {
+        Optional<ResourceKey> previous = Optional.empty();
         for (Resource resource : page.resources()) {
             ResourceKey key = resource.key();
-            if ((before != null && key.compareTo(before) <= 0) || isBefore(key, from)) {
-                return Optional.of(key + " is out of order");
+            if (!isAfter(key, previous) || isBefore(key, from)) {
+                return Optional.of(new ResponseError.ResourceOutOfOrder(key));
             }
             if (resource.version() > page.at().version()) {
-                return Optional.of(key + " is newer than the page");
+                return Optional.of(new ResponseError.ResourcePastPage(key, page.at().version()));
             }
-            before = key;
+            previous = Optional.of(key);
         }
-        if (page.next().isPresent()) {
-            ResourceKey next = page.next().get();
-            boolean advances = from.isEmpty() || next.compareTo(from.get()) > 0;
-            if (!advances || (before != null && next.compareTo(before) <= 0)) {
-                return Optional.of("the next page would begin at " + next);
-            }
-        }
-        return Optional.empty();
+        Optional<ResourceKey> last = previous;
+        return page.next()
+                .filter(next -> !isAfter(next, from) || !isAfter(next, last))
+                .map(ResponseError.NextPageOutOfOrder::new);
+    }
+
+    private static boolean isAfter(ResourceKey key, Optional<ResourceKey> other) {
+        return other.isEmpty() || key.compareTo(other.get()) > 0;
     }
 
-    private static boolean isBefore(ResourceKey key, Optional<ResourceKey> from) {
-        return from.isPresent() && key.compareTo(from.get()) < 0;
+    private static boolean isBefore(ResourceKey key, Optional<ResourceKey> other) {
+        return other.isPresent() && key.compareTo(other.get()) < 0;
     }
 }
--- a/src/main/java/ottergauge/replica/PollTimeouts.java
+++ b/src/main/java/ottergauge/replica/PollTimeouts.java
@@ -2,58 +2,60 @@
 package ottergauge.replica;
 
 /**
- * The times of calls, reckoned backwards from how soon a change has to be in force once a control
- * process that the node can reach has it. Spans are microseconds.
+ * The waits and timeouts of calls, as parts of the propagation deadline: a change has to be
+ * effective at the node that soon after a reachable control process has it. Spans are microseconds.
  *
- * <p>The longest way: the process that is asked falls silent as a call begins that waits as long as
- * any, that is noticed, two more processes are silent, and the fourth one answers: 18 + 4 + 2 * 8
- * parts of 48. A try to go back to the first process adds 8. After all were away: a call that began
- * just before is never answered, then the longest pause, and the next call is answered: 22 + 18
- * parts.
+ * <p>The worst case of a fail-over takes 18 + 4 + 2 * 8 of 48 parts: the called process fails as a
+ * call of the longest wait begins, that is noticed after the response grace, two more processes
+ * time out, and the fourth responds. A fail-back to the preferred process adds 8 parts. After an
+ * outage of all processes it takes 22 + 18 parts: a call that began just before is lost, then comes
+ * the longest back-off, and the next call is answered.
  */
 record PollTimeouts(long propagationDeadlineMicros) {
 
     private static final long PARTS = 48;
-
-    /** Control processes answer after this time at the latest, whatever a call asks for. */
+    private static final int MAX_WAIT_PARTS = 18;
+    private static final int MIN_WAIT_PARTS = 12;
+    private static final int RESPONSE_GRACE_PARTS = 4;
+    private static final int INITIAL_WAIT_PARTS = 1;
+    private static final int INITIAL_TIMEOUT_PARTS = 8;
+    private static final int FIRST_BACK_OFF_PARTS = 6;
+    private static final int LATER_BACK_OFF_PARTS = 18;
+
+    /** Control processes respond after this time at the latest, whatever a call asks for. */
     private static final long MAX_WAIT_MICROS = 10_000_000;
 
     private long parts(int parts) {
         return propagationDeadlineMicros * parts / PARTS;
     }
 
-    /** The longest time for which a call may wait for a change. */
+    /** The longest time for which a poll may wait for a change. */
     long maxWaitMicros() {
-        return Math.min(MAX_WAIT_MICROS, parts(18));
+        return Math.min(MAX_WAIT_MICROS, parts(MAX_WAIT_PARTS));
     }
 
-    /** And the shortest, so that nodes which begin together don't go on asking together. */
+    /** The shortest; waits are drawn between the two, so that nodes don't poll in step. */
     long minWaitMicros() {
-        return Math.min(MAX_WAIT_MICROS, parts(12));
+        return Math.min(MAX_WAIT_MICROS, parts(MIN_WAIT_PARTS));
     }
 
-    /** How much later than its wait an answer may come. */
+    /** How much later than its wait a response may come. */
     long responseGraceMicros() {
-        return parts(4);
+        return parts(RESPONSE_GRACE_PARTS);
     }
 
-    /**
-     * For which the first call to a process may wait: its answer says that the process is there.
-     */
+    /** The wait of the first poll of a process: its response shows that the process is alive. */
     long initialWaitMicros() {
-        return parts(1);
+        return parts(INITIAL_WAIT_PARTS);
     }
 
-    /** What that call may take, its connection included. */
+    /** The timeout of that poll, its connection included. */
     long initialTimeoutMicros() {
-        return parts(8);
+        return parts(INITIAL_TIMEOUT_PARTS);
     }
 
-    /**
-     * The longest pause after a round in which no process could be used, by how many such came
-     * before.
-     */
-    long pause(int failedRounds) {
-        return failedRounds == 0 ? parts(6) : parts(18);
+    /** The longest back-off after a failed round, by how many failed directly before it. */
+    long maxBackOffMicros(int failedBefore) {
+        return parts(failedBefore == 0 ? FIRST_BACK_OFF_PARTS : LATER_BACK_OFF_PARTS);
     }
 }
--- a/src/main/java/ottergauge/replica/Replica.java
+++ b/src/main/java/ottergauge/replica/Replica.java
@@ -6,12 +6,9 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import ottergauge.protocol.Address;
-import ottergauge.replica.ReplicaEffect.CancelCall;
 import ottergauge.replica.ReplicaEffect.FetchSnapshotPage;
 import ottergauge.replica.ReplicaEffect.PollChanges;
 import ottergauge.replica.ReplicaEffect.Report;
-import ottergauge.replica.ReplicaEffect.StartTimer;
 import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.FieldError;
@@ -20,89 +17,53 @@
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * Follows the log of a group of control processes: one call out at a time, at one process, until
- * that is lost. It resumes by the position that it has, and takes a snapshot only where no process
- * can go on from there.
+ * Replicates the state of a group of control processes: polls one of them for changes, one call at
+ * a time, fails over to the next when it is lost, resumes by the position reached, and fetches a
+ * snapshot only where no process can continue from there.
  *
- * <p>Within one log it never goes back: a process that has not reached the node's version is not
- * followed. A process with another log is, once none can be reached that has the node's.
+ * <p>Within one log the version never goes back: a process that has not reached the node's version
+ * is passed over. Another log is fetched once no reachable process has the one that is followed.
+ *
+ * <p>A state machine without I/O: it takes events and emits effects, in order, to the consumer it
+ * was built with. Not thread-safe; instants and spans are microseconds.
  */
 public final class Replica {
 
-    /** Bytes of changes that a control process sends at once, unless one change has more. */
+    /** Bytes of changes in one response, unless a single change has more. */
     static final int MAX_CHANGES_BYTES = 64 * 1024;
 
-    static final int MIN_SNAPSHOT_BYTES = 4 * 1024;
-    static final int MAX_SNAPSHOT_BYTES = 64 * 1024;
-
-    /** An empty answer that came sooner than it should have is not worth another call at once. */
-    static final long MIN_POLL_GAP_MICROS = 50_000;
-
-    /** Control processes pace the pages of all nodes together: an answer may take some seconds. */
-    static final long SNAPSHOT_PAGE_TIMEOUT_MICROS = 6_000_000;
-
-    static final int MAX_SNAPSHOT_TIMEOUT_DOUBLINGS = 2;
-
-    /** The longest pause before a state is fetched again that was too large. */
+    /** The longest back-off before a state is fetched again that was too large. */
     static final long TOO_LARGE_BACKOFF_MICROS = 60_000_000;
 
-    /** The longest time at another process before the first one is tried again. */
-    static final long FAIL_BACK_DELAY_MICROS = 90_000_000;
-
-    private static final long MICROS_PER_SECOND = 1_000_000;
-    private static final long NONE = 0;
-
+    /** What the next call is for. */
     private enum Phase {
+        /** Polls for changes after the effective state's position. */
         FOLLOWING,
-        SNAPSHOT_PAGES,
-        CHANGES_SINCE_SNAPSHOT
+        /** Fetches the pages of a snapshot. */
+        FETCHING_SNAPSHOT,
+        /** Polls for the changes between the snapshot's first page and its newest. */
+        CATCHING_UP
     }
 
     private final ReplicaConfig config;
     private final Function<Change, Optional<FieldError>> check;
     private final Consumer<ReplicaEffect> effects;
-    private final SplittableRandom random;
-    private final PollTimeouts times;
-    private final ControlEndpointSelector order;
+    private final PollTimeouts timeouts;
+    private final CallScheduler calls;
+    private final ControlSession session;
     private final EffectiveState state;
-    private Phase phase = Phase.FOLLOWING;
-
-    /** The state that is being fetched; null before its first page. */
-    private SnapshotAssembly assembly;
-
-    /**
-     * A process that has another log than the one that is followed, seen in this round; null for
-     * none.
-     */
-    private ControlEndpoint otherLog;
-
-    private long lastCall;
-
-    /** The call that is out, if one is. */
-    private long current = NONE;
-
-    private long calledAt;
-    private long waitMicros;
-    private long dueAt;
-    private boolean graceGiven;
-
-    /** Whether the process that is asked has answered before, so that a call there may wait. */
-    private boolean answered;
-
-    private boolean returnTimerRuns;
-
-    /** Snapshots that were begun since changes could be followed. */
-    private int consecutiveSnapshots;
-
-    /** Calls for a page of a snapshot that had no answer in time, in a row. */
-    private int consecutivePageTimeouts;
+    private final SnapshotFetch snapshot;
 
+    private Phase phase = Phase.FOLLOWING;
     private long confirmedAt;
     private boolean stopped;
 
     /**
-     * A replica that has not begun; {@code check} says why the node can't take a change over, if it
-     * can't.
+     * Builds a replica that is started by {@link #start}.
+     *
+     * @param seed seeds the jitter of waits and back-offs
+     * @param check why the node can't apply a change; empty if it can
+     * @param effects takes the effects, in the order in which they are to be carried out
      */
     public Replica(
             ReplicaConfig config,
@@ -112,42 +73,49 @@
         this.config = config;
         this.check = check;
         this.effects = effects;
-        random = new SplittableRandom(seed);
-        times = new PollTimeouts(config.propagationDeadlineMicros());
-        order = new ControlEndpointSelector(config.node(), config.region(), config.addresses());
+        SplittableRandom random = new SplittableRandom(seed);
+        timeouts = new PollTimeouts(config.propagationDeadlineMicros());
+        calls = new CallScheduler(timeouts, random, effects);
+        session =
+                new ControlSession(
+                        new ControlEndpointSelector(
+                                config.node(), config.region(), config.endpoints()),
+                        random,
+                        effects);
         state = new EffectiveState(config, check, effects);
+        snapshot = new SnapshotFetch(config, check);
     }
 
-    /** Begins, with the state that the node's last process kept, if there is one. */
+    /** Starts with the state that the node's last process stored, if there is one. */
     public void start(long now, Optional<StoredState> stored) {
         confirmedAt = now;
         boolean resumes = stored.isPresent() && state.restore(stored.get());
         if (!resumes) {
-            phase = Phase.SNAPSHOT_PAGES;
+            phase = Phase.FETCHING_SNAPSHOT;
         }
-        ask(now);
+        call(now);
     }
 
-    /** Takes one event. */
+    /** Handles one event; a response to a call that is no longer outstanding is ignored. */
     public void handle(long now, ReplicaEvent event) {
         if (stopped) {
             return;
         }
         if (event instanceof ReplicaEvent.ChangesReceived e) {
-            if (takes(e.call())) {
+            if (calls.complete(e.call())) {
                 changesReceived(now, e.page());
             }
         } else if (event instanceof ReplicaEvent.SnapshotPageReceived e) {
-            if (takes(e.call())) {
+            if (calls.complete(e.call())) {
                 snapshotPageReceived(now, e.page(), e.bytes());
             }
         } else if (event instanceof ReplicaEvent.VersionUnavailableReceived e) {
-            if (takes(e.call())) {
-                versionUnavailableReceived(now, e.answer());
+            if (calls.complete(e.call())) {
+                versionUnavailableReceived(now, e.response());
             }
         } else if (event instanceof ReplicaEvent.CallFailed e) {
-            if (takes(e.call())) {
-                askElsewhere(now);
+            if (calls.complete(e.call())) {
+                failOver(now);
             }
         } else if (event instanceof ReplicaEvent.TimerFired e) {
             timerFired(now, e.timer());
@@ -156,393 +124,259 @@
         }
     }
 
-    /** How the replica stands. */
+    /** The replica's position, its age and its size. */
     public ReplicaMetrics metrics(long now) {
         return new ReplicaMetrics(
                 state.position().orElse(new LogPosition("", 0)),
-                state.rejected(),
+                state.rejectedVersion(),
                 Math.max(0, now - confirmedAt),
                 state.size(),
                 state.bytes());
     }
 
-    // Whether an answer is the one to the call that is out, which it ends.
-    private boolean takes(long call) {
-        if (call != current || call == NONE) {
-            return false;
-        }
-        current = NONE;
-        return true;
-    }
-
     private void stop() {
         stopped = true;
-        giveUp();
+        calls.cancel();
         state.storeIfChanged();
     }
 
-    // ---- Calls
-    // --------------------------------------------------------------------------------------
-
-    private void ask(long now) {
-        current = ++lastCall;
-        calledAt = now;
-        graceGiven = false;
-        Address endpoint = order.current().address();
-        if (phase == Phase.SNAPSHOT_PAGES) {
-            waitMicros = 0;
-            callWithin(
-                    now,
-                    SNAPSHOT_PAGE_TIMEOUT_MICROS
-                            << Math.min(consecutivePageTimeouts, MAX_SNAPSHOT_TIMEOUT_DOUBLINGS));
-            effects.accept(
-                    new FetchSnapshotPage(
-                            current,
-                            endpoint,
-                            new SnapshotQuery(
-                                    Optional.ofNullable(assembly).map(each -> each.reached().log()),
-                                    Optional.ofNullable(assembly).flatMap(SnapshotAssembly::next),
-                                    snapshotBytes(),
-                                    config.subscription(),
-                                    config.node())));
-        } else {
-            waitMicros = waitOfCall();
-            boolean goesOn = answered && phase == Phase.FOLLOWING;
-            callWithin(
-                    now,
-                    goesOn
-                            ? waitMicros + times.responseGraceMicros()
-                            : times.initialTimeoutMicros());
-            LogPosition after = followed().orElseThrow();
-            effects.accept(
-                    new PollChanges(
-                            current,
-                            endpoint,
-                            new ChangesQuery(
-                                    after,
-                                    waitMicros,
-                                    MAX_CHANGES_BYTES,
-                                    config.subscription(),
-                                    config.node(),
-                                    config.region(),
-                                    state.versionOf(after.log()),
-                                    state.rejected())));
-        }
-    }
-
-    private long waitOfCall() {
-        if (phase == Phase.CHANGES_SINCE_SNAPSHOT) {
-            return 0;
-        }
-        long shortest = times.minWaitMicros();
-        return answered
-                ? shortest + random.nextLong(times.maxWaitMicros() - shortest + 1)
-                : times.initialWaitMicros();
-    }
-
-    private void callWithin(long now, long propagationDeadlineMicros) {
-        dueAt = now + propagationDeadlineMicros;
-        effects.accept(
-                new StartTimer(propagationDeadlineMicros, new ReplicaTimer.CallTimeout(current)));
-    }
-
-    private int snapshotBytes() {
-        return (int)
-                Math.max(
-                        MIN_SNAPSHOT_BYTES,
-                        Math.min(MAX_SNAPSHOT_BYTES, config.snapshotBytesPerSecond()));
-    }
-
-    /** The position that is followed: of the state in force or of the one that is being fetched. */
-    private Optional<LogPosition> followed() {
-        return phase == Phase.FOLLOWING
-                ? state.position()
-                : Optional.ofNullable(assembly).map(SnapshotAssembly::reached);
-    }
-
-    private void giveUp() {
-        if (current != NONE) {
-            effects.accept(new CancelCall(current));
-            current = NONE;
+    private void timerFired(long now, ReplicaTimer timer) {
+        if (timer instanceof ReplicaTimer.CallTimeout timeout) {
+            if (calls.hasTimedOut(now, timeout.call())) {
+                callTimedOut(now);
+            }
+        } else if (timer instanceof ReplicaTimer.DelayElapsed delay) {
+            if (calls.isNextCallDue(delay.afterCall())) {
+                session.resume();
+                call(now);
+            }
+        } else if (timer instanceof ReplicaTimer.FailBackDue) {
+            failBackDue(now);
+        } else if (timer instanceof ReplicaTimer.StoreStateDue) {
+            state.storeStateDue();
         }
     }
 
-    private void callDue(long now, long call) {
-        if (call != current) {
-            return;
-        }
-        if (now - dueAt > times.responseGraceMicros() && !graceGiven) {
-            // The node itself stood still: an answer may be there that it has not read yet.
-            graceGiven = true;
-            effects.accept(
-                    new StartTimer(
-                            times.responseGraceMicros(), new ReplicaTimer.CallTimeout(call)));
-            return;
-        }
-        report(new ReplicaReport.CallTimedOut(order.current().address()));
-        giveUp();
-        if (phase == Phase.SNAPSHOT_PAGES) {
-            consecutivePageTimeouts++;
-        }
-        askElsewhere(now);
-    }
+    // ---- Calls
 
-    // The process that was asked can't be used now: the next one of the round is, or all after a
-    // pause.
-    private void askElsewhere(long now) {
-        answered = false;
-        if (order.next()) {
-            ask(now);
-        } else if (otherLog != null) {
-            order.restartAt(otherLog);
-            beginSnapshot(now);
+    private void call(long now) {
+        if (phase == Phase.FETCHING_SNAPSHOT) {
+            fetchSnapshotPage(now);
         } else {
-            pause(times.pause(order.recordFailedRound()));
+            pollChanges(now);
         }
     }
 
-    private void pause(long max) {
-        effects.accept(
-                new StartTimer(
-                        max / 2 + random.nextLong(max / 2 + 1),
-                        new ReplicaTimer.DelayElapsed(lastCall)));
-    }
-
-    private void refuseAnswer(long now, String reason) {
-        report(new ReplicaReport.ResponseRejected(order.current().address(), reason));
-        askElsewhere(now);
+    private void fetchSnapshotPage(long now) {
+        long call = calls.begin(now, 0, snapshot.timeoutMicros());
+        effects.accept(new FetchSnapshotPage(call, session.address(), snapshot.query()));
     }
 
-    // An answer that could be used: the node goes by this process now.
-    private void answerTaken() {
-        answered = true;
-        otherLog = null;
-        order.answered();
-        if (!order.isPreferred() && !returnTimerRuns) {
-            returnTimerRuns = true;
-            effects.accept(
-                    new StartTimer(
-                            FAIL_BACK_DELAY_MICROS / 2
-                                    + random.nextLong(FAIL_BACK_DELAY_MICROS / 2 + 1),
-                            new ReplicaTimer.FailBackDue()));
-        }
-    }
-
-    // ---- Timers
-    // -------------------------------------------------------------------------------------
-
-    private void timerFired(long now, ReplicaTimer timer) {
-        if (timer instanceof ReplicaTimer.CallTimeout due) {
-            callDue(now, due.call());
-        } else if (timer instanceof ReplicaTimer.DelayElapsed over) {
-            if (current == NONE && over.after() == lastCall) {
-                resume(now);
-            }
-        } else if (timer instanceof ReplicaTimer.FailBackDue) {
-            returnTimerRuns = false;
-            returnToPreferred(now);
-        } else if (timer instanceof ReplicaTimer.StoreStateDue) {
-            state.onStoreTimer();
+    private void pollChanges(long now) {
+        boolean catchesUp = phase == Phase.CATCHING_UP;
+        long waitMicros = catchesUp ? 0 : calls.drawWaitMicros(session.isResponsive());
+        boolean longPoll = session.isResponsive() && !catchesUp;
+        long timeoutMicros =
+                longPoll
+                        ? waitMicros + timeouts.responseGraceMicros()
+                        : timeouts.initialTimeoutMicros();
+        long call = calls.begin(now, waitMicros, timeoutMicros);
+        LogPosition after = polledPosition().orElseThrow();
+        effects.accept(
+                new PollChanges(
+                        call,
+                        session.address(),
+                        new ChangesQuery(
+                                after,
+                                waitMicros,
+                                MAX_CHANGES_BYTES,
+                                config.subscription(),
+                                config.node(),
+                                config.region(),
+                                state.versionIn(after.log()),
+                                state.rejectedVersion())));
+    }
+
+    /** The position that changes are polled from: the effective state's or the snapshot's. */
+    private Optional<LogPosition> polledPosition() {
+        return phase == Phase.FOLLOWING ? state.position() : snapshot.position();
+    }
+
+    private void callTimedOut(long now) {
+        report(new ReplicaReport.CallTimedOut(session.address()));
+        calls.cancel();
+        if (phase == Phase.FETCHING_SNAPSHOT) {
+            snapshot.recordTimeout();
         }
+        failOver(now);
     }
 
-    private void resume(long now) {
-        if (!answered) {
-            order.restart();
+    private void failOver(long now) {
+        switch (session.failOver()) {
+            case NEXT_ENDPOINT -> call(now);
+            case OTHER_LOG -> startSnapshot(now);
+            case ROUND_FAILED ->
+                    calls.backOff(timeouts.maxBackOffMicros(session.recordFailedRound()));
         }
-        ask(now);
     }
 
-    // The call that is out is given up for it: the version that the node has is asked from
-    // elsewhere.
-    private void returnToPreferred(long now) {
-        if (order.isPreferred() || !answered) {
+    // The position is polled from the preferred process at once; a snapshot is finished first.
+    private void failBackDue(long now) {
+        if (!session.isFailBackDue()) {
             return;
         }
         if (phase == Phase.FOLLOWING) {
-            giveUp();
-            answered = false;
-            order.returnToPreferred();
-            ask(now);
+            calls.cancel();
+            session.failBack();
+            call(now);
         } else {
-            returnTimerRuns = true;
-            effects.accept(new StartTimer(FAIL_BACK_DELAY_MICROS, new ReplicaTimer.FailBackDue()));
+            session.postponeFailBack();
         }
     }
 
+    private void rejectResponse(long now, ResponseError error) {
+        report(new ReplicaReport.ResponseRejected(session.address(), error));
+        failOver(now);
+    }
+
+    private void otherLogReceived(long now) {
+        session.recordOtherLog();
+        failOver(now);
+    }
+
     // ---- Changes
-    // ------------------------------------------------------------------------------------
 
     private void changesReceived(long now, ChangePage page) {
-        LogPosition asked = followed().orElseThrow();
-        if (!page.upTo().log().equals(asked.log())) {
-            otherLogSeen(now);
-            return;
-        }
-        if (page.upTo().version() < asked.version()) {
-            refuseAnswer(
-                    now,
-                    "it has reached "
-                            + page.upTo().version()
-                            + " only, the node has "
-                            + asked.version());
+        LogPosition polled = polledPosition().orElseThrow();
+        LogPosition upTo = page.upTo();
+        if (!upTo.log().equals(polled.log())) {
+            otherLogReceived(now);
             return;
         }
-        Optional<String> error = PageValidator.error(page);
+        Optional<ResponseError> error =
+                upTo.version() < polled.version()
+                        ? Optional.of(
+                                new ResponseError.StaleVersion(upTo.version(), polled.version()))
+                        : PageValidator.error(page);
         if (error.isPresent()) {
-            refuseAnswer(now, error.get());
+            rejectResponse(now, error.get());
             return;
         }
-        answerTaken();
+        session.recordResponse();
         if (phase == Phase.FOLLOWING) {
-            followedTo(now, asked, page);
+            confirmedAt = now;
+            snapshot.recordFollowed();
+            state.apply(page);
+            pollAgain(now, polled, page);
         } else {
-            caughtUpTo(now, asked, page);
+            catchUp(now, polled, page);
         }
     }
 
-    private void followedTo(long now, LogPosition asked, ChangePage page) {
-        confirmedAt = now;
-        consecutiveSnapshots = 0;
-        state.apply(page);
-        askOn(now, asked, page);
-    }
-
-    private void caughtUpTo(long now, LogPosition asked, ChangePage page) {
-        for (ValidatedChange each : applyToAssembly(page)) {
-            if (each.version() > asked.version()) {
-                each.error().ifPresent(error -> state.reject(each.version(), error));
+    private void catchUp(long now, LogPosition polled, ChangePage page) {
+        SnapshotAssembly assembly = snapshot.assembly().orElseThrow();
+        List<ValidatedChange> changes = ValidatedChange.of(page, check);
+        assembly.apply(changes, page.upTo().version());
+        for (ValidatedChange change : changes) {
+            if (change.version() > polled.version()
+                    && change instanceof ValidatedChange.Invalid invalid) {
+                state.reject(invalid.version(), invalid.error());
             }
         }
-        if (isTooLarge()) {
-            giveUpSnapshot();
+        if (snapshot.isTooLarge()) {
+            abandonSnapshot(assembly);
         } else if (assembly.isComplete()) {
-            goByAssembly(now);
+            follow(now, assembly);
         } else {
-            askOn(now, asked, page);
+            pollAgain(now, polled, page);
         }
     }
 
-    private void goByAssembly(long now) {
-        confirmedAt = now;
-        state.replaceWith(assembly);
-        assembly = null;
-        phase = Phase.FOLLOWING;
-        ask(now);
-    }
-
-    private List<ValidatedChange> applyToAssembly(ChangePage page) {
-        List<ValidatedChange> changes = ValidatedChange.of(page, check);
-        assembly.apply(changes, page.upTo().version());
-        return changes;
-    }
-
-    private void askOn(long now, LogPosition asked, ChangePage page) {
-        boolean advanced = page.upTo().version() > asked.version();
-        if (!advanced && now - calledAt < Math.max(MIN_POLL_GAP_MICROS, waitMicros)) {
-            effects.accept(
-                    new StartTimer(MIN_POLL_GAP_MICROS, new ReplicaTimer.DelayElapsed(lastCall)));
+    // A process that responds early without news is not polled again at once.
+    private void pollAgain(long now, LogPosition polled, ChangePage page) {
+        boolean advanced = page.upTo().version() > polled.version();
+        if (!advanced && calls.endedEarly(now)) {
+            calls.delayNextCall(CallScheduler.MIN_POLL_GAP_MICROS);
         } else {
-            ask(now);
+            call(now);
         }
     }
 
-    private void versionUnavailableReceived(long now, VersionUnavailable answer) {
-        Optional<LogPosition> followed = followed();
-        if (followed.isEmpty() || !answer.log().equals(followed.get().log())) {
-            otherLogSeen(now);
-        } else if (answer.newest() < followed.get().version()) {
-            refuseAnswer(
-                    now,
-                    "it has reached "
-                            + answer.newest()
-                            + " only, the node has "
-                            + followed.get().version());
+    private void versionUnavailableReceived(long now, VersionUnavailable response) {
+        Optional<LogPosition> polled = polledPosition();
+        if (polled.isEmpty() || !response.log().equals(polled.get().log())) {
+            otherLogReceived(now);
+        } else if (response.newest() < polled.get().version()) {
+            rejectResponse(
+                    now, new ResponseError.StaleVersion(response.newest(), polled.get().version()));
         } else {
-            beginSnapshot(now);
+            startSnapshot(now);
         }
     }
 
-    // Another process may still have the log that is followed.
-    private void otherLogSeen(long now) {
-        if (otherLog == null) {
-            otherLog = order.current();
-        }
-        askElsewhere(now);
-    }
-
     // ---- Snapshots
-    // ----------------------------------------------------------------------------------
-
-    // A snapshot that was begun a moment ago and led to nothing is not begun again at once.
-    private void beginSnapshot(long now) {
-        phase = Phase.SNAPSHOT_PAGES;
-        assembly = null;
-        otherLog = null;
-        answered = true;
-        report(new ReplicaReport.SnapshotStarted(order.current().address()));
-        if (consecutiveSnapshots++ == 0) {
-            ask(now);
+
+    // A snapshot that follows on one that led to nothing is backed off.
+    private void startSnapshot(long now) {
+        phase = Phase.FETCHING_SNAPSHOT;
+        session.beginSnapshot();
+        report(new ReplicaReport.SnapshotStarted(session.address()));
+        int consecutiveStarts = snapshot.restart();
+        if (consecutiveStarts == 1) {
+            call(now);
         } else {
-            pause(times.pause(consecutiveSnapshots));
+            calls.backOff(timeouts.maxBackOffMicros(consecutiveStarts));
         }
     }
 
     private void snapshotPageReceived(long now, SnapshotPage page, long bytes) {
-        consecutivePageTimeouts = 0;
-        if (assembly != null && !page.at().log().equals(assembly.reached().log())) {
-            otherLogSeen(now);
+        snapshot.recordPage();
+        Optional<SnapshotAssembly> begun = snapshot.assembly();
+        LogPosition at = page.at();
+        if (begun.isPresent() && !at.log().equals(begun.get().reached().log())) {
+            otherLogReceived(now);
             return;
         }
-        long min = assembly != null ? assembly.firstVersion() : state.versionOf(page.at().log());
-        if (page.at().version() < min) {
-            refuseAnswer(
-                    now, "it has reached " + page.at().version() + " only, the node has " + min);
-            return;
-        }
-        Optional<String> error =
-                PageValidator.error(
-                        page, Optional.ofNullable(assembly).flatMap(SnapshotAssembly::next));
+        long minVersion =
+                begun.map(SnapshotAssembly::firstVersion)
+                        .orElseGet(() -> state.versionIn(at.log()));
+        Optional<ResponseError> error =
+                at.version() < minVersion
+                        ? Optional.of(new ResponseError.StaleVersion(at.version(), minVersion))
+                        : PageValidator.error(page, begun.flatMap(SnapshotAssembly::next));
         if (error.isPresent()) {
-            refuseAnswer(now, error.get());
+            rejectResponse(now, error.get());
             return;
         }
-        answerTaken();
-        addPage(page);
-        if (isTooLarge()) {
-            giveUpSnapshot();
+        session.recordResponse();
+        snapshot.add(page).forEach(rejected -> state.reject(rejected, at.version()));
+        SnapshotAssembly assembly = snapshot.assembly().orElseThrow();
+        if (snapshot.isTooLarge()) {
+            abandonSnapshot(assembly);
         } else if (assembly.isComplete()) {
-            goByAssembly(now);
+            follow(now, assembly);
         } else if (assembly.hasAllPages()) {
-            phase = Phase.CHANGES_SINCE_SNAPSHOT;
-            ask(now);
+            phase = Phase.CATCHING_UP;
+            call(now);
         } else {
-            effects.accept(
-                    new StartTimer(
-                            bytes * MICROS_PER_SECOND / config.snapshotBytesPerSecond(),
-                            new ReplicaTimer.DelayElapsed(lastCall)));
+            calls.delayNextCall(snapshot.pacingDelayMicros(bytes));
         }
     }
 
-    private void addPage(SnapshotPage page) {
-        if (assembly == null) {
-            assembly = new SnapshotAssembly(page.at(), config.subscription(), check);
-        }
-        assembly.add(page).forEach(rejected -> state.reject(rejected, page.at().version()));
-    }
-
-    private boolean isTooLarge() {
-        return assembly.size() > config.limits().resources()
-                || assembly.bytes() > config.limits().bytes();
+    private void follow(long now, SnapshotAssembly assembly) {
+        confirmedAt = now;
+        state.replaceWith(assembly);
+        snapshot.discard();
+        phase = Phase.FOLLOWING;
+        call(now);
     }
 
-    // It would be as large a moment later: fetched again at once, it would cost all that it cost
-    // before.
-    private void giveUpSnapshot() {
+    // The state would be as large a moment later: it is not fetched again at once.
+    private void abandonSnapshot(SnapshotAssembly assembly) {
         report(new ReplicaReport.StateTooLarge(assembly.size(), assembly.bytes(), config.limits()));
-        assembly = null;
-        phase = Phase.SNAPSHOT_PAGES;
-        pause(TOO_LARGE_BACKOFF_MICROS);
+        snapshot.discard();
+        phase = Phase.FETCHING_SNAPSHOT;
+        calls.backOff(TOO_LARGE_BACKOFF_MICROS);
     }
 
     private void report(ReplicaReport report) {
--- a/src/main/java/ottergauge/replica/ReplicaConfig.java
+++ b/src/main/java/ottergauge/replica/ReplicaConfig.java
@@ -5,14 +5,21 @@
 import ottergauge.resources.Subscription;
 
 /**
- * What a replica is told at its start. {@code within} is how soon a change is to be in force,
- * {@code keepEvery} the least time between two states that are handed out to be kept, 0 if none is;
- * spans are microseconds. {@code bytesPerSecond} paces the pages of a snapshot.
+ * The configuration of a replica.
+ *
+ * @param node the node's name
+ * @param region the region whose control processes are preferred
+ * @param endpoints all control processes, one at least
+ * @param subscription the resources that the node replicates
+ * @param propagationDeadlineMicros how soon a change has to be effective at the node
+ * @param snapshotBytesPerSecond the rate at which the pages of a snapshot are fetched
+ * @param storeIntervalMicros the shortest time between two stored states; 0 stores none
+ * @param limits the largest state that is applied
  */
 public record ReplicaConfig(
         String node,
         String region,
-        List<ControlEndpoint> addresses,
+        List<ControlEndpoint> endpoints,
         Subscription subscription,
         long propagationDeadlineMicros,
         long snapshotBytesPerSecond,
--- a/src/main/java/ottergauge/replica/ReplicaEffect.java
+++ b/src/main/java/ottergauge/replica/ReplicaEffect.java
@@ -3,27 +3,28 @@
 
 import ottergauge.protocol.Address;
 
-/**
- * Something that a replica asks for. At most one call is out at a time; delays are microseconds.
- */
+/** Something that a replica asks its caller to do. At most one call is outstanding at a time. */
 public sealed interface ReplicaEffect {
 
+    /** Polls a control process for changes. */
     record PollChanges(long call, Address endpoint, ChangesQuery query) implements ReplicaEffect {}
 
+    /** Fetches a page of a snapshot from a control process. */
     record FetchSnapshotPage(long call, Address endpoint, SnapshotQuery query)
             implements ReplicaEffect {}
 
-    /** Ends a call: nothing that it brings counts any more. */
+    /** Cancels a call: its response is ignored from now on. */
     record CancelCall(long call) implements ReplicaEffect {}
 
+    /** Starts a timer that fires after a delay in microseconds; timers are never cancelled. */
     record StartTimer(long delayMicros, ReplicaTimer timer) implements ReplicaEffect {}
 
-    /** Goes by a changed state from this instant on. */
+    /** Makes a changed state effective at this instant. */
     record ApplyState(StateChange change) implements ReplicaEffect {}
 
-    /** Keeps a state for the node's next process. */
+    /** Stores a state for the node's next process. */
     record StoreState(StoredState state) implements ReplicaEffect {}
 
-    /** Tells people. */
+    /** Reports something to the operators. */
     record Report(ReplicaReport report) implements ReplicaEffect {}
 }
--- a/src/main/java/ottergauge/replica/ReplicaLimits.java
+++ b/src/main/java/ottergauge/replica/ReplicaLimits.java
@@ -2,10 +2,12 @@
 package ottergauge.replica;
 
 /**
- * The largest state that a replica takes: by number, and by bytes in memory as {@link ResourceSize}
- * has them.
+ * The largest state that a replica applies.
+ *
+ * @param maxResources the number of resources
+ * @param maxBytes their size in memory, as {@link ResourceSize} estimates it
  */
-public record ReplicaLimits(int resources, long bytes) {
+public record ReplicaLimits(int maxResources, long maxBytes) {
 
     /** Several times the state that the deployment is designed for. */
     public static final ReplicaLimits DEFAULT = new ReplicaLimits(200_000, 64L << 20);
--- a/src/main/java/ottergauge/replica/ReplicaMetrics.java
+++ b/src/main/java/ottergauge/replica/ReplicaMetrics.java
@@ -4,8 +4,13 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * How a replica stands: the position in force, the version that was refused last (0 for none), the
- * microseconds since a control process last confirmed the state, and the state's size.
+ * The metrics of a replica.
+ *
+ * @param position the effective position; version 0 of an unnamed log before a first state
+ * @param rejectedVersion the version that was rejected last; 0 for none
+ * @param ageMicros the time since a control process last confirmed the state
+ * @param resources the number of effective resources
+ * @param bytes their estimated size in memory
  */
 public record ReplicaMetrics(
-        LogPosition position, long rejected, long ageMicros, int resources, long bytes) {}
+        LogPosition position, long rejectedVersion, long ageMicros, int resources, long bytes) {}
--- a/src/main/java/ottergauge/replica/ReplicaReport.java
+++ b/src/main/java/ottergauge/replica/ReplicaReport.java
@@ -7,76 +7,75 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 
-/** Something that people are told of; {@link Object#toString} gives one line for a log. */
+/** Something for the operators' log; {@link Object#toString} gives one line. */
 public sealed interface ReplicaReport {
 
-    /** A change was refused whole: what it touches keeps the value that it had. */
+    /** A change was rejected completely: what it touches keeps its effective value. */
     record ChangeRejected(long version, FieldError error) implements ReplicaReport {
         @Override
         public String toString() {
-            return "change " + version + " is refused: " + error;
+            return "change " + version + " rejected: " + error;
         }
     }
 
-    /** An entry of a snapshot or of a stored state was refused: it keeps the value that it had. */
+    /** An entry of a snapshot or of a stored state was rejected; it keeps its effective value. */
     record ResourceRejected(Optional<ResourceKey> key, FieldError error) implements ReplicaReport {
         @Override
         public String toString() {
-            return key.map(each -> "resource " + each).orElse("a resource")
-                    + " is refused: "
+            return key.map(each -> "resource " + each).orElse("resource with no readable key")
+                    + " rejected: "
                     + error;
         }
     }
 
-    /** The whole state is larger than the replica takes: the one in force stays. */
+    /** A snapshot exceeds the limits: the effective state stays. */
     record StateTooLarge(int resources, long bytes, ReplicaLimits limits) implements ReplicaReport {
         @Override
         public String toString() {
-            return "the state is refused: it has at least "
+            return "snapshot rejected: it has at least "
                     + resources
                     + " resources and "
                     + bytes
-                    + " bytes, "
-                    + limits.resources()
+                    + " bytes, the limits are "
+                    + limits.maxResources()
                     + " and "
-                    + limits.bytes()
-                    + " are allowed";
+                    + limits.maxBytes();
         }
     }
 
-    /** An answer was not taken. */
-    record ResponseRejected(Address from, String reason) implements ReplicaReport {
+    /** A response was rejected, and the next control process is called. */
+    record ResponseRejected(Address endpoint, ResponseError reason) implements ReplicaReport {
         @Override
         public String toString() {
-            return "an answer of " + from + " is not taken: " + reason;
+            return "response of " + endpoint + " rejected: " + reason;
         }
     }
 
-    /** A call had no answer in time. */
+    /** A call had no response in time. */
     record CallTimedOut(Address endpoint) implements ReplicaReport {
         @Override
         public String toString() {
-            return "a call to " + endpoint + " had no answer in time";
+            return "call to " + endpoint + " timed out";
         }
     }
 
-    /** Whole snapshots are fetched from here on. */
-    record SnapshotStarted(Address from) implements ReplicaReport {
+    /** A snapshot is fetched instead of changes. */
+    record SnapshotStarted(Address endpoint) implements ReplicaReport {
         @Override
         public String toString() {
-            return "a snapshot is fetched from " + from;
+            return "fetching a snapshot from " + endpoint;
         }
     }
 
-    /** A state has come in force. */
+    /** A state became effective. */
     record StateEffective(LogPosition position, int puts, int deletes) implements ReplicaReport {
         @Override
         public String toString() {
             return "version "
                     + position.version()
-                    + " of "
+                    + " of log "
                     + position.log()
-                    + " is in force: "
+                    + " is effective: "
                     + puts
                     + " put, "
                     + deletes
--- a/src/main/java/ottergauge/replica/ReplicaTimer.java
+++ b/src/main/java/ottergauge/replica/ReplicaTimer.java
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.replica;
 
-/** A timer of a replica. One that came too late is told from the current one by its number. */
+/** A timer of a replica. A stale one is ignored by the number of its call. */
 public sealed interface ReplicaTimer {
 
-    /** The time of this call is over. */
+    /** A call has had no response in time. */
     record CallTimeout(long call) implements ReplicaTimer {}
 
-    /** A pause after this call is over. */
-    record DelayElapsed(long after) implements ReplicaTimer {}
+    /** The delay before the call that follows this one is over. */
+    record DelayElapsed(long afterCall) implements ReplicaTimer {}
 
-    /** It is time to go back to the control process that is the first one for this node. */
+    /** The node may go back to its preferred control process. */
     record FailBackDue() implements ReplicaTimer {}
 
-    /** A state in force may be handed out to be kept. */
+    /** The effective state may be stored again. */
     record StoreStateDue() implements ReplicaTimer {}
 }
--- a/src/main/java/ottergauge/replica/ResourceSize.java
+++ b/src/main/java/ottergauge/replica/ResourceSize.java
@@ -8,41 +8,41 @@
 import ottergauge.resources.ResourceValue;
 
 /**
- * Reckons what a resource takes in memory, its entry in a table included; rather too much than too
- * little.
+ * Estimates the bytes that a resource takes in memory, its entry in a {@link ResourceTable}
+ * included. The estimate errs on the high side.
  */
 final class ResourceSize {
 
-    /** Resource, key, value, version and entry of a map. */
-    private static final int RESOURCE = 200;
+    /** Resource, key, value, version and map entry. */
+    private static final int RESOURCE_BYTES = 200;
 
-    private static final int HOST = 104;
+    private static final int ENDPOINT_BYTES = 104;
 
-    /** A string and its array, beside the characters. */
-    private static final int TEXT = 48;
+    /** A string and its array, without the characters. */
+    private static final int STRING_BYTES = 48;
 
     private static final int BYTES_PER_CHARACTER = 2;
-    private static final int MAP_ENTRY = 48;
-    private static final int MAP = 112;
-    private static final int LIST_ENTRY = 8;
-    private static final int LIST = 64;
-    private static final int NUMBER = 24;
+    private static final int MAP_ENTRY_BYTES = 48;
+    private static final int MAP_BYTES = 112;
+    private static final int LIST_ENTRY_BYTES = 8;
+    private static final int LIST_BYTES = 64;
+    private static final int NUMBER_BYTES = 24;
 
     private ResourceSize() {}
 
-    /** The bytes of a resource in force. */
+    /** The estimated bytes of a resource. */
     static long of(Resource resource) {
-        return RESOURCE + text(resource.key().name()) + value(resource.value());
+        return RESOURCE_BYTES + text(resource.key().name()) + value(resource.value());
     }
 
     private static long value(ResourceValue value) {
         if (value instanceof ResourceValue.Server server) {
-            DiscoveredEndpoint host = server.endpoint();
-            return HOST
+            DiscoveredEndpoint endpoint = server.endpoint();
+            return ENDPOINT_BYTES
                     + text(server.service())
-                    + text(host.address().host())
-                    + text(host.zone())
-                    + text(host.kind());
+                    + text(endpoint.address().host())
+                    + text(endpoint.zone())
+                    + text(endpoint.kind());
         } else if (value instanceof ResourceValue.Settings settings) {
             return tree(settings.tree());
         } else if (value instanceof ResourceValue.Route route) {
@@ -55,22 +55,25 @@
 
     private static long tree(Object value) {
         if (value instanceof Map<?, ?> map) {
-            long bytes = MAP;
+            long bytes = MAP_BYTES;
             for (Map.Entry<?, ?> entry : map.entrySet()) {
-                bytes += MAP_ENTRY + text(String.valueOf(entry.getKey())) + tree(entry.getValue());
+                bytes +=
+                        MAP_ENTRY_BYTES
+                                + text(String.valueOf(entry.getKey()))
+                                + tree(entry.getValue());
             }
             return bytes;
         } else if (value instanceof List<?> list) {
-            long bytes = LIST;
+            long bytes = LIST_BYTES;
             for (Object each : list) {
-                bytes += LIST_ENTRY + tree(each);
+                bytes += LIST_ENTRY_BYTES + tree(each);
             }
             return bytes;
         }
-        return value instanceof String text ? text(text) : NUMBER;
+        return value instanceof String text ? text(text) : NUMBER_BYTES;
     }
 
     private static long text(String text) {
-        return text == null ? 0 : TEXT + (long) BYTES_PER_CHARACTER * text.length();
+        return text == null ? 0 : STRING_BYTES + (long) BYTES_PER_CHARACTER * text.length();
     }
 }
--- a/src/main/java/ottergauge/replica/ResourceTable.java
+++ b/src/main/java/ottergauge/replica/ResourceTable.java
@@ -7,7 +7,7 @@
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKey;
 
-/** Resources by key, in the order of the keys, with their size reckoned. */
+/** Resources by key, in the order of the keys, with their estimated size. */
 final class ResourceTable {
 
     private final TreeMap<ResourceKey, Resource> resources = new TreeMap<>();
@@ -18,13 +18,13 @@
     }
 
     void put(Resource resource) {
-        Resource before = resources.put(resource.key(), resource);
-        bytes += ResourceSize.of(resource) - (before == null ? 0 : ResourceSize.of(before));
+        Resource replaced = resources.put(resource.key(), resource);
+        bytes += ResourceSize.of(resource) - (replaced == null ? 0 : ResourceSize.of(replaced));
     }
 
     void remove(ResourceKey key) {
-        Resource before = resources.remove(key);
-        bytes -= before == null ? 0 : ResourceSize.of(before);
+        Resource removed = resources.remove(key);
+        bytes -= removed == null ? 0 : ResourceSize.of(removed);
     }
 
     /** All resources, in the order of the keys. */
@@ -36,6 +36,7 @@
         return resources.size();
     }
 
+    /** The estimated bytes of all resources. */
     long bytes() {
         return bytes;
     }
--- a/src/main/java/ottergauge/replica/SnapshotAssembly.java
+++ b/src/main/java/ottergauge/replica/SnapshotAssembly.java
@@ -2,6 +2,7 @@
 package ottergauge.replica;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
@@ -19,11 +20,12 @@
 import ottergauge.resources.UnreadableResource;
 
 /**
- * A state that is being put together from the pages of a snapshot, which may be of different
- * versions, and from the changes after the first page's version, in their order. A change that is
- * older than the page that its resource came with sets it back for a moment, until the changes that
- * led to the page's value have come: the state is one version's once the changes are in up to the
- * newest page's version.
+ * A state that is assembled from the pages of a snapshot, which may be of different versions, and
+ * from the changes after the first page's version, in order.
+ *
+ * <p>A change that is older than its resource's page sets the resource back until the changes that
+ * led to the page's value are in. The state is therefore consistent once the changes are in up to
+ * the newest page's version ({@link #isComplete}).
  */
 final class SnapshotAssembly {
 
@@ -32,22 +34,17 @@
     private final String log;
     private final ResourceTable table = new ResourceTable();
 
-    /**
-     * Resources that keep the value in force, because theirs was refused: by the version of that.
-     */
+    /** The version of each resource whose value was rejected; the effective value is kept. */
     private final Map<ResourceKey, Long> rejected = new TreeMap<>();
 
-    /**
-     * The version that all changes are in up to: the first page's, until the first changes are
-     * read.
-     */
+    /** All changes are in up to this version; the first page's until changes are applied. */
     private long reached;
 
     private long newestPage;
     private Optional<ResourceKey> next = Optional.empty();
-    private boolean hasAllPages;
+    private boolean allPages;
 
-    /** Begins with what the first page is of. */
+    /** An empty assembly at the position of the first page. */
     SnapshotAssembly(
             LogPosition first,
             Subscription subscription,
@@ -59,29 +56,32 @@
         newestPage = first.version();
     }
 
+    /** The position up to which all changes are in. */
     LogPosition reached() {
         return new LogPosition(log, reached);
     }
 
-    /** The version that all later pages have at least. */
+    /** The version that every later page has at least. */
     long firstVersion() {
         return reached;
     }
 
+    /** The key that the next page begins at; empty before the first page and after the last. */
     Optional<ResourceKey> next() {
         return next;
     }
 
     /** Whether all pages are in. */
     boolean hasAllPages() {
-        return hasAllPages;
+        return allPages;
     }
 
-    /** Whether the state is one version's. */
+    /** Whether the state is that of a single version. */
     boolean isComplete() {
-        return hasAllPages && reached >= newestPage;
+        return allPages && reached >= newestPage;
     }
 
+    /** How many resources it has, those with a rejected value included. */
     int size() {
         return table.size() + rejected.size();
     }
@@ -94,56 +94,58 @@
         return table;
     }
 
-    Map<ResourceKey, Long> rejected() {
-        return rejected;
+    /** The resources whose values were rejected, in the order of the keys. */
+    Collection<ResourceKey> rejected() {
+        return rejected.keySet();
     }
 
-    /** Adds the page that begins at {@link #next}; gives back what is wrong with entries of it. */
+    /** Adds the page that begins at {@link #next}; returns the entries that were rejected. */
     List<ReplicaReport.ResourceRejected> add(SnapshotPage page) {
         newestPage = Math.max(newestPage, page.at().version());
         next = page.next();
-        hasAllPages = next.isEmpty();
+        allPages = next.isEmpty();
         List<ReplicaReport.ResourceRejected> reports = new ArrayList<>();
         for (Resource resource : page.resources()) {
             if (subscription.matches(resource.key(), resource.value().service())) {
-                Optional<FieldError> error = error(resource);
-                if (error.isEmpty()) {
-                    table.put(resource);
-                } else {
-                    rejected.put(resource.key(), resource.version());
-                    reports.add(
-                            new ReplicaReport.ResourceRejected(
-                                    Optional.of(resource.key()), error.get()));
-                }
+                add(resource).ifPresent(reports::add);
             }
         }
         for (UnreadableResource entry : page.unreadable()) {
-            // Its version can't be known, but no change of it up to the page's can be newer.
+            // Its own version can't be read, but it is no newer than the page.
             entry.key().ifPresent(key -> rejected.put(key, page.at().version()));
             reports.add(new ReplicaReport.ResourceRejected(entry.key(), entry.error()));
         }
         return reports;
     }
 
-    private Optional<FieldError> error(Resource resource) {
-        Change.Put put = new Change.Put(resource.key(), resource.value());
-        return check.apply(new Change(resource.version(), List.of(put), List.of()));
+    private Optional<ReplicaReport.ResourceRejected> add(Resource resource) {
+        Optional<FieldError> error = check.apply(resource.asChange());
+        if (error.isEmpty()) {
+            table.put(resource);
+        } else {
+            rejected.put(resource.key(), resource.version());
+        }
+        Optional<ResourceKey> key = Optional.of(resource.key());
+        return error.map(found -> new ReplicaReport.ResourceRejected(key, found));
     }
 
     /**
-     * Takes the changes up to a version; those that were refused count for nothing, also where
-     * pages had them.
+     * Applies the changes up to a version. What an invalid change put is removed again from pages
+     * that have it.
      */
     void apply(List<ValidatedChange> changes, long upTo) {
-        Set<Long> refusedVersions = new HashSet<>();
-        for (ValidatedChange each : changes) {
-            if (each.version() > reached && each.error().isEmpty()) {
-                apply(each.change());
-            } else if (each.version() > reached) {
-                refusedVersions.add(each.version());
+        Set<Long> invalidVersions = new HashSet<>();
+        for (ValidatedChange change : changes) {
+            if (change.version() <= reached) {
+                continue;
+            }
+            if (change instanceof ValidatedChange.Valid valid) {
+                apply(valid.change());
+            } else {
+                invalidVersions.add(change.version());
             }
         }
-        discardRejected(refusedVersions);
+        rejectResourcesOf(invalidVersions);
         reached = Math.max(reached, upTo);
     }
 
@@ -164,14 +166,13 @@
         rejected.remove(key);
     }
 
-    // A page that is newer than a refused change has what that put.
-    private void discardRejected(Set<Long> versions) {
+    private void rejectResourcesOf(Set<Long> versions) {
         if (versions.isEmpty()) {
             return;
         }
-        List<Resource> taken =
+        List<Resource> found =
                 table.all().stream().filter(each -> versions.contains(each.version())).toList();
-        for (Resource resource : taken) {
+        for (Resource resource : found) {
             table.remove(resource.key());
             rejected.put(resource.key(), resource.version());
         }
--- a/src/main/java/ottergauge/replica/SnapshotQuery.java
+++ b/src/main/java/ottergauge/replica/SnapshotQuery.java
@@ -6,8 +6,13 @@
 import ottergauge.resources.Subscription;
 
 /**
- * Asks for a page of the state of a log (any, for the first page) that begins at a key (the first
- * one).
+ * A query for one page of a snapshot.
+ *
+ * @param log the log that the first page was of; empty for the first page
+ * @param from the key that the page begins at; empty for the first page
+ * @param maxBytes the size of the page
+ * @param subscription the resources that the node replicates
+ * @param node the node's name
  */
 public record SnapshotQuery(
         Optional<String> log,
--- a/src/main/java/ottergauge/replica/StateChange.java
+++ b/src/main/java/ottergauge/replica/StateChange.java
@@ -7,8 +7,18 @@
 import ottergauge.resources.Resource;
 
 /**
- * What changes by going from one state in force to the next: the newest value of each resource that
- * differs, in the order of the keys. {@code whole}: there was none before, and this is all of it.
+ * The difference between two effective states: the newest value of each resource that differs.
+ *
+ * @param position the position of the new state
+ * @param full whether there was no state before, so that this is all of it
+ * @param puts the new and changed resources, in the order of the keys
+ * @param deletes the resources that are gone, in the order of the keys
  */
 public record StateChange(
-        LogPosition position, boolean full, List<Resource> puts, List<Change.Delete> deletes) {}
+        LogPosition position, boolean full, List<Resource> puts, List<Change.Delete> deletes) {
+
+    /** Whether no resource differs. */
+    boolean isEmpty() {
+        return puts.isEmpty() && deletes.isEmpty();
+    }
+}
--- a/src/main/java/ottergauge/replica/StoredState.java
+++ b/src/main/java/ottergauge/replica/StoredState.java
@@ -6,6 +6,12 @@
 import ottergauge.resources.Resource;
 import ottergauge.resources.Subscription;
 
-/** A state in force, as it is kept for the next process of the node. */
+/**
+ * An effective state, stored for the node's next process.
+ *
+ * @param position the position of the state
+ * @param subscription the subscription that it was replicated by
+ * @param resources all resources, in the order of the keys
+ */
 public record StoredState(
         LogPosition position, Subscription subscription, List<Resource> resources) {}
--- a/src/main/java/ottergauge/replica/ValidatedChange.java
+++ b/src/main/java/ottergauge/replica/ValidatedChange.java
@@ -11,19 +11,34 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.UnreadableChange;
 
-/**
- * A change of a page, and what is wrong with it; {@code change} is null if it could not be read.
- */
-record ValidatedChange(long version, Change change, Optional<FieldError> error) {
+/** A change of a page after its validation. */
+sealed interface ValidatedChange {
+
+    long version();
+
+    /** A change that the node can apply. */
+    record Valid(Change change) implements ValidatedChange {
+        @Override
+        public long version() {
+            return change.version();
+        }
+    }
+
+    /** A change that could not be read, or that the node can't apply. */
+    record Invalid(long version, FieldError error) implements ValidatedChange {}
 
     /** The changes of a page, in the order of their versions. */
     static List<ValidatedChange> of(ChangePage page, Function<Change, Optional<FieldError>> check) {
         List<ValidatedChange> changes = new ArrayList<>();
         for (Change change : page.changes()) {
-            changes.add(new ValidatedChange(change.version(), change, check.apply(change)));
+            Optional<FieldError> error = check.apply(change);
+            changes.add(
+                    error.isPresent()
+                            ? new Invalid(change.version(), error.get())
+                            : new Valid(change));
         }
         for (UnreadableChange change : page.unreadable()) {
-            changes.add(new ValidatedChange(change.version(), null, Optional.of(change.error())));
+            changes.add(new Invalid(change.version(), change.error()));
         }
         changes.sort(Comparator.comparingLong(ValidatedChange::version));
         return changes;
--- a/src/main/java/ottergauge/resources/Resource.java
+++ b/src/main/java/ottergauge/resources/Resource.java
@@ -1,5 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.resources;
 
-/** A resource as the change with this version left it. */
-public record Resource(ResourceKey key, long version, ResourceValue value) {}
+import java.util.List;
+
+/**
+ * A resource, as the change with this version left it.
+ *
+ * @param version the version of the change that put this value
+ */
+public record Resource(ResourceKey key, long version, ResourceValue value) {
+
+    /** The change that puts this resource alone. */
+    public Change asChange() {
+        return new Change(version, List.of(new Change.Put(key, value)), List.of());
+    }
+}
--- a/src/test/java/ottergauge/replica/ControlEndpointSelectorTest.java
+++ b/src/test/java/ottergauge/replica/ControlEndpointSelectorTest.java
@@ -28,11 +28,11 @@
     @Test
     void theOwnRegionComesFirst() {
         for (int i = 0; i < NODES; i++) {
-            ControlEndpointSelector order =
+            ControlEndpointSelector selector =
                     new ControlEndpointSelector("n" + i, "b", addresses("a", "b", "c", "b"));
-            assertEquals("b", order.current().region());
-            assertTrue(order.next());
-            assertEquals("b", order.current().region());
+            assertEquals("b", selector.current().region());
+            assertTrue(selector.advance());
+            assertEquals("b", selector.current().region());
         }
     }
 
@@ -41,10 +41,10 @@
         Map<ControlEndpoint, Integer> firsts = new HashMap<>();
         Map<ControlEndpoint, Integer> seconds = new HashMap<>();
         for (int i = 0; i < NODES; i++) {
-            ControlEndpointSelector order =
+            ControlEndpointSelector selector =
                     new ControlEndpointSelector("n" + i, "a", addresses("a", "b", "c", "d"));
-            order.next();
-            seconds.merge(order.current(), 1, Integer::sum);
+            selector.advance();
+            seconds.merge(selector.current(), 1, Integer::sum);
             firsts.merge(
                     new ControlEndpointSelector("n" + i, "a", addresses("a", "a", "a", "a"))
                             .current(),
@@ -60,19 +60,19 @@
 
     @Test
     void aRoundAsksEachOnceAndTheOneThatAnsweredLast() {
-        ControlEndpointSelector order =
+        ControlEndpointSelector selector =
                 new ControlEndpointSelector("n", "a", addresses("a", "b", "c", "d"));
-        order.next();
-        ControlEndpoint answered = order.current();
-        order.answered();
+        selector.advance();
+        ControlEndpoint answered = selector.current();
+        selector.recordResponse();
         HashSet<ControlEndpoint> asked = new HashSet<>();
         ControlEndpoint last = answered;
-        while (order.next()) {
-            last = order.current();
+        while (selector.advance()) {
+            last = selector.current();
             assertTrue(asked.add(last));
         }
         assertEquals(4, asked.size());
         assertEquals(answered, last);
-        assertFalse(order.next());
+        assertFalse(selector.advance());
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaDriver.java
+++ b/src/test/java/ottergauge/replica/ReplicaDriver.java
@@ -22,9 +22,7 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
-/**
- * Drives a replica by hand: answers its calls, lets its timers fire, and keeps what it asked for.
- */
+/** Drives a replica by hand: responds to its calls, fires its timers and records its effects. */
 final class ReplicaDriver {
 
     static final long PROPAGATION_DEADLINE_MICROS = 4_800_000;
@@ -60,7 +58,7 @@
                         effects::add);
     }
 
-    /** A replica that goes by version 10, of these tenants. */
+    /** A replica that follows changes from version 10, with these tenants. */
     static ReplicaDriver following(String... tenants) {
         ReplicaDriver driver = new ReplicaDriver();
         driver.follow(tenants);
@@ -106,7 +104,7 @@
         return all.get(all.size() - 1);
     }
 
-    /** The call that was made last. */
+    /** The last call. */
     ReplicaEffect lastCall() {
         return effects.stream()
                 .filter(
@@ -185,7 +183,7 @@
         handle(new ReplicaEvent.CallFailed(callNumber()));
     }
 
-    /** Lets the timer that was started last, of this kind, fire at its time. */
+    /** Fires the last timer of this kind at its time. */
     <T extends ReplicaTimer> void fire(Class<T> type) {
         ReplicaEffect.StartTimer timer = timer(type);
         now += timer.delayMicros();
@@ -199,7 +197,7 @@
                 .orElseThrow();
     }
 
-    /** The tenants in force, by name and weight: what all changes so far have made of nothing. */
+    /** The effective tenants, by name and weight: what all state changes so far add up to. */
     TreeMap<String, Double> effectiveVersion() {
         TreeMap<String, Double> tenants = new TreeMap<>();
         for (ReplicaEffect.ApplyState applyState : all(ReplicaEffect.ApplyState.class)) {
@@ -222,7 +220,7 @@
                 .toList();
     }
 
-    void assertInForce(long version, String tenants) {
+    void assertEffective(long version, String tenants) {
         assertEquals(tenants, effectiveVersion().toString());
         assertEquals(new LogPosition(LOG, version), replica.metrics(now).position());
     }
