--- a/src/main/java/ottergauge/resources/Change.java
+++ b/src/main/java/ottergauge/resources/Change.java
@@ -4,14 +4,16 @@
 import java.util.List;
 
 /**
- * One accepted change: it comes in force whole or not at all, and no key is in it twice. A version
- * counts the changes of its log, from 1 on.
+ * One accepted change of the log. It takes effect completely or not at all, and no key is in it
+ * twice.
+ *
+ * @param version its number in the log, from 1
  */
 public record Change(long version, List<Put> puts, List<Delete> deletes) {
 
-    /** A resource is created, or replaced by this value. */
+    /** Creates a resource, or replaces its value. */
     public record Put(ResourceKey key, ResourceValue value) {}
 
-    /** A resource is gone; {@code service} is the one that it belonged to. */
+    /** Deletes a resource; {@code service} is the one that it belonged to, empty for none. */
     public record Delete(ResourceKey key, String service) {}
 }
--- a/src/main/java/ottergauge/resources/ChangePage.java
+++ b/src/main/java/ottergauge/resources/ChangePage.java
@@ -4,10 +4,12 @@
 import java.util.List;
 
 /**
- * An answer of a control process to a call for changes: all changes that a subscription follows,
- * after the version that was asked for and up to {@code upTo}, in their order. Changes that it
- * doesn't follow are left out, so that {@code upTo} may be past the last one. {@code unreadable}
- * are those that a reader could not make out; they are never written.
+ * A control process' response to a poll: all changes that match the subscription, after the polled
+ * version.
+ *
+ * @param upTo the position that the page reaches, which may be past its last change
+ * @param changes the changes, in the order of their versions
+ * @param unreadable the changes that a reader could not decode; never written
  */
 public record ChangePage(
         LogPosition upTo, List<Change> changes, List<UnreadableChange> unreadable) {
--- a/src/main/java/ottergauge/resources/EntryCodec.java
+++ b/src/main/java/ottergauge/resources/EntryCodec.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The JSON of entries: resources, what a change puts and deletes, changes. Reports all errors. */
+/** Reads and writes the JSON of resources, changes and their entries. Collects all errors. */
 final class EntryCodec {
 
     static final String VERSION = "version";
@@ -22,7 +22,7 @@
 
     private EntryCodec() {}
 
-    /** Reads the key of an entry; empty if its kind is unknown or its name has a wrong form. */
+    /** Reads the key of an entry; empty if its kind or name is invalid. */
     static Optional<ResourceKey> key(FieldReader entry) {
         int before = entry.errors().size();
         String kindName = entry.text(KIND);
@@ -39,7 +39,7 @@
                 : Optional.empty();
     }
 
-    /** Reads the value of an entry and checks it; empty if anything is wrong with it. */
+    /** Reads and validates the value of an entry; empty if it is invalid. */
     static Optional<ResourceValue> value(ResourceKey key, FieldReader entry) {
         int before = entry.errors().size();
         FieldReader fields = entry.child(VALUE);
@@ -51,7 +51,7 @@
         return entry.errors().size() == before ? value : Optional.empty();
     }
 
-    /** Reads the entries that a change puts; what is wrong with them is reported. */
+    /** Reads the valid entries that a change puts; the others add errors. */
     static List<Change.Put> puts(FieldReader change) {
         List<Change.Put> puts = new ArrayList<>();
         List<?> entries = change.list(PUT);
@@ -97,7 +97,7 @@
         return deletes;
     }
 
-    /** Reports a change or a submission that has too many entries to be read. */
+    /** Adds an error if a change or a submission has too many entries. */
     static void checkEntries(FieldReader change) {
         int entries = change.list(PUT).size() + change.list(DELETE).size();
         if (entries > ResourceValidator.MAX_ENTRIES) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /** Reads what a change of this version does; what is wrong with it is reported. */
+    /** Reads and validates a change of this version. */
     static Change change(long version, Map<?, ?> tree, FieldErrors errors) {
         FieldReader fields = new FieldReader(tree, "", errors);
         checkEntries(fields);
@@ -119,7 +119,7 @@
         return change;
     }
 
-    /** Reads an entry of a snapshot; empty if anything is wrong with it, which is reported. */
+    /** Reads and validates an entry of a snapshot; empty if it is invalid. */
     static Optional<Resource> resource(FieldReader entry) {
         int before = entry.errors().size();
         long version = entry.integer(VERSION, 1, FieldReader.MAX_SAFE_INTEGER);
--- a/src/main/java/ottergauge/resources/FieldErrors.java
+++ b/src/main/java/ottergauge/resources/FieldErrors.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Gathers what is wrong with a message, up to a bound. */
+/** Collects the errors of a message; those past {@link #MAX_ERRORS} are dropped. */
 final class FieldErrors {
 
     static final int MAX_ERRORS = 100;
--- a/src/main/java/ottergauge/resources/FieldReader.java
+++ b/src/main/java/ottergauge/resources/FieldReader.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * Reads the fields of one JSON object, as {@link ottergauge.settings.JsonTree} has them, by type.
- * What has the wrong type or is missing is reported, and a placeholder is given back; null counts
- * as absent.
+ * Reads the fields of one JSON object, as {@link ottergauge.settings.JsonTree} decodes it, by type.
+ * A missing field or one of the wrong type adds an error and yields a placeholder, so that all
+ * errors of a message are found; a null counts as missing.
  */
 final class FieldReader {
 
-    /** The largest whole number that a JSON number tells exactly. */
+    /** The largest integer up to which a JSON number (a double) is exact. */
     static final long MAX_SAFE_INTEGER = 1L << 53;
 
     private static final String NOTHING = "nothing";
@@ -35,36 +35,40 @@
         return errors;
     }
 
-    /** Where the object lies in its message; empty for the message itself. */
+    /** The path of this object in its message; empty for the message itself. */
     String path() {
         return path;
     }
 
+    /** The path of a field of this object. */
     String path(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
+    /** A required text. */
     String text(String key) {
         return text(key, null);
     }
 
-    String text(String key, String absent) {
+    /** A text with a default; a null default makes it required. */
+    String text(String key, String defaultValue) {
         Object value = fields.get(key);
         if (value instanceof String text) {
             return text;
         }
-        if (value != null || absent == null) {
+        if (value != null || defaultValue == null) {
             error(key, value, "a text");
         }
-        return absent == null ? "" : absent;
+        return defaultValue == null ? "" : defaultValue;
     }
 
-    /** A text that may be absent, which is null then. */
+    /** An optional text; null if it is missing. */
     String textOrNull(String key) {
         return fields.get(key) == null ? null : text(key);
     }
 
-    double number(String key, double absent) {
+    /** A number with a default. */
+    double number(String key, double defaultValue) {
         Object value = fields.get(key);
         if (value instanceof Double number) {
             return number;
@@ -72,14 +76,16 @@
         if (value != null) {
             error(key, value, "a number");
         }
-        return absent;
+        return defaultValue;
     }
 
+    /** A required integer within bounds. */
     long integer(String key, long min, long max) {
         return integer(key, min, max, null);
     }
 
-    long integer(String key, long min, long max, Long absent) {
+    /** An integer within bounds, with a default; a null default makes it required. */
+    long integer(String key, long min, long max, Long defaultValue) {
         Object value = fields.get(key);
         if (value instanceof Double number
                 && number == Math.rint(number)
@@ -87,12 +93,13 @@
                 && number <= max) {
             return number.longValue();
         }
-        if (value != null || absent == null) {
+        if (value != null || defaultValue == null) {
             error(key, value, "a whole number from " + min + " to " + max);
         }
-        return absent == null ? min : absent;
+        return defaultValue == null ? min : defaultValue;
     }
 
+    /** A required object. */
     Map<?, ?> object(String key) {
         Object value = fields.get(key);
         if (value instanceof Map<?, ?> object) {
@@ -102,7 +109,7 @@
         return Map.of();
     }
 
-    /** A list that is empty if it is absent. */
+    /** An optional list; empty if it is missing. */
     List<?> list(String key) {
         Object value = fields.get(key);
         if (value instanceof List<?> list) {
@@ -114,26 +121,27 @@
         return List.of();
     }
 
-    /** An object of a list, with its place in it as path; empty if it is none. */
+    /** Reads an element of a list, which has to be an object; empty if it is none. */
     Optional<FieldReader> element(String key, int index, Object value) {
-        String place = path(key) + "[" + index + "]";
+        String elementPath = path(key) + "[" + index + "]";
         if (value instanceof Map<?, ?> object) {
-            return Optional.of(new FieldReader(object, place, errors));
+            return Optional.of(new FieldReader(object, elementPath, errors));
         }
-        errors.add(place, described(value), "an object");
+        errors.add(elementPath, describe(value), "an object");
         return Optional.empty();
     }
 
-    /** The object of a key, with the key as path. */
+    /** Reads the required object of a field. */
     FieldReader child(String key) {
         return new FieldReader(object(key), path(key), errors);
     }
 
+    /** Adds an error of a field of this object. */
     void error(String key, Object value, String allowed) {
-        errors.add(path(key), described(value), allowed);
+        errors.add(path(key), describe(value), allowed);
     }
 
-    private static Object described(Object value) {
+    private static Object describe(Object value) {
         if (value instanceof Map<?, ?>) {
             return "an object";
         }
--- a/src/main/java/ottergauge/resources/InvalidSubmissionException.java
+++ b/src/main/java/ottergauge/resources/InvalidSubmissionException.java
@@ -4,10 +4,7 @@
 import java.util.List;
 import ottergauge.protocol.ProtocolException;
 
-/**
- * A submission that can be parsed, but not accepted: carries all that is wrong with it, up to a
- * bound.
- */
+/** A submission that is well-formed JSON, but can't be accepted; carries all its errors. */
 public final class InvalidSubmissionException extends ProtocolException {
 
     private static final long serialVersionUID = 1L;
@@ -19,7 +16,7 @@
         this.errors = errors;
     }
 
-    /** All that is wrong, in the order of the message. */
+    /** The errors, in the order of the message; {@link FieldErrors#MAX_ERRORS} at most. */
     public List<FieldError> errors() {
         return errors;
     }
--- a/src/main/java/ottergauge/resources/JsonMessage.java
+++ b/src/main/java/ottergauge/resources/JsonMessage.java
@@ -17,8 +17,8 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * Reads and writes messages that are one JSON object each, within bounds on length, depth and
- * texts.
+ * Reads and writes messages that are one JSON object each. Length, depth and the size of texts are
+ * bounded, as messages come from outside.
  */
 final class JsonMessage {
 
@@ -38,18 +38,16 @@
                                     .maxNumberLength(MAX_NUMBER_CHARACTERS)
                                     .build())
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-                    // The names come from outside: they are not kept for the life of the process.
+                    // Names come from outside: interned, they would never be freed.
                     .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
                     .build();
 
-    /**
-     * Takes one field of the message: the parser stands at its value and has to be left at its end.
-     */
+    /** Reads one field; the parser is at its value and has to be left at the value's end. */
     interface FieldHandler {
         void read(String name, JsonParser in) throws IOException, ProtocolException;
     }
 
-    /** Takes one object of a list, and its place in it. */
+    /** Reads one object of a list, and its index. */
     interface ElementHandler {
         void read(int index, Map<String, Object> element) throws ProtocolException;
     }
@@ -61,7 +59,7 @@
 
     private JsonMessage() {}
 
-    /** Reads a message field by field; {@code what} is its name in what is thrown. */
+    /** Reads a message field by field; {@code what} names the message in exceptions. */
     static void read(byte[] body, String what, int maxBytes, FieldHandler handler)
             throws ProtocolException {
         if (body.length > maxBytes) {
@@ -101,7 +99,7 @@
         return tree;
     }
 
-    /** Reads a list of up to so many objects, one by one. */
+    /** Reads a list of objects one by one, of {@code max} at most. */
     static void readList(String name, JsonParser in, int max, ElementHandler handler)
             throws IOException, ProtocolException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
@@ -119,7 +117,7 @@
         }
     }
 
-    /** Writes an object that has what the writer puts into it. */
+    /** Writes a message with the fields that the writer adds. */
     static byte[] write(Writer fields) {
         return writeValue(
                 out -> {
@@ -129,6 +127,7 @@
                 });
     }
 
+    /** Writes a value alone. */
     static byte[] writeValue(Writer value) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
--- a/src/main/java/ottergauge/resources/ResourceCodec.java
+++ b/src/main/java/ottergauge/resources/ResourceCodec.java
@@ -13,24 +13,23 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * The JSON of the messages between nodes, control processes and operators (docs/control.md). What
- * can't be read ends in a {@link ProtocolException} of one line that names what is wrong; unknown
- * fields are passed over. A change of a page or an entry of a snapshot that can't be made out
- * doesn't spoil the others: it is given back as unreadable, so that a reader can refuse it by name
- * and follow what comes after it.
+ * Reads and writes the JSON messages between nodes, control processes and operators
+ * (docs/control.md).
+ *
+ * <p>A message that can't be read is a {@link ProtocolException} whose one-line message names the
+ * field and its value; unknown fields are ignored. A single invalid change of a page, or entry of a
+ * snapshot, is returned as unreadable beside the valid ones, so that a reader can reject it by
+ * version and go on.
  */
 public final class ResourceCodec {
 
-    /**
-     * The longest page or error that is read. A page has one change at least, which may be a long
-     * one.
-     */
+    /** The longest page or error that is read, in bytes; a page has at least one change. */
     public static final int MAX_PAGE_BYTES = 1 << 20;
 
-    /** The longest submission that is read. */
+    /** The longest submission that is read, in bytes. */
     public static final int MAX_SUBMISSION_BYTES = 256 * 1024;
 
-    /** Changes or resources of one page. */
+    /** The most changes or resources of one page. */
     public static final int MAX_PAGE_ENTRIES = 16_384;
 
     private static final String LOG = "log";
@@ -51,8 +50,8 @@
     private ResourceCodec() {}
 
     // ---- Pages of changes
-    // ---------------------------------------------------------------------------
 
+    /** Reads a page of changes. */
     public static ChangePage readChangePage(byte[] body) throws ProtocolException {
         Map<String, Object> head = new LinkedHashMap<>();
         List<Change> changes = new ArrayList<>();
@@ -87,7 +86,7 @@
         long version =
                 new FieldReader(tree, CHANGES + "[" + index + "]", errors)
                         .integer(VERSION, 1, FieldReader.MAX_SAFE_INTEGER);
-        throwFirst(errors);
+        throwIfAny(errors);
         Change change = EntryCodec.change(version, tree, errors);
         if (errors.isEmpty()) {
             changes.add(change);
@@ -96,6 +95,7 @@
         }
     }
 
+    /** Writes a page of changes. */
     public static byte[] write(ChangePage page) {
         return JsonMessage.write(
                 out -> {
@@ -109,8 +109,8 @@
     }
 
     // ---- Pages of a snapshot
-    // ------------------------------------------------------------------------
 
+    /** Reads a page of a snapshot. */
     public static SnapshotPage readSnapshotPage(byte[] body) throws ProtocolException {
         Map<String, Object> head = new LinkedHashMap<>();
         List<Resource> resources = new ArrayList<>();
@@ -167,10 +167,11 @@
         if (key.isEmpty()) {
             errors.add(NEXT, path, "a kind, / and a name");
         }
-        throwFirst(errors);
+        throwIfAny(errors);
         return key;
     }
 
+    /** Writes a page of a snapshot. */
     public static byte[] write(SnapshotPage page) {
         return JsonMessage.write(
                 out -> {
@@ -186,19 +187,18 @@
                 });
     }
 
-    /** Writes a value alone, as it stands in an entry: what is encoded once can be told to many. */
+    /** Writes a value alone, as it stands in an entry, to be shared by many responses. */
     public static byte[] write(ResourceValue value) {
         return JsonMessage.writeValue(out -> ValueCodec.write(out, value));
     }
 
     // ---- Submissions
-    // --------------------------------------------------------------------------------
 
     /**
-     * Reads and checks what somebody wants changed.
+     * Reads and validates a submission.
      *
-     * @throws InvalidSubmissionException if it is JSON, with all that is wrong with it
-     * @throws ProtocolException if it is none, or too long
+     * @throws InvalidSubmissionException if it is JSON, with all its errors
+     * @throws ProtocolException if it is not JSON, or too long
      */
     public static Submission readSubmission(byte[] body) throws ProtocolException {
         Map<String, Object> tree = JsonMessage.readTree(body, "a submission", MAX_SUBMISSION_BYTES);
@@ -217,6 +217,7 @@
         return submission;
     }
 
+    /** Writes a submission. */
     public static byte[] write(Submission submission) {
         return JsonMessage.write(
                 out -> {
@@ -226,18 +227,19 @@
                 });
     }
 
-    // ---- Answers that are no pages
-    // ------------------------------------------------------------------
+    // ---- Other responses
 
-    /** Reads the position that an accepted submission was given. */
+    /** Reads the position of an accepted submission. */
     public static LogPosition readPosition(byte[] body) throws ProtocolException {
         return position(JsonMessage.readTree(body, "an answer", MAX_PAGE_BYTES), null);
     }
 
+    /** Writes the position of an accepted submission. */
     public static byte[] write(LogPosition position) {
         return JsonMessage.write(out -> writePosition(out, position));
     }
 
+    /** Reads the response to a poll that can't be served. */
     public static VersionUnavailable readVersionUnavailable(byte[] body) throws ProtocolException {
         Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MAX_PAGE_BYTES);
         LogPosition newest = position(tree, null);
@@ -245,10 +247,11 @@
         FieldReader fields = new FieldReader(tree, "", errors);
         checkError(fields, TOO_OLD);
         long oldest = fields.integer(OLDEST, 0, FieldReader.MAX_SAFE_INTEGER);
-        throwFirst(errors);
+        throwIfAny(errors);
         return new VersionUnavailable(newest.log(), oldest, newest.version());
     }
 
+    /** Writes the response to a poll that can't be served. */
     public static byte[] write(VersionUnavailable unavailable) {
         return JsonMessage.write(
                 out -> {
@@ -259,28 +262,29 @@
                 });
     }
 
-    /** Reads why a submission was not accepted. */
+    /** Reads the errors of a submission that was not accepted. */
     public static List<FieldError> readErrors(byte[] body) throws ProtocolException {
         Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MAX_PAGE_BYTES);
         FieldErrors errors = new FieldErrors();
         FieldReader fields = new FieldReader(tree, "", errors);
         checkError(fields, INVALID);
-        List<FieldError> told = new ArrayList<>();
+        List<FieldError> read = new ArrayList<>();
         List<?> entries = fields.list(FAULTS);
         for (int i = 0; i < entries.size() && i < FieldErrors.MAX_ERRORS; i++) {
             fields.element(FAULTS, i, entries.get(i))
                     .ifPresent(
                             entry ->
-                                    told.add(
+                                    read.add(
                                             new FieldError(
                                                     entry.text(KEY),
                                                     entry.text(VALUE),
                                                     entry.text(ALLOWED))));
         }
-        throwFirst(errors);
-        return told;
+        throwIfAny(errors);
+        return read;
     }
 
+    /** Writes the errors of a submission that was not accepted. */
     public static byte[] writeErrors(List<FieldError> errors) {
         return JsonMessage.write(
                 out -> {
@@ -298,7 +302,6 @@
     }
 
     // ---- Common fields
-    // ------------------------------------------------------------------------------
 
     private static void readHead(String name, JsonParser in, Map<String, Object> head)
             throws IOException {
@@ -309,7 +312,7 @@
         }
     }
 
-    private static LogPosition position(Map<String, Object> head, String needed)
+    private static LogPosition position(Map<String, Object> head, String requiredList)
             throws ProtocolException {
         FieldErrors errors = new FieldErrors();
         FieldReader fields = new FieldReader(head, "", errors);
@@ -318,10 +321,10 @@
             ResourceValidator.checkName(LOG, log, errors);
         }
         long version = fields.integer(VERSION, 0, FieldReader.MAX_SAFE_INTEGER);
-        if (needed != null && !head.containsKey(needed)) {
-            fields.error(needed, null, "a list");
+        if (requiredList != null && !head.containsKey(requiredList)) {
+            fields.error(requiredList, null, "a list");
         }
-        throwFirst(errors);
+        throwIfAny(errors);
         return new LogPosition(log, version);
     }
 
@@ -337,7 +340,7 @@
         }
     }
 
-    private static void throwFirst(FieldErrors errors) throws ProtocolException {
+    private static void throwIfAny(FieldErrors errors) throws ProtocolException {
         Optional<FieldError> first = errors.first();
         if (first.isPresent()) {
             throw new ProtocolException(first.get().toString());
--- a/src/main/java/ottergauge/resources/ResourceKey.java
+++ b/src/main/java/ottergauge/resources/ResourceKey.java
@@ -5,7 +5,8 @@
 import java.util.Optional;
 
 /**
- * What a resource is known by. Keys are ordered by kind, then by name, as a snapshot lists them.
+ * The identity of a resource: its kind and its name. Keys are ordered by kind, then by name, which
+ * is the order of a snapshot.
  */
 public record ResourceKey(ResourceKind kind, String name) implements Comparable<ResourceKey> {
 
@@ -17,12 +18,12 @@
         return ORDER.compare(this, other);
     }
 
-    /** The key in one word, as a snapshot's pages name the key that they begin at. */
+    /** The key as {@code kind/name}, by which a snapshot names the start of its next page. */
     public String path() {
         return kind.wireName() + "/" + name;
     }
 
-    /** The key of such a word; empty if its kind is unknown. The name may have any form. */
+    /** Parses {@code kind/name}; empty if the kind is unknown. The name is not validated. */
     public static Optional<ResourceKey> parsePath(String path) {
         int slash = path.indexOf('/');
         return slash < 0
--- a/src/main/java/ottergauge/resources/ResourceKind.java
+++ b/src/main/java/ottergauge/resources/ResourceKind.java
@@ -12,12 +12,12 @@
     TENANT,
     SETTINGS;
 
-    /** The kind's name in messages. */
+    /** The name of the kind in messages. */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
 
-    /** The kind of this name in messages; empty if there is none. */
+    /** Finds a kind by its name in messages. */
     public static Optional<ResourceKind> ofWireName(String name) {
         for (ResourceKind kind : values()) {
             if (kind.wireName().equals(name)) {
--- a/src/main/java/ottergauge/resources/ResourceValidator.java
+++ b/src/main/java/ottergauge/resources/ResourceValidator.java
@@ -13,15 +13,15 @@
 import ottergauge.resources.ResourceValue.Tenant;
 
 /**
- * Says what is wrong with resources and changes, by key, value and allowed form, wherever they come
- * from.
+ * Validates resources, changes and submissions, whatever their source. Each error names the field,
+ * its value and the allowed form.
  */
 public final class ResourceValidator {
 
-    /** Puts and deletes of one change, together. */
+    /** The most entries of one change, puts and deletes together. */
     public static final int MAX_ENTRIES = 1_000;
 
-    /** The form of names: of resources, submissions, logs, nodes and regions. */
+    /** The form of the names of resources, submissions, logs, nodes and regions. */
     public static final String NAME_FORMAT = "1 to 128 characters of A-Z a-z 0-9 . _ : / -";
 
     static final int MAX_DESCRIPTION_CHARACTERS = 1_024;
@@ -50,7 +50,7 @@
         return NAME.matcher(text).matches();
     }
 
-    /** The first thing that is wrong with a change, if anything is. */
+    /** The first error of a change; empty if it is valid. */
     public static Optional<FieldError> firstError(Change change) {
         FieldErrors errors = new FieldErrors();
         check(change, errors);
@@ -70,10 +70,7 @@
         }
     }
 
-    /**
-     * All that is wrong with a submission, up to a bound; whether it fits the state is not asked
-     * here.
-     */
+    /** The errors of a submission by itself; whether it fits a state is not checked here. */
     public static List<FieldError> errors(Submission submission) {
         FieldErrors errors = new FieldErrors();
         check(submission, errors);
@@ -117,14 +114,14 @@
         }
     }
 
-    /** The first thing that is wrong with a resource's key or value, if anything is. */
+    /** The first error of a resource; empty if it is valid. */
     public static Optional<FieldError> firstError(ResourceKey key, ResourceValue value) {
         FieldErrors errors = new FieldErrors();
         check("", key, value, errors);
         return errors.first();
     }
 
-    /** Reports all that is wrong with an entry, by keys that begin with a path. */
+    /** Adds all errors of an entry, whose field paths begin with {@code path}. */
     static void check(String path, ResourceKey key, ResourceValue value, FieldErrors errors) {
         String prefix = path.isEmpty() ? "" : path + ".";
         checkName(prefix + "name", key.name(), errors);
@@ -216,10 +213,7 @@
         }
     }
 
-    /**
-     * Whether a text can be written as UTF-8 and on one line: no control characters, no half
-     * characters.
-     */
+    /** Whether a text has neither control characters nor unpaired surrogates. */
     static boolean isPlainText(String text) {
         return text.codePoints()
                 .noneMatch(
@@ -229,7 +223,7 @@
                                                 && point <= Character.MAX_SURROGATE));
     }
 
-    // Written so that NaN fails.
+    // The condition is negated so that NaN is out of range, too.
     static void checkRange(String path, double value, double min, double max, FieldErrors errors) {
         if (!(value >= min && value <= max)) {
             errors.add(
--- a/src/main/java/ottergauge/resources/ResourceValue.java
+++ b/src/main/java/ottergauge/resources/ResourceValue.java
@@ -4,18 +4,18 @@
 import java.util.Map;
 import ottergauge.protocol.DiscoveredEndpoint;
 
-/** What a resource says, by its kind. */
+/** The value of a resource, by its kind. */
 public sealed interface ResourceValue {
 
-    /** The kind of resource that has such a value. */
+    /** The kind of the resource. */
     ResourceKind kind();
 
-    /** The service that the resource belongs to; empty where it belongs to all. */
+    /** The service that the resource belongs to; empty if it belongs to none. */
     default String service() {
         return "";
     }
 
-    /** A service exists: servers and routes name one that does. */
+    /** A service, to which servers and routes refer by name. */
     record Service(String description) implements ResourceValue {
         @Override
         public ResourceKind kind() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /** A server of a service, as discovery lists it; the resource's name is the endpoint's name. */
+    /** A server of a service; the resource's name is the endpoint's name. */
     record Server(String service, DiscoveredEndpoint endpoint) implements ResourceValue {
         @Override
         public ResourceKind kind() {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Requests whose path begins so go to this service, as requests of this class. */
+    /** Routes requests by a path prefix to a service, as requests of a class. */
     record Route(String service, String pathPrefix, String requestClass) implements ResourceValue {
         @Override
         public ResourceKind kind() {
@@ -48,9 +48,7 @@
         }
     }
 
-    /**
-     * A deployment's settings, as the {@code settings} object of a node's configuration holds them.
-     */
+    /** A deployment's settings: the {@code settings} object of a node's configuration. */
     record Settings(Map<String, Object> tree) implements ResourceValue {
         @Override
         public ResourceKind kind() {
--- a/src/main/java/ottergauge/resources/SettingsValidator.java
+++ b/src/main/java/ottergauge/resources/SettingsValidator.java
@@ -8,9 +8,8 @@
 import ottergauge.settings.SettingsReader;
 
 /**
- * Says what is wrong with a settings object. A node reads its own configuration leniently and by
- * the eyes of the person who starts it; settings that reach all nodes at once must not be misread
- * by any.
+ * Validates a settings object more strictly than a node reads its own configuration file: these
+ * settings reach all nodes at once, so a wrong type is an error and not a default.
  */
 final class SettingsValidator {
 
@@ -18,13 +17,13 @@
     static final int MAX_VALUES = 20_000;
     static final int MAX_TEXT_CHARACTERS = 1_024;
 
-    /** The longest span in settings: a week. */
+    /** The longest time span in settings: a week. */
     static final double MAX_SPAN_MS = 7 * 24 * 3_600_000.0;
 
-    private static final String SPAN_SUFFIX = "Ms";
+    private static final String MILLIS_SUFFIX = "Ms";
     private static final String CLASSES = "classes";
 
-    /** The types of values, as {@link ottergauge.settings.JsonTree} has them. */
+    /** The types of values, as {@link ottergauge.settings.JsonTree} decodes them. */
     private enum ValueType {
         NUMBER("a number", Double.class),
         FLAG("true or false", Boolean.class),
@@ -41,9 +40,7 @@
         }
     }
 
-    /**
-     * A key that a node reads, and the object that it lies in; empty for the settings themselves.
-     */
+    /** The type of a field; {@code section} is its object, empty for the settings object. */
     private record TypedKey(String section, String key, ValueType type) {}
 
     private static final List<TypedKey> KEYS =
@@ -82,13 +79,13 @@
                     new TypedKey("", "streamed", ValueType.FLAG));
 
     private final FieldErrors errors;
-    private int values;
+    private int valueCount;
 
     private SettingsValidator(FieldErrors errors) {
         this.errors = errors;
     }
 
-    /** Reports all that is wrong with a settings object, by keys that begin with a path. */
+    /** Adds all errors of a settings object, whose field paths begin with {@code path}. */
     static void check(String path, Map<String, Object> tree, FieldErrors errors) {
         SettingsValidator checks = new SettingsValidator(errors);
         checks.checkValues(path, tree);
@@ -102,10 +99,10 @@
     }
 
     private void checkValues(String path, Object value) {
-        if (++values == MAX_VALUES) {
+        if (++valueCount == MAX_VALUES) {
             errors.add(path, "more", MAX_VALUES + " values at most in all settings");
         }
-        if (values >= MAX_VALUES) {
+        if (valueCount >= MAX_VALUES) {
             return;
         }
         if (value instanceof Map<?, ?> map) {
@@ -123,16 +120,16 @@
 
     private void checkField(String path, String key, Object value) {
         ResourceValidator.checkText(path, key, MAX_TEXT_CHARACTERS, errors);
-        String place = path + "." + key;
-        if (key.endsWith(SPAN_SUFFIX)
+        String fieldPath = path + "." + key;
+        if (key.endsWith(MILLIS_SUFFIX)
                 && value != null
                 && !(value instanceof Double span && span >= 0 && span <= MAX_SPAN_MS)) {
             errors.add(
-                    place,
+                    fieldPath,
                     NumberText.of(value),
                     "a number from 0 to " + NumberText.of(MAX_SPAN_MS));
         }
-        checkValues(place, value);
+        checkValues(fieldPath, value);
     }
 
     private void checkTypes(String path, Map<?, ?> tree, List<TypedKey> keys) {
@@ -141,27 +138,29 @@
             Object fields = nested ? tree.get(typed.section()) : tree;
             Object value = fields instanceof Map<?, ?> map ? map.get(typed.key()) : null;
             if (value != null && !typed.type().type.isInstance(value)) {
-                String place = nested ? path + "." + typed.section() : path;
+                String fieldPath = nested ? path + "." + typed.section() : path;
                 errors.add(
-                        place + "." + typed.key(), NumberText.of(value), typed.type().description);
+                        fieldPath + "." + typed.key(),
+                        NumberText.of(value),
+                        typed.type().description);
             }
         }
     }
 
     private void checkClasses(String path, Map<String, Object> tree) {
         List<?> classes = tree.get(CLASSES) instanceof List<?> list ? list : List.of();
-        String place = path + "." + CLASSES;
+        String fieldPath = path + "." + CLASSES;
         if (classes.isEmpty() || classes.size() > MAX_CLASSES) {
-            errors.add(place, classes.size() + " classes", "1 to " + MAX_CLASSES + " classes");
+            errors.add(fieldPath, classes.size() + " classes", "1 to " + MAX_CLASSES + " classes");
             return;
         }
         Set<Object> names = new HashSet<>();
         for (int i = 0; i < classes.size(); i++) {
             if (classes.get(i) instanceof Map<?, ?> fields) {
-                checkTypes(place + "[" + i + "]", fields, CLASS_KEYS);
-                checkClassName(place + "[" + i + "].name", fields.get("name"), names);
+                checkTypes(fieldPath + "[" + i + "]", fields, CLASS_KEYS);
+                checkClassName(fieldPath + "[" + i + "].name", fields.get("name"), names);
             } else {
-                errors.add(place + "[" + i + "]", classes.get(i), ValueType.OBJECT.description);
+                errors.add(fieldPath + "[" + i + "]", classes.get(i), ValueType.OBJECT.description);
             }
         }
     }
--- a/src/main/java/ottergauge/resources/SnapshotPage.java
+++ b/src/main/java/ottergauge/resources/SnapshotPage.java
@@ -5,10 +5,13 @@
 import java.util.Optional;
 
 /**
- * A page of the state, in the order of the keys, as it was at {@code at}. Pages may be of different
- * versions: they make one state only with all changes after the first page's version, up to the
- * last page's at least. {@code next} is where the following page begins; empty on the last one.
- * {@code unreadable} are the entries that a reader could not make out; they are never written.
+ * A page of a snapshot. The pages of one snapshot may be of different versions: they make up one
+ * state only together with all changes after the first page's version, up to the newest page's.
+ *
+ * @param at the position of the state that the page was made of
+ * @param resources the resources, in the order of their keys
+ * @param next the key that the next page begins at; empty on the last page
+ * @param unreadable the entries that a reader could not decode; never written
  */
 public record SnapshotPage(
         LogPosition at,
--- a/src/main/java/ottergauge/resources/Submission.java
+++ b/src/main/java/ottergauge/resources/Submission.java
@@ -4,7 +4,8 @@
 import java.util.List;
 
 /**
- * A change as it is asked for: it has no version yet. The same {@code id} again asks for the same
- * change.
+ * A change that is submitted and has no version yet.
+ *
+ * @param id the idempotency key: the same id again is answered as before and changes nothing
  */
 public record Submission(String id, List<Change.Put> puts, List<ResourceKey> deletes) {}
--- a/src/main/java/ottergauge/resources/Subscription.java
+++ b/src/main/java/ottergauge/resources/Subscription.java
@@ -4,12 +4,15 @@
 import java.util.Set;
 
 /**
- * Which resources a node follows: those of its services (of all, if it names none), those that
- * belong to no service, and of the settings those of one name.
+ * The resources that a node replicates: those of its services, those that belong to no service, and
+ * one settings resource.
+ *
+ * @param services the names of the services; empty for all
+ * @param settingsName the name of the settings resource
  */
 public record Subscription(Set<String> services, String settingsName) {
 
-    /** Whether a resource of this key and service is followed. */
+    /** Whether a resource of this key and service is replicated. */
     public boolean matches(ResourceKey key, String service) {
         return switch (key.kind()) {
             case SETTINGS -> key.name().equals(settingsName);
--- a/src/main/java/ottergauge/resources/UnreadableChange.java
+++ b/src/main/java/ottergauge/resources/UnreadableChange.java
@@ -2,7 +2,7 @@
 package ottergauge.resources;
 
 /**
- * A change of which the version can be read and something else can't: a reader refuses it by
- * version.
+ * A change that could not be decoded past its version, so that a reader can reject it by version
+ * and go on.
  */
 public record UnreadableChange(long version, FieldError error) {}
--- a/src/main/java/ottergauge/resources/UnreadableResource.java
+++ b/src/main/java/ottergauge/resources/UnreadableResource.java
@@ -3,5 +3,5 @@
 
 import java.util.Optional;
 
-/** An entry of a snapshot that can't be read; {@code key} is there if that can be. */
+/** An entry of a snapshot that could not be decoded; the key is there if that could be. */
 public record UnreadableResource(Optional<ResourceKey> key, FieldError error) {}
--- a/src/main/java/ottergauge/resources/ValueCodec.java
+++ b/src/main/java/ottergauge/resources/ValueCodec.java
@@ -16,7 +16,7 @@
 import ottergauge.resources.ResourceValue.Tenant;
 import ottergauge.settings.JsonTree;
 
-/** The JSON of a resource's value, by its kind. */
+/** Reads and writes the JSON of a resource's value, by its kind. */
 final class ValueCodec {
 
     private static final String SERVICE = "service";
@@ -32,7 +32,7 @@
 
     private ValueCodec() {}
 
-    /** Reads the value of a resource; empty if it can't be made out, which is reported then. */
+    /** Reads the value of a resource; empty if it is invalid. */
     static Optional<ResourceValue> read(ResourceKey key, FieldReader fields) {
         int before = fields.errors().size();
         ResourceValue value =
@@ -60,8 +60,7 @@
         return fields.errors().size() == before ? Optional.ofNullable(value) : Optional.empty();
     }
 
-    // Types first: the codec that discovery's list is read by takes a default for what it can't
-    // read.
+    // Types are checked first, as EndpointCodec reads a default where a field has a wrong one.
     private static ResourceValue server(String name, FieldReader fields) {
         int before = fields.errors().size();
         String service = fields.text(SERVICE);
--- a/src/main/java/ottergauge/resources/VersionUnavailable.java
+++ b/src/main/java/ottergauge/resources/VersionUnavailable.java
@@ -2,8 +2,11 @@
 package ottergauge.resources;
 
 /**
- * An answer of a control process that can't tell the changes after a version: it has another log,
- * has dropped them, or hasn't reached that version. It has the changes from {@code oldest} to
- * {@code newest}.
+ * A control process' response to a poll that it can't serve: it has another log, no longer has the
+ * changes after the polled version, or has not reached that version.
+ *
+ * @param log the process' log
+ * @param oldest the oldest change that it has
+ * @param newest the version that it has reached
  */
 public record VersionUnavailable(String log, long oldest, long newest) {}
