--- a/control/src/main/java/ottergauge/control/client/BoundedHttpClient.java
+++ b/control/src/main/java/ottergauge/control/client/BoundedHttpClient.java
@@ -14,51 +14,56 @@
 import java.util.concurrent.TimeoutException;
 import ottergauge.protocol.Address;
 
-/** HTTP calls that end within a time, with answers of bounded length. */
+/** A blocking HTTP client whose calls are bounded in time and in the size of the response. */
 public final class BoundedHttpClient {
 
-    static final int TOO_LARGE = 413;
-    static final int UNAVAILABLE = 503;
-
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
 
-    /** An answer. */
-    public record RawResponse(int status, byte[] body) {}
-
     private final HttpClient client =
             HttpClient.newBuilder()
                     .version(HttpClient.Version.HTTP_1_1)
                     .connectTimeout(CONNECT_TIMEOUT)
                     .build();
 
-    /** Asks for a path with its query. */
-    public RawResponse get(Address address, String path, Duration within, long maxBytes)
+    /**
+     * Sends a GET request.
+     *
+     * @param path the path with its query
+     * @param timeout until the response is complete
+     * @param maxBytes bytes of the response's body
+     * @throws IOException if there is no complete response within the bounds
+     */
+    public RawResponse get(Address address, String path, Duration timeout, long maxBytes)
             throws IOException, InterruptedException {
-        return call(request(address, path).GET().build(), within, maxBytes);
+        return send(request(address, path).GET().build(), timeout, maxBytes);
     }
 
-    /** Sends a body. */
+    /**
+     * Sends a POST request; otherwise as {@link #get}.
+     *
+     * @throws IOException if there is no complete response within the bounds
+     */
     public RawResponse post(
-            Address address, String path, byte[] body, Duration within, long maxBytes)
+            Address address, String path, byte[] body, Duration timeout, long maxBytes)
             throws IOException, InterruptedException {
         HttpRequest request = request(address, path).POST(BodyPublishers.ofByteArray(body)).build();
-        return call(request, within, maxBytes);
+        return send(request, timeout, maxBytes);
     }
 
     private static HttpRequest.Builder request(Address address, String path) {
         return HttpRequest.newBuilder(URI.create("http://" + address + path));
     }
 
-    private RawResponse call(HttpRequest request, Duration within, long maxBytes)
+    private RawResponse send(HttpRequest request, Duration timeout, long maxBytes)
             throws IOException, InterruptedException {
-        CompletableFuture<HttpResponse<byte[]>> answer =
+        CompletableFuture<HttpResponse<byte[]>> pending =
                 client.sendAsync(request, LimitedBodySubscriber.ofAtMost(maxBytes));
         try {
-            HttpResponse<byte[]> response = answer.get(within.toMillis(), TimeUnit.MILLISECONDS);
+            HttpResponse<byte[]> response = pending.get(timeout.toMillis(), TimeUnit.MILLISECONDS);
             return new RawResponse(response.statusCode(), response.body());
         } catch (TimeoutException e) {
-            answer.cancel(true);
-            throw new IOException("no answer within " + within.toMillis() + " ms", e);
+            pending.cancel(true);
+            throw new IOException("no response within " + timeout.toMillis() + " ms", e);
         } catch (ExecutionException e) {
             throw new IOException(e.getCause().toString(), e.getCause());
         }
--- a/control/src/main/java/ottergauge/control/client/ControlClient.java
+++ b/control/src/main/java/ottergauge/control/client/ControlClient.java
@@ -8,7 +8,6 @@
 import java.util.Optional;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
-import ottergauge.control.client.BoundedHttpClient.RawResponse;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ChangePage;
@@ -18,93 +17,121 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.SnapshotPage;
 
-/** Calls control processes, one after the other until one answers. */
+/**
+ * Calls control processes: the one that responded last first, then the others in the order of the
+ * list. Blocking; not thread-safe.
+ */
 public final class ControlClient {
 
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
     private static final int GONE = 410;
+    private static final int TOO_LARGE = 413;
+    private static final int UNAVAILABLE = 503;
+
     private static final String CHANGES_PATH = "/control/v1/changes";
+    private static final String SNAPSHOT_PATH = "/control/v1/snapshot";
+    private static final String STATUS_PATH = "/control/v1/status";
+
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
 
-    /** A page may have to wait for its turn. */
+    /** Longer than that of other calls, since snapshot pages are paced. */
     private static final Duration SNAPSHOT_TIMEOUT = Duration.ofSeconds(60);
 
     private static final long MAX_STATUS_BYTES = 8 << 20;
     private static final long INITIAL_BACKOFF_MS = 100;
     private static final long MAX_BACKOFF_MS = 2_000;
 
-    private final BoundedHttpClient calls = new BoundedHttpClient();
+    private final BoundedHttpClient http = new BoundedHttpClient();
     private final List<Address> addresses;
 
-    /** The address that answered last: asked first. */
+    /** Index of the address that responded last. */
     private int preferred;
 
+    /** Creates a client of the control processes at these addresses. */
     public ControlClient(List<Address> addresses) {
         this.addresses = List.copyOf(addresses);
     }
 
-    /** Publishes a submission, again and again under its id until it is known what became of it. */
-    public PublishResult publish(byte[] submission, Duration within) throws InterruptedException {
-        long until = System.nanoTime() + within.toNanos();
-        long pauseMs = INITIAL_BACKOFF_MS;
-        String reason = "";
+    /** The result of offering a submission to each process once. */
+    private record Round(Optional<PublishResult> result, String failure) {}
+
+    /**
+     * Publishes an encoded submission and retries it with backoff, under its id, until its outcome
+     * is known or the timeout is over.
+     */
+    public PublishResult publish(byte[] submission, Duration timeout) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + timeout.toNanos();
+        long backoffMs = INITIAL_BACKOFF_MS;
         while (true) {
-            for (int i = 0; i < addresses.size(); i++) {
-                int at = (preferred + i) % addresses.size();
-                try {
-                    Optional<PublishResult> result = publishAt(addresses.get(at), submission);
-                    if (result.isPresent()) {
-                        preferred = at;
-                        return result.get();
-                    }
-                    reason = addresses.get(at) + " can't accept anything now";
-                } catch (IOException | ProtocolException e) {
-                    reason = addresses.get(at) + ": " + e.getMessage();
-                }
+            Round round = publishOnce(submission);
+            if (round.result().isPresent()) {
+                return round.result().get();
+            }
+            long remainingMs = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - System.nanoTime());
+            if (remainingMs <= 0) {
+                return new PublishResult.Unknown(round.failure());
             }
-            long leftMs = TimeUnit.NANOSECONDS.toMillis(until - System.nanoTime());
-            if (leftMs <= 0) {
-                return new PublishResult.Unknown(reason);
+            sleepWithJitter(Math.min(remainingMs, backoffMs));
+            backoffMs = Math.min(MAX_BACKOFF_MS, 2 * backoffMs);
+        }
+    }
+
+    private Round publishOnce(byte[] submission) throws InterruptedException {
+        String failure = "";
+        for (int i = 0; i < addresses.size(); i++) {
+            int index = (preferred + i) % addresses.size();
+            Address address = addresses.get(index);
+            try {
+                Optional<PublishResult> result = publishTo(address, submission);
+                if (result.isPresent()) {
+                    preferred = index;
+                    return new Round(result, "");
+                }
+                failure = address + " can't accept submissions now";
+            } catch (IOException | ProtocolException e) {
+                failure = address + ": " + e.getMessage();
             }
-            pause(Math.min(leftMs, pauseMs));
-            pauseMs = Math.min(MAX_BACKOFF_MS, 2 * pauseMs);
         }
+        return new Round(Optional.empty(), failure);
     }
 
-    // Half of it at least: many that failed together don't try again together.
-    private static void pause(long longestMs) throws InterruptedException {
-        Thread.sleep(longestMs / 2 + ThreadLocalRandom.current().nextLong(longestMs / 2 + 1));
+    // Between half and all of the backoff, so that clients that failed together don't retry
+    // together.
+    private static void sleepWithJitter(long backoffMs) throws InterruptedException {
+        Thread.sleep(backoffMs / 2 + ThreadLocalRandom.current().nextLong(backoffMs / 2 + 1));
     }
 
-    private Optional<PublishResult> publishAt(Address address, byte[] submission)
+    // Empty if the process can't accept submissions now.
+    private Optional<PublishResult> publishTo(Address address, byte[] submission)
             throws IOException, ProtocolException, InterruptedException {
-        RawResponse answer =
-                calls.post(
+        RawResponse response =
+                http.post(
                         address,
                         CHANGES_PATH,
                         submission,
                         CALL_TIMEOUT,
                         ResourceCodec.MAX_PAGE_BYTES);
-        return switch (answer.status()) {
+        return switch (response.status()) {
             case OK ->
                     Optional.of(
-                            new PublishResult.Accepted(ResourceCodec.readPosition(answer.body())));
-            case BAD_REQUEST -> Optional.of(new PublishResult.Rejected(errors(answer.body())));
-            case BoundedHttpClient.TOO_LARGE ->
-                    Optional.of(
-                            new PublishResult.Rejected(
-                                    List.of(
-                                            new FieldError(
-                                                    "the submission",
-                                                    submission.length + " bytes",
-                                                    ResourceCodec.MAX_SUBMISSION_BYTES
-                                                            + " bytes at most"))));
+                            new PublishResult.Accepted(
+                                    ResourceCodec.readPosition(response.body())));
+            case BAD_REQUEST -> Optional.of(new PublishResult.Rejected(errorsOf(response.body())));
+            case TOO_LARGE ->
+                    Optional.of(new PublishResult.Rejected(List.of(tooLarge(submission))));
             default -> Optional.empty();
         };
     }
 
-    private static List<FieldError> errors(byte[] body) {
+    private static FieldError tooLarge(byte[] submission) {
+        return new FieldError(
+                "the submission",
+                submission.length + " bytes",
+                ResourceCodec.MAX_SUBMISSION_BYTES + " bytes at most");
+    }
+
+    private static List<FieldError> errorsOf(byte[] body) {
         try {
             return ResourceCodec.readErrors(body);
         } catch (ProtocolException e) {
@@ -116,18 +143,26 @@
         }
     }
 
-    /** What one process tells of itself. */
+    /**
+     * Reads the status of one process.
+     *
+     * @throws IOException if it doesn't respond, or with another status than 200
+     */
     public ProcessStatus status(Address address) throws IOException, InterruptedException {
-        RawResponse answer =
-                calls.get(address, "/control/v1/status", CALL_TIMEOUT, MAX_STATUS_BYTES);
-        if (answer.status() != OK) {
-            throw new IOException("status " + answer.status());
+        RawResponse response = http.get(address, STATUS_PATH, CALL_TIMEOUT, MAX_STATUS_BYTES);
+        if (response.status() != OK) {
+            throw new IOException("status " + response.status());
         }
-        return ProcessStatus.read(answer.body());
+        return ProcessStatus.read(response.body());
     }
 
     /**
-     * A page of the state of one service with its servers and routes, and of what belongs to none.
+     * Reads a snapshot page of one service with its servers and routes, and of the resources that
+     * belong to no service.
+     *
+     * @param first the position of the first page; empty if this is the first page
+     * @param from the first key of the page; empty for the first page
+     * @throws ControlCallException if no process responds with a page
      */
     public SnapshotPage snapshot(
             String service, Optional<LogPosition> first, Optional<ResourceKey> from)
@@ -135,63 +170,61 @@
         String query =
                 "?services="
                         + service
-                        + first.map(at -> "&log=" + at.log()).orElse("")
+                        + first.map(position -> "&log=" + position.log()).orElse("")
                         + from.map(key -> "&from=" + key.path()).orElse("");
-        RawResponse answer = ask("/control/v1/snapshot" + query, SNAPSHOT_TIMEOUT);
-        if (answer.status() != OK) {
-            throw new ControlCallException("a snapshot is answered by status " + answer.status());
+        RawResponse response = getFromAny(SNAPSHOT_PATH + query, SNAPSHOT_TIMEOUT);
+        if (response.status() != OK) {
+            throw new ControlCallException("snapshot call failed: status " + response.status());
         }
         try {
-            return ResourceCodec.readSnapshotPage(answer.body());
+            return ResourceCodec.readSnapshotPage(response.body());
         } catch (ProtocolException e) {
             throw new ControlCallException(e.getMessage());
         }
     }
 
-    /** The changes of one service that are there by now; empty if a snapshot is needed. */
+    /**
+     * Reads the changes of one service after a position, without waiting for any; empty if a
+     * snapshot has to be taken.
+     *
+     * @throws ControlCallException if no process responds with a page
+     */
     public Optional<ChangePage> changes(String service, LogPosition after)
             throws ControlCallException, InterruptedException {
-        RawResponse answer =
-                ask(
-                        CHANGES_PATH
-                                + "?services="
-                                + service
-                                + "&log="
-                                + after.log()
-                                + "&after="
-                                + after.version(),
-                        CALL_TIMEOUT);
-        if (answer.status() == GONE) {
+        String query = "?services=" + service + "&log=" + after.log() + "&after=" + after.version();
+        RawResponse response = getFromAny(CHANGES_PATH + query, CALL_TIMEOUT);
+        if (response.status() == GONE) {
             return Optional.empty();
         }
-        if (answer.status() != OK) {
-            throw new ControlCallException("changes are answered by status " + answer.status());
+        if (response.status() != OK) {
+            throw new ControlCallException("changes call failed: status " + response.status());
         }
         try {
-            return Optional.of(ResourceCodec.readChangePage(answer.body()));
+            return Optional.of(ResourceCodec.readChangePage(response.body()));
         } catch (ProtocolException e) {
             throw new ControlCallException(e.getMessage());
         }
     }
 
-    // Of the first process that answers with anything but that it can't now.
-    private RawResponse ask(String path, Duration within)
+    // The response of the first process that is available.
+    private RawResponse getFromAny(String path, Duration timeout)
             throws ControlCallException, InterruptedException {
-        String reason = "";
+        String failure = "";
         for (int i = 0; i < addresses.size(); i++) {
-            int at = (preferred + i) % addresses.size();
+            int index = (preferred + i) % addresses.size();
+            Address address = addresses.get(index);
             try {
-                RawResponse answer =
-                        calls.get(addresses.get(at), path, within, ResourceCodec.MAX_PAGE_BYTES);
-                if (answer.status() != BoundedHttpClient.UNAVAILABLE) {
-                    preferred = at;
-                    return answer;
+                RawResponse response =
+                        http.get(address, path, timeout, ResourceCodec.MAX_PAGE_BYTES);
+                if (response.status() != UNAVAILABLE) {
+                    preferred = index;
+                    return response;
                 }
-                reason = addresses.get(at) + ": status " + answer.status();
+                failure = address + ": status " + response.status();
             } catch (IOException e) {
-                reason = addresses.get(at) + ": " + e.getMessage();
+                failure = address + ": " + e.getMessage();
             }
         }
-        throw new ControlCallException(reason);
+        throw new ControlCallException(failure);
     }
 }
--- a/control/src/main/java/ottergauge/control/client/LimitedBodySubscriber.java
+++ b/control/src/main/java/ottergauge/control/client/LimitedBodySubscriber.java
@@ -10,51 +10,52 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.Flow.Subscription;
 
-/** Reads the body of an answer up to a bound; a longer one fails. */
+/** Collects a response body; fails if it exceeds a limit. */
 final class LimitedBodySubscriber implements BodySubscriber<byte[]> {
 
-    private final BodySubscriber<byte[]> whole = BodySubscribers.ofByteArray();
-    private final long most;
+    private final BodySubscriber<byte[]> delegate = BodySubscribers.ofByteArray();
+    private final long maxBytes;
     private Subscription subscription;
-    private long read;
+    private long receivedBytes;
 
-    private LimitedBodySubscriber(long most) {
-        this.most = most;
+    private LimitedBodySubscriber(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    static BodyHandler<byte[]> ofAtMost(long bytes) {
-        return head -> new LimitedBodySubscriber(bytes);
+    /** A handler that fails responses of more than this many bytes. */
+    static BodyHandler<byte[]> ofAtMost(long maxBytes) {
+        return responseInfo -> new LimitedBodySubscriber(maxBytes);
     }
 
     @Override
     public CompletionStage<byte[]> getBody() {
-        return whole.getBody();
+        return delegate.getBody();
     }
 
     @Override
     public void onSubscribe(Subscription subscribed) {
         subscription = subscribed;
-        whole.onSubscribe(subscribed);
+        delegate.onSubscribe(subscribed);
     }
 
     @Override
     public void onNext(List<ByteBuffer> parts) {
-        read += parts.stream().mapToLong(ByteBuffer::remaining).sum();
-        if (read > most) {
+        receivedBytes += parts.stream().mapToLong(ByteBuffer::remaining).sum();
+        if (receivedBytes > maxBytes) {
             subscription.cancel();
-            whole.onError(new IOException("the answer is longer than " + most + " bytes"));
+            delegate.onError(new IOException("response body exceeds " + maxBytes + " bytes"));
         } else {
-            whole.onNext(parts);
+            delegate.onNext(parts);
         }
     }
 
     @Override
     public void onError(Throwable failure) {
-        whole.onError(failure);
+        delegate.onError(failure);
     }
 
     @Override
     public void onComplete() {
-        whole.onComplete();
+        delegate.onComplete();
     }
 }
--- a/control/src/main/java/ottergauge/control/client/ProcessStatus.java
+++ b/control/src/main/java/ottergauge/control/client/ProcessStatus.java
@@ -8,16 +8,22 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.settings.JsonTree;
 
-/** What a control process tells of itself and of the nodes that call it. */
+/** The status of a control process and of the nodes that poll it. */
 public record ProcessStatus(
         String name, String role, LogPosition position, List<NodeStatus> nodes) {
 
-    /** What a node told last, and how long ago. */
+    /**
+     * A node's latest report.
+     *
+     * @param effectivePosition the position that is in effect at the node
+     * @param rejectedVersion the version that it rejected last; 0 for none
+     * @param reportAgeMs milliseconds since the report
+     */
     public record NodeStatus(
             String name,
             String region,
-            LogPosition effectiveVersion,
-            long refused,
+            LogPosition effectivePosition,
+            long rejectedVersion,
             long reportAgeMs) {}
 
     static ProcessStatus read(byte[] body) throws IOException {
@@ -33,7 +39,7 @@
         return new ProcessStatus(
                 text(tree, "name"),
                 text(tree, "role"),
-                new LogPosition(text(tree, "log"), whole(tree, "version")),
+                new LogPosition(text(tree, "log"), integer(tree, "version")),
                 nodes);
     }
 
@@ -41,16 +47,16 @@
         return new NodeStatus(
                 text(fields, "name"),
                 text(fields, "region"),
-                new LogPosition(text(fields, "log"), whole(fields, "in_force")),
-                whole(fields, "refused"),
-                whole(fields, "heard_ms"));
+                new LogPosition(text(fields, "log"), integer(fields, "in_force")),
+                integer(fields, "refused"),
+                integer(fields, "heard_ms"));
     }
 
     private static String text(Map<?, ?> fields, String key) {
         return fields.get(key) instanceof String text ? text : "";
     }
 
-    private static long whole(Map<?, ?> fields, String key) {
+    private static long integer(Map<?, ?> fields, String key) {
         return fields.get(key) instanceof Double number ? number.longValue() : 0;
     }
 }
--- a/control/src/main/java/ottergauge/control/client/PublishResult.java
+++ b/control/src/main/java/ottergauge/control/client/PublishResult.java
@@ -5,18 +5,20 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 
-/** What became of a submission that was published. */
+/** The result of publishing a submission. */
 public sealed interface PublishResult {
 
-    /** It can't be lost any more. */
+    /** The submission is committed as the change of this position. */
     record Accepted(LogPosition position) implements PublishResult {}
 
-    /** Nothing of it is taken, and won't be. */
+    /** The submission is invalid and was not applied; retrying it is of no use. */
     record Rejected(List<FieldError> errors) implements PublishResult {}
 
     /**
-     * It was not accepted in time, or is not known to be; it may be published again under the same
-     * id.
+     * The submission was not committed in time, or is not known to be; it may be retried under the
+     * same id.
+     *
+     * @param reason the last failure, in one line
      */
     record Unknown(String reason) implements PublishResult {}
 }
--- a/control/src/main/java/ottergauge/control/config/ConfigException.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigException.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 import ottergauge.resources.FieldError;
 
-/** A configuration that isn't taken; carries all that is wrong with it. */
+/** An invalid configuration, with everything that is wrong with it. */
 public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
+++ b/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
@@ -11,14 +11,18 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * What a control process is told at its start.
+ * The configuration of a control process.
  *
- * @param publishWithinMs how long a submission may wait until it can't be lost any more
+ * @param name the process' name in its group
+ * @param listen the address of the HTTP server
+ * @param retention the changes that are retained for subscribers
+ * @param serverLimits limits of the HTTP server
+ * @param publishTimeoutMs the longest time in milliseconds until a submission is committed
  */
 public record ControlProcessConfig(
         String name,
         Address listen,
-        LogRetention logLimits,
+        LogRetention retention,
         ServerLimits serverLimits,
         long publishTimeoutMs) {
 
@@ -31,7 +35,11 @@
     private static final long MAX_DURATION_MS = 3_600_000;
     private static final long DEFAULT_PUBLISH_TIMEOUT_MS = 3_000;
 
-    /** Reads a configuration file's content. */
+    /**
+     * Reads the content of a configuration file.
+     *
+     * @throws ConfigException with everything that is wrong, unknown keys included
+     */
     public static ControlProcessConfig read(byte[] content) throws ConfigException {
         Map<String, Object> tree;
         try {
@@ -57,9 +65,9 @@
                 new ControlProcessConfig(
                         fields.name("name"),
                         fields.address("listen"),
-                        logLimits(fields),
+                        retention(fields),
                         serverLimits(fields),
-                        fields.whole(
+                        fields.integer(
                                 "publish_within_ms",
                                 MIN_DURATION_MS,
                                 MAX_DURATION_MS,
@@ -68,28 +76,33 @@
         return config;
     }
 
-    private static LogRetention logLimits(ConfigObjectReader fields) {
-        LogRetention absent = LogRetention.DEFAULT;
+    private static LogRetention retention(ConfigObjectReader fields) {
+        LogRetention defaults = LogRetention.DEFAULT;
         return new LogRetention(
-                (int) fields.whole("kept_changes", 1, MAX_RETAINED_CHANGES, absent.maxChanges()),
-                fields.whole("kept_bytes", 1, MAX_RETAINED_BYTES, absent.maxBytes()));
+                (int)
+                        fields.integer(
+                                "kept_changes", 1, MAX_RETAINED_CHANGES, defaults.maxChanges()),
+                fields.integer("kept_bytes", 1, MAX_RETAINED_BYTES, defaults.maxBytes()));
     }
 
     private static ServerLimits serverLimits(ConfigObjectReader fields) {
-        ServerLimits absent = ServerLimits.DEFAULT;
+        ServerLimits defaults = ServerLimits.DEFAULT;
         return new ServerLimits(
-                (int) fields.whole("connections", 1, MAX_CONNECTIONS, absent.maxConnections()),
-                (int) fields.whole("waiting_polls", 1, MAX_CONNECTIONS, absent.maxPendingPolls()),
-                fields.whole(
+                (int) fields.integer("connections", 1, MAX_CONNECTIONS, defaults.maxConnections()),
+                (int)
+                        fields.integer(
+                                "waiting_polls", 1, MAX_CONNECTIONS, defaults.maxPendingPolls()),
+                fields.integer(
                         "snapshot_bytes_per_second",
                         MIN_BYTES_PER_SECOND,
                         MAX_BYTES_PER_SECOND,
-                        absent.snapshotBytesPerSecond()),
-                fields.whole(
+                        defaults.snapshotBytesPerSecond()),
+                fields.integer(
                         "slow_reader_ms",
                         MIN_DURATION_MS,
                         MAX_DURATION_MS,
-                        absent.slowReaderTimeoutMs()),
-                fields.whole("idle_ms", MIN_DURATION_MS, MAX_DURATION_MS, absent.idleTimeoutMs()));
+                        defaults.slowReaderTimeoutMs()),
+                fields.integer(
+                        "idle_ms", MIN_DURATION_MS, MAX_DURATION_MS, defaults.idleTimeoutMs()));
     }
 }
--- a/control/src/main/java/ottergauge/control/config/ServerLimits.java
+++ b/control/src/main/java/ottergauge/control/config/ServerLimits.java
@@ -2,15 +2,15 @@
 package ottergauge.control.config;
 
 /**
- * Bounds of the HTTP server.
+ * Limits of the HTTP server.
  *
- * @param connections connections that are open at once
- * @param waitingPolls calls for changes that wait at once
- * @param snapshotBytesPerSecond the rate at which pages of snapshots are written, those of all
- *     nodes together
- * @param slowReaderMs how long a client may take to read an answer
- * @param idleMs how long a connection may be open with no call on it, and a call may take to come
- *     in whole
+ * @param maxConnections open connections
+ * @param maxPendingPolls pending long polls
+ * @param snapshotBytesPerSecond the rate at which snapshot pages are written to all nodes together,
+ *     in bytes a second
+ * @param slowReaderTimeoutMs the longest time in milliseconds for a client to read a response
+ * @param idleTimeoutMs the longest time in milliseconds that a connection may be without a complete
+ *     request
  */
 public record ServerLimits(
         int maxConnections,
@@ -19,6 +19,7 @@
         long slowReaderTimeoutMs,
         long idleTimeoutMs) {
 
+    /** Limits unless the configuration says otherwise. */
     public static final ServerLimits DEFAULT =
             new ServerLimits(8_192, 4_096, 20_000_000, 10_000, 60_000);
 }
--- a/control/src/main/java/ottergauge/control/config/package-info.java
+++ b/control/src/main/java/ottergauge/control/config/package-info.java
@@ -1,4 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/** The configuration of a control process, read from JSON and checked whole. */
+/**
+ * The configuration file of a control process. {@link
+ * ottergauge.control.config.ControlProcessConfig} is the validated configuration, {@code
+ * ConfigObjectReader} reads and validates the keys of a JSON object, and {@link
+ * ottergauge.control.config.ConfigException} carries everything that is wrong.
+ */
 package ottergauge.control.config;
--- a/control/src/main/java/ottergauge/control/consensus/Consensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/Consensus.java
@@ -7,24 +7,24 @@
 import ottergauge.resources.Submission;
 
 /**
- * Orders submissions and has them applied to the {@link SharedLog}, in the same order at each
- * process.
+ * Orders submissions and applies them to the {@link SharedLog}, in the same order at each process.
  */
 public interface Consensus extends AutoCloseable {
 
     /**
-     * Asks for a change. The future has the outcome once it can't be lost any more, and within a
-     * bounded time; it fails with {@link NoQuorumException} if that isn't reached or isn't known to
-     * be.
+     * Proposes a submission. The future completes within a bounded time: with the outcome once it
+     * is durable, or exceptionally with {@link NoQuorumException} if it is not committed or not
+     * known to be. It may complete on any thread.
      */
     CompletableFuture<SubmissionOutcome> propose(Submission submission);
 
+    /** The role of this process in its group. */
     Role role();
 
-    /** The name of the process that orders submissions, if one is known. */
+    /** The name of the leader, if one is known. */
     Optional<String> leader();
 
-    /** Takes no further part; what was proposed and is not decided by now fails. */
+    /** Leaves the group; pending proposals fail. */
     @Override
     void close();
 }
--- a/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
@@ -10,7 +10,7 @@
 import ottergauge.resources.Submission;
 
 /**
- * One process that agrees with itself and keeps nothing: each start begins another log. For trials,
+ * The consensus of a single process that stores nothing: each start begins a new log. For trials,
  * and where all state can be published again.
  */
 public final class InMemoryConsensus implements Consensus {
@@ -18,11 +18,15 @@
     private final String name;
     private final SharedLog log;
 
-    /** Begins a new log. */
-    public InMemoryConsensus(String name, SharedLog log, LogRetention limits) {
+    /**
+     * Begins a new log with a random identifier.
+     *
+     * @param name the process' name
+     */
+    public InMemoryConsensus(String name, SharedLog log, LogRetention retention) {
         this.name = name;
         this.log = log;
-        log.replace(new ChangeLog(UUID.randomUUID().toString(), limits));
+        log.replace(new ChangeLog(UUID.randomUUID().toString(), retention));
     }
 
     @Override
@@ -42,6 +46,6 @@
 
     @Override
     public void close() {
-        // Nothing is kept and nothing waits.
+        // There is nothing stored and nothing pending.
     }
 }
--- a/control/src/main/java/ottergauge/control/consensus/Role.java
+++ b/control/src/main/java/ottergauge/control/consensus/Role.java
@@ -3,20 +3,20 @@
 
 import java.util.Locale;
 
-/** What a control process is among those of its group. */
+/** The role of a control process in its group. */
 public enum Role {
-    /** Orders the submissions of all. */
+    /** Orders all submissions. */
     LEADER,
     /** Votes, and forwards submissions to the leader. */
     FOLLOWER,
-    /** A voter that knows of no leader. */
+    /** A voter that knows no leader. */
     CANDIDATE,
-    /** Takes all changes and has no vote. */
+    /** Replicates the log without a vote. */
     LISTENER,
-    /** Doesn't take part yet. */
+    /** Has not joined the group yet. */
     STARTING;
 
-    /** The role's name in messages. */
+    /** The name of the role in the JSON of the status call. */
     public String wireName() {
         return name().toLowerCase(Locale.ROOT);
     }
--- a/control/src/main/java/ottergauge/control/consensus/SharedLog.java
+++ b/control/src/main/java/ottergauge/control/consensus/SharedLog.java
@@ -13,65 +13,65 @@
 import ottergauge.resources.Subscription;
 
 /**
- * The log of this process, for the thread that applies changes and the one that answers calls.
- * There is none before the group has begun one; another may take its place when a newer state is
- * installed.
+ * The log of this process, guarded between the thread that applies changes and the one that serves
+ * requests. There is none before the group has begun one; it is replaced when a newer snapshot is
+ * installed. The listener is called without the lock.
  */
 public final class SharedLog {
 
     private ChangeLog log;
     private Runnable listener = () -> {};
 
-    /** The handler is called after each change of the log, by the thread that made it. */
-    public synchronized void onChange(Runnable handler) {
-        listener = handler;
+    /** Sets the listener that is called after each change, on the thread that made it. */
+    public synchronized void onChange(Runnable changeListener) {
+        listener = changeListener;
     }
 
-    /** Begins with a log, or goes over to another one. */
-    public void replace(ChangeLog other) {
-        Runnable told;
+    /** Installs a first log, or replaces the current one. */
+    public void replace(ChangeLog replacement) {
+        Runnable toNotify;
         synchronized (this) {
-            log = other;
-            told = listener;
+            log = replacement;
+            toNotify = listener;
         }
-        told.run();
+        toNotify.run();
     }
 
-    /** Applies a submission; there has to be a log. */
+    /** Applies a submission to the log, which has to be installed. */
     public SubmissionOutcome apply(Submission submission) {
         SubmissionOutcome outcome;
-        Runnable told;
+        Runnable toNotify;
         synchronized (this) {
             outcome = log.apply(submission);
-            told = listener;
+            toNotify = listener;
         }
-        told.run();
+        toNotify.run();
         return outcome;
     }
 
-    /** Where the log is; empty as long as there is none. */
+    /** The position of the log; empty if none is installed. */
     public synchronized Optional<LogPosition> position() {
         return Optional.ofNullable(log).map(ChangeLog::position);
     }
 
-    /** The oldest change that is kept; there has to be a log. */
+    /** The oldest retained version of the log, which has to be installed. */
     public synchronized long oldest() {
         return log.oldest();
     }
 
-    /** See {@link ChangeLog#changesAfter}; there has to be a log. */
+    /** See {@link ChangeLog#changesAfter}; a log has to be installed. */
     public synchronized PollResponse changesAfter(
             LogPosition after, Subscription subscription, int maxBytes) {
         return log.changesAfter(after, subscription, maxBytes);
     }
 
-    /** See {@link ChangeLog#snapshot}; there has to be a log. */
+    /** See {@link ChangeLog#snapshot}; a log has to be installed. */
     public synchronized EncodedSnapshot snapshot(
             Optional<ResourceKey> from, Subscription subscription, int maxBytes) {
         return log.snapshot(from, subscription, maxBytes);
     }
 
-    /** What the log holds now; empty as long as there is none. */
+    /** A snapshot of the log; empty if none is installed. */
     public synchronized Optional<LogSnapshot> capture() {
         return Optional.ofNullable(log).map(ChangeLog::capture);
     }
--- a/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
+++ b/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
@@ -4,48 +4,56 @@
 import java.io.IOException;
 import java.time.Duration;
 import ottergauge.control.client.BoundedHttpClient;
-import ottergauge.control.client.BoundedHttpClient.RawResponse;
+import ottergauge.control.client.RawResponse;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.Headers;
 import ottergauge.protocol.ProtocolException;
 
-/** Follows discovery's list by a watch: whole at first, then what has changed. */
+/**
+ * Watches discovery's endpoint list by long polls: the full list first, then its changes. Blocking;
+ * not thread-safe.
+ */
 public final class DiscoveryClient {
 
     private static final int OK = 200;
     private static final long WAIT_MS = 5_000;
-    private static final Duration CALL_TIMEOUT = Duration.ofMillis(WAIT_MS + 5_000);
+    private static final long RESPONSE_MARGIN_MS = 5_000;
+    private static final Duration CALL_TIMEOUT = Duration.ofMillis(WAIT_MS + RESPONSE_MARGIN_MS);
     private static final long MAX_LIST_BYTES = 32L << 20;
     private static final long NO_VERSION = -1;
 
-    private final BoundedHttpClient calls = new BoundedHttpClient();
+    private final BoundedHttpClient http = new BoundedHttpClient();
     private final Address address;
     private long version = NO_VERSION;
 
+    /** Creates a client that reads the full list first. */
     public DiscoveryClient(Address address) {
         this.address = address;
     }
 
     /**
-     * Asks for what has changed since the last call and waits some time for it; the list may be
-     * empty.
+     * Reads the full list, or the changes since the last call, for which it waits up to five
+     * seconds; the list of changes may be empty.
+     *
+     * @throws IOException if there is no response of status 200
+     * @throws ProtocolException if the response is malformed, or discovery's versions went back
      */
     public EndpointList next() throws IOException, ProtocolException, InterruptedException {
         String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + WAIT_MS;
-        RawResponse answer =
-                calls.get(address, Headers.LIST_PATH + query, CALL_TIMEOUT, MAX_LIST_BYTES);
-        if (answer.status() != OK) {
-            throw new IOException("discovery answers with status " + answer.status());
+        RawResponse response =
+                http.get(address, Headers.LIST_PATH + query, CALL_TIMEOUT, MAX_LIST_BYTES);
+        if (response.status() != OK) {
+            throw new IOException("discovery responded with status " + response.status());
         }
-        EndpointList list = EndpointList.read(answer.body());
+        EndpointList list = EndpointList.read(response.body());
         if (!list.whole() && list.version() < version) {
             version = NO_VERSION;
-            throw new ProtocolException(
-                    "discovery has begun its versions anew, it is asked for all");
+            throw new ProtocolException("discovery's versions went back, requesting the full list");
         }
         if (!list.whole() && version < 0) {
-            throw new ProtocolException("discovery was asked for all and told of changes only");
+            throw new ProtocolException(
+                    "discovery returned changes where the full list was requested");
         }
         version = list.version();
         return list;
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -25,95 +25,96 @@
 import ottergauge.resources.Submission;
 
 /**
- * The servers of one service as discovery lists them and as the log has them, and the submissions
- * that make the log's like discovery's. Does no I/O. What costs is what differs: names that are
- * alike are looked at again only when either side tells of them.
+ * Compares the servers of one service as discovery lists them with those that the log has, and
+ * builds the submissions that make the log equal to discovery. Does no I/O. The cost is
+ * proportional to the changes of either side, not to the number of servers. Not thread-safe.
  */
 public final class ServiceReconciler {
 
-    /** Of one submission; well within the bounds of one. */
-    private static final int MAX_ENTRIES = 500;
+    /** Entries of a submission; below the limit of one. */
+    private static final int MAX_SUBMISSION_ENTRIES = 500;
 
-    private static final int MAX_BYTES = 192 * 1024;
+    private static final int MAX_SUBMISSION_BYTES = 192 * 1024;
 
-    /** A server's entry has little beside its value: kind and name. */
+    /** Upper bound of the bytes of a server's entry beside its value: kind and name. */
     private static final int ENTRY_OVERHEAD = 200;
 
-    private static final Pattern ENTRY_OF_FAULT = Pattern.compile("(put|delete)\\[(\\d+)\\].*");
+    private static final Pattern ENTRY_OF_ERROR = Pattern.compile("(put|delete)\\[(\\d+)\\].*");
 
     private final String service;
-    private final Map<String, DiscoveredEndpoint> listed = new HashMap<>();
+    private final Map<String, DiscoveredEndpoint> discovered = new HashMap<>();
     private final Map<String, DiscoveredEndpoint> published = new HashMap<>();
 
-    /** Values that were refused: not published again until they change. */
-    private final Map<String, DiscoveredEndpoint> refused = new HashMap<>();
+    /** Values that the log rejected: not published again until they change. */
+    private final Map<String, DiscoveredEndpoint> rejected = new HashMap<>();
 
-    /** The names of which the two sides may differ. */
-    private final Set<String> toCompare = new LinkedHashSet<>();
+    /** The names for which the two sides may differ. */
+    private final Set<String> dirtyNames = new LinkedHashSet<>();
 
     private boolean serviceExists;
 
-    /** Whether discovery was heard: before, its list is not known to be empty. */
-    private boolean heard;
+    /** Whether discovery's full list was applied; before that, a missing name means nothing. */
+    private boolean hasFullList;
 
+    /** Creates a reconciler that has neither a list nor a snapshot. */
     public ServiceReconciler(String service) {
         this.service = service;
     }
 
-    /** Takes discovery's list, or what has changed in it. */
-    public void takeList(EndpointList list) {
-        heard |= list.whole();
+    /** Applies discovery's full list, or changes of it. */
+    public void applyDiscoveryList(EndpointList list) {
+        hasFullList |= list.whole();
         if (list.whole()) {
-            listed.clear();
-            toCompare.addAll(published.keySet());
+            discovered.clear();
+            dirtyNames.addAll(published.keySet());
         }
-        for (DiscoveredEndpoint host : list.endpoints()) {
-            toCompare.add(host.name());
-            if (host.state() == EndpointState.REMOVED) {
-                listed.remove(host.name());
+        for (DiscoveredEndpoint endpoint : list.endpoints()) {
+            dirtyNames.add(endpoint.name());
+            if (endpoint.state() == EndpointState.REMOVED) {
+                discovered.remove(endpoint.name());
             } else {
-                listed.put(host.name(), host);
+                discovered.put(endpoint.name(), endpoint);
             }
         }
     }
 
-    /** Takes what the log has, whole. */
-    public void takeState(List<Resource> resources) {
+    /** Replaces what the log has by the resources of a snapshot. */
+    public void resetPublished(List<Resource> resources) {
         published.clear();
-        refused.clear();
+        rejected.clear();
         serviceExists = false;
         for (Resource resource : resources) {
-            takePut(resource.key(), resource.value());
+            applyPut(resource.key(), resource.value());
         }
-        toCompare.addAll(published.keySet());
-        toCompare.addAll(listed.keySet());
+        dirtyNames.addAll(published.keySet());
+        dirtyNames.addAll(discovered.keySet());
     }
 
-    /** Takes a change of the log, whoever made it. */
-    public void takeChange(Change change) {
+    /** Applies a change of the log, whoever published it. */
+    public void applyChange(Change change) {
         for (Change.Delete delete : change.deletes()) {
-            takeDelete(delete.key());
+            applyDelete(delete.key());
         }
         for (Change.Put put : change.puts()) {
-            takePut(put.key(), put.value());
+            applyPut(put.key(), put.value());
         }
     }
 
-    private void takePut(ResourceKey key, ResourceValue value) {
+    private void applyPut(ResourceKey key, ResourceValue value) {
         if (key.equals(serviceKey())) {
             serviceExists = true;
         } else if (value instanceof ResourceValue.Server server
                 && server.service().equals(service)) {
             published.put(key.name(), server.endpoint());
-            toCompare.add(key.name());
+            dirtyNames.add(key.name());
         }
     }
 
-    private void takeDelete(ResourceKey key) {
+    private void applyDelete(ResourceKey key) {
         if (key.equals(serviceKey())) {
             serviceExists = false;
         } else if (key.kind() == ResourceKind.SERVER && published.remove(key.name()) != null) {
-            toCompare.add(key.name());
+            dirtyNames.add(key.name());
         }
     }
 
@@ -122,20 +123,36 @@
     }
 
     /**
-     * What has to be published next under this id; empty if the two are alike, or discovery wasn't
-     * heard.
+     * Builds the next submission.
+     *
+     * @param id the submission's id
+     * @return empty if the two sides are equal, or discovery's full list was not applied yet
      */
-    public Optional<Submission> next(String id) {
-        if (!heard) {
+    public Optional<Submission> nextSubmission(String id) {
+        if (!hasFullList) {
             return Optional.empty();
         }
         List<Change.Put> puts = new ArrayList<>();
         List<ResourceKey> deletes = new ArrayList<>();
+        collectDifferences(puts, deletes);
+        if (puts.isEmpty() && deletes.isEmpty()) {
+            return Optional.empty();
+        }
+        if (!serviceExists) {
+            puts.add(0, new Change.Put(serviceKey(), new ResourceValue.Service("")));
+        }
+        return Optional.of(new Submission(id, puts, deletes));
+    }
+
+    // Names stay dirty until the outcome of the submission is known.
+    private void collectDifferences(List<Change.Put> puts, List<ResourceKey> deletes) {
         int bytes = 0;
-        Iterator<String> names = toCompare.iterator();
-        while (names.hasNext() && puts.size() + deletes.size() < MAX_ENTRIES && bytes < MAX_BYTES) {
+        Iterator<String> names = dirtyNames.iterator();
+        while (names.hasNext()
+                && puts.size() + deletes.size() < MAX_SUBMISSION_ENTRIES
+                && bytes < MAX_SUBMISSION_BYTES) {
             String name = names.next();
-            DiscoveredEndpoint wanted = listed.get(name);
+            DiscoveredEndpoint wanted = discovered.get(name);
             if (wanted == null ? !published.containsKey(name) : isSettled(name, wanted)) {
                 names.remove();
             } else if (wanted == null) {
@@ -150,22 +167,16 @@
                 bytes += ENTRY_OVERHEAD + ResourceCodec.write(put.value()).length;
             }
         }
-        if (puts.isEmpty() && deletes.isEmpty()) {
-            return Optional.empty();
-        }
-        if (!serviceExists) {
-            puts.add(0, new Change.Put(serviceKey(), new ResourceValue.Service("")));
-        }
-        return Optional.of(new Submission(id, puts, deletes));
     }
 
     private boolean isSettled(String name, DiscoveredEndpoint wanted) {
-        return wanted.equals(published.get(name)) || wanted.equals(refused.get(name));
+        return wanted.equals(published.get(name)) || wanted.equals(rejected.get(name));
     }
 
     /**
-     * What is wrong with servers of the list that can't be published; they are left out from now
-     * on.
+     * Validates the entries of a submission and skips the malformed ones from now on.
+     *
+     * @return what is wrong with them; empty if the submission may be published
      */
     public List<FieldError> rejectMalformed(Submission submission) {
         List<FieldError> errors = new ArrayList<>();
@@ -174,46 +185,46 @@
             error.ifPresent(
                     found -> {
                         errors.add(found);
-                        refuse(put);
+                        markRejected(put);
                     });
         }
         return errors;
     }
 
-    /** The log has refused a submission: what its faults name is left out from now on. */
-    public void refuse(Submission submission, List<FieldError> errors) {
-        boolean named = false;
+    /** The log rejected a submission: the entries that its errors name are skipped from now on. */
+    public void markRejected(Submission submission, List<FieldError> errors) {
+        boolean entryFound = false;
         for (FieldError error : errors) {
-            Matcher entry = ENTRY_OF_FAULT.matcher(error.key());
+            Matcher entry = ENTRY_OF_ERROR.matcher(error.key());
             if (!entry.matches()) {
                 continue;
             }
             int index = Integer.parseInt(entry.group(2));
             if (entry.group(1).equals("put") && index < submission.puts().size()) {
-                refuse(submission.puts().get(index));
-                named = true;
+                markRejected(submission.puts().get(index));
+                entryFound = true;
             } else if (entry.group(1).equals("delete") && index < submission.deletes().size()) {
                 published.remove(submission.deletes().get(index).name());
-                named = true;
+                entryFound = true;
             }
         }
-        if (!named) {
-            submission.puts().forEach(this::refuse);
+        if (!entryFound) {
+            submission.puts().forEach(this::markRejected);
             submission.deletes().forEach(key -> published.remove(key.name()));
         }
     }
 
-    private void refuse(Change.Put put) {
+    private void markRejected(Change.Put put) {
         if (put.value() instanceof ResourceValue.Server server) {
-            refused.put(put.key().name(), server.endpoint());
+            rejected.put(put.key().name(), server.endpoint());
         } else {
             serviceExists = true;
         }
     }
 
-    /** The log has accepted a submission. */
-    public void accepted(Submission submission) {
-        takeChange(
+    /** The log accepted a submission. */
+    public void markAccepted(Submission submission) {
+        applyChange(
                 new Change(
                         1,
                         submission.puts(),
--- a/control/src/main/java/ottergauge/control/discovery/package-info.java
+++ b/control/src/main/java/ottergauge/control/discovery/package-info.java
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * Brings a list of servers that discovery keeps into the log: follows it and publishes what
- * differs.
+ * Imports discovery's endpoint list into the log. {@link
+ * ottergauge.control.discovery.DiscoveryClient} watches the list; {@link
+ * ottergauge.control.discovery.ServiceReconciler} compares it with the log's servers of one service
+ * and builds the submissions that remove the differences.
  */
 package ottergauge.control.discovery;
--- a/control/src/main/java/ottergauge/control/program/AddressConverter.java
+++ b/control/src/main/java/ottergauge/control/program/AddressConverter.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads addresses on the command line. */
+/** Parses addresses on the command line. */
 final class AddressConverter implements ITypeConverter<Address> {
 
     @Override
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -34,7 +34,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Keeps a service's servers in the log like discovery's list, until it is told to stop. */
+/** Keeps a service's servers in the log equal to discovery's list, until SIGTERM. */
 @Command(
         name = "import",
         mixinStandardHelpOptions = true,
@@ -86,8 +86,8 @@
     private DiscoveryClient discovery;
     private ServiceReconciler reconciler;
 
-    /** Up to where the log is known; empty if its state has to be taken anew. */
-    private Optional<LogPosition> known = Optional.empty();
+    /** Up to where the log was read; empty if a snapshot has to be taken. */
+    private Optional<LogPosition> readUpTo = Optional.empty();
 
     @Override
     public Integer call() throws InterruptedException {
@@ -99,40 +99,40 @@
         control = new ControlClient(addresses);
         discovery = new DiscoveryClient(discoveryAddress);
         reconciler = new ServiceReconciler(service);
-        LOG.info("imports the servers of {} from {}", service, discoveryAddress);
+        LOG.info("importing servers of service {} from discovery at {}", service, discoveryAddress);
         while (true) {
             try {
                 followLog();
-                reconciler.takeList(discovery.next());
+                reconciler.applyDiscoveryList(discovery.next());
                 followLog();
                 publishDifferences();
             } catch (IOException | ProtocolException | ControlCallException e) {
-                LOG.warn("goes on in a moment: {}", e.getMessage());
+                LOG.warn("import failed, retrying: {}", e.getMessage());
                 Thread.sleep(RETRY_PAUSE_MS);
             }
         }
     }
 
-    // What others have published, or that the log has begun anew.
+    // Reads the changes of all publishers, or a snapshot if the log was replaced.
     private void followLog() throws ControlCallException, InterruptedException {
-        while (known.isPresent()) {
-            Optional<ChangePage> page = control.changes(service, known.get());
+        while (readUpTo.isPresent()) {
+            Optional<ChangePage> page = control.changes(service, readUpTo.get());
             if (page.isEmpty()) {
-                known = Optional.empty();
+                readUpTo = Optional.empty();
                 break;
             }
-            page.get().changes().forEach(reconciler::takeChange);
+            page.get().changes().forEach(reconciler::applyChange);
             boolean last = page.get().changes().isEmpty();
-            known = Optional.of(page.get().upTo());
+            readUpTo = Optional.of(page.get().upTo());
             if (last) {
                 return;
             }
         }
-        takeState();
+        takeSnapshot();
     }
 
-    // The changes after the first page follow with the next call for changes.
-    private void takeState() throws ControlCallException, InterruptedException {
+    // Changes that came while the pages were read follow with the next call for changes.
+    private void takeSnapshot() throws ControlCallException, InterruptedException {
         List<Resource> resources = new ArrayList<>();
         Optional<LogPosition> first = Optional.empty();
         Optional<ResourceKey> from = Optional.empty();
@@ -142,50 +142,50 @@
             first = Optional.of(first.orElse(page.at()));
             from = page.next();
         } while (from.isPresent());
-        reconciler.takeState(resources);
-        known = first;
+        reconciler.resetPublished(resources);
+        readUpTo = first;
     }
 
     private void publishDifferences() throws ControlCallException, InterruptedException {
-        Optional<Submission> next = reconciler.next(UUID.randomUUID().toString());
+        Optional<Submission> next = reconciler.nextSubmission(UUID.randomUUID().toString());
         while (next.isPresent()) {
-            long begun = System.nanoTime();
+            long startedNanos = System.nanoTime();
             List<FieldError> malformed = reconciler.rejectMalformed(next.get());
             if (malformed.isEmpty()) {
                 publish(next.get());
-                long spentMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
-                Thread.sleep(Math.max(0, intervalMs - spentMs));
+                long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
+                Thread.sleep(Math.max(0, intervalMs - elapsedMs));
             } else {
-                tell(malformed);
+                logSkipped(malformed);
             }
-            next = reconciler.next(UUID.randomUUID().toString());
+            next = reconciler.nextSubmission(UUID.randomUUID().toString());
         }
     }
 
     private void publish(Submission submission) throws ControlCallException, InterruptedException {
         PublishResult result = control.publish(ResourceCodec.write(submission), PUBLISH_TIMEOUT);
         if (result instanceof PublishResult.Accepted accepted) {
-            reconciler.accepted(submission);
+            reconciler.markAccepted(submission);
             LOG.info(
-                    "version {}: {} put, {} deleted",
+                    "published version {}: {} put, {} deleted",
                     accepted.position().version(),
                     submission.puts().size(),
                     submission.deletes().size());
-        } else if (result instanceof PublishResult.Rejected refused) {
-            tell(refused.errors());
-            reconciler.refuse(submission, refused.errors());
+        } else if (result instanceof PublishResult.Rejected rejected) {
+            logSkipped(rejected.errors());
+            reconciler.markRejected(submission, rejected.errors());
         } else if (result instanceof PublishResult.Unknown unknown) {
-            known = Optional.empty();
+            readUpTo = Optional.empty();
             throw new ControlCallException(
-                    "a change is not known to be accepted, the log is read anew: "
+                    "submission not known to be committed, reading the log again: "
                             + unknown.reason());
         }
     }
 
-    private static void tell(List<FieldError> errors) {
-        errors.stream().limit(MAX_LOGGED_ERRORS).forEach(error -> LOG.warn("left out: {}", error));
+    private static void logSkipped(List<FieldError> errors) {
+        errors.stream().limit(MAX_LOGGED_ERRORS).forEach(error -> LOG.warn("skipped: {}", error));
         if (errors.size() > MAX_LOGGED_ERRORS) {
-            LOG.warn("left out: {} more", errors.size() - MAX_LOGGED_ERRORS);
+            LOG.warn("skipped: {} more", errors.size() - MAX_LOGGED_ERRORS);
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/program/Main.java
+++ b/control/src/main/java/ottergauge/control/program/Main.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line: runs a control process, and speaks to those that run. */
+/** The command line: runs a control process, or calls running ones. */
 @Command(
         name = "ottergauge-control",
         mixinStandardHelpOptions = true,
@@ -24,6 +24,7 @@
 
     @Spec private CommandSpec spec;
 
+    /** Runs a command; exits with its exit code. */
     public static void main(String[] args) {
         System.exit(new CommandLine(new Main()).execute(args));
     }
@@ -33,7 +34,7 @@
         throw new ParameterException(spec.commandLine(), "a command is needed");
     }
 
-    /** Takes the version from the jar's manifest. */
+    /** Reads the version from the jar's manifest. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
--- a/control/src/main/java/ottergauge/control/program/PublishCommand.java
+++ b/control/src/main/java/ottergauge/control/program/PublishCommand.java
@@ -9,15 +9,16 @@
 import java.util.concurrent.Callable;
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.PublishResult;
-import ottergauge.control.program.SubmissionFile.Part;
+import ottergauge.control.program.SubmissionFile.Batch;
 import ottergauge.protocol.Address;
+import ottergauge.resources.LogPosition;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Publishes what a file says. */
+/** Publishes the submission in a file. */
 @Command(
         name = "publish",
         mixinStandardHelpOptions = true,
@@ -61,41 +62,37 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        List<Part> parts;
+        List<Batch> batches;
         try {
-            SubmissionFile read = SubmissionFile.read(file);
-            parts = split ? read.split() : List.of(read.whole());
+            SubmissionFile submissionFile = SubmissionFile.read(file);
+            batches = split ? submissionFile.split() : List.of(submissionFile.asOneSubmission());
         } catch (IOException e) {
             spec.commandLine().getErr().println(file + " can't be read: " + e.getMessage());
             return 1;
         }
         ControlClient client = new ControlClient(addresses);
-        for (Part part : parts) {
-            if (!tell(part, client.publish(part.body(), Duration.ofMillis(timeoutMs)))) {
+        for (Batch batch : batches) {
+            if (!report(batch, client.publish(batch.body(), Duration.ofMillis(timeoutMs)))) {
                 return 1;
             }
         }
         return 0;
     }
 
-    private boolean tell(Part part, PublishResult result) {
+    private boolean report(Batch batch, PublishResult result) {
+        PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
         if (result instanceof PublishResult.Accepted accepted) {
-            spec.commandLine()
-                    .getOut()
-                    .println(
-                            part.id()
-                                    + ": version "
-                                    + accepted.position().version()
-                                    + " of log "
-                                    + accepted.position().log());
+            LogPosition position = accepted.position();
+            out.println(
+                    batch.id() + ": version " + position.version() + " of log " + position.log());
             return true;
         }
-        if (result instanceof PublishResult.Rejected refused) {
-            refused.errors().forEach(error -> err.println(part.id() + " is refused: " + error));
+        if (result instanceof PublishResult.Rejected rejected) {
+            rejected.errors().forEach(error -> err.println(batch.id() + " is refused: " + error));
         } else if (result instanceof PublishResult.Unknown unknown) {
             err.println(
-                    part.id()
+                    batch.id()
                             + " is not known to be accepted, publish it again under this id: "
                             + unknown.reason());
         }
--- a/control/src/main/java/ottergauge/control/program/ReplicationLagTable.java
+++ b/control/src/main/java/ottergauge/control/program/ReplicationLagTable.java
@@ -13,25 +13,25 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * Who has which version in force, and by how much each is behind the newest one that any process
- * has.
+ * The effective version of each control process and node, and its replication lag in versions
+ * behind the newest position of any process.
  */
 final class ReplicationLagTable {
 
-    /** Of one that goes by another log, or by none. */
-    private static final long ANOTHER_LOG = Long.MAX_VALUE;
+    /** The lag of one that follows another log, or none. */
+    private static final long OTHER_LOG = Long.MAX_VALUE;
 
     private static final String FORMAT = "%-24s %-12s %-10s %12s %10s %10s %10s%n";
-    private static final long MS_PER_S = 1_000;
+    private static final long MILLIS_PER_SECOND = 1_000;
 
-    /** A process or a node. */
+    /** A process or a node; {@code reportAge} is formatted for display. */
     private record Row(
             String name,
             String region,
             String process,
-            LogPosition effectiveVersion,
-            long refused,
-            String heard) {}
+            LogPosition effectivePosition,
+            long rejectedVersion,
+            String reportAge) {}
 
     private final LogPosition newest;
     private final List<Row> rows;
@@ -41,79 +41,82 @@
         this.rows = rows;
     }
 
+    /** Builds the table; of several reports of a node, the youngest counts. */
     static ReplicationLagTable of(List<ProcessStatus> processes) {
         List<Row> rows = new ArrayList<>();
         Map<String, NodeStatus> nodes = new TreeMap<>();
-        Map<String, String> heardBy = new HashMap<>();
+        Map<String, String> reportedTo = new HashMap<>();
         for (ProcessStatus process : processes) {
             rows.add(
                     new Row(process.name(), "control", process.role(), process.position(), 0, "-"));
             for (NodeStatus node : process.nodes()) {
-                NodeStatus before = nodes.get(node.name());
-                if (before == null || node.reportAgeMs() < before.reportAgeMs()) {
+                NodeStatus known = nodes.get(node.name());
+                if (known == null || node.reportAgeMs() < known.reportAgeMs()) {
                     nodes.put(node.name(), node);
-                    heardBy.put(node.name(), process.name());
+                    reportedTo.put(node.name(), process.name());
                 }
             }
         }
-        nodes.values()
-                .forEach(
-                        node ->
-                                rows.add(
-                                        new Row(
-                                                node.name(),
-                                                node.region(),
-                                                heardBy.get(node.name()),
-                                                node.effectiveVersion(),
-                                                node.refused(),
-                                                heard(node.reportAgeMs()))));
+        for (NodeStatus node : nodes.values()) {
+            rows.add(
+                    new Row(
+                            node.name(),
+                            node.region(),
+                            reportedTo.get(node.name()),
+                            node.effectivePosition(),
+                            node.rejectedVersion(),
+                            formatAge(node.reportAgeMs())));
+        }
         return new ReplicationLagTable(newest(processes), rows);
     }
 
-    private static String heard(long ms) {
-        return ms < MS_PER_S ? ms + " ms" : ms / MS_PER_S + " s";
+    private static String formatAge(long ageMs) {
+        return ageMs < MILLIS_PER_SECOND ? ageMs + " ms" : ageMs / MILLIS_PER_SECOND + " s";
     }
 
-    // Several logs are a fault that has to be seen: that of most processes counts, then the larger
-    // version.
+    // Processes that follow several logs are a fault that the table has to show: the log of most
+    // processes is the reference, then the larger version.
     private static LogPosition newest(List<ProcessStatus> processes) {
         Map<String, Long> processesByLog = new HashMap<>();
         processes.forEach(process -> processesByLog.merge(process.position().log(), 1L, Long::sum));
         return processes.stream()
                 .map(ProcessStatus::position)
                 .max(
-                        Comparator.comparing((LogPosition at) -> processesByLog.get(at.log()))
+                        Comparator.comparing(
+                                        (LogPosition position) ->
+                                                processesByLog.get(position.log()))
                                 .thenComparing(LogPosition::version)
                                 .thenComparing(LogPosition::log))
                 .orElseThrow();
     }
 
-    private long behind(Row row) {
-        return row.effectiveVersion().log().equals(newest.log())
-                ? Math.max(0, newest.version() - row.effectiveVersion().version())
-                : ANOTHER_LOG;
+    private long lag(Row row) {
+        return row.effectivePosition().log().equals(newest.log())
+                ? Math.max(0, newest.version() - row.effectivePosition().version())
+                : OTHER_LOG;
     }
 
-    /** The largest lag of all. */
+    /** The largest lag in versions; {@code Long.MAX_VALUE} if one follows another log. */
     long maxLagVersions() {
-        return rows.stream().mapToLong(this::behind).max().orElse(0);
+        return rows.stream().mapToLong(this::lag).max().orElse(0);
     }
 
+    /** Prints the table as the status command shows it. */
     void print(PrintWriter out) {
         out.printf(FORMAT, "name", "region", "process", "in force", "behind", "refused", "heard");
         for (Row row : rows) {
-            long behind = behind(row);
+            long lag = lag(row);
             out.printf(
                     FORMAT,
                     row.name(),
                     row.region(),
                     row.process(),
-                    row.effectiveVersion().version(),
-                    behind == ANOTHER_LOG ? "other log" : behind,
-                    row.refused() == 0 ? "-" : row.refused(),
-                    row.heard());
+                    row.effectivePosition().version(),
+                    lag == OTHER_LOG ? "other log" : lag,
+                    row.rejectedVersion() == 0 ? "-" : row.rejectedVersion(),
+                    row.reportAge());
         }
-        long current = rows.stream().filter(row -> behind(row) == 0).count();
+        long current = rows.stream().filter(row -> lag(row) == 0).count();
         out.printf(
                 "log %s, version %d: %d of %d have it in force%n",
                 newest.log(), newest.version(), current, rows.size());
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -18,7 +18,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs one control process until it is told to stop. */
+/** Runs a control process until SIGTERM. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -44,11 +44,11 @@
             config = ControlProcessConfig.read(Files.readAllBytes(configFile));
         } catch (ConfigException e) {
             for (FieldError error : e.errors()) {
-                LOG.error("bad configuration {}: {}", configFile, error);
+                LOG.error("invalid configuration {}: {}", configFile, error);
             }
             return 1;
         } catch (IOException e) {
-            LOG.error("the configuration {} can't be read: {}", configFile, e.toString());
+            LOG.error("configuration {} can't be read: {}", configFile, e.toString());
             return 1;
         }
         return run(config);
@@ -56,7 +56,7 @@
 
     private static int run(ControlProcessConfig config) throws InterruptedException {
         SharedLog log = new SharedLog();
-        Consensus consensus = new InMemoryConsensus(config.name(), log, config.logLimits());
+        Consensus consensus = new InMemoryConsensus(config.name(), log, config.retention());
         ControlServer server = new ControlServer(config, log, consensus);
         CountDownLatch failed = new CountDownLatch(1);
         Thread stop = new Thread(() -> stop(config, server, consensus), "stop");
@@ -73,7 +73,7 @@
         return 1;
     }
 
-    // The virtual machine ends once this has run: not before what waits is answered.
+    // The shutdown hook: the JVM exits when it returns, after pending requests were responded to.
     private static void stop(
             ControlProcessConfig config, ControlServer server, Consensus consensus) {
         CountDownLatch ended = new CountDownLatch(1);
@@ -84,6 +84,6 @@
             Thread.currentThread().interrupt();
         }
         consensus.close();
-        LOG.info("{} has answered all and ends", config.name());
+        LOG.info("{} stopped: all pending requests responded to", config.name());
     }
 }
--- a/control/src/main/java/ottergauge/control/program/StatusCommand.java
+++ b/control/src/main/java/ottergauge/control/program/StatusCommand.java
@@ -14,7 +14,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Shows which node has which version in force. */
+/** Shows the effective version of each control process and node. */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
--- a/control/src/main/java/ottergauge/control/program/SubmissionFile.java
+++ b/control/src/main/java/ottergauge/control/program/SubmissionFile.java
@@ -15,21 +15,41 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * A file with what is to be changed, in the JSON of a submission. Without an id it gets one of its
- * own. It may be split into several submissions, each of which is a change for itself.
+ * A file with a submission in its JSON form. Without an id it gets a random one. It may be split
+ * into batches, each of which is a submission, and so a change, of its own.
  */
 final class SubmissionFile {
 
-    /** Of a submission that a file is split into: well within the bounds of one. */
-    static final int MAX_ENTRIES = 500;
+    /** Entries of a batch; below the limit of a submission. */
+    static final int MAX_BATCH_ENTRIES = 500;
 
-    static final int MAX_BYTES = 192 * 1024;
+    /** Bytes of the JSON of a batch's entries; below the limit of a submission. */
+    static final int MAX_BATCH_BYTES = 192 * 1024;
 
     private static final JsonFactory JSON = new JsonFactory();
     private static final String SERVICE = "service";
 
-    /** A submission as it is sent. */
-    record Part(String id, byte[] body) {}
+    /** An encoded submission. */
+    static final class Batch {
+
+        private final String id;
+        private final byte[] body;
+
+        private Batch(String id, byte[] body) {
+            this.id = id;
+            this.body = body;
+        }
+
+        /** The submission's id. */
+        String id() {
+            return id;
+        }
+
+        /** The submission's JSON; not copied, callers must not modify it. */
+        byte[] body() {
+            return body;
+        }
+    }
 
     private final String id;
     private final List<?> puts;
@@ -41,6 +61,11 @@
         this.deletes = deletes;
     }
 
+    /**
+     * Reads a file.
+     *
+     * @throws IOException if it can't be read or is no submission
+     */
     static SubmissionFile read(Path file) throws IOException {
         Map<String, Object> tree = JsonTree.read(Files.readAllBytes(file));
         Object id = tree.getOrDefault("id", UUID.randomUUID().toString());
@@ -56,25 +81,26 @@
         throw new IOException(key + " is a list, not " + entries);
     }
 
-    /** All of it as one submission. */
-    Part whole() throws IOException {
-        return part(id, puts, deletes);
+    /** The content as one submission, whatever its size. */
+    Batch asOneSubmission() throws IOException {
+        return batch(id, puts, deletes);
     }
 
     /**
-     * As many submissions as are needed: services are put before what names them and deleted after
-     * it. Their ids follow from the file's, so that the same file again changes nothing twice.
+     * The content as batches: services are put before the resources that refer to them and deleted
+     * after them. The batches' ids derive from the file's, so that a retry of the same file is
+     * idempotent.
      */
-    List<Part> split() throws IOException {
-        List<Part> parts = new ArrayList<>();
+    List<Batch> split() throws IOException {
+        List<Batch> batches = new ArrayList<>();
         Comparator<Object> servicesFirst = Comparator.comparing(entry -> isService(entry) ? 0 : 1);
-        for (List<?> some : chunks(puts.stream().sorted(servicesFirst).toList())) {
-            parts.add(part(id + ":" + (parts.size() + 1), some, List.of()));
+        for (List<?> chunk : chunks(puts.stream().sorted(servicesFirst).toList())) {
+            batches.add(batch(id + ":" + (batches.size() + 1), chunk, List.of()));
         }
-        for (List<?> some : chunks(deletes.stream().sorted(servicesFirst.reversed()).toList())) {
-            parts.add(part(id + ":" + (parts.size() + 1), List.of(), some));
+        for (List<?> chunk : chunks(deletes.stream().sorted(servicesFirst.reversed()).toList())) {
+            batches.add(batch(id + ":" + (batches.size() + 1), List.of(), chunk));
         }
-        return parts;
+        return batches;
     }
 
     private static boolean isService(Object entry) {
@@ -87,7 +113,8 @@
         int bytes = 0;
         for (Object entry : entries) {
             int size = write(out -> JsonTree.write(out, entry)).length + 1;
-            if (!chunk.isEmpty() && (chunk.size() == MAX_ENTRIES || bytes + size > MAX_BYTES)) {
+            if (!chunk.isEmpty()
+                    && (chunk.size() == MAX_BATCH_ENTRIES || bytes + size > MAX_BATCH_BYTES)) {
                 chunks.add(chunk);
                 chunk = new ArrayList<>();
                 bytes = 0;
@@ -101,8 +128,8 @@
         return chunks;
     }
 
-    private static Part part(String id, List<?> puts, List<?> deletes) throws IOException {
-        return new Part(
+    private static Batch batch(String id, List<?> puts, List<?> deletes) throws IOException {
+        return new Batch(
                 id,
                 write(
                         out -> {
--- a/control/src/main/java/ottergauge/control/program/package-info.java
+++ b/control/src/main/java/ottergauge/control/program/package-info.java
@@ -1,4 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/** The command line of the control role. */
+/**
+ * The command line of the control role. {@link ottergauge.control.program.Main} has four commands:
+ * {@code ServeCommand} runs a control process, {@code PublishCommand} publishes a {@code
+ * SubmissionFile}, {@code StatusCommand} prints the {@code ReplicationLagTable}, {@code
+ * ImportCommand} follows discovery.
+ */
 package ottergauge.control.program;
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -53,7 +53,7 @@
     }
 
     private void list(boolean whole, DiscoveredEndpoint... hosts) {
-        reconciler.takeList(new EndpointList(1, whole, List.of(hosts)));
+        reconciler.applyDiscoveryList(new EndpointList(1, whole, List.of(hosts)));
     }
 
     private static List<Resource> state(ChangeLog log) {
@@ -73,7 +73,7 @@
 
     private Optional<Submission> next() {
         ids++;
-        return reconciler.next("id-" + ids);
+        return reconciler.nextSubmission("id-" + ids);
     }
 
     /** Publishes until nothing is left to be published; gives the number of changes. */
@@ -86,9 +86,9 @@
                     "too many entries");
             SubmissionOutcome outcome = log.apply(next.get());
             if (outcome instanceof SubmissionOutcome.Rejected invalid) {
-                reconciler.refuse(next.get(), invalid.errors());
+                reconciler.markRejected(next.get(), invalid.errors());
             } else {
-                reconciler.accepted(next.get());
+                reconciler.markAccepted(next.get());
                 changes++;
             }
             next = next();
@@ -100,7 +100,7 @@
     @Test
     void beforeAFullList_nothingIsPublished() {
         log.apply(SubmissionBuilder.of("a").service(SERVICE).server("s-1", SERVICE).build());
-        reconciler.takeState(state(log));
+        reconciler.resetPublished(state(log));
         assertEquals(Optional.empty(), next());
         list(false, up("s-2"));
         assertEquals(Optional.empty(), next());
@@ -111,7 +111,7 @@
 
     @Test
     void firstSubmission_putsTheService() {
-        reconciler.takeState(state(log));
+        reconciler.resetPublished(state(log));
         list(true, up("s-1"), up("s-2"));
         Submission first = next().orElseThrow();
         assertEquals(ResourceKind.SERVICE, first.puts().get(0).key().kind());
@@ -120,7 +120,7 @@
 
     @Test
     void submission_hasOnlyDifferences() {
-        reconciler.takeState(state(log));
+        reconciler.resetPublished(state(log));
         list(true, up("s-1"), up("s-2"), up("s-3"));
         publishAll();
         list(
@@ -143,7 +143,7 @@
 
     @Test
     void foreignChanges_areReverted() {
-        reconciler.takeState(state(log));
+        reconciler.resetPublished(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
         Submission other =
@@ -153,7 +153,7 @@
                         .server("s-9", SERVICE)
                         .build();
         log.apply(other);
-        reconciler.takeChange(
+        reconciler.applyChange(
                 new Change(
                         9,
                         other.puts(),
@@ -167,17 +167,17 @@
 
     @Test
     void emptyLog_getsEverythingAgain() {
-        reconciler.takeState(state(log));
+        reconciler.resetPublished(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
-        reconciler.takeState(List.of());
+        reconciler.resetPublished(List.of());
         Submission all = next().orElseThrow();
         assertEquals(3, all.puts().size());
     }
 
     @Test
     void longList_isPublishedInSeveralSubmissions() {
-        reconciler.takeState(state(log));
+        reconciler.resetPublished(state(log));
         list(
                 true,
                 IntStream.range(0, 1_200)
@@ -193,7 +193,7 @@
     @Test
     void serverOfAnotherService_isSkipped() {
         log.apply(SubmissionBuilder.of("a").service("search").server("s-2", "search").build());
-        reconciler.takeState(state(log));
+        reconciler.resetPublished(state(log));
         list(true, up("s-1"), up("s-2"), up("s-3"));
         publishAll();
         assertEquals(Map.of("s-1", up("s-1"), "s-3", up("s-3")), servers(log));
@@ -203,7 +203,7 @@
 
     @Test
     void malformedEntry_isSkipped() {
-        reconciler.takeState(state(log));
+        reconciler.resetPublished(state(log));
         list(true, up("s-1"), up("no name"), host("s-2", EndpointState.UP, -1));
         Submission all = next().orElseThrow();
         assertEquals(2, reconciler.rejectMalformed(all).size());
@@ -228,7 +228,7 @@
     @Property(tries = 300, seed = "61")
     void log_convergesToDiscovery(@ForAll("histories") List<Step> history) {
         ServiceReconcilerTest play = new ServiceReconcilerTest();
-        play.reconciler.takeState(List.of());
+        play.reconciler.resetPublished(List.of());
         Map<String, DiscoveredEndpoint> listed = new HashMap<>();
         for (Step step : history) {
             DiscoveredEndpoint host = host("s-" + step.name(), EndpointState.UP, step.share());
@@ -238,7 +238,7 @@
                 case 2 -> play.list(true, listed.values().toArray(DiscoveredEndpoint[]::new));
                 case 3 -> play.publishAll();
                 case 4 -> play.meddle(host);
-                default -> play.reconciler.takeState(state(play.log));
+                default -> play.reconciler.resetPublished(state(play.log));
             }
         }
         play.list(true, listed.values().toArray(DiscoveredEndpoint[]::new));
@@ -264,6 +264,6 @@
                         .server(host.name(), SERVICE, host.weight() + 10)
                         .build();
         log.apply(other);
-        reconciler.takeChange(new Change(1, other.puts(), List.of()));
+        reconciler.applyChange(new Change(1, other.puts(), List.of()));
     }
 }
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -487,7 +487,9 @@
             control.terminate();
             assertEquals(List.of(), versions(page(waiting.get())));
             control.exitCode();
-            assertTrue(control.output().contains("c1 has answered all and ends"), control.output());
+            assertTrue(
+                    control.output().contains("c1 stopped: all pending requests responded to"),
+                    control.output());
         }
     }
 
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -16,14 +16,14 @@
 import ottergauge.control.log.LogRetention;
 import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.control.log.SubmissionOutcome;
-import ottergauge.control.program.SubmissionFile.Part;
+import ottergauge.control.program.SubmissionFile.Batch;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
-/** Files that are published, whole or in parts. */
+/** Files that are published, as one submission or in batches. */
 class SubmissionFileTest {
 
     @TempDir private Path folder;
@@ -41,10 +41,10 @@
         return many.service("checkout");
     }
 
-    private static int apply(ChangeLog log, List<Part> parts) throws ProtocolException {
-        for (Part part : parts) {
-            Submission submission = ResourceCodec.readSubmission(part.body());
-            assertEquals(part.id(), submission.id());
+    private static int apply(ChangeLog log, List<Batch> batches) throws ProtocolException {
+        for (Batch batch : batches) {
+            Submission submission = ResourceCodec.readSubmission(batch.body());
+            assertEquals(batch.id(), submission.id());
             SubmissionOutcome outcome = log.apply(submission);
             assertInstanceOf(SubmissionOutcome.Accepted.class, outcome, outcome::toString);
         }
@@ -55,15 +55,18 @@
     void file_isOneSubmission() throws IOException, ProtocolException {
         Submission submission =
                 SubmissionBuilder.of("a").service("checkout").tenant("gold", 2.5).build();
-        assertEquals(submission, ResourceCodec.readSubmission(file(submission).whole().body()));
+        assertEquals(
+                submission,
+                ResourceCodec.readSubmission(file(submission).asOneSubmission().body()));
     }
 
     @Test
     void batches_canBeAppliedInOrder() throws IOException, ProtocolException {
         ChangeLog log = new ChangeLog("a1", LogRetention.DEFAULT);
-        List<Part> parts = file(many().build()).split();
-        assertEquals(List.of("load:1", "load:2", "load:3"), parts.stream().map(Part::id).toList());
-        assertEquals(1_301, apply(log, parts));
+        List<Batch> batches = file(many().build()).split();
+        assertEquals(
+                List.of("load:1", "load:2", "load:3"), batches.stream().map(Batch::id).toList());
+        assertEquals(1_301, apply(log, batches));
         SubmissionBuilder none =
                 SubmissionBuilder.of("unload").delete(ResourceKind.SERVICE, "checkout");
         for (int i = 0; i < 1_300; i++) {
@@ -88,10 +91,11 @@
             longValues.put(
                     ResourceKind.SERVICE, "s-" + i, new ResourceValue.Service("d".repeat(1_000)));
         }
-        List<Part> parts = file(longValues.build()).split();
+        List<Batch> batches = file(longValues.build()).split();
         assertTrue(
-                parts.stream()
-                        .allMatch(part -> part.body().length < ResourceCodec.MAX_SUBMISSION_BYTES));
+                batches.stream()
+                        .allMatch(
+                                batch -> batch.body().length < ResourceCodec.MAX_SUBMISSION_BYTES));
     }
 
     @Test
@@ -100,9 +104,9 @@
                 Files.writeString(
                         folder.resolve("file.json"),
                         "{\"put\":[{\"kind\":\"service\",\"name\":\"checkout\",\"value\":{}}]}");
-        Part first = SubmissionFile.read(file).whole();
+        Batch first = SubmissionFile.read(file).asOneSubmission();
         assertEquals(first.id(), ResourceCodec.readSubmission(first.body()).id());
-        assertTrue(!first.id().equals(SubmissionFile.read(file).whole().id()));
+        assertTrue(!first.id().equals(SubmissionFile.read(file).asOneSubmission().id()));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/program/ToolsIT.java
+++ b/control/src/test/java/ottergauge/control/program/ToolsIT.java
@@ -174,7 +174,7 @@
                             discovery.address());
             try (tool) {
                 tool.await("imported", () -> servers(first).equals(Set.of("s-1", "s-2")));
-                tool.awaitOutput("left out: name is");
+                tool.awaitOutput("skipped: name is");
                 discovery.tell(StubDiscovery.up("s-3"), StubDiscovery.gone("s-1"));
                 tool.await("followed", () -> servers(first).equals(Set.of("s-2", "s-3")));
                 discovery.beginAnew(StubDiscovery.up("s-3"), StubDiscovery.up("s-4"));
