--- a/control/src/test/java/ottergauge/control/program/RunningControl.java
+++ b/control/src/test/java/ottergauge/control/program/RunningControl.java
@@ -102,11 +102,15 @@
         return tool;
     }
 
+    int port() {
+        return port;
+    }
+
     String address() {
         return "127.0.0.1:" + port;
     }
 
-    /** Waits for something to become true, looking often. */
+    /** Waits until a condition holds. */
     void await(String what, BooleanSupplier condition) throws InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.getAsBoolean()) {
