--- a/src/main/java/ottergauge/program/ServeCommand.java
+++ b/src/main/java/ottergauge/program/ServeCommand.java
@@ -17,6 +17,8 @@
 import ottergauge.transport.NodeServer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
+import sun.misc.Signal;
+import sun.misc.SignalHandler;
 
 /** Runs one node until it is told to stop; SIGHUP has it read its configuration again. */
 @Command(
@@ -78,11 +80,9 @@
     // while it
     // is still starting. One that was ignored when the program was started stays so in the virtual
     // machine.
-    @SuppressWarnings("sunapi") // The JDK has no other way to handle SIGHUP.
     private void handleHangUp() {
-        sun.misc.SignalHandler before =
-                sun.misc.Signal.handle(new sun.misc.Signal("HUP"), hangUp -> reload());
-        if (before == sun.misc.SignalHandler.SIG_IGN) {
+        SignalHandler before = Signal.handle(new Signal("HUP"), hangUp -> reload());
+        if (before == SignalHandler.SIG_IGN) {
             LOG.warn(
                     "SIGHUP is ignored, as nohup hands it down: this node takes over no new"
                             + " configuration until it is started again, without nohup");
