--- a/src/main/java/ottergauge/program/HollowCommand.java
+++ b/src/main/java/ottergauge/program/HollowCommand.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import ottergauge.protocol.NodeConfig;
@@ -47,8 +48,8 @@
 final class HollowCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(HollowCommand.class);
-    private static final int MOST_NODES = 2_000;
-    private static final int MOST_LOOPS = 64;
+    private static final int MAX_NODES = 2_000;
+    private static final int MAX_LOOPS = 64;
     // Neighbouring numbers must not give neighbouring seeds.
     private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
 
@@ -108,9 +109,9 @@
 
     @Override
     public Integer call() throws IOException {
-        check("--count", count, 1, MOST_NODES);
-        check("--from", from, 1, Integer.MAX_VALUE - MOST_NODES);
-        check("--loops", loops, 1, Math.min(count, MOST_LOOPS));
+        check("--count", count, 1, MAX_NODES);
+        check("--from", from, 1, Integer.MAX_VALUE - MAX_NODES);
+        check("--loops", loops, 1, Math.min(count, MAX_LOOPS));
         check("--start-over-ms", startOver, 0, Integer.MAX_VALUE);
         List<NodeConfig> configs = new ArrayList<>();
         try {
@@ -122,17 +123,35 @@
             LOG.error("bad configuration {}: {}", configFile, e.toString());
             return 1;
         }
-        try (OutputStream out = outFile == null ? System.out : Files.newOutputStream(outFile)) {
-            HollowReport report = new HollowReport(out);
-            report.begin();
-            try (HollowFleet fleet = new HollowFleet(configs, loops, report::take)) {
-                fleet.start(startOver);
-                obey(fleet);
+        if (outFile == null) {
+            run(configs, System.out);
+            System.out.flush();
+        } else {
+            try (OutputStream out = Files.newOutputStream(outFile)) {
+                run(configs, out);
             }
         }
         return 0;
     }
 
+    private void run(List<NodeConfig> configs, OutputStream out) throws IOException {
+        HollowReport report = new HollowReport(out);
+        report.begin();
+        try (HollowFleet fleet = new HollowFleet(configs, loops, report::take)) {
+            logFailure(fleet.start(startOver));
+            obey(fleet);
+        }
+    }
+
+    private static void logFailure(CompletableFuture<Void> started) {
+        started.whenComplete(
+                (done, failure) -> {
+                    if (failure != null) {
+                        LOG.error("not all nodes were started", failure);
+                    }
+                });
+    }
+
     private void check(String option, long value, long least, long most) {
         if (value < least || value > most) {
             throw new ParameterException(
@@ -161,7 +180,7 @@
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
         for (String order = orders.readLine(); order != null; order = orders.readLine()) {
             switch (order.trim()) {
-                case "restart" -> fleet.restart();
+                case "restart" -> logFailure(fleet.restart());
                 case "servers" -> fleet.tellServers();
                 case "end" -> {
                     return;
--- a/src/main/java/ottergauge/program/RehearseCommand.java
+++ b/src/main/java/ottergauge/program/RehearseCommand.java
@@ -31,8 +31,8 @@
         description = "Run a node for a moment, so that the classes it loads can be recorded.")
 final class RehearseCommand implements Callable<Integer> {
 
-    private static final int READ_WITHIN_MS = 10_000;
-    private static final int ASKED = 5;
+    private static final int TIMEOUT_MS = 10_000;
+    private static final int ROUNDS = 5;
     private static final String CONFIG =
             """
             {"name":"rehearsal","listen":"127.0.0.1:%1$d","management":"127.0.0.1:%2$d",
@@ -48,16 +48,16 @@
 
     @Override
     public Integer call() throws IOException, ProtocolException {
-        int port;
-        int door;
+        int clientPort;
+        int adminPort;
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 ServerSocket other = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
-            door = other.getLocalPort();
+            clientPort = free.getLocalPort();
+            adminPort = other.getLocalPort();
         }
         Path folder = Files.createTempDirectory("rehearsal");
         try {
-            return rehearse(port, door, folder);
+            return rehearse(clientPort, adminPort, folder);
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
                 files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
@@ -65,58 +65,28 @@
         }
     }
 
-    private Integer rehearse(int port, int door, Path folder)
+    private Integer rehearse(int clientPort, int adminPort, Path folder)
             throws IOException, ProtocolException {
         NodeConfig config =
-                NodeConfig.read(CONFIG.formatted(port, door).getBytes(StandardCharsets.UTF_8));
+                NodeConfig.read(
+                        CONFIG.formatted(clientPort, adminPort).getBytes(StandardCharsets.UTF_8));
         JitWarmUp.run(config);
         NodeServer node = new NodeServer(config, Optional.of(folder));
         try {
             node.start()
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .orTimeout(READ_WITHIN_MS, TimeUnit.MILLISECONDS)
+                    .orTimeout(TIMEOUT_MS, TimeUnit.MILLISECONDS)
                     .join();
-            // Its own server and discovery, it goes through all that a node does on sockets, and
-            // refuses.
-            for (int i = 0; i < ASKED; i++) {
-                ask(port, "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n");
-                ask(
-                        port,
-                        "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: "
-                                + i
-                                + "\r\nX-Qos: safe\r\n\r\n");
-                ask(
-                        port,
-                        "POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: "
-                                + i
-                                + "\r\nX-Qos: unsafe\r\n"
-                                + "Content-Length: 1\r\nConnection: close\r\n\r\nx");
-                ask(port, "no request\r\n\r\n");
-                ask(door, "GET /stats HTTP/1.1\r\nHost: x\r\n\r\n");
-                ask(
-                        door,
-                        """
-                        POST /servers/itself/maint HTTP/1.1
-                        Host: x
-                        Content-Length: 0
-
-                        """);
-                ask(
-                        door,
-                        """
-                        POST /servers/itself/ready HTTP/1.1
-                        Host: x
-                        Content-Length: 0
-
-                        """);
-                ask(door, "no call\r\n\r\n");
+            for (int i = 0; i < ROUNDS; i++) {
+                exerciseClients(clientPort, i);
+                exerciseAdmin(adminPort);
             }
             node.reconfigure(config);
             node.stop()
                     .toCompletionStage()
                     .toCompletableFuture()
-                    .orTimeout(READ_WITHIN_MS, TimeUnit.MILLISECONDS)
+                    .orTimeout(TIMEOUT_MS, TimeUnit.MILLISECONDS)
                     .join();
             return 0;
         } catch (CompletionException e) {
@@ -124,9 +94,40 @@
         }
     }
 
-    private static void ask(int port, String message) throws IOException {
+    // The node is its own server and discovery: requests go all the way through it and are
+    // rejected.
+    private static void exerciseClients(int port, int id) throws IOException {
+        send(port, message("GET /health/ready HTTP/1.1", "Host: x"));
+        send(port, message("GET /api HTTP/1.1", "Host: x", "X-Trace-Id: " + id, "X-Qos: safe"));
+        send(
+                port,
+                message(
+                                "POST /api HTTP/1.1",
+                                "Host: x",
+                                "X-Trace-Id: " + id,
+                                "X-Qos: unsafe",
+                                "Content-Length: 1",
+                                "Connection: close")
+                        + "x");
+        send(port, message("no request"));
+    }
+
+    private static void exerciseAdmin(int port) throws IOException {
+        send(port, message("GET /stats HTTP/1.1", "Host: x"));
+        for (String change : new String[] {"maint", "ready"}) {
+            String line = "POST /servers/itself/" + change + " HTTP/1.1";
+            send(port, message(line, "Host: x", "Content-Length: 0"));
+        }
+        send(port, message("no call"));
+    }
+
+    private static String message(String... lines) {
+        return String.join("\r\n", lines) + "\r\n\r\n";
+    }
+
+    private static void send(int port, String message) throws IOException {
         try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            socket.setSoTimeout(READ_WITHIN_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write(message.getBytes(StandardCharsets.US_ASCII));
             if (socket.getInputStream().read() < 0) {
                 throw new IOException("the node closed the connection with no answer");
--- a/src/main/java/ottergauge/program/ServeCommand.java
+++ b/src/main/java/ottergauge/program/ServeCommand.java
@@ -60,7 +60,7 @@
             LOG.error("bad configuration {}: {}", configFile, e.toString());
             return 1;
         }
-        rehearse(config);
+        warmUp(config);
         NodeServer node = new NodeServer(config, hotRestartDirectory(config));
         CountDownLatch failed = new CountDownLatch(1);
         // Before it listens: what it takes is answered, whenever it is told to stop.
@@ -89,12 +89,12 @@
         }
     }
 
-    // What goes wrong with made-up requests costs a warm start, never the node.
-    private static void rehearse(NodeConfig config) {
+    // A failure costs the warm start, never the node.
+    private static void warmUp(NodeConfig config) {
         try {
-            LOG.info("rehearsed {} requests", JitWarmUp.run(config).requests());
+            LOG.info("warmed up with {} synthetic requests", JitWarmUp.run(config).requests());
         } catch (RuntimeException e) {
-            LOG.error("the rehearsal failed, the node starts cold", e);
+            LOG.error("the JIT warm-up failed, the node starts cold", e);
         }
     }
 
--- a/src/main/java/ottergauge/transport/AdminConnection.java
+++ b/src/main/java/ottergauge/transport/AdminConnection.java
@@ -17,121 +17,133 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 import ottergauge.routing.AdminRequest;
 import ottergauge.routing.CloseReason;
 
-/** An operator's connection: one call, one answer, and the end. */
+/** A connection of an operator: it carries one request, its response, and ends. */
 final class AdminConnection extends Connection {
 
-    // Calls have no body; what a client sends along unasked is read past up to here.
-    private static final int MOST_BODY = 4096;
+    /** Answers whether the node is healthy. */
     static final String HEALTH_PATH = "/healthcheck";
-    private static final String SERVERS = "/servers/";
 
-    private final BiConsumer<AdminConnection, AdminRequest> asked;
-    private final Runnable whenEnded;
+    private static final String STATS_PATH = "/stats";
+    private static final String SERVERS_PATH = "/servers";
+    private static final String SERVER_PREFIX = SERVERS_PATH + "/";
+    private static final String START_MAINTENANCE = "maint";
+    private static final String END_MAINTENANCE = "ready";
+
+    /** Requests have no body; one that is sent all the same is read up to this size. */
+    private static final int MAX_BODY_BYTES = 4096;
+
+    private final Consumer<AdminRequest> requestHandler;
+    private final Runnable endHandler;
     private HttpRequest head;
-    private int body;
-    private boolean answered;
+    private int bodyBytes;
+    private boolean responded;
 
-    AdminConnection(
-            String side, BiConsumer<AdminConnection, AdminRequest> asked, Runnable whenEnded) {
+    AdminConnection(String side, Consumer<AdminRequest> requestHandler, Runnable endHandler) {
         super(side);
-        this.asked = asked;
-        this.whenEnded = whenEnded;
+        this.requestHandler = requestHandler;
+        this.endHandler = endHandler;
     }
 
-    boolean waits() {
-        return !answered;
+    boolean isAwaitingRequest() {
+        return !responded;
     }
 
     @Override
     void onPart(HttpObject part) {
-        if (answered) {
+        if (responded) {
             return;
         }
         if (part instanceof HttpRequest request) {
-            begin(request);
+            onHead(request);
         } else if (head != null && part instanceof HttpContent content) {
-            body += content.content().readableBytes();
-            if (content.decoderResult().isFailure()) {
-                answer(HttpResponseStatus.BAD_REQUEST, "unreadable");
-            } else if (body > MOST_BODY) {
-                answer(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "calls have no body");
-            } else if (content instanceof LastHttpContent) {
-                call();
-            }
+            onContent(content);
         }
     }
 
-    private void begin(HttpRequest request) {
+    private void onHead(HttpRequest request) {
         Optional<String> fault = HttpFraming.fault(request);
         if (fault.isPresent()) {
-            answer(HttpResponseStatus.BAD_REQUEST, fault.get());
+            respond(HttpResponseStatus.BAD_REQUEST, fault.get());
             return;
         }
         head = request;
         if (HttpUtil.is100ContinueExpected(request)) {
-            context()
-                    .writeAndFlush(
-                            new DefaultFullHttpResponse(
-                                    HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE));
+            writeAndFlush(ClientResponses.continueResponse());
         }
         if (request instanceof LastHttpContent) {
-            call();
+            onRequest();
+        }
+    }
+
+    private void onContent(HttpContent content) {
+        bodyBytes += content.content().readableBytes();
+        if (content.decoderResult().isFailure()) {
+            respond(HttpResponseStatus.BAD_REQUEST, "unreadable");
+        } else if (bodyBytes > MAX_BODY_BYTES) {
+            respond(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "calls have no body");
+        } else if (content instanceof LastHttpContent) {
+            onRequest();
         }
     }
 
-    private void call() {
+    private void onRequest() {
         String path = head.uri().replaceFirst("\\?.*", "");
-        AdminRequest get =
-                switch (path) {
-                    case HEALTH_PATH -> new AdminRequest.Health();
-                    case "/stats" -> new AdminRequest.Stats();
-                    case "/servers" -> new AdminRequest.Servers();
-                    default -> null;
-                };
-        AdminRequest post = get == null ? change(path) : null;
-        if (get == null && post == null) {
-            answer(HttpResponseStatus.NOT_FOUND, "no such call");
-        } else if (!head.method().equals(get == null ? HttpMethod.POST : HttpMethod.GET)) {
-            answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "not by " + head.method());
+        Optional<AdminRequest> query = query(path);
+        Optional<AdminRequest> request = query.isPresent() ? query : change(path);
+        HttpMethod method = query.isPresent() ? HttpMethod.GET : HttpMethod.POST;
+        if (request.isEmpty()) {
+            respond(HttpResponseStatus.NOT_FOUND, "no such call");
+        } else if (!head.method().equals(method)) {
+            respond(HttpResponseStatus.METHOD_NOT_ALLOWED, "not by " + head.method());
         } else {
-            asked.accept(this, get == null ? post : get);
+            requestHandler.accept(request.get());
         }
     }
 
-    // Taken apart before it is decoded: an id may hold an encoded slash.
-    private static AdminRequest change(String path) {
+    private static Optional<AdminRequest> query(String path) {
+        return switch (path) {
+            case HEALTH_PATH -> Optional.of(new AdminRequest.Health());
+            case STATS_PATH -> Optional.of(new AdminRequest.Stats());
+            case SERVERS_PATH -> Optional.of(new AdminRequest.Servers());
+            default -> Optional.empty();
+        };
+    }
+
+    // Split before it is decoded: a server's name may hold an encoded slash.
+    private static Optional<AdminRequest> change(String path) {
         int slash = path.lastIndexOf('/');
-        if (!path.startsWith(SERVERS) || slash <= SERVERS.length()) {
-            return null;
+        if (!path.startsWith(SERVER_PREFIX) || slash <= SERVER_PREFIX.length()) {
+            return Optional.empty();
         }
-        String raw = path.substring(SERVERS.length(), slash);
+        String encoded = path.substring(SERVER_PREFIX.length(), slash);
         String server;
         try {
             // A plus stands for itself in a path.
-            server = QueryStringDecoder.decodeComponent(raw.replace("+", "%2B"));
+            server = QueryStringDecoder.decodeComponent(encoded.replace("+", "%2B"));
         } catch (IllegalArgumentException e) {
-            return null;
+            return Optional.empty();
         }
         return switch (path.substring(slash + 1)) {
-            case "maint" -> new AdminRequest.StartMaintenance(server);
-            case "ready" -> new AdminRequest.EndMaintenance(server);
-            default -> null;
+            case START_MAINTENANCE -> Optional.of(new AdminRequest.StartMaintenance(server));
+            case END_MAINTENANCE -> Optional.of(new AdminRequest.EndMaintenance(server));
+            default -> Optional.empty();
         };
     }
 
-    void answer(int status, String text) {
-        answer(HttpResponseStatus.valueOf(status), text);
+    /** Writes the response and closes the connection behind it; a second one is ignored. */
+    void respond(int status, String text) {
+        respond(HttpResponseStatus.valueOf(status), text);
     }
 
-    private void answer(HttpResponseStatus status, String text) {
-        if (answered) {
+    private void respond(HttpResponseStatus status, String text) {
+        if (responded) {
             return;
         }
-        answered = true;
+        responded = true;
         byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
         FullHttpResponse response =
                 new DefaultFullHttpResponse(
@@ -143,22 +155,22 @@
         context().writeAndFlush(response).addListener(written -> close(CloseReason.NOT_REUSABLE));
     }
 
-    /** Its time is up: what has not asked by now is told so, and what does not read is closed. */
-    void late() {
-        if (answered) {
+    /** Ends the connection, by a response that says why if it has sent no request. */
+    void onTimeout() {
+        if (responded) {
             close(CloseReason.SLOW_ANSWER);
         } else {
             setCloseReason(CloseReason.SLOW_REQUEST);
-            answer(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call came in time");
+            respond(HttpResponseStatus.REQUEST_TIMEOUT, "no whole call came in time");
         }
     }
 
-    // A call is answered as soon as it is whole: what comes behind it has no answer.
+    // A request is handled as soon as it is complete: what follows it gets no response.
     @Override
     void onReadComplete() {}
 
     @Override
     void onClosed(CloseReason reason) {
-        whenEnded.run();
+        endHandler.run();
     }
 }
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -134,7 +134,7 @@
             return;
         }
         if (HttpUtil.is100ContinueExpected(request)) {
-            context().writeAndFlush(ClientResponses.continueResponse());
+            writeAndFlush(ClientResponses.continueResponse());
         }
         stage = Stage.BUFFERING_BODY;
         unreportedBytes = 0;
@@ -322,18 +322,25 @@
         stage = Stage.ENDING;
         setCloseReason(reason);
         if (context().channel() instanceof DuplexChannel duplex && duplex.isActive()) {
-            duplex.shutdownOutput();
+            shutDownOutput(duplex);
             resumeReading();
-            context().executor().schedule(() -> close(reason), LINGER_MS, TimeUnit.MILLISECONDS);
+            LoopTasks.schedule(
+                    context().executor(), () -> close(reason), LINGER_MS, TimeUnit.MILLISECONDS);
         } else {
             close(reason);
         }
     }
 
+    // If it fails, the connection has ended already.
+    @SuppressWarnings("FutureReturnValueIgnored")
+    private static void shutDownOutput(DuplexChannel channel) {
+        channel.shutdownOutput();
+    }
+
     /** Begins to relay a server's streamed response. */
     void relayResponseOf(OutboundConnection server, boolean closeAfter) {
         boolean closes = closeAfter || clientCloses;
-        context().write(ClientResponses.head(server.streamedResponse(), closes));
+        write(ClientResponses.head(server.streamedResponse(), closes));
         unreportedBytes = 0;
         server.relayResponseTo(
                 this,
--- a/src/main/java/ottergauge/transport/Connection.java
+++ b/src/main/java/ottergauge/transport/Connection.java
@@ -52,11 +52,25 @@
         closeReason = closeReason == null ? reason : closeReason;
     }
 
+    // The outcome of this and of the two writes below is seen by the connection's end.
+    @SuppressWarnings("FutureReturnValueIgnored")
     final void close(CloseReason reason) {
         setCloseReason(reason);
         context.close();
     }
 
+    /** Writes a message whose loss ends the connection anyway. */
+    @SuppressWarnings("FutureReturnValueIgnored")
+    final void writeAndFlush(HttpObject message) {
+        context.writeAndFlush(message);
+    }
+
+    /** Writes a message, to be flushed with what follows it. */
+    @SuppressWarnings("FutureReturnValueIgnored")
+    final void write(HttpObject message) {
+        context.write(message);
+    }
+
     /** Stops reading: further bytes wait at the sender. */
     final void pauseReading() {
         context.channel().config().setAutoRead(false);
--- a/src/main/java/ottergauge/transport/DiscoveryClient.java
+++ b/src/main/java/ottergauge/transport/DiscoveryClient.java
@@ -31,6 +31,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
     private static final int OK = 200;
     private static final long CONNECT_TIMEOUT_MS = 2_000;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final String SIDE = "discovery";
 
     private final OutboundConnection.Dialer dialer;
 
@@ -51,6 +53,7 @@
         this.maxListBytes = maxListBytes;
     }
 
+    /** Begins a poll, beside those that have no answer yet. */
     void poll(PollDiscovery effect) {
         if (!openPolls.isEmpty()) {
             LOG.warn(
@@ -67,13 +70,13 @@
             reused.close(CloseReason.DISCOVERY_MOVED);
         }
         openPolls.put(effect.poll(), Optional.empty());
-        dialer.dial("discovery", effect.address(), CONNECT_TIMEOUT_MS, maxListBytes)
+        dialer.dial(SIDE, effect.address(), CONNECT_TIMEOUT_MS, maxListBytes)
                 .onComplete(
-                        opened -> connected(effect, opened),
+                        opened -> onConnected(effect, opened),
                         failure -> fail(effect.poll(), failure.toString()));
     }
 
-    private void connected(PollDiscovery effect, OutboundConnection opened) {
+    private void onConnected(PollDiscovery effect, OutboundConnection opened) {
         opened.onEnd(reason -> onEnd(opened, reason));
         if (openPolls.containsKey(effect.poll())) {
             send(effect, opened);
@@ -113,20 +116,20 @@
     private void send(PollDiscovery effect, OutboundConnection connection) {
         openPolls.put(effect.poll(), Optional.of(connection));
         FullHttpRequest request =
-                new DefaultFullHttpRequest(
-                        HttpVersion.HTTP_1_1,
-                        HttpMethod.GET,
-                        Paths.ENDPOINTS
-                                + (effect.afterVersion() < 0
-                                        ? ""
-                                        : "?after="
-                                                + effect.afterVersion()
-                                                + "&wait_ms="
-                                                + effect.maxWaitMicros() / 1000));
+                new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri(effect));
         request.headers().set(HttpHeaderNames.HOST, effect.address().toString());
         connection.send(request, () -> {}, response -> onResponse(effect, connection, response));
     }
 
+    // Without a version the complete list is asked for.
+    private static String uri(PollDiscovery effect) {
+        if (effect.afterVersion() < 0) {
+            return Paths.ENDPOINTS;
+        }
+        long maxWaitMs = effect.maxWaitMicros() / MICROS_PER_MILLI;
+        return Paths.ENDPOINTS + "?after=" + effect.afterVersion() + "&wait_ms=" + maxWaitMs;
+    }
+
     private void onResponse(
             PollDiscovery effect,
             OutboundConnection connection,
@@ -149,15 +152,20 @@
             return;
         }
         openPolls.remove(effect.poll());
-        if (!response.reusable() || idle != null) {
+        keepOrClose(connection, effect.address(), response.reusable());
+        events.accept(new EndpointListReceived(effect.poll(), list));
+    }
+
+    private void keepOrClose(OutboundConnection connection, Address address, boolean reusable) {
+        if (!reusable || idle != null) {
             connection.close(CloseReason.NOT_REUSABLE);
         } else {
             idle = connection;
-            idleAddress = effect.address();
+            idleAddress = address;
         }
-        events.accept(new EndpointListReceived(effect.poll(), list));
     }
 
+    /** Ends a poll; an answer to it is ignored. */
     void cancel(CancelPoll effect) {
         Optional<OutboundConnection> connection = openPolls.remove(effect.poll());
         if (connection != null) {
--- a/src/main/java/ottergauge/transport/EffectPerformer.java
+++ b/src/main/java/ottergauge/transport/EffectPerformer.java
@@ -94,7 +94,7 @@
         Event read = new Event.PendingInputRead(effect.connection());
         Runnable afterReading = () -> loop.execute(() -> events.take(read));
         if (monitor.isBehind()) {
-            loop.schedule(afterReading, NEXT_ROUND_MS, TimeUnit.MILLISECONDS);
+            LoopTasks.schedule(loop, afterReading, NEXT_ROUND_MS, TimeUnit.MILLISECONDS);
         } else {
             loop.execute(afterReading);
         }
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -93,7 +93,7 @@
 
     private void look() {
         EventLoop loop = context.nettyEventLoop();
-        loop.schedule(this::look, lag.record(System.nanoTime()), TimeUnit.NANOSECONDS);
+        LoopTasks.schedule(loop, this::look, lag.record(System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
     private void tell() {
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -101,10 +101,16 @@
      */
     void drop() {
         dropped = true;
-        List.copyOf(open).forEach(Channel::close);
+        List.copyOf(open).forEach(HollowNode::close);
         traffic.tell();
     }
 
+    // Nothing is lost by the close of a connection that is dropped.
+    @SuppressWarnings("FutureReturnValueIgnored")
+    private static void close(Channel channel) {
+        channel.close();
+    }
+
     /** Tells what has been counted and not told yet. */
     void tell() {
         traffic.tell();
--- a/src/main/java/ottergauge/transport/HollowTrafficCounter.java
+++ b/src/main/java/ottergauge/transport/HollowTrafficCounter.java
@@ -48,6 +48,8 @@
                 context.fireChannelRead(message);
             }
 
+            // The outcome is the promise's, which belongs to whoever writes.
+            @SuppressWarnings("FutureReturnValueIgnored")
             @Override
             public void write(
                     ChannelHandlerContext context, Object message, ChannelPromise promise) {
--- a/src/main/java/ottergauge/transport/JitWarmUp.java
+++ b/src/main/java/ottergauge/transport/JitWarmUp.java
@@ -26,62 +26,72 @@
 import ottergauge.routing.Timer;
 
 /**
- * Serves made-up requests in memory before the node is ready: what it is made of, without a socket.
- * A virtual machine that has just started runs the first requests many times slower than later
- * ones. With part of a core a node that began cold lost half of its first five seconds' requests.
+ * Serves synthetic requests in memory before the node is ready, so that the classes on their path
+ * are loaded and compiled: a virtual machine that has just started runs a request many times slower
+ * than later on. The router, the connections and the codecs are those of the node; clients, servers
+ * and time are simulated.
  */
 public final class JitWarmUp {
 
-    // Past this many requests little gets quicker: the compiler takes up a method after some
-    // hundred calls.
-    private static final int MOST = 1_000;
-    // Fewer leave most classes to be loaded under the first client's request.
-    private static final int LEAST = 100;
-    // What all nodes rehearse together. One of three that starts cold spoils a third of all
-    // requests: better
-    // it is away for some time more. Of many, each counts for little, and what hurts is that most
-    // are away
-    // at once.
-    private static final int BY_ALL = 3_000;
-    // Longer than this, being away costs a restarted node's peers more than its being warm spares
-    // them.
-    private static final long LONGEST = TimeUnit.MILLISECONDS.toNanos(3_000);
+    /** The compiler takes up a method after some hundred calls: more requests gain little. */
+    private static final int MAX_REQUESTS = 1_000;
+
+    /** Fewer leave most classes to be loaded by the first client's request. */
+    private static final int MIN_REQUESTS = 100;
+
+    /**
+     * Of all nodes together: one of few that starts cold harms a large part of all requests, while
+     * of many each counts for little, and the time that most of them are away counts more.
+     */
+    private static final int MAX_REQUESTS_OF_ALL_NODES = 3_000;
+
+    private static final long MAX_DURATION_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
     private static final int OK = 200;
     private static final int SERVERS = 4;
-    // Made-up time that passes with each exchange and between requests: some of the module's
-    // windows end too.
-    private static final long TRIP = 1_000;
-    private static final long PACE = 20_000;
-    // Every so many answers one is of another kind.
-    private static final int ODD = 50;
-    private static final String REPORT = "TEXT inflight=0, queue=0, util=0.1";
-    private static final byte[] SERVED = answer("200 OK", Headers.LOAD + ": " + REPORT + "\r\n");
-    private static final byte[] TURNED_AWAY =
-            answer("503 Service Unavailable", Headers.NEVER_RAN + ": 1\r\n");
+    private static final String HOST = "rehearsal";
+
+    /** Simulated time of an exchange with a server. */
+    private static final long ROUND_TRIP_MICROS = 1_000;
+
+    /** Simulated time between requests, long enough that some of the engine's windows end. */
+    private static final long REQUEST_INTERVAL_MICROS = 20_000;
+
+    /** Every so many responses, one is a rejection. */
+    private static final int RESPONSES_PER_REJECTION = 50;
+
+    private static final String LOAD_REPORT = "TEXT inflight=0, queue=0, util=0.1";
+    private static final byte[] SERVED =
+            response("200 OK", Headers.LOAD + ": " + LOAD_REPORT + "\r\n");
+    private static final byte[] REJECTED =
+            response("503 Service Unavailable", Headers.NEVER_RAN + ": 1\r\n");
 
     private final EventQueue events = new EventQueue(this::handle);
     private final DownstreamConnections clients =
             new DownstreamConnections(new EventLoopMonitor(() -> 0), events::take);
     private final UpstreamConnector servers = new UpstreamConnector(this::connect, events::take);
-    private final List<EmbeddedChannel> opened = new ArrayList<>();
+    private final List<EmbeddedChannel> serverChannels = new ArrayList<>();
     private final List<RequestClass> classes;
     private final Router router;
 
-    /** When the decision module wants to be woken. */
-    private final PriorityQueue<Long> wakes = new PriorityQueue<>();
+    /** When the decision engine's timers are due. */
+    private final PriorityQueue<Long> timers = new PriorityQueue<>();
 
     private long now = new Clock().micros();
-    private long answers;
+    private long responses;
     private int served;
 
     private JitWarmUp(NodeConfig config) {
         classes = config.settings().decisions().requestClasses();
-        List<DiscoveredEndpoint> hosts = new ArrayList<>();
+        router = new Router(withSimulatedServers(config), this::perform);
+    }
+
+    private static NodeConfig withSimulatedServers(NodeConfig config) {
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>();
         for (int i = 1; i <= SERVERS; i++) {
-            hosts.add(
+            endpoints.add(
                     new DiscoveredEndpoint(
-                            "rehearsal-" + i,
-                            new Address("rehearsal", i),
+                            HOST + "-" + i,
+                            new Address(HOST, i),
                             null,
                             null,
                             i,
@@ -89,129 +99,121 @@
                             1,
                             0));
         }
-        router =
-                new Router(
-                        new NodeConfig(
-                                config.name(),
-                                config.listen(),
-                                config.discovery(),
-                                config.seed(),
-                                config.maxDescriptors(),
-                                new EndpointList(0, true, hosts),
-                                config.settings(),
-                                Optional.empty(),
-                                config.memoryMb(),
-                                Optional.empty()),
-                        this::carryOut);
+        return new NodeConfig(
+                config.name(),
+                config.listen(),
+                config.discovery(),
+                config.seed(),
+                config.maxDescriptors(),
+                new EndpointList(0, true, endpoints),
+                config.settings(),
+                Optional.empty(),
+                config.memoryMb(),
+                Optional.empty());
     }
 
     /** How many requests were made, and how many of them were served. */
-    public record Played(int requests, int served) {}
+    public record Outcome(int requests, int served) {}
 
-    /** Runs until nothing gets much quicker any more, or it has taken too long. */
-    public static Played run(NodeConfig config) {
-        return run(config, requests(config.settings().decisions().nodeCount()), LONGEST);
+    /** Runs until further requests would gain little, or it has taken too long. */
+    public static Outcome run(NodeConfig config) {
+        int nodes = config.settings().decisions().nodeCount();
+        return run(config, maxRequests(nodes), MAX_DURATION_NANOS);
     }
 
-    static int requests(int nodes) {
-        return Math.max(LEAST, Math.min(MOST, BY_ALL / nodes));
+    /** The number of requests for one of so many nodes. */
+    static int maxRequests(int nodes) {
+        return Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, MAX_REQUESTS_OF_ALL_NODES / nodes));
     }
 
-    static Played run(NodeConfig config, int most, long longest) {
-        return new JitWarmUp(config).play(most, longest);
+    static Outcome run(NodeConfig config, int maxRequests, long maxDurationNanos) {
+        return new JitWarmUp(config).run(maxRequests, maxDurationNanos);
     }
 
-    private Played play(int most, long longest) {
-        long from = System.nanoTime();
+    private Outcome run(int maxRequests, long maxDurationNanos) {
+        long startedAt = System.nanoTime();
         router.start(now);
         EmbeddedChannel client = new EmbeddedChannel();
         clients.add(client.pipeline(), 0);
         int requests = 0;
-        while (requests < most && System.nanoTime() - from < longest) {
-            now += PACE;
-            RequestClass type = classes.get(requests % classes.size());
-            client.writeInbound(Unpooled.wrappedBuffer(request(type, ++requests)));
-            // A probe's answer brings the request that it was for. One that is held is answered in
-            // time: what
-            // came behind it would end the connection, and a node of a large fleet holds many.
-            while (client.outboundMessages().isEmpty() && (answerAll() || wake())) {
-                now += TRIP;
+        while (requests < maxRequests && System.nanoTime() - startedAt < maxDurationNanos) {
+            now += REQUEST_INTERVAL_MICROS;
+            RequestClass requestClass = classes.get(requests % classes.size());
+            client.writeInbound(Unpooled.wrappedBuffer(request(requestClass, ++requests)));
+            // Each request is answered before the next one: on one connection a second request
+            // would end the first, and a node of a large fleet queues many.
+            while (client.outboundMessages().isEmpty() && (respondToAll() || fireNextTimer())) {
+                now += ROUND_TRIP_MICROS;
             }
-            drain(client);
+            releaseOutbound(client);
         }
-        return new Played(requests, served);
+        return new Outcome(requests, served);
     }
 
-    private boolean wake() {
-        Long due = wakes.poll();
-        if (due != null) {
-            now = Math.max(now, due);
-            events.take(new Event.TimerFired(new Timer.Decision("tick")));
+    private boolean fireNextTimer() {
+        Long due = timers.poll();
+        if (due == null) {
+            return false;
         }
-        return due != null;
+        now = Math.max(now, due);
+        events.take(new Event.TimerFired(new Timer.Decision("tick")));
+        return true;
     }
 
-    private boolean answerAll() {
+    private boolean respondToAll() {
         boolean any = false;
-        for (int i = 0; i < opened.size(); i++) {
-            EmbeddedChannel server = opened.get(i);
+        // By index: a response may open further connections.
+        for (int i = 0; i < serverChannels.size(); i++) {
+            EmbeddedChannel server = serverChannels.get(i);
             if (!server.outboundMessages().isEmpty()) {
                 any = true;
-                drain(server);
-                server.writeInbound(
-                        Unpooled.wrappedBuffer(++answers % ODD == 0 ? TURNED_AWAY : SERVED));
+                releaseOutbound(server);
+                responses++;
+                boolean rejects = responses % RESPONSES_PER_REJECTION == 0;
+                server.writeInbound(Unpooled.wrappedBuffer(rejects ? REJECTED : SERVED));
             }
         }
         return any;
     }
 
-    private static void drain(EmbeddedChannel channel) {
+    private static void releaseOutbound(EmbeddedChannel channel) {
         for (Object out = channel.readOutbound(); out != null; out = channel.readOutbound()) {
             ReferenceCountUtil.release(out);
         }
     }
 
-    private static byte[] request(RequestClass type, int id) {
-        boolean safe = type.idempotency() == Idempotency.IDEMPOTENT;
-        return ((safe ? "GET" : "POST")
-                        + " /api HTTP/1.1\r\nHost: rehearsal\r\n"
-                        + Headers.TRACE_ID
-                        + ": "
-                        + id
-                        + "\r\n"
-                        + Headers.REQUEST_CLASS
-                        + ": "
-                        + type.name()
-                        + "\r\n"
-                        + Headers.EXPIRES_IN_MS
-                        + ": "
-                        + type.deadline() / 1000
-                        + "\r\n"
-                        + (type.idempotency() == Idempotency.KEYED
-                                ? Headers.IDEMPOTENCY_KEY + ": " + id + "\r\n"
-                                : "")
-                        + (safe ? "\r\n" : "Content-Length: 4\r\n\r\nbody"))
-                .getBytes(StandardCharsets.ISO_8859_1);
+    private static byte[] request(RequestClass requestClass, int id) {
+        boolean idempotent = requestClass.idempotency() == Idempotency.IDEMPOTENT;
+        boolean keyed = requestClass.idempotency() == Idempotency.KEYED;
+        StringBuilder request = new StringBuilder(idempotent ? "GET" : "POST");
+        request.append(" /api HTTP/1.1\r\n");
+        appendField(request, "Host", HOST);
+        appendField(request, Headers.TRACE_ID, id);
+        appendField(request, Headers.REQUEST_CLASS, requestClass.name());
+        appendField(request, Headers.EXPIRES_IN_MS, requestClass.deadline() / 1000);
+        if (keyed) {
+            appendField(request, Headers.IDEMPOTENCY_KEY, id);
+        }
+        request.append(idempotent ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
+        return request.toString().getBytes(StandardCharsets.ISO_8859_1);
+    }
+
+    private static void appendField(StringBuilder head, String name, Object value) {
+        head.append(name).append(": ").append(value).append("\r\n");
     }
 
-    private static byte[] answer(String status, String field) {
-        return ("HTTP/1.1 "
-                        + status
-                        + "\r\nContent-Length: "
-                        + REPORT.length()
-                        + "\r\n"
-                        + field
-                        + "\r\n"
-                        + REPORT)
-                .getBytes(StandardCharsets.ISO_8859_1);
+    private static byte[] response(String status, String field) {
+        StringBuilder response = new StringBuilder("HTTP/1.1 ").append(status).append("\r\n");
+        appendField(response, "Content-Length", LOAD_REPORT.length());
+        response.append(field).append("\r\n").append(LOAD_REPORT);
+        return response.toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
     private Future<OutboundConnection> connect(Address address, long timeoutMs) {
         EmbeddedChannel channel = new EmbeddedChannel();
         OutboundConnection connection =
-                OutboundConnection.over(
-                        channel.pipeline(), "rehearsal", BodyLimits.MAX_BUFFERED_BYTES);
-        opened.add(channel);
+                OutboundConnection.over(channel.pipeline(), HOST, BodyLimits.MAX_BUFFERED_BYTES);
+        serverChannels.add(channel);
         return Future.succeededFuture(connection);
     }
 
@@ -219,9 +221,9 @@
         router.handle(now, event);
     }
 
-    // Discovery, the listener and other timers have no part in it; what is closed leaves no log
-    // line.
-    private void carryOut(Effect effect) {
+    // Effects for discovery, the listeners and other timers are left out. So are those that close
+    // connections, which would be logged.
+    private void perform(Effect effect) {
         if (effect instanceof Effect.Respond e) {
             served += e.status() == OK ? 1 : 0;
             clients.respond(e);
@@ -230,14 +232,14 @@
         } else if (effect instanceof Effect.Forward e) {
             servers.forward(e);
         } else if (effect instanceof Effect.PollDiscovery e) {
-            // There is none: its list counts for as long as it is rehearsed.
+            // Without an answer the simulated servers stay known.
             events.take(new Event.DiscoveryPollFailed(e.poll()));
         } else if (effect instanceof Effect.ReadPendingInput e) {
             events.take(new Event.PendingInputRead(e.connection()));
         } else if (effect instanceof Effect.ProbeLoad e) {
             servers.probeLoad(e);
         } else if (effect instanceof Effect.StartTimer e && e.timer() instanceof Timer.Decision) {
-            wakes.add(now + e.delayMicros());
+            timers.add(now + e.delayMicros());
         }
     }
 }
--- a/src/main/java/ottergauge/transport/Listener.java
+++ b/src/main/java/ottergauge/transport/Listener.java
@@ -21,13 +21,13 @@
 import ottergauge.protocol.Address;
 
 /**
- * An address that the node listens on, with a limiter of its own. It is Netty's and not Vert.x's: a
- * server of Vert.x closes all of its connections when it closes, and an old process has to end the
- * one before the rest.
+ * A listening address with its connection limit. It is a channel of Netty and not a server of
+ * Vert.x, which would close all of its connections with it: a process that hands over stops
+ * listening long before its last connection ends.
  */
 final class Listener {
 
-    // Of one connection in one round of the loop, as the library has it: the others are read too.
+    /** Of one connection in one round of the event loop, so that the others are read too. */
     private static final int MAX_READS_PER_ROUND = 16;
 
     private final Channel channel;
@@ -58,8 +58,8 @@
                                         .maxMessagesPerRead(
                                                 ConnectionLimiter.MAX_ACCEPTS_PER_ROUND))
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        // Read to the end of what has come: a client that asked and left has left
-                        // when it is heard.
+                        // Read to the end of what has arrived: that a client has left is then
+                        // known before its request is handled.
                         .childOption(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new AdaptiveRecvByteBufAllocator()
@@ -92,12 +92,17 @@
         return opened.future();
     }
 
-    /** Takes nothing more. */
+    /** Accepts nothing more. */
+    // A listening channel has nothing to lose by its close.
+    @SuppressWarnings("FutureReturnValueIgnored")
     void close() {
         channel.close();
     }
 
-    /** Takes what waits in the queue, which a close would reset, and closes: on the loop only. */
+    /**
+     * Accepts what waits in the accept queue, which a close would reset, and closes. It may be
+     * called on the event loop only.
+     */
     void drainAndClose() {
         if (!channel.isOpen()) {
             return;
@@ -108,6 +113,6 @@
             before = limiter.accepted();
             ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
         } while (limiter.accepted() > before);
-        channel.close();
+        close();
     }
 }
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -31,6 +31,8 @@
     /** How often the node's other processes are looked at; well within the time of a drain. */
     private static final long HOT_RESTART_SYNC_PERIOD_MS = 100;
 
+    private static final String SERVER_SIDE = "server";
+
     private final NodeConfig config;
     private final Clock clock = new Clock();
     private final EventLoopMonitor monitor = new EventLoopMonitor(System::nanoTime);
@@ -101,7 +103,7 @@
 
     private Future<OutboundConnection> connectUpstream(Address address, long timeoutMs) {
         return OutboundConnection.connect(
-                client, "server", address, timeoutMs, BodyLimits.MAX_BUFFERED_BYTES);
+                client, SERVER_SIDE, address, timeoutMs, BodyLimits.MAX_BUFFERED_BYTES);
     }
 
     /** Starts to serve; the future fails if an address is taken. */
--- a/src/main/java/ottergauge/transport/OutboundConnection.java
+++ b/src/main/java/ottergauge/transport/OutboundConnection.java
@@ -37,6 +37,8 @@
      * @param contentLength what its head announces; negative if nothing
      * @param reusable whether the connection may carry another request
      */
+    // The body is shared and never written: a copy for each response would cost too much.
+    @SuppressWarnings("ArrayRecordComponent")
     record Response(
             int status, HttpHeaders headers, byte[] body, long contentLength, boolean reusable) {}
 
@@ -74,7 +76,6 @@
         STREAM_RECEIVED
     }
 
-    private static final LongConsumer NO_PROGRESS = bytes -> {};
     private static final long NANOS_PER_MICRO = 1_000;
 
     private final HttpFraming.ResponseDecoder decoder;
@@ -95,7 +96,7 @@
     private boolean surplusParts;
     private StreamedBody stream;
     private Response streamedResponse;
-    private LongConsumer progressHandler = NO_PROGRESS;
+    private LongConsumer progressHandler = OutboundConnection::ignoreProgress;
 
     private OutboundConnection(String side, HttpFraming.ResponseDecoder decoder, int maxBodyBytes) {
         super(side);
@@ -170,7 +171,7 @@
     Consumer<ChannelFuture> sendHead(HttpRequest request) {
         responseHandler = streamHandlers.responseReceived();
         stage = Stage.AWAITING_HEAD;
-        context().write(request);
+        write(request);
         return written -> onRequestWritten(written.isSuccess(), streamHandlers.requestWritten());
     }
 
@@ -352,6 +353,8 @@
         }
     }
 
+    private static void ignoreProgress(long bytes) {}
+
     private void reset() {
         responseHandler = null;
         stage = Stage.IDLE;
@@ -360,7 +363,7 @@
         body = null;
         streamedResponse = null;
         stream = null;
-        progressHandler = NO_PROGRESS;
+        progressHandler = OutboundConnection::ignoreProgress;
     }
 
     // A response without a length is complete when its connection is closed, but not when it is
--- a/src/test/java/ottergauge/program/CrossingIT.java
+++ b/src/test/java/ottergauge/program/CrossingIT.java
@@ -305,7 +305,7 @@
                     node.signal("HUP");
                     pipe.write(config.getBytes(StandardCharsets.UTF_8));
                 }
-                node.awaitLog("rehearsed");
+                node.awaitLog("warmed up with");
                 try (var pipe = node.configPipe()) {
                     pipe.write(moved.getBytes(StandardCharsets.UTF_8));
                 }
--- a/src/test/java/ottergauge/transport/JitWarmUpTest.java
+++ b/src/test/java/ottergauge/transport/JitWarmUpTest.java
@@ -13,10 +13,10 @@
     /** One that is refused goes through a part of the node alone, and leaves the rest cold. */
     @Test
     void nearlyAllThatIsRehearsedIsServed() {
-        JitWarmUp.Played played =
+        JitWarmUp.Outcome outcome =
                 JitWarmUp.run(new TestConfig().probes().build(), 1_000, Long.MAX_VALUE);
-        assertEquals(1_000, played.requests());
-        assertTrue(played.served() > 900, played.toString());
+        assertEquals(1_000, outcome.requests());
+        assertTrue(outcome.served() > 900, outcome.toString());
     }
 
     /**
@@ -27,9 +27,9 @@
     @Test
     void whatIsHeldIsAnsweredBeforeTheNextRequest() {
         NodeConfig config = new TestConfig().fleet(600, 1).build();
-        JitWarmUp.Played played = JitWarmUp.run(config, 1_000, Long.MAX_VALUE);
-        assertEquals(1_000, played.requests());
-        assertTrue(played.served() > 900, played.toString());
+        JitWarmUp.Outcome outcome = JitWarmUp.run(config, 1_000, Long.MAX_VALUE);
+        assertEquals(1_000, outcome.requests());
+        assertTrue(outcome.served() > 900, outcome.toString());
     }
 
     /**
@@ -38,10 +38,10 @@
      */
     @Test
     void oneOfManyRehearsesLessThanOneOfFew() {
-        assertEquals(1_000, JitWarmUp.requests(1));
-        assertEquals(1_000, JitWarmUp.requests(3));
-        assertTrue(JitWarmUp.requests(14) <= 250);
-        assertEquals(100, JitWarmUp.requests(600));
+        assertEquals(1_000, JitWarmUp.maxRequests(1));
+        assertEquals(1_000, JitWarmUp.maxRequests(3));
+        assertTrue(JitWarmUp.maxRequests(14) <= 250);
+        assertEquals(100, JitWarmUp.maxRequests(600));
     }
 
     @Test
