--- a/src/main/java/ottergauge/program/HollowCommand.java
+++ b/src/main/java/ottergauge/program/HollowCommand.java
@@ -143,6 +143,8 @@
         }
     }
 
+    // The handler is the last one to see a failure.
+    @SuppressWarnings("FutureReturnValueIgnored")
     private static void logFailure(CompletableFuture<Void> started) {
         started.whenComplete(
                 (done, failure) -> {
@@ -181,7 +183,7 @@
         for (String order = orders.readLine(); order != null; order = orders.readLine()) {
             switch (order.trim()) {
                 case "restart" -> logFailure(fleet.restart());
-                case "servers" -> fleet.tellServers();
+                case "servers" -> fleet.reportServers();
                 case "end" -> {
                     return;
                 }
--- a/src/main/java/ottergauge/program/HollowReport.java
+++ b/src/main/java/ottergauge/program/HollowReport.java
@@ -20,19 +20,19 @@
 import ottergauge.transport.HollowFleet;
 
 /**
- * Writes what hollow nodes tell of themselves as JSON, a line for each event, and each second a
- * line with what the process uses. It never holds up a node: lines that the writer can't keep up
- * with are lost, and the number of those is told.
+ * Writes the events of hollow nodes as JSON lines, and each second a line with the process' use of
+ * CPU and memory. It never blocks a node: events that the writer can't keep up with are dropped and
+ * counted.
  */
 final class HollowReport {
 
     private static final Logger LOG = LoggerFactory.getLogger(HollowReport.class);
-    private static final int MOST_WAITING = 1 << 17;
-    private static final long PROCESS_EVERY = TimeUnit.SECONDS.toNanos(1);
-    private static final long LOOK_EVERY_MS = 100;
+    private static final int MAX_QUEUED_EVENTS = 1 << 17;
+    private static final long PROCESS_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long POLL_TIMEOUT_MS = 100;
     private static final long MICROS = 1_000;
 
-    private final BlockingQueue<HollowEvent> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+    private final BlockingQueue<HollowEvent> queue = new ArrayBlockingQueue<>(MAX_QUEUED_EVENTS);
     private final AtomicLong lost = new AtomicLong();
     private final JsonGenerator out;
 
@@ -44,7 +44,7 @@
 
     /** Takes an event to be written. */
     void take(HollowEvent event) {
-        if (!waiting.offer(event)) {
+        if (!queue.offer(event)) {
             lost.incrementAndGet();
         }
     }
@@ -61,15 +61,15 @@
             writeBounds();
             long processAt = System.nanoTime();
             while (true) {
-                HollowEvent event = waiting.poll(LOOK_EVERY_MS, TimeUnit.MILLISECONDS);
+                HollowEvent event = queue.poll(POLL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
                 if (event != null) {
                     write(event);
                 }
                 if (System.nanoTime() - processAt >= 0) {
-                    processAt += PROCESS_EVERY;
+                    processAt += PROCESS_PERIOD_NANOS;
                     writeProcess();
                 }
-                if (waiting.isEmpty()) {
+                if (queue.isEmpty()) {
                     out.flush();
                 }
             }
@@ -83,14 +83,14 @@
     }
 
     private void write(HollowEvent event) throws IOException {
-        if (event instanceof HollowEvent.InForce e) {
+        if (event instanceof HollowEvent.VersionEffective e) {
             begin("in-force", e.at());
             out.writeStringField("node", e.node());
             out.writeStringField("source", name(e.source()));
             out.writeNumberField("version", e.version());
-            out.writeBooleanField("whole", e.whole());
+            out.writeBooleanField("whole", e.complete());
             out.writeNumberField("entries", e.entries());
-        } else if (event instanceof HollowEvent.Calls e) {
+        } else if (event instanceof HollowEvent.PollCount e) {
             begin("calls", e.at());
             out.writeStringField("source", name(e.source()));
             out.writeStringField("kind", name(e.kind()));
@@ -101,21 +101,25 @@
             out.writeStringField("source", name(e.source()));
             out.writeNumberField("in", e.bytesIn());
             out.writeNumberField("out", e.bytesOut());
-        } else if (event instanceof HollowEvent.Late e) {
+        } else if (event instanceof HollowEvent.LoopLag e) {
             begin("late", e.at());
             out.writeNumberField("loop", e.loop());
             out.writeFieldName("counts");
-            out.writeArray(e.counts(), 0, e.counts().length);
-        } else if (event instanceof HollowEvent.Servers e) {
+            out.writeStartArray();
+            for (long count : e.counts()) {
+                out.writeNumber(count);
+            }
+            out.writeEndArray();
+        } else if (event instanceof HollowEvent.ServerStatuses e) {
             begin("servers", e.at());
             out.writeStringField("node", e.node());
             out.writeNumberField("count", e.count());
             out.writeStringField("digest", e.digest());
-        } else if (event instanceof HollowEvent.LeftOut e) {
+        } else if (event instanceof HollowEvent.EffectOmitted e) {
             begin("left-out", e.at());
             out.writeStringField("node", e.node());
             out.writeStringField("effect", e.effect());
-        } else if (event instanceof HollowEvent.Started e) {
+        } else if (event instanceof HollowEvent.FleetStarted e) {
             begin("started", e.at());
             out.writeNumberField("nodes", e.nodes());
         }
@@ -126,9 +130,9 @@
         begin("bounds", HollowFleet.wallMicros());
         out.writeFieldName("late_ms");
         out.writeArray(
-                HollowFleet.latenessBounds().stream().mapToInt(Integer::intValue).toArray(),
+                HollowFleet.lagBoundsMs().stream().mapToInt(Integer::intValue).toArray(),
                 0,
-                HollowFleet.latenessBounds().size());
+                HollowFleet.lagBoundsMs().size());
         end();
     }
 
--- a/src/main/java/ottergauge/transport/HollowCallCounter.java
+++ b/src/main/java/ottergauge/transport/HollowCallCounter.java
@@ -7,20 +7,20 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import ottergauge.transport.HollowEvent.CallKind;
-import ottergauge.transport.HollowEvent.Calls;
+import ottergauge.transport.HollowEvent.PollCount;
 import ottergauge.transport.HollowEvent.Source;
 
-/** Counts the calls of all nodes of one loop to one source, by kind, in spans of equal length. */
+/** Counts the polls of one source by all nodes of a loop, by kind, in spans of equal length. */
 final class HollowCallCounter {
 
-    /** In microseconds. */
-    static final long SPAN = TimeUnit.MILLISECONDS.toMicros(10);
+    /** The length of a span. */
+    static final long SPAN_MICROS = TimeUnit.MILLISECONDS.toMicros(10);
 
     private final Source source;
     private final LongSupplier clock;
     private final Consumer<HollowEvent> observer;
     private final Map<CallKind, Long> counts = new EnumMap<>(CallKind.class);
-    private long spanAt;
+    private long spanStart;
 
     HollowCallCounter(Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
         this.source = source;
@@ -30,16 +30,16 @@
 
     void count(CallKind kind) {
         long now = clock.getAsLong();
-        if (now - spanAt >= SPAN) {
-            tell();
-            spanAt = now - now % SPAN;
+        if (now - spanStart >= SPAN_MICROS) {
+            report();
+            spanStart = now - now % SPAN_MICROS;
         }
         counts.merge(kind, 1L, Long::sum);
     }
 
-    /** Tells what has been counted and not told yet. */
-    void tell() {
-        counts.forEach((kind, count) -> observer.accept(new Calls(source, kind, count, spanAt)));
+    /** Reports what has been counted since the last report. */
+    void report() {
+        counts.forEach((kind, count) -> observer.accept(new PollCount(source, kind, count, spanStart)));
         counts.clear();
     }
 }
--- a/src/main/java/ottergauge/transport/HollowFleet.java
+++ b/src/main/java/ottergauge/transport/HollowFleet.java
@@ -10,9 +10,8 @@
 import ottergauge.protocol.NodeConfig;
 
 /**
- * Many hollow nodes in one process, on few loops. Nodes of one loop wait for each other: the
- * observer is told how late each loop came round, and by that whether what it is told is the nodes'
- * doing or the process's.
+ * Many hollow nodes in one process, on few event loops. Nodes of one loop wait for each other: the
+ * lag of each loop is reported, so that a delay of the process isn't taken for one of the nodes.
  */
 public final class HollowFleet implements AutoCloseable {
 
@@ -44,8 +43,8 @@
         return TimeUnit.SECONDS.toMicros(now.getEpochSecond()) + now.getNano() / MICROS;
     }
 
-    /** The bounds, in milliseconds, between which {@link HollowEvent.Late} counts. */
-    public static List<Integer> latenessBounds() {
+    /** The bounds, in milliseconds, between which {@link HollowEvent.LoopLag} counts. */
+    public static List<Integer> lagBoundsMs() {
         return EventLoopLag.BOUNDS_MS;
     }
 
@@ -61,12 +60,12 @@
 
     private CompletableFuture<Void> whenAll(List<CompletableFuture<Void>> parts) {
         return CompletableFuture.allOf(parts.toArray(new CompletableFuture<?>[0]))
-                .thenRun(() -> observer.accept(new HollowEvent.Started(nodes, wallMicros())));
+                .thenRun(() -> observer.accept(new HollowEvent.FleetStarted(nodes, wallMicros())));
     }
 
-    /** Has each node tell how its servers stand. */
-    public void tellServers() {
-        loops.forEach(HollowLoop::tellServers);
+    /** Has each node report the status of its servers. */
+    public void reportServers() {
+        loops.forEach(HollowLoop::reportServers);
     }
 
     @Override
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -6,6 +6,7 @@
 import io.vertx.core.internal.ContextInternal;
 import io.vertx.core.net.NetClient;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
@@ -14,10 +15,10 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.transport.HollowEvent.Source;
 
-/** Hollow nodes that share one loop, and how late that comes round. */
+/** Hollow nodes that share one event loop, whose lag it reports. */
 final class HollowLoop {
 
-    private static final long TELL_EVERY_MS = 500;
+    private static final long REPORT_PERIOD_MS = 500;
 
     private final int number;
     private final List<NodeConfig> configs;
@@ -47,8 +48,8 @@
         CompletableFuture<Void> started = new CompletableFuture<>();
         context.runOnContext(
                 run -> {
-                    look();
-                    vertx.setPeriodic(TELL_EVERY_MS, due -> tell());
+                    recordLag();
+                    vertx.setPeriodic(REPORT_PERIOD_MS, due -> report());
                     startNext(overMs, started);
                 });
         return started;
@@ -86,23 +87,23 @@
         return started;
     }
 
-    /** Has each node tell how its servers stand. */
-    void tellServers() {
-        context.runOnContext(run -> nodes.forEach(HollowNode::tellServers));
+    /** Has each node report the status of its servers. */
+    void reportServers() {
+        context.runOnContext(run -> nodes.forEach(HollowNode::reportServers));
     }
 
-    private void look() {
+    private void recordLag() {
         EventLoop loop = context.nettyEventLoop();
-        LoopTasks.schedule(loop, this::look, lag.record(System.nanoTime()), TimeUnit.NANOSECONDS);
+        LoopTasks.schedule(loop, this::recordLag, lag.record(System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
-    private void tell() {
-        nodes.forEach(HollowNode::tell);
-        calls.tell();
-        observer.accept(new HollowEvent.Late(number, lag.takeCounts(), wall.getAsLong()));
+    private void report() {
+        nodes.forEach(HollowNode::report);
+        calls.report();
+        observer.accept(new HollowEvent.LoopLag(number, Arrays.stream(lag.takeCounts()).boxed().toList(), wall.getAsLong()));
     }
 
-    /** Ends all of it. */
+    /** Ends the loop with its nodes. */
     void close() {
         vertx.close();
     }
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -22,8 +22,8 @@
 import ottergauge.routing.Event;
 import ottergauge.routing.Router;
 import ottergauge.transport.HollowEvent.CallKind;
-import ottergauge.transport.HollowEvent.InForce;
-import ottergauge.transport.HollowEvent.Servers;
+import ottergauge.transport.HollowEvent.VersionEffective;
+import ottergauge.transport.HollowEvent.ServerStatuses;
 import ottergauge.transport.HollowEvent.Source;
 
 /**
@@ -51,10 +51,10 @@
     private final Router router;
     private boolean dropped;
 
-    /** The version of the list in force, and the one that the event in hand may bring in force. */
-    private long inForce;
+    /** The effective list's version, and the one that the current event may make effective. */
+    private long effectiveVersion;
 
-    private long next;
+    private long nextVersion;
 
     /** {@code wall} is the clock that the observer is told instants of. */
     HollowNode(
@@ -79,8 +79,8 @@
                                 dialer.dial(side, address, timeoutMs, mostBody).map(this::counted),
                         config.maxListBytes(),
                         this::take);
-        router = new Router(config, this::carryOut);
-        inForce = config.knownEndpoints().version();
+        router = new Router(config, this::perform);
+        effectiveVersion = config.knownEndpoints().version();
     }
 
     private OutboundConnection counted(OutboundConnection connection) {
@@ -102,7 +102,7 @@
     void drop() {
         dropped = true;
         List.copyOf(open).forEach(HollowNode::close);
-        traffic.tell();
+        traffic.report();
     }
 
     // Nothing is lost by the close of a connection that is dropped.
@@ -111,13 +111,13 @@
         channel.close();
     }
 
-    /** Tells what has been counted and not told yet. */
-    void tell() {
-        traffic.tell();
+    /** Reports what has been counted since the last report. */
+    void report() {
+        traffic.report();
     }
 
-    /** Tells how all servers stand in the decisions that are in force. */
-    void tellServers() {
+    /** Reports the status of all servers. */
+    void reportServers() {
         take(new Event.AdminRequestReceived(CALLER, new AdminRequest.Servers()));
     }
 
@@ -128,52 +128,52 @@
     }
 
     private void handle(Event event) {
-        next = inForce;
+        nextVersion = effectiveVersion;
         try {
             router.handle(clock.micros(), event);
         } catch (RuntimeException e) {
             LOG.error("{}: an event was not handled: {}", config.name(), event, e);
         }
-        if (next != inForce) {
-            inForce = next;
+        if (nextVersion != effectiveVersion) {
+            effectiveVersion = nextVersion;
             EndpointList list =
                     event instanceof Event.EndpointListReceived read
                             ? read.list()
                             : EndpointList.EMPTY;
             observer.accept(
-                    new InForce(
+                    new VersionEffective(
                             config.name(),
                             Source.DISCOVERY,
-                            inForce,
+                            effectiveVersion,
                             list.complete(),
                             list.endpoints().size(),
                             wall.getAsLong()));
         }
     }
 
-    private void carryOut(Effect effect) {
+    private void perform(Effect effect) {
         if (effect instanceof Effect.PollDiscovery e) {
-            call(e);
+            poll(e);
         } else if (effect instanceof Effect.CancelPoll e) {
             calls.count(CallKind.FAILED);
             discovery.cancel(e);
         } else if (effect instanceof Effect.StartTimer e) {
             timers.start(e.delayMicros(), () -> take(new Event.TimerFired(e.timer())));
         } else if (effect instanceof Effect.RespondToAdmin e) {
-            observer.accept(servers(e.text()));
+            observer.accept(serverStatuses(e.text()));
         } else if (effect instanceof Effect.ConnectUpstream e) {
-            leftOut(effect);
+            reportOmitted(effect);
             take(new Event.UpstreamConnectFailed(e.connection()));
         } else if (!(effect instanceof Effect.AcceptUpTo)) {
-            leftOut(effect);
+            reportOmitted(effect);
         }
     }
 
     // A call that goes on from a version asks for what is newer: what it names is in force once the
     // event in
     // hand is handled.
-    private void call(Effect.PollDiscovery effect) {
-        next = effect.afterVersion();
+    private void poll(Effect.PollDiscovery effect) {
+        nextVersion = effect.afterVersion();
         calls.count(
                 effect.afterVersion() <= EndpointList.EMPTY.version()
                         ? CallKind.WHOLE
@@ -181,22 +181,22 @@
         discovery.poll(effect);
     }
 
-    private void leftOut(Effect effect) {
+    private void reportOmitted(Effect effect) {
         observer.accept(
-                new HollowEvent.LeftOut(
+                new HollowEvent.EffectOmitted(
                         config.name(), effect.getClass().getSimpleName(), wall.getAsLong()));
     }
 
     // The order of names is that in which they were heard of first, which differs from node to
     // node.
-    private Servers servers(String text) {
+    private ServerStatuses serverStatuses(String text) {
         List<String> lines = new ArrayList<>(text.lines().toList());
         lines.sort(null);
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             lines.forEach(line -> digest.update((line + '\n').getBytes(StandardCharsets.UTF_8)));
             String hex = HexFormat.of().formatHex(digest.digest(), 0, DIGEST_BYTES);
-            return new Servers(config.name(), lines.size(), hex, wall.getAsLong());
+            return new ServerStatuses(config.name(), lines.size(), hex, wall.getAsLong());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/ottergauge/transport/HollowTrafficCounter.java
+++ b/src/main/java/ottergauge/transport/HollowTrafficCounter.java
@@ -17,14 +17,14 @@
  */
 final class HollowTrafficCounter {
 
-    /** In microseconds. */
-    static final long SPAN = TimeUnit.MILLISECONDS.toMicros(100);
+    /** The length of a span. */
+    static final long SPAN_MICROS = TimeUnit.MILLISECONDS.toMicros(100);
 
     private final String node;
     private final Source source;
     private final LongSupplier clock;
     private final Consumer<HollowEvent> observer;
-    private long spanAt;
+    private long spanStart;
     private long bytesIn;
     private long bytesOut;
 
@@ -65,18 +65,18 @@
 
     private void count(int in, int out) {
         long now = clock.getAsLong();
-        if (now - spanAt >= SPAN) {
-            tell();
-            spanAt = now - now % SPAN;
+        if (now - spanStart >= SPAN_MICROS) {
+            report();
+            spanStart = now - now % SPAN_MICROS;
         }
         bytesIn += in;
         bytesOut += out;
     }
 
-    /** Tells what has been counted and not told yet. */
-    void tell() {
+    /** Reports what has been counted since the last report. */
+    void report() {
         if (bytesIn + bytesOut > 0) {
-            observer.accept(new Traffic(node, source, bytesIn, bytesOut, spanAt));
+            observer.accept(new Traffic(node, source, bytesIn, bytesOut, spanStart));
             bytesIn = 0;
             bytesOut = 0;
         }
--- a/src/test/java/ottergauge/program/CrossingIT.java
+++ b/src/test/java/ottergauge/program/CrossingIT.java
@@ -220,7 +220,7 @@
                         }
                     },
                     "reset over bytes that it had not read");
-            client.close();
+            client.socket().close();
             try (Client next = node.client()) {
                 assertEquals(200, next.ask(Client.request("grant", "last", "")).status());
             }
@@ -252,9 +252,9 @@
                         idle.write(Client.request("grant", "ok", ""));
                     });
             assertNull(idle.read());
-            idle.close();
+            idle.socket().close();
             assertEquals(502, open.read().status());
-            open.close();
+            open.socket().close();
             assertEquals(143, node.exitCode());
             assertTrue(server.requests.isEmpty(), "taken after its connection was shut");
         }
@@ -277,12 +277,12 @@
             node.awaitLog("was told to stop");
             node.signal("TERM");
             assertTrue(idle.socket().getInputStream().read() < 0);
-            idle.close();
+            idle.socket().close();
             client.write(request.substring(request.length() - 4));
             HttpMessage answer = client.read();
             assertEquals("served 12345678", answer.body());
             assertEquals("close", answer.headers().get("connection"));
-            client.close();
+            client.socket().close();
             assertEquals(143, node.exitCode());
         }
     }
--- a/src/test/java/ottergauge/program/HttpMessage.java
+++ b/src/test/java/ottergauge/program/HttpMessage.java
@@ -46,11 +46,11 @@
     }
 
     int status() {
-        return Integer.parseInt(startLine.split(" ")[1]);
+        return Integer.parseInt(startLine.split(" ", -1)[1]);
     }
 
     String target() {
-        return startLine.split(" ")[1];
+        return startLine.split(" ", -1)[1];
     }
 
     static byte[] response(int status, String headers, String body) {
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -701,7 +701,7 @@
         try (RunningNode node = RunningNode.start(folder, config, port)) {
             node.awaitLog("listens on 127.0.0.2:" + port);
             boolean reached;
-            try (Socket socket = new Socket("127.0.0.1", port)) {
+            try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 reached = socket.isConnected();
             } catch (java.net.ConnectException e) {
                 reached = false;
