--- a/src/main/java/ottergauge/transport/HollowCallCounter.java
+++ b/src/main/java/ottergauge/transport/HollowCallCounter.java
@@ -39,7 +39,8 @@
 
     /** Reports what has been counted since the last report. */
     void report() {
-        counts.forEach((kind, count) -> observer.accept(new PollCount(source, kind, count, spanStart)));
+        counts.forEach(
+                (kind, count) -> observer.accept(new PollCount(source, kind, count, spanStart)));
         counts.clear();
     }
 }
--- a/src/main/java/ottergauge/transport/HollowEvent.java
+++ b/src/main/java/ottergauge/transport/HollowEvent.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What hollow nodes report. Instants are wall-clock microseconds, so that they can be
- * compared with those of other processes on the same machine.
+ * What hollow nodes report. Instants are wall-clock microseconds, so that they can be compared with
+ * those of other processes on the same machine.
  */
 public sealed interface HollowEvent {
 
@@ -28,17 +28,19 @@
      * A version has taken effect at a node; {@code entries} came with it, of a complete state or of
      * changes.
      */
-    record VersionEffective(String node, Source source, long version, boolean complete, int entries, long at)
+    record VersionEffective(
+            String node, Source source, long version, boolean complete, int entries, long at)
             implements HollowEvent {}
 
     /**
-     * So many calls began, or failed, in the span of {@link HollowCallCounter#SPAN_MICROS} that begins at
-     * {@code at}.
+     * So many calls began, or failed, in the span of {@link HollowCallCounter#SPAN_MICROS} that
+     * begins at {@code at}.
      */
     record PollCount(Source source, CallKind kind, long count, long at) implements HollowEvent {}
 
     /**
-     * A node's bytes in the span of {@link HollowTrafficCounter#SPAN_MICROS} that begins at {@code at}.
+     * A node's bytes in the span of {@link HollowTrafficCounter#SPAN_MICROS} that begins at {@code
+     * at}.
      */
     record Traffic(String node, Source source, long bytesIn, long bytesOut, long at)
             implements HollowEvent {}
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -94,13 +94,18 @@
 
     private void recordLag() {
         EventLoop loop = context.nettyEventLoop();
-        LoopTasks.schedule(loop, this::recordLag, lag.record(System.nanoTime()), TimeUnit.NANOSECONDS);
+        LoopTasks.schedule(
+                loop, this::recordLag, lag.record(System.nanoTime()), TimeUnit.NANOSECONDS);
     }
 
     private void report() {
         nodes.forEach(HollowNode::report);
         calls.report();
-        observer.accept(new HollowEvent.LoopLag(number, Arrays.stream(lag.takeCounts()).boxed().toList(), wall.getAsLong()));
+        observer.accept(
+                new HollowEvent.LoopLag(
+                        number,
+                        Arrays.stream(lag.takeCounts()).boxed().toList(),
+                        wall.getAsLong()));
     }
 
     /** Ends the loop with its nodes. */
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -22,9 +22,9 @@
 import ottergauge.routing.Event;
 import ottergauge.routing.Router;
 import ottergauge.transport.HollowEvent.CallKind;
-import ottergauge.transport.HollowEvent.VersionEffective;
 import ottergauge.transport.HollowEvent.ServerStatuses;
 import ottergauge.transport.HollowEvent.Source;
+import ottergauge.transport.HollowEvent.VersionEffective;
 
 /**
  * One node without clients, listener and servers: the reducer, the decisions, the codecs and the
