--- a/src/main/java/ottergauge/routing/RequestHandler.java
+++ b/src/main/java/ottergauge/routing/RequestHandler.java
@@ -72,18 +72,31 @@
         RequestClasses.Indexed indexed =
                 settings.classes().find(fields.requestClass()).orElse(null);
         if (indexed == null) {
-            clients.reject(now, client, BAD_REQUEST, "unknown class " + fields.requestClass());
+            clients.reject(
+                    now,
+                    client,
+                    BAD_REQUEST,
+                    "unknown request class " + quoted(fields.requestClass()));
             return;
         }
         RequestClass requestClass = indexed.requestClass();
         Idempotency idempotency = requestClass.idempotency();
         if ((streamed && idempotency == Idempotency.IDEMPOTENT) || !fits(content, idempotency)) {
-            clients.reject(now, client, BAD_REQUEST, "method, key or body are not the class's");
+            clients.reject(
+                    now,
+                    client,
+                    BAD_REQUEST,
+                    "method, idempotency key or body do not fit class "
+                            + quoted(fields.requestClass()));
             return;
         }
         if (requests.containsTraceId(fields.traceId())) {
             // Forwarded, two copies of one request would be outstanding at a server.
-            clients.reject(now, client, CONFLICT, "a request with this id is open");
+            clients.reject(
+                    now,
+                    client,
+                    CONFLICT,
+                    "a request with trace id " + quoted(fields.traceId()) + " is in flight");
             return;
         }
         long timeout = fields.expiresInMs() * MICROS_PER_MS;
@@ -98,6 +111,10 @@
                 indexed.index());
     }
 
+    private static String quoted(String value) {
+        return '"' + value + '"';
+    }
+
     private void accept(long now, InFlightRequest request, int classIndex) {
         clients.accepted(request);
         if (!request.streamed) {
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -194,7 +194,8 @@
 
                     no size
 
-                    """);
+                    """
+                            .replace("\n", "\r\n"));
             assertEquals(400, bad.read().status());
             assertTrue(bad.atEnd());
             node.awaitLog("code=MALFORMED");
@@ -289,7 +290,8 @@
                                                             Content-Length: 6
 
                                                             second\
-                                                            """)
+                                                            """
+                                                                    .replace("\n", "\r\n"))
                                                     .getBytes(StandardCharsets.US_ASCII));
                             return true;
                         });
--- a/src/test/java/ottergauge/routing/AdminStateTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -5,10 +5,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static ottergauge.protocol.TestConfig.host;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import ottergauge.decision.api.EndpointState;
+import ottergauge.decision.api.EndpointStatus;
 import ottergauge.protocol.Address;
 import ottergauge.protocol.DiscoveredEndpoint;
 import ottergauge.protocol.EndpointList;
@@ -30,7 +34,7 @@
     private long lastCaller;
 
     private RespondToAdmin ask(AdminRequest call) {
-        node.tell(new Event.AdminRequestReceived(++lastCaller, call));
+        node.handle(new Event.AdminRequestReceived(++lastCaller, call));
         RespondToAdmin told = node.expect(RespondToAdmin.class);
         assertEquals(lastCaller, told.connection());
         return told;
@@ -51,7 +55,7 @@
             node.request("read");
             ConnectUpstream connect = node.expect(ConnectUpstream.class);
             any |= connect.address().equals(server);
-            node.tell(new Event.UpstreamConnected(connect.connection()));
+            node.handle(new Event.UpstreamConnected(connect.connection()));
             Forward forward = node.expect(Forward.class);
             node.written(forward);
             // Not kept, so that each request shows by its connection where it goes.
@@ -80,7 +84,7 @@
         assertEquals(1, figure("members_unavailable"));
         assertEquals(200, ask(new AdminRequest.EndMaintenance("s-1")).status());
         assertEquals("s-1", node.expect(ClearMaintenance.class).server());
-        node.pass(1000);
+        node.advanceMs(1000);
         assertTrue(uses(FIRST, 8));
         assertEquals(0, figure("members_unavailable"));
     }
@@ -96,7 +100,7 @@
         String held = connect.address().equals(FIRST) ? "s-1" : "s-2";
         assertEquals(200, ask(new AdminRequest.StartMaintenance(held)).status());
         assertTrue(!node.expect(ConnectUpstream.class).address().equals(connect.address()));
-        node.tell(new Event.UpstreamConnected(connect.connection()));
+        node.handle(new Event.UpstreamConnected(connect.connection()));
         assertEquals(connect.connection(), node.expect(Effect.CloseUpstream.class).connection());
         node.expectNo(Forward.class);
     }
@@ -111,11 +115,11 @@
     /** The other process of an upgrade may be the one that is called. */
     @Test
     void whatAnotherProcessWasToldIsFollowed() {
-        node.tell(new Event.MaintenanceLoaded(Map.of("s-1", 5L)));
+        node.handle(new Event.MaintenanceLoaded(Map.of("s-1", 5L)));
         assertEquals(false, uses(FIRST, 8));
         node.expectNo(StoreMaintenance.class);
-        node.tell(new Event.MaintenanceLoaded(Map.of()));
-        node.pass(1000);
+        node.handle(new Event.MaintenanceLoaded(Map.of()));
+        node.advanceMs(1000);
         assertTrue(uses(FIRST, 8));
     }
 
@@ -123,10 +127,10 @@
     @Test
     void healthIsANoUntilClientsAreTakenAndAfterTheStop() {
         RouterDriver starting = new RouterDriver(new TestConfig(), false);
-        starting.tell(new Event.AdminRequestReceived(1, new AdminRequest.Health()));
+        starting.handle(new Event.AdminRequestReceived(1, new AdminRequest.Health()));
         assertEquals(503, starting.expect(RespondToAdmin.class).status());
         assertEquals(200, ask(new AdminRequest.Health()).status());
-        node.tell(new Event.ShutdownRequested(true));
+        node.handle(new Event.ShutdownRequested(true));
         assertEquals(503, ask(new AdminRequest.Health()).status());
     }
 
@@ -156,14 +160,14 @@
     /** Each request ends under one count, and what its client left under none. */
     @Test
     void figuresCountEachRequestOnce() {
-        node.serve(node.connectToNew("read"));
-        Forward failing = node.connectToNew("grant");
+        node.serve(node.forwardOnNewConnection("read"));
+        Forward failing = node.forwardOnNewConnection("grant");
         assertEquals(1, figure("pending"));
         node.written(failing);
         node.answer(failing, 500, false);
         long leaver = node.request("pay");
-        node.tell(new Event.ClientClosed(leaver));
-        node.tell(new Event.ClientClosed(leaver));
+        node.handle(new Event.ClientClosed(leaver));
+        node.handle(new Event.ClientClosed(leaver));
         assertEquals(0, figure("pending"));
         assertEquals(1, figure("completed.read"));
         assertEquals(1, figure("failed.grant"));
@@ -182,9 +186,9 @@
         node.request(asks, "read", 1000);
         node.serve(node.connectNext());
         assertEquals(200, node.status(asks));
-        node.tell(new Event.ShutdownRequested(true));
+        node.handle(new Event.ShutdownRequested(true));
         node.expect(Effect.StopAccepting.class);
-        node.pass(900);
+        node.advanceMs(900);
         node.expectNo(Effect.CloseClient.class);
         node.request(asks, "read", 1000);
         Forward forward = node.connectNext();
@@ -192,8 +196,8 @@
         node.written(forward);
         node.answer(forward, 200, false);
         assertTrue(node.expect(Effect.Respond.class).closeAfter());
-        node.tell(new Event.ClientClosed(asks));
-        node.pass(250);
+        node.handle(new Event.ClientClosed(asks));
+        node.advanceMs(250);
         assertEquals(idle, node.expect(Effect.CloseClient.class).client());
         node.expect(Effect.Exit.class);
     }
@@ -209,7 +213,25 @@
     }
 
     private int beside(boolean accompanied, int connections) {
-        node.tell(new Event.HotRestartPeerSeen(accompanied, connections));
+        node.handle(new Event.HotRestartPeerSeen(accompanied, connections));
         return node.expect(Effect.AcceptUpTo.class).connections();
     }
+
+    /** The names are those of docs/operations.md, which operators' tools read. */
+    @ParameterizedTest
+    @CsvSource({"ACTIVE,used", "DRAINING,draining", "EJECTED,barred", "UNRESPONSIVE,mute"})
+    void serversNamesEachStatusAsTheOperationsPageDoes(EndpointStatus status, String expected) {
+        EndpointRegistry registry = new EndpointRegistry(0);
+        registry.apply(0, new TestConfig().knows(ONE).build().knownEndpoints());
+        List<Effect> effects = new ArrayList<>();
+        AdminState admin =
+                new AdminState(
+                        new Metrics(List.of()),
+                        registry,
+                        name -> status,
+                        changes -> {},
+                        effects::add);
+        admin.handle(0, true, 7, new AdminRequest.Servers());
+        assertEquals(List.of(new RespondToAdmin(7, 200, "s-1 " + expected + "\n")), effects);
+    }
 }
--- /dev/null
+++ b/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
@@ -0,0 +1,162 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static ottergauge.protocol.TestConfig.host;
+
+import java.util.function.BiConsumer;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Named;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
+import ottergauge.protocol.TestConfig;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
+import ottergauge.routing.Effect.Forward;
+import ottergauge.routing.Effect.ProbeLoad;
+import ottergauge.routing.Effect.Respond;
+
+/** What an attempt's end proves, and what becomes of its request. */
+class AttemptOutcomeTest {
+
+    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
+    private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
+
+    private static RouterDriver one() {
+        return new RouterDriver(new TestConfig().knows(ONE));
+    }
+
+    private static RouterDriver two() {
+        return new RouterDriver(new TestConfig().knows(ONE, TWO));
+    }
+
+    /** The rows of the protocol's table of outcomes that prove that an attempt never ran. */
+    static Stream<Arguments> neverRan() {
+        return Stream.of(
+                row(
+                        "503 marked",
+                        (node, f) -> {
+                            node.written(f);
+                            node.answer(f, 503, true);
+                        }),
+                row(
+                        "504 marked",
+                        (node, f) -> {
+                            node.written(f);
+                            node.answer(f, 504, true);
+                        }),
+                row(
+                        "broken before the last byte was written",
+                        (node, f) -> node.handle(new Event.UpstreamClosed(f.connection(), false))));
+    }
+
+    /** The rows after which it may have run. */
+    static Stream<Arguments> mayHaveRun() {
+        return Stream.of(
+                row(
+                        "500",
+                        (node, f) -> {
+                            node.written(f);
+                            node.answer(f, 500, false);
+                        }),
+                row(
+                        "503 with no mark",
+                        (node, f) -> {
+                            node.written(f);
+                            node.answer(f, 503, false);
+                        }),
+                row(
+                        "broken after the last byte was written",
+                        (node, f) -> {
+                            node.written(f);
+                            node.handle(new Event.UpstreamClosed(f.connection(), false));
+                        }),
+                row(
+                        "nothing",
+                        (node, f) -> {
+                            node.written(f);
+                            node.advanceMs(1000);
+                        }));
+    }
+
+    private static Arguments row(String name, BiConsumer<RouterDriver, Forward> what) {
+        return Arguments.of(Named.of(name, what));
+    }
+
+    @ParameterizedTest
+    @MethodSource("neverRan")
+    void anUnsafeRequestThatNeverRanIsSentElsewhere(BiConsumer<RouterDriver, Forward> what) {
+        RouterDriver node = two();
+        long client = node.request("grant");
+        what.accept(node, node.connectNext());
+        node.expectNo(Respond.class);
+        node.serve(node.connectNext());
+        assertEquals(200, node.status(client));
+    }
+
+    @ParameterizedTest
+    @MethodSource("mayHaveRun")
+    void anUnsafeRequestThatMayHaveRunIsNotSentAgainAndFails(
+            BiConsumer<RouterDriver, Forward> what) {
+        RouterDriver node = two();
+        long client = node.request("grant");
+        what.accept(node, node.connectNext());
+        node.expectNo(ConnectUpstream.class);
+        node.expectNo(Forward.class);
+        assertEquals(502, node.status(client));
+    }
+
+    @ParameterizedTest
+    @MethodSource("mayHaveRun")
+    void soItIsOnAConnectionThatIsUsedAgain(BiConsumer<RouterDriver, Forward> what) {
+        RouterDriver node = one();
+        node.request("grant");
+        node.serve(node.connectNext());
+        node.expect(Respond.class);
+        long client = node.request("grant");
+        what.accept(node, node.expect(Forward.class));
+        assertEquals(502, node.status(client));
+    }
+
+    @Test
+    void aConnectionThatIsRefusedProvesThatNothingRan() {
+        RouterDriver node = two();
+        long client = node.request("grant");
+        node.refuseNext();
+        node.serve(node.connectNext());
+        assertEquals(200, node.status(client));
+    }
+
+    @Test
+    void aConnectionThatNeverComesUpProvesThatNothingRan() {
+        RouterDriver node = one();
+        long client = node.request("grant");
+        node.expect(ConnectUpstream.class);
+        node.advanceMs(1000);
+        assertEquals(503, node.status(client));
+    }
+
+    @Test
+    void anAnswerBeforeTheRequestWasWrittenEndsTheConnection() {
+        RouterDriver node = one();
+        node.request("read");
+        node.answer(node.connectNext(), 500, false);
+        assertEquals(CloseReason.NOT_REUSABLE, node.expect(CloseUpstream.class).reason());
+    }
+
+    @Test
+    void aProbeThatIsNotAnsweredIsGivenUp() {
+        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).probes());
+        node.request("read");
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
+        node.handle(new Event.UpstreamConnected(connect.connection()));
+        assertEquals(connect.connection(), node.expect(ProbeLoad.class).connection());
+        node.handle(new Event.RequestWritten(connect.connection()));
+        node.advanceMs(250);
+        assertEquals(
+                new CloseUpstream(connect.connection(), CloseReason.TIMED_OUT),
+                node.expect(CloseUpstream.class));
+    }
+}
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -45,10 +45,10 @@
         RouterDriver node = one();
         long gone = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.holdReads();
-        node.tell(new Event.UpstreamConnected(connect.connection()));
-        node.tell(new Event.ClientClosed(gone));
-        node.readAll();
+        node.holdPendingReads();
+        node.handle(new Event.UpstreamConnected(connect.connection()));
+        node.handle(new Event.ClientClosed(gone));
+        node.releasePendingReads();
         node.expectNo(Forward.class);
         node.expectNo(CloseUpstream.class);
         node.request("grant");
@@ -61,8 +61,8 @@
         RouterDriver node = new RouterDriver(new TestConfig().noCancel().knows(ONE));
         long gone = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.tell(new Event.ClientClosed(gone));
-        node.tell(new Event.UpstreamConnected(connect.connection()));
+        node.handle(new Event.ClientClosed(gone));
+        node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
         node.request("grant");
         assertEquals(connect.connection(), node.expect(Forward.class).connection());
@@ -72,17 +72,17 @@
     @Test
     void aServerThatBeginsToDrainBeforeTheFirstByteGetsNothing() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE, TWO));
-        node.pass(200);
+        node.advanceMs(200);
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         String chosen = connect.address().host();
-        node.holdReads();
-        node.tell(new Event.UpstreamConnected(connect.connection()));
+        node.holdPendingReads();
+        node.handle(new Event.UpstreamConnected(connect.connection()));
         node.list(
                 42,
                 false,
                 host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
-        node.readAll();
+        node.releasePendingReads();
         node.expectNo(Forward.class);
         assertNotEquals(
                 chosen,
@@ -93,10 +93,10 @@
     @Test
     void aRequestWhoseTimeIsOverBeforeTheFirstByteIsAnsweredAndNotSent() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
-        node.holdReads();
+        node.holdPendingReads();
         long client = node.request("grant");
-        node.standStill(1000);
-        node.readAll();
+        node.suspendMs(1000);
+        node.releasePendingReads();
         node.expectNo(Forward.class);
         assertEquals(503, node.status(client));
     }
@@ -107,11 +107,11 @@
     @Test
     void aConnectionThatEndsBeforeTheFirstByteIsReplacedAndTellsNothingOfItsServer() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
-        node.holdReads();
+        node.holdPendingReads();
         long client = node.request("grant");
         long kept = 1;
-        node.tell(new Event.UpstreamClosed(kept, false));
-        node.readAll();
+        node.handle(new Event.UpstreamClosed(kept, false));
+        node.releasePendingReads();
         node.serve(node.connectNext());
         assertEquals(200, node.status(client));
     }
@@ -123,7 +123,7 @@
     void aNodeThatStoodStillSendsNothingBeforeItsListIsRenewed() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
         node.list(41, false);
-        node.standStill(7_000);
+        node.suspendMs(7_000);
         assertEquals(503, node.status(node.request("grant")));
         node.expectNo(Forward.class);
         node.list(41, false);
@@ -135,8 +135,8 @@
     @Test
     void aNodeWhoseDiscoveryIsAwayGoesOnByTheListItHas() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
-        node.callFailed();
-        node.standStill(60_000);
+        node.pollFailed();
+        node.suspendMs(60_000);
         node.request("grant");
         node.expect(Forward.class);
     }
@@ -145,13 +145,13 @@
     @Test
     void aServerThatHasStartedAnewGetsNothingThatWaitedForTheOldOne() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
-        node.pass(200);
+        node.advanceMs(200);
         for (int i = 0; i < 20; i++) {
             node.request("grant");
         }
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.list(42, false, born("s-1", "10.0.0.1:80", node.nowMs()));
-        node.tell(new Event.UpstreamConnected(connect.connection()));
+        node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
         assertEquals(connect.connection(), node.expect(CloseUpstream.class).connection());
     }
@@ -166,25 +166,25 @@
                 new RouterDriver(new TestConfig().knows(born("s-1", "10.0.0.1:80", 999_992_000L)));
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.standStill(300);
-        node.tell(new Event.UpstreamConnected(connect.connection()));
+        node.suspendMs(300);
+        node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
     }
 
     @Test
     void aProbeOfAServerThatLeavesIsNotWritten() {
         RouterDriver node = new RouterDriver(new TestConfig().probes().knows(ONE, TWO));
-        node.pass(200);
+        node.advanceMs(200);
         node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         String chosen = connect.address().host();
-        node.holdReads();
-        node.tell(new Event.UpstreamConnected(connect.connection()));
+        node.holdPendingReads();
+        node.handle(new Event.UpstreamConnected(connect.connection()));
         node.list(
                 42,
                 false,
                 host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
-        node.readAll();
+        node.releasePendingReads();
         node.expectNo(ProbeLoad.class);
     }
 }
--- a/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
+++ b/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
@@ -73,8 +73,8 @@
         for (int i = 0; i < 8; i++) {
             long client = node.request("read");
             ConnectUpstream connect = node.expect(ConnectUpstream.class);
-            node.pass(1);
-            node.tell(new Event.UpstreamConnected(connect.connection()));
+            node.advanceMs(1);
+            node.handle(new Event.UpstreamConnected(connect.connection()));
             Effect.Forward forward = node.expect(Effect.Forward.class);
             node.written(forward);
             node.answer(forward, 200, false, false);
@@ -89,7 +89,7 @@
         RouterDriver node = usedToQuickConnections();
         node.request("read");
         ConnectUpstream slow = node.expect(ConnectUpstream.class);
-        node.pass(MOST / 1000 / 2);
+        node.advanceMs(MOST / 1000 / 2);
         assertNotEquals(
                 slow.address(),
                 node.expect(ConnectUpstream.class).address(),
@@ -106,12 +106,12 @@
         long client = node.request("grant");
         ConnectUpstream slow = node.expect(ConnectUpstream.class);
         while (!node.has(ConnectUpstream.class)) {
-            node.pass(1);
+            node.advanceMs(1);
         }
         node.serve(node.connectNext());
         assertEquals(200, node.status(client));
-        node.pass(1500);
-        node.tell(new Event.UpstreamConnected(slow.connection()));
+        node.advanceMs(1500);
+        node.handle(new Event.UpstreamConnected(slow.connection()));
         node.expectNo(Effect.Forward.class);
         node.expectNo(Effect.CloseUpstream.class);
         boolean used = false;
@@ -133,7 +133,7 @@
                 ConnectUpstream connect = node.expect(ConnectUpstream.class);
                 tried = host.equals(connect.address().host());
                 if (!tried) {
-                    node.tell(new Event.UpstreamConnected(connect.connection()));
+                    node.handle(new Event.UpstreamConnected(connect.connection()));
                 }
             }
             while (node.has(Effect.Forward.class)) {
@@ -152,12 +152,12 @@
         node.request("grant");
         String host = node.expect(ConnectUpstream.class).address().host();
         while (!node.has(ConnectUpstream.class)) {
-            node.pass(1);
+            node.advanceMs(1);
         }
         node.serve(node.connectNext());
         assertTrue(isTried(node, host), "barred for one");
         while (!node.has(Effect.Forward.class)) {
-            node.pass(1);
+            node.advanceMs(1);
         }
         node.serve(node.expect(Effect.Forward.class));
         assertFalse(isTried(node, host), "used though several connections have not come up");
@@ -176,7 +176,7 @@
                                             > 1_000_000
                             ? 1
                             : 0;
-            node.pass(100);
+            node.advanceMs(100);
         }
         assertTrue(kept > 0 && kept <= 3, kept + " are kept on their way");
     }
--- /dev/null
+++ b/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
@@ -0,0 +1,145 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static ottergauge.protocol.TestConfig.host;
+
+import org.junit.jupiter.api.Test;
+import ottergauge.protocol.TestConfig;
+import ottergauge.routing.Effect.CloseClient;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
+import ottergauge.routing.Effect.Forward;
+import ottergauge.routing.Effect.Respond;
+
+/** Idle timeouts, slow clients, and the budget of sockets. */
+class ConnectionLimitsTest {
+
+    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
+
+    private static RouterDriver one() {
+        return new RouterDriver(new TestConfig().knows(ONE));
+    }
+
+    @Test
+    void anIdleConnectionIsClosedWellBeforeItsServerWould() {
+        RouterDriver node = one();
+        node.request("read");
+        node.serve(node.connectNext());
+        node.advanceMs(7000);
+        node.expectNo(CloseUpstream.class);
+        node.advanceMs(2000);
+        assertEquals(CloseReason.IDLE, node.expect(CloseUpstream.class).reason());
+    }
+
+    @Test
+    void aClientThatAskedIsKeptForAWhileAndOneThatSaysNothingIsClosedWithinThreeSeconds() {
+        RouterDriver node = one();
+        long client = node.request("read");
+        node.serve(node.connectNext());
+        node.status(client);
+        long silent = node.client();
+        node.advanceMs(2500);
+        node.expectNo(CloseClient.class);
+        node.advanceMs(400);
+        assertEquals(new CloseClient(silent, CloseReason.SILENT), node.expect(CloseClient.class));
+        node.expectNo(CloseClient.class);
+        node.advanceMs(3000);
+        assertEquals(new CloseClient(client, CloseReason.IDLE), node.expect(CloseClient.class));
+    }
+
+    @Test
+    void aFirstRequestThatDoesNotComeToItsEndIsClosedWithinThreeSecondsOfConnecting() {
+        RouterDriver node = one();
+        long client = node.client();
+        node.advanceMs(1500);
+        node.handle(new Event.RequestHeadReceived(client));
+        node.advanceMs(1400);
+        assertEquals(
+                new CloseClient(client, CloseReason.SLOW_REQUEST), node.expect(CloseClient.class));
+    }
+
+    @Test
+    void anAnswerThatIsNotTakenIsGivenUp() {
+        RouterDriver node = one();
+        long client = node.request("read");
+        node.serve(node.connectNext());
+        node.expect(Respond.class);
+        node.advanceMs(2300);
+        assertEquals(
+                new CloseClient(client, CloseReason.SLOW_ANSWER), node.expect(CloseClient.class));
+    }
+
+    @Test
+    void aRequestLastsAsLongAsItsOwnTime() {
+        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
+        node.request("read");
+        node.connectNext();
+        node.advanceMs(500);
+        node.expectNo(CloseClient.class);
+    }
+
+    @Test
+    void shortOfSocketsTheLongestIdleClientGoesFirstAndThenAServersConnection() {
+        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 4));
+        long first = node.request("read");
+        node.serve(node.connectNext());
+        node.status(first);
+        node.advanceMs(300);
+        long second = node.client();
+        node.expectNo(CloseClient.class);
+        node.request(second, "read", 1000);
+        Forward forward = node.expect(Forward.class);
+        long third = node.client();
+        assertEquals(
+                new CloseClient(first, CloseReason.SOCKETS_SHORT), node.expect(CloseClient.class));
+        node.serve(forward);
+        assertEquals(200, node.status(second));
+        node.advanceMs(300);
+        node.request(third, "pay", 1000);
+        node.serve(node.expect(Forward.class));
+        assertEquals(200, node.status(third));
+        node.handle(new Event.Reconfigured(new TestConfig().sockets(64 + 2).build()));
+        node.client();
+        assertEquals(CloseReason.SOCKETS_SHORT, node.expect(CloseClient.class).reason());
+        assertEquals(CloseReason.SOCKETS_SHORT, node.expect(CloseClient.class).reason());
+    }
+
+    @Test
+    void aConnectionToAServerGoesBeforeAClientThatHasJustConnected() {
+        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 3));
+        long first = node.request("read");
+        node.serve(node.connectNext());
+        node.status(first);
+        node.client();
+        node.expectNo(CloseUpstream.class);
+        node.handle(new Event.ClientClosed(first));
+        node.client();
+        node.expectNo(CloseClient.class);
+        node.expectNo(CloseUpstream.class);
+        node.handle(new Event.Reconfigured(new TestConfig().sockets(64 + 2).build()));
+        node.request("grant");
+        assertEquals(CloseReason.SOCKETS_SHORT, node.expect(CloseClient.class).reason());
+    }
+
+    @Test
+    void clientsNeverTakeAllSocketsAndNoMoreAreAcceptedThanFit() {
+        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 30));
+        assertEquals(20 + 16, node.expect(Effect.AcceptUpTo.class).connections());
+        for (int i = 0; i < 20; i++) {
+            node.client();
+        }
+        node.expectNo(CloseClient.class);
+        node.client();
+        assertEquals(new CloseClient(1, CloseReason.SOCKETS_SHORT), node.expect(CloseClient.class));
+    }
+
+    @Test
+    void withNoSocketAtAllNothingIsOpenedAndTheRequestIsRefused() {
+        RouterDriver node =
+                new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 1).attempts(1));
+        long client = node.request("grant");
+        node.expectNo(ConnectUpstream.class);
+        assertEquals(503, node.status(client));
+    }
+}
--- /dev/null
+++ b/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
@@ -0,0 +1,239 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static ottergauge.protocol.TestConfig.host;
+
+import java.util.HashSet;
+import java.util.Set;
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+import ottergauge.protocol.EndpointList;
+import ottergauge.protocol.NodeConfig;
+import ottergauge.protocol.TestConfig;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
+import ottergauge.routing.Effect.Forward;
+import ottergauge.routing.Effect.PollDiscovery;
+import ottergauge.routing.Effect.Respond;
+
+/** Endpoint updates, draining servers, and the polls of discovery. */
+class DiscoveryUpdatesTest {
+
+    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
+    private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
+
+    private static final String TWO_DIAL = "10.0.0.2:80";
+
+    private static RouterDriver one() {
+        return new RouterDriver(new TestConfig().knows(ONE));
+    }
+
+    private static RouterDriver two() {
+        return new RouterDriver(new TestConfig().knows(ONE, TWO));
+    }
+
+    @Test
+    void whatWaitsForADrainingServersConnectionGoesElsewhere() {
+        RouterDriver node = watching();
+        long client = node.request("grant");
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
+        node.list(42, false, host("s-1", "10.0.0.1:80", "terminating"), TWO);
+        assertEquals("10.0.0.2:80", node.expect(ConnectUpstream.class).address().toString());
+        node.handle(new Event.UpstreamConnected(connect.connection()));
+        node.expectNo(Forward.class);
+        node.expectNo(Respond.class);
+        assertTrue(client > 0);
+    }
+
+    @Test
+    void aServerThatLeavesTheListHasItsConnectionsClosedWhenTheyAreFree() {
+        RouterDriver node = two();
+        node.request("read");
+        Forward busy = node.connectNext();
+        node.written(busy);
+        node.list(42, true);
+        node.expectNo(CloseUpstream.class);
+        node.answer(busy, 200, false);
+        assertEquals(200, node.expect(Respond.class).status());
+        assertEquals(CloseReason.DELISTED, node.expect(CloseUpstream.class).reason());
+    }
+
+    @Test
+    void aServerThatMovesIsReachedAtItsNewAddress() {
+        RouterDriver node = one();
+        node.request("read");
+        node.serve(node.connectNext());
+        node.list(42, false, host("s-1", "10.0.0.9:80", "in_service"));
+        assertEquals(CloseReason.DELISTED, node.expect(CloseUpstream.class).reason());
+        node.request("read");
+        assertEquals("10.0.0.9:80", node.expect(ConnectUpstream.class).address().toString());
+    }
+
+    private static RouterDriver watching() {
+        RouterDriver node = one();
+        node.advanceMs(300);
+        return node;
+    }
+
+    @Test
+    void aWatchBeginsAtTheKnownVersionAndGoesOnAtOnce() {
+        RouterDriver node = watching();
+        PollDiscovery first = node.expect(PollDiscovery.class);
+        assertEquals(41, first.afterVersion());
+        node.advanceMs(1000);
+        node.list(43, false, TWO);
+        PollDiscovery next = node.expect(PollDiscovery.class);
+        assertEquals(43, next.afterVersion());
+        assertTrue(
+                next.maxWaitMicros() >= 200_000 && next.maxWaitMicros() <= 3_000_000,
+                "waits " + next.maxWaitMicros());
+        node.expectNo(PollDiscovery.class);
+    }
+
+    /** Guards against requests to a server that began to drain while the watch was silent. */
+    @Test
+    void aSilentWatchIsNoticedBeforeWhatItMissedCountsAsTold() {
+        RouterDriver node = watching();
+        node.list(41, false);
+        node.expect(PollDiscovery.class);
+        PollDiscovery silent = node.expect(PollDiscovery.class);
+        node.advanceMs(silent.maxWaitMicros() / 1000 + 300);
+        assertEquals(41, node.expect(PollDiscovery.class).afterVersion());
+        node.list(42, false, host("s-1", "127.0.0.1:4000", "terminating"));
+        node.request("read");
+        node.expectNo(ConnectUpstream.class);
+    }
+
+    /**
+     * Guards against a list that names a server twice being read in two ways: what it says last
+     * counts.
+     */
+    @Test
+    void aServerThatIsNamedTwiceIsWhatItIsNamedLast() {
+        RouterDriver node = watching();
+        node.list(
+                42,
+                true,
+                host("s-1", "127.0.0.1:4000", "in_service"),
+                host("s-1", "127.0.0.1:4000", "terminating"),
+                TWO);
+        for (int i = 0; i < 3; i++) {
+            node.request("read");
+            assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
+        }
+        node.list(
+                43,
+                false,
+                host("s-1", "127.0.0.1:4000", "terminated"),
+                host("s-1", "127.0.0.1:4009", "in_service"),
+                host("s-2", "127.0.0.1:4001", "terminating"));
+        node.request("read");
+        assertEquals("127.0.0.1:4009", node.expect(ConnectUpstream.class).address().toString());
+    }
+
+    @Test
+    void answersThatBringNothingAreNotAskedForWithoutAPause() {
+        RouterDriver node = watching();
+        node.expect(PollDiscovery.class);
+        node.list(41, false);
+        node.expect(PollDiscovery.class);
+        node.list(41, false);
+        node.expectNo(PollDiscovery.class);
+        node.advanceMs(199);
+        node.expect(PollDiscovery.class);
+    }
+
+    @Test
+    void afterAFailedCallTheNextOneWaits() {
+        RouterDriver node = watching();
+        node.expect(PollDiscovery.class);
+        node.pollFailed();
+        node.expectNo(PollDiscovery.class);
+        node.advanceMs(1000);
+        node.expect(PollDiscovery.class);
+        node.expectNo(PollDiscovery.class);
+    }
+
+    /** Guards against a bound on servers, nodes or what is out below a thousand of each. */
+    @Test
+    void a1024ServersAreAllInUseAtOnce() {
+        int many = 1024;
+        RouterDriver node =
+                new RouterDriver(
+                        new TestConfig()
+                                .sockets(16 * many)
+                                .knows(
+                                        IntStream.range(0, many)
+                                                .mapToObj(
+                                                        i ->
+                                                                host(
+                                                                        "s-" + i,
+                                                                        "10.0." + i / 256 + "."
+                                                                                + i % 256 + ":80",
+                                                                        "in_service"))
+                                                .toArray(String[]::new)));
+        Set<String> used = new HashSet<>();
+        for (int i = 0; i < 2 * many; i++) {
+            node.request("grant");
+            ConnectUpstream connect = node.expect(ConnectUpstream.class);
+            used.add(connect.address().toString());
+            node.handle(new Event.UpstreamConnected(connect.connection()));
+            node.written(node.expect(Forward.class));
+        }
+        assertEquals(many, used.size());
+    }
+
+    private static NodeConfig discoveryAt(String address) {
+        return new TestConfig().at("127.0.0.1:3000", address).build();
+    }
+
+    @Test
+    void anotherAddressOfDiscoveryIsAskedForTheWholeListAtOnce() {
+        RouterDriver node = watching();
+        PollDiscovery old = node.expect(PollDiscovery.class);
+        node.handle(new Event.Reconfigured(discoveryAt("127.0.0.1:8600")));
+        PollDiscovery call = node.expect(PollDiscovery.class);
+        assertEquals(8600, call.address().port());
+        assertTrue(
+                call.afterVersion() < 0 && call.maxWaitMicros() == 0,
+                "waits where it was to ask at once: " + call);
+        // What the call that was given up still brings, or that it failed, changes nothing.
+        node.handle(new Event.EndpointListReceived(old.poll(), EndpointList.EMPTY));
+        node.handle(new Event.DiscoveryPollFailed(old.poll()));
+        node.advanceMs(1900);
+        node.expectNo(PollDiscovery.class);
+        node.list(3, true, TWO);
+        assertEquals(3, node.expect(PollDiscovery.class).afterVersion());
+        node.request("read");
+        assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
+    }
+
+    @Test
+    void aMoveWhileACallIsAwaitedMakesOneCall() {
+        RouterDriver node = watching();
+        node.expect(PollDiscovery.class);
+        node.pollFailed();
+        node.handle(new Event.Reconfigured(discoveryAt("127.0.0.1:8600")));
+        node.expect(PollDiscovery.class);
+        node.advanceMs(2000);
+        node.expectNo(PollDiscovery.class);
+    }
+
+    @Test
+    void theSameAddressOfDiscoveryLeavesTheWatchAlone() {
+        RouterDriver node = watching();
+        node.expect(PollDiscovery.class);
+        node.handle(new Event.Reconfigured(discoveryAt("127.0.0.1:8500")));
+        node.expectNo(PollDiscovery.class);
+    }
+
+    @Test
+    void aNewLimitOfSocketsCountsAtOnce() {
+        RouterDriver node = one();
+        node.handle(new Event.Reconfigured(new TestConfig().sockets(1).build()));
+        assertEquals(503, node.status(node.request("grant")));
+        node.expectNo(ConnectUpstream.class);
+    }
+}
--- /dev/null
+++ b/src/test/java/ottergauge/routing/RequestHandlerTest.java
@@ -0,0 +1,205 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+import static ottergauge.protocol.TestConfig.host;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import ottergauge.protocol.Content;
+import ottergauge.protocol.RequestFields;
+import ottergauge.protocol.TestConfig;
+import ottergauge.routing.Effect.CloseClient;
+import ottergauge.routing.Effect.CloseUpstream;
+import ottergauge.routing.Effect.ConnectUpstream;
+import ottergauge.routing.Effect.Forward;
+import ottergauge.routing.Effect.Respond;
+
+/** Each request has one final response; invalid requests are rejected. */
+class RequestHandlerTest {
+
+    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
+
+    private static RouterDriver one() {
+        return new RouterDriver(new TestConfig().knows(ONE));
+    }
+
+    @Test
+    void givingUpClosesTheConnectionAndAnswersAtOnce() {
+        RouterDriver node = one();
+        long client = node.request("grant");
+        Forward forward = node.connectNext();
+        node.written(forward);
+        node.advanceMs(799);
+        assertEquals(
+                new CloseUpstream(forward.connection(), CloseReason.TIMED_OUT),
+                node.expect(CloseUpstream.class));
+        assertEquals(502, node.status(client));
+        node.answer(forward, 200, false);
+        node.handle(new Event.UpstreamClosed(forward.connection(), false));
+        node.expectNo(Respond.class);
+    }
+
+    @Test
+    void aClientThatGoesAwayHasItsAttemptClosedAndGetsNothing() {
+        RouterDriver node = one();
+        long client = node.request("read");
+        Forward forward = node.connectNext();
+        node.written(forward);
+        node.handle(new Event.ClientClosed(client));
+        assertEquals(
+                new CloseUpstream(forward.connection(), CloseReason.CANCELLED),
+                node.expect(CloseUpstream.class));
+        node.advanceMs(2000);
+        node.expectNo(Respond.class);
+        node.expectNo(Forward.class);
+    }
+
+    @Test
+    void aClientThatGoesAwayBeforeItsAttemptIsWrittenHasNothingWritten() {
+        RouterDriver node = one();
+        long client = node.request("read");
+        ConnectUpstream connect = node.expect(ConnectUpstream.class);
+        node.handle(new Event.ClientClosed(client));
+        node.handle(new Event.UpstreamConnected(connect.connection()));
+        node.expectNo(Forward.class);
+    }
+
+    @Test
+    void anUnknownClassIsABadRequest() {
+        RouterDriver node = one();
+        long client = node.request("unheard-of");
+        assertEquals(400, node.status(client));
+        node.expectNo(ConnectUpstream.class);
+    }
+
+    @Test
+    void whatIsNoRequestIsAnsweredAndItsConnectionClosed() {
+        RouterDriver node = one();
+        long client = node.client();
+        node.handle(new Event.InvalidRequest(client, 413, "too large"));
+        Respond respond = node.expect(Respond.class);
+        assertEquals(413, respond.status());
+        assertTrue(respond.closeAfter());
+    }
+
+    @Test
+    void aRequestThatIsBegunAndNotFinishedIsClosed() {
+        RouterDriver node = one();
+        long client = node.client();
+        node.handle(new Event.RequestHeadReceived(client));
+        node.advanceMs(3000);
+        assertEquals(
+                new CloseClient(client, CloseReason.SLOW_REQUEST), node.expect(CloseClient.class));
+    }
+
+    @Test
+    void anIdThatIsOpenHereIsNotTakenASecondTime() {
+        RouterDriver node = one();
+        long first = node.client();
+        node.handle(
+                new Event.RequestReceived(
+                        first, RouterDriver.clientRequest("pay", "same", 1000), 0));
+        Forward forward = node.connectNext();
+        long second = node.client();
+        node.handle(
+                new Event.RequestReceived(
+                        second, RouterDriver.clientRequest("pay", "same", 1000), 0));
+        Respond refused = node.expect(Respond.class);
+        assertEquals(409, refused.status());
+        assertEquals(second, refused.client());
+        node.expectNo(ConnectUpstream.class);
+        node.serve(forward);
+        assertEquals(200, node.status(first));
+        long third = node.client();
+        node.handle(
+                new Event.RequestReceived(
+                        third, RouterDriver.clientRequest("pay", "same", 1000), 0));
+        node.serve(node.expect(Forward.class));
+        assertEquals(200, node.status(third));
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "read,POST,,0",
+        "read,GET,,3",
+        "pay,POST,,3",
+        "pay,GET,key,0",
+        "grant,POST,key,3",
+        "grant,GET,,0"
+    })
+    void aRequestThatIsNotOfItsClassesKindIsNotTaken(
+            String requestClass, String method, String key, int length) {
+        RouterDriver node = one();
+        long client = node.client();
+        node.handle(
+                new Event.RequestReceived(
+                        client,
+                        new Event.ClientRequest(
+                                new RequestFields("id", requestClass, 1000, false, key),
+                                method,
+                                "/api",
+                                new Content(null, new byte[length])),
+                        0));
+        assertEquals(400, node.status(client));
+        node.expectNo(ConnectUpstream.class);
+    }
+
+    @Test
+    void whatComesBehindAnOpenRequestEndsItAndItsAttempt() {
+        RouterDriver node = one();
+        long client = node.request("grant");
+        Forward forward = node.connectNext();
+        node.handle(new Event.InvalidRequest(client, 400, "more"));
+        Respond respond = node.expect(Respond.class);
+        assertEquals(400, respond.status());
+        assertTrue(respond.closeAfter());
+        assertEquals(forward.connection(), node.expect(CloseUpstream.class).connection());
+        node.answer(forward, 200, false);
+        node.expectNo(Respond.class);
+    }
+
+    @Test
+    void badRequestsAreToldOfAFewTimesASecondAndCounted() {
+        RouterDriver node = one();
+        for (int i = 0; i < 8; i++) {
+            node.handle(new Event.InvalidRequest(node.client(), 400, "bad"));
+        }
+        for (int i = 0; i < 5; i++) {
+            assertEquals(0, node.expect(Effect.ReportInvalidRequest.class).suppressed());
+        }
+        node.expectNo(Effect.ReportInvalidRequest.class);
+        node.advanceMs(1000);
+        node.handle(new Event.InvalidRequest(node.client(), 400, "bad"));
+        assertEquals(3, node.expect(Effect.ReportInvalidRequest.class).suppressed());
+    }
+
+    @Test
+    void aKeptConnectionThatBreaksBarsNoServerAndANewOneThatBreaksDoes() {
+        RouterDriver node = one();
+        node.serve(node.forwardOnNewConnection("grant"));
+        Forward kept = node.forwardOnIdleConnection("grant");
+        node.written(kept);
+        node.handle(new Event.UpstreamClosed(kept.connection(), false));
+        Forward fresh = node.forwardOnNewConnection("grant");
+        node.written(fresh);
+        node.handle(new Event.UpstreamClosed(fresh.connection(), false));
+        node.request("grant");
+        node.expectNo(ConnectUpstream.class);
+    }
+
+    @Test
+    void aServerThatAnsweredWhatCannotBeReadIsNotTakenForOneThatDied() {
+        RouterDriver node = one();
+        long client = node.request("grant");
+        Forward forward = node.connectNext();
+        node.written(forward);
+        node.handle(new Event.UpstreamClosed(forward.connection(), true));
+        assertEquals(502, node.status(client));
+        // A server that died would be barred for a while.
+        node.request("grant");
+        node.expect(ConnectUpstream.class);
+    }
+}
--- a/src/test/java/ottergauge/routing/RouterDriver.java
+++ b/src/test/java/ottergauge/routing/RouterDriver.java
@@ -40,11 +40,11 @@
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
     private final Deque<Effect.ReadPendingInput> reads = new ArrayDeque<>();
     private final Router router;
-    private boolean holdsReads;
+    private boolean holdsPendingReads;
     private long now = 1_000_000_000_000L;
     private long order;
     private long lastClient;
-    private long lastCall;
+    private long lastPoll;
     private long lastRequest;
 
     RouterDriver(TestConfig config) {
@@ -52,56 +52,56 @@
     }
 
     RouterDriver(TestConfig config, boolean serving) {
-        router = new Router(config.build(), this::asked);
+        router = new Router(config.build(), this::collect);
         router.start(now);
         if (serving) {
             router.handle(now, new Event.ServingStarted());
         }
     }
 
-    private void asked(Effect effect) {
+    private void collect(Effect effect) {
         if (effect instanceof StartTimer timer) {
             timers.add(new Due(now + timer.delayMicros(), order++, timer.timer()));
         } else if (effect instanceof Effect.ReadPendingInput read) {
             reads.add(read);
         } else {
-            lastCall = effect instanceof PollDiscovery call ? call.poll() : lastCall;
+            lastPoll = effect instanceof PollDiscovery call ? call.poll() : lastPoll;
             effects.add(effect);
         }
     }
 
-    void tell(Event event) {
+    void handle(Event event) {
         router.handle(now, event);
-        while (!holdsReads && !reads.isEmpty()) {
+        while (!holdsPendingReads && !reads.isEmpty()) {
             router.handle(now, new Event.PendingInputRead(reads.poll().connection()));
         }
     }
 
     /** From now on nothing begins that was asked for: what comes meanwhile comes in between. */
-    void holdReads() {
-        holdsReads = true;
+    void holdPendingReads() {
+        holdsPendingReads = true;
     }
 
     /** All that has come is read: what was held back may begin. */
-    void readAll() {
-        holdsReads = false;
+    void releasePendingReads() {
+        holdsPendingReads = false;
         for (Effect.ReadPendingInput read = reads.poll(); read != null; read = reads.poll()) {
             router.handle(now, new Event.PendingInputRead(read.connection()));
         }
     }
 
-    void pass(long ms) {
+    void advanceMs(long ms) {
         long until = now + ms * 1000;
         while (!timers.isEmpty() && timers.peek().at() <= until) {
             Due due = timers.poll();
             now = due.at();
-            tell(new Event.TimerFired(due.timer()));
+            handle(new Event.TimerFired(due.timer()));
         }
         now = until;
     }
 
     /** The node stands still: time goes by and no timer fires. */
-    void standStill(long ms) {
+    void suspendMs(long ms) {
         now += ms * 1000;
     }
 
@@ -129,7 +129,7 @@
     }
 
     long client() {
-        tell(new Event.ClientConnected(++lastClient));
+        handle(new Event.ClientConnected(++lastClient));
         return lastClient;
     }
 
@@ -141,14 +141,16 @@
     }
 
     void request(long client, String requestClass, long expiresInMs) {
-        tell(new Event.RequestHeadReceived(client));
-        tell(
+        handle(new Event.RequestHeadReceived(client));
+        handle(
                 new Event.RequestReceived(
-                        client, ask(requestClass, "id-" + ++lastRequest, expiresInMs), 0));
+                        client,
+                        clientRequest(requestClass, "id-" + ++lastRequest, expiresInMs),
+                        0));
     }
 
     /** A request as its class wants it. */
-    static ClientRequest ask(String requestClass, String traceId, long expiresInMs) {
+    static ClientRequest clientRequest(String requestClass, String traceId, long expiresInMs) {
         boolean safe = "read".equals(requestClass);
         return new ClientRequest(
                 new RequestFields(
@@ -164,28 +166,28 @@
 
     /** Lets the next connection that was asked for come up and gives back what is written to it. */
     Forward connectNext() {
-        tell(new Event.UpstreamConnected(expect(ConnectUpstream.class).connection()));
+        handle(new Event.UpstreamConnected(expect(ConnectUpstream.class).connection()));
         return expect(Forward.class);
     }
 
     /** A new client's request, written to a connection that is opened for it. */
-    Forward connectToNew(String requestClass) {
+    Forward forwardOnNewConnection(String requestClass) {
         request(requestClass);
         return connectNext();
     }
 
     /** A new client's request, written to a connection that was kept. */
-    Forward sendAgain(String requestClass) {
+    Forward forwardOnIdleConnection(String requestClass) {
         request(requestClass);
         return expect(Forward.class);
     }
 
     void refuseNext() {
-        tell(new Event.UpstreamConnectFailed(expect(ConnectUpstream.class).connection()));
+        handle(new Event.UpstreamConnectFailed(expect(ConnectUpstream.class).connection()));
     }
 
     void written(Forward forward) {
-        tell(new Event.RequestWritten(forward.connection()));
+        handle(new Event.RequestWritten(forward.connection()));
     }
 
     void answer(Forward forward, int status, boolean neverRan) {
@@ -193,7 +195,7 @@
     }
 
     void answer(Forward forward, int status, boolean neverRan, boolean reusable) {
-        tell(
+        handle(
                 new Event.ResponseReceived(
                         forward.connection(),
                         new ServerResponse(
@@ -213,13 +215,13 @@
     int status(long client) {
         Respond respond = expect(Respond.class);
         assertEquals(client, respond.client());
-        tell(new Event.ResponseWritten(client));
+        handle(new Event.ResponseWritten(client));
         return respond.status();
     }
 
     /** The node reads another configuration, as on SIGHUP. */
     void reconfigure(TestConfig config) {
-        tell(new Event.Reconfigured(config.build()));
+        handle(new Event.Reconfigured(config.build()));
     }
 
     /**
@@ -232,7 +234,7 @@
                     EndpointList.read(
                             TestConfig.list(version, whole, entries)
                                     .getBytes(StandardCharsets.UTF_8));
-            tell(
+            handle(
                     new Event.StateChanged(
                             servers,
                             settings.map(config -> config.build().settings()),
@@ -246,19 +248,19 @@
         return router.version();
     }
 
-    void callFailed() {
-        tell(new Event.DiscoveryPollFailed(lastCall));
+    void pollFailed() {
+        handle(new Event.DiscoveryPollFailed(lastPoll));
     }
 
     /** Answers the call to discovery that is out; the first is made soon after the start. */
     void list(long seq, boolean whole, String... entries) {
-        if (lastCall == 0) {
-            pass(200);
+        if (lastPoll == 0) {
+            advanceMs(200);
         }
         try {
-            tell(
+            handle(
                     new Event.EndpointListReceived(
-                            lastCall,
+                            lastPoll,
                             EndpointList.read(
                                     TestConfig.list(seq, whole, entries)
                                             .getBytes(StandardCharsets.UTF_8))));
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -75,7 +75,7 @@
     void aNewClassIsServedFromThatInstantOnOverKeptConnections(
             BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
-        Forward first = node.connectToNew("read");
+        Forward first = node.forwardOnNewConnection("read");
         node.serve(first);
         node.expect(Respond.class);
         long early = node.request("audit");
@@ -117,7 +117,7 @@
         Forward forward = node.connectNext();
         node.written(forward);
         way.accept(node, classes(requestClass("grant", "free", 1000)));
-        node.tell(new Event.UpstreamClosed(forward.connection(), false));
+        node.handle(new Event.UpstreamClosed(forward.connection(), false));
         assertEquals(502, node.status(client));
         node.expectNo(Forward.class);
     }
@@ -127,7 +127,7 @@
     void whatIsAboutToBeTriedAgainKeepsItsTime(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         long client = node.client();
-        node.tell(
+        node.handle(
                 new Event.RequestReceived(
                         client,
                         new Event.ClientRequest(
@@ -138,9 +138,9 @@
                         0));
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         way.accept(node, classes(requestClass("read", "free", 200)));
-        node.pass(100);
-        node.tell(new Event.UpstreamConnectFailed(connect.connection()));
-        node.pass(200);
+        node.advanceMs(100);
+        node.handle(new Event.UpstreamConnectFailed(connect.connection()));
+        node.advanceMs(200);
         node.expectNo(Respond.class);
         Forward forward = node.connectNext();
         assertTrue(forward.timeoutMicros() > 200_000, "waits " + forward.timeoutMicros());
@@ -169,7 +169,7 @@
             assertEquals(1, figure(node, "completed." + name));
         }
         long keyless = node.client();
-        node.tell(
+        node.handle(
                 new Event.RequestReceived(
                         keyless,
                         new Event.ClientRequest(
@@ -184,7 +184,7 @@
     @Test
     void aClassKeepsItsFiguresForAsLongAsItIsNamed() {
         RouterDriver node = one();
-        node.serve(node.connectToNew("read"));
+        node.serve(node.forwardOnNewConnection("read"));
         node.expect(Respond.class);
         node.reconfigure(classes(GRANT, READ));
         assertEquals(1, figure(node, "completed.read"));
@@ -208,7 +208,7 @@
     }
 
     private static String figures(RouterDriver node) {
-        node.tell(new Event.AdminRequestReceived(1, new AdminRequest.Stats()));
+        node.handle(new Event.AdminRequestReceived(1, new AdminRequest.Stats()));
         return node.expect(RespondToAdmin.class).text();
     }
 
@@ -237,8 +237,8 @@
         node.written(forward);
         way.accept(node, new TestConfig().zones("b", "a"));
         node.state(121, Optional.empty(), false, other);
-        node.tell(new Event.UpstreamClosed(forward.connection(), false));
-        node.pass(1000);
+        node.handle(new Event.UpstreamClosed(forward.connection(), false));
+        node.advanceMs(1000);
         // It may go to the one server of its zone again, and to no other.
         while (node.has(ConnectUpstream.class)) {
             assertNotEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
@@ -259,11 +259,11 @@
         way.accept(node, new TestConfig().zones("a", "b", "c", "d"));
         long client = node.request("pay");
         ConnectUpstream first = node.expect(ConnectUpstream.class);
-        node.tell(new Event.UpstreamConnected(first.connection()));
+        node.handle(new Event.UpstreamConnected(first.connection()));
         Forward forward = node.expect(Forward.class);
         node.written(forward);
-        node.tell(new Event.UpstreamClosed(forward.connection(), false));
-        node.pass(1000);
+        node.handle(new Event.UpstreamClosed(forward.connection(), false));
+        node.advanceMs(1000);
         while (node.has(ConnectUpstream.class)) {
             assertEquals(first.address(), node.expect(ConnectUpstream.class).address());
         }
@@ -274,11 +274,11 @@
     @MethodSource("ways")
     void idleConnectionsEndByTheTimeInForce(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
-        node.serve(node.connectToNew("read"));
-        node.pass(3_000);
+        node.serve(node.forwardOnNewConnection("read"));
+        node.advanceMs(3_000);
         node.expectNo(CloseUpstream.class);
         way.accept(node, new TestConfig().idleMs(2_000));
-        node.pass(500);
+        node.advanceMs(500);
         assertEquals(CloseReason.IDLE, node.expect(CloseUpstream.class).reason());
     }
 
@@ -341,7 +341,7 @@
         node.state(120, Optional.empty(), false);
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
         assertEquals(120, figure(node, "state_version"));
-        node.serve(node.connectToNew("read"));
+        node.serve(node.forwardOnNewConnection("read"));
         assertEquals(200, node.expect(Respond.class).status());
     }
 
@@ -349,20 +349,20 @@
     @Test
     void discoveryIsAskedNoMoreOnceTheListComesFromTheLog() {
         RouterDriver node = one();
-        node.pass(200);
+        node.advanceMs(200);
         long call = node.expect(PollDiscovery.class).poll();
         node.state(120, Optional.empty(), true, TWO);
         assertEquals(call, node.expect(CancelPoll.class).poll());
         node.list(42, true, ONE);
-        node.callFailed();
+        node.pollFailed();
         node.reconfigure(new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8501"));
-        node.pass(60_000);
+        node.advanceMs(60_000);
         node.expectNo(PollDiscovery.class);
         // What it has counts for as long as nothing newer comes: the log's other end may be away.
         node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         assertEquals(TWO_DIAL, connect.address().toString());
-        node.tell(new Event.UpstreamConnected(connect.connection()));
+        node.handle(new Event.UpstreamConnected(connect.connection()));
         node.serve(node.expect(Forward.class));
         assertEquals(200, node.expect(Respond.class).status());
     }
@@ -391,13 +391,13 @@
             node.request("read");
             ConnectUpstream connect = node.expect(ConnectUpstream.class);
             used.add(connect.address().toString());
-            node.tell(new Event.UpstreamConnected(connect.connection()));
+            node.handle(new Event.UpstreamConnected(connect.connection()));
             Forward forward = node.expect(Forward.class);
             node.written(forward);
             // Not kept, so that each request shows by its connection where it goes.
             node.answer(forward, 200, false, false);
             node.expect(Respond.class);
-            node.pass(20);
+            node.advanceMs(20);
         }
         return used;
     }
@@ -412,7 +412,7 @@
         node.reconfigure(new TestConfig().sockets(512));
         long client = node.request("read");
         assertEquals(400, node.status(client));
-        node.serve(node.connectToNew("audit"));
+        node.serve(node.forwardOnNewConnection("audit"));
         assertEquals(200, node.expect(Respond.class).status());
     }
 }
--- a/src/test/java/ottergauge/routing/StreamingTest.java
+++ b/src/test/java/ottergauge/routing/StreamingTest.java
@@ -32,15 +32,16 @@
 
     private long flows(String requestClass, long expiresInMs) {
         long client = node.client();
-        node.tell(new Event.RequestHeadReceived(client));
-        node.tell(
+        node.handle(new Event.RequestHeadReceived(client));
+        node.handle(
                 new Event.StreamedRequestStarted(
-                        client, RouterDriver.ask(requestClass, "flow-" + ++lastId, expiresInMs)));
+                        client,
+                        RouterDriver.clientRequest(requestClass, "flow-" + ++lastId, expiresInMs)));
         return client;
     }
 
     private ForwardStream connected() {
-        node.tell(new Event.UpstreamConnected(node.expect(ConnectUpstream.class).connection()));
+        node.handle(new Event.UpstreamConnected(node.expect(ConnectUpstream.class).connection()));
         return node.expect(ForwardStream.class);
     }
 
@@ -63,10 +64,10 @@
         ForwardStream forward = connected();
         assertEquals(client, forward.client());
         if (whole) {
-            node.tell(new Event.StreamedRequestCompleted(client));
-            node.tell(new Event.RequestWritten(forward.connection()));
+            node.handle(new Event.StreamedRequestCompleted(client));
+            node.handle(new Event.RequestWritten(forward.connection()));
         }
-        node.tell(new Event.UpstreamClosed(forward.connection(), false));
+        node.handle(new Event.UpstreamClosed(forward.connection(), false));
         assertEquals(status, node.status(client));
         node.expectNo(ConnectUpstream.class);
     }
@@ -87,16 +88,16 @@
         long client = flows("grant", 900);
         ForwardStream forward = connected();
         for (int i = 0; i < 50; i++) {
-            node.tell(new Event.BodyProgress(client, 64_000));
-            node.pass(100);
+            node.handle(new Event.BodyProgress(client, 64_000));
+            node.advanceMs(100);
         }
         node.expectNo(Respond.class);
         node.expectNo(CloseUpstream.class);
-        node.tell(new Event.StreamedRequestCompleted(client));
-        node.tell(new Event.RequestWritten(forward.connection()));
-        node.pass(500);
+        node.handle(new Event.StreamedRequestCompleted(client));
+        node.handle(new Event.RequestWritten(forward.connection()));
+        node.advanceMs(500);
         node.expectNo(Respond.class);
-        node.pass(500);
+        node.advanceMs(500);
         assertEquals(502, node.status(client));
     }
 
@@ -108,13 +109,13 @@
         ForwardStream forward = connected();
         for (int passed = 0; passed < within; passed += 100) {
             if (bytes > 0) {
-                node.tell(new Event.BodyProgress(client, bytes));
+                node.handle(new Event.BodyProgress(client, bytes));
             }
-            node.pass(100);
+            node.advanceMs(100);
         }
         CloseClient closed = node.expect(CloseClient.class);
         assertEquals(new CloseClient(client, CloseReason.SLOW_REQUEST), closed);
-        node.tell(new Event.ClientClosed(client));
+        node.handle(new Event.ClientClosed(client));
         assertEquals(forward.connection(), node.expect(CloseUpstream.class).connection());
     }
 
@@ -126,28 +127,28 @@
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig().knows(host("s-1", "10.1.0.1:3000", "in_service")));
-        Effect.Forward forward = node.connectToNew("grant");
+        Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
-        node.tell(answerFlows(forward.connection()));
+        node.handle(answerFlows(forward.connection()));
         RelayResponse passes = node.expect(RelayResponse.class);
         for (int i = 0; i < 100; i++) {
-            node.tell(new Event.BodyProgress(passes.client(), 6_000));
-            node.pass(100);
+            node.handle(new Event.BodyProgress(passes.client(), 6_000));
+            node.advanceMs(100);
         }
         node.expectNo(CloseClient.class);
         node.expectNo(CloseUpstream.class);
-        node.tell(new Event.StreamedResponseCompleted(forward.connection(), true));
-        node.tell(new Event.ResponseWritten(passes.client()));
-        node.sendAgain("grant");
+        node.handle(new Event.StreamedResponseCompleted(forward.connection(), true));
+        node.handle(new Event.ResponseWritten(passes.client()));
+        node.forwardOnIdleConnection("grant");
     }
 
     @Test
     void anAnswerThatItsServerCutsIsCutForItsClient() {
-        Effect.Forward forward = node.connectToNew("grant");
+        Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
-        node.tell(answerFlows(forward.connection()));
+        node.handle(answerFlows(forward.connection()));
         long client = node.expect(RelayResponse.class).client();
-        node.tell(new Event.UpstreamClosed(forward.connection(), false));
+        node.handle(new Event.UpstreamClosed(forward.connection(), false));
         assertEquals(
                 new CloseClient(client, CloseReason.CUT_SHORT), node.expect(CloseClient.class));
         node.expectNo(Respond.class);
@@ -155,10 +156,10 @@
 
     @Test
     void anAnswerWhoseClientHasGoneEndsAtTheServer() {
-        Effect.Forward forward = node.connectToNew("grant");
+        Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
-        node.tell(answerFlows(forward.connection()));
-        node.tell(new Event.ClientClosed(node.expect(RelayResponse.class).client()));
+        node.handle(answerFlows(forward.connection()));
+        node.handle(new Event.ClientClosed(node.expect(RelayResponse.class).client()));
         assertEquals(
                 new CloseUpstream(forward.connection(), CloseReason.CLIENT_GONE),
                 node.expect(CloseUpstream.class));
@@ -170,12 +171,12 @@
      */
     @Test
     void anOpenEndedAnswerFlowsBeforeItsTimeIsUp() {
-        Effect.Forward forward = node.connectToNew("grant");
+        Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
-        node.pass(200);
-        node.tell(new Event.UnsizedResponseStarted(forward.connection()));
+        node.advanceMs(200);
+        node.handle(new Event.UnsizedResponseStarted(forward.connection()));
         node.expectNo(Effect.StreamResponse.class);
-        node.pass(400);
+        node.advanceMs(400);
         assertEquals(forward.connection(), node.expect(Effect.StreamResponse.class).connection());
     }
 
@@ -193,7 +194,7 @@
             refused = node.has(Respond.class);
             if (!refused) {
                 connected();
-                node.tell(new Event.BodyProgress(client, 64_000));
+                node.handle(new Event.BodyProgress(client, 64_000));
             }
         }
         assertTrue(taken > 100 && taken <= 192 * 2, "taken: " + taken);
