--- /dev/null
+++ b/src/test/java/ottergauge/replica/EffectiveStateChecker.java
@@ -0,0 +1,99 @@
+// SPDX-License-Identifier: Apache-2.0
+package ottergauge.replica;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import ottergauge.resources.Change;
+import ottergauge.resources.LogPosition;
+import ottergauge.resources.Resource;
+import ottergauge.resources.ResourceKey;
+import ottergauge.resources.Subscription;
+
+/** Follows the state changes of a replica and checks each state against the logs. */
+final class EffectiveStateChecker {
+
+    private final Map<String, ModelLog> logs;
+    private final Subscription subscription;
+    private final boolean exact;
+    private final boolean restoresOther;
+    private final List<String> journal;
+    private Map<ResourceKey, Resource> state;
+    private LogPosition position;
+
+    /**
+     * A checker with no state yet.
+     *
+     * @param exact whether each state equals the log's, as no change of it is rejected
+     * @param restoresOther whether the stored state is of another subscription or an unknown log
+     * @param journal what happened before, for the messages of failures
+     */
+    EffectiveStateChecker(
+            Map<String, ModelLog> logs,
+            Subscription subscription,
+            boolean exact,
+            boolean restoresOther,
+            List<String> journal) {
+        this.logs = logs;
+        this.subscription = subscription;
+        this.exact = exact;
+        this.restoresOther = restoresOther;
+        this.journal = journal;
+    }
+
+    Map<ResourceKey, Resource> state() {
+        return state;
+    }
+
+    /** Applies a change, which has to lead to a state that the log has had. */
+    void apply(StateChange change) {
+        if (change.full()) {
+            assertEquals(null, state, "a full state comes first and never again");
+            state = new TreeMap<>();
+        }
+        assertNotNull(state, "a difference to no state");
+        assertFalse(
+                !change.full() && change.puts().isEmpty() && change.deletes().isEmpty(),
+                "an empty change");
+        assertGoesForward(change.position());
+        for (Resource resource : change.puts()) {
+            Resource before = state.put(resource.key(), resource);
+            assertNotEquals(
+                    resource.value(), before == null ? null : before.value(), "no difference");
+        }
+        for (Change.Delete delete : change.deletes()) {
+            assertNotNull(state.remove(delete.key()), "deletes what is not there");
+        }
+        position = change.position();
+        if (exact && !(change.full() && restoresOther)) {
+            assertEquals(
+                    values(
+                            logs.get(position.log())
+                                    .stateAt(position.version(), subscription, false)),
+                    values(state),
+                    "not the state of " + position + ": " + journal);
+        }
+        assertTrue(
+                state.values().stream().noneMatch(each -> ModelChanges.isBad(each.value())),
+                "a rejected value is effective");
+    }
+
+    private void assertGoesForward(LogPosition next) {
+        assertTrue(logs.containsKey(next.log()) || restoresOther, "unknown log");
+        if (position != null && position.log().equals(next.log())) {
+            assertTrue(next.version() >= position.version(), "goes back to " + next);
+        }
+    }
+
+    static Map<ResourceKey, Object> values(Map<ResourceKey, Resource> state) {
+        Map<ResourceKey, Object> values = new TreeMap<>();
+        state.forEach((key, resource) -> values.put(key, resource.value()));
+        return values;
+    }
+}
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -18,8 +18,7 @@
 import net.jqwik.api.Provide;
 import ottergauge.replica.ModelControlProcess.FaultKind;
 import ottergauge.replica.ModelControlProcess.FaultWindow;
-import ottergauge.replica.ReplicaSimulation.Script;
-import ottergauge.replica.ReplicaSimulation.Stall;
+import ottergauge.replica.SimulationScript.Stall;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Subscription;
 
@@ -65,7 +64,7 @@
         return instants().injectNull(0.6).map(Optional::ofNullable);
     }
 
-    private static Arbitrary<Script> scripts(int badChanges) {
+    private static Arbitrary<SimulationScript> scripts(int badChanges) {
         Arbitrary<List<Stall>> stalls =
                 instants()
                         .list()
@@ -91,7 +90,7 @@
                         Arbitraries.longs())
                 .as(
                         (spans, at, still, newLog, clockBack, subscription, retained, seed) ->
-                                new Script(
+                                new SimulationScript(
                                         spans,
                                         at.get(0),
                                         at.get(1),
@@ -105,57 +104,68 @@
     }
 
     @Provide
-    Arbitrary<Script> anything() {
+    Arbitrary<SimulationScript> anything() {
         return scripts(0);
     }
 
     @Property(tries = 2000, seed = "61")
-    void whateverHappensTheStateInForceIsOneVersionsAndInTheEndTheNewest(
-            @ForAll("anything") Script script) {
-        // The play itself holds each state that comes in force against the log.
-        ReplicaSimulation play = new ReplicaSimulation(script);
-        play.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertEquals(play.newest().id(), play.metrics().position().log(), play.journal.toString());
+    void anyHistory_eachStateIsOneVersionsAndTheLastIsTheNewest(
+            @ForAll("anything") SimulationScript script) {
+        // The simulation itself holds each state that comes in force against the log.
+        ReplicaSimulation simulation = new ReplicaSimulation(script);
+        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
         assertEquals(
-                ReplicaSimulation.values(
-                        play.newest()
-                                .stateAt(play.newest().version(), script.subscription(), false)),
-                ReplicaSimulation.values(play.state()),
-                play.journal.toString());
+                simulation.newest().id(),
+                simulation.metrics().position().log(),
+                simulation.journal.toString());
+        assertEquals(
+                EffectiveStateChecker.values(
+                        simulation
+                                .newest()
+                                .stateAt(
+                                        simulation.newest().version(),
+                                        script.subscription(),
+                                        false)),
+                EffectiveStateChecker.values(simulation.state()),
+                simulation.journal.toString());
     }
 
     @Provide
-    Arbitrary<Script> withBadChanges() {
+    Arbitrary<SimulationScript> withBadChanges() {
         return scripts(6);
     }
 
     @Property(tries = 1000, seed = "62")
-    void whatIsRefusedNeverComesInForceAndWhatComesAfterItDoes(
-            @ForAll("withBadChanges") Script script) {
-        ReplicaSimulation play = new ReplicaSimulation(script);
-        play.run(LENGTH, TROUBLES_END, Optional.empty());
+    void invalidChanges_neverTakeEffectAndLaterOnesDo(
+            @ForAll("withBadChanges") SimulationScript script) {
+        ReplicaSimulation simulation = new ReplicaSimulation(script);
+        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
         Map<ResourceKey, Object> newest =
-                ReplicaSimulation.values(
-                        play.newest()
-                                .stateAt(play.newest().version(), script.subscription(), false));
-        Map<ResourceKey, Object> state = ReplicaSimulation.values(play.state());
+                EffectiveStateChecker.values(
+                        simulation
+                                .newest()
+                                .stateAt(
+                                        simulation.newest().version(),
+                                        script.subscription(),
+                                        false));
+        Map<ResourceKey, Object> state = EffectiveStateChecker.values(simulation.state());
         Set<ResourceKey> spoilt = new HashSet<>();
-        for (long version = 1; version <= play.newest().version(); version++) {
-            if (play.newest().isBad(version)) {
-                spoilt.addAll(play.newest().touchedBy(version));
+        for (long version = 1; version <= simulation.newest().version(); version++) {
+            if (simulation.newest().isBad(version)) {
+                spoilt.addAll(simulation.newest().touchedBy(version));
             } else {
-                spoilt.removeAll(play.newest().touchedBy(version));
+                spoilt.removeAll(simulation.newest().touchedBy(version));
             }
         }
         newest.keySet().removeAll(spoilt);
         state.keySet().removeAll(spoilt);
-        assertEquals(newest, state, play.journal.toString());
+        assertEquals(newest, state, simulation.journal.toString());
     }
 
     @Property(tries = 1000, seed = "63")
-    void aNodeThatStartsAgainGoesOnFromWhatWasKept(
-            @ForAll("anything") Script script,
-            @ForAll("anything") Script after,
+    void restart_resumesFromTheStoredState(
+            @ForAll("anything") SimulationScript script,
+            @ForAll("anything") SimulationScript after,
             @ForAll boolean endsWell) {
         ReplicaSimulation first = new ReplicaSimulation(script);
         first.run(LENGTH, TROUBLES_END, Optional.empty());
@@ -163,20 +173,20 @@
             first.stop();
         }
         ReplicaSimulation second = new ReplicaSimulation(after, first.newest());
-        second.run(LENGTH, TROUBLES_END, Optional.ofNullable(first.kept));
+        second.run(LENGTH, TROUBLES_END, Optional.ofNullable(first.stored));
         assertEquals(
                 second.newest().id(), second.metrics().position().log(), second.journal.toString());
         assertEquals(
-                ReplicaSimulation.values(
+                EffectiveStateChecker.values(
                         second.newest()
                                 .stateAt(second.newest().version(), after.subscription(), false)),
-                ReplicaSimulation.values(second.state()),
+                EffectiveStateChecker.values(second.state()),
                 second.journal.toString());
     }
 
     /** Up to three processes are in trouble at a time, often from the same instant on. */
     @Provide
-    Arbitrary<Script> threeInTrouble() {
+    Arbitrary<SimulationScript> threeFailedProcesses() {
         Arbitrary<FaultKind> kinds =
                 Arbitraries.of(FaultKind.SILENT, FaultKind.KILLED, FaultKind.CUT_OFF);
         Arbitrary<List<FaultWindow>> together =
@@ -220,7 +230,7 @@
                                                                         span.from(),
                                                                         span.until()));
                                                     }));
-                            return new Script(
+                            return new SimulationScript(
                                     spans,
                                     all,
                                     List.of(),
@@ -235,23 +245,23 @@
     }
 
     @Property(tries = 3000, seed = "64")
-    void aChangeIsInForceInTimeThoughThreeProcessesFallSilent(
-            @ForAll("threeInTrouble") Script script) {
-        ReplicaSimulation play = new ReplicaSimulation(script);
-        play.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertEachInForceWithin(play, ReplicaSimulation.PROPAGATION_DEADLINE_MICROS);
+    void threeFailedProcesses_changesTakeEffectByTheDeadline(
+            @ForAll("threeFailedProcesses") SimulationScript script) {
+        ReplicaSimulation simulation = new ReplicaSimulation(script);
+        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
+        assertEachEffectiveWithin(simulation, ReplicaSimulation.PROPAGATION_DEADLINE_MICROS);
     }
 
-    private static void assertEachInForceWithin(
-            ReplicaSimulation play, long propagationDeadlineMicros) {
+    private static void assertEachEffectiveWithin(
+            ReplicaSimulation simulation, long propagationDeadlineMicros) {
         // The first state is fetched in pages, at its own rate.
-        long begins = play.inForceAt.get((long) ReplicaSimulation.FIRST_CHANGES);
-        play.publishedAt.forEach(
+        long begins = simulation.effectiveAt.get((long) ReplicaSimulation.FIRST_CHANGES);
+        simulation.publishedAt.forEach(
                 (version, published) -> {
-                    Long at = play.inForceAt.get(version);
+                    Long at = simulation.effectiveAt.get(version);
                     long due = Math.max(published, begins) + propagationDeadlineMicros;
                     assertTrue(
-                            play.isNothing(version) || (at != null && at <= due),
+                            simulation.isNothing(version) || (at != null && at <= due),
                             "version "
                                     + version
                                     + " of "
@@ -259,13 +269,13 @@
                                     + " in force at "
                                     + at
                                     + ": "
-                                    + play.journal);
+                                    + simulation.journal);
                 });
     }
 
     /** All four are away together for a while. */
     @Provide
-    Arbitrary<Script> allInTrouble() {
+    Arbitrary<SimulationScript> allProcessesFailed() {
         Arbitrary<List<FaultKind>> mixed =
                 Arbitraries.of(FaultKind.SILENT, FaultKind.KILLED, FaultKind.CUT_OFF)
                         .list()
@@ -283,7 +293,7 @@
                             for (int i = 0; i < PROCESSES; i++) {
                                 spans.add(new FaultWindow(i, kinds.get(i), from, from + length));
                             }
-                            return new Script(
+                            return new SimulationScript(
                                     spans,
                                     List.of(from + length / 2),
                                     List.of(),
@@ -298,24 +308,25 @@
     }
 
     @Property(tries = 1000, seed = "65")
-    void aHealIsFollowedInTime(@ForAll("allInTrouble") Script script) {
-        ReplicaSimulation play = new ReplicaSimulation(script);
-        play.run(LENGTH, TROUBLES_END, Optional.empty());
+    void recoveryOfAllProcesses_isFollowedByTheDeadline(
+            @ForAll("allProcessesFailed") SimulationScript script) {
+        ReplicaSimulation simulation = new ReplicaSimulation(script);
+        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
         long healed = script.faults().get(0).until();
-        long version = play.newest().version();
-        Long at = play.inForceAt.get(version);
+        long version = simulation.newest().version();
+        Long at = simulation.effectiveAt.get(version);
         assertTrue(
-                play.isNothing(version)
+                simulation.isNothing(version)
                         || (at != null
                                 && at <= healed + ReplicaSimulation.PROPAGATION_DEADLINE_MICROS),
-                "healed at " + healed + ", in force at " + at + ": " + play.journal);
+                "healed at " + healed + ", in force at " + at + ": " + simulation.journal);
     }
 
     @Property(tries = 1000, seed = "66")
-    void controlIsNotCalledByTheDozen(@ForAll("anything") Script script) {
-        ReplicaSimulation play =
+    void anyHistory_callRateIsBounded(@ForAll("anything") SimulationScript script) {
+        ReplicaSimulation simulation =
                 new ReplicaSimulation(
-                        new Script(
+                        new SimulationScript(
                                 script.faults(),
                                 List.of(),
                                 List.of(),
@@ -326,27 +337,28 @@
                                 false,
                                 1000,
                                 script.seed()));
-        play.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertCallsWithinFourSeconds(play, MAX_CALLS);
+        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
+        assertCallsWithinFourSeconds(simulation, MAX_CALLS);
     }
 
     @Property(tries = 300, seed = "67")
-    void processesThatAreAwayAreNotCalledByTheDozen(@ForAll("allInTrouble") Script script) {
-        ReplicaSimulation play = new ReplicaSimulation(script);
-        play.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertCallsWithinFourSeconds(play, MAX_CALLS);
+    void outageOfAllProcesses_callRateIsBounded(
+            @ForAll("allProcessesFailed") SimulationScript script) {
+        ReplicaSimulation simulation = new ReplicaSimulation(script);
+        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
+        assertCallsWithinFourSeconds(simulation, MAX_CALLS);
     }
 
-    private static void assertCallsWithinFourSeconds(ReplicaSimulation play, int max) {
-        for (int i = max; i < play.calls.size(); i++) {
+    private static void assertCallsWithinFourSeconds(ReplicaSimulation simulation, int max) {
+        for (int i = max; i < simulation.calls.size(); i++) {
             assertTrue(
-                    play.calls.get(i) - play.calls.get(i - max) >= 4 * SECOND,
+                    simulation.calls.get(i) - simulation.calls.get(i - max) >= 4 * SECOND,
                     "called "
                             + max
                             + " times from "
-                            + play.calls.get(i - max)
+                            + simulation.calls.get(i - max)
                             + ": "
-                            + play.journal);
+                            + simulation.journal);
         }
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaSimulation.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -2,32 +2,25 @@
 package ottergauge.replica;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import ottergauge.protocol.Address;
 import ottergauge.replica.ModelControlProcess.FaultKind;
 import ottergauge.replica.ModelControlProcess.FaultWindow;
-import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
 /**
@@ -40,22 +33,6 @@
     static final long SECOND = 1_000_000;
     static final long PROPAGATION_DEADLINE_MICROS = 4 * SECOND;
 
-    /** The node stands still, and what comes meanwhile is handled after it in any order. */
-    record Stall(long from, long until) {}
-
-    /** All that is drawn for a play. */
-    record Script(
-            List<FaultWindow> faults,
-            List<Long> changes,
-            List<Long> badChanges,
-            List<Stall> stalls,
-            Optional<Long> newLogAt,
-            Optional<Long> clockBackAt,
-            Subscription subscription,
-            boolean networkIsBad,
-            int retained,
-            long seed) {}
-
     private static final List<String> REGIONS = List.of("r1", "r1", "r2", "r3");
     static final int FIRST_CHANGES = 6;
 
@@ -67,46 +44,37 @@
     private static final int BYTES_PER_RESOURCE = 100;
     private static final long BYTES_PER_SECOND = 20_000;
 
-    /** What happens at an instant, and in which order if several do. */
-    private record Task(long at, long number, Runnable job) {}
-
     /** A call that a process keeps until it has news. */
     private record Poll(long call, ModelControlProcess process, LogPosition after) {}
 
     final List<String> journal = new ArrayList<>();
 
     /** When the node had each version of the newest log, or a later one. */
-    final Map<Long, Long> inForceAt = new HashMap<>();
+    final Map<Long, Long> effectiveAt = new HashMap<>();
 
     /** When each version of the newest log was published. */
     final Map<Long, Long> publishedAt = new HashMap<>();
 
     final List<Long> calls = new ArrayList<>();
-    StoredState kept;
+    StoredState stored;
 
-    private final Script script;
+    private final SimulationScript script;
     private final SplittableRandom random;
     private final SplittableRandom changes;
     private final Map<String, ModelLog> logs = new HashMap<>();
     private final List<ModelControlProcess> processes = new ArrayList<>();
-    private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
+    private final SimulatedClock clock = new SimulatedClock();
     private final Map<Long, Poll> polls = new TreeMap<>();
     private final Replica replica;
-    private Map<ResourceKey, Resource> state;
-    private LogPosition position;
+    private EffectiveStateChecker checker;
     private ModelLog newest;
-    private long now;
-    private long lastTask;
-    private long callOut;
+    private long outstandingCall;
 
     /** Until when messages are lost, delayed and doubled. */
     private long networkIsBadUntil;
 
-    private boolean restoresOther;
-
     /** A node that begins with nothing, before a log with a few changes in it. */
-    ReplicaSimulation(Script script) {
+    ReplicaSimulation(SimulationScript script) {
         this(script, new ModelLog("first"));
         for (int i = 0; i < FIRST_CHANGES; i++) {
             ModelChanges.append(newest, changes, false);
@@ -115,7 +83,7 @@
     }
 
     /** A node before a log that is there. */
-    ReplicaSimulation(Script script, ModelLog log) {
+    ReplicaSimulation(SimulationScript script, ModelLog log) {
         this.script = script;
         random = new SplittableRandom(script.seed());
         changes = new SplittableRandom(~script.seed());
@@ -141,41 +109,43 @@
                                 ReplicaLimits.DEFAULT),
                         script.seed(),
                         ResourceValidator::firstError,
-                        this::carryOut);
+                        this::execute);
     }
 
     /**
-     * Plays until an instant, the last part with a good network, from a state that was kept if
+     * Plays until an instant, the last part with a good network, from a state that was stored if
      * there is one.
      */
     void run(long length, long goodFrom, Optional<StoredState> stored) {
         networkIsBadUntil = script.networkIsBad() ? goodFrom : 0;
-        restoresOther =
+        boolean restoresOther =
                 stored.filter(
                                 each ->
                                         !each.subscription().equals(script.subscription())
                                                 || !logs.containsKey(each.position().log()))
                         .isPresent();
-        script.changes().forEach(at -> schedule(at, () -> publish(false)));
-        script.badChanges().forEach(at -> schedule(at, () -> publish(true)));
-        script.newLogAt().ifPresent(at -> schedule(at, this::beginNewLog));
+        checker =
+                new EffectiveStateChecker(
+                        logs,
+                        script.subscription(),
+                        script.badChanges().isEmpty(),
+                        restoresOther,
+                        journal);
+        script.changes().forEach(at -> clock.schedule(at, () -> publish(false)));
+        script.badChanges().forEach(at -> clock.schedule(at, () -> publish(true)));
+        script.newLogAt().ifPresent(at -> clock.schedule(at, this::beginNewLog));
         script.faults()
                 .forEach(
                         span -> {
-                            schedule(span.from(), () -> begin(span));
-                            schedule(span.until(), () -> end(span));
+                            clock.schedule(span.from(), () -> begin(span));
+                            clock.schedule(span.until(), () -> end(span));
                         });
-        replica.start(now, stored);
-        while (!tasks.isEmpty() && tasks.peek().at() <= length) {
-            Task task = tasks.poll();
-            now = task.at();
-            task.job().run();
-        }
-        now = length;
+        replica.start(clock.now(), stored);
+        clock.runUntil(length);
     }
 
     void stop() {
-        replica.handle(now, new ReplicaEvent.Stopped());
+        replica.handle(clock.now(), new ReplicaEvent.Stopped());
     }
 
     ReplicaMetrics metrics() {
@@ -187,7 +157,7 @@
     }
 
     Map<ResourceKey, Resource> state() {
-        return state;
+        return checker.state();
     }
 
     /** Whether the node has nothing to follow of the change with this version. */
@@ -195,21 +165,20 @@
         return !newest.hasNews(version - 1, version, script.subscription());
     }
 
-    private void schedule(long at, Runnable job) {
-        tasks.add(new Task(Math.max(now, at), lastTask++, job));
-    }
-
     // ---- The log and its processes
     // --------------------------------------------------------------------
 
     private void publish(boolean bad) {
         ModelChanges.append(newest, changes, bad);
-        journal.add(now + " published " + newest.version());
-        publishedAt.put(newest.version(), now);
+        journal.add(clock.now() + " published " + newest.version());
+        publishedAt.put(newest.version(), clock.now());
         ModelLog log = newest;
         long version = newest.version();
         processes.forEach(
-                each -> schedule(now + random.nextLong(MAX_TRIP), () -> learn(each, log, version)));
+                each ->
+                        clock.schedule(
+                                clock.now() + random.nextLong(MAX_TRIP),
+                                () -> learn(each, log, version)));
     }
 
     private void learn(ModelControlProcess process, ModelLog log, long version) {
@@ -226,8 +195,8 @@
         newest = new ModelLog(newest.id() + "-anew");
         logs.put(newest.id(), newest);
         publishedAt.clear();
-        inForceAt.clear();
-        journal.add(now + " log begins anew");
+        effectiveAt.clear();
+        journal.add(clock.now() + " log begins anew");
         publish(false);
     }
 
@@ -236,13 +205,13 @@
                 .anyMatch(
                         span ->
                                 span.fault() == fault
-                                        && span.from() <= now
-                                        && now < span.until()
+                                        && span.from() <= clock.now()
+                                        && clock.now() < span.until()
                                         && processes.get(span.process()) == process);
     }
 
     private void begin(FaultWindow span) {
-        journal.add(now + " " + span);
+        journal.add(clock.now() + " " + span);
         ModelControlProcess process = processes.get(span.process());
         if (span.fault() == FaultKind.KILLED) {
             List.copyOf(polls.values()).stream()
@@ -271,7 +240,7 @@
     // ---- Calls
     // ----------------------------------------------------------------------------------------
 
-    private void carryOut(ReplicaEffect effect) {
+    private void execute(ReplicaEffect effect) {
         if (effect instanceof ReplicaEffect.PollChanges call) {
             begins(call.call());
             reach(call.call(), call.endpoint(), process -> changesAsked(process, call));
@@ -279,28 +248,31 @@
             begins(call.call());
             reach(call.call(), call.endpoint(), process -> snapshotAsked(process, call));
         } else if (effect instanceof ReplicaEffect.CancelCall call) {
-            assertEquals(callOut, call.call(), "gives up a call that is not out");
-            callOut = 0;
+            assertEquals(outstandingCall, call.call(), "gives up a call that is not out");
+            outstandingCall = 0;
         } else if (effect instanceof ReplicaEffect.StartTimer timer) {
             assertTrue(timer.delayMicros() >= 0, "a timer runs backwards: " + timer);
-            apply(now + timer.delayMicros(), new ReplicaEvent.TimerFired(timer.timer()));
+            apply(clock.now() + timer.delayMicros(), new ReplicaEvent.TimerFired(timer.timer()));
         } else if (effect instanceof ReplicaEffect.ApplyState applyState) {
-            applyState(applyState.change());
-        } else if (effect instanceof ReplicaEffect.StoreState keep) {
-            kept = keep.state();
-            assertEquals(replica.metrics(now).position(), kept.position());
+            journal.add(clock.now() + " effective " + applyState.change().position());
+            checker.apply(applyState.change());
+        } else if (effect instanceof ReplicaEffect.StoreState storeState) {
+            stored = storeState.state();
+            assertEquals(replica.metrics(clock.now()).position(), stored.position());
             Map<ResourceKey, Resource> resources = new TreeMap<>();
-            kept.resources().forEach(each -> resources.put(each.key(), each));
-            assertEquals(values(state), values(resources));
+            stored.resources().forEach(each -> resources.put(each.key(), each));
+            assertEquals(
+                    EffectiveStateChecker.values(checker.state()),
+                    EffectiveStateChecker.values(resources));
         } else if (effect instanceof ReplicaEffect.Report report) {
-            journal.add(now + " " + report.report());
+            journal.add(clock.now() + " " + report.report());
         }
     }
 
     private void begins(long call) {
-        assertEquals(0, callOut, "two calls are out");
-        callOut = call;
-        calls.add(now);
+        assertEquals(0, outstandingCall, "two calls are out");
+        outstandingCall = call;
+        calls.add(clock.now());
     }
 
     /** Brings a call to the process at an address, or not. */
@@ -313,8 +285,8 @@
         if (isIn(process, FaultKind.KILLED)) {
             deliver(process, new ReplicaEvent.CallFailed(call));
         } else if (!isLost(process)) {
-            schedule(
-                    now + trip(process),
+            clock.schedule(
+                    clock.now() + trip(process),
                     () -> {
                         if (isIn(process, FaultKind.KILLED)) {
                             deliver(process, new ReplicaEvent.CallFailed(call));
@@ -340,8 +312,8 @@
         if (process.hasNews(after, script.subscription())) {
             answer(polls.get(call.call()));
         } else {
-            schedule(
-                    now + call.query().waitMicros(),
+            clock.schedule(
+                    clock.now() + call.query().waitMicros(),
                     () -> {
                         if (polls.containsKey(call.call())) {
                             answer(polls.get(call.call()));
@@ -394,14 +366,14 @@
     private boolean isLost(ModelControlProcess process) {
         return isIn(process, FaultKind.SILENT)
                 || isIn(process, FaultKind.CUT_OFF)
-                || (now < networkIsBadUntil && random.nextInt(LOSES) == 0);
+                || (clock.now() < networkIsBadUntil && random.nextInt(LOSES) == 0);
     }
 
     private void deliver(ModelControlProcess process, ReplicaEvent answer) {
         if (!isLost(process)) {
-            apply(now + trip(process), answer);
-            if (now < networkIsBadUntil && random.nextInt(DOUBLES) == 0) {
-                apply(now + trip(process) + random.nextLong(3 * SECOND), answer);
+            apply(clock.now() + trip(process), answer);
+            if (clock.now() < networkIsBadUntil && random.nextInt(DOUBLES) == 0) {
+                apply(clock.now() + trip(process) + random.nextLong(3 * SECOND), answer);
             }
         }
     }
@@ -410,15 +382,19 @@
     // -------------------------------------------------------------------------------------
 
     private void apply(long at, ReplicaEvent event) {
-        schedule(
+        clock.schedule(
                 at,
                 () -> {
-                    Optional<Stall> stall =
+                    Optional<SimulationScript.Stall> stall =
                             script.stalls().stream()
-                                    .filter(each -> each.from() <= now && now < each.until())
+                                    .filter(
+                                            each ->
+                                                    each.from() <= clock.now()
+                                                            && clock.now() < each.until())
                                     .findFirst();
                     if (stall.isPresent()) {
-                        schedule(stall.get().until() + random.nextLong(1_000), () -> handle(event));
+                        clock.schedule(
+                                stall.get().until() + random.nextLong(1_000), () -> handle(event));
                     } else {
                         handle(event);
                     }
@@ -427,72 +403,29 @@
 
     private void handle(ReplicaEvent event) {
         if (endsCall(event)) {
-            callOut = 0;
+            outstandingCall = 0;
         }
         replica.handle(nodesClock(), event);
-        LogPosition reached = replica.metrics(now).position();
+        LogPosition reached = replica.metrics(clock.now()).position();
         for (long version = 1;
                 reached.log().equals(newest.id()) && version <= reached.version();
                 version++) {
-            inForceAt.putIfAbsent(version, now);
+            effectiveAt.putIfAbsent(version, clock.now());
         }
     }
 
     private boolean endsCall(ReplicaEvent event) {
-        return (event instanceof ReplicaEvent.ChangesReceived e && e.call() == callOut)
-                || (event instanceof ReplicaEvent.SnapshotPageReceived e2 && e2.call() == callOut)
+        return (event instanceof ReplicaEvent.ChangesReceived e && e.call() == outstandingCall)
+                || (event instanceof ReplicaEvent.SnapshotPageReceived e2
+                        && e2.call() == outstandingCall)
                 || (event instanceof ReplicaEvent.VersionUnavailableReceived e3
-                        && e3.call() == callOut)
-                || (event instanceof ReplicaEvent.CallFailed e4 && e4.call() == callOut);
+                        && e3.call() == outstandingCall)
+                || (event instanceof ReplicaEvent.CallFailed e4 && e4.call() == outstandingCall);
     }
 
     private long nodesClock() {
-        return script.clockBackAt().filter(at -> at <= now).isPresent() ? now - SET_BACK : now;
-    }
-
-    private void applyState(StateChange change) {
-        journal.add(now + " in force " + change.position());
-        if (change.full()) {
-            assertEquals(null, state, "a whole state comes first and never again");
-            state = new TreeMap<>();
-        }
-        assertNotNull(state, "a difference to no state");
-        assertFalse(
-                !change.full() && change.puts().isEmpty() && change.deletes().isEmpty(),
-                "nothing is taken over");
-        assertGoesForward(change.position());
-        for (Resource resource : change.puts()) {
-            Resource before = state.put(resource.key(), resource);
-            assertNotEquals(
-                    resource.value(), before == null ? null : before.value(), "no difference");
-        }
-        for (Change.Delete delete : change.deletes()) {
-            assertNotNull(state.remove(delete.key()), "deletes what is not there");
-        }
-        position = change.position();
-        if (script.badChanges().isEmpty() && !(change.full() && restoresOther)) {
-            assertEquals(
-                    values(
-                            logs.get(position.log())
-                                    .stateAt(position.version(), script.subscription(), false)),
-                    values(state),
-                    "not the state of " + position + ": " + journal);
-        }
-        assertTrue(
-                state.values().stream().noneMatch(each -> ModelChanges.isBad(each.value())),
-                "a refused value is in force");
-    }
-
-    private void assertGoesForward(LogPosition next) {
-        assertTrue(logs.containsKey(next.log()) || restoresOther, "nobody's log");
-        if (position != null && position.log().equals(next.log())) {
-            assertTrue(next.version() >= position.version(), "goes back to " + next);
-        }
-    }
-
-    static Map<ResourceKey, Object> values(Map<ResourceKey, Resource> state) {
-        Map<ResourceKey, Object> values = new TreeMap<>();
-        state.forEach((key, resource) -> values.put(key, resource.value()));
-        return values;
+        return script.clockBackAt().filter(at -> at <= clock.now()).isPresent()
+                ? clock.now() - SET_BACK
+                : clock.now();
     }
 }
