--- a/src/test/java/ottergauge/replica/ControlEndpointSelectorTest.java
+++ b/src/test/java/ottergauge/replica/ControlEndpointSelectorTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void theOwnRegionComesFirst() {
+    void endpointsOfOwnRegion_comeFirst() {
         for (int i = 0; i < NODES; i++) {
             ControlEndpointSelector selector =
                     new ControlEndpointSelector("n" + i, "b", addresses("a", "b", "c", "b"));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void nodesSpreadOverTheProcessesOfARegionAndOverAllWhenTheirsIsLost() {
+    void nodes_spreadOverTheirRegionAndOverAllOthersWhenItsProcessIsLost() {
         Map<ControlEndpoint, Integer> firsts = new HashMap<>();
         Map<ControlEndpoint, Integer> seconds = new HashMap<>();
         for (int i = 0; i < NODES; i++) {
@@ -59,20 +59,20 @@
     }
 
     @Test
-    void aRoundAsksEachOnceAndTheOneThatAnsweredLast() {
+    void round_visitsEachOnceAndTheOneThatRespondedLast() {
         ControlEndpointSelector selector =
                 new ControlEndpointSelector("n", "a", addresses("a", "b", "c", "d"));
         selector.advance();
-        ControlEndpoint answered = selector.current();
+        ControlEndpoint responded = selector.current();
         selector.recordResponse();
-        HashSet<ControlEndpoint> asked = new HashSet<>();
-        ControlEndpoint last = answered;
+        HashSet<ControlEndpoint> visited = new HashSet<>();
+        ControlEndpoint last = responded;
         while (selector.advance()) {
             last = selector.current();
-            assertTrue(asked.add(last));
+            assertTrue(visited.add(last));
         }
-        assertEquals(4, asked.size());
-        assertEquals(answered, last);
+        assertEquals(4, visited.size());
+        assertEquals(responded, last);
         assertFalse(selector.advance());
     }
 }
--- a/src/test/java/ottergauge/replica/ModelChanges.java
+++ b/src/test/java/ottergauge/replica/ModelChanges.java
@@ -32,7 +32,7 @@
 
     private ModelChanges() {}
 
-    /** Appends a change to a log; {@code bad} gives it a value that every reader refuses. */
+    /** Appends a change to a log; {@code bad} gives it an invalid value. */
     static void append(ModelLog log, SplittableRandom random, boolean bad) {
         Map<ResourceKey, Resource> state = log.stateAt(log.version(), false);
         Map<ResourceKey, Change.Put> puts = new TreeMap<>();
@@ -55,7 +55,7 @@
         log.append(List.copyOf(puts.values()), deletes);
     }
 
-    /** Whether a value is one that readers refuse. */
+    /** Whether a value is invalid. */
     static boolean isBad(ResourceValue value) {
         return value instanceof ResourceValue.Tenant tenant && tenant.weight() == BAD_WEIGHT;
     }
--- a/src/test/java/ottergauge/replica/ModelControlProcess.java
+++ b/src/test/java/ottergauge/replica/ModelControlProcess.java
@@ -13,28 +13,26 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
-/**
- * A control process on made-up time: what it has of a log, what befalls it, and what it answers.
- */
+/** A control process in simulated time: its part of a log, its faults and its responses. */
 final class ModelControlProcess {
 
-    /** What may befall a process for a while. */
+    /** The faults of a process. */
     enum FaultKind {
-        /** Nothing that is sent to it arrives, nor what it sends. */
+        /** Messages to and from it are lost. */
         SILENT,
-        /** It does not run: calls end at once. */
+        /** It does not run: calls fail at once. */
         KILLED,
-        /** Silent, and it learns of no change. */
+        /** Silent, and it receives no changes. */
         CUT_OFF,
-        /** It answers, and learns of no change. */
+        /** It responds, and receives no changes. */
         LAGGING,
-        /** What it answers takes long. */
+        /** Its responses are slow. */
         SLOW,
-        /** What it answers is out of order, replayed or older than it was. */
-        GARBLED
+        /** Its responses are out of order, replayed or older than before. */
+        CORRUPT
     }
 
-    /** A trouble of a process, from an instant until another. */
+    /** A fault of a process, from an instant until another. */
     record FaultWindow(int process, FaultKind fault, long from, long until) {}
 
     static final int MAX_CHANGES = 3;
@@ -76,21 +74,21 @@
         return Math.max(1, reached - retained + 1);
     }
 
-    /** Why it can't tell the changes after a position, if it can't. */
+    /** The response if it can't serve the changes after a position. */
     Optional<VersionUnavailable> versionUnavailable(LogPosition after) {
-        boolean told =
+        boolean available =
                 after.log().equals(log.id())
                         && after.version() >= oldest() - 1
                         && after.version() <= reached;
-        return told
+        return available
                 ? Optional.empty()
                 : Optional.of(new VersionUnavailable(log.id(), oldest(), reached));
     }
 
-    boolean hasNews(LogPosition after, Subscription subscription) {
+    boolean hasChanges(LogPosition after, Subscription subscription) {
         return !after.log().equals(log.id())
                 || after.version() > reached
-                || log.hasNews(after.version(), reached, subscription);
+                || log.hasChanges(after.version(), reached, subscription);
     }
 
     ChangePage changes(LogPosition after, Subscription subscription) {
@@ -101,8 +99,8 @@
         return log.snapshot(from, reached, subscription, MAX_RESOURCES);
     }
 
-    /** What becomes of a page where answers are garbled: by a number that was drawn. */
-    static ChangePage garbled(ChangePage page, int drawn) {
+    /** A corrupt form of a page, chosen by a drawn number. */
+    static ChangePage corrupt(ChangePage page, int drawn) {
         List<Change> changes = new ArrayList<>(page.changes());
         return switch (drawn % 4) {
             case 0 -> {
@@ -116,7 +114,7 @@
             case 2 ->
                     new ChangePage(
                             new LogPosition(page.upTo().log(), page.upTo().version() - 1), changes);
-            default -> new ChangePage(new LogPosition("nobodys", page.upTo().version()), changes);
+            default -> new ChangePage(new LogPosition("unknown", page.upTo().version()), changes);
         };
     }
 
@@ -124,7 +122,7 @@
      * The same of a page of a snapshot; nobody could tell that a first one is of a log that is
      * none.
      */
-    static SnapshotPage garbled(SnapshotPage page, boolean first, int drawn) {
+    static SnapshotPage corrupt(SnapshotPage page, boolean first, int drawn) {
         var resources = new ArrayList<>(page.resources());
         return switch (drawn % 4) {
             case 0 -> {
@@ -143,7 +141,7 @@
                     first
                             ? page
                             : new SnapshotPage(
-                                    new LogPosition("nobodys", page.at().version()),
+                                    new LogPosition("unknown", page.at().version()),
                                     resources,
                                     page.next());
         };
--- a/src/test/java/ottergauge/replica/ModelLog.java
+++ b/src/test/java/ottergauge/replica/ModelLog.java
@@ -15,10 +15,7 @@
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
 
-/**
- * A log of changes and what its control processes answer, by the plainest means: a fold of all
- * changes.
- */
+/** A log of changes and the responses of its control processes, as a fold over all changes. */
 final class ModelLog {
 
     private final String id;
@@ -41,11 +38,13 @@
         changes.add(new Change(version() + 1, puts, deletes));
     }
 
-    /** The state at a version; with {@code skipBad}, of a reader that refuses what is wrong. */
-    Map<ResourceKey, Resource> stateAt(long version, boolean skipBad) {
+    /**
+     * The state at a version; with {@code skipInvalid}, of a reader that rejects invalid changes.
+     */
+    Map<ResourceKey, Resource> stateAt(long version, boolean skipInvalid) {
         Map<ResourceKey, Resource> state = new TreeMap<>();
         for (Change change : changes.subList(0, (int) version)) {
-            if (!skipBad || ResourceValidator.firstError(change).isEmpty()) {
+            if (!skipInvalid || ResourceValidator.firstError(change).isEmpty()) {
                 change.puts()
                         .forEach(
                                 put ->
@@ -59,9 +58,10 @@
         return state;
     }
 
-    /** The same, as far as a subscription follows it. */
-    Map<ResourceKey, Resource> stateAt(long version, Subscription subscription, boolean skipBad) {
-        Map<ResourceKey, Resource> state = stateAt(version, skipBad);
+    /** The same, of the resources that a subscription matches. */
+    Map<ResourceKey, Resource> stateAt(
+            long version, Subscription subscription, boolean skipInvalid) {
+        Map<ResourceKey, Resource> state = stateAt(version, skipInvalid);
         state.values().removeIf(each -> !subscription.matches(each.key(), each.value().service()));
         return state;
     }
@@ -75,22 +75,22 @@
         return keys;
     }
 
-    boolean isBad(long version) {
+    boolean isInvalid(long version) {
         return ResourceValidator.firstError(changes.get((int) version - 1)).isPresent();
     }
 
-    /** What a process that has reached a version answers for changes: so many at the most. */
+    /** The page of at most {@code max} changes from a process that has reached a version. */
     ChangePage changes(long after, long reached, Subscription subscription, int max) {
         List<Change> page = new ArrayList<>();
         long upTo = after;
         while (upTo < reached && page.size() < max) {
-            followed(changes.get((int) upTo), subscription).ifPresent(page::add);
+            matching(changes.get((int) upTo), subscription).ifPresent(page::add);
             upTo++;
         }
         return new ChangePage(new LogPosition(id, upTo), page);
     }
 
-    private static Optional<Change> followed(Change change, Subscription subscription) {
+    private static Optional<Change> matching(Change change, Subscription subscription) {
         List<Change.Put> puts =
                 change.puts().stream()
                         .filter(put -> subscription.matches(put.key(), put.value().service()))
@@ -107,7 +107,7 @@
     /**
      * Whether a process that has reached a version has anything for a subscription after another.
      */
-    boolean hasNews(long after, long reached, Subscription subscription) {
+    boolean hasChanges(long after, long reached, Subscription subscription) {
         return !changes(after, reached, subscription, 1).changes().isEmpty();
     }
 
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -111,7 +111,7 @@
     @Property(tries = 2000, seed = "61")
     void anyHistory_eachStateIsOneVersionsAndTheLastIsTheNewest(
             @ForAll("anything") SimulationScript script) {
-        // The simulation itself holds each state that comes in force against the log.
+        // The simulation itself checks each effective state against the log.
         ReplicaSimulation simulation = new ReplicaSimulation(script);
         simulation.run(LENGTH, TROUBLES_END, Optional.empty());
         assertEquals(
@@ -149,16 +149,16 @@
                                         script.subscription(),
                                         false));
         Map<ResourceKey, Object> state = EffectiveStateChecker.values(simulation.state());
-        Set<ResourceKey> spoilt = new HashSet<>();
+        Set<ResourceKey> touchedByInvalid = new HashSet<>();
         for (long version = 1; version <= simulation.newest().version(); version++) {
-            if (simulation.newest().isBad(version)) {
-                spoilt.addAll(simulation.newest().touchedBy(version));
+            if (simulation.newest().isInvalid(version)) {
+                touchedByInvalid.addAll(simulation.newest().touchedBy(version));
             } else {
-                spoilt.removeAll(simulation.newest().touchedBy(version));
+                touchedByInvalid.removeAll(simulation.newest().touchedBy(version));
             }
         }
-        newest.keySet().removeAll(spoilt);
-        state.keySet().removeAll(spoilt);
+        newest.keySet().removeAll(touchedByInvalid);
+        state.keySet().removeAll(touchedByInvalid);
         assertEquals(newest, state, simulation.journal.toString());
     }
 
@@ -184,7 +184,7 @@
                 second.journal.toString());
     }
 
-    /** Up to three processes are in trouble at a time, often from the same instant on. */
+    /** Up to three processes fail at a time, often from the same instant on. */
     @Provide
     Arbitrary<SimulationScript> threeFailedProcesses() {
         Arbitrary<FaultKind> kinds =
@@ -266,14 +266,14 @@
                                     + version
                                     + " of "
                                     + published
-                                    + " in force at "
+                                    + " effective at "
                                     + at
                                     + ": "
                                     + simulation.journal);
                 });
     }
 
-    /** All four are away together for a while. */
+    /** All four processes fail together for a while. */
     @Provide
     Arbitrary<SimulationScript> allProcessesFailed() {
         Arbitrary<List<FaultKind>> mixed =
@@ -319,7 +319,7 @@
                 simulation.isNothing(version)
                         || (at != null
                                 && at <= healed + ReplicaSimulation.PROPAGATION_DEADLINE_MICROS),
-                "healed at " + healed + ", in force at " + at + ": " + simulation.journal);
+                "healed at " + healed + ", effective at " + at + ": " + simulation.journal);
     }
 
     @Property(tries = 1000, seed = "66")
--- a/src/test/java/ottergauge/replica/ReplicaSimulation.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -24,9 +24,9 @@
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * One replica before four control processes in three regions, on made-up time, over a network that
- * loses, delays, doubles and reorders. Each state that comes in force is held against the log: it
- * is one version's, whole, and told by its differences.
+ * One replica and four control processes in three regions, in simulated time, over a network that
+ * loses, delays, duplicates and reorders messages. An {@link EffectiveStateChecker} checks each
+ * state that becomes effective against the log.
  */
 final class ReplicaSimulation {
 
@@ -36,15 +36,15 @@
     private static final List<String> REGIONS = List.of("r1", "r1", "r2", "r3");
     static final int FIRST_CHANGES = 6;
 
-    private static final long MAX_TRIP = 20_000;
-    private static final long SLOW_TRIP = 500_000;
-    private static final long SET_BACK = 3_600 * SECOND;
-    private static final int LOSES = 12;
-    private static final int DOUBLES = 6;
+    private static final long MAX_TRIP_MICROS = 20_000;
+    private static final long SLOW_TRIP_MICROS = 500_000;
+    private static final long CLOCK_SET_BACK_MICROS = 3_600 * SECOND;
+    private static final int LOSS_ONE_IN = 12;
+    private static final int DUPLICATE_ONE_IN = 6;
     private static final int BYTES_PER_RESOURCE = 100;
     private static final long BYTES_PER_SECOND = 20_000;
 
-    /** A call that a process keeps until it has news. */
+    /** A long poll that a process has yet to answer. */
     private record Poll(long call, ModelControlProcess process, LogPosition after) {}
 
     final List<String> journal = new ArrayList<>();
@@ -70,10 +70,10 @@
     private ModelLog newest;
     private long outstandingCall;
 
-    /** Until when messages are lost, delayed and doubled. */
+    /** Until when messages are lost, delayed and duplicated. */
     private long networkIsBadUntil;
 
-    /** A node that begins with nothing, before a log with a few changes in it. */
+    /** A node without stored state, and a log with a few changes in it. */
     ReplicaSimulation(SimulationScript script) {
         this(script, new ModelLog("first"));
         for (int i = 0; i < FIRST_CHANGES; i++) {
@@ -82,7 +82,7 @@
         processes.forEach(each -> each.learn(newest, newest.version()));
     }
 
-    /** A node before a log that is there. */
+    /** A node, and an existing log. */
     ReplicaSimulation(SimulationScript script, ModelLog log) {
         this.script = script;
         random = new SplittableRandom(script.seed());
@@ -113,8 +113,10 @@
     }
 
     /**
-     * Plays until an instant, the last part with a good network, from a state that was stored if
-     * there is one.
+     * Runs for a time.
+     *
+     * @param goodFrom when the network loses, delays and duplicates no more
+     * @param stored the state that the node starts from
      */
     void run(long length, long goodFrom, Optional<StoredState> stored) {
         networkIsBadUntil = script.networkIsBad() ? goodFrom : 0;
@@ -149,7 +151,7 @@
     }
 
     ReplicaMetrics metrics() {
-        return replica.metrics(nodesClock());
+        return replica.metrics(nodeClock());
     }
 
     ModelLog newest() {
@@ -160,13 +162,12 @@
         return checker.state();
     }
 
-    /** Whether the node has nothing to follow of the change with this version. */
+    /** Whether the change with this version has nothing for the subscription. */
     boolean isNothing(long version) {
-        return !newest.hasNews(version - 1, version, script.subscription());
+        return !newest.hasChanges(version - 1, version, script.subscription());
     }
 
     // ---- The log and its processes
-    // --------------------------------------------------------------------
 
     private void publish(boolean bad) {
         ModelChanges.append(newest, changes, bad);
@@ -177,7 +178,7 @@
         processes.forEach(
                 each ->
                         clock.schedule(
-                                clock.now() + random.nextLong(MAX_TRIP),
+                                clock.now() + random.nextLong(MAX_TRIP_MICROS),
                                 () -> learn(each, log, version)));
     }
 
@@ -196,7 +197,7 @@
         logs.put(newest.id(), newest);
         publishedAt.clear();
         effectiveAt.clear();
-        journal.add(clock.now() + " log begins anew");
+        journal.add(clock.now() + " new log");
         publish(false);
     }
 
@@ -233,25 +234,24 @@
                 .filter(
                         poll ->
                                 poll.process() == process
-                                        && process.hasNews(poll.after(), script.subscription()))
+                                        && process.hasChanges(poll.after(), script.subscription()))
                 .forEach(this::answer);
     }
 
     // ---- Calls
-    // ----------------------------------------------------------------------------------------
 
     private void execute(ReplicaEffect effect) {
         if (effect instanceof ReplicaEffect.PollChanges call) {
             begins(call.call());
-            reach(call.call(), call.endpoint(), process -> changesAsked(process, call));
+            reach(call.call(), call.endpoint(), process -> pollReceived(process, call));
         } else if (effect instanceof ReplicaEffect.FetchSnapshotPage call) {
             begins(call.call());
-            reach(call.call(), call.endpoint(), process -> snapshotAsked(process, call));
+            reach(call.call(), call.endpoint(), process -> snapshotQueryReceived(process, call));
         } else if (effect instanceof ReplicaEffect.CancelCall call) {
-            assertEquals(outstandingCall, call.call(), "gives up a call that is not out");
+            assertEquals(outstandingCall, call.call(), "cancels a call that is not outstanding");
             outstandingCall = 0;
         } else if (effect instanceof ReplicaEffect.StartTimer timer) {
-            assertTrue(timer.delayMicros() >= 0, "a timer runs backwards: " + timer);
+            assertTrue(timer.delayMicros() >= 0, "negative delay: " + timer);
             apply(clock.now() + timer.delayMicros(), new ReplicaEvent.TimerFired(timer.timer()));
         } else if (effect instanceof ReplicaEffect.ApplyState applyState) {
             journal.add(clock.now() + " effective " + applyState.change().position());
@@ -270,12 +270,12 @@
     }
 
     private void begins(long call) {
-        assertEquals(0, outstandingCall, "two calls are out");
+        assertEquals(0, outstandingCall, "two calls are outstanding");
         outstandingCall = call;
         calls.add(clock.now());
     }
 
-    /** Brings a call to the process at an address, or not. */
+    /** Delivers a call to the process at an address, unless it is lost. */
     private void reach(long call, Address endpoint, Consumer<ModelControlProcess> arrives) {
         ModelControlProcess process =
                 processes.stream()
@@ -298,7 +298,7 @@
         }
     }
 
-    private void changesAsked(ModelControlProcess process, ReplicaEffect.PollChanges call) {
+    private void pollReceived(ModelControlProcess process, ReplicaEffect.PollChanges call) {
         LogPosition after = call.query().after();
         Optional<VersionUnavailable> versionUnavailable = process.versionUnavailable(after);
         if (versionUnavailable.isPresent()) {
@@ -309,7 +309,7 @@
             return;
         }
         polls.put(call.call(), new Poll(call.call(), process, after));
-        if (process.hasNews(after, script.subscription())) {
+        if (process.hasChanges(after, script.subscription())) {
             answer(polls.get(call.call()));
         } else {
             clock.schedule(
@@ -338,16 +338,17 @@
                 poll.process(),
                 new ReplicaEvent.ChangesReceived(
                         poll.call(),
-                        isIn(poll.process(), FaultKind.GARBLED)
-                                ? ModelControlProcess.garbled(page, random.nextInt(100))
+                        isIn(poll.process(), FaultKind.CORRUPT)
+                                ? ModelControlProcess.corrupt(page, random.nextInt(100))
                                 : page));
     }
 
-    private void snapshotAsked(ModelControlProcess process, ReplicaEffect.FetchSnapshotPage call) {
+    private void snapshotQueryReceived(
+            ModelControlProcess process, ReplicaEffect.FetchSnapshotPage call) {
         SnapshotPage page = process.snapshot(call.query().from(), script.subscription());
         SnapshotPage sent =
-                isIn(process, FaultKind.GARBLED)
-                        ? ModelControlProcess.garbled(
+                isIn(process, FaultKind.CORRUPT)
+                        ? ModelControlProcess.corrupt(
                                 page, call.query().from().isEmpty(), random.nextInt(100))
                         : page;
         deliver(
@@ -357,29 +358,29 @@
     }
 
     // ---- The network
-    // ----------------------------------------------------------------------------------
 
     private long trip(ModelControlProcess process) {
-        return 1_000 + random.nextLong(isIn(process, FaultKind.SLOW) ? SLOW_TRIP : MAX_TRIP);
+        return 1_000
+                + random.nextLong(
+                        isIn(process, FaultKind.SLOW) ? SLOW_TRIP_MICROS : MAX_TRIP_MICROS);
     }
 
     private boolean isLost(ModelControlProcess process) {
         return isIn(process, FaultKind.SILENT)
                 || isIn(process, FaultKind.CUT_OFF)
-                || (clock.now() < networkIsBadUntil && random.nextInt(LOSES) == 0);
+                || (clock.now() < networkIsBadUntil && random.nextInt(LOSS_ONE_IN) == 0);
     }
 
     private void deliver(ModelControlProcess process, ReplicaEvent answer) {
         if (!isLost(process)) {
             apply(clock.now() + trip(process), answer);
-            if (clock.now() < networkIsBadUntil && random.nextInt(DOUBLES) == 0) {
+            if (clock.now() < networkIsBadUntil && random.nextInt(DUPLICATE_ONE_IN) == 0) {
                 apply(clock.now() + trip(process) + random.nextLong(3 * SECOND), answer);
             }
         }
     }
 
     // ---- The node
-    // -------------------------------------------------------------------------------------
 
     private void apply(long at, ReplicaEvent event) {
         clock.schedule(
@@ -405,7 +406,7 @@
         if (endsCall(event)) {
             outstandingCall = 0;
         }
-        replica.handle(nodesClock(), event);
+        replica.handle(nodeClock(), event);
         LogPosition reached = replica.metrics(clock.now()).position();
         for (long version = 1;
                 reached.log().equals(newest.id()) && version <= reached.version();
@@ -423,9 +424,9 @@
                 || (event instanceof ReplicaEvent.CallFailed e4 && e4.call() == outstandingCall);
     }
 
-    private long nodesClock() {
+    private long nodeClock() {
         return script.clockBackAt().filter(at -> at <= clock.now()).isPresent()
-                ? clock.now() - SET_BACK
+                ? clock.now() - CLOCK_SET_BACK_MICROS
                 : clock.now();
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaSnapshotTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaSnapshotTest.java
@@ -88,7 +88,7 @@
             assertEquals(
                     Optional.of(LOG),
                     node.snapshotQuery().log(),
-                    "all are asked for the rest first");
+                    "all processes are called for the rest first");
             node.snapshotPageReceived("new", 2, null, resource("b", 1, 7));
         }
         assertEquals(Optional.empty(), node.snapshotQuery().log());
--- a/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
@@ -55,26 +55,26 @@
     }
 
     @Property(tries = 500, seed = "51")
-    void pagesOfChangesAreReadAsTheyWereWritten(@ForAll("changePages") ChangePage page)
+    void changePage_isReadAsWritten(@ForAll("changePages") ChangePage page)
             throws ProtocolException {
         assertEquals(page, ResourceCodec.readChangePage(ResourceCodec.write(page)));
     }
 
     @Property(tries = 500, seed = "52")
-    void pagesOfSnapshotsAreReadAsTheyWereWritten(@ForAll("snapshotPages") SnapshotPage page)
+    void snapshotPage_isReadAsWritten(@ForAll("snapshotPages") SnapshotPage page)
             throws ProtocolException {
         assertEquals(page, ResourceCodec.readSnapshotPage(ResourceCodec.write(page)));
     }
 
     @Property(tries = 500, seed = "53")
-    void submissionsAreReadAsTheyWereWritten(@ForAll("submissions") Submission submission)
+    void submission_isReadAsWritten(@ForAll("submissions") Submission submission)
             throws ProtocolException {
         assertEquals(submission, ResourceCodec.readSubmission(ResourceCodec.write(submission)));
     }
 
     @Property(tries = 200, seed = "54")
-    void positionsAndAnswersThatAreTooOldAreReadAsTheyWereWritten(
-            @ForAll("positions") LogPosition position) throws ProtocolException {
+    void positionAndVersionUnavailable_areReadAsWritten(@ForAll("positions") LogPosition position)
+            throws ProtocolException {
         assertEquals(position, ResourceCodec.readPosition(ResourceCodec.write(position)));
         VersionUnavailable unavailable =
                 new VersionUnavailable(position.log(), position.version() / 2, position.version());
@@ -84,17 +84,19 @@
     }
 
     @Property(tries = 300, seed = "55")
-    void aMessageThatIsCutIsRefused(
+    void truncatedMessage_isRejected(
             @ForAll("changePages") ChangePage page,
             @ForAll("snapshotPages") SnapshotPage snapshot,
             @ForAll("submissions") Submission submission,
             @ForAll int seed) {
-        cutIsRefused(ResourceCodec.write(page), ResourceCodec::readChangePage, seed);
-        cutIsRefused(ResourceCodec.write(snapshot), ResourceCodec::readSnapshotPage, seed);
-        cutIsRefused(ResourceCodec.write(submission), ResourceCodec::readSubmission, seed);
+        assertTruncatedIsRejected(ResourceCodec.write(page), ResourceCodec::readChangePage, seed);
+        assertTruncatedIsRejected(
+                ResourceCodec.write(snapshot), ResourceCodec::readSnapshotPage, seed);
+        assertTruncatedIsRejected(
+                ResourceCodec.write(submission), ResourceCodec::readSubmission, seed);
     }
 
-    private static void cutIsRefused(byte[] whole, Reader reader, int seed) {
+    private static void assertTruncatedIsRejected(byte[] whole, Reader reader, int seed) {
         int length = new SplittableRandom(seed).nextInt(whole.length);
         assertIsOneLine(
                 assertThrows(
@@ -102,16 +104,17 @@
     }
 
     @Property(tries = 500, seed = "56")
-    void bytesThatAreFlippedEndInOneKindOfException(
+    void flippedBytes_areReadOrRejected(
             @ForAll("changePages") ChangePage page,
             @ForAll("snapshotPages") SnapshotPage snapshot,
             @ForAll("submissions") Submission submission,
             @ForAll int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        isReadOrRefused(flipped(ResourceCodec.write(page), random), ResourceCodec::readChangePage);
-        isReadOrRefused(
+        assertReadOrRejected(
+                flipped(ResourceCodec.write(page), random), ResourceCodec::readChangePage);
+        assertReadOrRejected(
                 flipped(ResourceCodec.write(snapshot), random), ResourceCodec::readSnapshotPage);
-        isReadOrRefused(
+        assertReadOrRejected(
                 flipped(ResourceCodec.write(submission), random), ResourceCodec::readSubmission);
     }
 
@@ -166,18 +169,18 @@
     }
 
     @Property(tries = 5000, seed = "57")
-    void garbageEndsInOneKindOfException(@ForAll("garbage") byte[] body) {
-        isReadOrRefused(body, ResourceCodec::readChangePage);
-        isReadOrRefused(body, ResourceCodec::readSnapshotPage);
-        isReadOrRefused(body, ResourceCodec::readSubmission);
-        isReadOrRefused(body, ResourceCodec::readVersionUnavailable);
-        isReadOrRefused(body, ResourceCodec::readPosition);
-        isReadOrRefused(body, ResourceCodec::readErrors);
+    void garbage_isReadOrRejected(@ForAll("garbage") byte[] body) {
+        assertReadOrRejected(body, ResourceCodec::readChangePage);
+        assertReadOrRejected(body, ResourceCodec::readSnapshotPage);
+        assertReadOrRejected(body, ResourceCodec::readSubmission);
+        assertReadOrRejected(body, ResourceCodec::readVersionUnavailable);
+        assertReadOrRejected(body, ResourceCodec::readPosition);
+        assertReadOrRejected(body, ResourceCodec::readErrors);
     }
 
     // Any other exception fails the property. What is read can be written, and is then read as the
     // same.
-    private static void isReadOrRefused(byte[] body, Reader reader) {
+    private static void assertReadOrRejected(byte[] body, Reader reader) {
         Object read;
         try {
             read = reader.read(body);
@@ -194,16 +197,17 @@
         }
     }
 
-    private static void assertIsOneLine(ProtocolException refusal) {
-        assertFalse(refusal.getMessage().isBlank());
+    private static void assertIsOneLine(ProtocolException rejection) {
+        assertFalse(rejection.getMessage().isBlank());
+        assertTrue(
+                rejection.getMessage().chars().noneMatch(Character::isISOControl),
+                rejection.getMessage());
         assertTrue(
-                refusal.getMessage().chars().noneMatch(Character::isISOControl),
-                refusal.getMessage());
-        assertTrue(refusal.getMessage().length() < MAX_MESSAGE_CHARACTERS, refusal.getMessage());
+                rejection.getMessage().length() < MAX_MESSAGE_CHARACTERS, rejection.getMessage());
     }
 
     @Property(tries = 500, seed = "58")
-    void settingsThatPassTheChecksCanBeTakenOver(@ForAll("puts") Change.Put put) {
+    void validSettings_canBeApplied(@ForAll("puts") Change.Put put) {
         assertTrue(ResourceValidator.firstError(put.key(), put.value()).isEmpty());
         if (put.value() instanceof ResourceValue.Settings settings) {
             assertFalse(SettingsReader.settings(settings.tree()).requestClasses().isEmpty());
--- a/src/test/java/ottergauge/resources/ResourceCodecTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecTest.java
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aPageOfChangesHasTheFormOfTheInterface() {
+    void changePage_hasTheDocumentedForm() {
         assertEquals(
                 "{\"log\":\"9f3c\",\"version\":120,\"changes\":[{\"version\":119,\"put\":[{"
                     + "\"kind\":\"server\",\"name\":\"s-1\",\"value\":{\"service\":\"checkout\","
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void aPageOfASnapshotHasTheFormOfTheInterface() {
+    void snapshotPage_hasTheDocumentedForm() {
         Resource tenant =
                 new Resource(key(ResourceKind.TENANT, "t/1"), 77, new Tenant(2.5, 4, 6, 1));
         assertEquals(
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void otherAnswersHaveTheFormOfTheInterface() {
+    void otherResponses_haveTheDocumentedForm() {
         assertEquals(
                 "{\"error\":\"too_old\",\"log\":\"9f3c\",\"oldest\":80,\"version\":120}",
                 text(ResourceCodec.write(new VersionUnavailable("9f3c", 80, 120))));
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void aValueAloneIsAsItStandsInAnEntry() {
+    void valueAlone_isWrittenAsInAnEntry() {
         String page =
                 text(
                         ResourceCodec.write(
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void unknownFieldsArePassedOver() throws ProtocolException {
+    void unknownFields_areIgnored() throws ProtocolException {
         ChangePage page =
                 ResourceCodec.readChangePage(
                         bytes(
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void aChangeThatCantBeMadeOutLeavesThoseBesideIt() throws ProtocolException {
+    void unreadableChange_leavesTheOthersOfItsPage() throws ProtocolException {
         ChangePage page =
                 ResourceCodec.readChangePage(
                         bytes(
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void anEntryOfASnapshotThatCantBeMadeOutLeavesThoseBesideIt() throws ProtocolException {
+    void unreadableEntryOfSnapshot_leavesTheOthersOfItsPage() throws ProtocolException {
         SnapshotPage page =
                 ResourceCodec.readSnapshotPage(
                         bytes(
@@ -211,7 +211,7 @@
                 "{\"log\":\"l\",\"version\":1,\"changes\":[]",
                 "{\"log\":\"l\",\"version\":1,\"changes\":[{\"version\":1,\"put\":[],\"put\":[]}]}"
             })
-    void whatIsNoPageOfChangesIsRefusedWhole(String body) {
+    void malformedChangePage_isRejected(String body) {
         assertThrows(ProtocolException.class, () -> ResourceCodec.readChangePage(bytes(body)));
     }
 
@@ -225,19 +225,19 @@
                 "{\"log\":\"l\",\"version\":1,\"resources\":[],\"next\":\"server/a b\"}",
                 "{\"log\":\"l\",\"version\":1,\"resources\":[],\"next\":7}"
             })
-    void whatIsNoPageOfASnapshotIsRefusedWhole(String body) {
+    void malformedSnapshotPage_isRejected(String body) {
         assertThrows(ProtocolException.class, () -> ResourceCodec.readSnapshotPage(bytes(body)));
     }
 
     private static List<String> errors(String entry) {
-        InvalidSubmissionException refusal =
+        InvalidSubmissionException rejection =
                 assertThrows(
                         InvalidSubmissionException.class,
                         () ->
                                 ResourceCodec.readSubmission(
                                         bytes("{\"id\":\"i\",\"put\":[" + entry + "]}")));
-        assertEquals(refusal.getMessage(), refusal.errors().get(0).toString());
-        return refusal.errors().stream().map(FieldError::key).toList();
+        assertEquals(rejection.getMessage(), rejection.errors().get(0).toString());
+        return rejection.errors().stream().map(FieldError::key).toList();
     }
 
     @ParameterizedTest
@@ -293,7 +293,7 @@
                 "settings | {\"classes\":[{\"name\":\"a\"}],\"roundMs\":0}               | roundMs",
                 "settings | {\"classes\":[{\"name\":\"a\"}],\"other\":[1e999]}           | other[0]"
             })
-    void whatIsWrongWithAValueIsNamed(String kind, String value, String key) {
+    void invalidValue_isReportedByItsField(String kind, String value, String key) {
         assertEquals(
                 "put[0].value." + key,
                 errors("{\"kind\":\"" + kind + "\",\"name\":\"n\",\"value\":" + value + "}")
@@ -301,7 +301,7 @@
     }
 
     @Test
-    void allThatIsWrongWithASubmissionIsTold() {
+    void invalidSubmission_reportsAllErrors() {
         assertEquals(
                 List.of(
                         "put[0].name",
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void aResourceMayBeInAChangeOnce() {
+    void resourceTwiceInAChange_isAnError() {
         String tenant = "{\"kind\":\"tenant\",\"name\":\"n\",\"value\":{}}";
         assertEquals(List.of("put[1]"), errors(tenant + "," + tenant));
         Change twice =
@@ -333,7 +333,7 @@
     }
 
     @Test
-    void aSubmissionHasBoundsOnEntriesAndBytes() throws ProtocolException {
+    void submissionOverItsLimits_isRejected() throws ProtocolException {
         List<Change.Put> puts = new ArrayList<>();
         for (int i = 0; i < ResourceValidator.MAX_ENTRIES; i++) {
             puts.add(new Change.Put(key(ResourceKind.TENANT, "t-" + i), new Tenant(0, 0, 0, 1)));
@@ -358,7 +358,7 @@
     }
 
     @Test
-    void depthIsBounded() {
+    void nestingOverTheLimit_isRejected() {
         String deep = "[".repeat(40) + "]".repeat(40);
         assertTrue(
                 assertThrows(
@@ -371,7 +371,7 @@
     }
 
     @Test
-    void noMoreThanAHundredFaultsAreTold() {
+    void errors_areLimitedToAHundred() {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
             entries.add("7");
@@ -380,14 +380,14 @@
     }
 
     @Test
-    void aFaultIsOneShortLine() {
+    void fieldError_isOneShortLine() {
         FieldError error = new FieldError("a\nb", "x".repeat(1000), "short");
         assertEquals("a?b", error.key());
         assertEquals(83, error.value().length());
     }
 
     @Test
-    void aServersValueIsReadWithItsDefaults() throws ProtocolException {
+    void serverValue_isReadWithDefaults() throws ProtocolException {
         Submission read =
                 ResourceCodec.readSubmission(
                         bytes(
