--- a/src/test/java/ottergauge/replica/ReplicaSimulation.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -2,111 +2,79 @@
 package ottergauge.replica;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import ottergauge.protocol.Address;
 import ottergauge.replica.ModelControlProcess.FaultKind;
 import ottergauge.replica.ModelControlProcess.FaultWindow;
-import ottergauge.resources.Change;
 import ottergauge.resources.ChangePage;
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceValidator;
 import ottergauge.resources.SnapshotPage;
-import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * One replica before four control processes in three regions, on made-up time, over a network that
- * loses, delays, doubles and reorders. Each state that comes in force is held against the log: it
- * is one version's, whole, and told by its differences.
+ * One replica and four control processes in three regions, in simulated time, over a network that
+ * loses, delays, duplicates and reorders messages. An {@link EffectiveStateChecker} checks each
+ * state that becomes effective against the log.
  */
 final class ReplicaSimulation {
 
     static final long SECOND = 1_000_000;
     static final long PROPAGATION_DEADLINE_MICROS = 4 * SECOND;
 
-    /** The node stands still, and what comes meanwhile is handled after it in any order. */
-    record Stall(long from, long until) {}
-
-    /** All that is drawn for a play. */
-    record Script(
-            List<FaultWindow> faults,
-            List<Long> changes,
-            List<Long> badChanges,
-            List<Stall> stalls,
-            Optional<Long> newLogAt,
-            Optional<Long> clockBackAt,
-            Subscription subscription,
-            boolean networkIsBad,
-            int retained,
-            long seed) {}
-
     private static final List<String> REGIONS = List.of("r1", "r1", "r2", "r3");
     static final int FIRST_CHANGES = 6;
 
-    private static final long MAX_TRIP = 20_000;
-    private static final long SLOW_TRIP = 500_000;
-    private static final long SET_BACK = 3_600 * SECOND;
-    private static final int LOSES = 12;
-    private static final int DOUBLES = 6;
+    private static final long MAX_TRIP_MICROS = 20_000;
+    private static final long SLOW_TRIP_MICROS = 500_000;
+    private static final long CLOCK_SET_BACK_MICROS = 3_600 * SECOND;
+    private static final int LOSS_ONE_IN = 12;
+    private static final int DUPLICATE_ONE_IN = 6;
     private static final int BYTES_PER_RESOURCE = 100;
     private static final long BYTES_PER_SECOND = 20_000;
 
-    /** What happens at an instant, and in which order if several do. */
-    private record Task(long at, long number, Runnable job) {}
-
-    /** A call that a process keeps until it has news. */
+    /** A long poll that a process has yet to answer. */
     private record Poll(long call, ModelControlProcess process, LogPosition after) {}
 
     final List<String> journal = new ArrayList<>();
 
     /** When the node had each version of the newest log, or a later one. */
-    final Map<Long, Long> inForceAt = new HashMap<>();
+    final Map<Long, Long> effectiveAt = new HashMap<>();
 
     /** When each version of the newest log was published. */
     final Map<Long, Long> publishedAt = new HashMap<>();
 
     final List<Long> calls = new ArrayList<>();
-    StoredState kept;
+    StoredState stored;
 
-    private final Script script;
+    private final SimulationScript script;
     private final SplittableRandom random;
     private final SplittableRandom changes;
     private final Map<String, ModelLog> logs = new HashMap<>();
     private final List<ModelControlProcess> processes = new ArrayList<>();
-    private final PriorityQueue<Task> tasks =
-            new PriorityQueue<>(Comparator.comparingLong(Task::at).thenComparingLong(Task::number));
+    private final SimulatedClock clock = new SimulatedClock();
     private final Map<Long, Poll> polls = new TreeMap<>();
     private final Replica replica;
-    private Map<ResourceKey, Resource> state;
-    private LogPosition position;
+    private EffectiveStateChecker checker;
     private ModelLog newest;
-    private long now;
-    private long lastTask;
-    private long callOut;
+    private long outstandingCall;
 
-    /** Until when messages are lost, delayed and doubled. */
+    /** Until when messages are lost, delayed and duplicated. */
     private long networkIsBadUntil;
 
-    private boolean restoresOther;
-
-    /** A node that begins with nothing, before a log with a few changes in it. */
-    ReplicaSimulation(Script script) {
+    /** A node without stored state, and a log with a few changes in it. */
+    ReplicaSimulation(SimulationScript script) {
         this(script, new ModelLog("first"));
         for (int i = 0; i < FIRST_CHANGES; i++) {
             ModelChanges.append(newest, changes, false);
@@ -114,8 +82,8 @@
         processes.forEach(each -> each.learn(newest, newest.version()));
     }
 
-    /** A node before a log that is there. */
-    ReplicaSimulation(Script script, ModelLog log) {
+    /** A node, and an existing log. */
+    ReplicaSimulation(SimulationScript script, ModelLog log) {
         this.script = script;
         random = new SplittableRandom(script.seed());
         changes = new SplittableRandom(~script.seed());
@@ -141,45 +109,49 @@
                                 ReplicaLimits.DEFAULT),
                         script.seed(),
                         ResourceValidator::firstError,
-                        this::carryOut);
+                        this::execute);
     }
 
     /**
-     * Plays until an instant, the last part with a good network, from a state that was kept if
-     * there is one.
+     * Runs for a time.
+     *
+     * @param goodFrom when the network loses, delays and duplicates no more
+     * @param stored the state that the node starts from
      */
     void run(long length, long goodFrom, Optional<StoredState> stored) {
         networkIsBadUntil = script.networkIsBad() ? goodFrom : 0;
-        restoresOther =
+        boolean restoresOther =
                 stored.filter(
                                 each ->
                                         !each.subscription().equals(script.subscription())
                                                 || !logs.containsKey(each.position().log()))
                         .isPresent();
-        script.changes().forEach(at -> schedule(at, () -> publish(false)));
-        script.badChanges().forEach(at -> schedule(at, () -> publish(true)));
-        script.newLogAt().ifPresent(at -> schedule(at, this::beginNewLog));
+        checker =
+                new EffectiveStateChecker(
+                        logs,
+                        script.subscription(),
+                        script.badChanges().isEmpty(),
+                        restoresOther,
+                        journal);
+        script.changes().forEach(at -> clock.schedule(at, () -> publish(false)));
+        script.badChanges().forEach(at -> clock.schedule(at, () -> publish(true)));
+        script.newLogAt().ifPresent(at -> clock.schedule(at, this::beginNewLog));
         script.faults()
                 .forEach(
                         span -> {
-                            schedule(span.from(), () -> begin(span));
-                            schedule(span.until(), () -> end(span));
+                            clock.schedule(span.from(), () -> begin(span));
+                            clock.schedule(span.until(), () -> end(span));
                         });
-        replica.start(now, stored);
-        while (!tasks.isEmpty() && tasks.peek().at() <= length) {
-            Task task = tasks.poll();
-            now = task.at();
-            task.job().run();
-        }
-        now = length;
+        replica.start(clock.now(), stored);
+        clock.runUntil(length);
     }
 
     void stop() {
-        replica.handle(now, new ReplicaEvent.Stopped());
+        replica.handle(clock.now(), new ReplicaEvent.Stopped());
     }
 
     ReplicaMetrics metrics() {
-        return replica.metrics(nodesClock());
+        return replica.metrics(nodeClock());
     }
 
     ModelLog newest() {
@@ -187,29 +159,27 @@
     }
 
     Map<ResourceKey, Resource> state() {
-        return state;
+        return checker.state();
     }
 
-    /** Whether the node has nothing to follow of the change with this version. */
+    /** Whether the change with this version has nothing for the subscription. */
     boolean isNothing(long version) {
-        return !newest.hasNews(version - 1, version, script.subscription());
-    }
-
-    private void schedule(long at, Runnable job) {
-        tasks.add(new Task(Math.max(now, at), lastTask++, job));
+        return !newest.hasChanges(version - 1, version, script.subscription());
     }
 
     // ---- The log and its processes
-    // --------------------------------------------------------------------
 
     private void publish(boolean bad) {
         ModelChanges.append(newest, changes, bad);
-        journal.add(now + " published " + newest.version());
-        publishedAt.put(newest.version(), now);
+        journal.add(clock.now() + " published " + newest.version());
+        publishedAt.put(newest.version(), clock.now());
         ModelLog log = newest;
         long version = newest.version();
         processes.forEach(
-                each -> schedule(now + random.nextLong(MAX_TRIP), () -> learn(each, log, version)));
+                each ->
+                        clock.schedule(
+                                clock.now() + random.nextLong(MAX_TRIP_MICROS),
+                                () -> learn(each, log, version)));
     }
 
     private void learn(ModelControlProcess process, ModelLog log, long version) {
@@ -226,8 +196,8 @@
         newest = new ModelLog(newest.id() + "-anew");
         logs.put(newest.id(), newest);
         publishedAt.clear();
-        inForceAt.clear();
-        journal.add(now + " log begins anew");
+        effectiveAt.clear();
+        journal.add(clock.now() + " new log");
         publish(false);
     }
 
@@ -236,13 +206,13 @@
                 .anyMatch(
                         span ->
                                 span.fault() == fault
-                                        && span.from() <= now
-                                        && now < span.until()
+                                        && span.from() <= clock.now()
+                                        && clock.now() < span.until()
                                         && processes.get(span.process()) == process);
     }
 
     private void begin(FaultWindow span) {
-        journal.add(now + " " + span);
+        journal.add(clock.now() + " " + span);
         ModelControlProcess process = processes.get(span.process());
         if (span.fault() == FaultKind.KILLED) {
             List.copyOf(polls.values()).stream()
@@ -264,46 +234,48 @@
                 .filter(
                         poll ->
                                 poll.process() == process
-                                        && process.hasNews(poll.after(), script.subscription()))
+                                        && process.hasChanges(poll.after(), script.subscription()))
                 .forEach(this::answer);
     }
 
     // ---- Calls
-    // ----------------------------------------------------------------------------------------
 
-    private void carryOut(ReplicaEffect effect) {
+    private void execute(ReplicaEffect effect) {
         if (effect instanceof ReplicaEffect.PollChanges call) {
             begins(call.call());
-            reach(call.call(), call.endpoint(), process -> changesAsked(process, call));
+            reach(call.call(), call.endpoint(), process -> pollReceived(process, call));
         } else if (effect instanceof ReplicaEffect.FetchSnapshotPage call) {
             begins(call.call());
-            reach(call.call(), call.endpoint(), process -> snapshotAsked(process, call));
+            reach(call.call(), call.endpoint(), process -> snapshotQueryReceived(process, call));
         } else if (effect instanceof ReplicaEffect.CancelCall call) {
-            assertEquals(callOut, call.call(), "gives up a call that is not out");
-            callOut = 0;
+            assertEquals(outstandingCall, call.call(), "cancels a call that is not outstanding");
+            outstandingCall = 0;
         } else if (effect instanceof ReplicaEffect.StartTimer timer) {
-            assertTrue(timer.delayMicros() >= 0, "a timer runs backwards: " + timer);
-            apply(now + timer.delayMicros(), new ReplicaEvent.TimerFired(timer.timer()));
+            assertTrue(timer.delayMicros() >= 0, "negative delay: " + timer);
+            apply(clock.now() + timer.delayMicros(), new ReplicaEvent.TimerFired(timer.timer()));
         } else if (effect instanceof ReplicaEffect.ApplyState applyState) {
-            applyState(applyState.change());
-        } else if (effect instanceof ReplicaEffect.StoreState keep) {
-            kept = keep.state();
-            assertEquals(replica.metrics(now).position(), kept.position());
+            journal.add(clock.now() + " effective " + applyState.change().position());
+            checker.apply(applyState.change());
+        } else if (effect instanceof ReplicaEffect.StoreState storeState) {
+            stored = storeState.state();
+            assertEquals(replica.metrics(clock.now()).position(), stored.position());
             Map<ResourceKey, Resource> resources = new TreeMap<>();
-            kept.resources().forEach(each -> resources.put(each.key(), each));
-            assertEquals(values(state), values(resources));
+            stored.resources().forEach(each -> resources.put(each.key(), each));
+            assertEquals(
+                    EffectiveStateChecker.values(checker.state()),
+                    EffectiveStateChecker.values(resources));
         } else if (effect instanceof ReplicaEffect.Report report) {
-            journal.add(now + " " + report.report());
+            journal.add(clock.now() + " " + report.report());
         }
     }
 
     private void begins(long call) {
-        assertEquals(0, callOut, "two calls are out");
-        callOut = call;
-        calls.add(now);
+        assertEquals(0, outstandingCall, "two calls are outstanding");
+        outstandingCall = call;
+        calls.add(clock.now());
     }
 
-    /** Brings a call to the process at an address, or not. */
+    /** Delivers a call to the process at an address, unless it is lost. */
     private void reach(long call, Address endpoint, Consumer<ModelControlProcess> arrives) {
         ModelControlProcess process =
                 processes.stream()
@@ -313,8 +285,8 @@
         if (isIn(process, FaultKind.KILLED)) {
             deliver(process, new ReplicaEvent.CallFailed(call));
         } else if (!isLost(process)) {
-            schedule(
-                    now + trip(process),
+            clock.schedule(
+                    clock.now() + trip(process),
                     () -> {
                         if (isIn(process, FaultKind.KILLED)) {
                             deliver(process, new ReplicaEvent.CallFailed(call));
@@ -326,7 +298,7 @@
         }
     }
 
-    private void changesAsked(ModelControlProcess process, ReplicaEffect.PollChanges call) {
+    private void pollReceived(ModelControlProcess process, ReplicaEffect.PollChanges call) {
         LogPosition after = call.query().after();
         Optional<VersionUnavailable> versionUnavailable = process.versionUnavailable(after);
         if (versionUnavailable.isPresent()) {
@@ -337,11 +309,11 @@
             return;
         }
         polls.put(call.call(), new Poll(call.call(), process, after));
-        if (process.hasNews(after, script.subscription())) {
+        if (process.hasChanges(after, script.subscription())) {
             answer(polls.get(call.call()));
         } else {
-            schedule(
-                    now + call.query().waitMicros(),
+            clock.schedule(
+                    clock.now() + call.query().waitMicros(),
                     () -> {
                         if (polls.containsKey(call.call())) {
                             answer(polls.get(call.call()));
@@ -366,16 +338,17 @@
                 poll.process(),
                 new ReplicaEvent.ChangesReceived(
                         poll.call(),
-                        isIn(poll.process(), FaultKind.GARBLED)
-                                ? ModelControlProcess.garbled(page, random.nextInt(100))
+                        isIn(poll.process(), FaultKind.CORRUPT)
+                                ? ModelControlProcess.corrupt(page, random.nextInt(100))
                                 : page));
     }
 
-    private void snapshotAsked(ModelControlProcess process, ReplicaEffect.FetchSnapshotPage call) {
+    private void snapshotQueryReceived(
+            ModelControlProcess process, ReplicaEffect.FetchSnapshotPage call) {
         SnapshotPage page = process.snapshot(call.query().from(), script.subscription());
         SnapshotPage sent =
-                isIn(process, FaultKind.GARBLED)
-                        ? ModelControlProcess.garbled(
+                isIn(process, FaultKind.CORRUPT)
+                        ? ModelControlProcess.corrupt(
                                 page, call.query().from().isEmpty(), random.nextInt(100))
                         : page;
         deliver(
@@ -385,40 +358,44 @@
     }
 
     // ---- The network
-    // ----------------------------------------------------------------------------------
 
     private long trip(ModelControlProcess process) {
-        return 1_000 + random.nextLong(isIn(process, FaultKind.SLOW) ? SLOW_TRIP : MAX_TRIP);
+        return 1_000
+                + random.nextLong(
+                        isIn(process, FaultKind.SLOW) ? SLOW_TRIP_MICROS : MAX_TRIP_MICROS);
     }
 
     private boolean isLost(ModelControlProcess process) {
         return isIn(process, FaultKind.SILENT)
                 || isIn(process, FaultKind.CUT_OFF)
-                || (now < networkIsBadUntil && random.nextInt(LOSES) == 0);
+                || (clock.now() < networkIsBadUntil && random.nextInt(LOSS_ONE_IN) == 0);
     }
 
     private void deliver(ModelControlProcess process, ReplicaEvent answer) {
         if (!isLost(process)) {
-            apply(now + trip(process), answer);
-            if (now < networkIsBadUntil && random.nextInt(DOUBLES) == 0) {
-                apply(now + trip(process) + random.nextLong(3 * SECOND), answer);
+            apply(clock.now() + trip(process), answer);
+            if (clock.now() < networkIsBadUntil && random.nextInt(DUPLICATE_ONE_IN) == 0) {
+                apply(clock.now() + trip(process) + random.nextLong(3 * SECOND), answer);
             }
         }
     }
 
     // ---- The node
-    // -------------------------------------------------------------------------------------
 
     private void apply(long at, ReplicaEvent event) {
-        schedule(
+        clock.schedule(
                 at,
                 () -> {
-                    Optional<Stall> stall =
+                    Optional<SimulationScript.Stall> stall =
                             script.stalls().stream()
-                                    .filter(each -> each.from() <= now && now < each.until())
+                                    .filter(
+                                            each ->
+                                                    each.from() <= clock.now()
+                                                            && clock.now() < each.until())
                                     .findFirst();
                     if (stall.isPresent()) {
-                        schedule(stall.get().until() + random.nextLong(1_000), () -> handle(event));
+                        clock.schedule(
+                                stall.get().until() + random.nextLong(1_000), () -> handle(event));
                     } else {
                         handle(event);
                     }
@@ -427,72 +404,29 @@
 
     private void handle(ReplicaEvent event) {
         if (endsCall(event)) {
-            callOut = 0;
+            outstandingCall = 0;
         }
-        replica.handle(nodesClock(), event);
-        LogPosition reached = replica.metrics(now).position();
+        replica.handle(nodeClock(), event);
+        LogPosition reached = replica.metrics(clock.now()).position();
         for (long version = 1;
                 reached.log().equals(newest.id()) && version <= reached.version();
                 version++) {
-            inForceAt.putIfAbsent(version, now);
+            effectiveAt.putIfAbsent(version, clock.now());
         }
     }
 
     private boolean endsCall(ReplicaEvent event) {
-        return (event instanceof ReplicaEvent.ChangesReceived e && e.call() == callOut)
-                || (event instanceof ReplicaEvent.SnapshotPageReceived e2 && e2.call() == callOut)
+        return (event instanceof ReplicaEvent.ChangesReceived e && e.call() == outstandingCall)
+                || (event instanceof ReplicaEvent.SnapshotPageReceived e2
+                        && e2.call() == outstandingCall)
                 || (event instanceof ReplicaEvent.VersionUnavailableReceived e3
-                        && e3.call() == callOut)
-                || (event instanceof ReplicaEvent.CallFailed e4 && e4.call() == callOut);
-    }
-
-    private long nodesClock() {
-        return script.clockBackAt().filter(at -> at <= now).isPresent() ? now - SET_BACK : now;
-    }
-
-    private void applyState(StateChange change) {
-        journal.add(now + " in force " + change.position());
-        if (change.full()) {
-            assertEquals(null, state, "a whole state comes first and never again");
-            state = new TreeMap<>();
-        }
-        assertNotNull(state, "a difference to no state");
-        assertFalse(
-                !change.full() && change.puts().isEmpty() && change.deletes().isEmpty(),
-                "nothing is taken over");
-        assertGoesForward(change.position());
-        for (Resource resource : change.puts()) {
-            Resource before = state.put(resource.key(), resource);
-            assertNotEquals(
-                    resource.value(), before == null ? null : before.value(), "no difference");
-        }
-        for (Change.Delete delete : change.deletes()) {
-            assertNotNull(state.remove(delete.key()), "deletes what is not there");
-        }
-        position = change.position();
-        if (script.badChanges().isEmpty() && !(change.full() && restoresOther)) {
-            assertEquals(
-                    values(
-                            logs.get(position.log())
-                                    .stateAt(position.version(), script.subscription(), false)),
-                    values(state),
-                    "not the state of " + position + ": " + journal);
-        }
-        assertTrue(
-                state.values().stream().noneMatch(each -> ModelChanges.isBad(each.value())),
-                "a refused value is in force");
-    }
-
-    private void assertGoesForward(LogPosition next) {
-        assertTrue(logs.containsKey(next.log()) || restoresOther, "nobody's log");
-        if (position != null && position.log().equals(next.log())) {
-            assertTrue(next.version() >= position.version(), "goes back to " + next);
-        }
+                        && e3.call() == outstandingCall)
+                || (event instanceof ReplicaEvent.CallFailed e4 && e4.call() == outstandingCall);
     }
 
-    static Map<ResourceKey, Object> values(Map<ResourceKey, Resource> state) {
-        Map<ResourceKey, Object> values = new TreeMap<>();
-        state.forEach((key, resource) -> values.put(key, resource.value()));
-        return values;
+    private long nodeClock() {
+        return script.clockBackAt().filter(at -> at <= clock.now()).isPresent()
+                ? clock.now() - CLOCK_SET_BACK_MICROS
+                : clock.now();
     }
 }
