--- a/control/src/main/java/ottergauge/control/config/ConfigException.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigException.java
@@ -17,6 +17,7 @@
         this.errors = List.copyOf(errors);
     }
 
+    /** Everything that is wrong with the configuration. */
     public List<FieldError> errors() {
         return errors;
     }
--- a/control/src/main/java/ottergauge/control/log/SubmissionOutcome.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionOutcome.java
@@ -18,7 +18,7 @@
     /**
      * The submission is invalid and nothing of it was applied.
      *
-     * @param faults what is wrong with it, at least one and at most 100
+     * @param errors what is wrong with it, at least one and at most 100
      */
     record Rejected(List<FieldError> errors) implements SubmissionOutcome {}
 }
--- a/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
@@ -37,7 +37,7 @@
         deleted = new HashSet<>(submission.deletes());
     }
 
-    /** What is invalid, at most {@link #MAX_FAULTS}; empty if the submission may be applied. */
+    /** What is invalid, at most {@link #MAX_ERRORS}; empty if the submission may be applied. */
     static List<FieldError> errors(
             ResourceState state, Submission submission, List<StoredResource> puts) {
         SubmissionValidator validator = new SubmissionValidator(state, submission);
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -28,6 +28,7 @@
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Submission;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ParameterException;
@@ -51,14 +52,7 @@
 
     @Spec private CommandSpec spec;
 
-    @Option(
-            names = "--to",
-            paramLabel = "ADDRESS",
-            required = true,
-            split = ",",
-            converter = AddressConverter.class,
-            description = "The control processes, asked in turn.")
-    private List<Address> addresses;
+    @Mixin private ControlAddresses addresses;
 
     @Option(
             names = "--service",
@@ -72,7 +66,7 @@
             paramLabel = "MS",
             defaultValue = "250",
             description =
-                    "The least time between two changes, what comes meanwhile is put together; "
+                    "The minimum time between two changes, which batches updates; "
                             + "${DEFAULT-VALUE} unless given.")
     private long intervalMs;
 
@@ -96,7 +90,7 @@
                     spec.commandLine(),
                     "--service is " + ResourceValidator.NAME_FORMAT + ", not '" + service + "'");
         }
-        control = new ControlClient(addresses);
+        control = new ControlClient(addresses.list());
         discovery = new DiscoveryClient(discoveryAddress);
         reconciler = new ServiceReconciler(service);
         LOG.info("importing servers of service {} from discovery at {}", service, discoveryAddress);
--- a/control/src/main/java/ottergauge/control/program/Main.java
+++ b/control/src/main/java/ottergauge/control/program/Main.java
@@ -13,7 +13,8 @@
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         description =
-                "Accepts changes of the state that all nodes share and tells them to the nodes.",
+                "Orders changes of the state that all nodes share and distributes them to the"
+                    + " nodes.",
         subcommands = {
             ServeCommand.class,
             PublishCommand.class,
--- a/control/src/main/java/ottergauge/control/program/PublishCommand.java
+++ b/control/src/main/java/ottergauge/control/program/PublishCommand.java
@@ -10,9 +10,9 @@
 import ottergauge.control.client.ControlClient;
 import ottergauge.control.client.PublishResult;
 import ottergauge.control.program.SubmissionFile.Batch;
-import ottergauge.protocol.Address;
 import ottergauge.resources.LogPosition;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -28,22 +28,15 @@
                         + " without id.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            " 0:accepted, can't be lost any more",
-            " 1:refused, or not known to be accepted",
+            " 0:committed",
+            " 1:rejected, or not known to be committed",
             " 2:wrong usage"
         })
 final class PublishCommand implements Callable<Integer> {
 
     @Spec private CommandSpec spec;
 
-    @Option(
-            names = "--to",
-            paramLabel = "ADDRESS",
-            required = true,
-            split = ",",
-            converter = AddressConverter.class,
-            description = "The control processes, asked in turn.")
-    private List<Address> addresses;
+    @Mixin private ControlAddresses addresses;
 
     @Option(
             names = "--within-ms",
@@ -70,7 +63,7 @@
             spec.commandLine().getErr().println(file + " can't be read: " + e.getMessage());
             return 1;
         }
-        ControlClient client = new ControlClient(addresses);
+        ControlClient client = new ControlClient(addresses.list());
         for (Batch batch : batches) {
             if (!report(batch, client.publish(batch.body(), Duration.ofMillis(timeoutMs)))) {
                 return 1;
--- a/control/src/main/java/ottergauge/control/program/StatusCommand.java
+++ b/control/src/main/java/ottergauge/control/program/StatusCommand.java
@@ -10,6 +10,7 @@
 import ottergauge.control.client.ProcessStatus;
 import ottergauge.protocol.Address;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
@@ -19,7 +20,7 @@
         name = "status",
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
-        description = "Show the control processes, and which node has which version in force.",
+        description = "Show the effective version of each control process and node.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             " 0:nobody lags by more than is allowed",
@@ -30,14 +31,7 @@
 
     @Spec private CommandSpec spec;
 
-    @Option(
-            names = "--to",
-            paramLabel = "ADDRESS",
-            required = true,
-            split = ",",
-            converter = AddressConverter.class,
-            description = "The control processes, all of which are asked.")
-    private List<Address> addresses;
+    @Mixin private ControlAddresses addresses;
 
     @Option(
             names = "--most-behind",
@@ -51,9 +45,9 @@
     @Override
     public Integer call() throws InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
-        ControlClient client = new ControlClient(addresses);
+        ControlClient client = new ControlClient(addresses.list());
         List<ProcessStatus> processes = new ArrayList<>();
-        for (Address address : addresses) {
+        for (Address address : addresses.list()) {
             try {
                 processes.add(client.status(address));
             } catch (IOException e) {
--- a/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
+++ b/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
@@ -53,7 +53,7 @@
             return;
         }
         pending++;
-        // completed() handles failures, too: the returned future has nothing more to tell.
+        // completed() handles failures, too: nothing is left in the returned future.
         var unused =
                 consensus
                         .propose(submission)
@@ -91,9 +91,6 @@
 
     private void warn(HttpExchange exchange, String reason) {
         warnings.warn(
-                "a submission from "
-                        + exchange.request().remoteAddress()
-                        + " is refused: "
-                        + reason);
+                "rejected submission from " + exchange.request().remoteAddress() + ": " + reason);
     }
 }
