--- a/control/src/main/java/ottergauge/control/program/Main.java
+++ b/control/src/main/java/ottergauge/control/program/Main.java
@@ -14,7 +14,7 @@
         versionProvider = Main.Version.class,
         description =
                 "Orders changes of the state that all nodes share and distributes them to the"
-                    + " nodes.",
+                        + " nodes.",
         subcommands = {
             ServeCommand.class,
             PublishCommand.class,
