--- a/src/test/java/ottergauge/protocol/CodecsTest.java
+++ b/src/test/java/ottergauge/protocol/CodecsTest.java
@@ -38,13 +38,13 @@
         "204,false,ERROR",
         "302,true,ERROR"
     })
-    void onlyMarked503And504ProveThatNothingRan(
+    void ofResponse_only503And504WithTheMarkProveThatNothingRan(
             int status, boolean neverRan, AttemptResult expected) {
         assertEquals(expected, AttemptResults.ofResponse(status, neverRan));
     }
 
     @Test
-    void aLoadReportIsReadUnderEitherSpellingOfItsFields() {
+    void loadReport_isReadUnderEitherSpellingOfItsFields() {
         LoadReport expected = new LoadReport(7, 2, 0.61, Double.NaN, Double.NaN);
         assertEquals(expected, LoadReportReader.read("TEXT inflight=7, queue=2, util=0.61"));
         assertEquals(
@@ -68,12 +68,12 @@
                 "JSON {\"inflight\":7}",
                 "inflight=7"
             })
-    void whatIsNoReportSaysNothing(String text) {
+    void malformedLoadReport_isNone(String text) {
         assertEquals(LoadReport.NONE, LoadReportReader.read(text));
     }
 
     @Test
-    void aRequestsFieldsAreReadAndItsTimeIsBounded() throws ProtocolException {
+    void requestFields_areReadAndTheirTimeoutIsBounded() throws ProtocolException {
         Map<String, String> headers =
                 Map.of(
                         "X-Trace-Id",
@@ -103,7 +103,7 @@
     }
 
     @Test
-    void aRequestWithoutAnIdOrClassOrWithNoNumberForItsTimeIsRefused() {
+    void requestFieldsWithoutIdOrClassOrWithMalformedTimeout_areRejected() {
         assertThrows(
                 ProtocolException.class, () -> RequestFields.read(Map.of("X-Qos", "pay")::get));
         assertThrows(
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aListIsReadWithItsServers() throws ProtocolException {
+    void endpointList_isReadWithItsEndpoints() throws ProtocolException {
         EndpointList list =
                 EndpointList.read(
                         bytes(
@@ -156,12 +156,12 @@
                         + "\"health\":\"in_service\"}]}",
                 "{\"seq\":1,\"hosts\":[{\"host\":\"s\",\"dial\":\"10.0.0.1:80\",\"health\":\"fine\"}]}"
             })
-    void whatIsNoListIsRefusedWhole(String text) {
+    void malformedEndpointList_isRejected(String text) {
         assertThrows(ProtocolException.class, () -> EndpointList.read(bytes(text)));
     }
 
     @Test
-    void theConfigurationCarriesSettingsAndTheNodesOwnFigures() {
+    void configuration_containsSettingsAndTheNodesOwnValues() {
         NodeConfig config =
                 new TestConfig()
                         .knows(TestConfig.host("s-1", "10.1.0.18:3000", "in_service"))
@@ -180,12 +180,12 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "{", "{\"settings\":{}}", "{\"listen\":\"127.0.0.1:1\"}"})
-    void whatIsNoConfigurationIsRefused(String text) {
+    void malformedConfiguration_isRejected(String text) {
         assertThrows(ProtocolException.class, () -> NodeConfig.read(bytes(text)));
     }
 
     @Test
-    void theMessageSaysWhatIsWrong() {
+    void malformedAddress_isNamedInTheMessage() {
         String bad = new TestConfig().at("nowhere", "127.0.0.1:1").json();
         ProtocolException e =
                 assertThrows(ProtocolException.class, () -> NodeConfig.read(bytes(bad)));
--- a/src/test/java/ottergauge/protocol/ControlPlaneConfigTest.java
+++ b/src/test/java/ottergauge/protocol/ControlPlaneConfigTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void theSectionIsReadAsThePageHasIt() throws ProtocolException {
+    void section_isReadAsTheDocumentationHasIt() throws ProtocolException {
         assertEquals(
                 new ControlPlaneConfig(
                         List.of(
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void allButTheAddressesMayBeLeftOut() throws ProtocolException {
+    void section_needsTheAddressesAlone() throws ProtocolException {
         assertEquals(
                 new ControlPlaneConfig(
                         List.of(new Endpoint(new Address("127.0.0.1", 9001), "")),
@@ -85,7 +85,7 @@
                         + " control.addresses[1].address is an address that is not there twice, not"
                         + " 127.0.0.1:1"
             })
-    void whatIsWrongWithAddressesIsNamed(String section, String message) {
+    void invalidAddress_isNamed(String section, String message) {
         assertEquals(
                 message, assertThrows(ProtocolException.class, () -> read(section)).getMessage());
     }
@@ -110,7 +110,7 @@
                 "\"most_resources\":0 | control.most_resources",
                 "\"most_mb\":0 | control.most_mb"
             })
-    void whatIsWrongWithTheRestIsNamed(String field, String key) {
+    void invalidField_isNamed(String field, String key) {
         String message =
                 assertThrows(
                                 ProtocolException.class,
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void manyServicesAreNamedByNone() {
+    void tooManyServices_areRejected() {
         String many = "\"" + "s".repeat(100) + "\",";
         String message =
                 assertThrows(
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aConfigurationWithoutTheSectionHasNone() throws ProtocolException {
+    void configurationWithoutTheSection_hasNoControlPlane() throws ProtocolException {
         String json = new TestConfig().json();
         assertEquals(
                 Optional.empty(), NodeConfig.read(json.getBytes(StandardCharsets.UTF_8)).control());
--- a/src/test/java/ottergauge/protocol/NodeSettingsTest.java
+++ b/src/test/java/ottergauge/protocol/NodeSettingsTest.java
@@ -32,21 +32,21 @@
     }
 
     @Test
-    void upTo1024ClassesAreTaken() throws ProtocolException {
+    void upTo1024Classes_areAccepted() throws ProtocolException {
         assertEquals(1024, of(many(1024)).decisions().requestClasses().size());
         assertTrue(fault(many(1025)).contains("1 to 1024, not 1025"), fault(many(1025)));
         assertTrue(fault().contains("no classes"), fault());
     }
 
     @Test
-    void twoClassesOfOneNameAreNot() throws ProtocolException {
+    void duplicateClass_isRejected() throws ProtocolException {
         assertEquals(2, of(READ, GRANT).decisions().requestClasses().size());
         String fault = fault(READ, GRANT, requestClass("read", "single_shot", 500));
         assertTrue(fault.contains("not read twice"), fault);
     }
 
     @Test
-    void aNodesNumberIsAllThatDiffersForIt() throws ProtocolException {
+    void forNode_changesTheNodeIndexAlone() throws ProtocolException {
         NodeSettings shared = of(READ);
         NodeSettings own = shared.forNode(7);
         assertEquals(7, own.decisions().nodeIndex());
--- a/src/test/java/ottergauge/protocol/StoredFormsTest.java
+++ b/src/test/java/ottergauge/protocol/StoredFormsTest.java
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void configurationFileIsReadInEveryField() throws Exception {
+    void configurationFile_isReadInEveryField() throws Exception {
         assertEquals(
                 new NodeConfig(
                         "n7",
@@ -138,7 +138,7 @@
     }
 
     @Test
-    void endpointListIsReadAndWrittenByteForByte() throws Exception {
+    void endpointList_isReadAndWrittenByteForByte() throws Exception {
         byte[] stored = sample("endpoint-list.json");
         assertEquals(ENDPOINTS, EndpointList.read(stored));
         assertArrayEquals(stored, ENDPOINTS.json());
--- a/src/test/java/ottergauge/routing/AdminStateTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -68,7 +68,7 @@
      * From the yes on it drains, whatever the list says of it; one call back undoes two calls out.
      */
     @Test
-    void aServerHeldOutGetsNothingUntilItIsPutBack() {
+    void serverInMaintenance_getsNothingUntilItIsReenabled() {
         assertTrue(uses(FIRST, 8));
         assertEquals(200, ask(new AdminRequest.StartMaintenance("s-1")).status());
         assertEquals("s-1", node.expect(StoreMaintenance.class).server());
@@ -94,7 +94,7 @@
      * restart.
      */
     @Test
-    void whatWaitedForAServerThatIsTakenOutGoesToAnother() {
+    void attemptWaitingForAServerPutIntoMaintenance_isSentToAnother() {
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         String held = connect.address().equals(FIRST) ? "s-1" : "s-2";
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void anUnknownServerIsOwedANo() {
+    void maintenanceOfUnknownServer_isNotFound() {
         assertEquals(404, ask(new AdminRequest.StartMaintenance("s-9")).status());
         assertEquals(404, ask(new AdminRequest.EndMaintenance("../s-1")).status());
         node.expectNo(StoreMaintenance.class);
@@ -114,7 +114,7 @@
 
     /** The other process of an upgrade may be the one that is called. */
     @Test
-    void whatAnotherProcessWasToldIsFollowed() {
+    void maintenanceStoredByAnotherProcess_isApplied() {
         node.handle(new Event.MaintenanceLoaded(Map.of("s-1", 5L)));
         assertEquals(false, uses(FIRST, 8));
         node.expectNo(StoreMaintenance.class);
@@ -125,7 +125,7 @@
 
     /** A yes is the sign to stop the process before this one: it must not come too soon. */
     @Test
-    void healthIsANoUntilClientsAreTakenAndAfterTheStop() {
+    void health_isUnavailableBeforeServingAndAfterShutdown() {
         RouterDriver starting = new RouterDriver(new TestConfig(), false);
         starting.handle(new Event.AdminRequestReceived(1, new AdminRequest.Health()));
         assertEquals(503, starting.expect(RespondToAdmin.class).status());
@@ -136,7 +136,7 @@
 
     /** Its list is late: without the moment of its return a restarted server counted as warm. */
     @Test
-    void aServerPutBackCountsAsStartedThen() {
+    void reenabledServer_countsAsStartedWhenItWasReenabled() {
         EndpointRegistry registry = new EndpointRegistry(9_000_000);
         registry.apply(1_000_000, list(500));
         registry.startMaintenance("s-1", 2_000_000);
@@ -159,7 +159,7 @@
 
     /** Each request ends under one count, and what its client left under none. */
     @Test
-    void figuresCountEachRequestOnce() {
+    void metrics_countEachRequestOnce() {
         node.serve(node.forwardOnNewConnection("read"));
         Forward failing = node.forwardOnNewConnection("grant");
         assertEquals(1, figure("pending"));
@@ -180,7 +180,7 @@
      * answer.
      */
     @Test
-    void aProcessThatIsSucceededAnswersWhatItsClientsStillAsk() {
+    void handover_answersWhatConnectedClientsStillSend() {
         long idle = node.client();
         long asks = node.client();
         node.request(asks, "read", 1000);
@@ -204,7 +204,7 @@
 
     /** Two processes have the node's descriptors together: what one uses the other does not. */
     @Test
-    void besideAnotherProcessANodeKeepsToWhatIsLeft() {
+    void hotRestartPeer_reducesTheSocketBudget() {
         int alone = node.expect(Effect.AcceptUpTo.class).connections();
         assertTrue(beside(true, 0) < alone);
         assertTrue(beside(true, 400) < beside(true, 100));
@@ -220,7 +220,7 @@
     /** The names are those of docs/operations.md, which operators' tools read. */
     @ParameterizedTest
     @CsvSource({"ACTIVE,used", "DRAINING,draining", "EJECTED,barred", "UNRESPONSIVE,mute"})
-    void serversNamesEachStatusAsTheOperationsPageDoes(EndpointStatus status, String expected) {
+    void servers_namesEachStatusAsTheOperationsPageDoes(EndpointStatus status, String expected) {
         EndpointRegistry registry = new EndpointRegistry(0);
         registry.apply(0, new TestConfig().knows(ONE).build().knownEndpoints());
         List<Effect> effects = new ArrayList<>();
--- a/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
+++ b/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
@@ -87,7 +87,7 @@
 
     @ParameterizedTest
     @MethodSource("neverRan")
-    void anUnsafeRequestThatNeverRanIsSentElsewhere(BiConsumer<RouterDriver, Forward> what) {
+    void nonIdempotentRequestThatNeverRan_isSentElsewhere(BiConsumer<RouterDriver, Forward> what) {
         RouterDriver node = two();
         long client = node.request("grant");
         what.accept(node, node.connectNext());
@@ -98,7 +98,7 @@
 
     @ParameterizedTest
     @MethodSource("mayHaveRun")
-    void anUnsafeRequestThatMayHaveRunIsNotSentAgainAndFails(
+    void nonIdempotentRequestThatMayHaveRun_isNotRetriedAndFails(
             BiConsumer<RouterDriver, Forward> what) {
         RouterDriver node = two();
         long client = node.request("grant");
@@ -110,7 +110,8 @@
 
     @ParameterizedTest
     @MethodSource("mayHaveRun")
-    void soItIsOnAConnectionThatIsUsedAgain(BiConsumer<RouterDriver, Forward> what) {
+    void nonIdempotentRequestThatMayHaveRun_onAReusedConnection_fails(
+            BiConsumer<RouterDriver, Forward> what) {
         RouterDriver node = one();
         node.request("grant");
         node.serve(node.connectNext());
@@ -121,7 +122,7 @@
     }
 
     @Test
-    void aConnectionThatIsRefusedProvesThatNothingRan() {
+    void refusedConnection_provesThatNothingRan() {
         RouterDriver node = two();
         long client = node.request("grant");
         node.refuseNext();
@@ -130,7 +131,7 @@
     }
 
     @Test
-    void aConnectionThatNeverComesUpProvesThatNothingRan() {
+    void connectTimeout_provesThatNothingRan() {
         RouterDriver node = one();
         long client = node.request("grant");
         node.expect(ConnectUpstream.class);
@@ -139,7 +140,7 @@
     }
 
     @Test
-    void anAnswerBeforeTheRequestWasWrittenEndsTheConnection() {
+    void responseBeforeTheRequestWasWritten_endsTheConnection() {
         RouterDriver node = one();
         node.request("read");
         node.answer(node.connectNext(), 500, false);
@@ -147,7 +148,7 @@
     }
 
     @Test
-    void aProbeThatIsNotAnsweredIsGivenUp() {
+    void unansweredProbe_isAbandoned() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).probes());
         node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -41,7 +41,7 @@
      * list.
      */
     @Test
-    void aClientThatLeavesBeforeTheFirstByteIsNotSentOnAndItsConnectionServesTheNext() {
+    void clientGoneBeforeFirstByte_isNotForwardedAndItsConnectionServesTheNext() {
         RouterDriver node = one();
         long gone = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -57,7 +57,7 @@
 
     /** Guards against the same where the settings do not let an attempt be taken back. */
     @Test
-    void aClientThatLeavesWhileItsConnectionComesUpIsNotSentOnThoughNothingCanBeCancelled() {
+    void clientGoneWhileConnecting_isNotForwardedEvenWithoutCancellation() {
         RouterDriver node = new RouterDriver(new TestConfig().noCancel().knows(ONE));
         long gone = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -70,7 +70,7 @@
 
     /** Guards against a request to a server whose drain was read in the same round. */
     @Test
-    void aServerThatBeginsToDrainBeforeTheFirstByteGetsNothing() {
+    void serverDrainingBeforeFirstByte_getsNothing() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE, TWO));
         node.advanceMs(200);
         node.request("grant");
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aRequestWhoseTimeIsOverBeforeTheFirstByteIsAnsweredAndNotSent() {
+    void deadlineBeforeFirstByte_isAnsweredAndNotSent() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
         node.holdPendingReads();
         long client = node.request("grant");
@@ -105,7 +105,7 @@
      * Guards against a connection's end being taken for its server's, with nothing written to it.
      */
     @Test
-    void aConnectionThatEndsBeforeTheFirstByteIsReplacedAndTellsNothingOfItsServer() {
+    void connectionClosedBeforeFirstByte_isReplacedAndSaysNothingOfItsServer() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
         node.holdPendingReads();
         long client = node.request("grant");
@@ -120,7 +120,7 @@
      * Guards against requests by a list from before the node stood still: servers have left since.
      */
     @Test
-    void aNodeThatStoodStillSendsNothingBeforeItsListIsRenewed() {
+    void suspendedNode_sendsNothingBeforeItsListIsCurrent() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
         node.list(41, false);
         node.suspendMs(7_000);
@@ -133,7 +133,7 @@
 
     /** While discovery is away the list in force is the best there is, however old. */
     @Test
-    void aNodeWhoseDiscoveryIsAwayGoesOnByTheListItHas() {
+    void unreachableDiscovery_leavesTheLastListEffective() {
         RouterDriver node = rested(new TestConfig().knows(ONE));
         node.pollFailed();
         node.suspendMs(60_000);
@@ -143,7 +143,7 @@
 
     /** Guards against a cold server getting what was chosen for the warm one that it was before. */
     @Test
-    void aServerThatHasStartedAnewGetsNothingThatWaitedForTheOldOne() {
+    void restartedServer_getsNothingThatWaitedForTheProcessBefore() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
         node.advanceMs(200);
         for (int i = 0; i < 20; i++) {
@@ -161,7 +161,7 @@
      * once.
      */
     @Test
-    void aColdServerGetsNothingThatHasWaitedForLongSinceItWasCounted() {
+    void serverInSlowStart_getsNothingThatHasWaitedForLong() {
         RouterDriver node =
                 new RouterDriver(new TestConfig().knows(born("s-1", "10.0.0.1:80", 999_992_000L)));
         node.request("grant");
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void aProbeOfAServerThatLeavesIsNotWritten() {
+    void probeOfADrainingServer_isNotSent() {
         RouterDriver node = new RouterDriver(new TestConfig().probes().knows(ONE, TWO));
         node.advanceMs(200);
         node.request("read");
--- a/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
+++ b/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
@@ -24,25 +24,25 @@
     }
 
     @Test
-    void beforeOneHasComeUpTheSettingsCount() {
+    void timeout_beforeTheFirstConnection_isThatOfTheSettings() {
         assertEquals(MOST, new ConnectTimeoutEstimator(MOST).timeout());
     }
 
     /** At a machine that is cut off, a request lost 200 of its 140 ms waiting for a connection. */
     @Test
-    void itFollowsWhatConnectionsTake() {
+    void timeout_followsWhatConnectionsTake() {
         assertTrue(used(20, 1_000).timeout() <= MOST / 5);
         assertTrue(used(20, 15_000).timeout() > 30_000);
     }
 
     @Test
-    void itNeverPassesTheSettings() {
+    void timeout_neverExceedsThatOfTheSettings() {
         assertEquals(MOST, used(20, 150_000).timeout());
     }
 
     /** Without it, connections that have become slow for good would all be given up. */
     @Test
-    void manyGivenUpWithNoneMadeMakeItLonger() {
+    void timeout_growsWithFailuresInARow() {
         ConnectTimeoutEstimator patience = used(20, 1_000);
         long before = patience.timeout();
         for (int i = 0; i < 8; i++) {
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void oneThatIsRefusedAtOnceSaysNothing() {
+    void timeout_ignoresConnectionsThatAreRefusedAtOnce() {
         ConnectTimeoutEstimator patience = used(20, 1_000);
         long before = patience.timeout();
         for (int i = 0; i < 100; i++) {
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void aRequestDoesNotWaitForAConnectionThatTakesFarLongerThanOthers() {
+    void request_doesNotWaitForAConnectionThatTakesFarLongerThanOthers() {
         RouterDriver node = usedToQuickConnections();
         node.request("read");
         ConnectUpstream slow = node.expect(ConnectUpstream.class);
@@ -101,7 +101,7 @@
      * was closed as it came up, and the next request had to wait for another one.
      */
     @Test
-    void aConnectionThatComesUpLateIsKeptAndServesTheNextRequest() {
+    void overdueConnection_isKeptAndServesTheNextRequest() {
         RouterDriver node = usedToQuickConnections();
         long client = node.request("grant");
         ConnectUpstream slow = node.expect(ConnectUpstream.class);
@@ -147,7 +147,7 @@
      * Guards against live servers barred in turn, each for one connection that had not come up yet.
      */
     @Test
-    void oneLateConnectionBarsNoServerAndTwoDo() {
+    void oneOverdueConnection_ejectsNoServerAndTwoDo() {
         RouterDriver node = usedToQuickConnections();
         node.request("grant");
         String host = node.expect(ConnectUpstream.class).address().host();
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void notEveryConnectionToAServerThatIsCutOffIsKeptOnItsWay() {
+    void connectionsToAnUnreachableServer_arePartlyClosedEarly() {
         String server = host("s-1", "10.0.0.1:80", "in_service");
         RouterDriver node = new RouterDriver(new TestConfig().knows(server));
         int kept = 0;
--- a/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
+++ b/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void anIdleConnectionIsClosedWellBeforeItsServerWould() {
+    void idleConnection_isClosedBeforeItsServerWould() {
         RouterDriver node = one();
         node.request("read");
         node.serve(node.connectNext());
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aClientThatAskedIsKeptForAWhileAndOneThatSaysNothingIsClosedWithinThreeSeconds() {
+    void idleClient_isKeptForAWhileAndASilentOneIsClosedWithinThreeSeconds() {
         RouterDriver node = one();
         long client = node.request("read");
         node.serve(node.connectNext());
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aFirstRequestThatDoesNotComeToItsEndIsClosedWithinThreeSecondsOfConnecting() {
+    void incompleteFirstRequest_isClosedWithinThreeSecondsOfConnecting() {
         RouterDriver node = one();
         long client = node.client();
         node.advanceMs(1500);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void anAnswerThatIsNotTakenIsGivenUp() {
+    void responseThatIsNotRead_isAbandoned() {
         RouterDriver node = one();
         long client = node.request("read");
         node.serve(node.connectNext());
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aRequestLastsAsLongAsItsOwnTime() {
+    void request_lastsAsLongAsItsOwnTimeout() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
         node.request("read");
         node.connectNext();
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void shortOfSocketsTheLongestIdleClientGoesFirstAndThenAServersConnection() {
+    void socketShortage_closesTheLongestIdleClientFirstThenAServersConnection() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 4));
         long first = node.request("read");
         node.serve(node.connectNext());
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aConnectionToAServerGoesBeforeAClientThatHasJustConnected() {
+    void socketShortage_closesAServersConnectionBeforeARecentClient() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 3));
         long first = node.request("read");
         node.serve(node.connectNext());
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void clientsNeverTakeAllSocketsAndNoMoreAreAcceptedThanFit() {
+    void clients_neverTakeAllSocketsAndNoMoreAreAcceptedThanFit() {
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 30));
         assertEquals(20 + 16, node.expect(Effect.AcceptUpTo.class).connections());
         for (int i = 0; i < 20; i++) {
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void withNoSocketAtAllNothingIsOpenedAndTheRequestIsRefused() {
+    void noSocketAvailable_rejectsTheRequest() {
         RouterDriver node =
                 new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 1).attempts(1));
         long client = node.request("grant");
--- a/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void whatWaitsForADrainingServersConnectionGoesElsewhere() {
+    void attemptWaitingForADrainingServer_isSentElsewhere() {
         RouterDriver node = watching();
         long client = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aServerThatLeavesTheListHasItsConnectionsClosedWhenTheyAreFree() {
+    void removedServer_hasItsConnectionsClosedWhenTheyAreIdle() {
         RouterDriver node = two();
         node.request("read");
         Forward busy = node.connectNext();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aServerThatMovesIsReachedAtItsNewAddress() {
+    void movedServer_isReachedAtItsNewAddress() {
         RouterDriver node = one();
         node.request("read");
         node.serve(node.connectNext());
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aWatchBeginsAtTheKnownVersionAndGoesOnAtOnce() {
+    void watch_beginsAtTheKnownVersionAndGoesOnAtOnce() {
         RouterDriver node = watching();
         PollDiscovery first = node.expect(PollDiscovery.class);
         assertEquals(41, first.afterVersion());
@@ -94,7 +94,7 @@
 
     /** Guards against requests to a server that began to drain while the watch was silent. */
     @Test
-    void aSilentWatchIsNoticedBeforeWhatItMissedCountsAsTold() {
+    void silentWatch_isNoticedBeforeThePropagationDeadline() {
         RouterDriver node = watching();
         node.list(41, false);
         node.expect(PollDiscovery.class);
@@ -111,7 +111,7 @@
      * counts.
      */
     @Test
-    void aServerThatIsNamedTwiceIsWhatItIsNamedLast() {
+    void endpointListedTwice_isWhatItIsListedAsLast() {
         RouterDriver node = watching();
         node.list(
                 42,
@@ -134,7 +134,7 @@
     }
 
     @Test
-    void answersThatBringNothingAreNotAskedForWithoutAPause() {
+    void emptyAnswers_areNotPolledWithoutAPause() {
         RouterDriver node = watching();
         node.expect(PollDiscovery.class);
         node.list(41, false);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void afterAFailedCallTheNextOneWaits() {
+    void failedPoll_isFollowedByABackoff() {
         RouterDriver node = watching();
         node.expect(PollDiscovery.class);
         node.pollFailed();
@@ -158,7 +158,7 @@
 
     /** Guards against a bound on servers, nodes or what is out below a thousand of each. */
     @Test
-    void a1024ServersAreAllInUseAtOnce() {
+    void servers1024_areAllUsedAtOnce() {
         int many = 1024;
         RouterDriver node =
                 new RouterDriver(
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void anotherAddressOfDiscoveryIsAskedForTheWholeListAtOnce() {
+    void movedDiscovery_isPolledForTheCompleteListAtOnce() {
         RouterDriver node = watching();
         PollDiscovery old = node.expect(PollDiscovery.class);
         node.handle(new Event.Reconfigured(discoveryAt("127.0.0.1:8600")));
@@ -211,7 +211,7 @@
     }
 
     @Test
-    void aMoveWhileACallIsAwaitedMakesOneCall() {
+    void moveDuringAPoll_sendsOnePoll() {
         RouterDriver node = watching();
         node.expect(PollDiscovery.class);
         node.pollFailed();
@@ -222,7 +222,7 @@
     }
 
     @Test
-    void theSameAddressOfDiscoveryLeavesTheWatchAlone() {
+    void unchangedAddressOfDiscovery_leavesTheWatchAlone() {
         RouterDriver node = watching();
         node.expect(PollDiscovery.class);
         node.handle(new Event.Reconfigured(discoveryAt("127.0.0.1:8500")));
@@ -230,7 +230,7 @@
     }
 
     @Test
-    void aNewLimitOfSocketsCountsAtOnce() {
+    void changedLimitOfSockets_takesEffectAtOnce() {
         RouterDriver node = one();
         node.handle(new Event.Reconfigured(new TestConfig().sockets(1).build()));
         assertEquals(503, node.status(node.request("grant")));
--- a/src/test/java/ottergauge/routing/DiscoveryWatchHistoryTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchHistoryTest.java
@@ -62,7 +62,7 @@
     }
 
     @Property(tries = 3000, seed = "41")
-    void eachChangeIsInHandInTimeWhateverCallsFailed(@ForAll("histories") History history) {
+    void eachChange_arrivesInTimeWhateverPollsFail(@ForAll("histories") History history) {
         SimulatedDiscovery play =
                 new SimulatedDiscovery(history.faults(), history.changes(), history.seed());
         play.run(LENGTH);
@@ -83,7 +83,7 @@
     }
 
     @Property(tries = 1000, seed = "42")
-    void discoveryIsNotCalledByTheDozen(@ForAll("histories") History history) {
+    void discovery_isNotPolledInABurst(@ForAll("histories") History history) {
         SimulatedDiscovery play =
                 new SimulatedDiscovery(history.faults(), List.of(), history.seed());
         play.run(LENGTH);
--- a/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
@@ -68,7 +68,7 @@
      * late.
      */
     @Test
-    void aSilentWatchIsOpenedAnewAtOnceAndSoonAfterItsWait() {
+    void silentWatch_isReopenedAtOnceSoonAfterItsWait() {
         PollDiscovery silent = watching();
         StartTimer timer = expect(StartTimer.class);
         assertTrue(
@@ -89,7 +89,7 @@
      * meanwhile.
      */
     @Test
-    void aLateAnswerOfASilentWatchCountsUntilTheNextOneIsThere() {
+    void lateAnswerOfASilentWatch_countsUntilTheNextAnswer() {
         PollDiscovery silent = watching();
         watch.pollTimedOut(12 * SECOND, silent.poll());
         effects.clear();
@@ -110,7 +110,7 @@
      * on.
      */
     @Test
-    void aFirstCallThatIsNotAnsweredIsReadOnWhileTheNextOneIsPausedFor() {
+    void unansweredFirstPoll_isReadDuringTheBackoff() {
         watch.begin(0);
         PollDiscovery first = expect(PollDiscovery.class);
         watch.pollTimedOut(3 * SECOND, first.poll());
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aSilentCallThatEndsLaterIsNoFailureOfTheWatch() {
+    void silentPollThatEndsLater_isNoFailureOfTheWatch() {
         PollDiscovery silent = watching();
         watch.pollTimedOut(12 * SECOND, silent.poll());
         PollDiscovery again = expect(PollDiscovery.class);
@@ -145,7 +145,7 @@
 
     /** Guards against a pause in which nothing is heard where the watch was open until now. */
     @Test
-    void aWatchThatBreaksIsOpenedAnewAtOnce() {
+    void brokenWatch_isReopenedAtOnce() {
         PollDiscovery broken = watching();
         watch.pollFailed(2 * SECOND, broken.poll());
         assertEquals(41, expect(PollDiscovery.class).afterVersion());
@@ -156,7 +156,7 @@
      * reaches.
      */
     @Test
-    void versionsThatBeginAnewAreAskedForWhole() {
+    void restartedVersions_arePolledForTheCompleteList() {
         PollDiscovery call = watching();
         EndpointList lower = new EndpointList(3, false, List.of());
         assertFalse(watch.accepts(call.poll(), lower));
@@ -171,7 +171,7 @@
 
     /** Guards against an older whole list that undoes what a call beside it has brought. */
     @Test
-    void anOlderAnswerUndoesNothingAndTheWatchGoesOn() {
+    void olderAnswer_isIgnoredAndTheWatchGoesOn() {
         PollDiscovery silent = watching();
         watch.pollTimedOut(3 * SECOND, silent.poll());
         PollDiscovery again = expect(PollDiscovery.class);
@@ -188,7 +188,7 @@
      * Guards against a list that can't be taken and is sent whole about once a second, for ever.
      */
     @Test
-    void aListThatIsNeverTakenIsAskedForLessAndLessOften() {
+    void listThatIsAlwaysRejected_isPolledLessAndLessOften() {
         watch.begin(0);
         long now = 0;
         List<Long> pauses = new ArrayList<>();
@@ -214,7 +214,7 @@
     }
 
     @Test
-    void onceAListIsTakenSpoiltOnesCountAnew() {
+    void acceptedList_resetsTheCountOfRejections() {
         PollDiscovery call = watching();
         for (int i = 0; i < 6; i++) {
             effects.clear();
@@ -241,7 +241,7 @@
      */
     @ParameterizedTest
     @CsvSource({"30, 5000", "100, 5000", "120, 5000"})
-    void nodesThatLoseTheirWatchesTogetherAreAllToldInTime(int nodes, long allCallsMs) {
+    void nodesThatLoseTheirWatchesTogether_areAllNotifiedInTime(int nodes, long allCallsMs) {
         long turn = allCallsMs * 1000 / nodes;
         PriorityQueue<Asked> asked = new PriorityQueue<>(Comparator.comparingLong(Asked::at));
         List<List<Effect>> told = new ArrayList<>();
--- a/src/test/java/ottergauge/routing/RequestForwardingTest.java
+++ b/src/test/java/ottergauge/routing/RequestForwardingTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void aRequestGoesOnUnchangedAndItsAnswerComesBackUnchanged() {
+    void requestAndResponse_areForwardedUnchanged() {
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void aConnectionIsUsedAgainUnlessItsServerForbids() {
+    void connection_isReusedUnlessItsServerForbids() {
         RouterDriver node = one();
         node.request("read");
         Forward first = node.connectNext();
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void aConnectionThatComesFreeIsTakenByWhatWaitsForANewOne() {
+    void idleConnection_isTakenByAnAttemptThatWaitsForANewOne() {
         RouterDriver node = one();
         node.request("read");
         Forward first = node.connectNext();
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aConnectionOnItsWayServesWhoeverWaitsNext() {
+    void connectionInProgress_servesTheNextAttemptThatWaits() {
         RouterDriver node = one();
         long gone = node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aFailedConnectionEndsNoAttemptThatAnotherIsOnItsWayFor() {
+    void failedConnection_endsNoAttemptThatHasAnotherInProgress() {
         RouterDriver node = one();
         long gone = node.request("grant");
         long client = node.request("grant");
@@ -106,7 +106,7 @@
     }
 
     @Test
-    void aTimeToWaitCountsFromTheLastByteAndIsTheClassesWhereNoneIsNamed() {
+    void deadline_countsFromTheLastByteAndDefaultsToThatOfTheClass() {
         RouterDriver node = one();
         long client = node.client();
         node.handle(new Event.RequestHeadReceived(client));
@@ -134,7 +134,7 @@
 
     /** Guards against a node that stood still taking what came meanwhile for new. */
     @Test
-    void aRequestThatWaitedToBeReadHasSoMuchLessTime() {
+    void requestThatIsReadLate_hasSoMuchLessTime() {
         RouterDriver node = one();
         long over = node.client();
         node.handle(
--- a/src/test/java/ottergauge/routing/RequestHandlerTest.java
+++ b/src/test/java/ottergauge/routing/RequestHandlerTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void givingUpClosesTheConnectionAndAnswersAtOnce() {
+    void timeout_closesTheConnectionAndAnswersAtOnce() {
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void aClientThatGoesAwayHasItsAttemptClosedAndGetsNothing() {
+    void clientGone_hasItsAttemptClosedAndGetsNothing() {
         RouterDriver node = one();
         long client = node.request("read");
         Forward forward = node.connectNext();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aClientThatGoesAwayBeforeItsAttemptIsWrittenHasNothingWritten() {
+    void clientGoneBeforeItsAttemptIsWritten_hasNothingWritten() {
         RouterDriver node = one();
         long client = node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void anUnknownClassIsABadRequest() {
+    void unknownClass_isABadRequest() {
         RouterDriver node = one();
         long client = node.request("unheard-of");
         assertEquals(400, node.status(client));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void whatIsNoRequestIsAnsweredAndItsConnectionClosed() {
+    void invalidRequest_isAnsweredAndItsConnectionClosed() {
         RouterDriver node = one();
         long client = node.client();
         node.handle(new Event.InvalidRequest(client, 413, "too large"));
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aRequestThatIsBegunAndNotFinishedIsClosed() {
+    void incompleteRequest_isClosed() {
         RouterDriver node = one();
         long client = node.client();
         node.handle(new Event.RequestHeadReceived(client));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void anIdThatIsOpenHereIsNotTakenASecondTime() {
+    void traceIdInFlight_isNotAcceptedAgain() {
         RouterDriver node = one();
         long first = node.client();
         node.handle(
@@ -130,7 +130,7 @@
         "grant,POST,key,3",
         "grant,GET,,0"
     })
-    void aRequestThatIsNotOfItsClassesKindIsNotTaken(
+    void requestThatDoesNotFitItsClass_isABadRequest(
             String requestClass, String method, String key, int length) {
         RouterDriver node = one();
         long client = node.client();
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void whatComesBehindAnOpenRequestEndsItAndItsAttempt() {
+    void inputBehindAnInFlightRequest_endsItAndItsAttempt() {
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void badRequestsAreToldOfAFewTimesASecondAndCounted() {
+    void invalidRequests_areReportedAtALimitedRateAndCounted() {
         RouterDriver node = one();
         for (int i = 0; i < 8; i++) {
             node.handle(new Event.InvalidRequest(node.client(), 400, "bad"));
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aKeptConnectionThatBreaksBarsNoServerAndANewOneThatBreaksDoes() {
+    void brokenReusedConnection_ejectsNoServerAndABrokenNewOneDoes() {
         RouterDriver node = one();
         node.serve(node.forwardOnNewConnection("grant"));
         Forward kept = node.forwardOnIdleConnection("grant");
@@ -191,7 +191,7 @@
     }
 
     @Test
-    void aServerThatAnsweredWhatCannotBeReadIsNotTakenForOneThatDied() {
+    void malformedResponse_isNotTakenForACrash() {
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -72,8 +72,7 @@
 
     @ParameterizedTest
     @MethodSource("ways")
-    void aNewClassIsServedFromThatInstantOnOverKeptConnections(
-            BiConsumer<RouterDriver, TestConfig> way) {
+    void newClass_isServedAtOnceOverIdleConnections(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         Forward first = node.forwardOnNewConnection("read");
         node.serve(first);
@@ -91,7 +90,7 @@
 
     @ParameterizedTest
     @MethodSource("ways")
-    void whatWaitsOfAClassThatIsRemovedIsServedAndNewRequestsAreUnknown(
+    void removedClass_servesQueuedRequestsAndRejectsNewOnes(
             BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = new RouterDriver(new TestConfig());
         long waiting = node.request("grant");
@@ -111,7 +110,8 @@
      */
     @ParameterizedTest
     @MethodSource("ways")
-    void whatIsInFlightKeepsTheClassThatItsNameStoodFor(BiConsumer<RouterDriver, TestConfig> way) {
+    void inFlightRequest_keepsTheClassThatItWasAcceptedWith(
+            BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
@@ -124,7 +124,7 @@
 
     @ParameterizedTest
     @MethodSource("ways")
-    void whatIsAboutToBeTriedAgainKeepsItsTime(BiConsumer<RouterDriver, TestConfig> way) {
+    void pendingRetry_keepsItsDeadline(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         long client = node.client();
         node.handle(
@@ -154,8 +154,7 @@
      */
     @ParameterizedTest
     @MethodSource("ways")
-    void classesThatAreListedInAnotherOrderStayWhatTheyAre(
-            BiConsumer<RouterDriver, TestConfig> way) {
+    void reorderedClasses_keepTheirMeaning(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         way.accept(node, classes(GRANT, READ, PAY));
         for (String name : new String[] {"read", "pay", "grant"}) {
@@ -182,7 +181,7 @@
     }
 
     @Test
-    void aClassKeepsItsFiguresForAsLongAsItIsNamed() {
+    void class_keepsItsMetricsForAsLongAsItIsDefined() {
         RouterDriver node = one();
         node.serve(node.forwardOnNewConnection("read"));
         node.expect(Respond.class);
@@ -195,7 +194,7 @@
     }
 
     @Test
-    void aChangeAndItsReverseLeaveWhatWaitsAsItWas() {
+    void changeAndItsReverse_leaveQueuedRequestsAsTheyWere() {
         RouterDriver node = one();
         long client = node.request("pay");
         node.reconfigure(classes(READ));
@@ -229,7 +228,7 @@
      */
     @ParameterizedTest
     @MethodSource("ways")
-    void zonesThatAreListedInAnotherOrderStayApart(BiConsumer<RouterDriver, TestConfig> way) {
+    void reorderedZones_stayApart(BiConsumer<RouterDriver, TestConfig> way) {
         String other = inZone(TWO, "b");
         RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
         long client = node.request("pay");
@@ -252,8 +251,7 @@
      */
     @ParameterizedTest
     @MethodSource("ways")
-    void zonesThatAreAddedAreToldApartAtServersThatAreListed(
-            BiConsumer<RouterDriver, TestConfig> way) {
+    void addedZones_applyToServersThatAreListed(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node =
                 new RouterDriver(new TestConfig().knows(inZone(ONE, "c"), inZone(TWO, "d")));
         way.accept(node, new TestConfig().zones("a", "b", "c", "d"));
@@ -272,7 +270,7 @@
 
     @ParameterizedTest
     @MethodSource("ways")
-    void idleConnectionsEndByTheTimeInForce(BiConsumer<RouterDriver, TestConfig> way) {
+    void idleConnections_endByTheEffectiveTimeout(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node = one();
         node.serve(node.forwardOnNewConnection("read"));
         node.advanceMs(3_000);
@@ -283,7 +281,7 @@
     }
 
     @Test
-    void callsToDiscoveryWaitByTheTimeInForce() {
+    void pollsOfDiscovery_waitByTheEffectiveInterval() {
         RouterDriver node = one();
         node.list(42, true, ONE);
         node.reconfigure(new TestConfig().askMs(1_000));
@@ -305,7 +303,7 @@
      * settings out of the old list, it would be lost at the server that goes.
      */
     @Test
-    void serversAndSettingsComeInForceAtOneInstant() {
+    void endpointsAndSettings_takeEffectAtOneInstant() {
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
@@ -324,7 +322,7 @@
      * What waited for a connection to a server that goes with the change is taken to another one.
      */
     @Test
-    void whatWaitedForAServerThatGoesIsTakenToAnother() {
+    void attemptWaitingForARemovedServer_isSentToAnother() {
         RouterDriver node = one();
         node.request("grant");
         node.expect(ConnectUpstream.class);
@@ -334,7 +332,7 @@
     }
 
     @Test
-    void aChangeOfNothingThatIsFollowedIsAVersionAllTheSame() {
+    void changeOutsideTheSubscription_stillAdvancesTheVersion() {
         RouterDriver node = one();
         assertEquals(Optional.empty(), node.version());
         assertFalse(figures(node).contains("state_version"));
@@ -347,7 +345,7 @@
 
     /** Two sources of one list would undo each other's changes. */
     @Test
-    void discoveryIsAskedNoMoreOnceTheListComesFromTheLog() {
+    void discovery_isNotPolledOnceEndpointsComeFromTheChangeLog() {
         RouterDriver node = one();
         node.advanceMs(200);
         long call = node.expect(PollDiscovery.class).poll();
@@ -372,7 +370,7 @@
      * them.
      */
     @Test
-    void aNodeKeepsItsNumberUnderSharedSettings() {
+    void node_keepsItsIndexUnderSharedSettings() {
         String[] servers =
                 IntStream.range(0, 50)
                         .mapToObj(i -> host("s-" + i, "10.0.1." + i + ":80", "in_service"))
@@ -406,7 +404,7 @@
      * A hang-up for another reason must not bring back the settings that the node was started with.
      */
     @Test
-    void theFilesSettingsCountNoMoreOnceTheyComeFromTheLog() {
+    void settingsOfTheFile_areIgnoredOnceTheChangeLogHasSome() {
         RouterDriver node = one();
         node.state(120, Optional.of(classes(AUDIT)), false);
         node.reconfigure(new TestConfig().sockets(512));
--- a/src/test/java/ottergauge/routing/ShutdownTest.java
+++ b/src/test/java/ottergauge/routing/ShutdownTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aNodeToldToStopTakesWhatComesAnswersAllAndEnds() {
+    void shutdown_acceptsAndAnswersAllRequestsAndExits() {
         RouterDriver node = one();
         long idle = node.client();
         long taken = node.request("read");
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aClientThatComesLateAndSendsNothingDoesNotKeepTheNodeFromEnding() {
+    void lateSilentClient_doesNotDelayTheExit() {
         RouterDriver node = one();
         node.handle(new Event.ShutdownRequested(false));
         long busy = node.request("read");
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aNodeThatRunsIsReady() {
+    void servingNode_isReady() {
         RouterDriver node = one();
         long client = node.client();
         node.handle(new Event.HealthRequested(client, true));
--- a/src/test/java/ottergauge/routing/StreamingTest.java
+++ b/src/test/java/ottergauge/routing/StreamingTest.java
@@ -58,7 +58,7 @@
      */
     @ParameterizedTest
     @CsvSource({"grant,false,503", "pay,false,503", "grant,true,502", "pay,true,502"})
-    void aBreakIsJudgedByWhetherTheLastByteWasWritten(
+    void brokenStream_isJudgedByWhetherTheLastByteWasWritten(
             String requestClass, boolean whole, int status) {
         long client = flows(requestClass, 1000);
         ForwardStream forward = connected();
@@ -74,7 +74,7 @@
 
     /** Until a server has a byte of it, a request that flows goes elsewhere like any other. */
     @Test
-    void aRefusedConnectionIsNoLoss() {
+    void refusedConnection_losesNothing() {
         flows("grant", 1000);
         node.refuseNext();
         connected();
@@ -84,7 +84,7 @@
      * Its time runs from its last byte: counted from the first, all that comes slowly is given up.
      */
     @Test
-    void timeRunsFromTheLastByte() {
+    void timeout_runsFromTheLastByte() {
         long client = flows("grant", 900);
         ForwardStream forward = connected();
         for (int i = 0; i < 50; i++) {
@@ -104,7 +104,7 @@
     /** What trickles or stands still ends, and gives back the server's connection. */
     @ParameterizedTest
     @CsvSource({"0,2900", "100,4000"})
-    void aBodyThatDoesNotGetOnEnds(long bytes, long within) {
+    void stalledBody_isClosed(long bytes, long within) {
         long client = flows("grant", 900);
         ForwardStream forward = connected();
         for (int passed = 0; passed < within; passed += 100) {
@@ -123,7 +123,7 @@
      * Begun, an answer is its client's: no deadline cuts it, and the connection is kept after it.
      */
     @Test
-    void noDeadlineCutsAnAnswerThatFlows() {
+    void streamedResponse_isCutByNoDeadline() {
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig().knows(host("s-1", "10.1.0.1:3000", "in_service")));
@@ -143,7 +143,7 @@
     }
 
     @Test
-    void anAnswerThatItsServerCutsIsCutForItsClient() {
+    void responseTruncatedByItsServer_isTruncatedForItsClient() {
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
         node.handle(answerFlows(forward.connection()));
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void anAnswerWhoseClientHasGoneEndsAtTheServer() {
+    void streamedResponseWhoseClientHasGone_isClosedAtTheServer() {
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
         node.handle(answerFlows(forward.connection()));
@@ -170,7 +170,7 @@
      * time.
      */
     @Test
-    void anOpenEndedAnswerFlowsBeforeItsTimeIsUp() {
+    void unsizedResponse_isStreamedBeforeItsTimeout() {
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
         node.advanceMs(200);
@@ -185,7 +185,7 @@
      * once.
      */
     @Test
-    void requestsThatFlowAreBounded() {
+    void streamedRequests_areBounded() {
         int taken = 0;
         boolean refused = false;
         while (!refused && taken < 10_000) {
