--- a/src/main/java/ottergauge/protocol/AttemptResults.java
+++ b/src/main/java/ottergauge/protocol/AttemptResults.java
@@ -3,7 +3,7 @@
 
 import ottergauge.decision.api.AttemptResult;
 
-/** What a server's answer says of the attempt that it ends. */
+/** Maps a server's responses to the results of attempts. */
 public final class AttemptResults {
 
     private static final int OK = 200;
@@ -12,12 +12,15 @@
 
     private AttemptResults() {}
 
-    /** Only 503 and 504 marked so prove that nothing ran; any other answer but 200 is an error. */
+    /**
+     * The result of an attempt by its response. Only 503 and 504 with {@link Headers#NEVER_RAN}
+     * prove that nothing ran; any other status than 200 is an error.
+     */
     public static AttemptResult ofResponse(int status, boolean neverRan) {
         if (status == OK) {
             return AttemptResult.SERVED;
         }
-        boolean turnedAway = neverRan && (status == UNAVAILABLE || status == GATEWAY_TIMEOUT);
-        return turnedAway ? AttemptResult.REJECTED : AttemptResult.ERROR;
+        boolean rejected = neverRan && (status == UNAVAILABLE || status == GATEWAY_TIMEOUT);
+        return rejected ? AttemptResult.REJECTED : AttemptResult.ERROR;
     }
 }
--- a/src/main/java/ottergauge/protocol/Content.java
+++ b/src/main/java/ottergauge/protocol/Content.java
@@ -1,13 +1,20 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.protocol;
 
-/** What a message carries, as the bytes that came, and the type that its sender gave or null. */
+/**
+ * The body of a message.
+ *
+ * @param type the sender's content type; null if there is none, or if it can't be sent on unchanged
+ * @param bytes the body as it was received
+ */
 public record Content(String type, byte[] bytes) {
 
+    /** An empty body. */
     public static final Content NONE = new Content(null, new byte[0]);
+
     private static final int DELETE = 0x7f;
 
-    /** Leaves out a type that could not be written on as it came. */
+    /** Omits a type that has other than visible characters. */
     public Content {
         type = type != null && type.chars().allMatch(c -> c >= ' ' && c < DELETE) ? type : null;
     }
--- a/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
+++ b/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
@@ -46,9 +46,9 @@
     /** Of all services' names together: they go into the head of each call. */
     private static final int MAX_SERVICES_CHARACTERS = 2_000;
 
-    private static final long MIN_WITHIN_MS = 500;
-    private static final long MAX_WITHIN_MS = 60_000;
-    private static final long DEFAULT_WITHIN_MS = 4_000;
+    private static final long MIN_PROPAGATION_MS = 500;
+    private static final long MAX_PROPAGATION_MS = 60_000;
+    private static final long DEFAULT_PROPAGATION_MS = 4_000;
     private static final long MIN_BYTES_PER_SECOND = 1_024;
     private static final long MAX_BYTES_PER_SECOND = 1L << 30;
     private static final long DEFAULT_BYTES_PER_SECOND = 8_192;
@@ -72,21 +72,21 @@
                 services(fields),
                 text(fields, "settings", "default"),
                 MICROS_PER_MS
-                        * whole(
+                        * integer(
                                 fields,
                                 "within_ms",
-                                MIN_WITHIN_MS,
-                                MAX_WITHIN_MS,
-                                DEFAULT_WITHIN_MS),
-                whole(
+                                MIN_PROPAGATION_MS,
+                                MAX_PROPAGATION_MS,
+                                DEFAULT_PROPAGATION_MS),
+                integer(
                         fields,
                         "bytes_per_second",
                         MIN_BYTES_PER_SECOND,
                         MAX_BYTES_PER_SECOND,
                         DEFAULT_BYTES_PER_SECOND),
                 folder(fields),
-                (int) whole(fields, "most_resources", 1, MAX_RESOURCES, DEFAULT_RESOURCES),
-                BYTES_PER_MB * whole(fields, "most_mb", 1, MAX_STATE_MB, DEFAULT_STATE_MB));
+                (int) integer(fields, "most_resources", 1, MAX_RESOURCES, DEFAULT_RESOURCES),
+                BYTES_PER_MB * integer(fields, "most_mb", 1, MAX_STATE_MB, DEFAULT_STATE_MB));
     }
 
     private static List<Endpoint> endpoints(Map<?, ?> fields) throws ProtocolException {
@@ -180,7 +180,7 @@
         return text;
     }
 
-    private static long whole(Map<?, ?> fields, String key, long least, long most, long absent)
+    private static long integer(Map<?, ?> fields, String key, long min, long max, long absent)
             throws ProtocolException {
         Object value = fields.get(key);
         if (value == null) {
@@ -188,9 +188,9 @@
         }
         if (!(value instanceof Double number)
                 || number != Math.rint(number)
-                || number < least
-                || number > most) {
-            throw fault("control." + key, value, "a whole number from " + least + " to " + most);
+                || number < min
+                || number > max) {
+            throw fault("control." + key, value, "a whole number from " + min + " to " + max);
         }
         return number.longValue();
     }
--- a/src/main/java/ottergauge/protocol/EndpointListReader.java
+++ b/src/main/java/ottergauge/protocol/EndpointListReader.java
@@ -11,18 +11,18 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * Reads a list of servers entry by entry: no more of it is in memory than its bytes and its
- * servers.
+ * Reads an endpoint list entry by entry, so that no tree of the whole message is in memory besides
+ * its bytes and its endpoints.
  */
 final class EndpointListReader {
 
-    // The largest whole number that a JSON number tells exactly.
-    private static final long MAX_SEQ = 1L << 53;
+    // The largest integer that a double represents exactly with all smaller ones.
+    private static final long MAX_VERSION = 1L << 53;
     private static final JsonFactory JSON = new JsonFactory();
 
-    private Double seq;
-    private boolean whole;
-    private List<DiscoveredEndpoint> hosts;
+    private Double version;
+    private boolean complete;
+    private List<DiscoveredEndpoint> endpoints;
 
     private EndpointListReader() {}
 
@@ -55,9 +55,10 @@
 
     private void take(String field, JsonParser in) throws IOException, ProtocolException {
         switch (field) {
-            case "seq" -> seq = in.currentToken().isNumeric() ? in.getDoubleValue() : null;
-            case "whole" -> whole = in.currentToken() == JsonToken.VALUE_TRUE;
-            case "hosts" -> hosts = in.currentToken() == JsonToken.START_ARRAY ? entries(in) : null;
+            case "seq" -> version = in.currentToken().isNumeric() ? in.getDoubleValue() : null;
+            case "whole" -> complete = in.currentToken() == JsonToken.VALUE_TRUE;
+            case "hosts" ->
+                    endpoints = in.currentToken() == JsonToken.START_ARRAY ? entries(in) : null;
             default -> {}
         }
         in.skipChildren();
@@ -84,13 +85,13 @@
     }
 
     private EndpointList list() throws ProtocolException {
-        if (seq == null || hosts == null) {
+        if (version == null || endpoints == null) {
             throw new ProtocolException("a list needs seq and hosts");
         }
-        if (!(seq >= 0 && seq <= MAX_SEQ)) {
+        if (!(version >= 0 && version <= MAX_VERSION)) {
             throw new ProtocolException(
-                    "seq is a whole number from 0 to " + MAX_SEQ + ", not " + seq);
+                    "seq is a whole number from 0 to " + MAX_VERSION + ", not " + version);
         }
-        return new EndpointList(seq.longValue(), whole, hosts);
+        return new EndpointList(version.longValue(), complete, endpoints);
     }
 }
--- a/src/main/java/ottergauge/protocol/LoadReportReader.java
+++ b/src/main/java/ottergauge/protocol/LoadReportReader.java
@@ -9,16 +9,15 @@
  */
 public final class LoadReportReader {
 
-    // No figure of a server is as large: believed, it would keep the server from being sent to for
-    // hours.
-    private static final double MOST = 1e6;
+    // A larger value is an error, and would keep the server from getting requests for hours.
+    private static final double MAX_VALUE = 1e6;
     private static final String FORM = "TEXT";
 
     private LoadReportReader() {}
 
     /**
-     * Reads a report; what it lacks is NaN, names not known are skipped. One with a figure that
-     * cannot be read is none: the rest of it is no more to be trusted.
+     * Reads a report; fields that it lacks are NaN, unknown ones are ignored. A report with a value
+     * that can't be parsed is {@link LoadReport#NONE}.
      */
     public static LoadReport read(String text) {
         if (text == null || !text.startsWith(FORM)) {
@@ -50,7 +49,7 @@
     private static double number(String text) {
         try {
             double value = Double.parseDouble(text.trim());
-            return Double.isFinite(value) && value >= 0 && value <= MOST ? value : Double.NaN;
+            return Double.isFinite(value) && value >= 0 && value <= MAX_VALUE ? value : Double.NaN;
         } catch (NumberFormatException e) {
             return Double.NaN;
         }
--- a/src/main/java/ottergauge/protocol/ProtocolException.java
+++ b/src/main/java/ottergauge/protocol/ProtocolException.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.protocol;
 
-/** Something that came breaks the protocol; the message says how. */
+/** Input breaks the protocol or a file format; the message says how. */
 public class ProtocolException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/src/main/java/ottergauge/protocol/RequestFields.java
+++ b/src/main/java/ottergauge/protocol/RequestFields.java
@@ -5,8 +5,13 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The fields of a request that the decisions need. {@code expiresInMs} is -1 where the client names
- * none.
+ * The header fields of a request that the decision module needs.
+ *
+ * @param traceId the client's identifier of the request
+ * @param requestClass name of its class
+ * @param expiresInMs how long the client waits, in milliseconds; -1 if it doesn't say
+ * @param retry whether the client marks it as a retry
+ * @param idempotencyKey null if there is none
  */
 public record RequestFields(
         String traceId,
@@ -24,7 +29,7 @@
                     Headers.SECOND_TRY,
                     Headers.IDEMPOTENCY_KEY);
 
-    // Past this a time to wait is no time to wait: an hour.
+    // An hour.
     private static final long MAX_EXPIRY_MS = 3_600_000;
     private static final int MAX_DIGITS = 18;
     private static final int DELETE = 0x7f;
