--- a/src/main/java/ottergauge/protocol/Content.java
+++ b/src/main/java/ottergauge/protocol/Content.java
@@ -7,6 +7,7 @@
  * @param type the sender's content type; null if there is none, or if it can't be sent on unchanged
  * @param bytes the body as it was received
  */
+@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy for each message would cost.
 public record Content(String type, byte[] bytes) {
 
     /** An empty body. */
--- a/src/main/java/ottergauge/protocol/LoadReportReader.java
+++ b/src/main/java/ottergauge/protocol/LoadReportReader.java
@@ -19,6 +19,7 @@
      * Reads a report; fields that it lacks are NaN, unknown ones are ignored. A report with a value
      * that can't be parsed is {@link LoadReport#NONE}.
      */
+    @SuppressWarnings("StringSplitter") // A trailing comma is passed over.
     public static LoadReport read(String text) {
         if (text == null || !text.startsWith(FORM)) {
             return LoadReport.NONE;
