--- a/src/main/java/ottergauge/decision/DecisionEngine.java
+++ b/src/main/java/ottergauge/decision/DecisionEngine.java
@@ -337,7 +337,7 @@
     }
 
     // Until its last byte has come a server has no work with a body: counted as work, a few slow
-    // clients would make all servers look full. See docs/design.md, "passing bodies".
+    // clients would make all servers look full. See docs/design.md, "streaming bodies".
     private void bodyStreaming(RequestBodyStreaming event) {
         Attempt attempt = requests.findAttempt(event.id(), event.attempt());
         if (attempt != null && !attempt.isBodyStreaming()) {
--- a/src/main/java/ottergauge/decision/Dispatcher.java
+++ b/src/main/java/ottergauge/decision/Dispatcher.java
@@ -90,8 +90,8 @@
         return request.probedServer() != null && probes.isAwaited(request.probedServer(), now);
     }
 
-    // What follows a request that may go anywhere finds no server either: docs/design.md, "head of
-    // the line".
+    // What follows a request that may go anywhere finds no server either. See docs/design.md,
+    // "head-of-line blocking".
     private boolean blocksOthers(Request request, long now) {
         return !loadSource.usesReports()
                 && request.isCertainlyNotExecuted()
--- a/src/main/java/ottergauge/decision/balancing/CacheAffinity.java
+++ b/src/main/java/ottergauge/decision/balancing/CacheAffinity.java
@@ -6,7 +6,7 @@
 /**
  * Assigns affinity keys to the servers of the subset by rendezvous hashing: nodes that share
  * servers agree without a message, and a change of the list moves few keys. See docs/design.md,
- * "Keys".
+ * "Cache affinity".
  */
 public final class CacheAffinity {
 
--- a/src/main/java/ottergauge/decision/balancing/ClassWeights.java
+++ b/src/main/java/ottergauge/decision/balancing/ClassWeights.java
@@ -13,7 +13,7 @@
 
 /**
  * Per-class weight tables and the smooth weighted round-robin over them: Per-Function Auto Weighted
- * Round-Robin. See docs/design.md, "What is kept".
+ * Round-Robin. See docs/design.md, "Weighted round-robin".
  *
  * <p>A row of the table belongs to a class, and the last one to all classes. Classes past the
  * bound, and those with too few samples, use the last one.
--- a/src/main/java/ottergauge/decision/balancing/ServerSubset.java
+++ b/src/main/java/ottergauge/decision/balancing/ServerSubset.java
@@ -13,7 +13,7 @@
 
 /**
  * The deterministic subset of servers that this node sends to: those at the node's points of a
- * consistent-hash ring with arcs by size. See docs/design.md, "Subset".
+ * consistent-hash ring with arcs by size. See docs/design.md, "Deterministic subset".
  */
 public final class ServerSubset {
 
--- a/src/main/java/ottergauge/decision/health/OutlierDetector.java
+++ b/src/main/java/ottergauge/decision/health/OutlierDetector.java
@@ -14,7 +14,7 @@
 
 /**
  * Ejects servers that fail, for a span that doubles with each ejection. Instants are microseconds.
- * See docs/design.md, "Errors", "Bars" and "Unreached".
+ * See docs/design.md, "Ejection".
  */
 public final class OutlierDetector {
 
--- a/src/main/java/ottergauge/decision/health/SilenceDetector.java
+++ b/src/main/java/ottergauge/decision/health/SilenceDetector.java
@@ -14,7 +14,8 @@
 
 /**
  * Finds servers that have fallen silent, by the responses that should have come, and attempts whose
- * responses were lost. Instants are microseconds. See docs/design.md, "Silence" and "overdue".
+ * responses were lost. Instants are microseconds. See docs/design.md, "silent servers" and "overdue
+ * attempts".
  */
 public final class SilenceDetector {
 
--- a/src/main/java/ottergauge/decision/health/SlowStartBudget.java
+++ b/src/main/java/ottergauge/decision/health/SlowStartBudget.java
@@ -15,7 +15,7 @@
 
 /**
  * Limits what this node sends to a server that warms up. Instants are microseconds. See
- * docs/design.md, "cold budget" and "cold chance".
+ * docs/design.md, "Slow-start budget".
  */
 public final class SlowStartBudget {
 
--- a/src/main/java/ottergauge/decision/load/CapacityEstimates.java
+++ b/src/main/java/ottergauge/decision/load/CapacityEstimates.java
@@ -8,7 +8,7 @@
 
 /**
  * Capacity of servers and of the mean server of the fleet, in requests that are executed at a time.
- * See docs/design.md, "Room".
+ * See docs/design.md, "Capacity estimate".
  */
 public final class CapacityEstimates {
 
--- a/src/main/java/ottergauge/decision/load/LoadEstimates.java
+++ b/src/main/java/ottergauge/decision/load/LoadEstimates.java
@@ -10,7 +10,7 @@
 
 /**
  * Estimates of how many requests servers hold, from probes, reports or this node's own attempts.
- * See docs/design.md, "Reported skip" and "Hearsay".
+ * See docs/design.md, "Active load probes" and "Passive load reports".
  */
 public final class LoadEstimates {
 
@@ -70,7 +70,8 @@
         record(server, report, 0, now);
         loadSource.dropStaleProbes();
         if (Double.isNaN(report.inFlight())) {
-            // Taken for unknown, all servers would stand idle: docs/design.md, "mute reports".
+            // Taken for unknown, all servers would stand idle. See docs/design.md, "probes without
+            // a load".
             server.load().assume(server.outstandingCount(), now);
         }
     }
@@ -78,7 +79,8 @@
     /** Takes an attempt that timed out after this span, in microseconds. */
     public void recordTimeout(Server server, long elapsed, long now) {
         if (loadSource.usesReports() && capacities.isKnown()) {
-            // What didn't end in this time had as much work before it: docs/design.md, "unheard".
+            // What didn't end in this time had as much work before it. See docs/design.md,
+            // "timeouts as load reports".
             double implied = capacities.of(server) * elapsed / serviceTimes.mean();
             server.load().assume(Math.max(server.load().inFlight(), implied), now);
         }
--- a/src/main/java/ottergauge/decision/load/LoadSourceSelector.java
+++ b/src/main/java/ottergauge/decision/load/LoadSourceSelector.java
@@ -9,8 +9,8 @@
 
 /**
  * Selects the {@link LoadSource}: active probes where they are allowed, affordable and fresh, else
- * passive reports once one has come, else this node's own attempts. See docs/design.md, "Reported
- * skip", "Hearsay" and "stale loads".
+ * passive reports once one has come, else this node's own attempts. See docs/design.md, "Active
+ * load probes", "Passive load reports" and "stale reports".
  */
 public final class LoadSourceSelector {
 
--- a/src/main/java/ottergauge/decision/load/ProbeBudget.java
+++ b/src/main/java/ottergauge/decision/load/ProbeBudget.java
@@ -5,7 +5,7 @@
 import ottergauge.decision.model.Request;
 import ottergauge.decision.model.Server;
 
-/** How many probes may be made for one request. See docs/design.md, "Hearsay". */
+/** How many probes may be made for one request. See docs/design.md, "Active load probes". */
 public final class ProbeBudget {
 
     // The part of the result that probes may cost: well under what a bad pick costs.
--- a/src/main/java/ottergauge/decision/load/ProbeTracker.java
+++ b/src/main/java/ottergauge/decision/load/ProbeTracker.java
@@ -10,7 +10,7 @@
 
 /**
  * Round-trip times of probes by zone, and the probe timeout that follows from them. Instants and
- * spans are microseconds. See docs/design.md, "rounds and trips".
+ * spans are microseconds. See docs/design.md, "probe timeout".
  */
 public final class ProbeTracker {
 
--- a/src/main/java/ottergauge/decision/load/ServiceTimes.java
+++ b/src/main/java/ottergauge/decision/load/ServiceTimes.java
@@ -40,7 +40,7 @@
         return uncontendedMean > 0 ? uncontendedMean : mean;
     }
 
-    /** Returns a server's service time. See docs/design.md, "cold server's speed". */
+    /** Returns a server's service time. See docs/design.md, "Service times". */
     public double of(Server server, long now) {
         double relative = server.relativeServiceTime();
         double warmUpFactor = warmUp.factor(server.slowStart().startedAt(), now);
--- a/src/main/java/ottergauge/decision/model/MeasurementWindow.java
+++ b/src/main/java/ottergauge/decision/model/MeasurementWindow.java
@@ -3,7 +3,7 @@
 
 /**
  * The window over which latencies and rates are measured. Instants and spans are microseconds. See
- * docs/design.md, "What is kept".
+ * docs/design.md, "Weighted round-robin".
  */
 public final class MeasurementWindow {
 
--- a/src/main/java/ottergauge/decision/request/AdmissionControl.java
+++ b/src/main/java/ottergauge/decision/request/AdmissionControl.java
@@ -6,8 +6,8 @@
 import ottergauge.decision.model.Request;
 
 /**
- * Decides which requests can still be served in time. See docs/design.md, "giving up", "prompt
- * refusal" and "late worth".
+ * Decides which requests can still be served in time. See docs/design.md, "Deadline admission",
+ * "load shedding on arrival" and "late responses".
  */
 public final class AdmissionControl {
 
--- a/src/main/java/ottergauge/decision/request/ClientRetryDetector.java
+++ b/src/main/java/ottergauge/decision/request/ClientRetryDetector.java
@@ -12,7 +12,7 @@
 /**
  * Tells clients' retries from first attempts. One that isn't marked has less time left than others
  * of its class and follows a request that was given up on; by time alone, all impatient clients
- * would count as retrying. See docs/design.md, "Repeats".
+ * would count as retrying. See docs/design.md, "Client retries".
  */
 public final class ClientRetryDetector {
 
--- a/src/main/java/ottergauge/decision/request/PendingQueue.java
+++ b/src/main/java/ottergauge/decision/request/PendingQueue.java
@@ -10,7 +10,7 @@
 
 /**
  * Requests that wait for a server, ordered by priority and by deadline. Adding and removing take
- * logarithmic time. See docs/design.md, "Holding".
+ * logarithmic time. See docs/design.md, "Pending queue".
  */
 public final class PendingQueue {
 
--- a/src/main/java/ottergauge/decision/selection/DeadlineFit.java
+++ b/src/main/java/ottergauge/decision/selection/DeadlineFit.java
@@ -12,7 +12,7 @@
 
 /**
  * Judges whether a request can be expected to end at a server while its response has value. See
- * docs/design.md, "fit", "room and its root" and "free core".
+ * docs/design.md, "deadline fit", "Queue bound" and "idle capacity for late responses".
  */
 public final class DeadlineFit {
 
