--- a/src/main/java/ottergauge/program/HollowCommand.java
+++ b/src/main/java/ottergauge/program/HollowCommand.java
@@ -37,14 +37,14 @@
         versionProvider = Main.Version.class,
         description =
                 "Run many nodes without clients and servers in one process, for tests of scale.",
-        footerHeading = "%nOrders on standard input, one a line:%n",
+        footerHeading = "%nCommands on standard input, one per line:%n",
         footer = {
-            "  restart   drop all nodes with their connections and state, start them anew at once",
-            "  servers   have each node tell how its servers stand",
-            "  end       end; as the end of standard input does"
+            "  restart   drop all nodes with their connections and state, start them again at once",
+            "  servers   have each node report the status of its servers",
+            "  end       end the process, as the end of standard input does"
         },
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {" 0:ended as ordered", " 1:bad configuration", " 2:wrong usage"})
+        exitCodeList = {" 0:ended on request", " 1:invalid configuration", " 2:wrong usage"})
 final class HollowCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(HollowCommand.class);
@@ -60,7 +60,7 @@
             paramLabel = "FILE",
             required = true,
             description =
-                    "A node's configuration; each node takes it with a name, number and seed of its"
+                    "A node's configuration; each node uses it with a name, number and seed of its"
                             + " own.")
     private Path configFile;
 
@@ -83,7 +83,7 @@
             paramLabel = "PREFIX",
             defaultValue = "h",
             description =
-                    "What nodes are called, before their number; ${DEFAULT-VALUE} unless given.")
+                    "Prefix of the nodes' names; ${DEFAULT-VALUE} unless given.")
     private String prefix;
 
     @Option(
@@ -97,7 +97,7 @@
             names = "--start-over-ms",
             paramLabel = "MS",
             defaultValue = "0",
-            description = "Start the nodes one after the other over so many milliseconds.")
+            description = "Start the nodes one after the other, spread over this many milliseconds.")
     private long startOver;
 
     @Option(
@@ -120,7 +120,7 @@
                 configs.add(config(template, number));
             }
         } catch (IOException | ProtocolException e) {
-            LOG.error("bad configuration {}: {}", configFile, e.toString());
+            LOG.error("invalid configuration {}: {}", configFile, e.toString());
             return 1;
         }
         if (outFile == null) {
@@ -187,7 +187,7 @@
                 case "end" -> {
                     return;
                 }
-                default -> LOG.warn("unknown order {}: known are restart, servers and end", order);
+                default -> LOG.warn("unknown command {} ignored: expected restart, servers or end", order);
             }
         }
     }
--- a/src/main/java/ottergauge/program/HollowReport.java
+++ b/src/main/java/ottergauge/program/HollowReport.java
@@ -75,7 +75,7 @@
             }
         } catch (IOException e) {
             // Whoever reads it has gone, and with it the reason for this process.
-            LOG.error("the report can't be written any more: {}", e.toString());
+            LOG.error("the report cannot be written, exiting: {}", e.toString());
             System.exit(1);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/ottergauge/program/RehearseCommand.java
+++ b/src/main/java/ottergauge/program/RehearseCommand.java
@@ -130,7 +130,7 @@
             socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write(message.getBytes(StandardCharsets.US_ASCII));
             if (socket.getInputStream().read() < 0) {
-                throw new IOException("the node closed the connection with no answer");
+                throw new IOException("the node closed the connection without a response");
             }
         }
     }
--- a/src/main/java/ottergauge/program/ServeCommand.java
+++ b/src/main/java/ottergauge/program/ServeCommand.java
@@ -57,7 +57,7 @@
         try {
             config = read();
         } catch (IOException | ProtocolException e) {
-            LOG.error("bad configuration {}: {}", configFile, e.toString());
+            LOG.error("invalid configuration {}: {}", configFile, e.toString());
             return 1;
         }
         warmUp(config);
@@ -84,8 +84,8 @@
         SignalHandler before = Signal.handle(new Signal("HUP"), hangUp -> reload());
         if (before == SignalHandler.SIG_IGN) {
             LOG.warn(
-                    "SIGHUP is ignored, as nohup hands it down: this node takes over no new"
-                            + " configuration until it is started again, without nohup");
+                    "SIGHUP is ignored, as inherited from nohup: this node does not reload its"
+                            + " configuration until it is restarted without nohup");
         }
     }
 
@@ -94,7 +94,7 @@
         try {
             LOG.info("warmed up with {} synthetic requests", JitWarmUp.run(config).requests());
         } catch (RuntimeException e) {
-            LOG.error("the JIT warm-up failed, the node starts cold", e);
+            LOG.error("the JIT warm-up failed, the first requests will be slow", e);
         }
     }
 
@@ -128,7 +128,7 @@
             running.reconfigure(read());
         } catch (IOException | ProtocolException | RuntimeException e) {
             LOG.error(
-                    "bad configuration {}, the one before stays in force: {}",
+                    "invalid configuration {}, the previous one stays in effect: {}",
                     configFile,
                     e.toString());
         }
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -118,7 +118,7 @@
         if (stage != Stage.AWAITING_HEAD) {
             reject(
                     HttpResponseStatus.BAD_REQUEST,
-                    "a request before the one before it was answered");
+                    "a request arrived before the previous one was answered");
             return;
         }
         head = request;
@@ -219,7 +219,7 @@
         }
         if ((stage == Stage.RECEIVED || stage == Stage.AWAITING_RESPONSE)
                 && decoder.hasMoreBytes()) {
-            reject(HttpResponseStatus.BAD_REQUEST, "more came behind the request");
+            reject(HttpResponseStatus.BAD_REQUEST, "unexpected bytes after the request");
         } else if (stage == Stage.AWAITING_HEAD) {
             reportHeadStart();
         } else if (stage == Stage.RECEIVED && stream != null) {
--- a/src/main/java/ottergauge/transport/DiscoveryClient.java
+++ b/src/main/java/ottergauge/transport/DiscoveryClient.java
@@ -57,7 +57,7 @@
     void poll(PollDiscovery effect) {
         if (!openPolls.isEmpty()) {
             LOG.warn(
-                    "{} calls to discovery are not answered in time, it is asked anew",
+                    "{} discovery polls are not answered in time, polling again",
                     openPolls.size());
         }
         OutboundConnection reused = idle;
@@ -106,8 +106,8 @@
     private void rejectTooLarge(long poll, long announcedLength) {
         openPolls.remove(poll);
         LOG.error(
-                "the list of {} bytes is over the bound of {} bytes, which follows from memory_mb:"
-                        + " the one before stays in force",
+                "the endpoint list of {} bytes exceeds the limit of {} bytes, derived from"
+                        + " memory_mb: the previous list stays in effect",
                 announcedLength > 0 ? announcedLength : "more",
                 maxListBytes);
         events.accept(new EndpointListRejected(poll));
@@ -147,7 +147,7 @@
         } catch (ProtocolException e) {
             openPolls.remove(effect.poll());
             connection.close(CloseReason.MALFORMED);
-            LOG.warn("a call to discovery failed: {}", e.getMessage());
+            LOG.warn("discovery poll failed: {}", e.getMessage());
             events.accept(new EndpointListRejected(effect.poll()));
             return;
         }
@@ -171,7 +171,7 @@
         if (connection != null) {
             connection.ifPresent(each -> each.close(effect.reason()));
             if (effect.reason() == CloseReason.WATCH_SILENT) {
-                LOG.warn("a call to discovery failed: no answer in time");
+                LOG.warn("discovery poll failed: no response in time");
             }
         }
     }
@@ -180,7 +180,7 @@
         Optional<OutboundConnection> connection = openPolls.remove(poll);
         if (connection != null) {
             connection.ifPresent(each -> each.close(CloseReason.TIMED_OUT));
-            LOG.warn("a call to discovery failed: {}", reason);
+            LOG.warn("discovery poll failed: {}", reason);
             events.accept(new DiscoveryPollFailed(poll));
         }
     }
--- a/src/main/java/ottergauge/transport/DownstreamConnections.java
+++ b/src/main/java/ottergauge/transport/DownstreamConnections.java
@@ -87,7 +87,7 @@
         }
         LOG.warn(
                 "invalid request from {}, answered {}: {}",
-                connection == null ? "a client that has gone" : connection.address(),
+                connection == null ? "a client that has disconnected" : connection.address(),
                 effect.status(),
                 effect.reason());
     }
--- a/src/main/java/ottergauge/transport/MaintenanceStore.java
+++ b/src/main/java/ottergauge/transport/MaintenanceStore.java
@@ -104,7 +104,7 @@
                 return Optional.of(new Mark(parts[1], Long.parseLong(parts[0])));
             }
         } catch (IOException | RuntimeException e) {
-            LOG.warn("{} is no maintenance mark: {}", file.getFileName(), e.toString());
+            LOG.warn("{} is not a maintenance mark and is ignored: {}", file.getFileName(), e.toString());
         }
         return Optional.empty();
     }
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -90,7 +90,7 @@
             return Optional.of(new HotRestartDirectory(directory, maxListBytes));
         } catch (IOException e) {
             LOG.error(
-                    "{} cannot be shared with a next process: {}",
+                    "{} cannot be shared with the next process: {}",
                     directory.getFileName(),
                     e.toString());
             return Optional.empty();
@@ -142,7 +142,7 @@
         return admin.listen(address)
                 .compose(
                         listening -> {
-                            LOG.info("{} answers operators on {}", config.name(), address);
+                            LOG.info("{} listens for admin requests on {}", config.name(), address);
                             return warmUp(address, AdminConnection.HEALTH_PATH);
                         });
     }
@@ -154,7 +154,7 @@
                         : besideAnotherProcess ? Situation.BESIDE_ANOTHER_PROCESS : Situation.ALONE;
         int nodes = config.settings().decisions().nodeCount();
         return SelfRequestWarmUp.run(client, ownAddress, path, nodes, situation)
-                .onSuccess(calls -> LOG.info("{} called itself {} times", config.name(), calls));
+                .onSuccess(requests -> LOG.info("{} sent {} warm-up requests to itself", config.name(), requests));
     }
 
     private void onListening(Listener listening) {
@@ -200,7 +200,7 @@
                                     .map(shared -> shared.processes().others().serving())
                                     .orElse(false);
                     LOG.info(
-                            "{} was told to stop{}",
+                            "{} is shutting down{}",
                             config.name(),
                             handover ? ", another process takes its clients" : "");
                     events.take(new Event.ShutdownRequested(handover));
@@ -219,24 +219,24 @@
 
     private void logReconfiguration(NodeConfig next) {
         LOG.info(
-                "{} goes on with discovery at {} and {} descriptors",
+                "{} reloads its configuration: discovery at {}, at most {} descriptors",
                 config.name(),
                 next.discovery(),
                 next.maxDescriptors());
         if (router.version().isPresent()) {
             LOG.info(
-                    "{} keeps the settings of the log of changes, not those of the file",
+                    "{} keeps the settings from the change log and ignores those in the file",
                     config.name());
         } else if (!next.settings().equals(router.settings())) {
             LOG.info(
-                    "{} goes on with other settings, of {} classes",
+                    "{} applies new settings with {} request classes",
                     config.name(),
                     next.settings().decisions().requestClasses().size());
         }
         if (!next.listen().equals(config.listen())
                 || next.memoryMb() != config.memoryMb()
                 || !next.admin().equals(config.admin())) {
-            LOG.warn("the new configuration's addresses and memory count from the next start on");
+            LOG.warn("the new listen address, admin address and memory limit take effect at the next start");
         }
     }
 
@@ -266,7 +266,7 @@
     }
 
     private void exit() {
-        LOG.info("{} has answered all and ends", config.name());
+        LOG.info("{} stopped: all pending requests responded to", config.name());
         hotRestart.ifPresent(shared -> shared.processes().unregister());
         if (listener != null) {
             listener.close();
