--- a/src/main/java/ottergauge/transport/AdminConnection.java
+++ b/src/main/java/ottergauge/transport/AdminConnection.java
@@ -21,10 +21,10 @@
 import ottergauge.routing.AdminRequest;
 import ottergauge.routing.CloseReason;
 
-/** A connection of an operator: it carries one request, its response, and ends. */
+/** A connection to the admin listener. It carries one request and its response, then closes. */
 final class AdminConnection extends Connection {
 
-    /** Answers whether the node is healthy. */
+    /** Path of the node's health check. */
     static final String HEALTH_PATH = "/healthcheck";
 
     private static final String STATS_PATH = "/stats";
@@ -33,7 +33,7 @@
     private static final String START_MAINTENANCE = "maint";
     private static final String END_MAINTENANCE = "ready";
 
-    /** Requests have no body; one that is sent all the same is read up to this size. */
+    /** Admin requests have no body; an unexpected one is read up to this size. */
     private static final int MAX_BODY_BYTES = 4096;
 
     private final Consumer<AdminRequest> requestHandler;
@@ -113,7 +113,7 @@
         };
     }
 
-    // Split before it is decoded: a server's name may hold an encoded slash.
+    // The path is split before it is decoded: a server's name may contain an encoded slash.
     private static Optional<AdminRequest> change(String path) {
         int slash = path.lastIndexOf('/');
         if (!path.startsWith(SERVER_PREFIX) || slash <= SERVER_PREFIX.length()) {
@@ -122,7 +122,7 @@
         String encoded = path.substring(SERVER_PREFIX.length(), slash);
         String server;
         try {
-            // A plus stands for itself in a path.
+            // In a path, unlike in a query, a plus sign is literal.
             server = QueryStringDecoder.decodeComponent(encoded.replace("+", "%2B"));
         } catch (IllegalArgumentException e) {
             return Optional.empty();
@@ -134,7 +134,7 @@
         };
     }
 
-    /** Writes the response and closes the connection behind it; a second one is ignored. */
+    /** Writes the response and then closes the connection; a second response is ignored. */
     void respond(int status, String text) {
         respond(HttpResponseStatus.valueOf(status), text);
     }
@@ -155,7 +155,10 @@
         context().writeAndFlush(response).addListener(written -> close(CloseReason.NOT_REUSABLE));
     }
 
-    /** Ends the connection, by a response that says why if it has sent no request. */
+    /**
+     * Ends the connection. A client that has not sent a complete request first gets a response that
+     * says so.
+     */
     void onTimeout() {
         if (responded) {
             close(CloseReason.SLOW_ANSWER);
@@ -165,7 +168,7 @@
         }
     }
 
-    // A request is handled as soon as it is complete: what follows it gets no response.
+    // A request is handled as soon as it is complete; later bytes are ignored.
     @Override
     void onReadComplete() {}
 
--- a/src/main/java/ottergauge/transport/AdminListener.java
+++ b/src/main/java/ottergauge/transport/AdminListener.java
@@ -18,19 +18,19 @@
 import ottergauge.routing.Event.AdminRequestReceived;
 
 /**
- * Listens on the management address, with a few connections of its own that no flood of clients
- * uses up.
+ * Listens on the admin address. It has its own connection limit, so that a flood of clients cannot
+ * keep operators out.
  */
 final class AdminListener {
 
-    /** Enough for a few operators and a metrics collector at once. */
+    /** Enough for a few operators and a metrics collector at the same time. */
     private static final int MAX_CONNECTIONS = 24;
 
     private static final int BACKLOG = 256;
     private static final long REQUEST_TIMEOUT_MS = 2_000;
 
-    /** How long a new connection may be silent when others wait to be accepted. */
-    private static final long MIN_SILENCE_MS = 50;
+    /** When the limit is reached, a connection without a request is closed once it has this age. */
+    private static final long EVICTION_AGE_MS = 50;
 
     private static final String SIDE = "operator";
 
@@ -55,7 +55,10 @@
         return Listener.open(loop, address, BACKLOG, false, limiter, this::add);
     }
 
-    /** The node serves clients: connections from now on are operators', and not its own. */
+    /**
+     * Records that the node serves clients: later connections are opened by operators, not by the
+     * node itself.
+     */
     void startServing() {
         side = SIDE;
     }
@@ -83,7 +86,7 @@
         OpenConnection each = open.get(number);
         if (each != null) {
             each.connection().onTimeout();
-            // A caller that does not read its response must not stay connected.
+            // A client that does not read its response must not stay connected.
             schedule(() -> closeIfOpen(number), REQUEST_TIMEOUT_MS);
         }
     }
@@ -97,19 +100,20 @@
 
     private void scheduleEviction() {
         evictionScheduled = true;
-        schedule(this::evictSilent, MIN_SILENCE_MS);
+        schedule(this::evictConnectionsWithoutRequest, EVICTION_AGE_MS);
     }
 
-    // Who connects sends its request at once: who hasn't gives way to those that wait.
-    private void evictSilent() {
+    // A client normally sends its request right after it has connected. Connections without a
+    // request are closed, so that connections in the accept queue can be accepted.
+    private void evictConnectionsWithoutRequest() {
         evictionScheduled = false;
         if (!limiter.isFull()) {
             return;
         }
-        long newest = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(MIN_SILENCE_MS);
+        long latestOpenedAt = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(EVICTION_AGE_MS);
         List<OpenConnection> connections = new ArrayList<>(open.values());
         for (OpenConnection each : connections) {
-            if (each.openedAtNanos() <= newest && each.connection().isAwaitingRequest()) {
+            if (each.openedAtNanos() <= latestOpenedAt && each.connection().isAwaitingRequest()) {
                 each.connection().close(CloseReason.SOCKETS_SHORT);
             }
         }
--- a/src/main/java/ottergauge/transport/BodyBuffer.java
+++ b/src/main/java/ottergauge/transport/BodyBuffer.java
@@ -4,7 +4,10 @@
 import io.netty.buffer.ByteBuf;
 import java.util.Arrays;
 
-/** Collects a body up to a limit. It grows with what has arrived, not with what was announced. */
+/**
+ * Collects a body up to a limit. It grows with the bytes that have arrived, not with the announced
+ * length.
+ */
 final class BodyBuffer {
 
     private static final byte[] EMPTY = {};
@@ -25,7 +28,8 @@
             return false;
         }
         if (length + added > bytes.length) {
-            // Doubled each time: a body that arrives byte by byte is not copied with each of them.
+            // The capacity doubles, so that a body that arrives byte by byte is not copied for each
+            // byte.
             int capacity = Math.max(length + added, Math.max(MIN_CAPACITY, 2 * length));
             bytes = Arrays.copyOf(bytes, Math.min(maxBytes, capacity));
         }
--- a/src/main/java/ottergauge/transport/BodyRelay.java
+++ b/src/main/java/ottergauge/transport/BodyRelay.java
@@ -14,13 +14,13 @@
  * Relays a body from one connection to another, part by part, with back-pressure: the source is
  * read no faster than the destination is written, and not at all before there is a destination.
  *
- * <p>It owns a reference to each part that it holds; parts handed to the destination are released
- * by that when they are written, those that still wait by {@link #drop}.
+ * <p>It owns a reference to each part. The destination releases a part once it is written; {@link
+ * #drop} releases the parts that are still queued.
  */
 final class BodyRelay {
 
     private final Connection source;
-    private final Deque<HttpContent> waiting = new ArrayDeque<>();
+    private final Deque<HttpContent> queued = new ArrayDeque<>();
     private Connection destination;
     private Consumer<ChannelFuture> lastPartWritten;
     private boolean dropped;
@@ -31,20 +31,20 @@
         source.pauseReading();
     }
 
-    /** Adds a part, of which it takes a reference of its own. */
+    /** Adds a part and takes its own reference to it. */
     void add(HttpContent part) {
         if (dropped) {
             return;
         }
-        // Trailers end at this hop.
-        HttpContent own =
+        // Trailers are not forwarded.
+        HttpContent ownReference =
                 part instanceof LastHttpContent
                         ? new DefaultLastHttpContent(part.content().retain())
                         : new DefaultHttpContent(part.content().retain());
         if (destination == null) {
-            waiting.add(own);
+            queued.add(ownReference);
         } else {
-            write(own);
+            write(ownReference);
         }
     }
 
@@ -55,13 +55,13 @@
     /**
      * Relays to this connection from now on.
      *
-     * @param onLastPart is called once the last part is written, or could not be
+     * @param onLastPart called once the last part is written, or writing it has failed
      */
     void relayTo(Connection to, Consumer<ChannelFuture> onLastPart) {
         destination = to;
         lastPartWritten = onLastPart;
         destination.onWritable(this::resume);
-        for (HttpContent part = waiting.poll(); part != null; part = waiting.poll()) {
+        for (HttpContent part = queued.poll(); part != null; part = queued.poll()) {
             write(part);
         }
         destination.context().flush();
@@ -77,7 +77,8 @@
     private void write(HttpContent part) {
         ChannelFuture written = destination.context().write(part);
         if (part instanceof LastHttpContent) {
-            // The source carries other messages from now on, however slowly this end is written.
+            // The source can carry further messages now, even while the destination still writes
+            // this body.
             destination.onWritable(() -> {});
             source.resumeReading();
             written.addListener(done -> lastPartWritten.accept((ChannelFuture) done));
@@ -93,10 +94,10 @@
         }
     }
 
-    /** Ends the relay: parts that wait are released, and further ones are ignored. */
+    /** Ends the relay: queued parts are released and further ones are ignored. */
     void drop() {
         dropped = true;
-        for (HttpContent part = waiting.poll(); part != null; part = waiting.poll()) {
+        for (HttpContent part = queued.poll(); part != null; part = queued.poll()) {
             part.release();
         }
     }
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -32,8 +32,8 @@
 import ottergauge.routing.Event.StreamedRequestStarted;
 
 /**
- * A client's connection. It carries one request at a time: a request is reported once it has
- * arrived completely and nothing followed it, or as streamed once its body is too large to be
+ * A client's connection. It carries one request at a time. A request is reported once it has
+ * arrived completely and no bytes followed it, or as streamed once its body is too large to be
  * buffered.
  */
 final class ClientConnection extends Connection {
@@ -42,7 +42,7 @@
         AWAITING_HEAD,
         BUFFERING_BODY,
         STREAMING_BODY,
-        /** All parts have been handled, the end of their read is awaited. */
+        /** All parts have been handled; the end of the read is still to come. */
         RECEIVED,
         AWAITING_RESPONSE,
         /** Further input is ignored. */
@@ -51,14 +51,17 @@
 
     private static final long PROGRESS_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** As long as a client may need to notice a response while it writes. */
+    /** How long a client that is still writing may take to notice the response. */
     private static final long LINGER_MS = 1_000;
 
     private final long number;
     private final HttpFraming.RequestDecoder decoder;
     private final EventLoopMonitor monitor;
 
-    /** The earliest instant at which it can have come up, by the monitor's clock. */
+    /**
+     * The earliest instant at which the connection can have been established, by the monitor's
+     * clock.
+     */
     private final long connectedAt;
 
     private final long acceptedInRound;
@@ -71,12 +74,12 @@
 
     private BodyBuffer body;
 
-    /** The request's body if it is streamed, for as long as it may have to be dropped. */
+    /** The body of a streamed request, as long as this connection may have to drop it. */
     private StreamedBody stream;
 
     private boolean streamReceived;
     private boolean clientCloses;
-    private boolean finishing;
+    private boolean closingGracefully;
     private boolean headStartReported;
     private long unreportedBytes;
     private long progressReportedAt;
@@ -177,7 +180,7 @@
         }
         switch (stream.add(content)) {
             case TOO_LARGE -> rejectTooLarge();
-            case KEPT_BACK_AS_LAST -> stage = Stage.RECEIVED;
+            case LAST_PART_HELD -> stage = Stage.RECEIVED;
             case RELAYED -> onProgress(content.content().readableBytes());
         }
     }
@@ -188,7 +191,7 @@
                 fields, head.method().name(), head.uri(), new Content(type, bytes));
     }
 
-    // Reported now and then, not for each part: a body may arrive byte by byte.
+    // Progress is reported periodically and not for each part: a body may arrive byte by byte.
     private void onProgress(long bytes) {
         unreportedBytes += bytes;
         long now = System.nanoTime();
@@ -199,7 +202,7 @@
         }
     }
 
-    /** Relays the body of the streamed request, if it still has one, to a server's connection. */
+    /** Relays the body of the streamed request, if there still is one, to a server's connection. */
     void relayRequestTo(OutboundConnection server, ClientRequest request, long timeoutMs) {
         if (stream == null) {
             return;
@@ -211,7 +214,7 @@
         relayed.relayTo(server, server.sendHead(forwarded));
     }
 
-    // A request is reported only when nothing followed it, which would be read as another request.
+    // A request is reported only if no bytes followed it: they would be read as another request.
     @Override
     void onReadComplete() {
         if (stream != null) {
@@ -242,7 +245,7 @@
         events.accept(new StreamedRequestCompleted(number));
         StreamedBody received = stream;
         streamReceived = true;
-        // Without a server yet, it is kept for the one that will be chosen.
+        // If no server has been chosen yet, the body is kept until one is.
         stream = received.hasDestination() ? null : received;
         received.complete();
     }
@@ -256,7 +259,7 @@
         body = null;
     }
 
-    // What a new connection brings with it may be as old as the connection.
+    // The first request on a new connection may be as old as the connection.
     private long ageMicros() {
         boolean isNew = monitor.round() <= acceptedInRound + 1;
         return monitor.microsSince(isNew ? connectedAt : monitor.earliestArrival());
@@ -303,22 +306,22 @@
     private void onResponseWritten(boolean closes, boolean success) {
         events.accept(new ResponseWritten(number));
         if (closes && success) {
-            finish(CloseReason.NOT_REUSABLE);
+            closeGracefully(CloseReason.NOT_REUSABLE);
         } else if (closes) {
             close(CloseReason.NOT_REUSABLE);
         }
     }
 
     /**
-     * Ends the connection when everything is written. The client may be sending: if the connection
-     * was closed with unread bytes, it would be reset, and the last response lost with it. So the
-     * output is closed first, and what the client sends meanwhile is ignored.
+     * Closes the connection once everything is written. The client may still be sending: closing a
+     * connection with unread bytes would reset it, and the last response would be lost. The output
+     * is therefore shut down first, and further input is ignored.
      */
-    void finish(CloseReason reason) {
-        if (finishing) {
+    void closeGracefully(CloseReason reason) {
+        if (closingGracefully) {
             return;
         }
-        finishing = true;
+        closingGracefully = true;
         stage = Stage.ENDING;
         setCloseReason(reason);
         if (context().channel() instanceof DuplexChannel duplex && duplex.isActive()) {
@@ -331,7 +334,7 @@
         }
     }
 
-    // If it fails, the connection has ended already.
+    // A failure means that the connection has already ended.
     @SuppressWarnings("FutureReturnValueIgnored")
     private static void shutDownOutput(DuplexChannel channel) {
         channel.shutdownOutput();
--- a/src/main/java/ottergauge/transport/ClientResponses.java
+++ b/src/main/java/ottergauge/transport/ClientResponses.java
@@ -22,12 +22,12 @@
 
     private ClientResponses() {}
 
-    /** An interim response by which the client sends its body. */
+    /** The interim response that asks the client to send its body. */
     static FullHttpResponse continueResponse() {
         return full(HttpResponseStatus.CONTINUE, Content.NONE);
     }
 
-    /** A complete response; {@code closes} announces the connection's end. */
+    /** A complete response; {@code closes} announces that the connection will be closed. */
     static FullHttpResponse complete(Respond effect, boolean closes) {
         Content content = effect.content();
         FullHttpResponse response = full(HttpResponseStatus.valueOf(effect.status()), content);
--- a/src/main/java/ottergauge/transport/Clock.java
+++ b/src/main/java/ottergauge/transport/Clock.java
@@ -2,8 +2,8 @@
 package ottergauge.transport;
 
 /**
- * Unix time in microseconds that only goes forward: read once, then carried on by the monotonic
- * clock.
+ * Unix time in microseconds that never goes back: the system clock is read once and then advanced
+ * by the monotonic clock.
  */
 final class Clock {
 
--- a/src/main/java/ottergauge/transport/Connection.java
+++ b/src/main/java/ottergauge/transport/Connection.java
@@ -9,12 +9,13 @@
 import java.io.IOException;
 import ottergauge.routing.CloseReason;
 
-/** An open HTTP connection. Of the reasons given for its end the first one is reported. */
+/** An open HTTP connection. If several reasons are given for its end, the first one is reported. */
 abstract class Connection extends ChannelInboundHandlerAdapter {
 
     /**
-     * From how many unwritten bytes on the source of a body is not read, and below how many it is
-     * again: this much of each relayed body is in memory.
+     * The source of a relayed body is not read while more unwritten bytes are buffered than the
+     * high-water mark, until they fall below the low-water mark. This bounds the memory of each
+     * relayed body.
      */
     static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
@@ -24,7 +25,7 @@
     private CloseReason closeReason;
     private Runnable writableHandler = () -> {};
 
-    /** {@code side} is what the log calls the other end. */
+    /** {@code side} is the peer's role, for the log. */
     Connection(String side) {
         this.side = side;
     }
@@ -32,7 +33,7 @@
     /** Handles a part of a message; its buffer is released afterwards. */
     abstract void onPart(HttpObject part);
 
-    /** Handles the end of a read: every part that had arrived was handled. */
+    /** Handles the end of a read, after all parts that had arrived were handled. */
     abstract void onReadComplete();
 
     /** Handles the connection's end. */
@@ -42,36 +43,36 @@
         return context;
     }
 
-    /** The other end's address. */
+    /** The peer's address. */
     final String address() {
         return address;
     }
 
-    /** Gives a reason for the connection's end, in case that no other was given before. */
+    /** Sets the reason for the connection's end, unless one has been set before. */
     final void setCloseReason(CloseReason reason) {
         closeReason = closeReason == null ? reason : closeReason;
     }
 
-    // The outcome of this and of the two writes below is seen by the connection's end.
+    // If this or one of the two writes below fails, the connection ends, which is reported.
     @SuppressWarnings("FutureReturnValueIgnored")
     final void close(CloseReason reason) {
         setCloseReason(reason);
         context.close();
     }
 
-    /** Writes a message whose loss ends the connection anyway. */
+    /** Writes a message; a failure ends the connection anyway. */
     @SuppressWarnings("FutureReturnValueIgnored")
     final void writeAndFlush(HttpObject message) {
         context.writeAndFlush(message);
     }
 
-    /** Writes a message, to be flushed with what follows it. */
+    /** Writes a message that a later flush sends. */
     @SuppressWarnings("FutureReturnValueIgnored")
     final void write(HttpObject message) {
         context.write(message);
     }
 
-    /** Stops reading: further bytes wait at the sender. */
+    /** Stops reading, so that TCP flow control holds back the sender. */
     final void pauseReading() {
         context.channel().config().setAutoRead(false);
     }
@@ -80,7 +81,7 @@
         context.channel().config().setAutoRead(true);
     }
 
-    /** Whether fewer bytes wait to be written than the high water mark. */
+    /** Whether fewer bytes wait to be written than the high-water mark. */
     final boolean isWritable() {
         return context.channel().isWritable();
     }
@@ -107,7 +108,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            // What a decoder makes of leftover bytes after the connection's end is no message.
+            // After the connection's end, a decoder may emit leftover bytes as a message: ignored.
             if (ctx.channel().isActive()) {
                 onPart((HttpObject) message);
             }
--- a/src/main/java/ottergauge/transport/ConnectionLimiter.java
+++ b/src/main/java/ottergauge/transport/ConnectionLimiter.java
@@ -6,8 +6,8 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Accepts connections up to a limit; further ones wait in the system's accept queue and use no
- * descriptor. It is the handler of a listening channel.
+ * Accepts connections up to a limit; further ones wait in the operating system's accept queue,
+ * where they use no descriptor. This is the handler of a listening channel.
  */
 final class ConnectionLimiter extends ChannelInboundHandlerAdapter {
 
@@ -21,7 +21,7 @@
     private int acceptedInRound;
     private long earliestArrival;
 
-    /** The last round accepted all that it may: there may be more that have waited as long. */
+    /** Whether the last round accepted as many as it may: more may have waited for as long. */
     private boolean moreWaiting;
 
     private Channel listener;
@@ -46,8 +46,8 @@
 
     /**
      * The earliest instant, by the monitor's clock, at which the connection that is being accepted
-     * can have come up. Of those that wait because the limit is reached nothing is known: they
-     * count as having come up now.
+     * can have been established. For connections that waited because the limit was reached, this is
+     * unknown; they count as established now.
      */
     long earliestArrival() {
         return earliestArrival;
--- a/src/main/java/ottergauge/transport/ConnectionLog.java
+++ b/src/main/java/ottergauge/transport/ConnectionLog.java
@@ -10,15 +10,15 @@
 
     private static final Logger LOG = LoggerFactory.getLogger("ottergauge.connection");
 
-    /** The side of connections that the node opens to itself, which aren't logged. */
+    /** The side of connections that the node opens to itself, which are not logged. */
     static final String SELF = "itself";
 
     private ConnectionLog() {}
 
     /**
-     * Logs that a connection ended, or did not come up.
+     * Logs that a connection ended or could not be established.
      *
-     * @param side what the log calls the other end: client, server, discovery or operator
+     * @param side the peer's role: client, server, discovery or operator
      */
     static void ended(String side, Object peer, CloseReason reason) {
         if (!SELF.equals(side)) {
--- a/src/main/java/ottergauge/transport/DiscoveryClient.java
+++ b/src/main/java/ottergauge/transport/DiscoveryClient.java
@@ -25,7 +25,10 @@
 import ottergauge.routing.Event.EndpointListReceived;
 import ottergauge.routing.Event.EndpointListRejected;
 
-/** Polls discovery, each time on a connection of its own; an idle one is kept for the next poll. */
+/**
+ * Polls discovery. Concurrent polls use separate connections; an idle one is kept for the next
+ * poll.
+ */
 final class DiscoveryClient {
 
     private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
@@ -36,12 +39,12 @@
 
     private final OutboundConnection.Dialer dialer;
 
-    /** A larger list is rejected. */
+    /** The size limit of an endpoint list; a larger one is rejected. */
     private final int maxListBytes;
 
     private final Consumer<Event> events;
 
-    /** The open polls; one whose connection is not established yet has none. */
+    /** The open polls and their connections; empty until the connection is established. */
     private final Map<Long, Optional<OutboundConnection>> openPolls = new HashMap<>();
 
     private OutboundConnection idle;
@@ -53,12 +56,11 @@
         this.maxListBytes = maxListBytes;
     }
 
-    /** Begins a poll, beside those that have no answer yet. */
+    /** Starts a poll; earlier ones without a response stay open. */
     void poll(PollDiscovery effect) {
         if (!openPolls.isEmpty()) {
             LOG.warn(
-                    "{} discovery polls are not answered in time, polling again",
-                    openPolls.size());
+                    "{} discovery polls are not answered in time, polling again", openPolls.size());
         }
         OutboundConnection reused = idle;
         idle = null;
@@ -121,7 +123,7 @@
         connection.send(request, () -> {}, response -> onResponse(effect, connection, response));
     }
 
-    // Without a version the complete list is asked for.
+    // Without a version, discovery returns the complete list.
     private static String uri(PollDiscovery effect) {
         if (effect.afterVersion() < 0) {
             return Paths.ENDPOINTS;
@@ -165,7 +167,7 @@
         }
     }
 
-    /** Ends a poll; an answer to it is ignored. */
+    /** Cancels a poll; a later response to it is ignored. */
     void cancel(CancelPoll effect) {
         Optional<OutboundConnection> connection = openPolls.remove(effect.poll());
         if (connection != null) {
--- a/src/main/java/ottergauge/transport/DownstreamConnections.java
+++ b/src/main/java/ottergauge/transport/DownstreamConnections.java
@@ -20,12 +20,14 @@
 import ottergauge.routing.Event.ClientClosed;
 import ottergauge.routing.Event.ClientConnected;
 
-/** The clients' open connections, and the address that they connect to. */
+/** The clients' open connections and the listener that accepts them. */
 final class DownstreamConnections {
 
     private static final Logger LOG = LoggerFactory.getLogger(DownstreamConnections.class);
 
-    /** As many as a burst of clients may open within a round of the event loop. */
+    /**
+     * Enough for the connections that a burst of clients opens within one round of the event loop.
+     */
     private static final int BACKLOG = 1024;
 
     private static final String SIDE = "client";
@@ -54,12 +56,18 @@
                 pipeline -> add(pipeline, limiter.earliestArrival()));
     }
 
-    /** The node serves clients: connections from now on are theirs, and not its own. */
+    /**
+     * Records that the node serves clients: later connections are opened by clients, not by the
+     * node itself.
+     */
     void startServing() {
         side = SIDE;
     }
 
-    /** Adds a new connection; {@code connectedAt} is by the monitor's clock, at the earliest. */
+    /**
+     * Adds a new connection; {@code connectedAt} is the earliest instant at which it can have been
+     * established, by the monitor's clock.
+     */
     void add(ChannelPipeline pipeline, long connectedAt) {
         long number = ++lastNumber;
         HttpFraming.RequestDecoder decoder = new HttpFraming.RequestDecoder();
@@ -99,7 +107,10 @@
         }
     }
 
-    /** Relays a client's streamed request to a server; null if that connection has ended. */
+    /**
+     * Relays a client's streamed request to a server; {@code server} is null if that connection has
+     * ended.
+     */
     void relayRequest(ForwardStream effect, OutboundConnection server) {
         ClientConnection connection = connections.get(effect.client());
         if (connection != null && server != null) {
@@ -108,7 +119,10 @@
         }
     }
 
-    /** Relays a server's streamed response to a client; null if the connection has ended. */
+    /**
+     * Relays a server's streamed response to a client; {@code server} is null if that connection
+     * has ended.
+     */
     void relayResponse(RelayResponse effect, OutboundConnection server) {
         ClientConnection connection = connections.get(effect.client());
         if (connection != null && server != null) {
@@ -122,13 +136,13 @@
             return;
         }
         switch (effect.reason()) {
-            case IDLE, STOPPING -> connection.finish(effect.reason());
-            // Its descriptor is needed at once, or the client can't be told anything.
+            case IDLE, STOPPING -> connection.closeGracefully(effect.reason());
+            // Its descriptor is needed at once, or the client cannot be sent anything.
             default -> connection.close(effect.reason());
         }
     }
 
-    /** Runs a task once no connection is open, those included that are about to end. */
+    /** Runs a task once all connections are closed, including those that are about to end. */
     void whenEmpty(Runnable task) {
         if (connections.isEmpty()) {
             task.run();
--- a/src/main/java/ottergauge/transport/EffectPerformer.java
+++ b/src/main/java/ottergauge/transport/EffectPerformer.java
@@ -10,7 +10,7 @@
 import ottergauge.routing.Effect;
 import ottergauge.routing.Event;
 
-/** Performs the router's effects, all but those that end the node. */
+/** Performs the router's effects, except for those that stop the node. */
 final class EffectPerformer {
 
     private static final Logger LOG = LoggerFactory.getLogger(EffectPerformer.class);
@@ -87,9 +87,10 @@
         }
     }
 
-    // What has arrived by now is read before the loop runs tasks, and the end of a connection that
-    // was read is reported by a task: so it is the second task from now. After a long round more
-    // has arrived since, which the next round reads.
+    // The loop reads the input that has arrived before it runs its tasks, and it reports the end of
+    // a connection in such a task. The event is therefore sent by a second task, which the first
+    // task schedules. If this round has taken long, more input has arrived meanwhile, and the next
+    // round reads it first.
     private void readPendingInput(Effect.ReadPendingInput effect) {
         Event read = new Event.PendingInputRead(effect.connection());
         Runnable afterReading = () -> loop.execute(() -> events.take(read));
@@ -114,7 +115,7 @@
         }
     }
 
-    /** Closes the connection that a failed effect was for, by which the router learns of it. */
+    /** Closes the connection of a failed effect, so that the router learns of the failure. */
     void closeConnectionOf(Effect effect) {
         if (effect instanceof Effect.ForwardStream e) {
             servers.close(new Effect.CloseUpstream(e.connection(), CloseReason.MALFORMED));
--- a/src/main/java/ottergauge/transport/EndpointCache.java
+++ b/src/main/java/ottergauge/transport/EndpointCache.java
@@ -11,7 +11,7 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.protocol.ProtocolException;
 
-/** The endpoint list as a process of this node had it last, for the next process. */
+/** Stores the latest endpoint list of a process of this node for the next process. */
 final class EndpointCache {
 
     private static final Logger LOG = LoggerFactory.getLogger(EndpointCache.class);
@@ -22,14 +22,14 @@
     private final Path part;
     private final int maxListBytes;
 
-    /** The cache in this directory; a larger list than {@code maxListBytes} is ignored. */
+    /** Creates a cache in a directory; a list larger than {@code maxListBytes} is ignored. */
     EndpointCache(Path directory, int maxListBytes) {
         this.maxListBytes = maxListBytes;
         file = directory.resolve(FILE_NAME);
         part = directory.resolve(PART_PREFIX + ProcessHandle.current().pid());
     }
 
-    /** Replaces the list atomically; a failure is logged and leaves the list before. */
+    /** Replaces the list atomically; a failure is logged and leaves the previous list in place. */
     void write(EndpointList list) {
         try {
             Files.write(part, list.json());
@@ -44,10 +44,10 @@
     }
 
     /**
-     * Returns the configuration with the cached list, if that is newer than its own.
+     * Returns the configuration with the cached list if that is newer than its own.
      *
      * @param otherProcessAlive whether another process of this node keeps the cache up to date, so
-     *     that it counts whatever its version
+     *     that it is used whatever its version
      */
     NodeConfig withCachedList(NodeConfig config, boolean otherProcessAlive) {
         try {
--- a/src/main/java/ottergauge/transport/EventLoopLag.java
+++ b/src/main/java/ottergauge/transport/EventLoopLag.java
@@ -22,7 +22,7 @@
     }
 
     /**
-     * Records the lag of each run that was due by now, of those that were missed too.
+     * Records the lag of each run that was due by now, including missed runs.
      *
      * @return the nanoseconds until the next run is due
      */
--- a/src/main/java/ottergauge/transport/EventLoopMonitor.java
+++ b/src/main/java/ottergauge/transport/EventLoopMonitor.java
@@ -8,24 +8,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * Estimates the earliest instant at which what the event loop reads now can have arrived in the
- * system's buffers. A process that was short of CPU, or stopped, reads everything that arrived
- * meanwhile at one instant; if that counted as the arrival, requests whose deadline has passed
- * would be forwarded and waited for.
+ * Estimates the earliest instant at which the input that the event loop reads now can have arrived
+ * in the operating system's buffers. A process that was short of CPU, or stopped, reads all input
+ * that arrived meanwhile at one instant. If that instant counted as the arrival, the node would
+ * forward requests whose deadline has passed and wait for their responses.
  *
- * <p>In each round the loop selects what is ready, waiting if nothing is, and handles it. What is
- * ready without waiting arrived after the select of the round before; what ends a wait arrived just
- * then. A wait longer than any timer allows is none: the process stood still for an unknown part of
- * it. It may end with nothing ready, as the system ends the wait of a process that it continues.
+ * <p>In each round the loop selects the channels that are ready, waits if there are none, and
+ * handles them. Input that is ready without a wait arrived after the select of the previous round;
+ * input that ends a wait arrived at that moment. If a wait is longer than any timer allows, the
+ * process was stalled for an unknown part of it. Such a wait may end with no channel ready, because
+ * the operating system ends the wait of a stopped process when it continues the process.
  */
 final class EventLoopMonitor implements SelectStrategy {
 
-    /** A wait no longer than this is the time that the select itself takes. */
+    /** A wait up to this long is taken for the duration of the select itself. */
     private static final long MAX_SELECT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private static final long MAX_ROUND_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-    /** The router has a timer each 250 ms. */
+    /** The router has a timer every 250 ms, so that a longer wait is a stall. */
     private static final long MAX_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private static final long NANOS_PER_MICRO = 1_000;
@@ -37,34 +38,39 @@
     private long selectedAt;
     private boolean handling;
 
-    /** Until when this round's select, and that of the round before, reported all arrivals. */
+    /** The select of this round reported all input that had arrived by this instant. */
     private long reportedUntil;
 
-    private long reportedUntilBefore;
+    /** The same for the previous round. */
+    private long previousReportedUntil;
+
     private long earliestArrival;
 
-    /** Whether the process stood still in the round before. */
-    private boolean stalledBefore;
+    /** Whether the process was stalled in the previous round. */
+    private boolean previouslyStalled;
 
     /** {@code nanos} is a monotonic clock in nanoseconds. */
     EventLoopMonitor(LongSupplier nanos) {
         this.nanos = nanos;
         selectedAt = nanos.getAsLong();
-        reportedUntilBefore = selectedAt;
+        previousReportedUntil = selectedAt;
     }
 
-    /** A round of the loop begins. */
+    /** Starts a round of the loop. */
     @Override
     public int calculateStrategy(IntSupplier ready, boolean hasTasks) throws Exception {
         beginHandling();
         round++;
         selectedAt = nanos.getAsLong();
-        reportedUntilBefore = reportedUntil;
+        previousReportedUntil = reportedUntil;
         handling = false;
         return strategy.calculateStrategy(ready, hasTasks);
     }
 
-    /** Notes that something is handled; the first call in a round tells how long it waited. */
+    /**
+     * Records that the loop handles input or an event; the first call in a round ends the
+     * measurement of its wait.
+     */
     void beginHandling() {
         if (handling) {
             return;
@@ -74,15 +80,17 @@
         long waited = now - selectedAt;
         boolean stalled = waited > MAX_WAIT_NANOS;
         reportedUntil = stalled ? selectedAt : now;
-        // Arrivals during a stall may be reported a round later, and on a busy machine not without
-        // a wait.
+        // Input that arrived during a stall may be reported a round later, and on a busy machine
+        // only after another wait.
         earliestArrival =
-                waited <= MAX_SELECT_NANOS || stalledBefore ? reportedUntilBefore : reportedUntil;
-        stalledBefore = stalled;
+                waited <= MAX_SELECT_NANOS || previouslyStalled
+                        ? previousReportedUntil
+                        : reportedUntil;
+        previouslyStalled = stalled;
     }
 
     /**
-     * Whether this round has taken so long that more is likely to have arrived since its select.
+     * Whether this round has taken so long that more input has probably arrived since its select.
      */
     boolean isBehind() {
         return nanos.getAsLong() - selectedAt > MAX_ROUND_NANOS;
--- a/src/main/java/ottergauge/transport/EventQueue.java
+++ b/src/main/java/ottergauge/transport/EventQueue.java
@@ -7,8 +7,8 @@
 import ottergauge.routing.Event;
 
 /**
- * Handles events in turn: one that an effect brings at once waits until the event before it is
- * handled.
+ * Handles events one at a time: an event that an effect causes immediately is queued until the
+ * current event has been handled.
  */
 final class EventQueue {
 
--- a/src/main/java/ottergauge/transport/HollowEvent.java
+++ b/src/main/java/ottergauge/transport/HollowEvent.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What hollow nodes report. Instants are wall-clock microseconds, so that they can be compared with
- * those of other processes on the same machine.
+ * An event that hollow nodes report. Instants are wall-clock microseconds, so that they can be
+ * compared with those of other processes on the same machine.
  */
 public sealed interface HollowEvent {
 
@@ -16,31 +16,31 @@
     }
 
     /**
-     * What a call asks for. {@code FAILED} stands for a call, of either kind, that brought nothing.
+     * What a poll asks for. {@code FAILED} stands for a poll of either kind that returned nothing.
      */
-    enum CallKind {
+    enum PollKind {
         WHOLE,
         CHANGES,
         FAILED
     }
 
     /**
-     * A version has taken effect at a node; {@code entries} came with it, of a complete state or of
-     * changes.
+     * A version has taken effect at a node. {@code entries} is the number of entries that came with
+     * it, in a complete state or in changes.
      */
     record VersionEffective(
             String node, Source source, long version, boolean complete, int entries, long at)
             implements HollowEvent {}
 
     /**
-     * So many calls began, or failed, in the span of {@link HollowCallCounter#SPAN_MICROS} that
-     * begins at {@code at}.
+     * The number of polls that were sent, or failed, in the span of {@link
+     * HollowPollCounter#SPAN_MICROS} that begins at {@code at}.
      */
-    record PollCount(Source source, CallKind kind, long count, long at) implements HollowEvent {}
+    record PollCount(Source source, PollKind kind, long count, long at) implements HollowEvent {}
 
     /**
-     * A node's bytes in the span of {@link HollowTrafficCounter#SPAN_MICROS} that begins at {@code
-     * at}.
+     * The bytes that a node received and sent in the span of {@link
+     * HollowTrafficCounter#SPAN_MICROS} that begins at {@code at}.
      */
     record Traffic(String node, Source source, long bytesIn, long bytesOut, long at)
             implements HollowEvent {}
@@ -51,9 +51,9 @@
     /** The number of a node's servers, and a digest of their names and statuses. */
     record ServerStatuses(String node, int count, String digest, long at) implements HollowEvent {}
 
-    /** The router asked for an effect that needs what a hollow node lacks. */
+    /** The router requested an effect that a hollow node cannot perform. */
     record EffectOmitted(String node, String effect, long at) implements HollowEvent {}
 
-    /** All nodes of this process have been started, or started anew. */
+    /** All nodes of this process have been started or restarted. */
     record FleetStarted(int nodes, long at) implements HollowEvent {}
 }
--- a/src/main/java/ottergauge/transport/HollowFleet.java
+++ b/src/main/java/ottergauge/transport/HollowFleet.java
@@ -10,8 +10,8 @@
 import ottergauge.protocol.NodeConfig;
 
 /**
- * Many hollow nodes in one process, on few event loops. Nodes of one loop wait for each other: the
- * lag of each loop is reported, so that a delay of the process isn't taken for one of the nodes.
+ * Many hollow nodes in one process, on few event loops. Nodes of one loop delay each other. The lag
+ * of each loop is reported, so that a delay of the process is not attributed to the nodes.
  */
 public final class HollowFleet implements AutoCloseable {
 
@@ -22,8 +22,8 @@
     private final Consumer<HollowEvent> observer;
 
     /**
-     * One node for each configuration; {@code observer} is told on the loops and must not block
-     * them.
+     * Creates one node for each configuration; {@code observer} is called on the loops and must not
+     * block them.
      */
     public HollowFleet(List<NodeConfig> configs, int loops, Consumer<HollowEvent> observer) {
         this.observer = observer;
@@ -43,17 +43,17 @@
         return TimeUnit.SECONDS.toMicros(now.getEpochSecond()) + now.getNano() / MICROS;
     }
 
-    /** The bounds, in milliseconds, between which {@link HollowEvent.LoopLag} counts. */
+    /** The bounds of the buckets of {@link HollowEvent.LoopLag}, in milliseconds. */
     public static List<Integer> lagBoundsMs() {
         return EventLoopLag.BOUNDS_MS;
     }
 
-    /** Starts all nodes, spread evenly over so many milliseconds. */
+    /** Starts all nodes, spread evenly over {@code overMs} milliseconds. */
     public CompletableFuture<Void> start(long overMs) {
         return whenAll(loops.stream().map(loop -> loop.start(overMs)).toList());
     }
 
-    /** Drops all nodes with their connections and state, and starts them anew at once. */
+    /** Drops all nodes with their connections and state, and starts all of them again at once. */
     public CompletableFuture<Void> restart() {
         return whenAll(loops.stream().map(HollowLoop::restart).toList());
     }
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -15,35 +15,38 @@
 import ottergauge.protocol.NodeConfig;
 import ottergauge.transport.HollowEvent.Source;
 
-/** Hollow nodes that share one event loop, whose lag it reports. */
+/** Runs hollow nodes that share one event loop, and reports the lag of the loop. */
 final class HollowLoop {
 
     private static final long REPORT_PERIOD_MS = 500;
 
     private final int number;
     private final List<NodeConfig> configs;
-    private final LongSupplier wall;
+    private final LongSupplier wallClock;
     private final Consumer<HollowEvent> observer;
     private final Vertx vertx = SingleLoopTransport.vertx(new EventLoopMonitor(System::nanoTime));
     private final ContextInternal context = (ContextInternal) vertx.getOrCreateContext();
     private final NetClient client = vertx.createNetClient();
-    private final HollowCallCounter calls;
+    private final HollowPollCounter polls;
     private final EventLoopLag lag = new EventLoopLag(System.nanoTime());
     private final List<HollowNode> nodes = new ArrayList<>();
 
     HollowLoop(
             int number,
             List<NodeConfig> configs,
-            LongSupplier wall,
+            LongSupplier wallClock,
             Consumer<HollowEvent> observer) {
         this.number = number;
         this.configs = configs;
-        this.wall = wall;
+        this.wallClock = wallClock;
         this.observer = observer;
-        calls = new HollowCallCounter(Source.DISCOVERY, wall, observer);
+        polls = new HollowPollCounter(Source.DISCOVERY, wallClock, observer);
     }
 
-    /** Starts its nodes one after the other over so many milliseconds; completes with the last. */
+    /**
+     * Starts the nodes one after the other over {@code overMs} milliseconds; completes with the
+     * last one.
+     */
     CompletableFuture<Void> start(long overMs) {
         CompletableFuture<Void> started = new CompletableFuture<>();
         context.runOnContext(
@@ -70,12 +73,17 @@
     private void add(NodeConfig config) {
         HollowNode node =
                 new HollowNode(
-                        config, vertx, OutboundConnection.dialer(client), wall, calls, observer);
+                        config,
+                        vertx,
+                        OutboundConnection.dialer(client),
+                        wallClock,
+                        polls,
+                        observer);
         nodes.add(node);
         node.start();
     }
 
-    /** Drops all nodes with their connections and state, and starts them anew at once. */
+    /** Drops all nodes with their connections and state, and starts all of them again at once. */
     CompletableFuture<Void> restart() {
         CompletableFuture<Void> started = new CompletableFuture<>();
         context.runOnContext(
@@ -100,15 +108,15 @@
 
     private void report() {
         nodes.forEach(HollowNode::report);
-        calls.report();
+        polls.report();
         observer.accept(
                 new HollowEvent.LoopLag(
                         number,
                         Arrays.stream(lag.takeCounts()).boxed().toList(),
-                        wall.getAsLong()));
+                        wallClock.getAsLong()));
     }
 
-    /** Ends the loop with its nodes. */
+    /** Closes the loop and its nodes. */
     void close() {
         vertx.close();
     }
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -21,62 +21,65 @@
 import ottergauge.routing.Effect;
 import ottergauge.routing.Event;
 import ottergauge.routing.Router;
-import ottergauge.transport.HollowEvent.CallKind;
+import ottergauge.transport.HollowEvent.PollKind;
 import ottergauge.transport.HollowEvent.ServerStatuses;
 import ottergauge.transport.HollowEvent.Source;
 import ottergauge.transport.HollowEvent.VersionEffective;
 
 /**
- * One node without clients, listener and servers: the reducer, the decisions, the codecs and the
- * connections by which it follows its list are those of a real one. It lives from {@link #start} to
- * {@link #drop}; what comes for it after that is passed over. All of it is used on one loop.
+ * One node without clients, listeners and servers. Its router, decision engine, codecs and the
+ * connections to discovery are those of a real node. It runs from {@link #start} to {@link #drop};
+ * later events are ignored. It is used on one event loop.
  */
 final class HollowNode {
 
     private static final Logger LOG = LoggerFactory.getLogger(HollowNode.class);
     private static final int DIGEST_BYTES = 8;
-    // An operator's call has a number; the node answers at once, so that one number serves for all.
-    private static final long CALLER = 1;
+    // An admin request names its connection. The router responds at once, so that all requests can
+    // use the same number.
+    private static final long ADMIN_CONNECTION = 1;
 
     private final NodeConfig config;
-    private final LongSupplier wall;
+    private final LongSupplier wallClock;
     private final Consumer<HollowEvent> observer;
-    private final HollowCallCounter calls;
+    private final HollowPollCounter polls;
     private final HollowTrafficCounter traffic;
     private final Clock clock = new Clock();
     private final Timers timers;
     private final EventQueue events = new EventQueue(this::handle);
-    private final Set<Channel> open = new HashSet<>();
+    private final Set<Channel> openChannels = new HashSet<>();
     private final DiscoveryClient discovery;
     private final Router router;
     private boolean dropped;
 
-    /** The effective list's version, and the one that the current event may make effective. */
+    /** The version of the list in effect. */
     private long effectiveVersion;
 
+    /** The version that the current event may put into effect. */
     private long nextVersion;
 
-    /** {@code wall} is the clock that the observer is told instants of. */
+    /** {@code wallClock} is the clock of the instants that are reported to the observer. */
     HollowNode(
             NodeConfig config,
             Vertx vertx,
             OutboundConnection.Dialer dialer,
-            LongSupplier wall,
-            HollowCallCounter calls,
+            LongSupplier wallClock,
+            HollowPollCounter polls,
             Consumer<HollowEvent> observer) {
         this.config = config;
-        this.wall = wall;
+        this.wallClock = wallClock;
         this.observer = observer;
-        this.calls = calls;
-        traffic = new HollowTrafficCounter(config.name(), Source.DISCOVERY, wall, observer);
+        this.polls = polls;
+        traffic = new HollowTrafficCounter(config.name(), Source.DISCOVERY, wallClock, observer);
         timers =
                 new Timers(
                         clock::micros,
                         (millis, task) -> vertx.setTimer(millis, fired -> task.run()));
         discovery =
                 new DiscoveryClient(
-                        (side, address, timeoutMs, mostBody) ->
-                                dialer.dial(side, address, timeoutMs, mostBody).map(this::counted),
+                        (side, address, timeoutMs, maxBodyBytes) ->
+                                dialer.dial(side, address, timeoutMs, maxBodyBytes)
+                                        .map(this::counted),
                         config.maxListBytes(),
                         this::take);
         router = new Router(config, this::perform);
@@ -86,8 +89,8 @@
     private OutboundConnection counted(OutboundConnection connection) {
         Channel channel = connection.context().channel();
         channel.pipeline().addFirst(traffic.counter());
-        open.add(channel);
-        channel.closeFuture().addListener(closed -> open.remove(channel));
+        openChannels.add(channel);
+        channel.closeFuture().addListener(closed -> openChannels.remove(channel));
         return connection;
     }
 
@@ -96,16 +99,16 @@
     }
 
     /**
-     * Ends it as if its process were killed: its connections are closed and it does nothing any
-     * more.
+     * Ends the node as if its process were killed: its connections are closed and further events
+     * are ignored.
      */
     void drop() {
         dropped = true;
-        List.copyOf(open).forEach(HollowNode::close);
+        List.copyOf(openChannels).forEach(HollowNode::close);
         traffic.report();
     }
 
-    // Nothing is lost by the close of a connection that is dropped.
+    // The result does not matter: the connection is dropped.
     @SuppressWarnings("FutureReturnValueIgnored")
     private static void close(Channel channel) {
         channel.close();
@@ -118,7 +121,7 @@
 
     /** Reports the status of all servers. */
     void reportServers() {
-        take(new Event.AdminRequestReceived(CALLER, new AdminRequest.Servers()));
+        take(new Event.AdminRequestReceived(ADMIN_CONNECTION, new AdminRequest.Servers()));
     }
 
     private void take(Event event) {
@@ -147,7 +150,7 @@
                             effectiveVersion,
                             list.complete(),
                             list.endpoints().size(),
-                            wall.getAsLong()));
+                            wallClock.getAsLong()));
         }
     }
 
@@ -155,7 +158,7 @@
         if (effect instanceof Effect.PollDiscovery e) {
             poll(e);
         } else if (effect instanceof Effect.CancelPoll e) {
-            calls.count(CallKind.FAILED);
+            polls.count(PollKind.FAILED);
             discovery.cancel(e);
         } else if (effect instanceof Effect.StartTimer e) {
             timers.start(e.delayMicros(), () -> take(new Event.TimerFired(e.timer())));
@@ -169,26 +172,25 @@
         }
     }
 
-    // A call that goes on from a version asks for what is newer: what it names is in force once the
-    // event in
-    // hand is handled.
+    // A poll with a version asks for newer ones: that version is in effect once the current event
+    // has been handled.
     private void poll(Effect.PollDiscovery effect) {
         nextVersion = effect.afterVersion();
-        calls.count(
+        polls.count(
                 effect.afterVersion() <= EndpointList.EMPTY.version()
-                        ? CallKind.WHOLE
-                        : CallKind.CHANGES);
+                        ? PollKind.WHOLE
+                        : PollKind.CHANGES);
         discovery.poll(effect);
     }
 
     private void reportOmitted(Effect effect) {
         observer.accept(
                 new HollowEvent.EffectOmitted(
-                        config.name(), effect.getClass().getSimpleName(), wall.getAsLong()));
+                        config.name(), effect.getClass().getSimpleName(), wallClock.getAsLong()));
     }
 
-    // The order of names is that in which they were heard of first, which differs from node to
-    // node.
+    // The names come in the order in which the node first learned of them, which differs from node
+    // to node.
     private ServerStatuses serverStatuses(String text) {
         List<String> lines = new ArrayList<>(text.lines().toList());
         lines.sort(null);
@@ -196,7 +198,7 @@
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
             lines.forEach(line -> digest.update((line + '\n').getBytes(StandardCharsets.UTF_8)));
             String hex = HexFormat.of().formatHex(digest.digest(), 0, DIGEST_BYTES);
-            return new ServerStatuses(config.name(), lines.size(), hex, wall.getAsLong());
+            return new ServerStatuses(config.name(), lines.size(), hex, wallClock.getAsLong());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/ottergauge/transport/HollowCallCounter.java
+++ b/src/main/java/ottergauge/transport/HollowPollCounter.java
@@ -6,12 +6,15 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import ottergauge.transport.HollowEvent.CallKind;
 import ottergauge.transport.HollowEvent.PollCount;
+import ottergauge.transport.HollowEvent.PollKind;
 import ottergauge.transport.HollowEvent.Source;
 
-/** Counts the polls of one source by all nodes of a loop, by kind, in spans of equal length. */
-final class HollowCallCounter {
+/**
+ * Counts the polls that all nodes of a loop send to one source, by kind and in time spans of equal
+ * length.
+ */
+final class HollowPollCounter {
 
     /** The length of a span. */
     static final long SPAN_MICROS = TimeUnit.MILLISECONDS.toMicros(10);
@@ -19,16 +22,16 @@
     private final Source source;
     private final LongSupplier clock;
     private final Consumer<HollowEvent> observer;
-    private final Map<CallKind, Long> counts = new EnumMap<>(CallKind.class);
+    private final Map<PollKind, Long> counts = new EnumMap<>(PollKind.class);
     private long spanStart;
 
-    HollowCallCounter(Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
+    HollowPollCounter(Source source, LongSupplier clock, Consumer<HollowEvent> observer) {
         this.source = source;
         this.clock = clock;
         this.observer = observer;
     }
 
-    void count(CallKind kind) {
+    void count(PollKind kind) {
         long now = clock.getAsLong();
         if (now - spanStart >= SPAN_MICROS) {
             report();
--- a/src/main/java/ottergauge/transport/HollowTrafficCounter.java
+++ b/src/main/java/ottergauge/transport/HollowTrafficCounter.java
@@ -12,8 +12,9 @@
 import ottergauge.transport.HollowEvent.Traffic;
 
 /**
- * Counts the bytes of one node's connections to one source of its state, as they pass their
- * sockets, in spans of equal length. What the system adds to them on the way is not in it.
+ * Counts the bytes that one node writes to and reads from its connections to one source of its
+ * state, in time spans of equal length. Headers that the operating system adds, such as those of
+ * TCP, are not included.
  */
 final class HollowTrafficCounter {
 
@@ -37,8 +38,8 @@
     }
 
     /**
-     * A handler that counts a connection's bytes; it belongs in front of all that reads or writes
-     * them.
+     * Returns a handler that counts a connection's bytes; it has to be the first handler of the
+     * pipeline.
      */
     ChannelDuplexHandler counter() {
         return new ChannelDuplexHandler() {
@@ -48,7 +49,7 @@
                 context.fireChannelRead(message);
             }
 
-            // The outcome is the promise's, which belongs to whoever writes.
+            // The outcome is reported by the promise, which belongs to the caller.
             @SuppressWarnings("FutureReturnValueIgnored")
             @Override
             public void write(
--- a/src/main/java/ottergauge/transport/HotRestartDirectory.java
+++ b/src/main/java/ottergauge/transport/HotRestartDirectory.java
@@ -7,7 +7,7 @@
 import ottergauge.protocol.NodeConfig;
 
 /**
- * What the processes of one node share on disk: which of them are alive, the servers in
+ * The state that the processes of one node share on disk: which of them are alive, the servers in
  * maintenance, and the endpoint list.
  */
 final class HotRestartDirectory {
@@ -16,7 +16,7 @@
     private final HotRestartProcesses processes;
     private final EndpointCache endpoints;
 
-    /** Opens the directory, which is created if need be, and registers this process in it. */
+    /** Opens the directory, creates it if necessary, and registers this process in it. */
     HotRestartDirectory(Path directory, int maxListBytes) throws IOException {
         Files.createDirectories(directory);
         maintenance = new MaintenanceStore(directory);
--- a/src/main/java/ottergauge/transport/HotRestartProcesses.java
+++ b/src/main/java/ottergauge/transport/HotRestartProcesses.java
@@ -16,11 +16,11 @@
 
 /**
  * The processes of this node. Each keeps a file in the hot-restart directory locked while it is
- * alive: the system drops the lock with the process, however that ends, and a file without a lock
- * is a leftover.
+ * alive: the operating system releases the lock when the process ends for any reason, and a file
+ * without a lock is a leftover.
  *
  * <p>The file holds a byte, 1 if the process serves clients, and the number of its connections as a
- * big-endian integer. Processes of other versions read and write the same.
+ * big-endian integer. Processes of other versions read and write the same format.
  */
 final class HotRestartProcesses {
 
@@ -35,7 +35,7 @@
     private final Path directory;
     private final Path ownFile;
 
-    /** Open while the process is alive: closing it would give up the lock. */
+    /** Open while the process is alive: closing it would release the lock. */
     private FileChannel channel;
 
     private FileLock lock;
@@ -47,7 +47,8 @@
 
     /** Makes this process visible to the others. */
     void register() throws IOException {
-        // Locked before it gets its name: without its lock it would be taken for a leftover.
+        // The file is locked before it gets its name: without a lock it would be taken for a
+        // leftover.
         Path part = directory.resolve(PART_PREFIX + ProcessHandle.current().pid());
         channel =
                 FileChannel.open(
--- a/src/main/java/ottergauge/transport/HttpFraming.java
+++ b/src/main/java/ottergauge/transport/HttpFraming.java
@@ -12,13 +12,16 @@
 import java.util.Optional;
 
 /**
- * Strict message framing. Netty's decoders repair heads that can be read in two ways; a server
- * behind the node may read them in the other one and find a request inside a body (request
- * smuggling). Here such a message is malformed.
+ * Strict message framing. Netty's decoders accept ambiguous heads and choose one interpretation. A
+ * server behind the node may choose the other one and find a request inside a body (request
+ * smuggling). The decoders of this class treat such a message as malformed.
  */
 final class HttpFraming {
 
-    /** As large as one read, so that a large body is not cut into smaller parts than it came in. */
+    /**
+     * As large as one read, so that a large body is not split into smaller parts than it arrived
+     * in.
+     */
     private static final int MAX_PART_BYTES = 64 * 1024;
 
     private static final HttpDecoderConfig CONFIG =
@@ -26,7 +29,7 @@
 
     private HttpFraming() {}
 
-    /** Returns what is wrong with the framing of a message, by its head. */
+    /** Returns the error in the framing of a message according to its head, if there is one. */
     static Optional<String> fault(HttpMessage head) {
         if (head.decoderResult().isFailure()) {
             return Optional.of(String.valueOf(head.decoderResult().cause()));
@@ -43,7 +46,7 @@
                 : Optional.of("the transfer encoding is " + encodings);
     }
 
-    /** Whether the head tells where its body ends. */
+    /** Whether the head says where the body ends. */
     static boolean hasLength(HttpMessage head) {
         return head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 || head.headers().contains(HttpHeaderNames.TRANSFER_ENCODING);
@@ -79,9 +82,10 @@
             super(CONFIG);
         }
 
-        // Header lines are checked as strictly as those of requests: in a response Netty would take
-        // a line without a colon for a field. Only these: a status line may have no reason, and a
-        // response without a length lasts until the connection's end.
+        // Header lines are checked as strictly as those of requests: in a response, Netty would
+        // accept a line without a colon as a field. Everything else is decoded as a response: a
+        // status line may have no reason phrase, and a response without a length lasts until the
+        // connection's end.
         @Override
         protected boolean isDecodingRequest() {
             return inHeaders;
--- a/src/main/java/ottergauge/transport/JitWarmUp.java
+++ b/src/main/java/ottergauge/transport/JitWarmUp.java
@@ -33,15 +33,16 @@
  */
 public final class JitWarmUp {
 
-    /** The compiler takes up a method after some hundred calls: more requests gain little. */
+    /** The JIT compiler compiles a method after a few hundred calls: more requests gain little. */
     private static final int MAX_REQUESTS = 1_000;
 
-    /** Fewer leave most classes to be loaded by the first client's request. */
+    /** With fewer requests, most classes would be loaded by the first client's request. */
     private static final int MIN_REQUESTS = 100;
 
     /**
-     * Of all nodes together: one of few that starts cold harms a large part of all requests, while
-     * of many each counts for little, and the time that most of them are away counts more.
+     * The limit for all nodes together. In a small fleet, a node that is not warmed up slows down a
+     * large part of all requests. In a large fleet, each node serves a small part of them, and the
+     * time in which many nodes are unavailable during a restart matters more.
      */
     private static final int MAX_REQUESTS_OF_ALL_NODES = 3_000;
 
@@ -56,7 +57,7 @@
     /** Simulated time between requests, long enough that some of the engine's windows end. */
     private static final long REQUEST_INTERVAL_MICROS = 20_000;
 
-    /** Every so many responses, one is a rejection. */
+    /** One response in this many is a rejection. */
     private static final int RESPONSES_PER_REJECTION = 50;
 
     private static final String LOAD_REPORT = "TEXT inflight=0, queue=0, util=0.1";
@@ -73,7 +74,7 @@
     private final List<RequestClass> classes;
     private final Router router;
 
-    /** When the decision engine's timers are due. */
+    /** The due times of the decision engine's timers. */
     private final PriorityQueue<Long> timers = new PriorityQueue<>();
 
     private long now = new Clock().micros();
@@ -112,16 +113,16 @@
                 Optional.empty());
     }
 
-    /** How many requests were made, and how many of them were served. */
+    /** The number of requests made, and of those that were served. */
     public record Outcome(int requests, int served) {}
 
-    /** Runs until further requests would gain little, or it has taken too long. */
+    /** Runs until further requests would gain little or the time limit is reached. */
     public static Outcome run(NodeConfig config) {
         int nodes = config.settings().decisions().nodeCount();
         return run(config, maxRequests(nodes), MAX_DURATION_NANOS);
     }
 
-    /** The number of requests for one of so many nodes. */
+    /** The number of requests for each node of a fleet of {@code nodes} nodes. */
     static int maxRequests(int nodes) {
         return Math.max(MIN_REQUESTS, Math.min(MAX_REQUESTS, MAX_REQUESTS_OF_ALL_NODES / nodes));
     }
@@ -140,8 +141,9 @@
             now += REQUEST_INTERVAL_MICROS;
             RequestClass requestClass = classes.get(requests % classes.size());
             client.writeInbound(Unpooled.wrappedBuffer(request(requestClass, ++requests)));
-            // Each request is answered before the next one: on one connection a second request
-            // would end the first, and a node of a large fleet queues many.
+            // The response to each request is awaited before the next request. A second request on
+            // the same connection would end the first one, and a node of a large fleet queues many
+            // requests.
             while (client.outboundMessages().isEmpty() && (respondToAll() || fireNextTimer())) {
                 now += ROUND_TRIP_MICROS;
             }
@@ -162,7 +164,7 @@
 
     private boolean respondToAll() {
         boolean any = false;
-        // By index: a response may open further connections.
+        // Iterates by index, since a response may open further connections.
         for (int i = 0; i < serverChannels.size(); i++) {
             EmbeddedChannel server = serverChannels.get(i);
             if (!server.outboundMessages().isEmpty()) {
@@ -221,8 +223,8 @@
         router.handle(now, event);
     }
 
-    // Effects for discovery, the listeners and other timers are left out. So are those that close
-    // connections, which would be logged.
+    // Ignores effects for the listeners and for other timers. Effects that close connections are
+    // ignored too: each of them would be logged.
     private void perform(Effect effect) {
         if (effect instanceof Effect.Respond e) {
             served += e.status() == OK ? 1 : 0;
@@ -232,7 +234,7 @@
         } else if (effect instanceof Effect.Forward e) {
             servers.forward(e);
         } else if (effect instanceof Effect.PollDiscovery e) {
-            // Without an answer the simulated servers stay known.
+            // The poll fails, so that the node keeps the simulated servers.
             events.take(new Event.DiscoveryPollFailed(e.poll()));
         } else if (effect instanceof Effect.ReadPendingInput e) {
             events.take(new Event.PendingInputRead(e.connection()));
--- a/src/main/java/ottergauge/transport/Listener.java
+++ b/src/main/java/ottergauge/transport/Listener.java
@@ -21,13 +21,16 @@
 import ottergauge.protocol.Address;
 
 /**
- * A listening address with its connection limit. It is a channel of Netty and not a server of
- * Vert.x, which would close all of its connections with it: a process that hands over stops
- * listening long before its last connection ends.
+ * A listening socket with its connection limit. It is a Netty channel and not a Vert.x server,
+ * which would close all of its connections when it is closed. A process that hands over to another
+ * one stops listening long before its last connection ends.
  */
 final class Listener {
 
-    /** Of one connection in one round of the event loop, so that the others are read too. */
+    /**
+     * The limit on the reads of one connection in one round of the event loop, so that the other
+     * connections are read too.
+     */
     private static final int MAX_READS_PER_ROUND = 16;
 
     private final Channel channel;
@@ -38,14 +41,17 @@
         this.limiter = limiter;
     }
 
-    /** Listens; {@code shared} lets a second process of this node listen on the same address. */
+    /**
+     * Starts listening; {@code shared} lets a second process of this node listen on the same
+     * address.
+     */
     static Future<Listener> open(
             EventLoop loop,
             Address address,
             int backlog,
             boolean shared,
             ConnectionLimiter limiter,
-            Consumer<ChannelPipeline> adopt) {
+            Consumer<ChannelPipeline> acceptedHandler) {
         ServerBootstrap bootstrap =
                 new ServerBootstrap()
                         .group(loop)
@@ -58,8 +64,8 @@
                                         .maxMessagesPerRead(
                                                 ConnectionLimiter.MAX_ACCEPTS_PER_ROUND))
                         .childOption(ChannelOption.TCP_NODELAY, true)
-                        // Read to the end of what has arrived: that a client has left is then
-                        // known before its request is handled.
+                        // All input that has arrived is read at once. The node then knows that a
+                        // client has disconnected before it handles the client's request.
                         .childOption(
                                 ChannelOption.RECVBUF_ALLOCATOR,
                                 new AdaptiveRecvByteBufAllocator()
@@ -71,7 +77,7 @@
                                 new ChannelInitializer<>() {
                                     @Override
                                     protected void initChannel(Channel accepted) {
-                                        adopt.accept(accepted.pipeline());
+                                        acceptedHandler.accept(accepted.pipeline());
                                     }
                                 });
         if (shared) {
@@ -92,16 +98,16 @@
         return opened.future();
     }
 
-    /** Accepts nothing more. */
-    // A listening channel has nothing to lose by its close.
+    /** Stops accepting connections. */
+    // The result does not matter: a listening channel has no data to lose.
     @SuppressWarnings("FutureReturnValueIgnored")
     void close() {
         channel.close();
     }
 
     /**
-     * Accepts what waits in the accept queue, which a close would reset, and closes. It may be
-     * called on the event loop only.
+     * Accepts the connections in the accept queue, which a close would reset, and then stops
+     * listening. Must be called on the event loop.
      */
     void drainAndClose() {
         if (!channel.isOpen()) {
--- a/src/main/java/ottergauge/transport/LoopTasks.java
+++ b/src/main/java/ottergauge/transport/LoopTasks.java
@@ -7,7 +7,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Schedules tasks on an event loop; an exception of theirs, which Netty would hide, is logged. */
+/** Schedules tasks on an event loop and logs their exceptions, which Netty would not report. */
 final class LoopTasks {
 
     private static final Logger LOG = LoggerFactory.getLogger(LoopTasks.class);
--- a/src/main/java/ottergauge/transport/MaintenanceStore.java
+++ b/src/main/java/ottergauge/transport/MaintenanceStore.java
@@ -16,12 +16,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The servers that an operator has taken into maintenance, a mark file each in the hot-restart
- * directory. Every process of the node sees the marks of the others, and the next process begins
- * with them. Files are created and deleted atomically, so that no process waits for another.
+ * Stores the servers that an operator has put into maintenance, each as a mark file in the
+ * hot-restart directory. Every process of the node reads the marks of the others, and the next
+ * process starts with them. Files are created and deleted atomically, so that no process waits for
+ * another.
  *
- * <p>A mark's name is {@code held-} and a UUID of the server's name; its content is the time in
- * microseconds, a space and the server's name. Processes of other versions read and write the same.
+ * <p>The name of a mark file is {@code held-} and a UUID of the server's name. Its content is the
+ * time in microseconds, a space and the server's name. Processes of other versions read and write
+ * the same format.
  */
 final class MaintenanceStore {
 
@@ -34,7 +36,7 @@
 
     private final Path directory;
 
-    /** The marks by file name as they were read last; one that can't be read is empty. */
+    /** The marks by file name, as last read; empty for a file that cannot be read. */
     private final Map<String, Optional<Mark>> marks = new HashMap<>();
 
     MaintenanceStore(Path directory) {
@@ -73,14 +75,15 @@
     /**
      * Reads all marks.
      *
-     * @return for each server in maintenance since when, in microseconds
+     * @return for each server in maintenance, the time at which it was marked, in microseconds
      */
     Map<String, Long> read() {
         Map<String, Optional<Mark>> current = new HashMap<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(directory, MARK_PREFIX + "*")) {
             for (Path file : files) {
                 String name = file.getFileName().toString();
-                // Each file is read once: one that can't be read would be logged at each call.
+                // Each file is read only once: otherwise an unreadable one would be logged at each
+                // call.
                 Optional<Mark> known = marks.get(name);
                 current.put(name, known == null ? readMark(file) : known);
             }
@@ -104,7 +107,10 @@
                 return Optional.of(new Mark(parts[1], Long.parseLong(parts[0])));
             }
         } catch (IOException | RuntimeException e) {
-            LOG.warn("{} is not a maintenance mark and is ignored: {}", file.getFileName(), e.toString());
+            LOG.warn(
+                    "{} is not a maintenance mark and is ignored: {}",
+                    file.getFileName(),
+                    e.toString());
         }
         return Optional.empty();
     }
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -21,14 +21,14 @@
 import ottergauge.transport.SelfRequestWarmUp.Situation;
 
 /**
- * One node on sockets: hands each event to the router and performs its effects, all of it on one
- * event loop. The public methods may be called on any thread.
+ * Runs one node on sockets: hands each event to the router and performs its effects, everything on
+ * one event loop. The public methods may be called on any thread.
  */
 public final class NodeServer {
 
     private static final Logger LOG = LoggerFactory.getLogger(NodeServer.class);
 
-    /** How often the node's other processes are looked at; well within the time of a drain. */
+    /** How often the state of the node's other processes is read; much shorter than a drain. */
     private static final long HOT_RESTART_SYNC_PERIOD_MS = 100;
 
     private static final String SERVER_SIDE = "server";
@@ -48,7 +48,7 @@
     private final EffectPerformer effects;
     private final Promise<Void> ended = Promise.promise();
     private Listener listener;
-    private boolean besideAnotherProcess;
+    private boolean otherProcessAlive;
     private boolean serving;
 
     /**
@@ -84,7 +84,7 @@
                         hotRestart);
     }
 
-    // Without it a node serves all the same: an upgrade then ends like a restart.
+    // A node can serve without the directory: an upgrade is then like a restart.
     private static Optional<HotRestartDirectory> open(Path directory, int maxListBytes) {
         try {
             return Optional.of(new HotRestartDirectory(directory, maxListBytes));
@@ -106,7 +106,7 @@
                 client, SERVER_SIDE, address, timeoutMs, BodyLimits.MAX_BUFFERED_BYTES);
     }
 
-    /** Starts to serve; the future fails if an address is taken. */
+    /** Starts the node; the future fails if an address is already in use. */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
         context.runOnContext(
@@ -118,7 +118,8 @@
         return started.future();
     }
 
-    // The admin listener comes first, and reports the node as not ready until it serves clients.
+    // The admin listener is opened first, and reports the node as not ready until the node serves
+    // clients.
     private Future<Void> listen() {
         boolean shared = config.admin().isPresent();
         return config.admin()
@@ -150,11 +151,16 @@
     private Future<Integer> warmUp(Address ownAddress, String path) {
         Situation situation =
                 config.admin().isEmpty()
-                        ? Situation.AWAY
-                        : besideAnotherProcess ? Situation.BESIDE_ANOTHER_PROCESS : Situation.ALONE;
+                        ? Situation.NO_ADMIN_ADDRESS
+                        : otherProcessAlive ? Situation.OTHER_PROCESS_SERVES : Situation.ALONE;
         int nodes = config.settings().decisions().nodeCount();
         return SelfRequestWarmUp.run(client, ownAddress, path, nodes, situation)
-                .onSuccess(requests -> LOG.info("{} sent {} warm-up requests to itself", config.name(), requests));
+                .onSuccess(
+                        requests ->
+                                LOG.info(
+                                        "{} sent {} warm-up requests to itself",
+                                        config.name(),
+                                        requests));
     }
 
     private void onListening(Listener listening) {
@@ -178,20 +184,22 @@
         events.take(new Event.MaintenanceLoaded(shared.maintenance().read()));
         shared.processes().publish(serving, router.connections());
         HotRestartProcesses.OtherProcesses others = shared.processes().others();
-        if (others.alive() != besideAnotherProcess) {
-            besideAnotherProcess = others.alive();
+        if (others.alive() != otherProcessAlive) {
+            otherProcessAlive = others.alive();
             LOG.info(
                     "{} runs {}",
                     config.name(),
-                    besideAnotherProcess ? "beside another process" : "alone again");
-            events.take(new Event.HotRestartPeerSeen(besideAnotherProcess, others.connections()));
-        } else if (besideAnotherProcess) {
+                    otherProcessAlive ? "beside another process" : "alone again");
+            events.take(new Event.HotRestartPeerSeen(otherProcessAlive, others.connections()));
+        } else if (otherProcessAlive) {
             events.take(new Event.HotRestartPeerSeen(true, others.connections()));
         }
         vertx.setTimer(HOT_RESTART_SYNC_PERIOD_MS, due -> syncWithOtherProcesses());
     }
 
-    /** Begins a graceful shutdown; the future completes when all requests are answered. */
+    /**
+     * Begins a graceful shutdown; the future completes once all requests have been responded to.
+     */
     public Future<Void> stop() {
         context.runOnContext(
                 run -> {
@@ -208,7 +216,7 @@
         return ended.future();
     }
 
-    /** Applies what of another configuration can change while the node runs. */
+    /** Applies the parts of a new configuration that can change while the node runs. */
     public void reconfigure(NodeConfig next) {
         context.runOnContext(
                 run -> {
@@ -236,7 +244,7 @@
         if (!next.listen().equals(config.listen())
                 || next.memoryMb() != config.memoryMb()
                 || !next.admin().equals(config.admin())) {
-            LOG.warn("the new listen address, admin address and memory limit take effect at the next start");
+            LOG.warn("the new addresses and memory limit take effect at the next start");
         }
     }
 
@@ -249,7 +257,7 @@
         }
     }
 
-    // The router is in the middle of an event, which an effect that fails may not interrupt.
+    // The router is still handling an event, which a failed effect must not interrupt.
     private void perform(Effect effect) {
         try {
             if (effect instanceof Effect.StopAccepting) {
--- a/src/main/java/ottergauge/transport/OutboundConnection.java
+++ b/src/main/java/ottergauge/transport/OutboundConnection.java
@@ -28,28 +28,29 @@
 import ottergauge.protocol.BodyLimits;
 import ottergauge.routing.CloseReason;
 
-/** A connection that the node opened: it carries one request at a time and reads its response. */
+/** A connection that the node opened. It carries one request at a time and reads its response. */
 final class OutboundConnection extends Connection {
 
     /**
-     * A response, complete or as far as it has arrived when it begins to be streamed.
+     * A response: complete, or the part that has arrived when streaming begins.
      *
-     * @param contentLength what its head announces; negative if nothing
+     * @param contentLength the length that its head announces; negative if none
      * @param reusable whether the connection may carry another request
      */
-    // The body is shared and never written: a copy for each response would cost too much.
+    // The body is shared and never modified: a copy for each response would cost too much.
     @SuppressWarnings("ArrayRecordComponent")
     record Response(
             int status, HttpHeaders headers, byte[] body, long contentLength, boolean reusable) {}
 
     /**
-     * What happens to messages with bodies too large to be buffered.
+     * Handlers for messages whose bodies are too large to be buffered.
      *
-     * @param unsizedResponseStarted the head of a response arrived that announces no length
-     * @param responseStarted a response is too large: its head and first bytes are there
-     * @param responseCompleted its last byte has arrived; whether the connection is reusable
-     * @param requestWritten a streamed request is written completely
-     * @param responseReceived the response to a streamed request, if it is small enough
+     * @param unsizedResponseStarted called when the head of a response without a length has arrived
+     * @param responseStarted called when a response is too large, with its head and first bytes
+     * @param responseCompleted called when the last byte of a streamed response has arrived, with
+     *     whether the connection is reusable
+     * @param requestWritten called when a streamed request is written completely
+     * @param responseReceived called with the response to a streamed request, if it is small enough
      */
     record StreamHandlers(
             Runnable unsizedResponseStarted,
@@ -58,7 +59,7 @@
             Runnable requestWritten,
             Consumer<Response> responseReceived) {}
 
-    /** Opens connections; {@code side} is what the log calls the other end. */
+    /** Opens connections; {@code side} is the peer's role, for the log. */
     @FunctionalInterface
     interface Dialer {
         Future<OutboundConnection> dial(
@@ -69,10 +70,10 @@
         IDLE,
         AWAITING_HEAD,
         BUFFERING_BODY,
-        /** All parts have been handled, the end of their read is awaited. */
+        /** All parts have been handled; the end of the read is still to come. */
         RECEIVED,
         STREAMING_BODY,
-        /** The same as RECEIVED, of a body that is streamed. */
+        /** The same as RECEIVED, for a streamed body. */
         STREAM_RECEIVED
     }
 
@@ -83,7 +84,7 @@
     private Consumer<Response> responseHandler;
     private Consumer<CloseReason> endHandler;
 
-    /** Null if larger responses than {@code maxBodyBytes} are refused. */
+    /** Null if responses larger than {@code maxBodyBytes} are rejected. */
     private StreamHandlers streamHandlers;
 
     private Stage stage = Stage.IDLE;
@@ -133,7 +134,7 @@
                 : CloseReason.CONNECT_FAILED;
     }
 
-    /** Carries messages over a channel that is open. */
+    /** Creates a connection on an open channel. */
     static OutboundConnection over(ChannelPipeline pipeline, String side, int maxBodyBytes) {
         HttpFraming.ResponseDecoder decoder = new HttpFraming.ResponseDecoder();
         OutboundConnection connection = new OutboundConnection(side, decoder, maxBodyBytes);
@@ -148,12 +149,12 @@
         endHandler = handler;
     }
 
-    /** Allows that bodies are streamed. */
+    /** Allows bodies to be streamed. */
     void allowStreaming(StreamHandlers handlers) {
         streamHandlers = handlers;
     }
 
-    /** Sends a request; the second handler gets the response if that arrives completely. */
+    /** Sends a request; {@code responseReceived} gets the response if it arrives completely. */
     void send(
             FullHttpRequest request, Runnable requestWritten, Consumer<Response> responseReceived) {
         responseHandler = responseReceived;
@@ -186,8 +187,8 @@
     @Override
     void onPart(HttpObject part) {
         if (stage == Stage.IDLE) {
-            // Unrequested bytes: taken for the next request's response, they would reach a client
-            // that they are not for.
+            // No request is open. If these bytes were taken for the next request's response, they
+            // would reach the wrong client.
             close(CloseReason.MALFORMED);
         } else if (stage == Stage.RECEIVED || stage == Stage.STREAM_RECEIVED) {
             surplusParts = true;
@@ -266,9 +267,9 @@
     }
 
     /**
-     * Begins to stream a response of unknown length, though it may still be small enough to be
-     * buffered. One that arrived in a single read and then stood still isn't long: its server has
-     * failed to say where it ends.
+     * Begins to stream a response of unknown length, even if it may still be small enough to be
+     * buffered. A response that arrived in a single read, with nothing after it, is not streamed:
+     * it is not long, and its server has failed to mark its end.
      */
     void streamUnsizedResponse() {
         if (stage == Stage.BUFFERING_BODY && head != null && readsSinceHead > 1) {
@@ -284,12 +285,12 @@
     private void stream(HttpContent content) {
         switch (stream.add(content)) {
             case TOO_LARGE -> fail(CloseReason.TOO_LARGE);
-            case KEPT_BACK_AS_LAST -> stage = Stage.STREAM_RECEIVED;
+            case LAST_PART_HELD -> stage = Stage.STREAM_RECEIVED;
             case RELAYED -> progressHandler.accept(content.content().readableBytes());
         }
     }
 
-    /** The response that is streamed. */
+    /** The response that is being streamed. */
     Response streamedResponse() {
         return streamedResponse;
     }
@@ -297,8 +298,8 @@
     /**
      * Relays the streamed response to a client.
      *
-     * @param progress is told the bytes of each part
-     * @param lastPartWritten is called once the last part is written, or could not be
+     * @param progress called with the number of bytes of each part
+     * @param lastPartWritten called once the last part is written, or writing it has failed
      */
     void relayResponseTo(
             Connection client, LongConsumer progress, Consumer<ChannelFuture> lastPartWritten) {
@@ -316,34 +317,34 @@
         return announcedLength;
     }
 
-    private Response response(byte[] bytes, boolean arrivedAlone) {
+    private Response response(byte[] bytes, boolean nothingFollowed) {
         return new Response(
                 head.status().code(),
                 head.headers(),
                 bytes,
                 HttpUtil.getContentLength(head, -1L),
-                isReusable(arrivedAlone));
+                isReusable(nothingFollowed));
     }
 
-    private boolean isReusable(boolean arrivedAlone) {
-        return arrivedAlone && HttpUtil.isKeepAlive(head) && HttpFraming.hasLength(head);
+    private boolean isReusable(boolean nothingFollowed) {
+        return nothingFollowed && HttpUtil.isKeepAlive(head) && HttpFraming.hasLength(head);
     }
 
-    // Only at the end of a read is it known whether anything followed the response.
+    // At the end of a read it is known whether any bytes followed the response.
     @Override
     void onReadComplete() {
         if (stream != null) {
             stream.flush();
         }
         readsSinceHead++;
-        boolean arrivedAlone = !surplusParts && !decoder.hasMoreBytes();
+        boolean nothingFollowed = !surplusParts && !decoder.hasMoreBytes();
         if (stage == Stage.RECEIVED) {
             Consumer<Response> handler = responseHandler;
-            Response response = response(body.bytes(), arrivedAlone);
+            Response response = response(body.bytes(), nothingFollowed);
             reset();
             handler.accept(response);
         } else if (stage == Stage.STREAM_RECEIVED) {
-            boolean reusable = isReusable(arrivedAlone);
+            boolean reusable = isReusable(nothingFollowed);
             StreamedBody received = stream;
             reset();
             streamHandlers.responseCompleted().accept(reusable);
--- a/src/main/java/ottergauge/transport/RequestHeads.java
+++ b/src/main/java/ottergauge/transport/RequestHeads.java
@@ -40,13 +40,13 @@
                 : HttpResponseStatus.BAD_REQUEST;
     }
 
-    /** Whether the node answers the request itself. */
+    /** Whether the request is a health check, which the node answers itself. */
     static boolean isHealthCheck(HttpRequest request) {
         return HttpMethod.GET.equals(request.method())
                 && (Paths.READY.equals(request.uri()) || Paths.LIVE.equals(request.uri()));
     }
 
-    /** Reads the fields of a request that is to be forwarded; throws if that can't be. */
+    /** Reads the fields of a request that is to be forwarded; throws if that is not possible. */
     static RequestFields fields(HttpRequest request) throws InvalidRequestHeadException {
         RequestFields fields;
         try {
@@ -59,7 +59,8 @@
             throw new InvalidRequestHeadException(
                     HttpResponseStatus.METHOD_NOT_ALLOWED, method.name());
         }
-        // Rejected by its head: reading an unwanted body would cost other clients their time.
+        // The request is rejected before its body is read: reading the body would delay other
+        // clients.
         if (HttpUtil.getContentLength(request, 0L) > BodyLimits.MAX_STREAMED_BYTES) {
             throw new InvalidRequestHeadException(
                     HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "the body is too large");
--- a/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
+++ b/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
@@ -14,18 +14,19 @@
 import ottergauge.routing.CloseReason;
 
 /**
- * Warms up the socket path before the node serves clients: it sends requests to itself, both ends
- * of each connection on real sockets. {@link JitWarmUp} covers the rest, in memory.
+ * Warms up the socket path before the node serves clients: the node sends requests to itself over
+ * real sockets, so that it is both ends of each connection. {@link JitWarmUp} covers the remaining
+ * code, in memory.
  */
 final class SelfRequestWarmUp {
 
-    /** What the node does without while it warms up, which decides how long that may take. */
+    /** How available the node is while it warms up, which limits the number of requests. */
     enum Situation {
-        /** It has no other address than the clients', so that it is away meanwhile. */
-        AWAY(100),
-        /** Another process of the node serves, whose CPU it shares. */
-        BESIDE_ANOTHER_PROCESS(100),
-        /** It starts alone, and answers on its management address. */
+        /** The node has no admin address, so that it is unavailable meanwhile. */
+        NO_ADMIN_ADDRESS(100),
+        /** Another process of the node serves clients and shares the CPU. */
+        OTHER_PROCESS_SERVES(100),
+        /** The node starts alone and responds on its admin address. */
         ALONE(400);
 
         private final int maxRequests;
@@ -35,7 +36,10 @@
         }
     }
 
-    /** Of all nodes together: of many nodes each counts for little. */
+    /**
+     * The limit for all nodes together: in a large fleet, each node serves a small part of the
+     * requests.
+     */
     private static final int MAX_REQUESTS_OF_ALL_NODES = 1_200;
 
     private static final int CONCURRENT_REQUESTS = 8;
@@ -61,10 +65,10 @@
     }
 
     /**
-     * Sends requests until there are enough or their time is over.
+     * Sends requests until the number or the time limit is reached.
      *
      * @param nodes the number of all nodes
-     * @return the number of requests, whatever became of them
+     * @return the number of requests, whether successful or not
      */
     static Future<Integer> run(
             NetClient client, Address ownAddress, String path, int nodes, Situation situation) {
--- a/src/main/java/ottergauge/transport/SingleLoopTransport.java
+++ b/src/main/java/ottergauge/transport/SingleLoopTransport.java
@@ -13,25 +13,30 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Has one loop do everything. A thread of its own accepted hundreds while the loop was busy, until
- * no descriptor was left; the library then accepts nothing for a second, and all that had piled up
- * meanwhile used up the descriptors again: the node served nobody for the rest of the day.
+ * Runs everything on one event loop. A separate thread for accepting connections accepted hundreds
+ * of them while the loop was busy, until no descriptor was left. The library then stops accepting
+ * for a second, and the connections that had queued up meanwhile used up the descriptors again: the
+ * node served no client for the rest of the day.
  */
 final class SingleLoopTransport extends NioTransport {
 
-    private final EventLoopMonitor watch;
+    private final EventLoopMonitor monitor;
     private EventLoopGroup group;
 
-    /** {@code watch} is told of each of the loop's rounds. */
-    SingleLoopTransport(EventLoopMonitor watch) {
-        this.watch = watch;
+    /** {@code monitor} is notified of each of the loop's rounds. */
+    SingleLoopTransport(EventLoopMonitor monitor) {
+        this.monitor = monitor;
     }
 
-    /** The library with one loop that owns all and tells {@code watch} of each of its rounds. */
-    static Vertx vertx(EventLoopMonitor watch) {
-        // Addresses are numbers: nothing is asked of DNS.
+    /**
+     * Creates a Vert.x instance with one event loop for everything, which notifies {@code monitor}
+     * of each of its rounds.
+     */
+    static Vertx vertx(EventLoopMonitor monitor) {
+        // Addresses are numeric, so that DNS is not used.
         System.setProperty("vertx.disableDnsResolver", "true");
-        // The pools for blocking work have nothing to do. No files: they count as memory.
+        // The pools for blocking work are not used. Files are not cached, since cached files count
+        // as memory.
         VertxOptions options =
                 new VertxOptions()
                         .setEventLoopPoolSize(1)
@@ -43,14 +48,14 @@
                                         .setFileCachingEnabled(false));
         return VertxBootstrap.create()
                 .options(options)
-                .transport(new SingleLoopTransport(watch))
+                .transport(new SingleLoopTransport(monitor))
                 .init()
                 .vertx();
     }
 
     @Override
     public IoHandlerFactory ioHandlerFactory() {
-        return NioIoHandler.newFactory(SelectorProvider.provider(), () -> watch);
+        return NioIoHandler.newFactory(SelectorProvider.provider(), () -> monitor);
     }
 
     @Override
--- a/src/main/java/ottergauge/transport/StreamedBody.java
+++ b/src/main/java/ottergauge/transport/StreamedBody.java
@@ -10,39 +10,39 @@
 import ottergauge.protocol.BodyLimits;
 
 /**
- * A body too large to be buffered, on its way from its connection to another. Its last part is kept
- * back until {@link #complete}: with it the other side has a complete message, and before that it
- * must be known that nothing followed the message.
+ * A body too large to be buffered, which is relayed from one connection to another. Its last part
+ * is held until {@link #complete}. The last part makes the message complete for the receiver, so it
+ * must first be known that no bytes followed the message.
  */
 final class StreamedBody {
 
-    /** What became of a part. */
+    /** The outcome of adding a part. */
     enum Added {
         RELAYED,
-        KEPT_BACK_AS_LAST,
+        LAST_PART_HELD,
         TOO_LARGE
     }
 
     private final BodyRelay relay;
-    private HttpContent lastPart;
+    private HttpContent heldLastPart;
     private long bytes;
 
-    /** Begins with the bytes that were buffered so far; reads no more until it is relayed. */
+    /** Starts with the bytes buffered so far; reads no more until the body is relayed. */
     StreamedBody(Connection source, byte[] buffered) {
         relay = new BodyRelay(source);
         bytes = buffered.length;
         relay.add(new DefaultHttpContent(Unpooled.wrappedBuffer(buffered)));
     }
 
-    /** Adds a part, of which it takes a reference of its own. */
+    /** Adds a part and takes its own reference to it. */
     Added add(HttpContent part) {
         bytes += part.content().readableBytes();
         if (bytes > BodyLimits.MAX_STREAMED_BYTES) {
             return Added.TOO_LARGE;
         }
         if (part instanceof LastHttpContent) {
-            lastPart = part.retain();
-            return Added.KEPT_BACK_AS_LAST;
+            heldLastPart = part.retain();
+            return Added.LAST_PART_HELD;
         }
         relay.add(part);
         return Added.RELAYED;
@@ -53,7 +53,8 @@
     }
 
     /**
-     * Relays to this connection; the handler is called once the last part is written, or failed.
+     * Relays to this connection; the handler is called once the last part is written, or writing it
+     * has failed.
      */
     void relayTo(Connection destination, Consumer<ChannelFuture> onLastPart) {
         relay.relayTo(destination, onLastPart);
@@ -61,22 +62,22 @@
 
     /** Relays the last part. */
     void complete() {
-        relay.add(lastPart);
+        relay.add(heldLastPart);
         relay.flush();
-        lastPart.release();
-        lastPart = null;
+        heldLastPart.release();
+        heldLastPart = null;
     }
 
     void flush() {
         relay.flush();
     }
 
-    /** Releases what has not been relayed; further parts are ignored. */
+    /** Releases the parts that have not been relayed; further parts are ignored. */
     void drop() {
         relay.drop();
-        if (lastPart != null) {
-            lastPart.release();
-            lastPart = null;
+        if (heldLastPart != null) {
+            heldLastPart.release();
+            heldLastPart = null;
         }
     }
 }
--- a/src/main/java/ottergauge/transport/Timers.java
+++ b/src/main/java/ottergauge/transport/Timers.java
@@ -5,10 +5,11 @@
 
 /**
  * Timers that never fire early by the clock that events are stamped with, and that let the event
- * loop read its sockets first when they are late. The library's timers run on a clock of their own:
- * one that fired early would be ignored as stale, and its timeout would never come. And a process
- * that stood still may get its timers before its sockets: without another round, connections would
- * be closed as idle with a request in them, and attempts timed out whose responses had arrived.
+ * loop read its sockets first when they are late. The library's timers use their own clock: a timer
+ * that fired early would be ignored as stale, and its timeout would be lost. After a stall, the
+ * loop may run timers before it reads its sockets. Without another round, the node would close
+ * connections as idle although a request had arrived on them, and time out attempts whose responses
+ * had arrived.
  */
 final class Timers {
 
--- a/src/main/java/ottergauge/transport/UpstreamConnector.java
+++ b/src/main/java/ottergauge/transport/UpstreamConnector.java
@@ -32,9 +32,9 @@
 import ottergauge.routing.Event.UpstreamConnected;
 
 /**
- * The open connections to servers, by the numbers that the router gave them. They are not pooled
- * here: which of them carries what is the router's state, so that nothing waits in a queue that it
- * does not see, and nothing is retried unless it says so.
+ * The open connections to servers, by the numbers that the router gave them. There is no connection
+ * pool here: the router knows which connection carries which request. No request waits in a queue
+ * that the router does not see, and none is retried unless the router says so.
  */
 final class UpstreamConnector {
 
@@ -44,7 +44,7 @@
         Future<OutboundConnection> connect(Address address, long timeoutMs);
     }
 
-    /** The server is there, but its response can't be read. */
+    /** Reasons for which a server counts as reachable although its response cannot be read. */
     private static final Set<CloseReason> MALFORMED_RESPONSE =
             EnumSet.of(CloseReason.MALFORMED, CloseReason.TOO_LARGE);
 
@@ -129,7 +129,7 @@
         return response.headers().get(Headers.LOAD);
     }
 
-    // The response to a probe may carry the report as its body.
+    // The response to a load probe may carry the load report as its body.
     private static String probedReportOf(OutboundConnection.Response response) {
         String report = reportOf(response);
         return report == null ? new String(response.body(), StandardCharsets.UTF_8) : report;
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Rounds down to milliseconds, of which there is at least one. */
+    /** Converts to milliseconds, rounded down, but at least 1. */
     static long toMillis(long micros) {
         return Math.max(1, micros / MICROS_PER_MILLI);
     }
--- a/src/main/java/ottergauge/transport/UpstreamRequests.java
+++ b/src/main/java/ottergauge/transport/UpstreamRequests.java
@@ -36,7 +36,7 @@
         return message;
     }
 
-    /** The head of a streamed request; a negative length is unknown. */
+    /** The head of a streamed request; a negative length means that it is unknown. */
     static HttpRequest head(
             ClientRequest request, long timeoutMs, String host, long contentLength) {
         HttpRequest head =
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Asks a server for its load. */
+    /** A load probe: asks a server for its load report. */
     static FullHttpRequest loadProbe(String host) {
         FullHttpRequest probe =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, Paths.STATS);
--- a/src/main/java/ottergauge/transport/package-info.java
+++ b/src/main/java/ottergauge/transport/package-info.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * The node's sockets, timers and files, around {@link ottergauge.routing.Router}, which decides
- * what happens on them.
+ * The node's sockets, timers and files. {@link ottergauge.routing.Router} decides what happens on
+ * them.
  *
  * <p>{@link ottergauge.transport.NodeServer} runs one node: it hands events to the router one by
  * one ({@code EventQueue}) and has {@code EffectPerformer} perform the effects. Everything runs on
