--- a/src/main/java/ottergauge/migration/Migration.java
+++ b/src/main/java/ottergauge/migration/Migration.java
@@ -8,24 +8,24 @@
 import java.util.Set;
 
 /**
- * Translates a node's configuration for one deployment into its counterpart for another. What only
- * an operator knows of the new one stands in a shape: settings that take the place of the old ones.
+ * Translates a node's configuration for one deployment into a configuration for another deployment.
+ * An operator describes the new deployment in a shape, whose settings replace the old ones.
  */
 public final class Migration {
 
-    /** What the new configuration does not say any more, and why. */
+    /** An entry of the old configuration that the new one lacks, and the reason. */
     public record Leftover(String key, Object old, String reason) {}
 
-    /** The counterpart, and what of the old configuration is not in it. */
-    public record Result(Map<String, Object> config, List<Leftover> left) {}
+    /** The new configuration, and the entries of the old one that are not in it. */
+    public record Result(Map<String, Object> config, List<Leftover> leftovers) {}
 
-    private static final List<String> PROCESS =
+    private static final List<String> TOP_LEVEL_KEYS =
             List.of("name", "listen", "discovery", "seed", "limits");
-    private static final List<String> NEEDED =
+    private static final List<String> REQUIRED_SHAPE_KEYS =
             List.of("balancers", "zones", "zone", "registryMode", "reporting");
-    private static final Set<String> OBJECTS =
+    private static final Set<String> OBJECT_KEYS =
             Set.of("ceilings", "rules", "penalties", "clients", "blend", "specifics");
-    private static final Set<String> PLAIN =
+    private static final Set<String> PLAIN_KEYS =
             Set.of(
                     "me",
                     "balancers",
@@ -42,54 +42,55 @@
                     "stages",
                     "tier");
 
-    // Nodes no longer tell tenants apart; of a file that names none nothing is lost.
-    private static final Set<String> TENANTS = Set.of("parties", "overShareWorth");
+    // Nodes no longer distinguish tenants. A file that names no tenants loses nothing.
+    private static final Set<String> TENANT_KEYS = Set.of("parties", "overShareWorth");
 
     private final Map<String, Object> old;
     private final Map<String, Object> shape;
     private final Map<String, Object> settings = new LinkedHashMap<>();
-    private final List<Leftover> left = new ArrayList<>();
+    private final List<Leftover> leftovers = new ArrayList<>();
 
     private Migration(Map<String, Object> old, Map<String, Object> shape) {
         this.old = old;
         this.shape = shape;
     }
 
-    /** Translates {@code config}; what {@code shape} names counts in place of the old settings. */
+    /** Translates {@code config}; the settings in {@code shape} replace the old ones. */
     public static Result translate(Map<String, Object> config, Map<String, Object> shape)
             throws MigrationException {
         Map<String, Object> old = object(config.get("settings"), "settings");
-        for (String key : NEEDED) {
+        for (String key : REQUIRED_SHAPE_KEYS) {
             if (shape.get(key) == null) {
                 throw new MigrationException("the shape does not say " + key);
             }
         }
         for (String key : shape.keySet()) {
-            if (!PLAIN.contains(key) && !OBJECTS.contains(key)) {
+            if (!PLAIN_KEYS.contains(key) && !OBJECT_KEYS.contains(key)) {
                 throw new MigrationException("the shape has an unknown key " + key);
             }
         }
         Migration migration = new Migration(old, shape);
-        Map<String, Object> result = migration.process(config);
+        Map<String, Object> result = migration.translateTopLevel(config);
         migration.settings();
         result.put("settings", migration.settings);
-        return new Result(result, migration.left);
+        return new Result(result, migration.leftovers);
     }
 
-    private Map<String, Object> process(Map<String, Object> config) {
+    private Map<String, Object> translateTopLevel(Map<String, Object> config) {
         Map<String, Object> result = new LinkedHashMap<>();
         config.forEach(
                 (key, value) -> {
-                    if (PROCESS.contains(key)) {
+                    if (TOP_LEVEL_KEYS.contains(key)) {
                         result.put(key, value);
                     } else if ("known".equals(key)) {
-                        left.add(
+                        leftovers.add(
                                 new Leftover(
                                         key,
                                         value,
                                         "names the old fleet's servers; the node asks discovery"));
                     } else if (!"settings".equals(key)) {
-                        left.add(new Leftover(key, value, "is no key of a node's configuration"));
+                        leftovers.add(
+                                new Leftover(key, value, "is no key of a node's configuration"));
                     }
                 });
         return result;
@@ -97,16 +98,16 @@
 
     private void settings() throws MigrationException {
         for (String key : old.keySet()) {
-            if (TENANTS.contains(key)) {
+            if (TENANT_KEYS.contains(key)) {
                 if (old.get("parties") instanceof List<?> tenants && !tenants.isEmpty()) {
-                    left.add(
+                    leftovers.add(
                             new Leftover(
                                     "settings." + key,
                                     old.get(key),
                                     "nodes tell no tenants apart"));
                 }
-            } else if (!PLAIN.contains(key) && !OBJECTS.contains(key)) {
-                left.add(
+            } else if (!PLAIN_KEYS.contains(key) && !OBJECT_KEYS.contains(key)) {
+                leftovers.add(
                         new Leftover(
                                 "settings." + key,
                                 old.get(key),
@@ -116,7 +117,7 @@
             }
         }
         for (String key : shape.keySet()) {
-            boolean both = OBJECTS.contains(key) && old.get(key) != null;
+            boolean both = OBJECT_KEYS.contains(key) && old.get(key) != null;
             settings.put(
                     key,
                     !both
@@ -126,7 +127,7 @@
                                     object(shape.get(key), key)));
         }
         if (!shape.containsKey("kinds") && old.get("kinds") != null) {
-            left.add(
+            leftovers.add(
                     new Leftover(
                             "settings.kinds",
                             old.get("kinds"),
@@ -149,7 +150,7 @@
         if (old.get("zones") != null) {
             for (Object zone : list(old.get("zones"), "settings.zones")) {
                 if (!zones.contains(zone)) {
-                    left.add(
+                    leftovers.add(
                             new Leftover(
                                     "settings.zones", zone, "has no counterpart in the shape"));
                 }
@@ -158,12 +159,13 @@
         settings.put("classes", classes(zones.equals(old.get("zones"))));
     }
 
-    // Classes that the shape does not name go on as they are; of those that it names, what it says.
+    // Classes that the shape does not name stay as they are; the values in the shape override those
+    // of the others.
     private List<Object> classes(boolean sameZones) throws MigrationException {
         Map<Object, Map<String, Object>> byName = new LinkedHashMap<>();
         for (Object c : list(old.get("classes"), "settings.classes")) {
-            Map<String, Object> type = object(c, "settings.classes");
-            byName.put(type.get("name"), type);
+            Map<String, Object> requestClass = object(c, "settings.classes");
+            byName.put(requestClass.get("name"), requestClass);
         }
         Map<Object, Map<String, Object>> changes = new LinkedHashMap<>();
         if (shape.containsKey("classes")) {
@@ -175,27 +177,30 @@
         }
         List<Object> result = new ArrayList<>();
         for (Map.Entry<Object, Map<String, Object>> e : byName.entrySet()) {
-            Map<String, Object> type = e.getValue();
+            Map<String, Object> requestClass = e.getValue();
             Map<String, Object> change = changes.getOrDefault(e.getKey(), Map.of());
-            // Which servers drop repeats together was told in zones that are no more: none is safe.
-            if ("zone".equals(type.get("group")) && !sameZones && !change.containsKey("group")) {
-                left.add(
+            // The old zones defined which servers detect repeated requests together. With other
+            // zones no repetition is safe.
+            if ("zone".equals(requestClass.get("group"))
+                    && !sameZones
+                    && !change.containsKey("group")) {
+                leftovers.add(
                         new Leftover(
                                 "settings.classes." + e.getKey() + ".group",
                                 "zone",
                                 "the zones are others: never repeated until the shape says the"
                                         + " group and windowMs"));
-                type = merged(type, Map.of("windowMs", 0.0));
+                requestClass = merged(requestClass, Map.of("windowMs", 0.0));
             }
-            result.add(type);
+            result.add(requestClass);
         }
         return result;
     }
 
     private static Map<String, Object> merged(
-            Map<String, Object> before, Map<String, Object> over) {
+            Map<String, Object> before, Map<String, Object> overrides) {
         Map<String, Object> result = new LinkedHashMap<>(before);
-        result.putAll(over);
+        result.putAll(overrides);
         return result;
     }
 
--- a/src/main/java/ottergauge/program/HollowCommand.java
+++ b/src/main/java/ottergauge/program/HollowCommand.java
@@ -27,16 +27,15 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Runs many nodes without clients, listeners and servers in one process, for tests of scale. It
- * takes its orders from standard input, a word on each line, and ends when that ends: whoever
- * started it may be killed at any time, and leaves none of it running.
+ * Runs many nodes without clients, listeners and servers in one process, for scale tests. It reads
+ * commands from standard input, one per line, and exits at the end of the input. No hollow nodes
+ * are therefore left running if the parent process is killed.
  */
 @Command(
         name = "hollow",
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
-        description =
-                "Run many nodes without clients and servers in one process, for tests of scale.",
+        description = "Run many nodes without clients and servers in one process, for scale tests.",
         footerHeading = "%nCommands on standard input, one per line:%n",
         footer = {
             "  restart   drop all nodes with their connections and state, start them again at once",
@@ -50,7 +49,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(HollowCommand.class);
     private static final int MAX_NODES = 2_000;
     private static final int MAX_LOOPS = 64;
-    // Neighbouring numbers must not give neighbouring seeds.
+    // Consecutive node numbers must not give consecutive seeds.
     private static final long SEED_STEP = 0x9e3779b97f4a7c15L;
 
     @Spec private CommandSpec spec;
@@ -82,8 +81,7 @@
             names = "--name",
             paramLabel = "PREFIX",
             defaultValue = "h",
-            description =
-                    "Prefix of the nodes' names; ${DEFAULT-VALUE} unless given.")
+            description = "Prefix of the nodes' names; ${DEFAULT-VALUE} unless given.")
     private String prefix;
 
     @Option(
@@ -97,7 +95,8 @@
             names = "--start-over-ms",
             paramLabel = "MS",
             defaultValue = "0",
-            description = "Start the nodes one after the other, spread over this many milliseconds.")
+            description =
+                    "Start the nodes one after the other, spread over this many milliseconds.")
     private long startOver;
 
     @Option(
@@ -139,11 +138,11 @@
         report.begin();
         try (HollowFleet fleet = new HollowFleet(configs, loops, report::take)) {
             logFailure(fleet.start(startOver));
-            obey(fleet);
+            handleCommands(fleet);
         }
     }
 
-    // The handler is the last one to see a failure.
+    // The handler logs a failure; nobody else waits for the result.
     @SuppressWarnings("FutureReturnValueIgnored")
     private static void logFailure(CompletableFuture<Void> started) {
         started.whenComplete(
@@ -154,15 +153,21 @@
                 });
     }
 
-    private void check(String option, long value, long least, long most) {
-        if (value < least || value > most) {
+    private void check(String option, long value, long lowest, long highest) {
+        if (value < lowest || value > highest) {
             throw new ParameterException(
                     spec.commandLine(),
-                    option + ": a whole number from " + least + " to " + most + ", not " + value);
+                    option
+                            + ": a whole number from "
+                            + lowest
+                            + " to "
+                            + highest
+                            + ", not "
+                            + value);
         }
     }
 
-    // The template's own values are left as they are.
+    // The template itself is not modified.
     private NodeConfig config(Map<String, Object> template, int number)
             throws IOException, ProtocolException {
         Map<String, Object> tree = new LinkedHashMap<>(template);
@@ -177,17 +182,22 @@
         return NodeConfig.read(JsonTree.write(tree));
     }
 
-    private static void obey(HollowFleet fleet) throws IOException {
-        BufferedReader orders =
+    private static void handleCommands(HollowFleet fleet) throws IOException {
+        BufferedReader commandReader =
                 new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-        for (String order = orders.readLine(); order != null; order = orders.readLine()) {
-            switch (order.trim()) {
+        for (String command = commandReader.readLine();
+                command != null;
+                command = commandReader.readLine()) {
+            switch (command.trim()) {
                 case "restart" -> logFailure(fleet.restart());
                 case "servers" -> fleet.reportServers();
                 case "end" -> {
                     return;
                 }
-                default -> LOG.warn("unknown command {} ignored: expected restart, servers or end", order);
+                default ->
+                        LOG.warn(
+                                "unknown command {} ignored: expected restart, servers or end",
+                                command);
             }
         }
     }
--- a/src/main/java/ottergauge/program/HollowReport.java
+++ b/src/main/java/ottergauge/program/HollowReport.java
@@ -20,8 +20,8 @@
 import ottergauge.transport.HollowFleet;
 
 /**
- * Writes the events of hollow nodes as JSON lines, and each second a line with the process' use of
- * CPU and memory. It never blocks a node: events that the writer can't keep up with are dropped and
+ * Writes the events of hollow nodes as JSON lines, and every second a line with the process' use of
+ * CPU and memory. It never blocks a node: if the writer cannot keep up, events are dropped and
  * counted.
  */
 final class HollowReport {
@@ -42,14 +42,14 @@
         out.setRootValueSeparator(null);
     }
 
-    /** Takes an event to be written. */
+    /** Queues an event to be written, or drops it if the queue is full. */
     void take(HollowEvent event) {
         if (!queue.offer(event)) {
             lost.incrementAndGet();
         }
     }
 
-    /** Begins to write, on a thread of its own that does not keep the process alive. */
+    /** Starts writing on a separate thread, which does not keep the process alive. */
     void begin() {
         Thread writer = new Thread(this::write, "report");
         writer.setDaemon(true);
@@ -74,7 +74,7 @@
                 }
             }
         } catch (IOException e) {
-            // Whoever reads it has gone, and with it the reason for this process.
+            // The reader of the report has ended, so that this process is not needed any more.
             LOG.error("the report cannot be written, exiting: {}", e.toString());
             System.exit(1);
         } catch (InterruptedException e) {
--- a/src/main/java/ottergauge/program/Main.java
+++ b/src/main/java/ottergauge/program/Main.java
@@ -25,12 +25,12 @@
 
     @Spec private CommandSpec spec;
 
-    /** Runs a command and ends with its exit code. */
+    /** Runs a command and exits with its exit code. */
     public static void main(String[] args) throws InterruptedException {
         String config = System.getenv("BALANCER_CONFIG");
-        // Building its model of the command line takes picocli 0.24 s of CPU, with half a core half
-        // a second
-        // by which a restarted node is missed longer: the usual start has nothing to be parsed.
+        // picocli takes 0.24 s of CPU to build its model of the command line. With half a core, a
+        // restarted node would be unavailable half a second longer. The usual start has no options
+        // to parse.
         boolean usual = config != null && args.length == 1 && "serve".equals(args[0]);
         System.exit(
                 usual
--- a/src/main/java/ottergauge/program/MigrateCommand.java
+++ b/src/main/java/ottergauge/program/MigrateCommand.java
@@ -20,22 +20,22 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Writes the counterpart of a node's configuration for a deployment of another shape. */
+/** Translates a node's configuration for a deployment of a different shape. */
 @Command(
         name = "migrate",
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
-        description = "Translate a node's configuration for a deployment of another shape.",
+        description = "Translate a node's configuration for a deployment of a different shape.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            " 0:written whole",
-            " 3:written, with things left over",
+            " 0:written completely",
+            " 3:written, with entries left over",
             " 2:wrong usage or bad input, nothing written"
         })
 final class MigrateCommand implements Callable<Integer> {
 
-    private static final int LEFT_OVER = 3;
-    private static final int BAD = 2;
+    private static final int EXIT_LEFTOVERS = 3;
+    private static final int EXIT_INVALID = 2;
 
     @Spec private CommandSpec spec;
 
@@ -81,15 +81,15 @@
             spec.commandLine()
                     .getErr()
                     .println("cannot migrate " + oldFile + ": " + e.getMessage());
-            return BAD;
+            return EXIT_INVALID;
         }
-        for (Migration.Leftover each : result.left()) {
+        for (Migration.Leftover each : result.leftovers()) {
             out.printf("left over: %s = %s: %s%n", each.key(), each.old(), each.reason());
         }
         out.printf(
                 "%s %s, %d left over%n",
-                dryRun ? "would write" : "wrote", newFile, result.left().size());
-        return result.left().isEmpty() ? 0 : LEFT_OVER;
+                dryRun ? "would write" : "wrote", newFile, result.leftovers().size());
+        return result.leftovers().isEmpty() ? 0 : EXIT_LEFTOVERS;
     }
 
     private static Map<String, Object> read(Path file) throws IOException {
@@ -100,19 +100,20 @@
         }
     }
 
-    // A node that starts meanwhile must find the old file or the new one, never half of it.
+    // The file is replaced atomically: a node that starts meanwhile must read the old file or the
+    // new one, never half of it.
     private void write(byte[] content) throws IOException {
-        Path folder = newFile.toAbsolutePath().getParent();
-        Path beside = Files.createTempFile(folder, ".migrate", ".json");
+        Path directory = newFile.toAbsolutePath().getParent();
+        Path temporaryFile = Files.createTempFile(directory, ".migrate", ".json");
         try {
-            Files.write(beside, content);
+            Files.write(temporaryFile, content);
             Files.move(
-                    beside,
+                    temporaryFile,
                     newFile,
                     StandardCopyOption.REPLACE_EXISTING,
                     StandardCopyOption.ATOMIC_MOVE);
         } finally {
-            Files.deleteIfExists(beside);
+            Files.deleteIfExists(temporaryFile);
         }
     }
 }
--- a/src/main/java/ottergauge/program/RehearseCommand.java
+++ b/src/main/java/ottergauge/program/RehearseCommand.java
@@ -21,8 +21,9 @@
 import picocli.CommandLine.Command;
 
 /**
- * Starts a node on a free loopback port, asks it a few things and ends: the build records the
- * classes that this loads in an archive, so that a node need not load them one by one.
+ * Starts a node on a free loopback port, sends it a few requests and stops it. The build records
+ * the classes that this loads in a class data sharing archive, so that a node does not have to load
+ * them one by one.
  */
 @Command(
         name = "rehearse",
@@ -55,23 +56,23 @@
             clientPort = free.getLocalPort();
             adminPort = other.getLocalPort();
         }
-        Path folder = Files.createTempDirectory("rehearsal");
+        Path directory = Files.createTempDirectory("rehearsal");
         try {
-            return rehearse(clientPort, adminPort, folder);
+            return rehearse(clientPort, adminPort, directory);
         } finally {
-            try (Stream<Path> files = Files.walk(folder)) {
+            try (Stream<Path> files = Files.walk(directory)) {
                 files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
             }
         }
     }
 
-    private Integer rehearse(int clientPort, int adminPort, Path folder)
+    private Integer rehearse(int clientPort, int adminPort, Path directory)
             throws IOException, ProtocolException {
         NodeConfig config =
                 NodeConfig.read(
                         CONFIG.formatted(clientPort, adminPort).getBytes(StandardCharsets.UTF_8));
         JitWarmUp.run(config);
-        NodeServer node = new NodeServer(config, Optional.of(folder));
+        NodeServer node = new NodeServer(config, Optional.of(directory));
         try {
             node.start()
                     .toCompletionStage()
@@ -94,7 +95,7 @@
         }
     }
 
-    // The node is its own server and discovery: requests go all the way through it and are
+    // The node is its own server and discovery: requests pass through all of its code and are
     // rejected.
     private static void exerciseClients(int port, int id) throws IOException {
         send(port, message("GET /health/ready HTTP/1.1", "Host: x"));
--- a/src/main/java/ottergauge/program/ServeCommand.java
+++ b/src/main/java/ottergauge/program/ServeCommand.java
@@ -20,7 +20,7 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Runs one node until it is told to stop; SIGHUP has it read its configuration again. */
+/** Runs one node until SIGTERM; SIGHUP makes it reload its configuration. */
 @Command(
         name = "serve",
         mixinStandardHelpOptions = true,
@@ -41,8 +41,8 @@
 
     private NodeServer running;
 
-    /** Whether a new configuration was announced before the node ran. */
-    private boolean reloads;
+    /** Whether a reload was requested before the node ran. */
+    private boolean reloadRequested;
 
     ServeCommand() {}
 
@@ -63,7 +63,8 @@
         warmUp(config);
         NodeServer node = new NodeServer(config, hotRestartDirectory(config));
         CountDownLatch failed = new CountDownLatch(1);
-        // Before it listens: what it takes is answered, whenever it is told to stop.
+        // The hook is added before the node listens: whenever the node is stopped, it responds to
+        // all requests that it has accepted.
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(node, failed), "stop"));
         node.start()
                 .onFailure(
@@ -76,10 +77,9 @@
         return 1;
     }
 
-    // Unhandled, the signal would end the virtual machine; a node may be given a new configuration
-    // while it
-    // is still starting. One that was ignored when the program was started stays so in the virtual
-    // machine.
+    // Without a handler, SIGHUP would end the virtual machine, and a node may be given a new
+    // configuration while it is still starting. A signal that was ignored when the program was
+    // started stays ignored in the virtual machine.
     private void handleHangUp() {
         SignalHandler before = Signal.handle(new Signal("HUP"), hangUp -> reload());
         if (before == SignalHandler.SIG_IGN) {
@@ -89,7 +89,7 @@
         }
     }
 
-    // A failure costs the warm start, never the node.
+    // After a failure the node starts without warm-up.
     private static void warmUp(NodeConfig config) {
         try {
             LOG.info("warmed up with {} synthetic requests", JitWarmUp.run(config).requests());
@@ -103,7 +103,8 @@
                 .withAdmin(System.getenv("BALANCER_MANAGEMENT"));
     }
 
-    // Kept from one process of a node to the next, and apart from those of other nodes beside it.
+    // All processes of a node use the same directory; other nodes on the same machine use other
+    // ones.
     private static Optional<Path> hotRestartDirectory(NodeConfig config) {
         byte[] name = config.name().getBytes(StandardCharsets.UTF_8);
         return Optional.ofNullable(System.getenv("TMPDIR"))
@@ -113,15 +114,16 @@
 
     private synchronized void started(NodeServer node) {
         running = node;
-        if (reloads) {
+        if (reloadRequested) {
             reload();
         }
     }
 
-    // A bad file must not cost a node that serves: the configuration in force stays.
+    // An invalid file must not stop a node that serves clients: the current configuration stays in
+    // effect.
     private synchronized void reload() {
         if (running == null) {
-            reloads = true;
+            reloadRequested = true;
             return;
         }
         try {
@@ -134,7 +136,8 @@
         }
     }
 
-    // The virtual machine ends once this has run: not before all that was taken is answered.
+    // The virtual machine exits when this returns, after all accepted requests have been responded
+    // to.
     private static void stop(NodeServer node, CountDownLatch failed) {
         if (failed.getCount() == 0) {
             return;
--- a/src/main/java/ottergauge/program/SimulatorAdapterCommand.java
+++ b/src/main/java/ottergauge/program/SimulatorAdapterCommand.java
@@ -10,14 +10,14 @@
 import picocli.CommandLine.Command;
 
 /**
- * Hosts decision modules on the simulator's wire: batches on standard input, replies on standard
- * output.
+ * Hosts decision engines for the simulator: reads batches from standard input and writes replies to
+ * standard output.
  */
 @Command(
         name = "simhost",
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
-        description = "Host decision modules on the simulator's wire (standard input and output).")
+        description = "Host decision engines for the simulator, over standard input and output.")
 final class SimulatorAdapterCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(SimulatorAdapterCommand.class);
--- a/src/main/java/ottergauge/simulator/ActionWriter.java
+++ b/src/main/java/ottergauge/simulator/ActionWriter.java
@@ -15,8 +15,8 @@
 import ottergauge.decision.api.DecisionActionSink;
 
 /**
- * Writes actions in the simulator's words; a part is opened by its first action, so that idle
- * engines are left out.
+ * Writes actions in the simulator's format. A part is opened by its first action, so that engines
+ * without actions are left out.
  */
 final class ActionWriter implements DecisionActionSink {
 
@@ -36,7 +36,7 @@
         partOpen = false;
     }
 
-    /** Ends what {@link #beginPart} began. */
+    /** Ends the part that {@link #beginPart} began. */
     void endPart() throws IOException {
         if (partOpen) {
             out.writeEndArray();
--- a/src/main/java/ottergauge/simulator/FieldParser.java
+++ b/src/main/java/ottergauge/simulator/FieldParser.java
@@ -6,8 +6,8 @@
 import java.io.IOException;
 
 /**
- * Reads the value at a JSON parser's current token. A value of another type than the one asked for
- * is a {@link SimulatorFormatException} that names its field.
+ * Reads the value at a JSON parser's current token. A value of an unexpected type causes a {@link
+ * SimulatorFormatException} that names its field.
  */
 final class FieldParser {
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /** An integer of any size, of which the low 64 bits are taken. */
+    /** The low 64 bits of an integer of any size. */
     long lowBits() throws IOException {
         require(
                 in.currentToken() == JsonToken.VALUE_NUMBER_INT,
--- a/src/main/java/ottergauge/simulator/HostedEngine.java
+++ b/src/main/java/ottergauge/simulator/HostedEngine.java
@@ -16,7 +16,7 @@
 import ottergauge.simulator.SimulatorMessage.EndpointEntry;
 import ottergauge.simulator.SimulatorMessage.RequestSent;
 
-/** One decision engine, with the names of its settings, which the simulator refers to. */
+/** One decision engine with the names in its settings, to which the simulator's messages refer. */
 final class HostedEngine {
 
     private final DecisionEngine engine;
@@ -40,7 +40,9 @@
         engine.handle(now, event, actions);
     }
 
-    /** Translates a request; {@link SimulatorFormatException} if the settings lack its class. */
+    /**
+     * Translates a request; throws {@link SimulatorFormatException} if the settings lack its class.
+     */
     DecisionEvent requestArrived(RequestSent request) {
         Integer classIndex = classIndexes.get(request.requestClass());
         if (classIndex == null) {
--- a/src/main/java/ottergauge/simulator/MessageReader.java
+++ b/src/main/java/ottergauge/simulator/MessageReader.java
@@ -25,7 +25,7 @@
 import ottergauge.simulator.SimulatorMessage.PeerNote;
 import ottergauge.simulator.SimulatorMessage.RequestSent;
 
-/** Reads one message: the place where the simulator's words are translated. */
+/** Reads one message and translates it from the simulator's format. */
 final class MessageReader {
 
     private static final int MAX_TABLES = SimulatorAdapter.MAX_ENDPOINT_TABLES;
@@ -34,13 +34,13 @@
     private final JsonParser in;
     private final FieldParser value;
 
-    /** Both read from the same input. */
+    /** {@code in} and {@code value} read from the same input. */
     MessageReader(JsonParser in, FieldParser value) {
         this.in = in;
         this.value = value;
     }
 
-    /** Reads the object that the input stands at. */
+    /** Reads the object that begins at the current token. */
     SimulatorMessage message() throws IOException {
         Fields fields = new Fields();
         while (in.nextToken() != JsonToken.END_OBJECT) {
@@ -148,7 +148,10 @@
         return JsonTree.object(in);
     }
 
-    /** The fields that any message may carry, until all of them are read: their order is free. */
+    /**
+     * Collects the fields that a message may have. It is evaluated once all of them are read, since
+     * their order is arbitrary.
+     */
     private static final class Fields {
 
         private String name;
--- a/src/main/java/ottergauge/simulator/SimulatorAdapter.java
+++ b/src/main/java/ottergauge/simulator/SimulatorAdapter.java
@@ -26,7 +26,7 @@
 
 /**
  * Hosts many isolated decision engines for the simulator: reads batches of messages and writes the
- * engines' actions. It translates and decides nothing.
+ * engines' actions. It only translates; the engines make all decisions.
  */
 public final class SimulatorAdapter {
 
@@ -51,16 +51,16 @@
     }
 
     /**
-     * Answers batches until the input ends.
+     * Responds to batches until the input ends.
      *
-     * @throws SimulatorFormatException if the input breaks the format
-     * @throws IOException if the input can't be read or the output can't be written
+     * @throws SimulatorFormatException if the input violates the format
+     * @throws IOException if the input cannot be read or the output cannot be written
      */
     public void run() throws IOException {
         try {
             Optional<BatchReader.Batch> batch = reader.next();
             while (batch.isPresent()) {
-                answer(batch.get());
+                respond(batch.get());
                 batch = reader.next();
             }
         } catch (JsonProcessingException e) {
@@ -70,7 +70,7 @@
         }
     }
 
-    private void answer(BatchReader.Batch batch) throws IOException {
+    private void respond(BatchReader.Batch batch) throws IOException {
         generator.writeStartObject();
         generator.writeArrayFieldStart("parts");
         for (BatchReader.Part part : batch.parts()) {
--- a/src/main/java/ottergauge/simulator/SimulatorMessage.java
+++ b/src/main/java/ottergauge/simulator/SimulatorMessage.java
@@ -7,35 +7,38 @@
 import ottergauge.decision.api.EndpointState;
 import ottergauge.decision.api.UpdateScope;
 
-/** A message of the simulator to one engine. Instants and spans are microseconds. */
+/** A message of the simulator to one engine. Instants and durations are in microseconds. */
 sealed interface SimulatorMessage {
 
     /** Introduces a list of endpoints by a number, to which later messages refer. */
     record EndpointTable(int number, List<EndpointEntry> entries) implements SimulatorMessage {}
 
-    /** Starts an engine; one of the same number is dropped. */
+    /** Starts an engine; a running one with the same number is dropped. */
     record EngineStart(long seed, Map<String, Object> config) implements SimulatorMessage {}
 
     /** Drops an engine with its state. */
     record EngineExit() implements SimulatorMessage {}
 
-    /** Engines exchange nothing: what one of another build sends to its peers is ignored. */
+    /**
+     * A message between engines. These engines exchange none: a message from an engine of another
+     * build is ignored.
+     */
     record PeerNote() implements SimulatorMessage {}
 
-    /** The endpoints of a table, which was introduced before, replace or update the known ones. */
+    /** The endpoints of a table that was introduced before replace or update the known ones. */
     record EndpointsChanged(UpdateScope scope, int table) implements SimulatorMessage {}
 
     /**
      * A client sent a request.
      *
      * @param requestClass name of its class
-     * @param affinityKey what the request is about; 0 for none
+     * @param affinityKey key of the data that the request is about; 0 for none
      */
     record RequestSent(
             String id, String requestClass, long giveUpAt, boolean clientRetry, long affinityKey)
             implements SimulatorMessage {}
 
-    /** An event that refers to nothing by the names of an engine's settings. */
+    /** An event that uses no names from an engine's settings. */
     record EngineEvent(DecisionEvent event) implements SimulatorMessage {}
 
     /**
--- a/src/test/java/ottergauge/migration/MigrationTest.java
+++ b/src/test/java/ottergauge/migration/MigrationTest.java
@@ -47,7 +47,7 @@
     }
 
     private static List<String> keys(Result result) {
-        return result.left().stream().map(Leftover::key).toList();
+        return result.leftovers().stream().map(Leftover::key).toList();
     }
 
     @Test
@@ -64,7 +64,7 @@
         Map<String, Object> shape = json(SHAPE.formatted(""));
         shape.put("zones", List.of("a", "b"));
         shape.put("zone", "b");
-        assertEquals(List.of(), Migration.translate(old(""), shape).left());
+        assertEquals(List.of(), Migration.translate(old(""), shape).leftovers());
     }
 
     @Test
@@ -88,7 +88,7 @@
         assertFalse(result.config().containsKey("known"));
         assertFalse(settings(result).containsKey("flavour"));
         assertTrue(
-                result.left()
+                result.leftovers()
                         .contains(
                                 new Leftover(
                                         "colour", "red", "is no key of a node's configuration")));
--- a/src/test/java/ottergauge/program/AdminListenerIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -123,7 +123,9 @@
         RunningNode node = process(RunningNode.freePort());
         int called = node.log().indexOf("warm-up requests to itself");
         assertTrue(called > 0 && called < node.log().indexOf("listens on"), node.log());
-        assertTrue(node.log().matches("(?s).* sent [1-9][0-9]{2} warm-up requests to itself.*"), node.log());
+        assertTrue(
+                node.log().matches("(?s).* sent [1-9][0-9]{2} warm-up requests to itself.*"),
+                node.log());
         assertFalse(node.log().contains("side=itself"), "no line for each");
     }
 
--- a/src/test/java/ottergauge/program/ManyServersIT.java
+++ b/src/test/java/ottergauge/program/ManyServersIT.java
@@ -170,7 +170,8 @@
                                 new TestConfig().knows(host("s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
-            node.awaitLog("the endpoint list of " + size + " bytes exceeds the limit of 12582912 bytes");
+            node.awaitLog(
+                    "the endpoint list of " + size + " bytes exceeds the limit of 12582912 bytes");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
         }
     }
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -674,7 +674,8 @@
             assertEquals(200, waiting.read().status());
             assertTrue(idle.atEnd());
             node.exitCode();
-            assertTrue(node.log().contains("stopped: all pending requests responded to"), node.log());
+            assertTrue(
+                    node.log().contains("stopped: all pending requests responded to"), node.log());
         }
     }
 
