--- a/src/test/java/ottergauge/program/AdminListenerIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -51,7 +51,7 @@
         return closing(
                 RunningNode.ready(
                         folder,
-                        new TestConfig().managed("127.0.0.1:" + door).knows(hosts),
+                        new TestConfig().managed("127.0.0.1:" + door).withEndpoints(hosts),
                         NOWHERE,
                         port));
     }
--- a/src/test/java/ottergauge/program/CrossingIT.java
+++ b/src/test/java/ottergauge/program/CrossingIT.java
@@ -40,7 +40,7 @@
     private RunningNode nodeBefore(StubServer server) throws Exception {
         return RunningNode.ready(
                 folder,
-                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
                 NOWHERE);
     }
 
@@ -123,7 +123,7 @@
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
-                                        .knows(
+                                        .withEndpoints(
                                                 host("s-1", leaves.address(), "in_service"),
                                                 host("s-2", stays.address(), "in_service")),
                                 discovery.address())) {
@@ -295,7 +295,7 @@
             int port = RunningNode.freePort();
             String config =
                     new TestConfig()
-                            .knows(host("s-1", server.address(), "in_service"))
+                            .withEndpoints(host("s-1", server.address(), "in_service"))
                             .at("127.0.0.1:" + port, NOWHERE)
                             .json();
             String moved = config.replace(NOWHERE, discovery.address());
@@ -329,7 +329,7 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .knows(host("s-1", server.address(), "in_service")),
+                                        .withEndpoints(host("s-1", server.address(), "in_service")),
                                 "127.0.0.1:" + discoveryPort)) {
             for (int i = 0; i < 200; i++) {
                 Client each = node.client();
--- a/src/test/java/ottergauge/program/FlowIT.java
+++ b/src/test/java/ottergauge/program/FlowIT.java
@@ -71,7 +71,7 @@
                 RunningNode.ready(
                         folder,
                         new TestConfig()
-                                .knows(
+                                .withEndpoints(
                                         host(
                                                 "s-1",
                                                 "127.0.0.1:" + listener.getLocalPort(),
--- a/src/test/java/ottergauge/program/ManyServersIT.java
+++ b/src/test/java/ottergauge/program/ManyServersIT.java
@@ -85,7 +85,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().fleet(MANY, 0.002).knows(all(NOWHERE)),
+                                new TestConfig().fleet(MANY, 0.002).withEndpoints(all(NOWHERE)),
                                 discovery.address());
                 Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
@@ -132,7 +132,7 @@
                                 folder,
                                 new TestConfig()
                                         .fleet(780, 0.002)
-                                        .knows(host("s-1", NOWHERE, "in_service")),
+                                        .withEndpoints(host("s-1", NOWHERE, "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
@@ -167,7 +167,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             node.awaitLog("the list of " + size + " bytes is over the bound of 12582912 bytes");
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -43,7 +43,7 @@
     private RunningNode nodeBefore(StubServer server) throws Exception {
         return RunningNode.ready(
                 folder,
-                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
                 NOWHERE);
     }
 
@@ -115,7 +115,7 @@
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
-                                        .knows(host("s-1", "127.0.0.1:" + nobody, "in_service")),
+                                        .withEndpoints(host("s-1", "127.0.0.1:" + nobody, "in_service")),
                                 NOWHERE);
                 Client client = node.client()) {
             HttpMessage answer = client.ask(Client.request("grant", "ok", ""));
@@ -315,7 +315,7 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .knows(host("s-1", server.address(), "in_service")),
+                                        .withEndpoints(host("s-1", server.address(), "in_service")),
                                 NOWHERE)) {
             for (int i = 0; i < 300; i++) {
                 silent.add(node.client());
@@ -384,7 +384,7 @@
                             RunningNode.ready(
                                     folder,
                                     new TestConfig()
-                                            .knows(host("s-1", first.address(), "in_service")),
+                                            .withEndpoints(host("s-1", first.address(), "in_service")),
                                     discovery.address());
                     Client client = node.client()) {
                 assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
@@ -438,7 +438,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -475,7 +475,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().knows(host("s-1", first.address(), "in_service")),
+                                new TestConfig().withEndpoints(host("s-1", first.address(), "in_service")),
                                 before.address());
                 Client client = node.client()) {
             assertNotNull(before.requests.poll(10, TimeUnit.SECONDS));
@@ -503,7 +503,7 @@
             one = host("s-1", server.address(), "in_service");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(400, other.ask(Client.request("audit", "ok", "x")).status());
-            TestConfig next = new TestConfig().knows(one).at(node.address(), NOWHERE);
+            TestConfig next = new TestConfig().withEndpoints(one).at(node.address(), NOWHERE);
             node.hangUp(
                     next.classes(
                                     TestConfig.requestClass("audit", "single_shot", 1000),
@@ -571,7 +571,7 @@
                     Files.writeString(
                             folder.resolve("old.json"),
                             new TestConfig()
-                                    .knows(host("gone", NOWHERE, "in_service"))
+                                    .withEndpoints(host("gone", NOWHERE, "in_service"))
                                     .at("127.0.0.1:" + port, discovery.address())
                                     .json());
             Path migrated = folder.resolve("new.json");
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -60,7 +60,7 @@
                 .formatted(seq, whole, String.join(",", entries));
     }
 
-    public TestConfig knows(String... entries) {
+    public TestConfig withEndpoints(String... entries) {
         hosts.addAll(List.of(entries));
         return this;
     }
--- a/src/test/java/ottergauge/routing/AdminStateTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -30,7 +30,7 @@
     private static final String TWO = host("s-2", "10.1.0.2:3000", "in_service");
     private static final Address FIRST = new Address("10.1.0.1", 3000);
 
-    private final RouterDriver node = new RouterDriver(new TestConfig().knows(ONE, TWO));
+    private final RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
     private long lastCaller;
 
     private RespondToAdmin ask(AdminRequest call) {
@@ -222,7 +222,7 @@
     @CsvSource({"ACTIVE,used", "DRAINING,draining", "EJECTED,barred", "UNRESPONSIVE,mute"})
     void servers_namesEachStatusAsTheOperationsPageDoes(EndpointStatus status, String expected) {
         EndpointRegistry registry = new EndpointRegistry(0);
-        registry.apply(0, new TestConfig().knows(ONE).build().knownEndpoints());
+        registry.apply(0, new TestConfig().withEndpoints(ONE).build().knownEndpoints());
         List<Effect> effects = new ArrayList<>();
         AdminState admin =
                 new AdminState(
--- a/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
+++ b/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
@@ -25,11 +25,11 @@
     private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
 
     private static RouterDriver one() {
-        return new RouterDriver(new TestConfig().knows(ONE));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
     private static RouterDriver two() {
-        return new RouterDriver(new TestConfig().knows(ONE, TWO));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
     }
 
     /** The rows of the protocol's table of outcomes that prove that an attempt never ran. */
@@ -149,7 +149,7 @@
 
     @Test
     void unansweredProbe_isAbandoned() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).probes());
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE).probes());
         node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.handle(new Event.UpstreamConnected(connect.connection()));
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -24,7 +24,7 @@
     private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
 
     private static RouterDriver one() {
-        return new RouterDriver(new TestConfig().knows(ONE));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
     // A node with one connection at rest to its only server.
@@ -58,7 +58,7 @@
     /** Guards against the same where the settings do not let an attempt be taken back. */
     @Test
     void clientGoneWhileConnecting_isNotForwardedEvenWithoutCancellation() {
-        RouterDriver node = new RouterDriver(new TestConfig().noCancel().knows(ONE));
+        RouterDriver node = new RouterDriver(new TestConfig().noCancel().withEndpoints(ONE));
         long gone = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.handle(new Event.ClientClosed(gone));
@@ -71,7 +71,7 @@
     /** Guards against a request to a server whose drain was read in the same round. */
     @Test
     void serverDrainingBeforeFirstByte_getsNothing() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE, TWO));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
         node.advanceMs(200);
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -92,7 +92,7 @@
 
     @Test
     void deadlineBeforeFirstByte_isAnsweredAndNotSent() {
-        RouterDriver node = rested(new TestConfig().knows(ONE));
+        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
         node.holdPendingReads();
         long client = node.request("grant");
         node.suspendMs(1000);
@@ -106,7 +106,7 @@
      */
     @Test
     void connectionClosedBeforeFirstByte_isReplacedAndSaysNothingOfItsServer() {
-        RouterDriver node = rested(new TestConfig().knows(ONE));
+        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
         node.holdPendingReads();
         long client = node.request("grant");
         long kept = 1;
@@ -121,7 +121,7 @@
      */
     @Test
     void suspendedNode_sendsNothingBeforeItsListIsCurrent() {
-        RouterDriver node = rested(new TestConfig().knows(ONE));
+        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
         node.list(41, false);
         node.suspendMs(7_000);
         assertEquals(503, node.status(node.request("grant")));
@@ -134,7 +134,7 @@
     /** While discovery is away the list in force is the best there is, however old. */
     @Test
     void unreachableDiscovery_leavesTheLastListEffective() {
-        RouterDriver node = rested(new TestConfig().knows(ONE));
+        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
         node.pollFailed();
         node.suspendMs(60_000);
         node.request("grant");
@@ -144,7 +144,7 @@
     /** Guards against a cold server getting what was chosen for the warm one that it was before. */
     @Test
     void restartedServer_getsNothingThatWaitedForTheProcessBefore() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE));
         node.advanceMs(200);
         for (int i = 0; i < 20; i++) {
             node.request("grant");
@@ -163,7 +163,7 @@
     @Test
     void serverInSlowStart_getsNothingThatHasWaitedForLong() {
         RouterDriver node =
-                new RouterDriver(new TestConfig().knows(born("s-1", "10.0.0.1:80", 999_992_000L)));
+                new RouterDriver(new TestConfig().withEndpoints(born("s-1", "10.0.0.1:80", 999_992_000L)));
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.suspendMs(300);
@@ -173,7 +173,7 @@
 
     @Test
     void probeOfADrainingServer_isNotSent() {
-        RouterDriver node = new RouterDriver(new TestConfig().probes().knows(ONE, TWO));
+        RouterDriver node = new RouterDriver(new TestConfig().probes().withEndpoints(ONE, TWO));
         node.advanceMs(200);
         node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
--- a/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
+++ b/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
@@ -67,7 +67,7 @@
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
-                                .knows(
+                                .withEndpoints(
                                         host("s-1", "10.0.0.1:80", "in_service"),
                                         host("s-2", "10.0.0.2:80", "in_service")));
         for (int i = 0; i < 8; i++) {
@@ -166,7 +166,7 @@
     @Test
     void connectionsToAnUnreachableServer_arePartlyClosedEarly() {
         String server = host("s-1", "10.0.0.1:80", "in_service");
-        RouterDriver node = new RouterDriver(new TestConfig().knows(server));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(server));
         int kept = 0;
         for (int i = 0; i < 20; i++) {
             node.request("grant");
--- a/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
+++ b/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
@@ -18,7 +18,7 @@
     private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
 
     private static RouterDriver one() {
-        return new RouterDriver(new TestConfig().knows(ONE));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
     @Test
@@ -72,7 +72,7 @@
 
     @Test
     void request_lastsAsLongAsItsOwnTimeout() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE));
         node.request("read");
         node.connectNext();
         node.advanceMs(500);
@@ -81,7 +81,7 @@
 
     @Test
     void socketShortage_closesTheLongestIdleClientFirstThenAServersConnection() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 4));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE).sockets(64 + 4));
         long first = node.request("read");
         node.serve(node.connectNext());
         node.status(first);
@@ -107,7 +107,7 @@
 
     @Test
     void socketShortage_closesAServersConnectionBeforeARecentClient() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 3));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE).sockets(64 + 3));
         long first = node.request("read");
         node.serve(node.connectNext());
         node.status(first);
@@ -124,7 +124,7 @@
 
     @Test
     void clients_neverTakeAllSocketsAndNoMoreAreAcceptedThanFit() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 30));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE).sockets(64 + 30));
         assertEquals(20 + 16, node.expect(Effect.AcceptUpTo.class).connections());
         for (int i = 0; i < 20; i++) {
             node.client();
@@ -137,7 +137,7 @@
     @Test
     void noSocketAvailable_rejectsTheRequest() {
         RouterDriver node =
-                new RouterDriver(new TestConfig().knows(ONE).sockets(64 + 1).attempts(1));
+                new RouterDriver(new TestConfig().withEndpoints(ONE).sockets(64 + 1).attempts(1));
         long client = node.request("grant");
         node.expectNo(ConnectUpstream.class);
         assertEquals(503, node.status(client));
--- a/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
@@ -27,11 +27,11 @@
     private static final String TWO_DIAL = "10.0.0.2:80";
 
     private static RouterDriver one() {
-        return new RouterDriver(new TestConfig().knows(ONE));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
     private static RouterDriver two() {
-        return new RouterDriver(new TestConfig().knows(ONE, TWO));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
     }
 
     @Test
@@ -164,7 +164,7 @@
                 new RouterDriver(
                         new TestConfig()
                                 .sockets(16 * many)
-                                .knows(
+                                .withEndpoints(
                                         IntStream.range(0, many)
                                                 .mapToObj(
                                                         i ->
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -47,7 +47,7 @@
     private static final String TWO_DIAL = "10.0.0.2:80";
 
     private static RouterDriver one() {
-        return new RouterDriver(new TestConfig().knows(ONE));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
     private static TestConfig classes(String... entries) {
@@ -230,7 +230,7 @@
     @MethodSource("ways")
     void reorderedZones_stayApart(BiConsumer<RouterDriver, TestConfig> way) {
         String other = inZone(TWO, "b");
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE));
         long client = node.request("pay");
         Forward forward = node.connectNext();
         node.written(forward);
@@ -253,7 +253,7 @@
     @MethodSource("ways")
     void addedZones_applyToServersThatAreListed(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node =
-                new RouterDriver(new TestConfig().knows(inZone(ONE, "c"), inZone(TWO, "d")));
+                new RouterDriver(new TestConfig().withEndpoints(inZone(ONE, "c"), inZone(TWO, "d")));
         way.accept(node, new TestConfig().zones("a", "b", "c", "d"));
         long client = node.request("pay");
         ConnectUpstream first = node.expect(ConnectUpstream.class);
@@ -309,7 +309,7 @@
                         new TestConfig()
                                 .attempts(1)
                                 .balancers(50_000)
-                                .knows(born("s-1", "10.0.0.1:80", 1_000_000_000)));
+                                .withEndpoints(born("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
         node.expectNo(ConnectUpstream.class);
         node.state(120, Optional.of(new TestConfig().balancers(1)), false, ONE_GONE, TWO);
@@ -376,7 +376,7 @@
                         .mapToObj(i -> host("s-" + i, "10.0.1." + i + ":80", "in_service"))
                         .toArray(String[]::new);
         RouterDriver node =
-                new RouterDriver(new TestConfig().me(7).fleet(1000, 0.08).knows(servers));
+                new RouterDriver(new TestConfig().me(7).fleet(1000, 0.08).withEndpoints(servers));
         Set<String> before = used(node);
         node.state(
                 120, Optional.of(new TestConfig().fleet(1000, 0.08).classes(READ, AUDIT)), false);
--- a/src/test/java/ottergauge/routing/ShutdownTest.java
+++ b/src/test/java/ottergauge/routing/ShutdownTest.java
@@ -18,7 +18,7 @@
     private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
 
     private static RouterDriver one() {
-        return new RouterDriver(new TestConfig().knows(ONE));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
     @Test
--- a/src/test/java/ottergauge/routing/StreamingTest.java
+++ b/src/test/java/ottergauge/routing/StreamingTest.java
@@ -25,7 +25,7 @@
     private final RouterDriver node =
             new RouterDriver(
                     new TestConfig()
-                            .knows(
+                            .withEndpoints(
                                     host("s-1", "10.1.0.1:3000", "in_service"),
                                     host("s-2", "10.1.0.2:3000", "in_service")));
     private int lastId;
@@ -126,7 +126,7 @@
     void streamedResponse_isCutByNoDeadline() {
         RouterDriver node =
                 new RouterDriver(
-                        new TestConfig().knows(host("s-1", "10.1.0.1:3000", "in_service")));
+                        new TestConfig().withEndpoints(host("s-1", "10.1.0.1:3000", "in_service")));
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
         node.handle(answerFlows(forward.connection()));
--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -82,7 +82,7 @@
     @Test
     void storedEndpointList_replacesAnOlderOneOfTheConfiguration() {
         NodeConfig config =
-                new TestConfig().knows(host("s-9", "127.0.0.1:9", "in_service")).build();
+                new TestConfig().withEndpoints(host("s-9", "127.0.0.1:9", "in_service")).build();
         EndpointList list =
                 new EndpointCache(folder, MAX_LIST_BYTES)
                         .withCachedList(config, false)
