--- a/src/test/java/ottergauge/program/AdminListenerIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -51,7 +51,7 @@
         return closing(
                 RunningNode.ready(
                         folder,
-                        new TestConfig().managed("127.0.0.1:" + door).withEndpoints(hosts),
+                        new TestConfig().withAdminListener("127.0.0.1:" + door).withEndpoints(hosts),
                         NOWHERE,
                         port));
     }
@@ -136,7 +136,7 @@
                 closing(
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().sockets(160).managed("127.0.0.1:" + door),
+                                new TestConfig().sockets(160).withAdminListener("127.0.0.1:" + door),
                                 NOWHERE,
                                 port));
         for (int i = 0; i < 300; i++) {
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -71,7 +71,7 @@
         return this;
     }
 
-    public TestConfig managed(String address) {
+    public TestConfig withAdminListener(String address) {
         management = address;
         return this;
     }
