--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -414,7 +414,7 @@
         try (StubServer discovery = new StubServer((request, connection) -> true);
                 RunningNode node =
                         RunningNode.ready(
-                                folder, new TestConfig().askMs(200), discovery.address())) {
+                                folder, new TestConfig().maxPollIntervalMs(200), discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.ended.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -132,7 +132,7 @@
         return this;
     }
 
-    public TestConfig askMs(long ms) {
+    public TestConfig maxPollIntervalMs(long ms) {
         askMs = ms;
         return this;
     }
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -284,7 +284,7 @@
     void pollsOfDiscovery_waitByTheEffectiveInterval() {
         RouterDriver node = one();
         node.list(42, true, ONE);
-        node.reconfigure(new TestConfig().askMs(1_000));
+        node.reconfigure(new TestConfig().maxPollIntervalMs(1_000));
         while (node.has(PollDiscovery.class)) {
             node.expect(PollDiscovery.class);
         }
