--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -50,7 +50,7 @@
     }
 
     /** One entry of a list, of a server that started at this Unix time. */
-    public static String born(String name, String dial, long bornMs) {
+    public static String endpointStartedAt(String name, String dial, long bornMs) {
         return host(name, dial, "in_service").replace("\"born_ms\":0", "\"born_ms\":" + bornMs);
     }
 
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -3,7 +3,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static ottergauge.protocol.TestConfig.born;
+import static ottergauge.protocol.TestConfig.endpointStartedAt;
 import static ottergauge.protocol.TestConfig.host;
 
 import org.junit.jupiter.api.Test;
@@ -150,7 +150,7 @@
             node.request("grant");
         }
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.list(42, false, born("s-1", "10.0.0.1:80", node.nowMs()));
+        node.list(42, false, endpointStartedAt("s-1", "10.0.0.1:80", node.nowMs()));
         node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
         assertEquals(connect.connection(), node.expect(CloseUpstream.class).connection());
@@ -163,7 +163,7 @@
     @Test
     void serverInSlowStart_getsNothingThatHasWaitedForLong() {
         RouterDriver node =
-                new RouterDriver(new TestConfig().withEndpoints(born("s-1", "10.0.0.1:80", 999_992_000L)));
+                new RouterDriver(new TestConfig().withEndpoints(endpointStartedAt("s-1", "10.0.0.1:80", 999_992_000L)));
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.suspendMs(300);
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -8,7 +8,7 @@
 import static ottergauge.protocol.TestConfig.GRANT;
 import static ottergauge.protocol.TestConfig.PAY;
 import static ottergauge.protocol.TestConfig.READ;
-import static ottergauge.protocol.TestConfig.born;
+import static ottergauge.protocol.TestConfig.endpointStartedAt;
 import static ottergauge.protocol.TestConfig.host;
 import static ottergauge.protocol.TestConfig.requestClass;
 
@@ -309,7 +309,7 @@
                         new TestConfig()
                                 .attempts(1)
                                 .balancers(50_000)
-                                .withEndpoints(born("s-1", "10.0.0.1:80", 1_000_000_000)));
+                                .withEndpoints(endpointStartedAt("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
         node.expectNo(ConnectUpstream.class);
         node.state(120, Optional.of(new TestConfig().balancers(1)), false, ONE_GONE, TWO);
