--- a/src/test/java/ottergauge/program/AdminListenerIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static ottergauge.program.AdminClient.call;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -79,7 +79,7 @@
     })
     void aBadCallGetsItsNo(String line, int status) throws Exception {
         int door = RunningNode.freePort();
-        process(door, host("s-1", "127.0.0.1:2", "in_service"));
+        process(door, endpointJson("s-1", "127.0.0.1:2", "in_service"));
         try (Client operator = new Client(new Socket(InetAddress.getLoopbackAddress(), door))) {
             assertEquals(status, operator.ask(line + "\r\nHost: x\r\n\r\n").status());
         }
@@ -91,7 +91,7 @@
     void silentCallersGiveWay() throws Exception {
         int door = RunningNode.freePort();
         StubServer server = closing(StubServer.obedient());
-        RunningNode node = process(door, host("s-1", server.address(), "in_service"));
+        RunningNode node = process(door, endpointJson("s-1", server.address(), "in_service"));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             Socket socket = closing(new Socket(InetAddress.getLoopbackAddress(), door));
@@ -149,7 +149,7 @@
     void figuresTellWhatBecameOfRequests() throws Exception {
         int door = RunningNode.freePort();
         StubServer server = closing(StubServer.obedient());
-        RunningNode node = process(door, host("s-1", server.address(), "in_service"));
+        RunningNode node = process(door, endpointJson("s-1", server.address(), "in_service"));
         try (Client client = node.client()) {
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(502, client.ask(Client.request("grant", "error", "")).status());
@@ -173,8 +173,8 @@
         RunningNode old =
                 process(
                         before,
-                        host("s-1", server.address(), "in_service"),
-                        host("s-2", "127.0.0.1:2", "in_service"));
+                        endpointJson("s-1", server.address(), "in_service"),
+                        endpointJson("s-2", "127.0.0.1:2", "in_service"));
         assertEquals(200, call(before, "POST /servers/s-2/maint").status());
         assertEquals(200, call(before, "POST /servers/s-2/maint").status());
         RunningNode next = process(after);
@@ -207,13 +207,13 @@
     @Test
     void aProcessStartsAloneWithLeftovers() throws Exception {
         int door = RunningNode.freePort();
-        RunningNode first = process(door, host("s-1", "127.0.0.1:2", "in_service"));
+        RunningNode first = process(door, endpointJson("s-1", "127.0.0.1:2", "in_service"));
         assertEquals(200, call(door, "POST /servers/s-1/maint").status());
         first.process.destroyForcibly().waitFor();
         Files.writeString(shared().resolve("held-broken"), "no time");
         Files.writeString(shared().resolve("list.json"), "{");
         int next = RunningNode.freePort();
-        RunningNode second = process(next, host("s-1", "127.0.0.1:2", "in_service"));
+        RunningNode second = process(next, endpointJson("s-1", "127.0.0.1:2", "in_service"));
         assertEquals("s-1 held\n", call(next, "GET /servers").body());
         assertFalse(second.log().contains("runs beside"));
         second.process.destroy();
--- a/src/test/java/ottergauge/program/CrossingIT.java
+++ b/src/test/java/ottergauge/program/CrossingIT.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 import static ottergauge.protocol.TestConfig.list;
 
 import java.net.Socket;
@@ -40,7 +40,7 @@
     private RunningNode nodeBefore(StubServer server) throws Exception {
         return RunningNode.ready(
                 folder,
-                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
+                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                 NOWHERE);
     }
 
@@ -111,7 +111,7 @@
                                                                 list(
                                                                         42,
                                                                         false,
-                                                                        host(
+                                                                        endpointJson(
                                                                                 "s-1",
                                                                                 leaves.address(),
                                                                                 "terminating"))));
@@ -124,8 +124,8 @@
                                 folder,
                                 new TestConfig()
                                         .withEndpoints(
-                                                host("s-1", leaves.address(), "in_service"),
-                                                host("s-2", stays.address(), "in_service")),
+                                                endpointJson("s-1", leaves.address(), "in_service"),
+                                                endpointJson("s-2", stays.address(), "in_service")),
                                 discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             List<Client> clients = new ArrayList<>();
@@ -295,7 +295,7 @@
             int port = RunningNode.freePort();
             String config =
                     new TestConfig()
-                            .withEndpoints(host("s-1", server.address(), "in_service"))
+                            .withEndpoints(endpointJson("s-1", server.address(), "in_service"))
                             .at("127.0.0.1:" + port, NOWHERE)
                             .json();
             String moved = config.replace(NOWHERE, discovery.address());
@@ -329,7 +329,7 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .withEndpoints(host("s-1", server.address(), "in_service")),
+                                        .withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                                 "127.0.0.1:" + discoveryPort)) {
             for (int i = 0; i < 200; i++) {
                 Client each = node.client();
--- a/src/test/java/ottergauge/program/FlowIT.java
+++ b/src/test/java/ottergauge/program/FlowIT.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
@@ -72,7 +72,7 @@
                         folder,
                         new TestConfig()
                                 .withEndpoints(
-                                        host(
+                                        endpointJson(
                                                 "s-1",
                                                 "127.0.0.1:" + listener.getLocalPort(),
                                                 "in_service")),
--- a/src/test/java/ottergauge/program/HollowIT.java
+++ b/src/test/java/ottergauge/program/HollowIT.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -126,14 +126,14 @@
                                 TestConfig.list(
                                         41,
                                         true,
-                                        host("s-1", "127.0.0.1:1", "in_service"),
-                                        host("s-2", "127.0.0.1:2", "in_service")));
+                                        endpointJson("s-1", "127.0.0.1:1", "in_service"),
+                                        endpointJson("s-2", "127.0.0.1:2", "in_service")));
                     } else if (request.target().contains("after=41&")) {
                         send(
                                 connection,
                                 bytes,
                                 TestConfig.list(
-                                        42, false, host("s-2", "127.0.0.1:2", "terminating")));
+                                        42, false, endpointJson("s-2", "127.0.0.1:2", "terminating")));
                     } else if (answersAll) {
                         send(connection, bytes, TestConfig.list(42, false));
                     }
--- a/src/test/java/ottergauge/program/ManyServersIT.java
+++ b/src/test/java/ottergauge/program/ManyServersIT.java
@@ -3,7 +3,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.io.IOException;
 import java.io.OutputStream;
@@ -36,7 +36,7 @@
 
     private static String[] all(int servers, String dial) {
         return IntStream.range(0, servers)
-                .mapToObj(i -> host("server-of-some-longer-name-" + i, dial, "in_service"))
+                .mapToObj(i -> endpointJson("server-of-some-longer-name-" + i, dial, "in_service"))
                 .toArray(String[]::new);
     }
 
@@ -132,7 +132,7 @@
                                 folder,
                                 new TestConfig()
                                         .fleet(780, 0.002)
-                                        .withEndpoints(host("s-1", NOWHERE, "in_service")),
+                                        .withEndpoints(endpointJson("s-1", NOWHERE, "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
@@ -167,7 +167,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
+                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             node.awaitLog("the list of " + size + " bytes is over the bound of 12582912 bytes");
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 import static ottergauge.protocol.TestConfig.list;
 
 import java.io.IOException;
@@ -43,7 +43,7 @@
     private RunningNode nodeBefore(StubServer server) throws Exception {
         return RunningNode.ready(
                 folder,
-                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
+                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                 NOWHERE);
     }
 
@@ -115,7 +115,7 @@
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
-                                        .withEndpoints(host("s-1", "127.0.0.1:" + nobody, "in_service")),
+                                        .withEndpoints(endpointJson("s-1", "127.0.0.1:" + nobody, "in_service")),
                                 NOWHERE);
                 Client client = node.client()) {
             HttpMessage answer = client.ask(Client.request("grant", "ok", ""));
@@ -315,7 +315,7 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .withEndpoints(host("s-1", server.address(), "in_service")),
+                                        .withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                                 NOWHERE)) {
             for (int i = 0; i < 300; i++) {
                 silent.add(node.client());
@@ -367,11 +367,11 @@
                                                             list(
                                                                     42,
                                                                     false,
-                                                                    host(
+                                                                    endpointJson(
                                                                             "s-1",
                                                                             first.address(),
                                                                             "terminating"),
-                                                                    host(
+                                                                    endpointJson(
                                                                             "s-2",
                                                                             second.address(),
                                                                             "in_service"))));
@@ -384,7 +384,7 @@
                             RunningNode.ready(
                                     folder,
                                     new TestConfig()
-                                            .withEndpoints(host("s-1", first.address(), "in_service")),
+                                            .withEndpoints(endpointJson("s-1", first.address(), "in_service")),
                                     discovery.address());
                     Client client = node.client()) {
                 assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
@@ -438,7 +438,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
+                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -465,7 +465,7 @@
                                                                 list(
                                                                         1,
                                                                         true,
-                                                                        host(
+                                                                        endpointJson(
                                                                                 "s-2",
                                                                                 second.address(),
                                                                                 "in_service"))));
@@ -475,7 +475,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(host("s-1", first.address(), "in_service")),
+                                new TestConfig().withEndpoints(endpointJson("s-1", first.address(), "in_service")),
                                 before.address());
                 Client client = node.client()) {
             assertNotNull(before.requests.poll(10, TimeUnit.SECONDS));
@@ -500,7 +500,7 @@
                 RunningNode node = nodeBefore(server);
                 Client client = node.client();
                 Client other = node.client()) {
-            one = host("s-1", server.address(), "in_service");
+            one = endpointJson("s-1", server.address(), "in_service");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(400, other.ask(Client.request("audit", "ok", "x")).status());
             TestConfig next = new TestConfig().withEndpoints(one).at(node.address(), NOWHERE);
@@ -559,7 +559,7 @@
                                                                 list(
                                                                         1,
                                                                         true,
-                                                                        host(
+                                                                        endpointJson(
                                                                                 "s-1",
                                                                                 server.address(),
                                                                                 "in_service"))));
@@ -571,7 +571,7 @@
                     Files.writeString(
                             folder.resolve("old.json"),
                             new TestConfig()
-                                    .withEndpoints(host("gone", NOWHERE, "in_service"))
+                                    .withEndpoints(endpointJson("gone", NOWHERE, "in_service"))
                                     .at("127.0.0.1:" + port, discovery.address())
                                     .json());
             Path migrated = folder.resolve("new.json");
--- a/src/test/java/ottergauge/program/StallIT.java
+++ b/src/test/java/ottergauge/program/StallIT.java
@@ -3,7 +3,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
@@ -35,7 +35,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
+                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                                 "127.0.0.1:1");
                 Client known = node.client()) {
             assertEquals(200, known.ask(Client.request("grant", "ok", "")).status());
@@ -65,7 +65,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(host("s-1", server.address(), "in_service")),
+                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                                 "127.0.0.1:1");
                 Client idle = node.client()) {
             assertEquals(200, idle.ask(Client.request("grant", "ok", "")).status());
--- a/src/test/java/ottergauge/program/UpgradeFromPreviousVersionCheck.java
+++ b/src/test/java/ottergauge/program/UpgradeFromPreviousVersionCheck.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static ottergauge.program.AdminClient.call;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
@@ -88,8 +88,8 @@
                 ready(
                         oldVersion,
                         oldManagement,
-                        host("s-1", server.address(), "in_service"),
-                        host("s-2", "127.0.0.1:2", "in_service"));
+                        endpointJson("s-1", server.address(), "in_service"),
+                        endpointJson("s-2", "127.0.0.1:2", "in_service"));
         assertEquals(200, call(oldManagement, "POST /servers/s-2/maint").status());
         RunningNode newProcess = ready(newVersion, newManagement);
         assertEquals(200, call(newManagement, "GET /healthcheck").status());
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -33,7 +33,7 @@
     private double probePrice = 0.002;
 
     /** One entry of a list. */
-    public static String host(String name, String dial, String health) {
+    public static String endpointJson(String name, String dial, String health) {
         return """
         {"host":"%s","dial":"%s","site":"a","class":"m2","block":3,"health":"%s",
          "share":1.0,"born_ms":0}\
@@ -51,7 +51,7 @@
 
     /** One entry of a list, of a server that started at this Unix time. */
     public static String endpointStartedAt(String name, String dial, long bornMs) {
-        return host(name, dial, "in_service").replace("\"born_ms\":0", "\"born_ms\":" + bornMs);
+        return endpointJson(name, dial, "in_service").replace("\"born_ms\":0", "\"born_ms\":" + bornMs);
     }
 
     /** A list as discovery answers it. */
--- a/src/test/java/ottergauge/routing/AdminStateTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -3,7 +3,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -26,8 +26,8 @@
 /** What operators ask at the door, with no socket. */
 class AdminStateTest {
 
-    private static final String ONE = host("s-1", "10.1.0.1:3000", "in_service");
-    private static final String TWO = host("s-2", "10.1.0.2:3000", "in_service");
+    private static final String ONE = endpointJson("s-1", "10.1.0.1:3000", "in_service");
+    private static final String TWO = endpointJson("s-2", "10.1.0.2:3000", "in_service");
     private static final Address FIRST = new Address("10.1.0.1", 3000);
 
     private final RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
--- a/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
+++ b/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
@@ -2,7 +2,7 @@
 package ottergauge.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.util.function.BiConsumer;
 import java.util.stream.Stream;
@@ -21,8 +21,8 @@
 /** What an attempt's end proves, and what becomes of its request. */
 class AttemptOutcomeTest {
 
-    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
-    private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
+    private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
+    private static final String TWO = endpointJson("s-2", "10.0.0.2:80", "in_service");
 
     private static RouterDriver one() {
         return new RouterDriver(new TestConfig().withEndpoints(ONE));
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static ottergauge.protocol.TestConfig.endpointStartedAt;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import org.junit.jupiter.api.Test;
 import ottergauge.protocol.TestConfig;
@@ -20,8 +20,8 @@
  */
 class AttemptStartTest {
 
-    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
-    private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
+    private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
+    private static final String TWO = endpointJson("s-2", "10.0.0.2:80", "in_service");
 
     private static RouterDriver one() {
         return new RouterDriver(new TestConfig().withEndpoints(ONE));
@@ -81,7 +81,7 @@
         node.list(
                 42,
                 false,
-                host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
+                endpointJson("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.releasePendingReads();
         node.expectNo(Forward.class);
         assertNotEquals(
@@ -183,7 +183,7 @@
         node.list(
                 42,
                 false,
-                host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
+                endpointJson("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.releasePendingReads();
         node.expectNo(ProbeLoad.class);
     }
--- a/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
+++ b/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import org.junit.jupiter.api.Test;
 import ottergauge.protocol.TestConfig;
@@ -68,8 +68,8 @@
                 new RouterDriver(
                         new TestConfig()
                                 .withEndpoints(
-                                        host("s-1", "10.0.0.1:80", "in_service"),
-                                        host("s-2", "10.0.0.2:80", "in_service")));
+                                        endpointJson("s-1", "10.0.0.1:80", "in_service"),
+                                        endpointJson("s-2", "10.0.0.2:80", "in_service")));
         for (int i = 0; i < 8; i++) {
             long client = node.request("read");
             ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -165,7 +165,7 @@
 
     @Test
     void connectionsToAnUnreachableServer_arePartlyClosedEarly() {
-        String server = host("s-1", "10.0.0.1:80", "in_service");
+        String server = endpointJson("s-1", "10.0.0.1:80", "in_service");
         RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(server));
         int kept = 0;
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
@@ -3,7 +3,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.util.HashSet;
 import java.util.Set;
@@ -21,8 +21,8 @@
 /** Endpoint updates, draining servers, and the polls of discovery. */
 class DiscoveryUpdatesTest {
 
-    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
-    private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
+    private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
+    private static final String TWO = endpointJson("s-2", "10.0.0.2:80", "in_service");
 
     private static final String TWO_DIAL = "10.0.0.2:80";
 
@@ -39,7 +39,7 @@
         RouterDriver node = watching();
         long client = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.list(42, false, host("s-1", "10.0.0.1:80", "terminating"), TWO);
+        node.list(42, false, endpointJson("s-1", "10.0.0.1:80", "terminating"), TWO);
         assertEquals("10.0.0.2:80", node.expect(ConnectUpstream.class).address().toString());
         node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
@@ -65,7 +65,7 @@
         RouterDriver node = one();
         node.request("read");
         node.serve(node.connectNext());
-        node.list(42, false, host("s-1", "10.0.0.9:80", "in_service"));
+        node.list(42, false, endpointJson("s-1", "10.0.0.9:80", "in_service"));
         assertEquals(CloseReason.DELISTED, node.expect(CloseUpstream.class).reason());
         node.request("read");
         assertEquals("10.0.0.9:80", node.expect(ConnectUpstream.class).address().toString());
@@ -101,7 +101,7 @@
         PollDiscovery silent = node.expect(PollDiscovery.class);
         node.advanceMs(silent.maxWaitMicros() / 1000 + 300);
         assertEquals(41, node.expect(PollDiscovery.class).afterVersion());
-        node.list(42, false, host("s-1", "127.0.0.1:4000", "terminating"));
+        node.list(42, false, endpointJson("s-1", "127.0.0.1:4000", "terminating"));
         node.request("read");
         node.expectNo(ConnectUpstream.class);
     }
@@ -116,8 +116,8 @@
         node.list(
                 42,
                 true,
-                host("s-1", "127.0.0.1:4000", "in_service"),
-                host("s-1", "127.0.0.1:4000", "terminating"),
+                endpointJson("s-1", "127.0.0.1:4000", "in_service"),
+                endpointJson("s-1", "127.0.0.1:4000", "terminating"),
                 TWO);
         for (int i = 0; i < 3; i++) {
             node.request("read");
@@ -126,9 +126,9 @@
         node.list(
                 43,
                 false,
-                host("s-1", "127.0.0.1:4000", "terminated"),
-                host("s-1", "127.0.0.1:4009", "in_service"),
-                host("s-2", "127.0.0.1:4001", "terminating"));
+                endpointJson("s-1", "127.0.0.1:4000", "terminated"),
+                endpointJson("s-1", "127.0.0.1:4009", "in_service"),
+                endpointJson("s-2", "127.0.0.1:4001", "terminating"));
         node.request("read");
         assertEquals("127.0.0.1:4009", node.expect(ConnectUpstream.class).address().toString());
     }
@@ -168,7 +168,7 @@
                                         IntStream.range(0, many)
                                                 .mapToObj(
                                                         i ->
-                                                                host(
+                                                                endpointJson(
                                                                         "s-" + i,
                                                                         "10.0." + i / 256 + "."
                                                                                 + i % 256 + ":80",
--- a/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -40,7 +40,7 @@
     private static EndpointList list(long seq, boolean whole, String health) {
         try {
             return EndpointList.read(
-                    TestConfig.list(seq, whole, host("s-1", "10.0.0.1:80", health))
+                    TestConfig.list(seq, whole, endpointJson("s-1", "10.0.0.1:80", health))
                             .getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/ottergauge/routing/RequestForwardingTest.java
+++ b/src/test/java/ottergauge/routing/RequestForwardingTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
@@ -21,7 +21,7 @@
 /** Requests and responses on their way through the node. */
 class RequestForwardingTest {
 
-    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
+    private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
 
     private static RouterDriver one() {
         return new RouterDriver(new TestConfig().withEndpoints(ONE));
--- a/src/test/java/ottergauge/routing/RequestHandlerTest.java
+++ b/src/test/java/ottergauge/routing/RequestHandlerTest.java
@@ -3,7 +3,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -20,7 +20,7 @@
 /** Each request has one final response; invalid requests are rejected. */
 class RequestHandlerTest {
 
-    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
+    private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
 
     private static RouterDriver one() {
         return new RouterDriver(new TestConfig().withEndpoints(ONE));
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -9,7 +9,7 @@
 import static ottergauge.protocol.TestConfig.PAY;
 import static ottergauge.protocol.TestConfig.READ;
 import static ottergauge.protocol.TestConfig.endpointStartedAt;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 import static ottergauge.protocol.TestConfig.requestClass;
 
 import java.util.HashSet;
@@ -40,9 +40,9 @@
  */
 class SettingsReloadTest {
 
-    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
-    private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
-    private static final String ONE_GONE = host("s-1", "10.0.0.1:80", "terminated");
+    private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
+    private static final String TWO = endpointJson("s-2", "10.0.0.2:80", "in_service");
+    private static final String ONE_GONE = endpointJson("s-1", "10.0.0.1:80", "terminated");
     private static final String AUDIT = requestClass("audit", "single_shot", 1000);
     private static final String TWO_DIAL = "10.0.0.2:80";
 
@@ -373,7 +373,7 @@
     void node_keepsItsIndexUnderSharedSettings() {
         String[] servers =
                 IntStream.range(0, 50)
-                        .mapToObj(i -> host("s-" + i, "10.0.1." + i + ":80", "in_service"))
+                        .mapToObj(i -> endpointJson("s-" + i, "10.0.1." + i + ":80", "in_service"))
                         .toArray(String[]::new);
         RouterDriver node =
                 new RouterDriver(new TestConfig().me(7).fleet(1000, 0.08).withEndpoints(servers));
--- a/src/test/java/ottergauge/routing/SimulatedDiscovery.java
+++ b/src/test/java/ottergauge/routing/SimulatedDiscovery.java
@@ -2,7 +2,7 @@
 package ottergauge.routing;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -229,7 +229,7 @@
     private static EndpointList list(long seq, boolean whole, boolean news) {
         try {
             String[] hosts =
-                    news ? new String[] {host("s-1", "10.0.0.1:80", "terminating")} : new String[0];
+                    news ? new String[] {endpointJson("s-1", "10.0.0.1:80", "terminating")} : new String[0];
             return EndpointList.read(TestConfig.list(seq, whole, hosts).getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/ottergauge/routing/StreamingTest.java
+++ b/src/test/java/ottergauge/routing/StreamingTest.java
@@ -3,7 +3,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -26,8 +26,8 @@
             new RouterDriver(
                     new TestConfig()
                             .withEndpoints(
-                                    host("s-1", "10.1.0.1:3000", "in_service"),
-                                    host("s-2", "10.1.0.2:3000", "in_service")));
+                                    endpointJson("s-1", "10.1.0.1:3000", "in_service"),
+                                    endpointJson("s-2", "10.1.0.2:3000", "in_service")));
     private int lastId;
 
     private long flows(String requestClass, long expiresInMs) {
@@ -126,7 +126,7 @@
     void streamedResponse_isCutByNoDeadline() {
         RouterDriver node =
                 new RouterDriver(
-                        new TestConfig().withEndpoints(host("s-1", "10.1.0.1:3000", "in_service")));
+                        new TestConfig().withEndpoints(endpointJson("s-1", "10.1.0.1:3000", "in_service")));
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
         node.handle(answerFlows(forward.connection()));
--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -82,7 +82,7 @@
     @Test
     void storedEndpointList_replacesAnOlderOneOfTheConfiguration() {
         NodeConfig config =
-                new TestConfig().withEndpoints(host("s-9", "127.0.0.1:9", "in_service")).build();
+                new TestConfig().withEndpoints(endpointJson("s-9", "127.0.0.1:9", "in_service")).build();
         EndpointList list =
                 new EndpointCache(folder, MAX_LIST_BYTES)
                         .withCachedList(config, false)
