--- a/src/main/java/ottergauge/protocol/Address.java
+++ b/src/main/java/ottergauge/protocol/Address.java
@@ -13,7 +13,7 @@
                 return new Address(text.substring(0, colon), port);
             }
         } catch (NumberFormatException e) {
-            // Falls through: no port.
+            // The port is not a number: falls through to the exception.
         }
         throw new ProtocolException("not an address: " + text);
     }
--- a/src/main/java/ottergauge/protocol/AttemptResults.java
+++ b/src/main/java/ottergauge/protocol/AttemptResults.java
@@ -13,8 +13,7 @@
     private AttemptResults() {}
 
     /**
-     * The result of an attempt by its response. Only 503 and 504 with {@link Headers#NEVER_RAN}
-     * prove that nothing ran; any other status than 200 is an error.
+     * The result of an attempt, derived from its response. Only 503 and 504 with {@link Headers#NEVER_RAN} prove that the server did not run the request. Any other status except 200 is an error.
      */
     public static AttemptResult ofResponse(int status, boolean neverRan) {
         if (status == OK) {
--- a/src/main/java/ottergauge/protocol/Content.java
+++ b/src/main/java/ottergauge/protocol/Content.java
@@ -4,10 +4,10 @@
 /**
  * The body of a message.
  *
- * @param type the sender's content type; null if there is none, or if it can't be sent on unchanged
+ * @param type the sender's content type; null if there is none, or if it can't be forwarded unchanged
  * @param bytes the body as it was received
  */
-@SuppressWarnings("ArrayRecordComponent") // Never compared; a copy for each message would cost.
+@SuppressWarnings("ArrayRecordComponent") // Never compared; copies would be costly.
 public record Content(String type, byte[] bytes) {
 
     /** An empty body. */
@@ -15,7 +15,7 @@
 
     private static final int DELETE = 0x7f;
 
-    /** Omits a type that has other than visible characters. */
+    /** Omits a type that has characters other than printable ASCII. */
     public Content {
         type = type != null && type.chars().allMatch(c -> c >= ' ' && c < DELETE) ? type : null;
     }
--- a/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
+++ b/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
@@ -13,19 +13,17 @@
 import ottergauge.settings.SettingsFault;
 
 /**
- * The {@code control} section of a node's configuration: the control processes that the node
- * follows, what it subscribes to, and the bounds that it observes. The configuration of a control
- * process itself is another type.
+ * The {@code control} section of a node's configuration: the control processes that the node follows, its subscription and its limits. The configuration of a control process itself is another type.
  *
  * @param endpoints the control processes
  * @param region the region that the node runs in; empty for none
  * @param services the services that the node subscribes to; empty for all
  * @param settingsName name of the settings that the node applies
- * @param propagationDeadlineMicros how soon a change has to reach the node
- * @param bytesPerSecond bound of the rate at which the state is read
- * @param stateDirectory where the last state is stored, if anywhere
- * @param maxResources bound of the number of resources in the state
- * @param maxBytes bound of the state's size
+ * @param propagationDeadlineMicros the time within which a change must reach the node
+ * @param bytesPerSecond limit of the rate at which the state is read
+ * @param stateDirectory the directory that stores the last state, if there is one
+ * @param maxResources limit of the number of resources in the state
+ * @param maxBytes limit of the state's size
  */
 public record ControlPlaneConfig(
         List<Endpoint> endpoints,
@@ -43,7 +41,7 @@
 
     private static final int MAX_ENDPOINTS = 16;
 
-    /** Of all services' names together: they go into the head of each call. */
+    /** The total length of all services' names, which are sent in the head of each request. */
     private static final int MAX_SERVICES_CHARACTERS = 2_000;
 
     private static final long MIN_PROPAGATION_MS = 500;
@@ -61,7 +59,11 @@
     private static final String NAME_FORM = "1 to 128 characters of A-Z a-z 0-9 . _ : / -";
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._:/-]{1,128}");
 
-    /** Reads the section; what is wrong with it is said by key, value and allowed form. */
+    /**
+     * Reads the section.
+     *
+     * @throws ProtocolException if it is invalid; the message names the key, its value and the allowed form
+     */
     static ControlPlaneConfig of(Object section) throws ProtocolException {
         if (!(section instanceof Map<?, ?> fields)) {
             throw fault("control", section, "an object");
@@ -163,14 +165,14 @@
         return Optional.of(text);
     }
 
-    private static String text(Map<?, ?> fields, String key, String absent)
+    private static String text(Map<?, ?> fields, String key, String defaultValue)
             throws ProtocolException {
-        return text(fields, key, key, absent);
+        return text(fields, key, key, defaultValue);
     }
 
-    private static String text(Map<?, ?> fields, String path, String key, String absent)
+    private static String text(Map<?, ?> fields, String path, String key, String defaultValue)
             throws ProtocolException {
-        return fields.get(key) == null ? absent : name("control." + path, fields.get(key));
+        return fields.get(key) == null ? defaultValue : name("control." + path, fields.get(key));
     }
 
     private static String name(String key, Object value) throws ProtocolException {
@@ -180,11 +182,11 @@
         return text;
     }
 
-    private static long integer(Map<?, ?> fields, String key, long min, long max, long absent)
+    private static long integer(Map<?, ?> fields, String key, long min, long max, long defaultValue)
             throws ProtocolException {
         Object value = fields.get(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!(value instanceof Double number)
                 || number != Math.rint(number)
--- a/src/main/java/ottergauge/protocol/DiscoveredEndpoint.java
+++ b/src/main/java/ottergauge/protocol/DiscoveredEndpoint.java
@@ -4,17 +4,16 @@
 import ottergauge.decision.api.EndpointState;
 
 /**
- * One server as discovery knows it.
+ * One server as discovery lists it.
  *
- * @param name its identity
+ * @param name identifies the server
  * @param address where this node reaches it
  * @param zone name of its zone
  * @param kind name of its machine type
  * @param cell number of its cell
  * @param state whether it takes new requests
  * @param weight its size relative to other servers
- * @param startedAtMs instant of its start, in milliseconds since the epoch; 0 if it has run for
- *     long
+ * @param startedAtMs when it started, in milliseconds since the epoch; 0 if that was long ago
  */
 public record DiscoveredEndpoint(
         String name,
--- a/src/main/java/ottergauge/protocol/EndpointCodec.java
+++ b/src/main/java/ottergauge/protocol/EndpointCodec.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import ottergauge.decision.api.EndpointState;
 
-/** The fields that describe one server in JSON, beside its name: the same in all messages. */
+/** The JSON fields that describe a server, except its name. They are the same in all messages. */
 public final class EndpointCodec {
 
-    /** The allowed forms of a server's health. */
+    /** The allowed values of a server's health. */
     public static final String HEALTH_NAMES = "in_service, terminating or terminated";
 
     private static final String IN_SERVICE = "in_service";
@@ -19,7 +19,7 @@
 
     private EndpointCodec() {}
 
-    /** Reads the fields of the server of this name; a field that is absent takes its default. */
+    /** Reads the fields of the server with this name. An absent field has its default value. */
     public static DiscoveredEndpoint read(String name, Map<?, ?> fields) throws ProtocolException {
         String health = text(fields, "health");
         EndpointState state =
@@ -35,22 +35,22 @@
                 (long) number(fields, "born_ms", 0));
     }
 
-    /** Writes the fields, without the name, into the object that is open. */
-    public static void writeFields(JsonGenerator out, DiscoveredEndpoint host) throws IOException {
-        out.writeStringField("dial", host.address().toString());
-        if (host.zone() != null) {
-            out.writeStringField("site", host.zone());
+    /** Writes the fields, without the name, into the object that the generator has open. */
+    public static void writeFields(JsonGenerator out, DiscoveredEndpoint endpoint) throws IOException {
+        out.writeStringField("dial", endpoint.address().toString());
+        if (endpoint.zone() != null) {
+            out.writeStringField("site", endpoint.zone());
         }
-        if (host.kind() != null) {
-            out.writeStringField("class", host.kind());
+        if (endpoint.kind() != null) {
+            out.writeStringField("class", endpoint.kind());
         }
-        out.writeNumberField("block", host.cell());
-        out.writeStringField("health", healthName(host.state()));
-        out.writeNumberField("share", host.weight());
-        out.writeNumberField("born_ms", host.startedAtMs());
+        out.writeNumberField("block", endpoint.cell());
+        out.writeStringField("health", healthName(endpoint.state()));
+        out.writeNumberField("share", endpoint.weight());
+        out.writeNumberField("born_ms", endpoint.startedAtMs());
     }
 
-    /** The state that this health stands for; empty if there is none. */
+    /** The state for a value of the health field; empty if the value is unknown. */
     public static Optional<EndpointState> state(String health) {
         return switch (String.valueOf(health)) {
             case IN_SERVICE -> Optional.of(EndpointState.UP);
@@ -72,7 +72,7 @@
         return fields.get(key) instanceof String text ? text : null;
     }
 
-    private static double number(Map<?, ?> fields, String key, double absent) {
-        return fields.get(key) instanceof Double number ? number : absent;
+    private static double number(Map<?, ?> fields, String key, double defaultValue) {
+        return fields.get(key) instanceof Double number ? number : defaultValue;
     }
 }
--- a/src/main/java/ottergauge/protocol/EndpointList.java
+++ b/src/main/java/ottergauge/protocol/EndpointList.java
@@ -11,9 +11,9 @@
 /**
  * Discovery's endpoint list.
  *
- * @param version grows with each change; 0 for a list that discovery has not told
- * @param complete whether the list is complete or names only what changed
- * @param endpoints in the order in which discovery names them
+ * @param version grows with each change; 0 for a list that does not come from discovery
+ * @param complete whether the list is complete or has only the endpoints that changed
+ * @param endpoints in the order of discovery's list
  */
 public record EndpointList(long version, boolean complete, List<DiscoveredEndpoint> endpoints) {
 
@@ -26,7 +26,7 @@
         return EndpointListReader.read(body);
     }
 
-    /** The list in discovery's form. */
+    /** The list in discovery's JSON format. */
     public byte[] json() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
--- a/src/main/java/ottergauge/protocol/EndpointListReader.java
+++ b/src/main/java/ottergauge/protocol/EndpointListReader.java
@@ -26,7 +26,7 @@
 
     private EndpointListReader() {}
 
-    /** Reads a message that is one list and nothing behind it. */
+    /** Reads a message that consists of one list without trailing content. */
     static EndpointList read(byte[] body) throws ProtocolException {
         try (JsonParser in = JSON.createParser(body)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -48,12 +48,12 @@
         while (in.nextToken() != JsonToken.END_OBJECT) {
             String field = in.currentName();
             in.nextToken();
-            reader.take(field, in);
+            reader.readField(field, in);
         }
         return reader.list();
     }
 
-    private void take(String field, JsonParser in) throws IOException, ProtocolException {
+    private void readField(String field, JsonParser in) throws IOException, ProtocolException {
         switch (field) {
             case "seq" -> version = in.currentToken().isNumeric() ? in.getDoubleValue() : null;
             case "whole" -> complete = in.currentToken() == JsonToken.VALUE_TRUE;
--- a/src/main/java/ottergauge/protocol/Headers.java
+++ b/src/main/java/ottergauge/protocol/Headers.java
@@ -22,7 +22,7 @@
     /** When a rejected client should retry. */
     public static final String RETRY_AFTER = "Retry-After";
 
-    /** Marks a response of a request that the server did not run. */
+    /** Marks the response to a request that the server did not run. */
     public static final String NEVER_RAN = "X-Never-Ran";
 
     /** A server's load report. */
--- a/src/main/java/ottergauge/protocol/LoadReportReader.java
+++ b/src/main/java/ottergauge/protocol/LoadReportReader.java
@@ -4,22 +4,21 @@
 import ottergauge.decision.api.LoadReport;
 
 /**
- * Reads load reports in text form: {@code TEXT inflight=7, queue=2, util=0.61}. Servers name the
- * fields as the settings do or as the protocol's page does; both are read.
+ * Reads load reports in text form: {@code TEXT inflight=7, queue=2, util=0.61}. Servers use either the field names of the settings or those of the protocol's description; both are accepted.
  */
 public final class LoadReportReader {
 
-    // A larger value is an error, and would keep the server from getting requests for hours.
+    // A larger value is an error. It would keep requests from the server for hours.
     private static final double MAX_VALUE = 1e6;
     private static final String FORM = "TEXT";
 
     private LoadReportReader() {}
 
     /**
-     * Reads a report; fields that it lacks are NaN, unknown ones are ignored. A report with a value
+     * Reads a report. Missing fields are NaN; unknown fields are ignored. A report with a value
      * that can't be parsed is {@link LoadReport#NONE}.
      */
-    @SuppressWarnings("StringSplitter") // A trailing comma is passed over.
+    @SuppressWarnings("StringSplitter") // A trailing comma is ignored.
     public static LoadReport read(String text) {
         if (text == null || !text.startsWith(FORM)) {
             return LoadReport.NONE;
--- a/src/main/java/ottergauge/protocol/NodeConfig.java
+++ b/src/main/java/ottergauge/protocol/NodeConfig.java
@@ -15,13 +15,13 @@
  * A node's configuration.
  *
  * @param name the node's name in logs
- * @param listen where clients connect
- * @param discovery where discovery is polled
+ * @param listen the address that clients connect to
+ * @param discovery the address at which discovery is polled
  * @param seed seeds the node's random choices
  * @param maxDescriptors limit of the process's file descriptors
- * @param knownEndpoints the endpoints as the node or its platform had them last
+ * @param knownEndpoints the endpoints last known to the node or its platform
  * @param settings settings that may be replaced while the node runs
- * @param admin where the admin listener is bound, if there is one
+ * @param admin the address of the admin listener, if there is one
  * @param memoryMb the process's memory limit in megabytes
  * @param control the control processes; without them endpoints come from discovery and settings
  *     from this configuration
@@ -39,7 +39,7 @@
         Optional<ControlPlaneConfig> control) {
 
     private static final int HEXADECIMAL = 16;
-    // A list that is read takes some three times its bytes as objects.
+    // The objects of a parsed list take about three times the size of its JSON.
     private static final int MEMORY_TO_LIST_RATIO = 16;
     private static final int BYTES_PER_MB = 1 << 20;
     private static final int DEFAULT_DESCRIPTORS = 1024;
@@ -124,7 +124,7 @@
     }
 
     /**
-     * The same with an admin address, if it has none yet and one is given.
+     * Returns this configuration with an admin address, if it has none yet and one is given.
      *
      * @param address may be null or empty
      * @throws ProtocolException if the address is malformed
@@ -145,7 +145,7 @@
                         control);
     }
 
-    /** The same with other known endpoints. */
+    /** Returns this configuration with other known endpoints. */
     public NodeConfig withKnownEndpoints(EndpointList list) {
         return new NodeConfig(
                 name,
--- a/src/main/java/ottergauge/protocol/NodeSettings.java
+++ b/src/main/java/ottergauge/protocol/NodeSettings.java
@@ -13,8 +13,7 @@
 import ottergauge.settings.SettingsReader;
 
 /**
- * A deployment's settings as a node applies them. All of them may be replaced while the node runs.
- * Spans are microseconds.
+ * A deployment's settings as a node applies them. All of them may be replaced while the node runs. Durations are in microseconds.
  *
  * @param decisions the settings of the decision module
  * @param zones names of the zones; a zone's number is its index
@@ -31,7 +30,7 @@
         long serverIdleTimeout,
         long maxPollInterval) {
 
-    /** The most request classes that settings may define. */
+    /** The maximum number of request classes that settings may define. */
     public static final int MAX_CLASSES = 1_024;
 
     /**
@@ -45,7 +44,7 @@
         if (fault.isPresent()) {
             throw new ProtocolException("settings: " + fault.get());
         }
-        // Discovery over HTTP pushes nothing, whatever the settings say.
+        // Discovery over HTTP never pushes updates, whatever mode the settings name.
         DecisionSettings decisions = reader.decisionSettings(DiscoveryMode.POLL);
         checkClasses(decisions.requestClasses());
         return new NodeSettings(
@@ -74,7 +73,10 @@
         }
     }
 
-    /** The same for the node of this index, which settings shared by all nodes do not contain. */
+    /**
+     * Returns these settings for the node with this index, which settings shared by all nodes do
+     * not contain.
+     */
     public NodeSettings forNode(int nodeIndex) {
         DecisionSettings shared = decisions;
         return new NodeSettings(
--- a/src/main/java/ottergauge/protocol/Paths.java
+++ b/src/main/java/ottergauge/protocol/Paths.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.protocol;
 
-/** Paths of the protocol's HTTP requests, other than those that clients ask servers for. */
+/** Paths of the protocol's HTTP requests, except those of clients' requests to servers. */
 public final class Paths {
 
     /** Readiness of a node. */
--- a/src/main/java/ottergauge/protocol/RequestFields.java
+++ b/src/main/java/ottergauge/protocol/RequestFields.java
@@ -9,7 +9,7 @@
  *
  * @param traceId the client's identifier of the request
  * @param requestClass name of its class
- * @param expiresInMs how long the client waits, in milliseconds; -1 if it doesn't say
+ * @param expiresInMs how long the client waits, in milliseconds; -1 if it is not given
  * @param retry whether the client marks it as a retry
  * @param idempotencyKey null if there is none
  */
@@ -20,7 +20,7 @@
         boolean retry,
         String idempotencyKey) {
 
-    /** The header fields that a request has once at most. */
+    /** The header fields that a request may have at most once. */
     public static final List<String> NAMES =
             List.of(
                     Headers.TRACE_ID,
@@ -35,7 +35,9 @@
     private static final int DELETE = 0x7f;
 
     /**
-     * Reads the fields through a look-up of header values, which gives null for one that is absent.
+     * Reads the fields.
+     *
+     * @param header returns the value of a header field, or null if it is absent
      */
     public static RequestFields read(UnaryOperator<String> header) throws ProtocolException {
         String traceId = header.apply(Headers.TRACE_ID);
@@ -59,8 +61,7 @@
     }
 
     /**
-     * Whether text can be written on as it came: anything else a library may refuse or write
-     * otherwise.
+     * Whether text can be forwarded unchanged. A library may reject or alter text with other characters.
      */
     public static boolean isVisible(String text) {
         return text.chars().allMatch(c -> c > ' ' && c < DELETE);
--- a/src/main/java/ottergauge/protocol/package-info.java
+++ b/src/main/java/ottergauge/protocol/package-info.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * The node's wire and file formats, read into types of the field's terms.
+ * The node's wire and file formats, and the types that they are parsed into.
  *
  * <ul>
  *   <li>{@link ottergauge.protocol.NodeConfig}: the configuration file, with {@link
@@ -14,7 +14,7 @@
  *       ottergauge.protocol.BodyLimits}: names and limits of the protocol.
  * </ul>
  *
- * <p>The types are immutable and have no state. Input that breaks a format is a {@link
+ * <p>The types are immutable and have no state. Input that violates a format is reported by a {@link
  * ottergauge.protocol.ProtocolException}.
  */
 package ottergauge.protocol;
--- a/src/main/java/ottergauge/routing/AdminState.java
+++ b/src/main/java/ottergauge/routing/AdminState.java
@@ -25,11 +25,10 @@
     private final Consumer<Effect> effects;
 
     /**
-     * Admin state of the servers in the registry.
+     * Creates the admin state of the servers in the registry.
      *
      * @param statuses gives a server's status by its name
-     * @param maintenanceChanged receives what changes of the endpoints; when it returns, the change
-     *     is effective
+     * @param maintenanceChanged receives the endpoints that change; the change is effective when it returns
      */
     AdminState(
             Metrics metrics,
@@ -95,7 +94,8 @@
         };
     }
 
-    // The change is effective before the answer: nothing new is sent to the server after it.
+    // The change is effective before the operator receives the response: no request is sent to the
+    // server after that.
     private void startMaintenance(long now, long connection, String server) {
         if (!registry.contains(server)) {
             respond(connection, NOT_FOUND, "unknown server\n");
@@ -120,7 +120,7 @@
         respond(connection, OK, "back\n");
     }
 
-    /** The stored maintenance was read: another process of the node may have changed it. */
+    /** The stored maintenance was read, since another process of the node may have changed it. */
     void maintenanceLoaded(long now, Map<String, Long> sinceByServer) {
         sinceByServer.forEach(
                 (name, since) -> maintenanceChanged.accept(registry.startMaintenance(name, since)));
--- a/src/main/java/ottergauge/routing/Attempt.java
+++ b/src/main/java/ottergauge/routing/Attempt.java
@@ -2,13 +2,12 @@
 package ottergauge.routing;
 
 /**
- * An attempt of a request at one server or, without a request, a probe of its load. Instants are
- * microseconds.
+ * An attempt to have a request answered by one server or, without a request, a load probe of that server. Times are in microseconds.
  */
 final class Attempt {
     final long number;
 
-    /** The request that it belongs to; null for a probe. */
+    /** The request that it is an attempt of; null for a probe. */
     final InFlightRequest request;
 
     /** Its index among the request's attempts. */
@@ -21,13 +20,13 @@
 
     long dueAt;
 
-    /** Null until one carries it. */
+    /** The connection that carries it; null until it has one. */
     PooledConnection connection;
 
-    /** Whether its first byte is written: until then it can be withdrawn with nothing lost. */
+    /** Whether its first byte is written. Before that it can be withdrawn without side effects. */
     boolean sendStarted;
 
-    /** Whether its last byte is written: until then the server can't have run it. */
+    /** Whether its last byte is written. Before that the server can't have run it. */
     boolean sendCompleted;
 
     Attempt(
--- a/src/main/java/ottergauge/routing/Attempts.java
+++ b/src/main/java/ottergauge/routing/Attempts.java
@@ -19,8 +19,7 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * Attempts and probes from the decision module's action to their result: each is started, sent if
- * it still may be, and ends under one result that the decision module receives.
+ * Attempts and load probes, from the decision module's action to their result. Each one is started, is sent if that is still allowed, and ends with one result that is reported to the decision module.
  */
 final class Attempts {
 
@@ -57,7 +56,7 @@
         this.effects = effects;
     }
 
-    /** Starts an attempt; one that can't be started ends at once as not sent. */
+    /** Starts an attempt. If it can't be started, it ends at once as not sent. */
     void start(long now, SendAttempt action) {
         InFlightRequest request = requests.get(action.id());
         int index = request == null ? 0 : request.attemptCount++;
@@ -82,19 +81,19 @@
         start(now, attempt);
     }
 
-    /** Starts a probe; one that can't be started ends at once as not sent. */
+    /** Starts a probe. If it can't be started, it ends at once as not sent. */
     void start(long now, SendProbe action) {
         if (!reserveConnection(now, action.server())) {
             decisionEvents.accept(
                     new ProbeEnded(action.server(), AttemptResult.NOT_SENT, 0, LoadReport.NONE));
             return;
         }
-        // The settings have no timeout for probes; that of a connection is ample.
+        // The settings define no timeout for probes; the connect timeout is long enough.
         long dueAt = now + settings.current().connectTimeout();
         start(now, new Attempt(++lastNumber, null, 0, action.server(), now, dueAt));
     }
 
-    /** Whether the server is listed and has an idle connection, or may get another one. */
+    /** Whether the server is listed and has an idle connection, or another one may be opened. */
     private boolean reserveConnection(long now, long server) {
         return upstreams.contains(server)
                 && (!upstreams.needsConnection(server) || sockets.reserve(now, 1));
@@ -117,17 +116,15 @@
     }
 
     /**
-     * Sends an attempt or probe whose connection is ready. This is the one guard before the first
-     * byte of anything that goes to a server, however long ago it was decided; what fails the guard
-     * ends as not sent.
+     * Sends an attempt or probe whose connection is ready. No request to a server is written without passing the check here, since the decision to send it may have been made long ago. An attempt or probe that fails the check ends as not sent.
      */
     void send(long now, Attempt attempt) {
-        // A request that is finished has no attempt left that is not sent.
-        boolean wanted =
+        // A finished request has no unsent attempts left.
+        boolean allowed =
                 attempt.isProbe()
                         || (!watch.isStale(now)
                                 && decisions.mayBegin(now, attempt.request.id, attempt.index));
-        if (!wanted || now >= attempt.dueAt || !upstreams.isEligible(attempt)) {
+        if (!allowed || now >= attempt.dueAt || !upstreams.isEligible(attempt)) {
             withdraw(now, attempt);
             return;
         }
@@ -162,8 +159,7 @@
     }
 
     /**
-     * An attempt's connection was not established in time. A single one may be late and says
-     * nothing of its server; when several are overdue at once the server counts as unreachable.
+     * An attempt's connection was not established in time. One late connection does not show that its server is unreachable; several that are overdue at the same time do.
      */
     void connectTimedOut(long now, Attempt attempt) {
         end(
@@ -174,10 +170,10 @@
                         : AttemptResult.NOT_SENT);
     }
 
-    /** The time of an attempt or probe is over, if it is still outstanding. */
+    /** The timeout of an attempt or probe has expired; ignored if it has ended. */
     void timedOut(long now, long number) {
         Attempt attempt = byNumber.get(number);
-        // A request that is streamed gets its timeout anew when its last byte is written.
+        // The timeout of a streamed request restarts when its last byte is written.
         if (attempt != null && now >= attempt.dueAt && !attempt.isStreamingRequest()) {
             upstreams.abandon(now, attempt, CloseReason.TIMED_OUT);
             end(
@@ -204,7 +200,7 @@
 
     /** The connection that carries an attempt has ended. */
     void connectionClosed(long now, Attempt attempt, boolean malformed) {
-        // A connection that ends before anything is written to it says nothing of its server.
+        // If a connection ends before the node writes to it, the server is not at fault.
         end(
                 now,
                 attempt,
@@ -214,7 +210,7 @@
     }
 
     // A malformed response, or a reused connection that breaks, doesn't prove that the server
-    // crashed. Only a reset of a new connection does, and puts the server into slow start.
+    // crashed. Only a reset of a new connection proves a crash and puts the server into slow start.
     private static AttemptResult resultOfBrokenConnection(Attempt attempt, boolean malformed) {
         if (!attempt.sendCompleted) {
             return AttemptResult.CONNECT_FAILED;
--- a/src/main/java/ottergauge/routing/CloseReason.java
+++ b/src/main/java/ottergauge/routing/CloseReason.java
@@ -5,7 +5,7 @@
 public enum CloseReason {
     /** The peer closed it. */
     PEER_CLOSED,
-    /** It broke. */
+    /** An I/O error ended it. */
     RESET,
     /** It was refused, or its address is unreachable. */
     CONNECT_FAILED,
@@ -17,21 +17,21 @@
     TIMED_OUT,
     /** The attempt on it was cancelled. */
     CANCELLED,
-    /** One side asked for no further request on it. */
+    /** One side does not allow another request on it. */
     NOT_REUSABLE,
     /** Its server is draining, removed, or at another address. */
     DELISTED,
-    /** A poll of discovery: the endpoints come from the change log from now on. */
+    /** It carried a poll of discovery, and the endpoints come from the change log from now on. */
     DISCOVERY_LEFT,
-    /** What came on it is no valid request or response. */
+    /** The data received on it is not a valid request or response. */
     MALFORMED,
     /** A response on it exceeds the size limit. */
     TOO_LARGE,
-    /** A request on it was started and not completed in time. */
+    /** A request on it was started but not completed in time. */
     SLOW_REQUEST,
     /** Its client did not read the response in time. */
     SLOW_ANSWER,
-    /** The server broke off a response that was being relayed. */
+    /** The server ended the connection before the end of a response that was being relayed. */
     CUT_SHORT,
     /** Its client disconnected while the response was being relayed. */
     CLIENT_GONE,
--- a/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
+++ b/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
@@ -3,9 +3,7 @@
 
 /**
  * Estimates how long an attempt should wait for a connection, from the time that earlier ones took,
- * as TCP estimates its retransmission timeout (RFC 6298). An unreachable server refuses nothing: an
- * attempt that waited for the longest timeout would have no time left for another server. Spans are
- * microseconds.
+ * as TCP estimates its retransmission timeout (RFC 6298). An unreachable server does not refuse connections: an attempt that waited for the longest timeout would have no time left for another server. Durations are in microseconds.
  */
 final class ConnectTimeoutEstimator {
 
@@ -15,7 +13,8 @@
     // A busy event loop notices some connections an iteration or two late.
     private static final double SAFETY_FACTOR = 4;
     private static final long MIN_TIMEOUT_MICROS = 20_000;
-    // After so many timeouts in a row the usual time may have grown: the timeout doubles.
+    // After this number of timeouts in a row connections may have become slower, so the timeout
+    // doubles.
     private static final int TIMEOUTS_PER_DOUBLING = 8;
     private static final int MAX_DOUBLINGS = 10;
 
@@ -34,21 +33,21 @@
     }
 
     /** A connection was established after this time. */
-    void connected(long took) {
+    void connected(long elapsed) {
         timeoutsInARow = 0;
         if (mean == 0) {
-            mean = took;
-            deviation = took / 2.0;
+            mean = elapsed;
+            deviation = elapsed / 2.0;
         } else {
-            deviation += DEVIATION_GAIN * (Math.abs(took - mean) - deviation);
-            mean += MEAN_GAIN * (took - mean);
+            deviation += DEVIATION_GAIN * (Math.abs(elapsed - mean) - deviation);
+            mean += MEAN_GAIN * (elapsed - mean);
         }
     }
 
-    /** A connection failed, or was no longer waited for, after this time. */
-    void failed(long took) {
-        // One that is refused at once says nothing of how long others take.
-        timeoutsInARow += took >= timeout() ? 1 : 0;
+    /** A connection failed, or its attempt stopped waiting for it, after this time. */
+    void failed(long elapsed) {
+        // A connection that is refused at once does not show how long others take.
+        timeoutsInARow += elapsed >= timeout() ? 1 : 0;
     }
 
     /** How long an attempt waits for a connection. */
@@ -56,9 +55,9 @@
         if (mean == 0) {
             return max;
         }
-        double usual =
+        double estimate =
                 Math.max(MIN_TIMEOUT_MICROS, SAFETY_FACTOR * (mean + DEVIATIONS * deviation));
         int doublings = Math.min(timeoutsInARow / TIMEOUTS_PER_DOUBLING, MAX_DOUBLINGS);
-        return (long) Math.min((double) max, usual * (1 << doublings));
+        return (long) Math.min((double) max, estimate * (1 << doublings));
     }
 }
--- a/src/main/java/ottergauge/routing/DiscoveryWatch.java
+++ b/src/main/java/ottergauge/routing/DiscoveryWatch.java
@@ -13,23 +13,23 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * The watch of discovery's endpoint list: the version that the node has, and the chain of polls
- * that keeps it current. Each poll has a timeout, derived from the {@link PropagationDeadline}. A
+ * Watches discovery's endpoint list by a series of polls, each of which asks for changes after the version that the node has. Each poll has a timeout, derived from the {@link PropagationDeadline}. A
  * watch that breaks or times out is reopened at once; one that can't be opened is retried after a
  * backoff.
  */
 final class DiscoveryWatch {
 
-    // An earlier answer without a change is not followed by another poll at once. The pause stays
-    // within the 200 ms in which a watch has to go on.
+    // If discovery answers sooner than this and without a change, the next poll is delayed by this
+    // time. The delay is within the 200 ms in which a watch has to continue.
     private static final long MIN_POLL_GAP_MICROS = 50_000;
-    // A rejected list is polled again after the deadline, then after twice that, up to this many
-    // doublings: six minutes for a deadline of six seconds.
+    // After a rejected list the next poll is delayed by the deadline, then by twice that, up to
+    // this number of doublings: six minutes for a deadline of six seconds.
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
-    // Answers that are damaged on the way are intact the next time: more in a row are no accident.
-    private static final int MAX_ACCIDENTAL_REJECTIONS = 3;
+    // An answer that was damaged in transit is intact at the next poll. If more answers in a row
+    // are rejected, the list itself is malformed.
+    private static final int MAX_TRANSIENT_REJECTIONS = 3;
 
-    // Polls for the complete list: versions of one address need not be those of another.
+    // Polls for the complete list: another address may number its versions differently.
     private static final long NO_VERSION = -1;
     private static final long NO_POLL = 0;
 
@@ -41,15 +41,15 @@
     private long lastPoll;
 
     /** The poll whose answer continues the watch, if one is outstanding. */
-    private long current = NO_POLL;
+    private long currentPoll = NO_POLL;
 
-    /** A poll that timed out: its answer still counts until the one after it is answered. */
-    private long former = NO_POLL;
+    /** A poll that timed out. Its answer is still accepted until the poll after it is answered. */
+    private long timedOutPoll = NO_POLL;
 
     private long polledAt;
 
-    /** The version that the outstanding poll asks from. */
-    private long polledFrom;
+    /** The version after which the outstanding poll requests changes. */
+    private long polledVersion;
 
     /** Whether a poll of this watch was answered. */
     private boolean open;
@@ -59,13 +59,16 @@
     /** How many lists in a row were rejected. */
     private int rejections;
 
-    /** Whether the endpoints come from another source than discovery. */
+    /** Whether the endpoints come from a source other than discovery. */
     private boolean ended;
 
-    /** When the newest list was received. */
-    private long currentAt = Long.MAX_VALUE;
+    /** When the list was last known to be current. */
+    private long lastCurrentAt = Long.MAX_VALUE;
 
-    /** A watch that has not begun, from the version that the configuration knows. */
+    /**
+     * Creates a watch that has not begun, starting from the version of the known endpoints in the
+     * configuration.
+     */
     DiscoveryWatch(NodeConfig config, Consumer<Effect> effects) {
         this.effects = effects;
         random = new SplittableRandom(~config.seed());
@@ -75,19 +78,17 @@
     }
 
     /**
-     * Whether the list may miss a change that is older than the deadline. It does not count as
-     * stale while discovery is known to be unreachable, as there is no newer one to be had; it does
-     * after the node itself was suspended.
+     * Whether the list may lack a change that is older than the deadline, for example after the node itself was suspended. While discovery is known to be unreachable, the list is not considered stale, since no newer one is available.
      */
     boolean isStale(long now) {
-        return failures == 0 && now - currentAt > deadline.micros();
+        return failures == 0 && now - lastCurrentAt > deadline.micros();
     }
 
-    /** Begins the watch; the decision module asks for it at its start. */
+    /** Begins the watch; the decision module requests this when it starts. */
     void begin(long now) {
         if (!ended) {
-            currentAt = now;
-            if (current == NO_POLL) {
+            lastCurrentAt = now;
+            if (currentPoll == NO_POLL) {
                 openWatch(now);
             }
         }
@@ -97,11 +98,11 @@
     void end() {
         if (!ended) {
             ended = true;
-            currentAt = Long.MAX_VALUE;
-            cancel(former, CloseReason.DISCOVERY_LEFT);
-            cancel(current, CloseReason.DISCOVERY_LEFT);
-            former = NO_POLL;
-            current = NO_POLL;
+            lastCurrentAt = Long.MAX_VALUE;
+            cancel(timedOutPoll, CloseReason.DISCOVERY_LEFT);
+            cancel(currentPoll, CloseReason.DISCOVERY_LEFT);
+            timedOutPoll = NO_POLL;
+            currentPoll = NO_POLL;
         }
     }
 
@@ -110,24 +111,27 @@
         deadline = PropagationDeadline.of(interval);
     }
 
-    /** Moves the watch to another address. Outstanding polls are cancelled: nobody answers them. */
+    /**
+     * Moves the watch to another address. Outstanding polls are cancelled, since they may never be
+     * answered.
+     */
     void move(long now, Address to) {
         if (!to.equals(address) && !ended) {
             address = to;
             version = NO_VERSION;
-            cancel(former, CloseReason.DISCOVERY_MOVED);
-            cancel(current, CloseReason.DISCOVERY_MOVED);
-            former = NO_POLL;
+            cancel(timedOutPoll, CloseReason.DISCOVERY_MOVED);
+            cancel(currentPoll, CloseReason.DISCOVERY_MOVED);
+            timedOutPoll = NO_POLL;
             failures = 0;
             rejections = 0;
-            currentAt = now;
+            lastCurrentAt = now;
             openWatch(now);
         }
     }
 
-    /** A pause after a poll is over; ignored if another poll was sent meanwhile. */
+    /** The delay after a poll is over; ignored if another poll was sent meanwhile. */
     void resume(long now, long afterPoll) {
-        if (current == NO_POLL && afterPoll == lastPoll && !ended) {
+        if (currentPoll == NO_POLL && afterPoll == lastPoll && !ended) {
             pollNext(now);
         }
     }
@@ -138,12 +142,13 @@
             return;
         }
         long shortest = deadline.minPollWait();
-        // Nodes that lose their watches together must not poll together again.
+        // A random wait spreads the polls of nodes whose watches broke at the same time.
         long wait = shortest + random.nextLong(deadline.maxPollWait() - shortest + 1);
         poll(now, wait, deadline.answerDelay());
     }
 
-    // The first poll of a watch hardly waits: its answer shows that the watch is open.
+    // Discovery may delay its answer to the first poll of a watch only briefly, since that answer
+    // shows that the watch is open.
     private void openWatch(long now) {
         open = false;
         poll(
@@ -153,37 +158,36 @@
     }
 
     private void poll(long now, long maxWait, long answerTimeout) {
-        current = ++lastPoll;
+        currentPoll = ++lastPoll;
         polledAt = now;
-        polledFrom = version;
-        effects.accept(new PollDiscovery(current, address, version, maxWait));
-        effects.accept(new StartTimer(maxWait + answerTimeout, new Timer.PollTimeout(current)));
+        polledVersion = version;
+        effects.accept(new PollDiscovery(currentPoll, address, version, maxWait));
+        effects.accept(new StartTimer(maxWait + answerTimeout, new Timer.PollTimeout(currentPoll)));
     }
 
-    /** A poll's answer is due; ignored if it has arrived. */
+    /** The timeout of a poll has expired; ignored if its answer has arrived. */
     void pollTimedOut(long now, long poll) {
-        if (poll == current) {
-            // Its answer may still arrive, and counts until the next poll is answered.
-            cancel(former, CloseReason.WATCH_SILENT);
-            former = current;
-            lost(now);
+        if (poll == currentPoll) {
+            // Its answer may still arrive, and is accepted until the next poll is answered.
+            cancel(timedOutPoll, CloseReason.WATCH_SILENT);
+            timedOutPoll = currentPoll;
+            pollLost(now);
         }
     }
 
     /** A poll ended without an answer. */
     void pollFailed(long now, long poll) {
-        if (poll == former) {
-            former = NO_POLL;
+        if (poll == timedOutPoll) {
+            timedOutPoll = NO_POLL;
         }
-        if (poll == current) {
-            lost(now);
+        if (poll == currentPoll) {
+            pollLost(now);
         }
     }
 
-    // An open watch is reopened at once. If it could not be opened, discovery is unreachable or
-    // overloaded, and another poll at once would not help.
-    private void lost(long now) {
-        current = NO_POLL;
+    // An open watch is reopened at once. If it could not be opened, discovery is unreachable or overloaded, and an immediate poll would not help.
+    private void pollLost(long now) {
+        currentPoll = NO_POLL;
         if (open) {
             openWatch(now);
         } else {
@@ -191,25 +195,24 @@
         }
     }
 
-    private void backOff(long longest) {
+    private void backOff(long maxDelay) {
         effects.accept(
                 new StartTimer(
-                        longest / 2 + random.nextLong(longest / 2 + 1),
+                        maxDelay / 2 + random.nextLong(maxDelay / 2 + 1),
                         new Timer.NextPoll(lastPoll)));
     }
 
     /**
-     * A poll's answer was rejected: the list before it stays effective. Polled again at once, a
-     * malformed list would be sent at its full size over and over.
+     * A poll's answer was rejected; the previous list stays effective. Repeated rejections delay the next poll: otherwise discovery would send a malformed list at its full size again and again.
      */
     void listRejected(long now, long poll) {
-        if (poll != current || ++rejections <= MAX_ACCIDENTAL_REJECTIONS) {
+        if (poll != currentPoll || ++rejections <= MAX_TRANSIENT_REJECTIONS) {
             pollFailed(now, poll);
             return;
         }
-        current = NO_POLL;
+        currentPoll = NO_POLL;
         failures++;
-        int doublings = Math.min(rejections - MAX_ACCIDENTAL_REJECTIONS - 1, MAX_BACKOFF_DOUBLINGS);
+        int doublings = Math.min(rejections - MAX_TRANSIENT_REJECTIONS - 1, MAX_BACKOFF_DOUBLINGS);
         backOff(deadline.micros() << doublings);
     }
 
@@ -220,49 +223,47 @@
     }
 
     /**
-     * Whether a poll's answer is to be applied. One that is older than another poll's answer would
-     * undo that; one that is older than what the poll asked for shows that discovery has restarted
-     * its versions.
+     * Whether a poll's answer is to be applied. An answer that is older than another poll's answer is ignored, since it would undo that one. A complete list that is older than the version named in its poll is applied, since it shows that discovery has restarted its version numbers.
      */
     boolean accepts(long poll, EndpointList answer) {
-        if (poll == current) {
-            return polledFrom < 0
+        if (poll == currentPoll) {
+            return polledVersion < 0
                     ? answer.complete()
                     : answer.version() >= version
-                            || (answer.complete() && answer.version() < polledFrom);
+                            || (answer.complete() && answer.version() < polledVersion);
         }
-        return poll == former && answer.version() > version;
+        return poll == timedOutPoll && answer.version() > version;
     }
 
     /** An answer that is not accepted has arrived. */
     void answerIgnored(long now, long poll, EndpointList answer) {
-        if (poll == former) {
-            former = NO_POLL;
-        } else if (poll == current && polledFrom < 0) {
-            lost(now);
-        } else if (poll == current && answer.version() >= polledFrom) {
-            goOn(now, false);
-        } else if (poll == current) {
-            cancel(former, CloseReason.WATCH_SILENT);
-            former = NO_POLL;
+        if (poll == timedOutPoll) {
+            timedOutPoll = NO_POLL;
+        } else if (poll == currentPoll && polledVersion < 0) {
+            pollLost(now);
+        } else if (poll == currentPoll && answer.version() >= polledVersion) {
+            continueWatch(now, false);
+        } else if (poll == currentPoll) {
+            cancel(timedOutPoll, CloseReason.WATCH_SILENT);
+            timedOutPoll = NO_POLL;
             version = NO_VERSION;
             openWatch(now);
         }
     }
 
     /**
-     * Takes an answer that is accepted, and continues the watch.
+     * Processes an accepted answer and continues the watch.
      *
      * @return the scope of the answer for the decision module; empty if nothing has changed
      */
     Optional<UpdateScope> answerAccepted(long now, long poll, EndpointList answer) {
         boolean changed = answer.complete() || !answer.endpoints().isEmpty();
         version = answer.version();
-        if (poll == former) {
-            former = NO_POLL;
+        if (poll == timedOutPoll) {
+            timedOutPoll = NO_POLL;
         } else {
             changed |= !open;
-            goOn(now, changed);
+            continueWatch(now, changed);
         }
         if (!changed) {
             return Optional.empty();
@@ -270,12 +271,12 @@
         return Optional.of(answer.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
     }
 
-    // The outstanding poll was answered: the watch is open and the list is current.
-    private void goOn(long now, boolean changed) {
-        currentAt = now;
-        cancel(former, CloseReason.WATCH_SILENT);
-        former = NO_POLL;
-        current = NO_POLL;
+    // The outstanding poll was answered, so the watch is open and the list is current.
+    private void continueWatch(long now, boolean changed) {
+        lastCurrentAt = now;
+        cancel(timedOutPoll, CloseReason.WATCH_SILENT);
+        timedOutPoll = NO_POLL;
+        currentPoll = NO_POLL;
         open = true;
         failures = 0;
         rejections = 0;
--- a/src/main/java/ottergauge/routing/DownstreamConnections.java
+++ b/src/main/java/ottergauge/routing/DownstreamConnections.java
@@ -14,23 +14,24 @@
 import ottergauge.routing.Effect.Respond;
 
 /**
- * The clients' connections: what each is doing, and until when it may go on with it. Spans are
- * microseconds.
+ * The connections of clients: the stage of each, and when it is closed unless it makes progress. Durations are in microseconds.
  */
 final class DownstreamConnections {
 
     private static final long BODY_STALL_TIMEOUT_MICROS = 2_000_000;
-    // A silent client is closed within 3 s of connecting, and the sweep may come late.
+    // A client that sends nothing must be disconnected within 3 s, and the sweep may be late.
     private static final long HEAD_TIMEOUT_MICROS = 2_600_000;
-    // What a first body has to begin when its head took all of the timeout.
+    // On a new connection the body must start before the timeout for the head expires, but has at
+    // least this long after the head.
     private static final long MIN_BODY_START_MICROS = 350_000;
     // A quarter of the slowest rate that the protocol allows: bounds how long a client that sends
     // single bytes keeps its connection.
     private static final long MIN_BODY_BYTES_PER_SECOND = 16_000;
-    // The system's buffers take so much of a stream that a slow reader's progress comes in steps.
+    // The operating system buffers a large part of a stream, so that a slow reader makes progress
+    // only in large steps.
     private static final long STREAM_STALL_TIMEOUT_MICROS = 10_000_000;
     private static final long IDLE_TIMEOUT_MICROS = 5_000_000;
-    // A connection this young is not idle: its request is on its way.
+    // A connection that has been idle for less than this may have a request on its way.
     private static final long RECENT_MICROS = 250_000;
     // Bounds how fast a client that sends invalid requests fills the log.
     private static final int MAX_REPORTS_PER_SECOND = 5;
@@ -46,13 +47,15 @@
     private static final class Connection {
         Stage stage = Stage.IDLE;
 
-        /** When the stage, or the reading of the body, began. */
+        /** When it became idle, or when the head of its current request arrived. */
         long since;
 
-        /** When it is closed unless it makes progress; does not count while awaiting a response. */
+        /**
+         * When it is closed unless it makes progress. Ignored while the client awaits a response.
+         */
         long closeAt;
 
-        /** Whether it has had a response before. */
+        /** Whether a response has been written to it before. */
         boolean reused;
 
         long bodyBytes;
@@ -67,8 +70,8 @@
     /** In the order in which they became idle. */
     private final Map<Long, Connection> idle = new LinkedHashMap<>();
 
-    private long reportsSince;
-    private int reports;
+    private long reportWindowStart;
+    private int reportsInWindow;
     private int suppressedReports;
     private boolean closesAfterResponses;
 
@@ -166,7 +169,7 @@
         return Optional.of(connection.request);
     }
 
-    /** Starts to relay a streamed response; false if the client has gone. */
+    /** Starts to relay a streamed response; false if the client has disconnected. */
     boolean relay(long now, long client, long upstream) {
         Connection connection = connections.get(client);
         if (connection == null) {
@@ -179,7 +182,7 @@
         return true;
     }
 
-    /** The last byte of a streamed response is relayed and remains to be written. */
+    /** The last byte of a streamed response has been relayed and is still to be written. */
     void relayCompleted(long now, long client) {
         Connection connection = connections.get(client);
         if (connection != null) {
@@ -189,7 +192,7 @@
     }
 
     /**
-     * Closes a connection before the end of its response, which shows the client that it failed.
+     * Closes a connection before the end of its response, which shows the client that the request failed.
      */
     void truncate(long client) {
         if (connections.containsKey(client)) {
@@ -197,7 +200,7 @@
         }
     }
 
-    /** Takes the request that a connection carries away from it. */
+    /** Detaches the request that a connection carries, and returns it. */
     Optional<InFlightRequest> detach(long client) {
         Connection connection = connections.get(client);
         if (connection == null || connection.request == null) {
@@ -208,7 +211,7 @@
         return Optional.of(request);
     }
 
-    /** Answers the request that a connection carries, if its client is still there. */
+    /** Answers the request that a connection carries, if its client is still connected. */
     void respond(
             long now,
             long client,
@@ -220,7 +223,7 @@
         if (connection == null) {
             return;
         }
-        // After an incomplete request it is unknown where the next one starts.
+        // If a request is incomplete, the node cannot tell where the next one starts.
         boolean incomplete =
                 connection.stage == Stage.READING_REQUEST && connection.request != null;
         setBusy(client, connection, Stage.WRITING_RESPONSE);
@@ -236,13 +239,15 @@
                         close || incomplete || closesAfterResponses));
     }
 
-    /** Answers an invalid request, reports it, and closes the connection after the response. */
+    /**
+     * Answers an invalid request, reports it, and closes the connection after the response.
+     */
     void reject(long now, long client, int status, String reason) {
-        if (now - reportsSince >= MICROS_PER_SECOND) {
-            reportsSince = now;
-            reports = 0;
+        if (now - reportWindowStart >= MICROS_PER_SECOND) {
+            reportWindowStart = now;
+            reportsInWindow = 0;
         }
-        if (reports++ < MAX_REPORTS_PER_SECOND) {
+        if (reportsInWindow++ < MAX_REPORTS_PER_SECOND) {
             effects.accept(new ReportInvalidRequest(client, status, reason, suppressedReports));
             suppressedReports = 0;
         } else {
@@ -259,14 +264,14 @@
         }
     }
 
-    /** A connection has ended; returns the request that it leaves unanswered. */
+    /** A connection has ended; returns its unanswered request, if any. */
     Optional<InFlightRequest> closed(long client) {
         idle.remove(client);
         Connection connection = connections.remove(client);
         return connection == null ? Optional.empty() : Optional.ofNullable(connection.request);
     }
 
-    /** From now on every connection is closed after its next response. */
+    /** Makes every connection close after its next response from now on. */
     void closeAfterResponses() {
         closesAfterResponses = true;
     }
@@ -276,7 +281,7 @@
         new ArrayList<>(idle.keySet()).forEach(client -> close(client, reason));
     }
 
-    /** Closes the connections that have been idle, or without progress, for too long. */
+    /** Closes the connections that have been idle or without progress for too long. */
     void sweep(long now) {
         for (Map.Entry<Long, Connection> entry : new ArrayList<>(connections.entrySet())) {
             Connection connection = entry.getValue();
@@ -286,7 +291,8 @@
             if (connection.request == null) {
                 close(entry.getKey(), timeoutReason(connection));
             } else {
-                // Its end comes back as an event, which also ends the request.
+                // The transport reports the closed connection as an event, which also ends the
+                // request.
                 connection.closeAt = Long.MAX_VALUE;
                 effects.accept(new CloseClient(entry.getKey(), timeoutReason(connection)));
             }
--- a/src/main/java/ottergauge/routing/Effect.java
+++ b/src/main/java/ottergauge/routing/Effect.java
@@ -6,7 +6,7 @@
 import ottergauge.protocol.EndpointList;
 import ottergauge.routing.Event.ClientRequest;
 
-/** Something that the router asks of the transport. */
+/** An instruction from the router to the transport. */
 public sealed interface Effect {
 
     /**
@@ -23,7 +23,7 @@
     record ReportInvalidRequest(long client, int status, String reason, int suppressed)
             implements Effect {}
 
-    /** Accepts clients up to this number of connections; further ones wait. */
+    /** Accepts clients up to this number of connections. Further clients wait to be accepted. */
     record AcceptUpTo(int connections) implements Effect {}
 
     /** Closes a client's connection. */
@@ -34,13 +34,11 @@
             implements Effect {}
 
     /**
-     * Reads all input that has arrived on any connection, and confirms it with {@link
-     * Event.PendingInputRead}: whether a request is still to be sent is decided by the newest
-     * facts.
+     * Reads all input that has arrived on any connection, and confirms it with {@link Event.PendingInputRead}. The router then decides on current information whether the request is still to be sent.
      */
     record ReadPendingInput(long connection) implements Effect {}
 
-    /** Writes a request to a server; the node waits for the response for the timeout. */
+    /** Writes a request to a server; the node waits for the response until the timeout. */
     record Forward(long connection, ClientRequest request, long timeoutMicros) implements Effect {}
 
     /** Writes a request's head to a server, and its body as it arrives from the client. */
@@ -61,21 +59,21 @@
 
     /**
      * Polls discovery for changes after a version, or for the complete list if the version is
-     * negative; discovery may hold its answer back for the longest wait.
+     * negative; discovery may delay its answer by up to {@code maxWaitMicros}.
      */
     record PollDiscovery(long poll, Address address, long afterVersion, long maxWaitMicros)
             implements Effect {}
 
-    /** Ends a poll of discovery; an answer to it does not count any more. */
+    /** Cancels a poll of discovery. A later answer to it is ignored. */
     record CancelPoll(long poll, CloseReason reason) implements Effect {}
 
     /** Fires {@link Event.TimerFired} after the delay. */
     record StartTimer(long delayMicros, Timer timer) implements Effect {}
 
-    /** Answers an admin request; its connection ends with the answer. */
+    /** Answers an admin request and closes its connection. */
     record RespondToAdmin(long connection, int status, String text) implements Effect {}
 
-    /** Stores for the node's other processes that a server is in maintenance, and since when. */
+    /** Stores that a server is in maintenance, and since when, for the node's other processes. */
     record StoreMaintenance(String server, long sinceMicros) implements Effect {}
 
     /** Removes a server's stored maintenance. */
@@ -84,9 +82,12 @@
     /** Caches the list of endpoints for the node's next process. */
     record CacheEndpoints(EndpointList list) implements Effect {}
 
-    /** Accepts what has connected by now and nothing more: another process of the node does. */
+    /**
+     * Accepts the clients that have connected by now, then stops: another process of the node
+     * accepts further clients.
+     */
     record StopAccepting() implements Effect {}
 
-    /** All requests are answered: the process may end. */
+    /** Ends the process, since all requests are answered. */
     record Exit() implements Effect {}
 }
--- a/src/main/java/ottergauge/routing/EffectiveEndpoints.java
+++ b/src/main/java/ottergauge/routing/EffectiveEndpoints.java
@@ -14,9 +14,7 @@
 import ottergauge.routing.Effect.CacheEndpoints;
 
 /**
- * The effective endpoints. Updates come from discovery, the change log and operators; the upstream
- * connection pool and the decision module follow. Settings pass through here on their way to the
- * decision module, since they take effect together with the endpoints.
+ * The effective endpoints. Updates come from discovery, the change log and operators, and are applied to the upstream connection pool and the decision module. Settings are also passed to the decision module here, since they take effect together with the endpoints.
  */
 final class EffectiveEndpoints {
 
@@ -30,10 +28,9 @@
     private EndpointSnapshotMapper mapper;
 
     /**
-     * Effective endpoints that have not started.
+     * Creates effective endpoints that have not started.
      *
-     * @param withdrawn receives the attempts that waited for a server which accepts nothing new,
-     *     after the decision module has the update: else it would choose that server again
+     * @param withdrawn receives the attempts that waited for a server that no longer accepts requests. The decision module receives the update first, since it would otherwise choose that server again
      */
     EffectiveEndpoints(
             NodeConfig config,
@@ -60,7 +57,7 @@
         return registry;
     }
 
-    /** Starts with the endpoints that the node had last. */
+    /** Starts with the last known endpoints. */
     void start(long now, EndpointList known) {
         EndpointList list = registry.apply(now, known);
         upstreams.apply(list);
@@ -93,12 +90,12 @@
         }
     }
 
-    /** Other settings take effect, the endpoints stay. */
+    /** Applies other settings; the endpoints stay the same. */
     void apply(long now, NodeSettings settings) {
         apply(now, new EndpointList(registry.version(), false, List.of()), Optional.of(settings));
     }
 
-    /** An update of the endpoints takes effect, together with other settings if there are any. */
+    /** Applies an update of the endpoints, together with other settings if there are any. */
     void apply(long now, EndpointList update, Optional<NodeSettings> settings) {
         EndpointList list = registry.apply(now, update);
         List<Attempt> waiting = upstreams.apply(list);
@@ -106,7 +103,7 @@
                 mapper.map(list, list.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
         if (settings.isPresent()) {
             NodeSettings next = settings.get();
-            decisionEvents.accept(new SettingsChanged(next.decisions(), applied(next, change)));
+            decisionEvents.accept(new SettingsChanged(next.decisions(), applySettings(next, change)));
         } else {
             decisionEvents.accept(change);
         }
@@ -116,8 +113,9 @@
         }
     }
 
-    // If zones or kinds have other indices, the decision module gets all endpoints anew.
-    private EndpointUpdate applied(NodeSettings settings, EndpointUpdate change) {
+    // If the indices of zones or kinds have changed, the decision module receives all endpoints
+    // again.
+    private EndpointUpdate applySettings(NodeSettings settings, EndpointUpdate change) {
         registry.setSlowStartDuration(settings.decisions().rules().slowStartDuration());
         watch.setMaxPollInterval(settings.maxPollInterval());
         if (mapper.hasSameIndices(settings)) {
--- a/src/main/java/ottergauge/routing/EffectiveSettings.java
+++ b/src/main/java/ottergauge/routing/EffectiveSettings.java
@@ -7,8 +7,7 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * The effective settings: those of the configuration file as it was read last, until the change log
- * provides some. Requests that were accepted before a change keep their class, deadline and limits.
+ * The effective settings: those most recently read from the configuration file, until the change log provides settings. Requests that were accepted before a change keep their class, deadline and limits.
  */
 final class EffectiveSettings {
 
@@ -46,14 +45,17 @@
         return version;
     }
 
-    /** The configuration file was read again. Its settings don't count once the log has some. */
+    /**
+     * The configuration file was read again. Its settings are ignored once a version of the change
+     * log is effective.
+     */
     void reconfigure(long now, NodeSettings next) {
         if (version.isEmpty() && !next.equals(current)) {
             endpoints.apply(now, replace(next));
         }
     }
 
-    /** A version of the change log takes effect: endpoints and settings at one instant. */
+    /** Applies a version of the change log. Endpoints and settings take effect at the same time. */
     void changeState(long now, Event.StateChanged change) {
         version = Optional.of(change.version());
         metrics.stateReached(change.version());
--- a/src/main/java/ottergauge/routing/EndpointIds.java
+++ b/src/main/java/ottergauge/routing/EndpointIds.java
@@ -4,8 +4,7 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Numbers servers by the 64-bit FNV-1a hash of their names: the same at every node and after every
- * restart, as the decision module orders servers by them.
+ * Derives the ids of servers from the 64-bit FNV-1a hash of their names. An id is the same at every node and after every restart, since the decision module orders servers by id.
  */
 final class EndpointIds {
 
--- a/src/main/java/ottergauge/routing/EndpointRegistry.java
+++ b/src/main/java/ottergauge/routing/EndpointRegistry.java
@@ -12,13 +12,12 @@
 import ottergauge.protocol.EndpointList;
 
 /**
- * The listed endpoints, and those of them that operators have put into maintenance. An endpoint in
- * maintenance counts as draining whatever the list says; the decision module knows nothing of
- * maintenance. Instants and spans are microseconds.
+ * The listed endpoints, and those of them that operators have put into maintenance. An endpoint in maintenance counts as draining, regardless of its state in the list. The decision module does not know about maintenance. Times and durations are in microseconds.
  */
 final class EndpointRegistry {
 
-    // Only listed servers can be named, so only a fleet that renames its servers gets this far.
+    // Operators can name listed servers only, so that this limit is reached only in a fleet that
+    // renames its servers.
     private static final int MAX_IN_MAINTENANCE = 4096;
     private static final int MICROS_PER_MS = 1000;
 
@@ -26,7 +25,10 @@
 
     private final Map<String, DiscoveredEndpoint> listed = new LinkedHashMap<>();
 
-    /** By name, since when. Sorted, so that changes are reported in the same order everywhere. */
+    /**
+     * The start of maintenance, by server name. Sorted, so that every node reports changes in the
+     * same order.
+     */
     private final Map<String, Long> maintenanceSince = new TreeMap<>();
 
     private final Map<String, Reenabled> reenabled = new TreeMap<>();
@@ -73,9 +75,9 @@
                 endpoint, drained ? EndpointState.DRAINING : endpoint.state(), startedAt(endpoint));
     }
 
-    // Servers are restarted during maintenance, and the list reports it seconds late. Until it
-    // does,
-    // a re-enabled one counts as started when it was re-enabled, so that slow start applies.
+    // Servers are restarted during maintenance, and the list reports the restart seconds late.
+    // Until then a re-enabled server counts as started when it was re-enabled, so that slow start
+    // applies to it.
     private long startedAt(DiscoveredEndpoint endpoint) {
         Reenabled since = reenabled.get(endpoint.name());
         return since == null || endpoint.startedAtMs() * MICROS_PER_MS >= since.maintenanceSince
@@ -105,7 +107,7 @@
         return maintenanceSince.containsKey(name);
     }
 
-    /** Since when a server that is in maintenance is so. */
+    /** When the maintenance of this server began, which must be in maintenance. */
     long maintenanceSince(String name) {
         return maintenanceSince.get(name);
     }
@@ -130,7 +132,7 @@
         return change(name);
     }
 
-    /** The servers in maintenance whose names are not among these, by name. */
+    /** The names, sorted, of the servers in maintenance that are not among these. */
     List<String> inMaintenanceExcept(Collection<String> names) {
         return maintenanceSince.keySet().stream().filter(name -> !names.contains(name)).toList();
     }
--- a/src/main/java/ottergauge/routing/Event.java
+++ b/src/main/java/ottergauge/routing/Event.java
@@ -12,8 +12,7 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * Something that happened at the node's edge: input of {@link Router#handle}. Connections, polls
- * and admin connections are known by the numbers that the router or the transport gave them.
+ * An input of {@link Router#handle}: something that the transport reports to the router. Connections, polls and admin connections are identified by numbers that the router or the transport assigned to them.
  */
 public sealed interface Event {
 
@@ -41,20 +40,23 @@
     /**
      * A request has arrived completely.
      *
-     * @param ageMicros an upper bound of the time since its last byte arrived
+     * @param ageMicros an upper bound on the time since its last byte arrived
      */
     record RequestReceived(long client, ClientRequest request, long ageMicros) implements Event {}
 
     /** Bytes of a body have been read from a client or written to it since the last such event. */
     record BodyProgress(long client, long bytes) implements Event {}
 
-    /** A request is too large to be buffered: its content is the first part, the rest streams. */
+    /**
+     * A request is too large to be buffered. Its content is the first part of the body; the rest is
+     * streamed.
+     */
     record StreamedRequestStarted(long client, ClientRequest request) implements Event {}
 
     /** The last byte of a streamed request has arrived. */
     record StreamedRequestCompleted(long client) implements Event {}
 
-    /** A client sent something that is no acceptable request; it is answered with the status. */
+    /** A client sent an invalid request, which is answered with this status. */
     record InvalidRequest(long client, int status, String reason) implements Event {}
 
     /** A client asked for the node's health: its readiness, or only its liveness. */
@@ -72,7 +74,7 @@
     /** A connection to a server could not be established. */
     record UpstreamConnectFailed(long connection) implements Event {}
 
-    /** The answer to {@link Effect.ReadPendingInput}: all input that had arrived is read. */
+    /** The reply to {@link Effect.ReadPendingInput}: all input that had arrived has been read. */
     record PendingInputRead(long connection) implements Event {}
 
     /** The last byte of the request on a connection to a server is written. */
@@ -84,17 +86,21 @@
     /** The head of a response of unknown length has arrived. */
     record UnsizedResponseStarted(long connection) implements Event {}
 
-    /** A response is too large to be buffered: its head came so long ago, its rest is not read. */
+    /**
+     * A response is too large to be buffered; the rest of its body has not been read.
+     *
+     * @param sinceHeadMicros how long ago its head arrived
+     */
     record StreamedResponseStarted(long connection, ServerResponse response, long sinceHeadMicros)
             implements Event {}
 
-    /** The last byte of a streamed response is handed to the client's connection. */
+    /** The last byte of a streamed response has been passed to the client's connection. */
     record StreamedResponseCompleted(long connection, boolean reusable) implements Event {}
 
     /**
      * A connection to a server has ended.
      *
-     * @param malformed whether what the server sent was no HTTP response
+     * @param malformed whether the server sent something that is not an HTTP response
      */
     record UpstreamClosed(long connection, boolean malformed) implements Event {}
 
@@ -104,12 +110,11 @@
     /** A poll of discovery ended without an answer. */
     record DiscoveryPollFailed(long poll) implements Event {}
 
-    /** Discovery's answer is too large or malformed: the list before it stays effective. */
+    /** Discovery's answer is too large or malformed; the previous list stays effective. */
     record EndpointListRejected(long poll) implements Event {}
 
     /**
-     * A version of the state that all nodes share: a change of the endpoints or a complete list,
-     * and settings if they have changed. All of it takes effect at one instant.
+     * A version of the state that all nodes share: a change of the endpoints or a complete list, and settings if they have changed. Endpoints and settings take effect at the same time.
      */
     record StateChanged(
             EndpointList endpoints, Optional<NodeSettings> settings, LogPosition version)
@@ -125,8 +130,7 @@
     record AdminRequestReceived(long connection, AdminRequest request) implements Event {}
 
     /**
-     * The servers in maintenance, as the node's processes have stored them: by name, since when in
-     * microseconds.
+     * The servers in maintenance, as the node's processes have stored them: the start of the maintenance in microseconds, by server name.
      */
     record MaintenanceLoaded(Map<String, Long> sinceByServer) implements Event {}
 
@@ -140,7 +144,7 @@
     record HotRestartPeerSeen(boolean present, int connections) implements Event {}
 
     /**
-     * The node was told to stop.
+     * The node's process received a request to stop.
      *
      * @param handover whether another process of the node accepts its clients from now on
      */
--- a/src/main/java/ottergauge/routing/InFlightRequest.java
+++ b/src/main/java/ottergauge/routing/InFlightRequest.java
@@ -7,26 +7,28 @@
 import ottergauge.routing.Event.ClientRequest;
 
 /**
- * A request that the node has accepted, until it is answered and none of its attempts is
- * outstanding. Instants and spans are microseconds.
+ * A request that the node has accepted, until it is answered and none of its attempts is outstanding. Times and durations are in microseconds.
  */
 final class InFlightRequest {
-    /** Its id for the decision module. */
+    /** The id that the decision module knows it by. */
     final String id;
 
     final long client;
 
-    /** The class that it was accepted with, whatever the settings say of that name later. */
+    /** Its class when it was accepted. Later changes of the settings do not affect it. */
     final RequestClass requestClass;
 
     final ClientRequest content;
 
-    /** How long the client waits from the last byte of its request. */
+    /** How long the client waits after it has sent the last byte of its request. */
     final long timeout;
 
     long deadline;
 
-    /** Too large to be buffered: it is forwarded as it arrives and can be sent once. */
+    /**
+     * Whether it is too large to be buffered. It is then forwarded as it arrives, and can be sent
+     * only once.
+     */
     final boolean streamed;
 
     /** Whether its last byte has arrived. */
@@ -37,10 +39,10 @@
 
     final List<Attempt> outstanding = new ArrayList<>(1);
 
-    /** How many attempts the decision module has asked for. */
+    /** The number of attempts that the decision module has requested. */
     int attemptCount;
 
-    /** Whether it is answered, or its client has gone. */
+    /** Whether it is answered, or its client has disconnected. */
     boolean finished;
 
     InFlightRequest(
--- a/src/main/java/ottergauge/routing/InFlightRequests.java
+++ b/src/main/java/ottergauge/routing/InFlightRequests.java
@@ -18,7 +18,7 @@
         return byTraceId.containsKey(traceId);
     }
 
-    /** Adds a request under an id of its own. Instants and spans are microseconds. */
+    /** Adds a request under a new id. Times and durations are in microseconds. */
     InFlightRequest add(
             long client,
             RequestClass requestClass,
@@ -45,7 +45,7 @@
         return byId.get(id);
     }
 
-    /** Removes a request that is finished once none of its attempts is outstanding. */
+    /** Removes a request if it is finished and none of its attempts is outstanding. */
     void removeIfDone(InFlightRequest request) {
         if (request.finished && request.outstanding.isEmpty()) {
             byId.remove(request.id);
--- a/src/main/java/ottergauge/routing/Metrics.java
+++ b/src/main/java/ottergauge/routing/Metrics.java
@@ -9,9 +9,7 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * Counters since the start of the process. Each request that was accepted ends under one counter at
- * most. A class has its counters for as long as the settings define it; a request that ends after
- * that only stops being pending.
+ * Counters since the start of the process. Each accepted request is counted under at most one outcome. A class has its counters for as long as the settings define it. A request that ends after its class was removed only leaves the count of pending requests.
  */
 final class Metrics {
 
@@ -68,7 +66,7 @@
         return byClass.getOrDefault(requestClass.name(), new Counters());
     }
 
-    /** A client has gone before its response: the request counts under no outcome. */
+    /** A client disconnected before its response; the request is counted under no outcome. */
     void clientDisconnected() {
         pending--;
     }
@@ -78,7 +76,7 @@
         upstreamRequests++;
     }
 
-    /** All metrics, one a line; docs/operations.md defines their names. */
+    /** All metrics, one per line; docs/operations.md defines their names. */
     String text(int servers, int unavailableServers) {
         StringBuilder text = new StringBuilder();
         byClass.forEach(
--- a/src/main/java/ottergauge/routing/PooledConnection.java
+++ b/src/main/java/ottergauge/routing/PooledConnection.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.routing;
 
-/** A connection to a server, from the moment when it is asked for. Instants are microseconds. */
+/** A connection to a server, from the request to open it. Times are in microseconds. */
 final class PooledConnection {
     final long number;
     final ServerPool pool;
--- a/src/main/java/ottergauge/routing/PropagationDeadline.java
+++ b/src/main/java/ottergauge/routing/PropagationDeadline.java
@@ -2,14 +2,9 @@
 package ottergauge.routing;
 
 /**
- * How soon a change of the endpoints must have reached the node, and the timeouts of discovery's
- * polls that follow from it. The deadline counts from when discovery had the change and was
- * reachable, whatever polls failed, were rejected or stayed unanswered meanwhile.
+ * The time within which a change of the endpoints must reach the node, and the timeouts of discovery polls that are derived from it. The deadline starts when discovery has the change and is reachable. It applies even if polls fail, are rejected or stay unanswered meanwhile.
  *
- * <p>The slowest case: a watch breaks as its poll begins, that is noticed, the poll that reopens it
- * is rejected, and the next one waits for its turn at discovery. Or, once discovery is back: a poll
- * that began just before is never answered, then the longest backoff, then a poll that waits for
- * its turn. Each leaves a sixteenth of the deadline to spare.
+ * <p>Two cases are the slowest. In the first, a watch breaks as its poll begins, the poll times out, the poll that reopens the watch is rejected, and the poll after the first backoff waits for its turn at discovery. In the second, discovery becomes reachable again: a poll that began just before that is never answered, the longest backoff follows, and the next poll waits for its turn at discovery. Each case leaves a sixteenth of the deadline to spare.
  *
  * @param micros the deadline in microseconds
  */
@@ -40,17 +35,22 @@
         return fraction(MAX_POLL_WAIT);
     }
 
-    /** The shortest such time; nodes whose watches break together spread their polls over both. */
+    /**
+     * The shortest such time. Nodes whose watches break together spread their polls between the
+     * two.
+     */
     long minPollWait() {
         return fraction(MIN_POLL_WAIT);
     }
 
-    /** How much later than the wait an answer may arrive. */
+    /** How long after that wait an answer may still arrive. */
     long answerDelay() {
         return fraction(ANSWER_DELAY);
     }
 
-    /** How long a poll that opens a watch may take, including its turn at discovery. */
+    /**
+     * How long a poll that opens a watch may take, including the wait for its turn at discovery.
+     */
     long openingTimeout() {
         return fraction(OPENING_TIMEOUT);
     }
--- a/src/main/java/ottergauge/routing/RequestHandler.java
+++ b/src/main/java/ottergauge/routing/RequestHandler.java
@@ -18,8 +18,7 @@
 import ottergauge.routing.Event.ServerResponse;
 
 /**
- * Clients' requests from their arrival to their final response: each one that is accepted is handed
- * to the decision module and answered once.
+ * Handles clients' requests from arrival to final response. Each accepted request is passed to the decision module and answered exactly once.
  */
 final class RequestHandler {
 
@@ -63,9 +62,9 @@
     }
 
     /**
-     * A request has arrived: completely, or up to the first part of a body that is streamed.
+     * A request has arrived completely or, if its body is streamed, up to the first part of the body.
      *
-     * @param ageMicros an upper bound of the time since its last byte arrived
+     * @param ageMicros an upper bound on the time since its last byte arrived
      */
     void received(long now, long client, ClientRequest content, long ageMicros, boolean streamed) {
         RequestFields fields = content.fields();
@@ -81,7 +80,7 @@
         }
         RequestClass requestClass = indexed.requestClass();
         Idempotency idempotency = requestClass.idempotency();
-        if ((streamed && idempotency == Idempotency.IDEMPOTENT) || !fits(content, idempotency)) {
+        if ((streamed && idempotency == Idempotency.IDEMPOTENT) || !matchesClass(content, idempotency)) {
             clients.reject(
                     now,
                     client,
@@ -91,7 +90,7 @@
             return;
         }
         if (requests.containsTraceId(fields.traceId())) {
-            // Forwarded, two copies of one request would be outstanding at a server.
+            // If it were forwarded, two copies of one request could be outstanding at a server.
             clients.reject(
                     now,
                     client,
@@ -103,7 +102,7 @@
         if (timeout < 0) {
             timeout = requestClass.deadline();
         }
-        // The client's time runs from the last byte of its request, whenever that is read.
+        // The timeout starts when the request's last byte arrives, however late the node reads it.
         long deadline = Math.min(shutdown.lastResponseAt(), now - ageMicros + timeout);
         accept(
                 now,
@@ -135,13 +134,14 @@
                         affinityKey(request.content)));
     }
 
-    // Requests for one URI profit from each other's work at a server.
+    // A server can reuse the work of one request for others with the same URI.
     private static long affinityKey(ClientRequest request) {
         return request.uri().hashCode();
     }
 
-    // The method follows from the class: a keyed request without its key could take effect twice.
-    private static boolean fits(ClientRequest request, Idempotency idempotency) {
+    // The class determines the method and the key: a keyed request without its key could take
+    // effect twice.
+    private static boolean matchesClass(ClientRequest request, Idempotency idempotency) {
         boolean keyed = request.fields().idempotencyKey() != null;
         return switch (idempotency) {
             case IDEMPOTENT ->
@@ -151,14 +151,15 @@
         };
     }
 
-    /** A client sent something that is no acceptable request. */
-    void invalid(long now, Event.InvalidRequest event) {
+    /** A client sent an invalid request. */
+    void invalidReceived(long now, Event.InvalidRequest event) {
         Optional<InFlightRequest> detached = clients.detach(event.client());
         if (detached.isEmpty()) {
             clients.reject(now, event.client(), event.status(), event.reason());
             return;
         }
-        // It follows a request that is in flight: its response could not be told from the other's.
+        // It follows a request that is in flight. The client could not tell which of the two a
+        // response answers.
         InFlightRequest request = detached.get();
         countAccepted(request);
         metrics.failed(request.requestClass);
@@ -184,7 +185,8 @@
                         });
     }
 
-    // A streamed request counts as accepted once it is complete, or answered before that.
+    // A streamed request is counted as accepted when it is complete or answered, whichever is
+    // first.
     private void countAccepted(InFlightRequest request) {
         if (!request.complete) {
             request.complete = true;
@@ -194,10 +196,10 @@
 
     /** A client's connection has ended. */
     void clientClosed(long now, long client) {
-        clients.closed(client).ifPresent(request -> clientGone(now, request));
+        clients.closed(client).ifPresent(request -> abandonRequest(now, request));
     }
 
-    private void clientGone(long now, InFlightRequest request) {
+    private void abandonRequest(long now, InFlightRequest request) {
         if (request.complete) {
             metrics.clientDisconnected();
         }
@@ -224,12 +226,12 @@
         attempts.end(now, attempt, result, response.report());
     }
 
-    /** Rejects a request: nothing of it ran, a retry is harmless. */
+    /** Rejects a request that no server has run, so that the client can safely retry it. */
     void reject(long now, String id, long retryAfterMicros) {
         respond(now, id, UNAVAILABLE, retryAfterMicros, Content.NONE);
     }
 
-    /** Fails a request: it may have run. */
+    /** Fails a request that a server may have run. */
     void fail(long now, String id) {
         respond(now, id, BAD_GATEWAY, 0, Content.NONE);
     }
@@ -249,11 +251,15 @@
         clients.respond(now, request.client, status, retryAfterMicros, content, false);
     }
 
-    /** Withdraws what is not sent of a request; attempts that are sent end with their result. */
+    /**
+     * Finishes a request and withdraws its attempts that are not sent yet. Attempts that are
+     * already sent end with their own results.
+     */
     void finish(long now, InFlightRequest request) {
         request.finished = true;
         streams.remove(request);
-        // Withdrawing is possible whether or not the settings allow to cancel.
+        // An attempt that is not sent can be withdrawn even if the settings do not allow
+        // cancellation.
         for (Attempt attempt : List.copyOf(request.outstanding)) {
             if (!attempt.sendStarted) {
                 attempts.withdraw(now, attempt);
--- a/src/main/java/ottergauge/routing/Router.java
+++ b/src/main/java/ottergauge/routing/Router.java
@@ -26,15 +26,13 @@
 import ottergauge.routing.Event.ResponseReceived;
 
 /**
- * The node's reducer: takes events and asks for effects. It dispatches each event, and each action
- * of the decision module, to the part that owns the state concerned. All calls come from one thread
- * with instants in microseconds that never decrease.
+ * The node's reducer: handles events and emits effects. It dispatches each event, and each action of the decision module, to the class that owns the state concerned. All calls come from one thread, with times in microseconds that never decrease.
  */
 public final class Router {
 
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
-    // A timeout of 2 s has to be observed within 3 s.
+    // Bounds how late a timeout takes effect: a timeout of 2 s must take effect within 3 s.
     private static final long SWEEP_INTERVAL_MICROS = 250_000;
 
     private final NodeConfig config;
@@ -56,9 +54,9 @@
     private boolean serving;
 
     /**
-     * A router that has not started.
+     * Creates a router that has not started.
      *
-     * @param effects receives the effects in the order in which they are to be carried out
+     * @param effects receives the effects in the order in which they must be carried out
      */
     public Router(NodeConfig config, Consumer<Effect> effects) {
         this.config = config;
@@ -73,7 +71,7 @@
         shutdown = new Shutdown(clients, effects);
         endpoints =
                 new EffectiveEndpoints(
-                        config, upstreams, decisionEvents::add, this::endNotSent, effects);
+                        config, upstreams, decisionEvents::add, this::endAsNotSent, effects);
         settings = new EffectiveSettings(config, endpoints, upstreams, metrics);
         InFlightRequests inFlight = new InFlightRequests();
         StreamBudget streams = new StreamBudget(config.memoryMb(), sockets);
@@ -111,7 +109,7 @@
                         effects);
     }
 
-    /** Starts with the endpoints that the configuration knows. */
+    /** Starts with the known endpoints of the configuration. */
     public void start(long at) {
         now = at;
         endpoints.start(now, config.knownEndpoints());
@@ -128,7 +126,7 @@
         shutdown.exitIfDone();
     }
 
-    // The most frequent events come first.
+    // The most frequent events are tested first.
     private void dispatch(Event event) {
         if (event instanceof RequestReceived e) {
             requests.received(now, e.client(), e.request(), e.ageMicros(), false);
@@ -167,7 +165,7 @@
             int status = e.readiness() && !isReady() ? UNAVAILABLE : OK;
             clients.respond(now, e.client(), status, 0, Content.NONE, false);
         } else if (event instanceof Event.InvalidRequest e) {
-            requests.invalid(now, e);
+            requests.invalidReceived(now, e);
         } else {
             return false;
         }
@@ -270,11 +268,11 @@
         return serving && !shutdown.hasBegun();
     }
 
-    private void endNotSent(Attempt attempt) {
+    private void endAsNotSent(Attempt attempt) {
         attempts.end(now, attempt, AttemptResult.NOT_SENT);
     }
 
-    // The consequences of an operator's change precede the answer to the operator.
+    // An operator's change takes effect before the operator receives the response.
     private void maintenanceChanged(EndpointList changes) {
         endpoints.applyMaintenance(changes);
         runDecisions();
--- a/src/main/java/ottergauge/routing/ServerPool.java
+++ b/src/main/java/ottergauge/routing/ServerPool.java
@@ -5,26 +5,26 @@
 import java.util.Deque;
 import ottergauge.protocol.Address;
 
-/** One server's connections, and the attempts that wait for one. */
+/** One server's connections, and the attempts that wait for a connection. */
 final class ServerPool {
     final long server;
     final Address address;
 
-    /** Whether this pool is the one of the server as it is listed now. */
+    /** Whether the server is still listed with this address and process. */
     boolean listed = true;
 
-    /** Whether attempts may be sent; a draining server's connections are not kept. */
+    /** Whether attempts may be sent. Idle connections to a draining server are closed. */
     boolean accepting = true;
 
-    /** Most recently used first, so that surplus connections become the oldest. */
+    /** Most recently used first, so that surplus connections stay idle for longest. */
     final Deque<PooledConnection> idle = new ArrayDeque<>();
 
     final Deque<Attempt> waiting = new ArrayDeque<>();
 
-    /** Connections in progress that attempts wait for. */
+    /** The number of connections being established that attempts wait for. */
     int connecting;
 
-    /** Connections in progress that attempts no longer wait for. */
+    /** The number of connections being established that attempts no longer wait for. */
     int overdue;
 
     /** When the server's process started, in milliseconds since the epoch. */
--- a/src/main/java/ottergauge/routing/Shutdown.java
+++ b/src/main/java/ottergauge/routing/Shutdown.java
@@ -5,14 +5,17 @@
 import ottergauge.routing.Effect.StartTimer;
 import ottergauge.routing.Effect.StopAccepting;
 
-/** Graceful shutdown: the last deadline, when idle clients are closed, and when the node exits. */
+/**
+ * Graceful shutdown: determines the last deadline, when idle connections are closed, and when the
+ * node exits.
+ */
 final class Shutdown {
 
     // The load balancers in front of the node stop sending new clients within 0.4 s.
     private static final long QUIET_PERIOD_MICROS = 500_000;
     // After a handover the process is killed 0.7 s after the longest deadline.
     private static final long HANDOVER_MARGIN_MICROS = 500_000;
-    // A request that arrives last has at least this long.
+    // A request that arrives at the end of the quiet period has at least this long.
     private static final long LAST_REQUEST_MICROS = 400_000;
 
     private final DownstreamConnections clients;
@@ -40,8 +43,8 @@
         begun = true;
         clients.closeAfterResponses();
         if (handover) {
-            // Open connections end with their next response. Closed while idle, they might be
-            // closed just as a request arrives.
+            // Open connections are closed after their next response. If they were closed while
+            // idle, a request could arrive at the same moment.
             effects.accept(new StopAccepting());
             lastResponseAt = now + longestDeadline + HANDOVER_MARGIN_MICROS;
             long quietPeriod =
@@ -54,7 +57,7 @@
         }
     }
 
-    /** Whether the node was told to stop. */
+    /** Whether the node is stopping. */
     boolean hasBegun() {
         return begun;
     }
@@ -70,14 +73,17 @@
         clients.closeIdle(CloseReason.STOPPING);
     }
 
-    /** Closes clients that connected after the quiet period and would delay the exit. */
+    /**
+     * Closes idle connections of clients that connected after the quiet period, which would delay
+     * the exit.
+     */
     void sweep() {
         if (quietPeriodOver) {
             clients.closeIdle(CloseReason.STOPPING);
         }
     }
 
-    /** Asks for the exit, once, when no client is connected any more. */
+    /** Requests the exit, once, when no client is connected any more. */
     void exitIfDone() {
         if (quietPeriodOver && !exited && clients.openCount() == 0) {
             exited = true;
--- a/src/main/java/ottergauge/routing/SocketBudget.java
+++ b/src/main/java/ottergauge/routing/SocketBudget.java
@@ -5,21 +5,21 @@
 import ottergauge.routing.Effect.AcceptUpTo;
 
 /**
- * How many descriptors the connections of clients and to servers may use together, and which idle
- * ones are closed where they run short. During a hot restart both processes of a node share its
+ * Limits the file descriptors that connections from clients and to servers use together, and closes idle connections when descriptors run short. During a hot restart both processes of a node share its
  * descriptors.
  */
 final class SocketBudget {
 
-    // Files, standard streams, selector, listener, discovery, and what the system closes late.
+    // Files, standard streams, selector, listener, discovery, and sockets that the system closes
+    // late.
     private static final int RESERVED_DESCRIPTORS = 64;
     // The admin listener, its connections and the files of the hot-restart directory.
     private static final int ADMIN_RESERVED_DESCRIPTORS = 32;
     // Connections that the listener may accept before it applies a lower limit.
     private static final int ACCEPT_BATCH = 16;
-    // Leaves sockets for the requests of the clients that are connected.
+    // Leaves sockets for the connections to servers that clients' requests need.
     private static final double MAX_CLIENT_RATIO = 2.0 / 3;
-    // What another process of the node may open until its connections are counted again.
+    // Allows for connections that the node's other process may open before they are counted again.
     private static final double PEER_GROWTH_RATIO = 0.25;
 
     private final int reserved;
@@ -42,19 +42,21 @@
         this.effects = effects;
     }
 
-    /** The node may use this many descriptors from now on. */
+    /** Sets the number of descriptors that the node may use. */
     void limit(int descriptors) {
         maxDescriptors = descriptors;
         int available = descriptors - reserved;
-        int besidePeer =
+        int availableWithPeer =
                 Math.max(
                         available / 2,
                         (int) (available * (1 - PEER_GROWTH_RATIO)) - peerConnections);
-        maxSockets = Math.max(1, shared ? besidePeer : available);
+        maxSockets = Math.max(1, shared ? availableWithPeer : available);
         effects.accept(new AcceptUpTo(maxClients() + ACCEPT_BATCH));
     }
 
-    /** Whether another process of this node is present, and how many connections it has open. */
+    /**
+     * Sets whether another process of this node is running, and how many connections it has open.
+     */
     void share(boolean peerPresent, int connections) {
         shared = peerPresent;
         peerConnections = connections;
@@ -70,7 +72,7 @@
         return Math.max(1, (int) (maxSockets * MAX_CLIENT_RATIO));
     }
 
-    /** Closes idle connections where a client that has connected is one too many. */
+    /** Closes idle connections if the client that has just connected exceeds a limit. */
     void clientConnected(long now) {
         boolean closed = true;
         while (clients.openCount() > maxClients() && closed) {
@@ -80,10 +82,9 @@
     }
 
     /**
-     * Makes sockets available, for idle connections are closed before a request is rejected. Those
-     * of clients go first: a new connection to a server costs more.
+     * Makes sockets available by closing idle connections, so that a request is rejected only if none is left. Idle connections of clients are closed first, since a new connection to a server costs more.
      *
-     * @return whether that many more connections may be opened
+     * @return whether this number of further connections may be opened
      */
     boolean reserve(long now, int connections) {
         while (clients.openCount() + upstreams.openCount() + connections > maxSockets) {
--- a/src/main/java/ottergauge/routing/StreamBudget.java
+++ b/src/main/java/ottergauge/routing/StreamBudget.java
@@ -5,15 +5,16 @@
 import java.util.Set;
 
 /**
- * Bounds the bodies of requests and responses that are streamed at the same time, by the memory
- * limit. During a hot restart each of the node's two processes has half of it.
+ * Limits how many request and response bodies are streamed at the same time, in proportion to the memory limit. During a hot restart each of the node's two processes has half of it.
  */
 final class StreamBudget {
 
-    // A stream holds at most 64 KiB in memory: all together, an eighth of the limit.
+    // A stream holds at most 64 KiB in memory, so that all streams together hold at most an eighth
+    // of the limit.
     private static final int STREAMS_PER_MB = 2;
     private static final int MIN_STREAMS = 2;
-    // The rest is for responses: the work for them is done, they can't be rejected any more.
+    // The rest is reserved for responses: servers have done the work for them, and they can no
+    // longer be rejected.
     private static final double REQUEST_RATIO = 0.75;
 
     private final int memoryMb;
--- a/src/main/java/ottergauge/routing/StreamedResponses.java
+++ b/src/main/java/ottergauge/routing/StreamedResponses.java
@@ -9,7 +9,7 @@
 import ottergauge.routing.Effect.StreamResponse;
 import ottergauge.routing.Event.ServerResponse;
 
-/** Responses that are too large to be buffered, or of unknown length: relayed as they arrive. */
+/** Relays responses that are too large to be buffered, or of unknown length, as they arrive. */
 final class StreamedResponses {
 
     private final RequestHandler requests;
@@ -38,9 +38,9 @@
     }
 
     /**
-     * A response is too large to be buffered; its head arrived so long ago. The attempt ends here
-     * for the decision module, so that the client's reading speed is not charged to the server, and
-     * no deadline cuts the response from now on.
+     * A response is too large to be buffered. For the decision module the attempt ends here, so that the client's reading speed does not count against the server. From now on no deadline ends the response.
+     *
+     * @param sinceHeadMicros how long ago the response's head arrived
      */
     void started(long now, long connection, ServerResponse response, long sinceHeadMicros) {
         upstreams
@@ -71,7 +71,8 @@
         attempts.end(now, attempt, result, response.report());
     }
 
-    // A response to a probe is never this large; one to an incomplete request is no answer to it.
+    // A valid response to a probe is never this large. A response that starts before its request is
+    // complete is not an answer to that request.
     private static AttemptResult result(InFlightRequest request, ServerResponse response) {
         return request == null || !request.complete
                 ? AttemptResult.ERROR
@@ -79,8 +80,7 @@
     }
 
     /**
-     * A response of unknown length has started. A short one ends within half of the remaining time;
-     * a longer one is streamed from then on, early enough for its first bytes to count.
+     * A response of unknown length has started. If it does not end within half of the remaining time, it is streamed from then on, so that its first bytes reach the client in time.
      */
     void unsizedStarted(long now, Attempt attempt) {
         if (!attempt.isProbe()) {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** A response of unknown length is buffered no longer. */
+    /** The buffering time of a response of unknown length is over: the response is streamed. */
     void bufferTimedOut(long number) {
         Optional<Attempt> found = attempts.find(number);
         if (found.isPresent() && found.get().connection != null && !found.get().request.finished) {
@@ -99,7 +99,7 @@
         }
     }
 
-    /** The last byte of a streamed response is relayed. */
+    /** The last byte of a streamed response has been relayed. */
     void completed(long now, long connection, boolean reusable) {
         upstreams
                 .responseCompleted(now, connection, reusable)
@@ -112,7 +112,9 @@
                         });
     }
 
-    /** A server's connection has ended: a response that it was relaying is truncated. */
+    /**
+     * A connection to a server has ended; a response that was being relayed from it is truncated.
+     */
     void connectionClosed(long now, Attempt attempt, boolean malformed) {
         InFlightRequest request = attempt.request;
         if (request == null || request.relaying != attempt) {
--- a/src/main/java/ottergauge/routing/UpstreamPool.java
+++ b/src/main/java/ottergauge/routing/UpstreamPool.java
@@ -23,19 +23,17 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * The connections to all servers. Each carries one attempt at a time and is kept while idle; an
- * attempt that finds none idle waits for a new one or for the next that becomes idle. An attempt
- * that has a connection is sent only after all input that had arrived by then is read and the
- * router has checked again that it still may be.
+ * The pool of connections to all servers. A connection carries one attempt at a time and stays open while idle. An attempt that finds no idle connection waits for a new one or for the next one that becomes idle. Before an attempt is sent on its connection, the node reads all input that has arrived, and the router checks again that the attempt is still allowed.
  */
 final class UpstreamPool {
 
-    // Closes idle connections before the server does: a request written just then would be reset.
+    // The node closes idle connections before the server does. A request that is written while the
+    // server closes its connection would be reset.
     private static final double IDLE_TIMEOUT_RATIO = 0.75;
-    // A connection whose first segments are lost is established after 1 s or 3 s (RFC 6298). No
-    // attempt waits that long, but later ones can use it.
+    // A connection whose first segments are lost is established after 1 s or 3 s (RFC 6298). No attempt waits that long, but later attempts can use the connection.
     private static final long OVERDUE_TIMEOUT_MICROS = 3_200_000;
-    // An unreachable server never accepts: further connections to it time out early.
+    // An unreachable server never accepts a connection. Beyond this number of overdue connections,
+    // further ones time out early.
     private static final int MAX_OVERDUE = 2;
 
     private final ConnectTimeoutEstimator connectTimeoutEstimator;
@@ -50,7 +48,7 @@
     private long idleTimeout;
     private long lastNumber;
 
-    /** A pool without servers; for the spans see {@link #limit}. */
+    /** Creates a pool without servers; for the parameters see {@link #limit}. */
     UpstreamPool(long connectTimeout, long serverIdleTimeout, Consumer<Effect> effects) {
         connectTimeoutEstimator = new ConnectTimeoutEstimator(connectTimeout);
         this.effects = effects;
@@ -58,8 +56,7 @@
     }
 
     /**
-     * Sets how long a connection may take to be established, and after what time servers close idle
-     * ones, in microseconds.
+     * Sets how long a connection may take to be established and how long servers keep an idle one open, in microseconds.
      */
     void limit(long connectTimeout, long serverIdleTimeout) {
         maxConnectTimeout = connectTimeout;
@@ -83,7 +80,7 @@
     /**
      * Applies an update of the endpoints.
      *
-     * @return the attempts that were waiting for servers that are draining, removed or replaced
+     * @return the attempts that were waiting for connections to servers that are draining, removed or replaced
      */
     List<Attempt> apply(EndpointList update) {
         List<Attempt> withdrawn = new ArrayList<>();
@@ -111,7 +108,8 @@
         Address address = endpoint.address();
         ServerPool pool = byServer.computeIfAbsent(server, id -> new ServerPool(id, address));
         pool.accepting = endpoint.state() == EndpointState.UP;
-        // Attempts that wait were decided for the process before this one, which was warmed up.
+        // The decision module chose the server for the waiting attempts when its previous process
+        // was running, which was warmed up.
         boolean replaced =
                 !pool.address.equals(address) || endpoint.startedAtMs() > pool.startedAtMs;
         if (!pool.accepting || replaced) {
@@ -134,7 +132,8 @@
         }
     }
 
-    // Sent when its connection is established, a waiting attempt might exceed the drain period.
+    // If a waiting attempt were sent when its connection is established, it might exceed the drain
+    // period.
     private void withdrawWaiting(ServerPool pool, List<Attempt> withdrawn) {
         withdrawn.addAll(pool.waiting);
         pool.waiting.clear();
@@ -143,7 +142,7 @@
         }
     }
 
-    /** Gives an attempt an idle connection, or lets it wait for one. */
+    /** Assigns an idle connection to an attempt, or lets the attempt wait for a connection. */
     void start(long now, Attempt attempt) {
         ServerPool pool = byServer.get(attempt.server);
         PooledConnection reusable = pool.idle.pollFirst();
@@ -191,13 +190,16 @@
         return attemptOn(number).filter(attempt -> !attempt.sendStarted);
     }
 
-    /** Whether an attempt's server accepts requests and is still the process it was decided for. */
+    /**
+     * Whether an attempt's server accepts requests and is still the process that was chosen for the
+     * attempt.
+     */
     boolean isEligible(Attempt attempt) {
         ServerPool pool = attempt.connection.pool;
         return pool.listed && pool.accepting;
     }
 
-    /** Sends an attempt: the one place where the first byte of anything goes to a server. */
+    /** Sends an attempt or probe. Requests to servers are written here only. */
     void send(long now, Attempt attempt) {
         attempt.sendStarted = true;
         long number = attempt.connection.number;
@@ -214,8 +216,7 @@
     }
 
     /**
-     * Ends an attempt that is no longer waited for: the connection that carries it is closed, as
-     * the protocol demands. A connection that has nothing of it yet serves the next attempt.
+     * Ends an attempt whose response is no longer needed. If its first byte is written, its connection is closed, as the protocol requires. Otherwise the connection is available to the next attempt.
      */
     void abandon(long now, Attempt attempt, CloseReason reason) {
         if (attempt.sendStarted) {
@@ -245,7 +246,9 @@
         release(now, connection);
     }
 
-    /** A connection failed; returns the attempt that has none to wait for any more. */
+    /**
+     * A connection failed; returns the attempt that has no other connection to wait for, if any.
+     */
     Optional<Attempt> connectFailed(long now, long number) {
         PooledConnection connection = connections.remove(number);
         if (connection == null) {
@@ -258,7 +261,10 @@
         return stopWaiting(now, connection);
     }
 
-    /** A connection was not established in time; returns the attempt that stops waiting for it. */
+    /**
+     * A connection was not established in time; returns the attempt that stops waiting for it, if
+     * any.
+     */
     Optional<Attempt> connectTimedOut(long now, long number) {
         PooledConnection connection = connections.get(number);
         if (connection == null || connection.established || connection.overdue) {
--- a/src/main/java/ottergauge/settings/JsonObject.java
+++ b/src/main/java/ottergauge/settings/JsonObject.java
@@ -6,8 +6,7 @@
 import java.util.Map;
 
 /**
- * Typed access to an object that {@link JsonTree} has read. A field that is absent or of another
- * type has the default that the caller names.
+ * Typed access to an object that {@link JsonTree} has read. If a field is absent or of another type, the caller's default value is returned.
  */
 public final class JsonObject {
 
@@ -20,14 +19,14 @@
         this.fields = fields;
     }
 
-    /** The object in a field; without fields if there is none. */
+    /** The object in a field; an empty object if there is none. */
     @SuppressWarnings("unchecked")
     public JsonObject child(String key) {
         return new JsonObject(
                 fields.get(key) instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of());
     }
 
-    /** The objects in a field's list; entries of other types are left out. */
+    /** The objects in a field's list; entries of other types are omitted. */
     @SuppressWarnings("unchecked")
     public List<JsonObject> children(String key) {
         List<JsonObject> children = new ArrayList<>();
@@ -44,7 +43,7 @@
         return fields.get(key) instanceof List<?> list ? list : List.of();
     }
 
-    /** The list in a field, its entries as strings; empty if there is none. */
+    /** The list in a field, with its entries as strings; empty if there is none. */
     public List<String> names(String key) {
         List<String> names = new ArrayList<>();
         for (Object name : list(key)) {
@@ -54,13 +53,13 @@
     }
 
     /** The number in a field. */
-    public double number(String key, double absent) {
-        return fields.get(key) instanceof Double number ? number : absent;
+    public double number(String key, double defaultValue) {
+        return fields.get(key) instanceof Double number ? number : defaultValue;
     }
 
-    /** The span in a field that is in milliseconds, in whole microseconds. */
-    public long micros(String key, double absentMs) {
-        return Math.round(number(key, absentMs) * MICROS_PER_MS);
+    /** The duration of a field in milliseconds, rounded to microseconds. */
+    public long micros(String key, double defaultMs) {
+        return Math.round(number(key, defaultMs) * MICROS_PER_MS);
     }
 
     /** Whether a field is true. */
@@ -69,8 +68,8 @@
     }
 
     /** The string in a field. */
-    public String text(String key, String absent) {
-        return fields.get(key) instanceof String text ? text : absent;
+    public String text(String key, String defaultValue) {
+        return fields.get(key) instanceof String text ? text : defaultValue;
     }
 
     /** The value in a field, or null. */
--- a/src/main/java/ottergauge/settings/JsonTree.java
+++ b/src/main/java/ottergauge/settings/JsonTree.java
@@ -13,13 +13,13 @@
 import java.util.Map;
 
 /**
- * Reads the JSON value at a parser's current token as maps, lists, doubles, booleans and strings.
+ * Reads and writes JSON as maps, lists, doubles, booleans and strings.
  */
 public final class JsonTree {
 
     private JsonTree() {}
 
-    /** Reads a file's content, which is one object and nothing behind it. */
+    /** Reads a file's content, which must be one object without trailing content. */
     public static Map<String, Object> read(byte[] content) throws IOException {
         try (JsonParser in = new JsonFactory().createParser(content)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
@@ -33,7 +33,7 @@
         }
     }
 
-    /** Writes what {@link #read} reads, with a line for each key. */
+    /** Writes a tree in the form that {@link #read} reads, with one key per line. */
     public static byte[] write(Map<String, Object> tree) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = new JsonFactory().createGenerator(bytes)) {
--- a/src/main/java/ottergauge/settings/SettingsFault.java
+++ b/src/main/java/ottergauge/settings/SettingsFault.java
@@ -6,11 +6,11 @@
  *
  * @param key the setting's key
  * @param value the value found there
- * @param allowed the form that is allowed, as it follows "is" in a message
+ * @param allowed the allowed form, as it follows "is" in the message
  */
 public record SettingsFault(String key, String value, String allowed) {
 
-    /** The message for a person. */
+    /** The error message. */
     @Override
     public String toString() {
         return key + " is " + allowed + ", not " + value;
--- a/src/main/java/ottergauge/settings/SettingsReader.java
+++ b/src/main/java/ottergauge/settings/SettingsReader.java
@@ -15,15 +15,14 @@
 import ottergauge.decision.api.ServiceRules;
 
 /**
- * Maps a deployment's settings object to the types of the decision module. An optional key that is
- * absent takes a cautious default. The keys' names stand here alone.
+ * Maps a deployment's settings object to the types of the decision module. An absent optional key has a conservative default. Only this class contains the names of the keys.
  */
 public final class SettingsReader {
 
-    // A node that learns of changes once a minute decides nothing in time.
-    private static final double MIN_ROUND_MS = 0.001;
-    private static final double MAX_ROUND_MS = 60_000;
-    // The number of nodes divides a server's slow-start budget.
+    // A node that handles events only once a minute decides too late.
+    private static final double MIN_EVENT_INTERVAL_MS = 0.001;
+    private static final double MAX_EVENT_INTERVAL_MS = 60_000;
+    // A server's slow-start budget is divided by the number of nodes.
     private static final double MAX_NODES = 1_000_000;
     private static final double UNBOUNDED = Double.MAX_VALUE;
     private static final double MICROS_PER_MS = 1000.0;
@@ -55,7 +54,7 @@
     private final JsonObject rules;
     private final JsonObject costs;
 
-    /** Reads from a settings object as {@link JsonTree} gives it. */
+    /** Reads from a settings object that {@link JsonTree} has read. */
     public SettingsReader(Map<String, Object> settings) {
         root = new JsonObject(settings);
         limits = root.child("ceilings");
@@ -71,7 +70,10 @@
                         : DiscoveryMode.POLL);
     }
 
-    /** The settings of the decision module, with this discovery mode whatever the object says. */
+    /**
+     * The settings of the decision module, with this discovery mode instead of the one in the
+     * settings object.
+     */
     public DecisionSettings decisionSettings(DiscoveryMode discoveryMode) {
         return new DecisionSettings(
                 (int) root.number(NODE_INDEX, 0),
@@ -175,7 +177,7 @@
     /** The first setting that is invalid, if there is one. */
     public Optional<SettingsFault> firstFault() {
         List<SettingsFault> faults = new ArrayList<>();
-        checkRange(root, EVENT_INTERVAL_MS, MIN_ROUND_MS, MAX_ROUND_MS, faults);
+        checkRange(root, EVENT_INTERVAL_MS, MIN_EVENT_INTERVAL_MS, MAX_EVENT_INTERVAL_MS, faults);
         checkRange(root, NODE_COUNT, 1, MAX_NODES, faults);
         checkRange(root, NODE_INDEX, 0, MAX_NODES, faults);
         for (JsonObject requestClass : root.children(CLASSES)) {
