--- a/src/main/java/ottergauge/protocol/AttemptResults.java
+++ b/src/main/java/ottergauge/protocol/AttemptResults.java
@@ -13,7 +13,9 @@
     private AttemptResults() {}
 
     /**
-     * The result of an attempt, derived from its response. Only 503 and 504 with {@link Headers#NEVER_RAN} prove that the server did not run the request. Any other status except 200 is an error.
+     * The result of an attempt, derived from its response. Only 503 and 504 with {@link
+     * Headers#NEVER_RAN} prove that the server did not run the request. Any other status except 200
+     * is an error.
      */
     public static AttemptResult ofResponse(int status, boolean neverRan) {
         if (status == OK) {
--- a/src/main/java/ottergauge/protocol/Content.java
+++ b/src/main/java/ottergauge/protocol/Content.java
@@ -4,7 +4,8 @@
 /**
  * The body of a message.
  *
- * @param type the sender's content type; null if there is none, or if it can't be forwarded unchanged
+ * @param type the sender's content type; null if there is none, or if it can't be forwarded
+ *     unchanged
  * @param bytes the body as it was received
  */
 @SuppressWarnings("ArrayRecordComponent") // Never compared; copies would be costly.
--- a/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
+++ b/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
@@ -13,7 +13,9 @@
 import ottergauge.settings.SettingsFault;
 
 /**
- * The {@code control} section of a node's configuration: the control processes that the node follows, its subscription and its limits. The configuration of a control process itself is another type.
+ * The {@code control} section of a node's configuration: the control processes that the node
+ * follows, its subscription and its limits. The configuration of a control process itself is
+ * another type.
  *
  * @param endpoints the control processes
  * @param region the region that the node runs in; empty for none
@@ -62,7 +64,8 @@
     /**
      * Reads the section.
      *
-     * @throws ProtocolException if it is invalid; the message names the key, its value and the allowed form
+     * @throws ProtocolException if it is invalid; the message names the key, its value and the
+     *     allowed form
      */
     static ControlPlaneConfig of(Object section) throws ProtocolException {
         if (!(section instanceof Map<?, ?> fields)) {
--- a/src/main/java/ottergauge/protocol/EndpointCodec.java
+++ b/src/main/java/ottergauge/protocol/EndpointCodec.java
@@ -36,7 +36,8 @@
     }
 
     /** Writes the fields, without the name, into the object that the generator has open. */
-    public static void writeFields(JsonGenerator out, DiscoveredEndpoint endpoint) throws IOException {
+    public static void writeFields(JsonGenerator out, DiscoveredEndpoint endpoint)
+            throws IOException {
         out.writeStringField("dial", endpoint.address().toString());
         if (endpoint.zone() != null) {
             out.writeStringField("site", endpoint.zone());
--- a/src/main/java/ottergauge/protocol/LoadReportReader.java
+++ b/src/main/java/ottergauge/protocol/LoadReportReader.java
@@ -4,7 +4,8 @@
 import ottergauge.decision.api.LoadReport;
 
 /**
- * Reads load reports in text form: {@code TEXT inflight=7, queue=2, util=0.61}. Servers use either the field names of the settings or those of the protocol's description; both are accepted.
+ * Reads load reports in text form: {@code TEXT inflight=7, queue=2, util=0.61}. Servers use either
+ * the field names of the settings or those of the protocol's description; both are accepted.
  */
 public final class LoadReportReader {
 
--- a/src/main/java/ottergauge/protocol/NodeSettings.java
+++ b/src/main/java/ottergauge/protocol/NodeSettings.java
@@ -13,7 +13,8 @@
 import ottergauge.settings.SettingsReader;
 
 /**
- * A deployment's settings as a node applies them. All of them may be replaced while the node runs. Durations are in microseconds.
+ * A deployment's settings as a node applies them. All of them may be replaced while the node runs.
+ * Durations are in microseconds.
  *
  * @param decisions the settings of the decision module
  * @param zones names of the zones; a zone's number is its index
--- a/src/main/java/ottergauge/protocol/RequestFields.java
+++ b/src/main/java/ottergauge/protocol/RequestFields.java
@@ -61,7 +61,8 @@
     }
 
     /**
-     * Whether text can be forwarded unchanged. A library may reject or alter text with other characters.
+     * Whether text can be forwarded unchanged. A library may reject or alter text with other
+     * characters.
      */
     public static boolean isVisible(String text) {
         return text.chars().allMatch(c -> c > ' ' && c < DELETE);
--- a/src/main/java/ottergauge/protocol/package-info.java
+++ b/src/main/java/ottergauge/protocol/package-info.java
@@ -14,7 +14,7 @@
  *       ottergauge.protocol.BodyLimits}: names and limits of the protocol.
  * </ul>
  *
- * <p>The types are immutable and have no state. Input that violates a format is reported by a {@link
- * ottergauge.protocol.ProtocolException}.
+ * <p>The types are immutable and have no state. Input that violates a format is reported by a
+ * {@link ottergauge.protocol.ProtocolException}.
  */
 package ottergauge.protocol;
--- a/src/main/java/ottergauge/routing/AdminState.java
+++ b/src/main/java/ottergauge/routing/AdminState.java
@@ -28,7 +28,8 @@
      * Creates the admin state of the servers in the registry.
      *
      * @param statuses gives a server's status by its name
-     * @param maintenanceChanged receives the endpoints that change; the change is effective when it returns
+     * @param maintenanceChanged receives the endpoints that change; the change is effective when it
+     *     returns
      */
     AdminState(
             Metrics metrics,
--- a/src/main/java/ottergauge/routing/Attempt.java
+++ b/src/main/java/ottergauge/routing/Attempt.java
@@ -2,7 +2,8 @@
 package ottergauge.routing;
 
 /**
- * An attempt to have a request answered by one server or, without a request, a load probe of that server. Times are in microseconds.
+ * An attempt to have a request answered by one server or, without a request, a load probe of that
+ * server. Times are in microseconds.
  */
 final class Attempt {
     final long number;
--- a/src/main/java/ottergauge/routing/Attempts.java
+++ b/src/main/java/ottergauge/routing/Attempts.java
@@ -19,7 +19,9 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * Attempts and load probes, from the decision module's action to their result. Each one is started, is sent if that is still allowed, and ends with one result that is reported to the decision module.
+ * Attempts and load probes, from the decision module's action to their result. Each one is started,
+ * is sent if that is still allowed, and ends with one result that is reported to the decision
+ * module.
  */
 final class Attempts {
 
@@ -116,7 +118,9 @@
     }
 
     /**
-     * Sends an attempt or probe whose connection is ready. No request to a server is written without passing the check here, since the decision to send it may have been made long ago. An attempt or probe that fails the check ends as not sent.
+     * Sends an attempt or probe whose connection is ready. No request to a server is written
+     * without passing the check here, since the decision to send it may have been made long ago. An
+     * attempt or probe that fails the check ends as not sent.
      */
     void send(long now, Attempt attempt) {
         // A finished request has no unsent attempts left.
@@ -159,7 +163,8 @@
     }
 
     /**
-     * An attempt's connection was not established in time. One late connection does not show that its server is unreachable; several that are overdue at the same time do.
+     * An attempt's connection was not established in time. One late connection does not show that
+     * its server is unreachable; several that are overdue at the same time do.
      */
     void connectTimedOut(long now, Attempt attempt) {
         end(
--- a/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
+++ b/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
@@ -3,7 +3,9 @@
 
 /**
  * Estimates how long an attempt should wait for a connection, from the time that earlier ones took,
- * as TCP estimates its retransmission timeout (RFC 6298). An unreachable server does not refuse connections: an attempt that waited for the longest timeout would have no time left for another server. Durations are in microseconds.
+ * as TCP estimates its retransmission timeout (RFC 6298). An unreachable server does not refuse
+ * connections: an attempt that waited for the longest timeout would have no time left for another
+ * server. Durations are in microseconds.
  */
 final class ConnectTimeoutEstimator {
 
--- a/src/main/java/ottergauge/routing/DiscoveryWatch.java
+++ b/src/main/java/ottergauge/routing/DiscoveryWatch.java
@@ -13,8 +13,9 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * Watches discovery's endpoint list by a series of polls, each of which asks for changes after the version that the node has. Each poll has a timeout, derived from the {@link PropagationDeadline}. A
- * watch that breaks or times out is reopened at once; one that can't be opened is retried after a
+ * Watches discovery's endpoint list by a series of polls, each of which asks for changes after the
+ * version that the node has. Each poll has a timeout, derived from the {@link PropagationDeadline}.
+ * A watch that breaks or times out is reopened at once; one that can't be opened is retried after a
  * backoff.
  */
 final class DiscoveryWatch {
@@ -78,7 +79,9 @@
     }
 
     /**
-     * Whether the list may lack a change that is older than the deadline, for example after the node itself was suspended. While discovery is known to be unreachable, the list is not considered stale, since no newer one is available.
+     * Whether the list may lack a change that is older than the deadline, for example after the
+     * node itself was suspended. While discovery is known to be unreachable, the list is not
+     * considered stale, since no newer one is available.
      */
     boolean isStale(long now) {
         return failures == 0 && now - lastCurrentAt > deadline.micros();
@@ -185,7 +188,8 @@
         }
     }
 
-    // An open watch is reopened at once. If it could not be opened, discovery is unreachable or overloaded, and an immediate poll would not help.
+    // An open watch is reopened at once. If it could not be opened, discovery is unreachable or
+    // overloaded, and an immediate poll would not help.
     private void pollLost(long now) {
         currentPoll = NO_POLL;
         if (open) {
@@ -203,7 +207,9 @@
     }
 
     /**
-     * A poll's answer was rejected; the previous list stays effective. Repeated rejections delay the next poll: otherwise discovery would send a malformed list at its full size again and again.
+     * A poll's answer was rejected; the previous list stays effective. Repeated rejections delay
+     * the next poll: otherwise discovery would send a malformed list at its full size again and
+     * again.
      */
     void listRejected(long now, long poll) {
         if (poll != currentPoll || ++rejections <= MAX_TRANSIENT_REJECTIONS) {
@@ -223,7 +229,10 @@
     }
 
     /**
-     * Whether a poll's answer is to be applied. An answer that is older than another poll's answer is ignored, since it would undo that one. A complete list that is older than the version named in its poll is applied, since it shows that discovery has restarted its version numbers.
+     * Whether a poll's answer is to be applied. An answer that is older than another poll's answer
+     * is ignored, since it would undo that one. A complete list that is older than the version
+     * named in its poll is applied, since it shows that discovery has restarted its version
+     * numbers.
      */
     boolean accepts(long poll, EndpointList answer) {
         if (poll == currentPoll) {
--- a/src/main/java/ottergauge/routing/DownstreamConnections.java
+++ b/src/main/java/ottergauge/routing/DownstreamConnections.java
@@ -14,7 +14,8 @@
 import ottergauge.routing.Effect.Respond;
 
 /**
- * The connections of clients: the stage of each, and when it is closed unless it makes progress. Durations are in microseconds.
+ * The connections of clients: the stage of each, and when it is closed unless it makes progress.
+ * Durations are in microseconds.
  */
 final class DownstreamConnections {
 
@@ -192,7 +193,8 @@
     }
 
     /**
-     * Closes a connection before the end of its response, which shows the client that the request failed.
+     * Closes a connection before the end of its response, which shows the client that the request
+     * failed.
      */
     void truncate(long client) {
         if (connections.containsKey(client)) {
@@ -239,9 +241,7 @@
                         close || incomplete || closesAfterResponses));
     }
 
-    /**
-     * Answers an invalid request, reports it, and closes the connection after the response.
-     */
+    /** Answers an invalid request, reports it, and closes the connection after the response. */
     void reject(long now, long client, int status, String reason) {
         if (now - reportWindowStart >= MICROS_PER_SECOND) {
             reportWindowStart = now;
--- a/src/main/java/ottergauge/routing/Effect.java
+++ b/src/main/java/ottergauge/routing/Effect.java
@@ -34,7 +34,9 @@
             implements Effect {}
 
     /**
-     * Reads all input that has arrived on any connection, and confirms it with {@link Event.PendingInputRead}. The router then decides on current information whether the request is still to be sent.
+     * Reads all input that has arrived on any connection, and confirms it with {@link
+     * Event.PendingInputRead}. The router then decides on current information whether the request
+     * is still to be sent.
      */
     record ReadPendingInput(long connection) implements Effect {}
 
--- a/src/main/java/ottergauge/routing/EffectiveEndpoints.java
+++ b/src/main/java/ottergauge/routing/EffectiveEndpoints.java
@@ -14,7 +14,9 @@
 import ottergauge.routing.Effect.CacheEndpoints;
 
 /**
- * The effective endpoints. Updates come from discovery, the change log and operators, and are applied to the upstream connection pool and the decision module. Settings are also passed to the decision module here, since they take effect together with the endpoints.
+ * The effective endpoints. Updates come from discovery, the change log and operators, and are
+ * applied to the upstream connection pool and the decision module. Settings are also passed to the
+ * decision module here, since they take effect together with the endpoints.
  */
 final class EffectiveEndpoints {
 
@@ -30,7 +32,9 @@
     /**
      * Creates effective endpoints that have not started.
      *
-     * @param withdrawn receives the attempts that waited for a server that no longer accepts requests. The decision module receives the update first, since it would otherwise choose that server again
+     * @param withdrawn receives the attempts that waited for a server that no longer accepts
+     *     requests. The decision module receives the update first, since it would otherwise choose
+     *     that server again
      */
     EffectiveEndpoints(
             NodeConfig config,
@@ -103,7 +107,8 @@
                 mapper.map(list, list.complete() ? UpdateScope.FULL : UpdateScope.INCREMENTAL);
         if (settings.isPresent()) {
             NodeSettings next = settings.get();
-            decisionEvents.accept(new SettingsChanged(next.decisions(), applySettings(next, change)));
+            decisionEvents.accept(
+                    new SettingsChanged(next.decisions(), applySettings(next, change)));
         } else {
             decisionEvents.accept(change);
         }
--- a/src/main/java/ottergauge/routing/EffectiveSettings.java
+++ b/src/main/java/ottergauge/routing/EffectiveSettings.java
@@ -7,7 +7,9 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * The effective settings: those most recently read from the configuration file, until the change log provides settings. Requests that were accepted before a change keep their class, deadline and limits.
+ * The effective settings: those most recently read from the configuration file, until the change
+ * log provides settings. Requests that were accepted before a change keep their class, deadline and
+ * limits.
  */
 final class EffectiveSettings {
 
--- a/src/main/java/ottergauge/routing/EndpointIds.java
+++ b/src/main/java/ottergauge/routing/EndpointIds.java
@@ -4,7 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Derives the ids of servers from the 64-bit FNV-1a hash of their names. An id is the same at every node and after every restart, since the decision module orders servers by id.
+ * Derives the ids of servers from the 64-bit FNV-1a hash of their names. An id is the same at every
+ * node and after every restart, since the decision module orders servers by id.
  */
 final class EndpointIds {
 
--- a/src/main/java/ottergauge/routing/EndpointRegistry.java
+++ b/src/main/java/ottergauge/routing/EndpointRegistry.java
@@ -12,7 +12,9 @@
 import ottergauge.protocol.EndpointList;
 
 /**
- * The listed endpoints, and those of them that operators have put into maintenance. An endpoint in maintenance counts as draining, regardless of its state in the list. The decision module does not know about maintenance. Times and durations are in microseconds.
+ * The listed endpoints, and those of them that operators have put into maintenance. An endpoint in
+ * maintenance counts as draining, regardless of its state in the list. The decision module does not
+ * know about maintenance. Times and durations are in microseconds.
  */
 final class EndpointRegistry {
 
--- a/src/main/java/ottergauge/routing/Event.java
+++ b/src/main/java/ottergauge/routing/Event.java
@@ -12,7 +12,9 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * An input of {@link Router#handle}: something that the transport reports to the router. Connections, polls and admin connections are identified by numbers that the router or the transport assigned to them.
+ * An input of {@link Router#handle}: something that the transport reports to the router.
+ * Connections, polls and admin connections are identified by numbers that the router or the
+ * transport assigned to them.
  */
 public sealed interface Event {
 
@@ -114,7 +116,8 @@
     record EndpointListRejected(long poll) implements Event {}
 
     /**
-     * A version of the state that all nodes share: a change of the endpoints or a complete list, and settings if they have changed. Endpoints and settings take effect at the same time.
+     * A version of the state that all nodes share: a change of the endpoints or a complete list,
+     * and settings if they have changed. Endpoints and settings take effect at the same time.
      */
     record StateChanged(
             EndpointList endpoints, Optional<NodeSettings> settings, LogPosition version)
@@ -130,7 +133,8 @@
     record AdminRequestReceived(long connection, AdminRequest request) implements Event {}
 
     /**
-     * The servers in maintenance, as the node's processes have stored them: the start of the maintenance in microseconds, by server name.
+     * The servers in maintenance, as the node's processes have stored them: the start of the
+     * maintenance in microseconds, by server name.
      */
     record MaintenanceLoaded(Map<String, Long> sinceByServer) implements Event {}
 
--- a/src/main/java/ottergauge/routing/InFlightRequest.java
+++ b/src/main/java/ottergauge/routing/InFlightRequest.java
@@ -7,7 +7,8 @@
 import ottergauge.routing.Event.ClientRequest;
 
 /**
- * A request that the node has accepted, until it is answered and none of its attempts is outstanding. Times and durations are in microseconds.
+ * A request that the node has accepted, until it is answered and none of its attempts is
+ * outstanding. Times and durations are in microseconds.
  */
 final class InFlightRequest {
     /** The id that the decision module knows it by. */
--- a/src/main/java/ottergauge/routing/Metrics.java
+++ b/src/main/java/ottergauge/routing/Metrics.java
@@ -9,7 +9,9 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * Counters since the start of the process. Each accepted request is counted under at most one outcome. A class has its counters for as long as the settings define it. A request that ends after its class was removed only leaves the count of pending requests.
+ * Counters since the start of the process. Each accepted request is counted under at most one
+ * outcome. A class has its counters for as long as the settings define it. A request that ends
+ * after its class was removed only leaves the count of pending requests.
  */
 final class Metrics {
 
--- a/src/main/java/ottergauge/routing/PropagationDeadline.java
+++ b/src/main/java/ottergauge/routing/PropagationDeadline.java
@@ -2,9 +2,15 @@
 package ottergauge.routing;
 
 /**
- * The time within which a change of the endpoints must reach the node, and the timeouts of discovery polls that are derived from it. The deadline starts when discovery has the change and is reachable. It applies even if polls fail, are rejected or stay unanswered meanwhile.
+ * The time within which a change of the endpoints must reach the node, and the timeouts of
+ * discovery polls that are derived from it. The deadline starts when discovery has the change and
+ * is reachable. It applies even if polls fail, are rejected or stay unanswered meanwhile.
  *
- * <p>Two cases are the slowest. In the first, a watch breaks as its poll begins, the poll times out, the poll that reopens the watch is rejected, and the poll after the first backoff waits for its turn at discovery. In the second, discovery becomes reachable again: a poll that began just before that is never answered, the longest backoff follows, and the next poll waits for its turn at discovery. Each case leaves a sixteenth of the deadline to spare.
+ * <p>Two cases are the slowest. In the first, a watch breaks as its poll begins, the poll times
+ * out, the poll that reopens the watch is rejected, and the poll after the first backoff waits for
+ * its turn at discovery. In the second, discovery becomes reachable again: a poll that began just
+ * before that is never answered, the longest backoff follows, and the next poll waits for its turn
+ * at discovery. Each case leaves a sixteenth of the deadline to spare.
  *
  * @param micros the deadline in microseconds
  */
--- a/src/main/java/ottergauge/routing/RequestHandler.java
+++ b/src/main/java/ottergauge/routing/RequestHandler.java
@@ -18,7 +18,8 @@
 import ottergauge.routing.Event.ServerResponse;
 
 /**
- * Handles clients' requests from arrival to final response. Each accepted request is passed to the decision module and answered exactly once.
+ * Handles clients' requests from arrival to final response. Each accepted request is passed to the
+ * decision module and answered exactly once.
  */
 final class RequestHandler {
 
@@ -62,7 +63,8 @@
     }
 
     /**
-     * A request has arrived completely or, if its body is streamed, up to the first part of the body.
+     * A request has arrived completely or, if its body is streamed, up to the first part of the
+     * body.
      *
      * @param ageMicros an upper bound on the time since its last byte arrived
      */
@@ -80,7 +82,8 @@
         }
         RequestClass requestClass = indexed.requestClass();
         Idempotency idempotency = requestClass.idempotency();
-        if ((streamed && idempotency == Idempotency.IDEMPOTENT) || !matchesClass(content, idempotency)) {
+        if ((streamed && idempotency == Idempotency.IDEMPOTENT)
+                || !matchesClass(content, idempotency)) {
             clients.reject(
                     now,
                     client,
--- a/src/main/java/ottergauge/routing/Router.java
+++ b/src/main/java/ottergauge/routing/Router.java
@@ -26,7 +26,9 @@
 import ottergauge.routing.Event.ResponseReceived;
 
 /**
- * The node's reducer: handles events and emits effects. It dispatches each event, and each action of the decision module, to the class that owns the state concerned. All calls come from one thread, with times in microseconds that never decrease.
+ * The node's reducer: handles events and emits effects. It dispatches each event, and each action
+ * of the decision module, to the class that owns the state concerned. All calls come from one
+ * thread, with times in microseconds that never decrease.
  */
 public final class Router {
 
--- a/src/main/java/ottergauge/routing/SocketBudget.java
+++ b/src/main/java/ottergauge/routing/SocketBudget.java
@@ -5,8 +5,9 @@
 import ottergauge.routing.Effect.AcceptUpTo;
 
 /**
- * Limits the file descriptors that connections from clients and to servers use together, and closes idle connections when descriptors run short. During a hot restart both processes of a node share its
- * descriptors.
+ * Limits the file descriptors that connections from clients and to servers use together, and closes
+ * idle connections when descriptors run short. During a hot restart both processes of a node share
+ * its descriptors.
  */
 final class SocketBudget {
 
@@ -82,7 +83,9 @@
     }
 
     /**
-     * Makes sockets available by closing idle connections, so that a request is rejected only if none is left. Idle connections of clients are closed first, since a new connection to a server costs more.
+     * Makes sockets available by closing idle connections, so that a request is rejected only if
+     * none is left. Idle connections of clients are closed first, since a new connection to a
+     * server costs more.
      *
      * @return whether this number of further connections may be opened
      */
--- a/src/main/java/ottergauge/routing/StreamBudget.java
+++ b/src/main/java/ottergauge/routing/StreamBudget.java
@@ -5,7 +5,8 @@
 import java.util.Set;
 
 /**
- * Limits how many request and response bodies are streamed at the same time, in proportion to the memory limit. During a hot restart each of the node's two processes has half of it.
+ * Limits how many request and response bodies are streamed at the same time, in proportion to the
+ * memory limit. During a hot restart each of the node's two processes has half of it.
  */
 final class StreamBudget {
 
--- a/src/main/java/ottergauge/routing/StreamedResponses.java
+++ b/src/main/java/ottergauge/routing/StreamedResponses.java
@@ -38,7 +38,9 @@
     }
 
     /**
-     * A response is too large to be buffered. For the decision module the attempt ends here, so that the client's reading speed does not count against the server. From now on no deadline ends the response.
+     * A response is too large to be buffered. For the decision module the attempt ends here, so
+     * that the client's reading speed does not count against the server. From now on no deadline
+     * ends the response.
      *
      * @param sinceHeadMicros how long ago the response's head arrived
      */
@@ -80,7 +82,8 @@
     }
 
     /**
-     * A response of unknown length has started. If it does not end within half of the remaining time, it is streamed from then on, so that its first bytes reach the client in time.
+     * A response of unknown length has started. If it does not end within half of the remaining
+     * time, it is streamed from then on, so that its first bytes reach the client in time.
      */
     void unsizedStarted(long now, Attempt attempt) {
         if (!attempt.isProbe()) {
--- a/src/main/java/ottergauge/routing/Timer.java
+++ b/src/main/java/ottergauge/routing/Timer.java
@@ -2,7 +2,8 @@
 package ottergauge.routing;
 
 /**
- * The purpose of a timer. Timers are never cancelled; a timer that is no longer needed is ignored when it fires.
+ * The purpose of a timer. Timers are never cancelled; a timer that is no longer needed is ignored
+ * when it fires.
  */
 public sealed interface Timer {
 
--- a/src/main/java/ottergauge/routing/UpstreamPool.java
+++ b/src/main/java/ottergauge/routing/UpstreamPool.java
@@ -23,14 +23,18 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * The pool of connections to all servers. A connection carries one attempt at a time and stays open while idle. An attempt that finds no idle connection waits for a new one or for the next one that becomes idle. Before an attempt is sent on its connection, the node reads all input that has arrived, and the router checks again that the attempt is still allowed.
+ * The pool of connections to all servers. A connection carries one attempt at a time and stays open
+ * while idle. An attempt that finds no idle connection waits for a new one or for the next one that
+ * becomes idle. Before an attempt is sent on its connection, the node reads all input that has
+ * arrived, and the router checks again that the attempt is still allowed.
  */
 final class UpstreamPool {
 
     // The node closes idle connections before the server does. A request that is written while the
     // server closes its connection would be reset.
     private static final double IDLE_TIMEOUT_RATIO = 0.75;
-    // A connection whose first segments are lost is established after 1 s or 3 s (RFC 6298). No attempt waits that long, but later attempts can use the connection.
+    // A connection whose first segments are lost is established after 1 s or 3 s (RFC 6298). No
+    // attempt waits that long, but later attempts can use the connection.
     private static final long OVERDUE_TIMEOUT_MICROS = 3_200_000;
     // An unreachable server never accepts a connection. Beyond this number of overdue connections,
     // further ones time out early.
@@ -56,7 +60,8 @@
     }
 
     /**
-     * Sets how long a connection may take to be established and how long servers keep an idle one open, in microseconds.
+     * Sets how long a connection may take to be established and how long servers keep an idle one
+     * open, in microseconds.
      */
     void limit(long connectTimeout, long serverIdleTimeout) {
         maxConnectTimeout = connectTimeout;
@@ -80,7 +85,8 @@
     /**
      * Applies an update of the endpoints.
      *
-     * @return the attempts that were waiting for connections to servers that are draining, removed or replaced
+     * @return the attempts that were waiting for connections to servers that are draining, removed
+     *     or replaced
      */
     List<Attempt> apply(EndpointList update) {
         List<Attempt> withdrawn = new ArrayList<>();
@@ -216,7 +222,9 @@
     }
 
     /**
-     * Ends an attempt whose response is no longer needed. If its first byte is written, its connection is closed, as the protocol requires. Otherwise the connection is available to the next attempt.
+     * Ends an attempt whose response is no longer needed. If its first byte is written, its
+     * connection is closed, as the protocol requires. Otherwise the connection is available to the
+     * next attempt.
      */
     void abandon(long now, Attempt attempt, CloseReason reason) {
         if (attempt.sendStarted) {
--- a/src/main/java/ottergauge/settings/JsonObject.java
+++ b/src/main/java/ottergauge/settings/JsonObject.java
@@ -6,7 +6,8 @@
 import java.util.Map;
 
 /**
- * Typed access to an object that {@link JsonTree} has read. If a field is absent or of another type, the caller's default value is returned.
+ * Typed access to an object that {@link JsonTree} has read. If a field is absent or of another
+ * type, the caller's default value is returned.
  */
 public final class JsonObject {
 
--- a/src/main/java/ottergauge/settings/JsonTree.java
+++ b/src/main/java/ottergauge/settings/JsonTree.java
@@ -12,9 +12,7 @@
 import java.util.List;
 import java.util.Map;
 
-/**
- * Reads and writes JSON as maps, lists, doubles, booleans and strings.
- */
+/** Reads and writes JSON as maps, lists, doubles, booleans and strings. */
 public final class JsonTree {
 
     private JsonTree() {}
--- a/src/main/java/ottergauge/settings/SettingsReader.java
+++ b/src/main/java/ottergauge/settings/SettingsReader.java
@@ -15,7 +15,8 @@
 import ottergauge.decision.api.ServiceRules;
 
 /**
- * Maps a deployment's settings object to the types of the decision module. An absent optional key has a conservative default. Only this class contains the names of the keys.
+ * Maps a deployment's settings object to the types of the decision module. An absent optional key
+ * has a conservative default. Only this class contains the names of the keys.
  */
 public final class SettingsReader {
 
--- a/src/test/java/ottergauge/program/AdminListenerIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -51,7 +51,9 @@
         return closing(
                 RunningNode.ready(
                         folder,
-                        new TestConfig().withAdminListener("127.0.0.1:" + door).withEndpoints(hosts),
+                        new TestConfig()
+                                .withAdminListener("127.0.0.1:" + door)
+                                .withEndpoints(hosts),
                         NOWHERE,
                         port));
     }
@@ -136,7 +138,9 @@
                 closing(
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().sockets(160).withAdminListener("127.0.0.1:" + door),
+                                new TestConfig()
+                                        .sockets(160)
+                                        .withAdminListener("127.0.0.1:" + door),
                                 NOWHERE,
                                 port));
         for (int i = 0; i < 300; i++) {
--- a/src/test/java/ottergauge/program/CrossingIT.java
+++ b/src/test/java/ottergauge/program/CrossingIT.java
@@ -329,7 +329,9 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 "127.0.0.1:" + discoveryPort)) {
             for (int i = 0; i < 200; i++) {
                 Client each = node.client();
--- a/src/test/java/ottergauge/program/HollowIT.java
+++ b/src/test/java/ottergauge/program/HollowIT.java
@@ -133,7 +133,9 @@
                                 connection,
                                 bytes,
                                 TestConfig.list(
-                                        42, false, endpointJson("s-2", "127.0.0.1:2", "terminating")));
+                                        42,
+                                        false,
+                                        endpointJson("s-2", "127.0.0.1:2", "terminating")));
                     } else if (answersAll) {
                         send(connection, bytes, TestConfig.list(42, false));
                     }
--- a/src/test/java/ottergauge/program/ManyServersIT.java
+++ b/src/test/java/ottergauge/program/ManyServersIT.java
@@ -167,7 +167,10 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             node.awaitLog("the list of " + size + " bytes is over the bound of 12582912 bytes");
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -115,7 +115,11 @@
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
-                                        .withEndpoints(endpointJson("s-1", "127.0.0.1:" + nobody, "in_service")),
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1",
+                                                        "127.0.0.1:" + nobody,
+                                                        "in_service")),
                                 NOWHERE);
                 Client client = node.client()) {
             HttpMessage answer = client.ask(Client.request("grant", "ok", ""));
@@ -315,7 +319,9 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 NOWHERE)) {
             for (int i = 0; i < 300; i++) {
                 silent.add(node.client());
@@ -384,7 +390,9 @@
                             RunningNode.ready(
                                     folder,
                                     new TestConfig()
-                                            .withEndpoints(endpointJson("s-1", first.address(), "in_service")),
+                                            .withEndpoints(
+                                                    endpointJson(
+                                                            "s-1", first.address(), "in_service")),
                                     discovery.address());
                     Client client = node.client()) {
                 assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
@@ -414,7 +422,9 @@
         try (StubServer discovery = new StubServer((request, connection) -> true);
                 RunningNode node =
                         RunningNode.ready(
-                                folder, new TestConfig().maxPollIntervalMs(200), discovery.address())) {
+                                folder,
+                                new TestConfig().maxPollIntervalMs(200),
+                                discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.ended.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -438,7 +448,10 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -475,7 +488,9 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(endpointJson("s-1", first.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson("s-1", first.address(), "in_service")),
                                 before.address());
                 Client client = node.client()) {
             assertNotNull(before.requests.poll(10, TimeUnit.SECONDS));
--- a/src/test/java/ottergauge/program/StallIT.java
+++ b/src/test/java/ottergauge/program/StallIT.java
@@ -35,7 +35,10 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 "127.0.0.1:1");
                 Client known = node.client()) {
             assertEquals(200, known.ask(Client.request("grant", "ok", "")).status());
@@ -65,7 +68,10 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 "127.0.0.1:1");
                 Client idle = node.client()) {
             assertEquals(200, idle.ask(Client.request("grant", "ok", "")).status());
--- a/src/test/java/ottergauge/program/UpgradeFromPreviousVersionCheck.java
+++ b/src/test/java/ottergauge/program/UpgradeFromPreviousVersionCheck.java
@@ -65,7 +65,8 @@
     }
 
     private RunningNode ready(Path version, int management, String... hosts) throws Exception {
-        TestConfig config = new TestConfig().withAdminListener("127.0.0.1:" + management).withEndpoints(hosts);
+        TestConfig config =
+                new TestConfig().withAdminListener("127.0.0.1:" + management).withEndpoints(hosts);
         return closing(RunningNode.ready(version, folder, config, NO_DISCOVERY, port));
     }
 
--- a/src/test/java/ottergauge/protocol/CodecsTest.java
+++ b/src/test/java/ottergauge/protocol/CodecsTest.java
@@ -123,7 +123,8 @@
                                 TestConfig.list(
                                         43,
                                         false,
-                                        TestConfig.endpointJson("s-1", "10.1.0.18:3000", "terminating"))));
+                                        TestConfig.endpointJson(
+                                                "s-1", "10.1.0.18:3000", "terminating"))));
         assertEquals(43, list.version());
         assertEquals(
                 new DiscoveredEndpoint(
@@ -164,7 +165,8 @@
     void configuration_containsSettingsAndTheNodesOwnValues() {
         NodeConfig config =
                 new TestConfig()
-                        .withEndpoints(TestConfig.endpointJson("s-1", "10.1.0.18:3000", "in_service"))
+                        .withEndpoints(
+                                TestConfig.endpointJson("s-1", "10.1.0.18:3000", "in_service"))
                         .build();
         assertEquals("n1", config.name());
         assertEquals(new Address("127.0.0.1", 3000), config.listen());
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -51,7 +51,8 @@
 
     /** One entry of a list, of a server that started at this Unix time. */
     public static String endpointStartedAt(String name, String dial, long bornMs) {
-        return endpointJson(name, dial, "in_service").replace("\"born_ms\":0", "\"born_ms\":" + bornMs);
+        return endpointJson(name, dial, "in_service")
+                .replace("\"born_ms\":0", "\"born_ms\":" + bornMs);
     }
 
     /** A list as discovery answers it. */
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -3,8 +3,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static ottergauge.protocol.TestConfig.endpointStartedAt;
 import static ottergauge.protocol.TestConfig.endpointJson;
+import static ottergauge.protocol.TestConfig.endpointStartedAt;
 
 import org.junit.jupiter.api.Test;
 import ottergauge.protocol.TestConfig;
@@ -81,7 +81,8 @@
         node.list(
                 42,
                 false,
-                endpointJson("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
+                endpointJson(
+                        "10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.releasePendingReads();
         node.expectNo(Forward.class);
         assertNotEquals(
@@ -163,7 +164,10 @@
     @Test
     void serverInSlowStart_getsNothingThatHasWaitedForLong() {
         RouterDriver node =
-                new RouterDriver(new TestConfig().withEndpoints(endpointStartedAt("s-1", "10.0.0.1:80", 999_992_000L)));
+                new RouterDriver(
+                        new TestConfig()
+                                .withEndpoints(
+                                        endpointStartedAt("s-1", "10.0.0.1:80", 999_992_000L)));
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.suspendMs(300);
@@ -183,7 +187,8 @@
         node.list(
                 42,
                 false,
-                endpointJson("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
+                endpointJson(
+                        "10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.releasePendingReads();
         node.expectNo(ProbeLoad.class);
     }
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -8,8 +8,8 @@
 import static ottergauge.protocol.TestConfig.GRANT;
 import static ottergauge.protocol.TestConfig.PAY;
 import static ottergauge.protocol.TestConfig.READ;
-import static ottergauge.protocol.TestConfig.endpointStartedAt;
 import static ottergauge.protocol.TestConfig.endpointJson;
+import static ottergauge.protocol.TestConfig.endpointStartedAt;
 import static ottergauge.protocol.TestConfig.requestClass;
 
 import java.util.HashSet;
@@ -253,7 +253,8 @@
     @MethodSource("ways")
     void addedZones_applyToServersThatAreListed(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node =
-                new RouterDriver(new TestConfig().withEndpoints(inZone(ONE, "c"), inZone(TWO, "d")));
+                new RouterDriver(
+                        new TestConfig().withEndpoints(inZone(ONE, "c"), inZone(TWO, "d")));
         way.accept(node, new TestConfig().zones("a", "b", "c", "d"));
         long client = node.request("pay");
         ConnectUpstream first = node.expect(ConnectUpstream.class);
@@ -309,7 +310,8 @@
                         new TestConfig()
                                 .attempts(1)
                                 .balancers(50_000)
-                                .withEndpoints(endpointStartedAt("s-1", "10.0.0.1:80", 1_000_000_000)));
+                                .withEndpoints(
+                                        endpointStartedAt("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
         node.expectNo(ConnectUpstream.class);
         node.state(120, Optional.of(new TestConfig().balancers(1)), false, ONE_GONE, TWO);
--- a/src/test/java/ottergauge/routing/SimulatedDiscovery.java
+++ b/src/test/java/ottergauge/routing/SimulatedDiscovery.java
@@ -229,7 +229,9 @@
     private static EndpointList list(long seq, boolean whole, boolean news) {
         try {
             String[] hosts =
-                    news ? new String[] {endpointJson("s-1", "10.0.0.1:80", "terminating")} : new String[0];
+                    news
+                            ? new String[] {endpointJson("s-1", "10.0.0.1:80", "terminating")}
+                            : new String[0];
             return EndpointList.read(TestConfig.list(seq, whole, hosts).getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/ottergauge/routing/StreamingTest.java
+++ b/src/test/java/ottergauge/routing/StreamingTest.java
@@ -126,7 +126,8 @@
     void streamedResponse_isCutByNoDeadline() {
         RouterDriver node =
                 new RouterDriver(
-                        new TestConfig().withEndpoints(endpointJson("s-1", "10.1.0.1:3000", "in_service")));
+                        new TestConfig()
+                                .withEndpoints(endpointJson("s-1", "10.1.0.1:3000", "in_service")));
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
         node.handle(answerFlows(forward.connection()));
--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -82,7 +82,9 @@
     @Test
     void storedEndpointList_replacesAnOlderOneOfTheConfiguration() {
         NodeConfig config =
-                new TestConfig().withEndpoints(endpointJson("s-9", "127.0.0.1:9", "in_service")).build();
+                new TestConfig()
+                        .withEndpoints(endpointJson("s-9", "127.0.0.1:9", "in_service"))
+                        .build();
         EndpointList list =
                 new EndpointCache(folder, MAX_LIST_BYTES)
                         .withCachedList(config, false)
