--- a/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
+++ b/src/main/java/ottergauge/protocol/ControlPlaneConfig.java
@@ -43,7 +43,9 @@
 
     private static final int MAX_ENDPOINTS = 16;
 
-    /** The total length of all services' names, which are sent in the head of each request. */
+    /**
+     * Limit of the total length of all services' names, which are sent in the head of each request.
+     */
     private static final int MAX_SERVICES_CHARACTERS = 2_000;
 
     private static final long MIN_PROPAGATION_MS = 500;
--- a/src/main/java/ottergauge/routing/Attempts.java
+++ b/src/main/java/ottergauge/routing/Attempts.java
@@ -205,7 +205,8 @@
 
     /** The connection that carries an attempt has ended. */
     void connectionClosed(long now, Attempt attempt, boolean malformed) {
-        // If a connection ends before the node writes to it, the server is not at fault.
+        // A connection that ends before the node writes to it is not treated as a failure of its
+        // server.
         end(
                 now,
                 attempt,
--- a/src/main/java/ottergauge/routing/DownstreamConnections.java
+++ b/src/main/java/ottergauge/routing/DownstreamConnections.java
@@ -22,8 +22,8 @@
     private static final long BODY_STALL_TIMEOUT_MICROS = 2_000_000;
     // A client that sends nothing must be disconnected within 3 s, and the sweep may be late.
     private static final long HEAD_TIMEOUT_MICROS = 2_600_000;
-    // On a new connection the body must start before the timeout for the head expires, but has at
-    // least this long after the head.
+    // On a new connection the timeout for the head also limits when the body starts, but the body
+    // has at least this long after the head.
     private static final long MIN_BODY_START_MICROS = 350_000;
     // A quarter of the slowest rate that the protocol allows: bounds how long a client that sends
     // single bytes keeps its connection.
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -25,7 +25,7 @@
     private int sockets = 1024;
     private int maxAttempts = 5;
     private long idleMs = 10_000;
-    private long askMs = 10_000;
+    private long maxPollIntervalMs = 10_000;
     private boolean probes;
     private boolean cancel = true;
     private int nodes = 1;
@@ -134,7 +134,7 @@
     }
 
     public TestConfig maxPollIntervalMs(long ms) {
-        askMs = ms;
+        maxPollIntervalMs = ms;
         return this;
     }
 
@@ -168,7 +168,7 @@
                         cancel,
                         maxAttempts,
                         idleMs,
-                        askMs,
+                        maxPollIntervalMs,
                         probePrice,
                         String.join(",", classes));
     }
