--- a/src/test/java/ottergauge/program/CrossingIT.java
+++ b/src/test/java/ottergauge/program/CrossingIT.java
@@ -296,7 +296,7 @@
             String config =
                     new TestConfig()
                             .withEndpoints(endpointJson("s-1", server.address(), "in_service"))
-                            .at("127.0.0.1:" + port, NOWHERE)
+                            .withAddresses("127.0.0.1:" + port, NOWHERE)
                             .json();
             String moved = config.replace(NOWHERE, discovery.address());
             try (RunningNode node = RunningNode.fromPipe(folder, port)) {
--- a/src/test/java/ottergauge/program/HollowIT.java
+++ b/src/test/java/ottergauge/program/HollowIT.java
@@ -105,7 +105,7 @@
 
     private static String config(StubServer discovery) {
         return new TestConfig()
-                .at("127.0.0.1:1", discovery.address())
+                .withAddresses("127.0.0.1:1", discovery.address())
                 .json()
                 .replace("\"seq\":41", "\"seq\":0");
     }
--- a/src/test/java/ottergauge/program/MigrateCommandTest.java
+++ b/src/test/java/ottergauge/program/MigrateCommandTest.java
@@ -54,7 +54,7 @@
 
     private static String whole() {
         return new TestConfig()
-                .at("127.0.0.1:3000", "127.0.0.1:8500")
+                .withAddresses("127.0.0.1:3000", "127.0.0.1:8500")
                 .json()
                 .replaceAll("\"known\":.*\n", "");
     }
@@ -77,13 +77,16 @@
     @Test
     void whatIsLeftOverIsPrintedAndTheExitCodeSaysSo() throws Exception {
         assertEquals(
-                3, migrate(new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8500").json(), SHAPE));
+                3,
+                migrate(
+                        new TestConfig().withAddresses("127.0.0.1:3000", "127.0.0.1:8500").json(),
+                        SHAPE));
         assertTrue(out.toString().contains("left over: known"), out.toString());
     }
 
     @Test
     void aDryRunPrintsTheSameAndChangesNothing() throws Exception {
-        String old = new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8500").json();
+        String old = new TestConfig().withAddresses("127.0.0.1:3000", "127.0.0.1:8500").json();
         assertEquals(3, migrate(old, SHAPE, "--dry-run"));
         String said = out.toString().replace("would write", "wrote");
         assertEquals(List.of("old.json", "shape.json"), files());
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -498,7 +498,7 @@
             node.awaitLog("stays in force");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(1, first.requests.size());
-            node.hangUp(new TestConfig().at(node.address(), after.address()).json());
+            node.hangUp(new TestConfig().withAddresses(node.address(), after.address()).json());
             assertNotNull(before.ended.poll(10, TimeUnit.SECONDS), "the old watch was kept open");
             assertEquals("/registry/instances", after.requests.poll(10, TimeUnit.SECONDS).target());
             assertTrue(after.requests.poll(10, TimeUnit.SECONDS).target().contains("after=1&"));
@@ -518,7 +518,8 @@
             one = endpointJson("s-1", server.address(), "in_service");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(400, other.ask(Client.request("audit", "ok", "x")).status());
-            TestConfig next = new TestConfig().withEndpoints(one).at(node.address(), NOWHERE);
+            TestConfig next =
+                    new TestConfig().withEndpoints(one).withAddresses(node.address(), NOWHERE);
             node.hangUp(
                     next.classes(
                                     TestConfig.requestClass("audit", "single_shot", 1000),
@@ -537,7 +538,7 @@
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(400, client.ask(Client.request("pay", "ok", "x")).status());
             assertTrue(server.ended.isEmpty(), "a connection was closed");
-            node.hangUp(next.at("127.0.0.1:1", NOWHERE).json());
+            node.hangUp(next.withAddresses("127.0.0.1:1", NOWHERE).json());
             node.awaitLog("count from the next start on");
             try (Client late = node.client()) {
                 assertEquals(200, late.ask(Client.request("audit", "ok", "x")).status());
@@ -587,7 +588,7 @@
                             folder.resolve("old.json"),
                             new TestConfig()
                                     .withEndpoints(endpointJson("gone", NOWHERE, "in_service"))
-                                    .at("127.0.0.1:" + port, discovery.address())
+                                    .withAddresses("127.0.0.1:" + port, discovery.address())
                                     .json());
             Path migrated = folder.resolve("new.json");
             assertEquals(
@@ -701,7 +702,7 @@
         }
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String listen = "127.0.0.1:" + taken.getLocalPort();
-            String config = new TestConfig().at(listen, NOWHERE).json();
+            String config = new TestConfig().withAddresses(listen, NOWHERE).json();
             try (RunningNode node = RunningNode.start(folder, config, 0)) {
                 assertEquals(1, node.exitCode());
                 assertTrue(node.log().contains("cannot listen on " + listen), node.log());
@@ -712,7 +713,7 @@
     @Test
     void itListensOnItsOwnAddressOnly() throws Exception {
         int port = RunningNode.freePort();
-        String config = new TestConfig().at("127.0.0.2:" + port, NOWHERE).json();
+        String config = new TestConfig().withAddresses("127.0.0.2:" + port, NOWHERE).json();
         try (RunningNode node = RunningNode.start(folder, config, port)) {
             node.awaitLog("listens on 127.0.0.2:" + port);
             boolean reached;
@@ -732,7 +733,7 @@
     @Test
     void anIgnoredHangUpIsToldOfAtTheStart() throws Exception {
         int port = RunningNode.freePort();
-        String config = new TestConfig().at("127.0.0.1:" + port, NOWHERE).json();
+        String config = new TestConfig().withAddresses("127.0.0.1:" + port, NOWHERE).json();
         try (RunningNode node = RunningNode.startAfter("trap '' HUP; ", folder, config, port)) {
             node.awaitLog("SIGHUP is ignored");
             node.awaitLog("listens on");
--- a/src/test/java/ottergauge/program/RunningNode.java
+++ b/src/test/java/ottergauge/program/RunningNode.java
@@ -65,7 +65,7 @@
     static RunningNode ready(
             Path checkout, Path folder, TestConfig config, String discovery, int port)
             throws Exception {
-        String json = config.at("127.0.0.1:" + port, discovery).json();
+        String json = config.withAddresses("127.0.0.1:" + port, discovery).json();
         Path file = Files.writeString(folder.resolve("config.json"), json);
         RunningNode node = start(checkout, "", folder, file, port);
         node.awaitLog("listens on");
--- a/src/test/java/ottergauge/protocol/CodecsTest.java
+++ b/src/test/java/ottergauge/protocol/CodecsTest.java
@@ -188,7 +188,7 @@
 
     @Test
     void malformedAddress_isNamedInTheMessage() {
-        String bad = new TestConfig().at("nowhere", "127.0.0.1:1").json();
+        String bad = new TestConfig().withAddresses("nowhere", "127.0.0.1:1").json();
         ProtocolException e =
                 assertThrows(ProtocolException.class, () -> NodeConfig.read(bytes(bad)));
         assertTrue(e.getMessage().contains("nowhere"), e.getMessage());
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -66,7 +66,7 @@
         return this;
     }
 
-    public TestConfig at(String listenAddress, String discoveryAddress) {
+    public TestConfig withAddresses(String listenAddress, String discoveryAddress) {
         listen = listenAddress;
         discovery = discoveryAddress;
         return this;
--- a/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
@@ -186,7 +186,7 @@
     }
 
     private static NodeConfig discoveryAt(String address) {
-        return new TestConfig().at("127.0.0.1:3000", address).build();
+        return new TestConfig().withAddresses("127.0.0.1:3000", address).build();
     }
 
     @Test
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -355,7 +355,7 @@
         assertEquals(call, node.expect(CancelPoll.class).poll());
         node.list(42, true, ONE);
         node.pollFailed();
-        node.reconfigure(new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8501"));
+        node.reconfigure(new TestConfig().withAddresses("127.0.0.1:3000", "127.0.0.1:8501"));
         node.advanceMs(60_000);
         node.expectNo(PollDiscovery.class);
         // What it has counts for as long as nothing newer comes: the log's other end may be away.
