--- a/src/test/java/ottergauge/program/ManyServersIT.java
+++ b/src/test/java/ottergauge/program/ManyServersIT.java
@@ -85,7 +85,9 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().fleet(MANY, 0.002).withEndpoints(all(NOWHERE)),
+                                new TestConfig()
+                                        .probingNodes(MANY, 0.002)
+                                        .withEndpoints(all(NOWHERE)),
                                 discovery.address());
                 Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
@@ -131,7 +133,7 @@
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
-                                        .fleet(780, 0.002)
+                                        .probingNodes(780, 0.002)
                                         .withEndpoints(endpointJson("s-1", NOWHERE, "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -122,7 +122,7 @@
     }
 
     /** One of so many nodes, where a probe costs this part of the result. */
-    public TestConfig fleet(int balancers, double price) {
+    public TestConfig probingNodes(int balancers, double price) {
         nodes = balancers;
         probePrice = price;
         return probes();
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -378,10 +378,13 @@
                         .mapToObj(i -> endpointJson("s-" + i, "10.0.1." + i + ":80", "in_service"))
                         .toArray(String[]::new);
         RouterDriver node =
-                new RouterDriver(new TestConfig().me(7).fleet(1000, 0.08).withEndpoints(servers));
+                new RouterDriver(
+                        new TestConfig().me(7).probingNodes(1000, 0.08).withEndpoints(servers));
         Set<String> before = used(node);
         node.state(
-                120, Optional.of(new TestConfig().fleet(1000, 0.08).classes(READ, AUDIT)), false);
+                120,
+                Optional.of(new TestConfig().probingNodes(1000, 0.08).classes(READ, AUDIT)),
+                false);
         assertEquals(before, used(node));
     }
 
--- a/src/test/java/ottergauge/transport/JitWarmUpTest.java
+++ b/src/test/java/ottergauge/transport/JitWarmUpTest.java
@@ -26,7 +26,7 @@
      */
     @Test
     void whatIsHeldIsAnsweredBeforeTheNextRequest() {
-        NodeConfig config = new TestConfig().fleet(600, 1).build();
+        NodeConfig config = new TestConfig().probingNodes(600, 1).build();
         JitWarmUp.Outcome outcome = JitWarmUp.run(config, 1_000, Long.MAX_VALUE);
         assertEquals(1_000, outcome.requests());
         assertTrue(outcome.served() > 900, outcome.toString());
