--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -29,7 +29,7 @@
     private boolean probes;
     private boolean cancel = true;
     private int nodes = 1;
-    private int me;
+    private int nodeIndex;
     private double probePrice = 0.002;
 
     /** One entry of a list. */
@@ -110,8 +110,8 @@
     }
 
     /** The node's number among all nodes. */
-    public TestConfig me(int number) {
-        me = number;
+    public TestConfig nodeIndex(int number) {
+        nodeIndex = number;
         return this;
     }
 
@@ -160,7 +160,7 @@
                         management == null ? "" : "\"management\":\"" + management + "\",",
                         sockets,
                         list(41, true, hosts.toArray(new String[0])),
-                        me,
+                        nodeIndex,
                         nodes,
                         zones,
                         probes ? "inline" : "off",
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -379,7 +379,10 @@
                         .toArray(String[]::new);
         RouterDriver node =
                 new RouterDriver(
-                        new TestConfig().me(7).probingNodes(1000, 0.08).withEndpoints(servers));
+                        new TestConfig()
+                                .nodeIndex(7)
+                                .probingNodes(1000, 0.08)
+                                .withEndpoints(servers));
         Set<String> before = used(node);
         node.state(
                 120,
