--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -116,14 +116,14 @@
     }
 
     /** One of so many nodes. */
-    public TestConfig balancers(int balancers) {
-        nodes = balancers;
+    public TestConfig nodeCount(int nodeCount) {
+        nodes = nodeCount;
         return this;
     }
 
     /** One of so many nodes, where a probe costs this part of the result. */
-    public TestConfig probingNodes(int balancers, double price) {
-        nodes = balancers;
+    public TestConfig probingNodes(int nodeCount, double price) {
+        nodes = nodeCount;
         probePrice = price;
         return probes();
     }
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -309,12 +309,12 @@
                 new RouterDriver(
                         new TestConfig()
                                 .attempts(1)
-                                .balancers(50_000)
+                                .nodeCount(50_000)
                                 .withEndpoints(
                                         endpointStartedAt("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
         node.expectNo(ConnectUpstream.class);
-        node.state(120, Optional.of(new TestConfig().balancers(1)), false, ONE_GONE, TWO);
+        node.state(120, Optional.of(new TestConfig().nodeCount(1)), false, ONE_GONE, TWO);
         assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
         node.expectNo(Respond.class);
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
