--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -24,7 +24,7 @@
     private String management;
     private int sockets = 1024;
     private int maxAttempts = 5;
-    private long idleMs = 10_000;
+    private long serverIdleTimeoutMs = 10_000;
     private long maxPollIntervalMs = 10_000;
     private boolean probes;
     private boolean cancel = true;
@@ -128,8 +128,8 @@
         return probes();
     }
 
-    public TestConfig idleMs(long ms) {
-        idleMs = ms;
+    public TestConfig serverIdleTimeoutMs(long ms) {
+        serverIdleTimeoutMs = ms;
         return this;
     }
 
@@ -167,7 +167,7 @@
                         probes,
                         cancel,
                         maxAttempts,
-                        idleMs,
+                        serverIdleTimeoutMs,
                         maxPollIntervalMs,
                         probePrice,
                         String.join(",", classes));
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -276,7 +276,7 @@
         node.serve(node.forwardOnNewConnection("read"));
         node.advanceMs(3_000);
         node.expectNo(CloseUpstream.class);
-        way.accept(node, new TestConfig().idleMs(2_000));
+        way.accept(node, new TestConfig().serverIdleTimeoutMs(2_000));
         node.advanceMs(500);
         assertEquals(CloseReason.IDLE, node.expect(CloseUpstream.class).reason());
     }
