--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -93,7 +93,7 @@
         return this;
     }
 
-    public TestConfig attempts(int most) {
+    public TestConfig withMaxAttempts(int most) {
         maxAttempts = most;
         return this;
     }
--- a/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
+++ b/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
@@ -137,7 +137,8 @@
     @Test
     void noSocketAvailable_rejectsTheRequest() {
         RouterDriver node =
-                new RouterDriver(new TestConfig().withEndpoints(ONE).sockets(64 + 1).attempts(1));
+                new RouterDriver(
+                        new TestConfig().withEndpoints(ONE).sockets(64 + 1).withMaxAttempts(1));
         long client = node.request("grant");
         node.expectNo(ConnectUpstream.class);
         assertEquals(503, node.status(client));
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -308,7 +308,7 @@
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
-                                .attempts(1)
+                                .withMaxAttempts(1)
                                 .nodeCount(50_000)
                                 .withEndpoints(
                                         endpointStartedAt("s-1", "10.0.0.1:80", 1_000_000_000)));
