--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -99,7 +99,7 @@
     }
 
     /** What has begun can't be taken back. */
-    public TestConfig noCancel() {
+    public TestConfig withoutCancellation() {
         cancel = false;
         return this;
     }
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -58,7 +58,8 @@
     /** Guards against the same where the settings do not let an attempt be taken back. */
     @Test
     void clientGoneWhileConnecting_isNotForwardedEvenWithoutCancellation() {
-        RouterDriver node = new RouterDriver(new TestConfig().noCancel().withEndpoints(ONE));
+        RouterDriver node =
+                new RouterDriver(new TestConfig().withoutCancellation().withEndpoints(ONE));
         long gone = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.handle(new Event.ClientClosed(gone));
