--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 import static ottergauge.protocol.TestConfig.list;
 
 import java.io.IOException;
@@ -43,7 +43,7 @@
     private RunningNode nodeBefore(StubServer server) throws Exception {
         return RunningNode.ready(
                 folder,
-                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
                 NOWHERE);
     }
 
@@ -115,7 +115,11 @@
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
-                                        .knows(host("s-1", "127.0.0.1:" + nobody, "in_service")),
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1",
+                                                        "127.0.0.1:" + nobody,
+                                                        "in_service")),
                                 NOWHERE);
                 Client client = node.client()) {
             HttpMessage answer = client.ask(Client.request("grant", "ok", ""));
@@ -315,7 +319,9 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .knows(host("s-1", server.address(), "in_service")),
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 NOWHERE)) {
             for (int i = 0; i < 300; i++) {
                 silent.add(node.client());
@@ -367,11 +373,11 @@
                                                             list(
                                                                     42,
                                                                     false,
-                                                                    host(
+                                                                    endpointJson(
                                                                             "s-1",
                                                                             first.address(),
                                                                             "terminating"),
-                                                                    host(
+                                                                    endpointJson(
                                                                             "s-2",
                                                                             second.address(),
                                                                             "in_service"))));
@@ -384,7 +390,9 @@
                             RunningNode.ready(
                                     folder,
                                     new TestConfig()
-                                            .knows(host("s-1", first.address(), "in_service")),
+                                            .withEndpoints(
+                                                    endpointJson(
+                                                            "s-1", first.address(), "in_service")),
                                     discovery.address());
                     Client client = node.client()) {
                 assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
@@ -414,7 +422,9 @@
         try (StubServer discovery = new StubServer((request, connection) -> true);
                 RunningNode node =
                         RunningNode.ready(
-                                folder, new TestConfig().askMs(200), discovery.address())) {
+                                folder,
+                                new TestConfig().maxPollIntervalMs(200),
+                                discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.ended.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -438,7 +448,10 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().knows(host("s-1", server.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -465,7 +478,7 @@
                                                                 list(
                                                                         1,
                                                                         true,
-                                                                        host(
+                                                                        endpointJson(
                                                                                 "s-2",
                                                                                 second.address(),
                                                                                 "in_service"))));
@@ -475,7 +488,9 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().knows(host("s-1", first.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson("s-1", first.address(), "in_service")),
                                 before.address());
                 Client client = node.client()) {
             assertNotNull(before.requests.poll(10, TimeUnit.SECONDS));
@@ -483,7 +498,7 @@
             node.awaitLog("stays in effect");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(1, first.requests.size());
-            node.hangUp(new TestConfig().at(node.address(), after.address()).json());
+            node.hangUp(new TestConfig().withAddresses(node.address(), after.address()).json());
             assertNotNull(before.ended.poll(10, TimeUnit.SECONDS), "the old watch was kept open");
             assertEquals("/registry/instances", after.requests.poll(10, TimeUnit.SECONDS).target());
             assertTrue(after.requests.poll(10, TimeUnit.SECONDS).target().contains("after=1&"));
@@ -500,10 +515,11 @@
                 RunningNode node = nodeBefore(server);
                 Client client = node.client();
                 Client other = node.client()) {
-            one = host("s-1", server.address(), "in_service");
+            one = endpointJson("s-1", server.address(), "in_service");
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(400, other.ask(Client.request("audit", "ok", "x")).status());
-            TestConfig next = new TestConfig().knows(one).at(node.address(), NOWHERE);
+            TestConfig next =
+                    new TestConfig().withEndpoints(one).withAddresses(node.address(), NOWHERE);
             node.hangUp(
                     next.classes(
                                     TestConfig.requestClass("audit", "single_shot", 1000),
@@ -522,7 +538,7 @@
             assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
             assertEquals(400, client.ask(Client.request("pay", "ok", "x")).status());
             assertTrue(server.ended.isEmpty(), "a connection was closed");
-            node.hangUp(next.at("127.0.0.1:1", NOWHERE).json());
+            node.hangUp(next.withAddresses("127.0.0.1:1", NOWHERE).json());
             node.awaitLog("take effect at the next start");
             try (Client late = node.client()) {
                 assertEquals(200, late.ask(Client.request("audit", "ok", "x")).status());
@@ -559,7 +575,7 @@
                                                                 list(
                                                                         1,
                                                                         true,
-                                                                        host(
+                                                                        endpointJson(
                                                                                 "s-1",
                                                                                 server.address(),
                                                                                 "in_service"))));
@@ -571,8 +587,8 @@
                     Files.writeString(
                             folder.resolve("old.json"),
                             new TestConfig()
-                                    .knows(host("gone", NOWHERE, "in_service"))
-                                    .at("127.0.0.1:" + port, discovery.address())
+                                    .withEndpoints(endpointJson("gone", NOWHERE, "in_service"))
+                                    .withAddresses("127.0.0.1:" + port, discovery.address())
                                     .json());
             Path migrated = folder.resolve("new.json");
             assertEquals(
@@ -687,7 +703,7 @@
         }
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String listen = "127.0.0.1:" + taken.getLocalPort();
-            String config = new TestConfig().at(listen, NOWHERE).json();
+            String config = new TestConfig().withAddresses(listen, NOWHERE).json();
             try (RunningNode node = RunningNode.start(folder, config, 0)) {
                 assertEquals(1, node.exitCode());
                 assertTrue(node.log().contains("cannot listen on " + listen), node.log());
@@ -698,7 +714,7 @@
     @Test
     void itListensOnItsOwnAddressOnly() throws Exception {
         int port = RunningNode.freePort();
-        String config = new TestConfig().at("127.0.0.2:" + port, NOWHERE).json();
+        String config = new TestConfig().withAddresses("127.0.0.2:" + port, NOWHERE).json();
         try (RunningNode node = RunningNode.start(folder, config, port)) {
             node.awaitLog("listens on 127.0.0.2:" + port);
             boolean reached;
@@ -718,7 +734,7 @@
     @Test
     void anIgnoredHangUpIsToldOfAtTheStart() throws Exception {
         int port = RunningNode.freePort();
-        String config = new TestConfig().at("127.0.0.1:" + port, NOWHERE).json();
+        String config = new TestConfig().withAddresses("127.0.0.1:" + port, NOWHERE).json();
         try (RunningNode node = RunningNode.startAfter("trap '' HUP; ", folder, config, port)) {
             node.awaitLog("SIGHUP is ignored");
             node.awaitLog("listens on");
--- a/src/test/java/ottergauge/program/UpgradeFromPreviousVersionCheck.java
+++ b/src/test/java/ottergauge/program/UpgradeFromPreviousVersionCheck.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static ottergauge.program.AdminClient.call;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
 
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
@@ -65,7 +65,8 @@
     }
 
     private RunningNode ready(Path version, int management, String... hosts) throws Exception {
-        TestConfig config = new TestConfig().managed("127.0.0.1:" + management).knows(hosts);
+        TestConfig config =
+                new TestConfig().withAdminListener("127.0.0.1:" + management).withEndpoints(hosts);
         return closing(RunningNode.ready(version, folder, config, NO_DISCOVERY, port));
     }
 
@@ -88,8 +89,8 @@
                 ready(
                         oldVersion,
                         oldManagement,
-                        host("s-1", server.address(), "in_service"),
-                        host("s-2", "127.0.0.1:2", "in_service"));
+                        endpointJson("s-1", server.address(), "in_service"),
+                        endpointJson("s-2", "127.0.0.1:2", "in_service"));
         assertEquals(200, call(oldManagement, "POST /servers/s-2/maint").status());
         RunningNode newProcess = ready(newVersion, newManagement);
         assertEquals(200, call(newManagement, "GET /healthcheck").status());
--- a/src/test/java/ottergauge/protocol/CodecsTest.java
+++ b/src/test/java/ottergauge/protocol/CodecsTest.java
@@ -123,7 +123,8 @@
                                 TestConfig.list(
                                         43,
                                         false,
-                                        TestConfig.host("s-1", "10.1.0.18:3000", "terminating"))));
+                                        TestConfig.endpointJson(
+                                                "s-1", "10.1.0.18:3000", "terminating"))));
         assertEquals(43, list.version());
         assertEquals(
                 new DiscoveredEndpoint(
@@ -164,7 +165,8 @@
     void configuration_containsSettingsAndTheNodesOwnValues() {
         NodeConfig config =
                 new TestConfig()
-                        .knows(TestConfig.host("s-1", "10.1.0.18:3000", "in_service"))
+                        .withEndpoints(
+                                TestConfig.endpointJson("s-1", "10.1.0.18:3000", "in_service"))
                         .build();
         assertEquals("n1", config.name());
         assertEquals(new Address("127.0.0.1", 3000), config.listen());
@@ -186,7 +188,7 @@
 
     @Test
     void malformedAddress_isNamedInTheMessage() {
-        String bad = new TestConfig().at("nowhere", "127.0.0.1:1").json();
+        String bad = new TestConfig().withAddresses("nowhere", "127.0.0.1:1").json();
         ProtocolException e =
                 assertThrows(ProtocolException.class, () -> NodeConfig.read(bytes(bad)));
         assertTrue(e.getMessage().contains("nowhere"), e.getMessage());
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -24,16 +24,16 @@
     private String management;
     private int sockets = 1024;
     private int maxAttempts = 5;
-    private long idleMs = 10_000;
-    private long askMs = 10_000;
+    private long serverIdleTimeoutMs = 10_000;
+    private long maxPollIntervalMs = 10_000;
     private boolean probes;
     private boolean cancel = true;
     private int nodes = 1;
-    private int me;
+    private int nodeIndex;
     private double probePrice = 0.002;
 
     /** One entry of a list. */
-    public static String host(String name, String dial, String health) {
+    public static String endpointJson(String name, String dial, String health) {
         return """
         {"host":"%s","dial":"%s","site":"a","class":"m2","block":3,"health":"%s",
          "share":1.0,"born_ms":0}\
@@ -50,8 +50,9 @@
     }
 
     /** One entry of a list, of a server that started at this Unix time. */
-    public static String born(String name, String dial, long bornMs) {
-        return host(name, dial, "in_service").replace("\"born_ms\":0", "\"born_ms\":" + bornMs);
+    public static String endpointStartedAt(String name, String dial, long bornMs) {
+        return endpointJson(name, dial, "in_service")
+                .replace("\"born_ms\":0", "\"born_ms\":" + bornMs);
     }
 
     /** A list as discovery answers it. */
@@ -60,18 +61,18 @@
                 .formatted(seq, whole, String.join(",", entries));
     }
 
-    public TestConfig knows(String... entries) {
+    public TestConfig withEndpoints(String... entries) {
         hosts.addAll(List.of(entries));
         return this;
     }
 
-    public TestConfig at(String listenAddress, String discoveryAddress) {
+    public TestConfig withAddresses(String listenAddress, String discoveryAddress) {
         listen = listenAddress;
         discovery = discoveryAddress;
         return this;
     }
 
-    public TestConfig managed(String address) {
+    public TestConfig withAdminListener(String address) {
         management = address;
         return this;
     }
@@ -92,13 +93,13 @@
         return this;
     }
 
-    public TestConfig attempts(int most) {
+    public TestConfig withMaxAttempts(int most) {
         maxAttempts = most;
         return this;
     }
 
     /** What has begun can't be taken back. */
-    public TestConfig noCancel() {
+    public TestConfig withoutCancellation() {
         cancel = false;
         return this;
     }
@@ -109,31 +110,31 @@
     }
 
     /** The node's number among all nodes. */
-    public TestConfig me(int number) {
-        me = number;
+    public TestConfig nodeIndex(int number) {
+        nodeIndex = number;
         return this;
     }
 
     /** One of so many nodes. */
-    public TestConfig balancers(int balancers) {
-        nodes = balancers;
+    public TestConfig nodeCount(int nodeCount) {
+        nodes = nodeCount;
         return this;
     }
 
     /** One of so many nodes, where a probe costs this part of the result. */
-    public TestConfig fleet(int balancers, double price) {
-        nodes = balancers;
+    public TestConfig probingNodes(int nodeCount, double price) {
+        nodes = nodeCount;
         probePrice = price;
         return probes();
     }
 
-    public TestConfig idleMs(long ms) {
-        idleMs = ms;
+    public TestConfig serverIdleTimeoutMs(long ms) {
+        serverIdleTimeoutMs = ms;
         return this;
     }
 
-    public TestConfig askMs(long ms) {
-        askMs = ms;
+    public TestConfig maxPollIntervalMs(long ms) {
+        maxPollIntervalMs = ms;
         return this;
     }
 
@@ -159,15 +160,15 @@
                         management == null ? "" : "\"management\":\"" + management + "\",",
                         sockets,
                         list(41, true, hosts.toArray(new String[0])),
-                        me,
+                        nodeIndex,
                         nodes,
                         zones,
                         probes ? "inline" : "off",
                         probes,
                         cancel,
                         maxAttempts,
-                        idleMs,
-                        askMs,
+                        serverIdleTimeoutMs,
+                        maxPollIntervalMs,
                         probePrice,
                         String.join(",", classes));
     }
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -3,8 +3,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
-import static ottergauge.protocol.TestConfig.born;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
+import static ottergauge.protocol.TestConfig.endpointStartedAt;
 
 import org.junit.jupiter.api.Test;
 import ottergauge.protocol.TestConfig;
@@ -20,11 +20,11 @@
  */
 class AttemptStartTest {
 
-    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
-    private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
+    private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
+    private static final String TWO = endpointJson("s-2", "10.0.0.2:80", "in_service");
 
     private static RouterDriver one() {
-        return new RouterDriver(new TestConfig().knows(ONE));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
     // A node with one connection at rest to its only server.
@@ -58,7 +58,8 @@
     /** Guards against the same where the settings do not let an attempt be taken back. */
     @Test
     void clientGoneWhileConnecting_isNotForwardedEvenWithoutCancellation() {
-        RouterDriver node = new RouterDriver(new TestConfig().noCancel().knows(ONE));
+        RouterDriver node =
+                new RouterDriver(new TestConfig().withoutCancellation().withEndpoints(ONE));
         long gone = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.handle(new Event.ClientClosed(gone));
@@ -71,7 +72,7 @@
     /** Guards against a request to a server whose drain was read in the same round. */
     @Test
     void serverDrainingBeforeFirstByte_getsNothing() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE, TWO));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
         node.advanceMs(200);
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -81,7 +82,8 @@
         node.list(
                 42,
                 false,
-                host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
+                endpointJson(
+                        "10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.releasePendingReads();
         node.expectNo(Forward.class);
         assertNotEquals(
@@ -92,7 +94,7 @@
 
     @Test
     void deadlineBeforeFirstByte_isAnsweredAndNotSent() {
-        RouterDriver node = rested(new TestConfig().knows(ONE));
+        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
         node.holdPendingReads();
         long client = node.request("grant");
         node.suspendMs(1000);
@@ -106,7 +108,7 @@
      */
     @Test
     void connectionClosedBeforeFirstByte_isReplacedAndSaysNothingOfItsServer() {
-        RouterDriver node = rested(new TestConfig().knows(ONE));
+        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
         node.holdPendingReads();
         long client = node.request("grant");
         long kept = 1;
@@ -121,7 +123,7 @@
      */
     @Test
     void suspendedNode_sendsNothingBeforeItsListIsCurrent() {
-        RouterDriver node = rested(new TestConfig().knows(ONE));
+        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
         node.list(41, false);
         node.suspendMs(7_000);
         assertEquals(503, node.status(node.request("grant")));
@@ -134,7 +136,7 @@
     /** While discovery is away the list in force is the best there is, however old. */
     @Test
     void unreachableDiscovery_leavesTheLastListEffective() {
-        RouterDriver node = rested(new TestConfig().knows(ONE));
+        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
         node.pollFailed();
         node.suspendMs(60_000);
         node.request("grant");
@@ -144,13 +146,13 @@
     /** Guards against a cold server getting what was chosen for the warm one that it was before. */
     @Test
     void restartedServer_getsNothingThatWaitedForTheProcessBefore() {
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE));
         node.advanceMs(200);
         for (int i = 0; i < 20; i++) {
             node.request("grant");
         }
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.list(42, false, born("s-1", "10.0.0.1:80", node.nowMs()));
+        node.list(42, false, endpointStartedAt("s-1", "10.0.0.1:80", node.nowMs()));
         node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
         assertEquals(connect.connection(), node.expect(CloseUpstream.class).connection());
@@ -163,7 +165,10 @@
     @Test
     void serverInSlowStart_getsNothingThatHasWaitedForLong() {
         RouterDriver node =
-                new RouterDriver(new TestConfig().knows(born("s-1", "10.0.0.1:80", 999_992_000L)));
+                new RouterDriver(
+                        new TestConfig()
+                                .withEndpoints(
+                                        endpointStartedAt("s-1", "10.0.0.1:80", 999_992_000L)));
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.suspendMs(300);
@@ -173,7 +178,7 @@
 
     @Test
     void probeOfADrainingServer_isNotSent() {
-        RouterDriver node = new RouterDriver(new TestConfig().probes().knows(ONE, TWO));
+        RouterDriver node = new RouterDriver(new TestConfig().probes().withEndpoints(ONE, TWO));
         node.advanceMs(200);
         node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -183,7 +188,8 @@
         node.list(
                 42,
                 false,
-                host("10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
+                endpointJson(
+                        "10.0.0.1".equals(chosen) ? "s-1" : "s-2", chosen + ":80", "terminating"));
         node.releasePendingReads();
         node.expectNo(ProbeLoad.class);
     }
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -8,8 +8,8 @@
 import static ottergauge.protocol.TestConfig.GRANT;
 import static ottergauge.protocol.TestConfig.PAY;
 import static ottergauge.protocol.TestConfig.READ;
-import static ottergauge.protocol.TestConfig.born;
-import static ottergauge.protocol.TestConfig.host;
+import static ottergauge.protocol.TestConfig.endpointJson;
+import static ottergauge.protocol.TestConfig.endpointStartedAt;
 import static ottergauge.protocol.TestConfig.requestClass;
 
 import java.util.HashSet;
@@ -40,14 +40,14 @@
  */
 class SettingsReloadTest {
 
-    private static final String ONE = host("s-1", "10.0.0.1:80", "in_service");
-    private static final String TWO = host("s-2", "10.0.0.2:80", "in_service");
-    private static final String ONE_GONE = host("s-1", "10.0.0.1:80", "terminated");
+    private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
+    private static final String TWO = endpointJson("s-2", "10.0.0.2:80", "in_service");
+    private static final String ONE_GONE = endpointJson("s-1", "10.0.0.1:80", "terminated");
     private static final String AUDIT = requestClass("audit", "single_shot", 1000);
     private static final String TWO_DIAL = "10.0.0.2:80";
 
     private static RouterDriver one() {
-        return new RouterDriver(new TestConfig().knows(ONE));
+        return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
     private static TestConfig classes(String... entries) {
@@ -230,7 +230,7 @@
     @MethodSource("ways")
     void reorderedZones_stayApart(BiConsumer<RouterDriver, TestConfig> way) {
         String other = inZone(TWO, "b");
-        RouterDriver node = new RouterDriver(new TestConfig().knows(ONE));
+        RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE));
         long client = node.request("pay");
         Forward forward = node.connectNext();
         node.written(forward);
@@ -253,7 +253,8 @@
     @MethodSource("ways")
     void addedZones_applyToServersThatAreListed(BiConsumer<RouterDriver, TestConfig> way) {
         RouterDriver node =
-                new RouterDriver(new TestConfig().knows(inZone(ONE, "c"), inZone(TWO, "d")));
+                new RouterDriver(
+                        new TestConfig().withEndpoints(inZone(ONE, "c"), inZone(TWO, "d")));
         way.accept(node, new TestConfig().zones("a", "b", "c", "d"));
         long client = node.request("pay");
         ConnectUpstream first = node.expect(ConnectUpstream.class);
@@ -275,7 +276,7 @@
         node.serve(node.forwardOnNewConnection("read"));
         node.advanceMs(3_000);
         node.expectNo(CloseUpstream.class);
-        way.accept(node, new TestConfig().idleMs(2_000));
+        way.accept(node, new TestConfig().serverIdleTimeoutMs(2_000));
         node.advanceMs(500);
         assertEquals(CloseReason.IDLE, node.expect(CloseUpstream.class).reason());
     }
@@ -284,7 +285,7 @@
     void pollsOfDiscovery_waitByTheEffectiveInterval() {
         RouterDriver node = one();
         node.list(42, true, ONE);
-        node.reconfigure(new TestConfig().askMs(1_000));
+        node.reconfigure(new TestConfig().maxPollIntervalMs(1_000));
         while (node.has(PollDiscovery.class)) {
             node.expect(PollDiscovery.class);
         }
@@ -307,12 +308,13 @@
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
-                                .attempts(1)
-                                .balancers(50_000)
-                                .knows(born("s-1", "10.0.0.1:80", 1_000_000_000)));
+                                .withMaxAttempts(1)
+                                .nodeCount(50_000)
+                                .withEndpoints(
+                                        endpointStartedAt("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
         node.expectNo(ConnectUpstream.class);
-        node.state(120, Optional.of(new TestConfig().balancers(1)), false, ONE_GONE, TWO);
+        node.state(120, Optional.of(new TestConfig().nodeCount(1)), false, ONE_GONE, TWO);
         assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
         node.expectNo(Respond.class);
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
@@ -353,7 +355,7 @@
         assertEquals(call, node.expect(CancelPoll.class).poll());
         node.list(42, true, ONE);
         node.pollFailed();
-        node.reconfigure(new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8501"));
+        node.reconfigure(new TestConfig().withAddresses("127.0.0.1:3000", "127.0.0.1:8501"));
         node.advanceMs(60_000);
         node.expectNo(PollDiscovery.class);
         // What it has counts for as long as nothing newer comes: the log's other end may be away.
@@ -373,13 +375,19 @@
     void node_keepsItsIndexUnderSharedSettings() {
         String[] servers =
                 IntStream.range(0, 50)
-                        .mapToObj(i -> host("s-" + i, "10.0.1." + i + ":80", "in_service"))
+                        .mapToObj(i -> endpointJson("s-" + i, "10.0.1." + i + ":80", "in_service"))
                         .toArray(String[]::new);
         RouterDriver node =
-                new RouterDriver(new TestConfig().me(7).fleet(1000, 0.08).knows(servers));
+                new RouterDriver(
+                        new TestConfig()
+                                .nodeIndex(7)
+                                .probingNodes(1000, 0.08)
+                                .withEndpoints(servers));
         Set<String> before = used(node);
         node.state(
-                120, Optional.of(new TestConfig().fleet(1000, 0.08).classes(READ, AUDIT)), false);
+                120,
+                Optional.of(new TestConfig().probingNodes(1000, 0.08).classes(READ, AUDIT)),
+                false);
         assertEquals(before, used(node));
     }
 
