--- a/src/main/java/ottergauge/decision/api/AttemptResult.java
+++ b/src/main/java/ottergauge/decision/api/AttemptResult.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.api;
 
-/** How an attempt or a probe ended. */
+/** The result of an attempt or a load probe. */
 public enum AttemptResult {
     SERVED,
     ERROR,
@@ -12,7 +12,7 @@
     CANCELLED,
     NOT_SENT;
 
-    /** Whether this result proves that the attempt was never executed. */
+    /** Returns whether this result proves that the attempt was never executed. */
     public boolean neverRan() {
         return this == REJECTED || this == CONNECT_FAILED || this == NOT_SENT;
     }
--- a/src/main/java/ottergauge/decision/api/Costs.java
+++ b/src/main/java/ottergauge/decision/api/Costs.java
@@ -2,9 +2,9 @@
 package ottergauge.decision.api;
 
 /**
- * What is subtracted from the deployment's result for each unit of a resource.
+ * The cost of resources, which is subtracted from the deployment's result.
  *
- * @param probe cost of one probe for each request
- * @param connection cost of 100 open connections for each server
+ * @param probe cost of one load probe per request
+ * @param connection cost of 100 open connections per server
  */
 public record Costs(double probe, double connection) {}
--- a/src/main/java/ottergauge/decision/api/DecisionAction.java
+++ b/src/main/java/ottergauge/decision/api/DecisionAction.java
@@ -1,30 +1,32 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.api;
 
-/** Something the node is to do. Spans are microseconds. */
+/** An action that the node carries out. Time spans are in microseconds. */
 public sealed interface DecisionAction {
 
-    /** Starts the request's next attempt; a timeout of 0 lasts until the client gives up. */
+    /**
+     * Starts the request's next attempt. With a timeout of 0 it lasts until the client gives up.
+     */
     record SendAttempt(String id, long server, long timeout) implements DecisionAction {}
 
     /** Cancels an attempt. */
     record CancelAttempt(String id, int attempt) implements DecisionAction {}
 
     /**
-     * Answers the request as rejected: nothing was executed, so a retry is harmless. {@code
-     * retryAfter} is advice to the client; 0 gives none.
+     * Responds that the request was rejected, which tells the client that a retry is safe. {@code
+     * retryAfter} advises the client when to retry; 0 gives no advice.
      */
     record RejectRequest(String id, long retryAfter) implements DecisionAction {}
 
-    /** Answers the request as failed: it may have been executed. */
+    /** Responds that the request failed. A server may have executed it. */
     record FailRequest(String id) implements DecisionAction {}
 
-    /** Asks a server for its load. */
+    /** Sends a load probe to a server. */
     record SendProbe(long server) implements DecisionAction {}
 
-    /** Asks discovery for endpoint updates from now on. */
+    /** Starts to watch discovery for endpoint updates. */
     record WatchEndpoints() implements DecisionAction {}
 
-    /** Asks for a {@link DecisionEvent.TimerFired} with this token. */
+    /** Requests a {@link DecisionEvent.TimerFired} with this token after the delay. */
     record SetTimer(long delay, String token) implements DecisionAction {}
 }
--- a/src/main/java/ottergauge/decision/api/DecisionActionSink.java
+++ b/src/main/java/ottergauge/decision/api/DecisionActionSink.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.api;
 
-/** Takes the actions of the decision engine, in the order in which they are to be carried out. */
+/** Receives the actions of the decision engine, in the order in which to carry them out. */
 @FunctionalInterface
 public interface DecisionActionSink {
     void accept(DecisionAction action);
--- a/src/main/java/ottergauge/decision/api/DecisionEvent.java
+++ b/src/main/java/ottergauge/decision/api/DecisionEvent.java
@@ -3,15 +3,15 @@
 
 import java.util.List;
 
-/** Something the decision engine is told. Instants and spans are microseconds. */
+/** An input of the decision engine. Instants and time spans are in microseconds. */
 public sealed interface DecisionEvent {
 
     /** The endpoint list has changed. */
     record EndpointUpdate(UpdateScope scope, List<Endpoint> endpoints) implements DecisionEvent {}
 
     /**
-     * Other settings take effect, together with this endpoint list. Requests that arrived before
-     * keep their class and limits; classes of later requests are indices into the new settings.
+     * New settings take effect together with this endpoint list. Requests that arrived before keep
+     * their class and limits. Class indices of later requests refer to the new settings.
      */
     record SettingsChanged(DecisionSettings settings, EndpointUpdate endpoints)
             implements DecisionEvent {}
@@ -25,30 +25,30 @@
      * @param requestClass index into the classes of the settings
      * @param giveUpAt instant at which the client stops waiting
      * @param clientRetry whether the client marked it as a retry
-     * @param affinityKey what the request is about; requests of one key are related; 0 for none
+     * @param affinityKey key shared by related requests, or 0 for none
      */
     record RequestArrived(
             String id, int requestClass, long giveUpAt, boolean clientRetry, long affinityKey)
             implements DecisionEvent {}
 
-    /** The response of a streaming class has begun; the attempt can't be replaced any more. */
+    /** The response of a streaming class has started, so the attempt can no longer be replaced. */
     record ResponseStarted(String id, int attempt) implements DecisionEvent {}
 
     /**
-     * The request's body is passed to the attempt's server as it comes: it can't be sent again, and
-     * the server has no work before all of it has passed.
+     * The request body is streamed to the attempt's server as it arrives. It can't be sent again,
+     * and the server doesn't start work before it has received the entire body.
      */
     record RequestBodyStreaming(String id, int attempt) implements DecisionEvent {}
 
-    /** The last byte of such a body has been sent: the server's work begins. */
+    /** The last byte of a streamed request body has been sent, so the server starts work. */
     record RequestBodySent(String id, int attempt) implements DecisionEvent {}
 
     /**
      * An attempt ended.
      *
-     * @param elapsed span since it was sent
-     * @param requestComplete whether its request needs no answer of the engine any more
-     * @param loadReport what the server told with its response
+     * @param elapsed time since the attempt was sent
+     * @param requestComplete whether the request needs no further response from the engine
+     * @param loadReport load report that came with the server's response
      */
     record AttemptEnded(
             String id,
@@ -60,13 +60,13 @@
             LoadReport loadReport)
             implements DecisionEvent {}
 
-    /** The client closed its connection before its request was answered. */
+    /** The client closed its connection before it received a response. */
     record ClientDisconnected(String id) implements DecisionEvent {}
 
-    /** A probe ended. */
+    /** A load probe ended. */
     record ProbeEnded(long server, AttemptResult result, long elapsed, LoadReport loadReport)
             implements DecisionEvent {}
 
-    /** A timer that was set by {@link DecisionAction.SetTimer} is due. */
+    /** A timer that was set by {@link DecisionAction.SetTimer} has expired. */
     record TimerFired(String token) implements DecisionEvent {}
 }
--- a/src/main/java/ottergauge/decision/api/DecisionSettings.java
+++ b/src/main/java/ottergauge/decision/api/DecisionSettings.java
@@ -4,21 +4,22 @@
 import java.util.List;
 
 /**
- * The deployment's settings that decisions depend on. All but {@code discoveryMode} may be replaced
- * while the node runs, by {@link DecisionEvent.SettingsChanged}.
+ * The deployment's settings that decisions depend on. All except {@code discoveryMode} may be
+ * replaced at runtime by {@link DecisionEvent.SettingsChanged}.
  *
  * @param nodeIndex this node's index, from 0
  * @param nodeCount number of nodes in the fleet, at least 1
  * @param zone index of this node's zone; -1 if there is none
- * @param eventInterval shortest span between two events, in microseconds
+ * @param eventInterval minimum time between two events, in microseconds
  * @param discoveryMode how endpoint updates reach the node
  * @param reportsLoad whether servers report how many requests they hold
  * @param clientRetriesMarked whether clients mark their retries
- * @param cacheAffinity whether a server has less work with a key that it served lately
- * @param limits what is permitted for requests
- * @param rules figures of the rules on response times, draining and slow start
- * @param costs what probes and connections cost
- * @param requestClasses classes by index; each has a name of its own
+ * @param cacheAffinity whether a request costs a server less if it served the same affinity key
+ *     recently
+ * @param limits limits that apply to requests
+ * @param rules parameters of response times, draining and slow start
+ * @param costs costs of load probes and connections
+ * @param requestClasses request classes by index, each with a unique name
  */
 public record DecisionSettings(
         int nodeIndex,
--- a/src/main/java/ottergauge/decision/api/DecisionView.java
+++ b/src/main/java/ottergauge/decision/api/DecisionView.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.api;
 
-/** What may be asked of the decision engine at any time. Asking changes nothing. */
+/** Queries to the decision engine, which are possible at any time and don't change its state. */
 public interface DecisionView {
 
-    /** How a server is treated at this instant, in microseconds. */
+    /** Returns how the engine treats a server at this instant, in microseconds. */
     EndpointStatus endpointStatus(long at, long server);
 
-    /** Whether an attempt that was asked for earlier may still begin at this instant. */
+    /** Returns whether an attempt that the engine requested earlier may start at this instant. */
     boolean mayBegin(long at, String id, int attempt);
 }
--- a/src/main/java/ottergauge/decision/api/DeduplicationScope.java
+++ b/src/main/java/ottergauge/decision/api/DeduplicationScope.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.api;
 
-/** Which servers recognise each other's idempotency keys, and so drop repeats together. */
+/** The set of servers that share idempotency keys and drop repeated requests by them. */
 public enum DeduplicationScope {
     FLEET,
     ZONE,
--- a/src/main/java/ottergauge/decision/api/EndpointState.java
+++ b/src/main/java/ottergauge/decision/api/EndpointState.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.api;
 
-/** State of an endpoint as discovery knows it. */
+/** State of an endpoint according to discovery. */
 public enum EndpointState {
     UP,
     DRAINING,
--- a/src/main/java/ottergauge/decision/api/EndpointStatus.java
+++ b/src/main/java/ottergauge/decision/api/EndpointStatus.java
@@ -6,6 +6,6 @@
     ACTIVE,
     DRAINING,
     EJECTED,
-    /** It has not answered a probe in time. */
+    /** It has not responded to a load probe in time. */
     UNRESPONSIVE
 }
--- a/src/main/java/ottergauge/decision/api/Idempotency.java
+++ b/src/main/java/ottergauge/decision/api/Idempotency.java
@@ -5,7 +5,7 @@
 public enum Idempotency {
     /** Any number of attempts has the effect of one. */
     IDEMPOTENT,
-    /** Servers of one {@link DeduplicationScope} drop repeats by the request's idempotency key. */
+    /** Servers of one {@link DeduplicationScope} drop repeats with the same idempotency key. */
     KEYED,
     /** A second attempt may repeat the effect. */
     NON_IDEMPOTENT
--- a/src/main/java/ottergauge/decision/api/LoadReport.java
+++ b/src/main/java/ottergauge/decision/api/LoadReport.java
@@ -2,11 +2,11 @@
 package ottergauge.decision.api;
 
 /**
- * A server's load as it reported it. An absent value is NaN.
+ * The load that a server reported. An absent value is NaN.
  *
- * @param inFlight requests that the server holds
- * @param queued those of them that wait for a free worker
- * @param utilization busy part of its processors, 0 to 1
+ * @param inFlight number of requests that the server holds
+ * @param queued number of those requests that wait for a free worker
+ * @param utilization busy fraction of its processors, 0 to 1
  * @param latencyMicros mean latency in microseconds
  * @param requestsPerSecond throughput
  */
--- a/src/main/java/ottergauge/decision/api/RequestLimits.java
+++ b/src/main/java/ottergauge/decision/api/RequestLimits.java
@@ -2,13 +2,13 @@
 package ottergauge.decision.api;
 
 /**
- * What the deployment permits for requests.
+ * The limits that the deployment sets for requests.
  *
  * @param probesAllowed whether servers may be probed for their load
  * @param cancellationAllowed whether attempts may be cancelled
  * @param retryAfterAllowed whether a rejection may advise when to retry
- * @param maxAttempts attempts for one request, at least 1
- * @param maxRetryAfter longest advice, in microseconds
+ * @param maxAttempts maximum number of attempts per request, at least 1
+ * @param maxRetryAfter maximum retry delay that a rejection advises, in microseconds
  */
 public record RequestLimits(
         boolean probesAllowed,
--- a/src/main/java/ottergauge/decision/api/ServiceRules.java
+++ b/src/main/java/ottergauge/decision/api/ServiceRules.java
@@ -2,14 +2,15 @@
 package ottergauge.decision.api;
 
 /**
- * The figures of the rules on response times, draining and slow start. All spans are microseconds.
+ * The parameters of response times, draining and slow start. All time spans are in microseconds.
  *
- * @param responseTolerance span by which a response may miss the client's deadline
- * @param drainGracePeriod span after which nothing may be sent to a draining server any more
- * @param initialCapacityRatio part of its capacity that a server has when it starts, 0 to 1
- * @param slowStartDuration span from a server's start until it has its full capacity
- * @param overloadMultiple multiple of its present capacity at which a warming server falls over
- * @param overloadWindow span over which requests to a warming server count together
+ * @param responseTolerance time by which a response may miss the client's deadline
+ * @param drainGracePeriod time after which no request may be sent to a draining server
+ * @param initialCapacityRatio fraction of its capacity that a server has when it starts, 0 to 1
+ * @param slowStartDuration time from a server's start until it has its full capacity
+ * @param overloadMultiple multiple of its current capacity at which a server in slow start is
+ *     overloaded
+ * @param overloadWindow time window over which requests to a server in slow start are counted
  */
 public record ServiceRules(
         long responseTolerance,
--- a/src/main/java/ottergauge/decision/api/UpdateScope.java
+++ b/src/main/java/ottergauge/decision/api/UpdateScope.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.api;
 
-/** What the endpoints of an update stand for. */
+/** What the endpoints of an update contain. */
 public enum UpdateScope {
-    /** Only endpoints that changed. */
+    /** Only the endpoints that changed. */
     INCREMENTAL,
-    /** All endpoints; one that is absent has been removed. */
+    /** All endpoints. A server that is absent has been removed. */
     FULL,
-    /** All endpoints as they were known before the node started. */
+    /** All endpoints that were last known before the node started. */
     LAST_KNOWN
 }
--- a/src/main/java/ottergauge/decision/api/package-info.java
+++ b/src/main/java/ottergauge/decision/api/package-info.java
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * The interface of the decision engine: its settings, the events that it takes and the actions that
- * it asks for.
+ * The interface of the decision engine: its settings, the events that it receives and the actions
+ * that it returns.
  *
- * <p>All times are microseconds: instants on the clock of the events, spans as differences of it.
- * Classes, zones and machine types are indices into the lists of the settings; -1 stands for none.
+ * <p>All times are in microseconds. Instants are readings of the clock that the events use, and
+ * time spans are differences between them. Request classes, zones and machine types are indices
+ * into the lists of the settings; -1 stands for none.
  */
 package ottergauge.decision.api;
