--- a/src/main/java/ottergauge/decision/limits/CapacityEstimate.java
+++ b/src/main/java/ottergauge/decision/limits/CapacityEstimate.java
@@ -2,15 +2,17 @@
 package ottergauge.decision.limits;
 
 /**
- * Estimates how many requests a server holds when all of its cores are busy: as many as these where
- * requests only compute, and many times as many where they wait on others most of their time. It is
- * the requests held over the busy part of the cores, summed over reports.
+ * Estimates how many requests a server holds when all of its cores are busy. That is the number of
+ * cores if requests only compute, and many times that number if requests mostly wait for other
+ * systems. The estimate is the number of requests held divided by the busy fraction of the cores,
+ * each summed over load reports.
  */
 public final class CapacityEstimate {
 
-    // So many fully busy servers in reports make an estimate; at twice as many all is halved.
+    // The estimate is known once the busy fractions of the reports add up to this number. At twice
+    // this number both sums are halved.
     private static final double FULL_EVIDENCE = 4;
-    // What a report may be off by.
+    // Error margin of a report.
     private static final double NOISE_MARGIN = 0.3;
     private static final double MIN_CAPACITY = 1;
 
@@ -19,11 +21,11 @@
     private boolean known;
 
     /**
-     * Takes a report.
+     * Records a load report.
      *
-     * @param running requests that the server executes
-     * @param busyRatio busy part of its cores
-     * @param weight how many ordinary reports this one is worth
+     * @param running number of requests that the server executes
+     * @param busyRatio busy fraction of the server's cores
+     * @param weight number of ordinary reports that this one counts as
      */
     public void record(double running, double busyRatio, double weight) {
         requests += weight * running;
@@ -35,14 +37,14 @@
         }
     }
 
-    /** Whether reports have told enough. */
+    /** Returns whether there have been enough load reports for an estimate. */
     public boolean isKnown() {
         return known;
     }
 
     /**
-     * Returns the capacity in requests, at least 1. Evidence that is missing is made up for by the
-     * capacity of others.
+     * Returns the capacity in requests, at least 1. While there are too few reports, the capacity
+     * of other servers makes up for the missing ones.
      */
     public double capacity(double othersCapacity) {
         double missing = Math.max(0, FULL_EVIDENCE - utilization);
--- a/src/main/java/ottergauge/decision/limits/ConcurrencyLimit.java
+++ b/src/main/java/ottergauge/decision/limits/ConcurrencyLimit.java
@@ -2,23 +2,24 @@
 package ottergauge.decision.limits;
 
 /**
- * How many attempts one node may have outstanding at one server, learnt from how they end: additive
- * increase, multiplicative decrease (Chiu and Jain, 1989). It binds only once the server has
- * rejected something or answered too late to be of use, and stops to bind when it has grown past
- * what the node wants.
+ * Limits the attempts that one node may have outstanding at one server. The limit adapts to the
+ * results of the attempts by additive increase and multiplicative decrease (Chiu and Jain, 1989).
+ * It is set when the server rejects an attempt or responds too late, and is dropped when it has
+ * grown well past the number of outstanding attempts.
  *
- * <p>A limit under one is a rate: with so many nodes that each may have a part of a request
- * outstanding, one is sent after so many service times. The increase is the node's part of one
- * request for all nodes together, so that the sum grows alike whatever their number. Instants and
- * spans are microseconds.
+ * <p>A limit under 1 is a rate: the node sends one attempt at a time, one per 1/limit service
+ * times. All nodes together increase their limits by one request, and each node adds its fraction
+ * of that. The sum of the limits therefore grows at the same speed with any number of nodes.
+ * Instants and time spans are in microseconds.
  */
 public final class ConcurrencyLimit {
 
-    // Half would idle a server that is full only now and then, as one that rejects early is.
+    // A decrease to half would leave a server idle that is full only now and then, such as one that
+    // rejects early.
     private static final double DECREASE_RATIO = 0.7;
-    // The lowest limit of all nodes together: one request in five service times.
+    // The minimum limit of all nodes together: one request per five service times.
     private static final double MIN_FLEET_LIMIT = 0.2;
-    // A limit so many times over what is outstanding doesn't bind and is dropped.
+    // A limit of more than this multiple of the outstanding attempts has no effect and is dropped.
     private static final double UNBINDING_MULTIPLE = 4;
     private static final double UNLIMITED = Double.POSITIVE_INFINITY;
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -28,10 +29,10 @@
     private long sentAt = NEVER;
 
     /**
-     * Whether another attempt may be sent now.
+     * Returns whether another attempt may be sent now.
      *
-     * @param outstanding attempts of this node at the server
-     * @param serviceMicros what a request takes
+     * @param outstanding number of this node's outstanding attempts at the server
+     * @param serviceMicros mean service time of a request
      */
     public boolean permits(long now, int outstanding, double serviceMicros) {
         return limit >= 1
@@ -39,22 +40,22 @@
                 : outstanding == 0 && (now - sentAt) * limit >= serviceMicros;
     }
 
-    /** Whether there is a limit at all. */
+    /** Returns whether a limit is set. */
     public boolean isBinding() {
         return limit < UNLIMITED;
     }
 
-    /** Notes that an attempt is sent. */
+    /** Records that an attempt is sent. */
     public void recordSend(long now) {
         sentAt = now;
     }
 
     /**
-     * Takes a rejection or a response that came too late. The limit decreases once in a service
-     * time, since the attempts beside this one met the same overload.
+     * Records a rejection or a response that came too late. The limit decreases at most once per
+     * service time, because the attempts outstanding at the same time met the same overload.
      *
-     * @param outstandingBefore attempts that were outstanding, this one included
-     * @param sharingNodes nodes that send to the server
+     * @param outstandingBefore number of attempts that were outstanding, including this one
+     * @param sharingNodes number of nodes that send to the server
      */
     public void recordCongestion(
             long now, int outstandingBefore, double serviceMicros, double sharingNodes) {
@@ -68,10 +69,10 @@
     }
 
     /**
-     * Takes a response in good time: the limit increases if it was used.
+     * Records a response that came in time. The limit increases if it was reached.
      *
-     * @param outstanding attempts that are outstanding besides
-     * @param sharingNodes nodes that send to the server
+     * @param outstanding number of other attempts that are outstanding
+     * @param sharingNodes number of nodes that send to the server
      */
     public void recordSuccess(int outstanding, double sharingNodes) {
         if (isBinding() && outstanding + 1 >= limit) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /** Returns the limit in attempts; infinite while it doesn't bind. */
+    /** Returns the limit in attempts, or infinity if none is set. */
     public double limit() {
         return limit;
     }
--- a/src/main/java/ottergauge/decision/limits/MovingAverage.java
+++ b/src/main/java/ottergauge/decision/limits/MovingAverage.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.limits;
 
-/** The exponentially weighted moving average of the engine: about the last ten samples count. */
+/**
+ * The exponentially weighted moving average that the engine uses. About the last ten samples
+ * determine it.
+ */
 public final class MovingAverage {
 
     /** Weight of a new sample. */
@@ -9,7 +12,7 @@
 
     private MovingAverage() {}
 
-    /** Returns the mean with another sample; a mean of 0 has none yet. */
+    /** Returns the mean updated with another sample. A mean of 0 stands for no samples so far. */
     public static double update(double mean, double sample) {
         return mean == 0 ? sample : mean + SMOOTHING_RATIO * (sample - mean);
     }
--- a/src/main/java/ottergauge/decision/limits/WarmUpSchedule.java
+++ b/src/main/java/ottergauge/decision/limits/WarmUpSchedule.java
@@ -3,7 +3,7 @@
 
 import ottergauge.decision.api.ServiceRules;
 
-/** The least part of its capacity that a server can have while it warms up. */
+/** The minimum fraction of its capacity that a server has during slow start. */
 public final class WarmUpSchedule {
 
     private static final double MIN_INITIAL_CAPACITY_RATIO = 0.01;
@@ -11,17 +11,17 @@
     private long durationMicros;
     private double initialRatio;
 
-    /** Takes other rules. */
+    /** Applies new rules. */
     public void applySettings(ServiceRules rules) {
         durationMicros = rules.slowStartDuration();
         initialRatio = Math.max(MIN_INITIAL_CAPACITY_RATIO, rules.initialCapacityRatio());
     }
 
     /**
-     * Returns the warm-up factor, over 0 to 1.
+     * Returns the warm-up factor, greater than 0 and at most 1.
      *
-     * @param startedAt the server's start, in microseconds
-     * @param at the instant that is asked for, in microseconds
+     * @param startedAt instant at which the server started, in microseconds
+     * @param at instant for which the factor is returned, in microseconds
      */
     public double factor(long startedAt, long at) {
         long age = at - startedAt;
--- a/src/main/java/ottergauge/decision/request/AdmissionControl.java
+++ b/src/main/java/ottergauge/decision/request/AdmissionControl.java
@@ -6,22 +6,23 @@
 import ottergauge.decision.model.Request;
 
 /**
- * Decides which requests can still be served in time. See docs/design.md, "Deadline admission",
- * "load shedding on arrival" and "late responses".
+ * Decides which requests can still be served before their deadlines. See docs/design.md, "Deadline
+ * admission", "load shedding on arrival" and "late responses".
  */
 public final class AdmissionControl {
 
-    // With less than this part of a service time left a request can't be served in time any more.
+    // With less than this fraction of a service time left, a request can't meet its deadline.
     private static final double MIN_SERVICE_TIME_RATIO = 0.6;
-    // A class that is rejected on arrival yields no samples and would be rejected for ever, so with
-    // this part of its objective left a request is always tried.
+    // With this fraction of its latency objective left a request is always tried. A class whose
+    // requests are all rejected on arrival would yield no service-time samples and would stay
+    // rejected.
     private static final double MAX_OBJECTIVE_RATIO = 0.5;
 
     private final PendingQueue queue;
     private final ServiceTimes serviceTimes;
     private final LoadSourceSelector loadSource;
 
-    /** Creates a control of the requests of a queue. */
+    /** Creates an admission control for a pending queue. */
     public AdmissionControl(
             PendingQueue queue, ServiceTimes serviceTimes, LoadSourceSelector loadSource) {
         this.queue = queue;
@@ -29,7 +30,10 @@
         this.loadSource = loadSource;
     }
 
-    /** Whether a request that has arrived is queued; else it would wait long to be rejected. */
+    /**
+     * Returns whether a request that has arrived may be queued. If its expected wait exceeds its
+     * deadline, it is rejected on arrival instead of after a long wait.
+     */
     public boolean admits(Request request, long now) {
         return loadSource.usesProbes()
                 || !queue.knowsWait()
@@ -37,16 +41,16 @@
                 || queue.expectedWait(request) <= request.deadline() - minTime(request) - now;
     }
 
-    /** Whether a request can't meet its deadline even if it is sent now. */
+    /** Returns whether a request can't meet its deadline even if it is sent now. */
     public boolean cannotMeetDeadline(Request request, long now) {
         return now + minTime(request) >= request.deadline();
     }
 
     /**
-     * Extends the deadline of a request that was tried in vain to when a late response loses its
-     * value, if that can be met.
+     * Extends the deadline of a request whose attempts failed, if a late response is still possible
+     * and has value. The new deadline is the instant at which a late response loses its value.
      *
-     * @return whether it was extended; it is then in the pending queue no more
+     * @return whether the deadline was extended; the request is then no longer in the pending queue
      */
     public boolean extendDeadline(Request request, long now) {
         long valuableUntil = request.times().valuableUntil();
--- a/src/main/java/ottergauge/decision/request/ArrivalInterval.java
+++ b/src/main/java/ottergauge/decision/request/ArrivalInterval.java
@@ -4,7 +4,7 @@
 import ottergauge.decision.limits.MovingAverage;
 import ottergauge.decision.model.Instants;
 
-/** The usual span from one request's arrival to the next one's. */
+/** The mean time between the arrivals of successive requests. */
 public final class ArrivalInterval {
 
     private static final double MAX_INTERVAL_MICROS = 1e6;
@@ -12,7 +12,7 @@
     private double mean;
     private long lastArrivalAt = Instants.NEVER;
 
-    /** Notes an arrival at this instant, in microseconds. */
+    /** Records an arrival at this instant, in microseconds. */
     public void recordArrival(long now) {
         mean =
                 lastArrivalAt == Instants.NEVER
@@ -23,7 +23,7 @@
         lastArrivalAt = now;
     }
 
-    /** Returns the mean, in microseconds; 0 if it is unknown. */
+    /** Returns the mean in microseconds, or 0 if it is unknown. */
     public double meanMicros() {
         return mean;
     }
--- a/src/main/java/ottergauge/decision/request/ClientRetryDetector.java
+++ b/src/main/java/ottergauge/decision/request/ClientRetryDetector.java
@@ -10,46 +10,47 @@
 import ottergauge.decision.model.Request;
 
 /**
- * Tells clients' retries from first attempts. One that isn't marked has less time left than others
- * of its class and follows a request that was given up on; by time alone, all impatient clients
- * would count as retrying. See docs/design.md, "Client retries".
+ * Distinguishes clients' retries from first attempts. An unmarked retry is detected by two signs:
+ * it has less time left than other requests of its class, and it follows a request that got no
+ * response. With the first sign alone, all requests with short client timeouts would count as
+ * retries. See docs/design.md, "Client retries".
  */
 public final class ClientRetryDetector {
 
-    // Of the requests given up on, the part that is retried: with more, rejections breed
-    // rejections.
+    // Assumed fraction of the requests without a response that clients retry. With a higher value,
+    // rejections would cause further rejections.
     private static final double RETRIED_RATIO = 0.5;
 
-    private final Map<String, Long> longestPatience = new HashMap<>();
+    private final Map<String, Long> longestTimeouts = new HashMap<>();
     private double expectedRetries;
     private boolean retriesMarked;
     private long responseTolerance;
 
-    /** Takes other settings; what was learnt of a class stays with its name. */
+    /** Applies new settings. Classes that keep their names keep what was learnt about them. */
     public void applySettings(DecisionSettings next, Collection<String> classNames) {
         retriesMarked = next.clientRetriesMarked();
         responseTolerance = next.rules().responseTolerance();
-        longestPatience.keySet().retainAll(classNames);
+        longestTimeouts.keySet().retainAll(classNames);
     }
 
-    /** Whether a request that arrives now is taken for a client's retry. */
+    /** Returns whether a request that arrives now is treated as a client's retry. */
     public boolean isRetry(RequestArrived event, RequestClass requestClass, long now) {
         if (retriesMarked) {
             return event.clientRetry();
         }
-        long patience = event.giveUpAt() - now;
-        long longest = longestPatience.merge(requestClass.name(), patience, Math::max);
-        boolean retry = expectedRetries >= 1 && patience < longest - responseTolerance;
+        long clientTimeout = event.giveUpAt() - now;
+        long longestTimeout = longestTimeouts.merge(requestClass.name(), clientTimeout, Math::max);
+        boolean retry = expectedRetries >= 1 && clientTimeout < longestTimeout - responseTolerance;
         expectedRetries -= retry ? 1 : 0;
         return retry;
     }
 
-    /** Notes a request that its client didn't get a response to, and may retry. */
+    /** Records a request whose client got no successful response and may retry it. */
     public void recordGivenUp(Request request) {
         expectedRetries += request.isClientRetry() ? RETRIED_RATIO / 2 : RETRIED_RATIO;
     }
 
-    /** Ends a measurement window: retries that haven't come become less likely. */
+    /** Ends a measurement window. Retries that haven't come by then become less likely. */
     public void endWindow() {
         expectedRetries /= 2;
     }
--- a/src/main/java/ottergauge/decision/request/PendingQueue.java
+++ b/src/main/java/ottergauge/decision/request/PendingQueue.java
@@ -9,8 +9,8 @@
 import ottergauge.decision.model.Request;
 
 /**
- * Requests that wait for a server, ordered by priority and by deadline. Adding and removing take
- * logarithmic time. See docs/design.md, "Pending queue".
+ * Requests that wait for a server, ordered by priority and by deadline. Adding and removing a
+ * request take logarithmic time. See docs/design.md, "Pending queue".
  */
 public final class PendingQueue {
 
@@ -31,7 +31,7 @@
         byDeadline.add(request);
     }
 
-    /** Removes a request, if it is here. */
+    /** Removes a request if it is in the queue. */
     public void remove(Request request) {
         if (request.isPending()) {
             request.setPending(false);
@@ -40,39 +40,39 @@
         }
     }
 
-    /** Whether no request waits. */
+    /** Returns whether the queue is empty. */
     public boolean isEmpty() {
         return byPriority.isEmpty();
     }
 
-    /** Returns a copy of the requests, the highest priority first. */
+    /** Returns a copy of the requests, highest priority first. */
     public List<Request> snapshot() {
         return new ArrayList<>(byPriority);
     }
 
-    /** Returns the request of the highest priority; the queue must not be empty. */
+    /** Returns the request with the highest priority. The queue must not be empty. */
     public Request first() {
         return byPriority.first();
     }
 
-    /** Returns the request of the earliest deadline; the queue must not be empty. */
+    /** Returns the request with the earliest deadline. The queue must not be empty. */
     public Request firstByDeadline() {
         return byDeadline.first();
     }
 
-    /** Notes that a request was sent this span after another one, in microseconds. */
+    /** Records the time between the sends of two successive requests, in microseconds. */
     public void recordSend(long interval) {
         if (!byPriority.isEmpty()) {
             dequeueInterval = MovingAverage.update(dequeueInterval, (double) interval);
         }
     }
 
-    /** Whether sends from a backlog have been timed. */
+    /** Returns whether the send rate of a non-empty queue has been measured. */
     public boolean knowsWait() {
         return dequeueInterval > 0;
     }
 
-    /** Returns how long a request would wait for those ahead of it, by Little's law. */
+    /** Returns how long a request would wait for the requests ahead of it, by Little's law. */
     public double expectedWait(Request request) {
         return byPriority.headSet(request).size() * dequeueInterval;
     }
--- a/src/main/java/ottergauge/decision/request/RepeatRules.java
+++ b/src/main/java/ottergauge/decision/request/RepeatRules.java
@@ -8,12 +8,12 @@
 import ottergauge.decision.model.Request;
 import ottergauge.decision.model.Server;
 
-/** Rules that keep a request from taking effect twice. */
+/** Rules that prevent a request from taking effect twice. */
 public final class RepeatRules {
 
     private RepeatRules() {}
 
-    /** Whether the client may be told that a retry is harmless. */
+    /** Returns whether the request may be rejected, which tells the client that a retry is safe. */
     public static boolean mayReject(Request request) {
         RequestClass requestClass = request.requestClass();
         return requestClass.idempotency() == Idempotency.IDEMPOTENT
@@ -22,7 +22,10 @@
                         && requestClass.deduplicationScope() == DeduplicationScope.FLEET);
     }
 
-    /** Whether a server may have the next attempt of a request without outstanding attempts. */
+    /**
+     * Returns whether the next attempt of a request may be sent to a server. The request must have
+     * no outstanding attempts.
+     */
     public static boolean mayAttempt(Request request, Server server, long now) {
         return isHarmless(request, server, now)
                 && !request.isUnrepeatable()
@@ -49,7 +52,7 @@
         };
     }
 
-    /** Whether an outstanding attempt may be cancelled in favour of another one. */
+    /** Returns whether an outstanding attempt may be cancelled and replaced by another one. */
     public static boolean mayReplace(Attempt attempt, long now) {
         Request request = attempt.request();
         return !request.isComplete()
--- a/src/main/java/ottergauge/decision/request/RequestTable.java
+++ b/src/main/java/ottergauge/decision/request/RequestTable.java
@@ -6,13 +6,13 @@
 import ottergauge.decision.model.Attempt;
 import ottergauge.decision.model.Request;
 
-/** The requests that have no final response yet, or attempts whose end is awaited. */
+/** The requests that have no final response yet or still have outstanding attempts. */
 public final class RequestTable {
 
     private final Map<String, Request> byId = new HashMap<>();
     private long nextNumber;
 
-    /** Returns the number of the next request. */
+    /** Returns the sequence number of the next request. */
     public long nextNumber() {
         return nextNumber++;
     }
@@ -22,18 +22,18 @@
         byId.put(request.id(), request);
     }
 
-    /** Returns the request of this id, or null. */
+    /** Returns the request with this id, or null. */
     public Request find(String id) {
         return byId.get(id);
     }
 
-    /** Returns the outstanding attempt of this request and number, or null. */
+    /** Returns the outstanding attempt with this request id and attempt number, or null. */
     public Attempt findAttempt(String id, int attempt) {
         Request request = byId.get(id);
         return request == null ? null : request.outstandingAttempt(attempt);
     }
 
-    /** Evicts a request if it is complete and none of its attempts is outstanding. */
+    /** Removes a request if it is complete and none of its attempts is outstanding. */
     public void evictIfDone(Request request) {
         if (request.isComplete() && request.outstanding().isEmpty()) {
             byId.remove(request.id());
