--- a/src/main/java/ottergauge/decision/DecisionEngine.java
+++ b/src/main/java/ottergauge/decision/DecisionEngine.java
@@ -54,12 +54,12 @@
 import ottergauge.decision.selection.ServerSelector;
 
 /**
- * Every decision of a node and nothing else: an instant and an event go in, actions come out; the
- * same in, the same out. The engine only dispatches events to its parts, each of which owns its
- * state. The ordinary path is Per-Function Auto Weighted Round-Robin; docs/design.md lists the
- * departures from it and when each acts.
+ * Makes all decisions of a node and does nothing else. It receives an event with its instant and
+ * returns actions. The same inputs and the same seed always give the same actions. The engine only
+ * dispatches events to its parts, and each part owns its state. The basic algorithm is Per-Function
+ * Auto Weighted Round-Robin; docs/design.md lists the departures from it and when each applies.
  *
- * <p>Not thread-safe: one thread hands over all events, in the order of their instants.
+ * <p>Not thread-safe: one thread passes all events, in the order of their instants.
  */
 public final class DecisionEngine implements DecisionView {
 
@@ -100,7 +100,7 @@
     /**
      * Creates an engine without servers.
      *
-     * @param seed of all random choices
+     * @param seed seed of the random number generator for all random choices
      */
     public DecisionEngine(DecisionSettings settings, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -190,9 +190,9 @@
     }
 
     /**
-     * Takes one event. The actions are to be carried out at the same instant, in their order.
+     * Handles one event. The caller must carry out the actions at the same instant, in their order.
      *
-     * @param at the instant, in microseconds; no earlier than that of the event before
+     * @param at instant of the event in microseconds, no earlier than that of the previous event
      */
     public void handle(long at, DecisionEvent event, DecisionActionSink actions) {
         advanceTo(at);
@@ -229,7 +229,7 @@
         subset.choose(now);
     }
 
-    /** Returns whether the event may have freed a server. */
+    /** Returns whether the event may have freed capacity of a server. */
     private boolean dispatch(DecisionEvent event, DecisionActionSink actions) {
         if (event instanceof RequestArrived e) {
             requestArrived(e, actions);
@@ -306,8 +306,8 @@
         endpointsUpdated(event.endpoints());
     }
 
-    // What is learnt of a class stays with its name. Requests that have arrived keep their settings
-    // and, if their class is gone, use the shared row.
+    // Classes that keep their names keep their statistics. Requests that have already arrived keep
+    // their settings. If their class has been removed, they use the shared row.
     private void applySettings(DecisionSettings next) {
         warmUp.applySettings(next.rules());
         subset.applySettings(next);
@@ -336,8 +336,9 @@
                 });
     }
 
-    // Until its last byte has come a server has no work with a body: counted as work, a few slow
-    // clients would make all servers look full. See docs/design.md, "streaming bodies".
+    // A server doesn't start work before it has received the last byte of the request body. If
+    // streaming attempts counted as work, a few slow clients would make all servers look full. See
+    // docs/design.md, "streaming bodies".
     private void bodyStreaming(RequestBodyStreaming event) {
         Attempt attempt = requests.findAttempt(event.id(), event.attempt());
         if (attempt != null && !attempt.isBodyStreaming()) {
@@ -376,7 +377,7 @@
         return attempt != null && slowStart.permitsStart(attempt, at);
     }
 
-    /** Returns how many servers have been visited in the ring, the cost of lookups as a count. */
+    /** Returns how many servers the operations on the ring have visited, as a measure of cost. */
     long serverVisits() {
         return ring.visits();
     }
--- a/src/main/java/ottergauge/decision/Dispatcher.java
+++ b/src/main/java/ottergauge/decision/Dispatcher.java
@@ -19,7 +19,9 @@
 import ottergauge.decision.request.PendingQueue;
 import ottergauge.decision.selection.ServerSelector;
 
-/** Sends pending requests to servers, the highest priority first, and probes before. */
+/**
+ * Sends pending requests to servers, highest priority first, and probes servers before if needed.
+ */
 final class Dispatcher {
 
     private final PendingQueue pending;
@@ -60,10 +62,10 @@
     }
 
     /**
-     * Sends what can be sent.
+     * Sends all pending requests that can be sent now.
      *
-     * @param capacityFreed whether the event may have freed a server; if not, requests that wait
-     *     for a probe go on to wait
+     * @param capacityFreed whether the event may have freed capacity of a server. If not, requests
+     *     that wait for a load probe continue to wait.
      */
     void dispatch(boolean capacityFreed, long now, DecisionActionSink actions) {
         if (pending.isEmpty()) {
@@ -90,8 +92,8 @@
         return request.probedServer() != null && probes.isAwaited(request.probedServer(), now);
     }
 
-    // What follows a request that may go anywhere finds no server either. See docs/design.md,
-    // "head-of-line blocking".
+    // If a request that may be sent to any server finds none, neither do the requests behind it.
+    // See docs/design.md, "head-of-line blocking".
     private boolean blocksOthers(Request request, long now) {
         return !loadSource.usesReports()
                 && request.isCertainlyNotExecuted()
--- a/src/main/java/ottergauge/decision/RequestLifecycle.java
+++ b/src/main/java/ottergauge/decision/RequestLifecycle.java
@@ -22,7 +22,7 @@
 import ottergauge.decision.request.RequestTable;
 import ottergauge.decision.selection.ServerSelector;
 
-/** Takes requests from their arrival to exactly one final response each. */
+/** Leads each request from its arrival to exactly one final response. */
 final class RequestLifecycle {
 
     private final RequestTable requests;
@@ -54,7 +54,7 @@
         this.selector = selector;
     }
 
-    /** Takes other settings, for requests that arrive from now on. */
+    /** Applies new settings to requests that arrive from now on. */
     void applySettings(DecisionSettings next) {
         settings = next;
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Keeps a request at the server whose response has begun. */
+    /** Records that the response has started, after which the request can't be retried. */
     void responseStarted(String id) {
         Request request = requests.find(id);
         if (request != null) {
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Rejects or fails the pending requests that can no longer be served in time. */
+    /** Rejects or fails the pending requests that can no longer meet their deadlines. */
     void expirePending(long now, DecisionActionSink actions) {
         while (!pending.isEmpty() && admission.cannotMeetDeadline(pending.firstByDeadline(), now)) {
             Request request = pending.firstByDeadline();
@@ -110,7 +110,7 @@
         }
     }
 
-    /** Queues a request again after its attempt failed, if a retry is allowed and of use. */
+    /** Queues a request again after its attempt failed, if a retry is allowed and worthwhile. */
     void retryOrGiveUp(Request request, Server failed, long now, DecisionActionSink actions) {
         request.recordFailedServer(failed);
         boolean inTime =
@@ -123,13 +123,13 @@
         }
     }
 
-    // An attempt that came to no server was no load: where connections fail at all servers, the
-    // budget would reject everything.
+    // An attempt that reached no server didn't add load and needs no retry budget. Otherwise all
+    // requests would be rejected while connections fail at all servers.
     private boolean isRetryAffordable(Request request) {
         return !request.hasReachedServer() || retryBudget.permitsRetry(weights.row(request));
     }
 
-    /** Cancels an attempt, so that its request can be retried, if that is allowed and of use. */
+    /** Cancels an attempt so that its request is retried, if that is allowed and worthwhile. */
     void replace(Attempt attempt, long now, DecisionActionSink actions) {
         Request request = attempt.request();
         if (RepeatRules.mayReplace(attempt, now) && !admission.cannotMeetDeadline(request, now)) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Ends a request that needs no final response any more, and cancels its attempts. */
+    /** Completes a request that needs no further response, and cancels its attempts if allowed. */
     void complete(Request request, DecisionActionSink actions) {
         pending.remove(request);
         request.markComplete();
--- a/src/main/java/ottergauge/decision/ResultFeedback.java
+++ b/src/main/java/ottergauge/decision/ResultFeedback.java
@@ -17,10 +17,10 @@
 import ottergauge.decision.model.Attempt;
 import ottergauge.decision.model.Server;
 
-/** Feeds the results of attempts and probes to the estimates and to the outlier detection. */
+/** Passes the results of attempts and load probes to the estimates and the outlier detection. */
 final class ResultFeedback {
 
-    // A response that took longer than this part of its objective tells of a queue.
+    // A response that took longer than this fraction of its latency objective indicates a queue.
     private static final double CONGESTED_OBJECTIVE_RATIO = 0.5;
 
     private final ClassWeights weights;
@@ -57,11 +57,12 @@
         this.silence = silence;
     }
 
-    /** Takes the result of an attempt that its server works on no more. */
+    /** Processes the result of an attempt that its server no longer works on. */
     void attemptEnded(Attempt attempt, AttemptEnded event, long now) {
         Server server = attempt.server();
         boolean served = event.result() == AttemptResult.SERVED;
-        // The empty queue of a server that fails at once would draw traffic.
+        // A server that fails requests immediately reports an empty queue, which would attract
+        // traffic.
         if (served || !loadSource.usesReports()) {
             loads.record(server, event.loadReport(), served ? 1 : 0, now);
         }
@@ -115,8 +116,8 @@
     private void timedOut(Attempt attempt, long elapsed, long now) {
         Server server = attempt.server();
         recordCongestion(server, now);
-        // A lost response tells nothing of the fleet's speed: taken whole, a few of them would make
-        // every server too slow for any request.
+        // A lost response says nothing about the fleet's speed. If the entire elapsed time counted,
+        // a few lost responses would make every server seem too slow for any request.
         double longest =
                 serviceTimes.mean() > 0
                         ? SilenceDetector.MAX_MISSED_RESPONSES_PER_ATTEMPT
@@ -143,9 +144,9 @@
     }
 
     /**
-     * Takes the result of a probe.
+     * Processes the result of a load probe.
      *
-     * @return whether the server has shown free capacity
+     * @return whether the probe showed that the server has free capacity
      */
     boolean probeEnded(Server server, ProbeEnded event, long now) {
         server.probe().finish();
--- a/src/main/java/ottergauge/decision/TimerSchedule.java
+++ b/src/main/java/ottergauge/decision/TimerSchedule.java
@@ -13,7 +13,7 @@
 import ottergauge.decision.model.Server;
 import ottergauge.decision.request.PendingQueue;
 
-/** Sets the timer for the next instant at which time alone changes a decision. */
+/** Sets the timer to the next instant at which a decision can change without another event. */
 final class TimerSchedule {
 
     private static final String TOKEN = "tick";
@@ -48,14 +48,14 @@
         this.probes = probes;
     }
 
-    /** Forgets a timer that is due by now. */
+    /** Clears the timer if it is due. */
     void advanceTo(long now) {
         if (now >= timerAt) {
             timerAt = Long.MAX_VALUE;
         }
     }
 
-    /** Sets a timer, unless one that is no later has been set. */
+    /** Sets a timer, unless one is already set for the same or an earlier instant. */
     void schedule(long now, DecisionActionSink actions) {
         long at = Math.max(nextDueAt(now), now + 1);
         if (at < timerAt) {
@@ -82,7 +82,7 @@
             return probes.timeoutAt(probed);
         }
         return loadSource.usesProbes()
-                ? now + loads.freshMicros() + PROBE_SPACING_MICROS
+                ? now + loads.reportFreshnessMicros() + PROBE_SPACING_MICROS
                 : Long.MAX_VALUE;
     }
 }
--- a/src/main/java/ottergauge/decision/balancing/CacheAffinity.java
+++ b/src/main/java/ottergauge/decision/balancing/CacheAffinity.java
@@ -4,23 +4,23 @@
 import ottergauge.decision.model.Server;
 
 /**
- * Assigns affinity keys to the servers of the subset by rendezvous hashing: nodes that share
- * servers agree without a message, and a change of the list moves few keys. See docs/design.md,
- * "Cache affinity".
+ * Assigns affinity keys to the servers of the subset by rendezvous hashing. Nodes with the same
+ * servers agree on the assignment without communication, and a change of the endpoint list moves
+ * few keys. See docs/design.md, "Cache affinity".
  */
 public final class CacheAffinity {
 
-    // An odd number with well spread bits, from the golden ratio.
+    // An odd constant with evenly distributed bits, derived from the golden ratio.
     private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private final ServerSubset subset;
 
-    /** Creates the assignment to the servers of a subset. */
+    /** Creates an assignment of keys to the servers of a subset. */
     public CacheAffinity(ServerSubset subset) {
         this.subset = subset;
     }
 
-    /** Returns the server that a key is brought to; null if the subset is empty. */
+    /** Returns the server that a key is assigned to, or null if the subset is empty. */
     public Server serverOf(long key) {
         Server best = null;
         long bestHash = 0;
--- a/src/main/java/ottergauge/decision/balancing/ClassWeights.java
+++ b/src/main/java/ottergauge/decision/balancing/ClassWeights.java
@@ -12,19 +12,21 @@
 import ottergauge.decision.model.ServerStatistics;
 
 /**
- * Per-class weight tables and the smooth weighted round-robin over them: Per-Function Auto Weighted
- * Round-Robin. See docs/design.md, "Weighted round-robin".
+ * Per-class weight tables and the smooth weighted round-robin that uses them (Per-Function Auto
+ * Weighted Round-Robin). See docs/design.md, "Weighted round-robin".
  *
- * <p>A row of the table belongs to a class, and the last one to all classes. Classes past the
- * bound, and those with too few samples, use the last one.
+ * <p>Each row of the table belongs to one request class, except the last row, which all classes
+ * share. Classes beyond the maximum number of rows and classes with too few samples use the shared
+ * row.
  */
 public final class ClassWeights {
 
-    /** Sum of a row's weights, as far as rounding goes; a full turn of the rotation. */
+    /** Sum of a row's weights before rounding, which is one round of the round-robin. */
     public static final int TOTAL_WEIGHT = 1000;
 
     private static final int MAX_CLASSES = 64;
-    // From so many samples for each server a row's means say more than the shared row's.
+    // With this number of samples per server, the means of a row are more accurate than those of
+    // the shared row.
     private static final int MIN_SAMPLES_PER_SERVER = 3;
     private static final int MIN_WEIGHT = 1;
 
@@ -33,18 +35,21 @@
     private boolean[] hasEnoughSamples;
     private long windowsEnded;
 
-    /** Creates a table without classes; rotations start at random positions. */
+    /** Creates a table without classes. Servers start at random positions of the round-robin. */
     public ClassWeights(SplittableRandom random) {
         this.random = random;
     }
 
-    /** Takes other classes. {@link #applyClasses(Server)} must follow for servers with entries. */
+    /**
+     * Replaces the classes. {@link #applyClasses(Server)} must then be called for each server with
+     * entries.
+     */
     public void applyClasses(Collection<String> names) {
         classes.rename(names);
         hasEnoughSamples = new boolean[classes.shared() + 1];
     }
 
-    /** Lays out a server's entry by the present classes. */
+    /** Rearranges a server's entry to match the current classes. */
     public void applyClasses(Server server) {
         RotationEntry entry = server.rotation();
         entry.setRows(
@@ -58,18 +63,18 @@
         return classes;
     }
 
-    /** Returns the row that a request's latencies count in. */
+    /** Returns the row in which a request's latencies are recorded. */
     public int row(Request request) {
         return classes.of(request.requestClass().name());
     }
 
-    /** Returns the row whose weights a request goes by. */
+    /** Returns the row whose weights apply to a request. */
     public int weightsRow(Request request) {
         int row = row(request);
         return hasEnoughSamples[row] ? row : classes.shared();
     }
 
-    /** Counts a latency, in microseconds, at a server that is still listed. */
+    /** Records a latency in microseconds. Servers that are no longer listed are ignored. */
     public void recordLatency(Server server, int row, long latency) {
         if (server.state() == EndpointState.REMOVED) {
             return;
@@ -87,7 +92,7 @@
         windowsEnded++;
     }
 
-    /** Brings a server's entry up to date, and creates it if there is none. */
+    /** Brings a server's entry up to date, or creates it if there is none. */
     void prepare(Server server) {
         RotationEntry entry = server.rotation();
         entry.endWindows(windowsEnded);
@@ -96,21 +101,21 @@
         }
     }
 
-    /** Computes the weights of these servers in all rows. */
+    /** Computes the weights of these servers in every row. */
     void updateWeights(List<Server> servers) {
         for (int row = 0; row <= classes.shared(); row++) {
             updateWeights(servers, row);
         }
     }
 
-    // A weight is the floor of a server's part of the inverse means, times the total.
+    // Each weight is proportional to the inverse of the server's mean latency, rounded down.
     private void updateWeights(List<Server> servers, int row) {
         double knownMeans = 0;
         int known = 0;
         int samples = 0;
         for (Server server : servers) {
             ServerStatistics statistics = server.rotation().row(row);
-            samples += statistics.evidence();
+            samples += statistics.effectiveSampleCount();
             knownMeans += statistics.meanLatency();
             known += statistics.meanLatency() > 0 ? 1 : 0;
         }
@@ -127,7 +132,10 @@
         }
     }
 
-    /** Picks a server: all candidates among these servers advance, and it pays for that. */
+    /**
+     * Advances the smooth weighted round-robin: each candidate's weight is added to its current
+     * weight, and their total is subtracted from that of the selected server.
+     */
     public void commitPick(List<Server> servers, Server picked, int row) {
         int total = 0;
         for (Server server : servers) {
@@ -137,6 +145,6 @@
                 total += statistics.weight();
             }
         }
-        picked.rotation().row(row).pay(total);
+        picked.rotation().row(row).subtractTotalWeight(total);
     }
 }
--- a/src/main/java/ottergauge/decision/balancing/ServerSubset.java
+++ b/src/main/java/ottergauge/decision/balancing/ServerSubset.java
@@ -12,24 +12,28 @@
 import ottergauge.decision.ring.ConsistentHashRing;
 
 /**
- * The deterministic subset of servers that this node sends to: those at the node's points of a
- * consistent-hash ring with arcs by size. See docs/design.md, "Deterministic subset".
+ * The deterministic subset of servers that this node sends to. It contains the servers at the
+ * node's points on a consistent-hash ring, on which each server has an arc in proportion to its
+ * size. See docs/design.md, "Deterministic subset".
  */
 public final class ServerSubset {
 
-    // The part of the result that open connections may cost; they take capacity of servers too.
+    // Maximum fraction of the deployment's result that open connections may cost. They also use up
+    // capacity of the servers.
     private static final double MAX_CONNECTION_COST_RATIO = 0.005;
-    // With a fifth of the fleet silent, fewer would often all be silent.
+    // If a fifth of the fleet is silent, all servers of a smaller subset would often be silent.
     private static final int MIN_SIZE = 4;
-    // Where connections are free: the best of so many is hardly worse than the best of all.
+    // Maximum size if connections cost nothing. The best of this number of servers is hardly worse
+    // than the best of the fleet.
     private static final int MAX_FREE_SIZE = 32;
-    // Or as many as put each server in so many subsets: with more of them all nodes take the same
-    // free server, and hear of each too seldom.
+    // Maximum number of nodes that have the same server in their subsets. With more of them all
+    // nodes would select the same idle server, and each node would get load reports of a server too
+    // seldom.
     private static final int NODES_PER_SERVER = 12;
-    // Servers for each outstanding attempt, so that most sends find an idle connection.
+    // Servers per outstanding attempt, so that most attempts find an idle connection.
     private static final int SERVERS_PER_ATTEMPT = 2;
     private static final int MAX_POINTS_PER_SERVER = 4;
-    // Steps of the golden ratio spread a node's points over the ring, however many they are.
+    // A step of the golden ratio distributes any number of points evenly over the ring.
     private static final double GOLDEN_RATIO = 0.6180339887498949;
 
     private final ConsistentHashRing<Server> ring;
@@ -43,8 +47,8 @@
     /**
      * Creates an empty subset.
      *
-     * @param ring all listed servers
-     * @param serverCapacity requests that a mean server can hold
+     * @param ring all servers of the endpoint list
+     * @param serverCapacity number of requests that a server can hold on average
      */
     public ServerSubset(
             ConsistentHashRing<Server> ring,
@@ -57,33 +61,39 @@
         this.serverCapacity = serverCapacity;
     }
 
-    /** Takes other settings, which the next {@link #choose} goes by. */
+    /** Applies new settings, which take effect at the next {@link #choose}. */
     public void applySettings(DecisionSettings next) {
         settings = next;
     }
 
-    /** Returns the servers in the order of the node's points. */
+    /**
+     * Returns the servers in the order of the node's points, or in the order of the ring if the
+     * subset contains every listed server.
+     */
     public List<Server> servers() {
         return view;
     }
 
-    /** Returns how many servers there are. */
+    /** Returns the number of servers in the subset. */
     public int size() {
         return servers.size();
     }
 
-    /** Whether servers are listed that the subset leaves out. */
+    /** Returns whether the subset leaves out any listed server. */
     public boolean isProper() {
         return servers.size() < ring.count();
     }
 
-    /** Returns how many nodes have one server in their subsets, on average. */
+    /** Returns the mean number of nodes that have a given server in their subsets. */
     public double nodesPerServer() {
         return Math.max(
                 1, settings.nodeCount() * Math.min(1, servers.size() / (double) ring.count()));
     }
 
-    /** Chooses the servers anew, passing over those that are ejected now, and weighs them. */
+    /**
+     * Recomputes the subset and the weights of its servers. Unless the subset is to contain every
+     * listed server, it leaves out servers that are ejected now.
+     */
     public void choose(long now) {
         int size = targetSize();
         servers.clear();
@@ -95,7 +105,7 @@
         weights.updateWeights(servers);
     }
 
-    /** Chooses the servers anew if more are wanted than there are. */
+    /** Recomputes the subset if it is smaller than its target size. */
     public void growIfWanted(long now) {
         if (targetSize() > servers.size() && isProper()) {
             choose(now);
@@ -127,7 +137,7 @@
         servers.add(server);
     }
 
-    /** Returns how many servers the subset is to have. */
+    /** Returns the target size of the subset. */
     public int targetSize() {
         double connectionsPerServer = settings.nodeCount() / (100.0 * Math.max(1, ring.count()));
         double price = settings.costs().connection() * connectionsPerServer;
--- a/src/main/java/ottergauge/decision/endpoints/DiscoveryPoller.java
+++ b/src/main/java/ottergauge/decision/endpoints/DiscoveryPoller.java
@@ -8,8 +8,8 @@
 import ottergauge.decision.api.DiscoveryMode;
 
 /**
- * Asks discovery for endpoint updates, and again after failures with exponential backoff and
- * jitter. Instants are microseconds.
+ * Requests endpoint updates from discovery, and retries after failures with exponential backoff and
+ * jitter. Instants are in microseconds.
  */
 public final class DiscoveryPoller {
 
@@ -22,29 +22,29 @@
     private long nextPollAt = Long.MAX_VALUE;
     private int failures;
 
-    /** Creates a poller that has nothing to ask for. */
+    /** Creates a poller that has no poll scheduled. */
     public DiscoveryPoller(SplittableRandom random) {
         this.random = random;
     }
 
-    /** Takes other settings. */
+    /** Applies new settings. */
     public void applySettings(DecisionSettings next) {
         mode = next.discoveryMode();
     }
 
-    /** Schedules the first poll. */
+    /** Schedules the first poll if discovery is polled. */
     public void start(long now) {
         if (mode == DiscoveryMode.POLL) {
             nextPollAt = now + random.nextLong(MAX_FIRST_DELAY_MICROS);
         }
     }
 
-    /** Notes an endpoint update. */
+    /** Records an endpoint update, which resets the backoff. */
     public void updateReceived() {
         failures = 0;
     }
 
-    /** Schedules another poll after a failed one. */
+    /** Schedules a retry after a failed poll. */
     public void pollFailed(long now) {
         if (mode == DiscoveryMode.POLL) {
             long backoff = BACKOFF_MICROS << Math.min(failures++, MAX_BACKOFF_DOUBLINGS);
@@ -52,12 +52,12 @@
         }
     }
 
-    /** Returns the instant of the next poll; {@link Long#MAX_VALUE} if there is none. */
+    /** Returns the instant of the next poll, or {@link Long#MAX_VALUE} if none is scheduled. */
     public long nextPollAt() {
         return nextPollAt;
     }
 
-    /** Polls if it is time to. */
+    /** Polls discovery if a poll is due. */
     public void poll(long now, DecisionActionSink actions) {
         if (now >= nextPollAt) {
             nextPollAt = Long.MAX_VALUE;
--- a/src/main/java/ottergauge/decision/endpoints/EndpointUpdater.java
+++ b/src/main/java/ottergauge/decision/endpoints/EndpointUpdater.java
@@ -16,8 +16,8 @@
 import ottergauge.decision.ring.ConsistentHashRing;
 
 /**
- * Applies endpoint updates to the ring of servers. An incremental update costs by the servers that
- * it names and the logarithm of those listed.
+ * Applies endpoint updates to the ring of servers. The cost of an incremental update is
+ * proportional to the number of its endpoints and the logarithm of the number of listed servers.
  */
 public final class EndpointUpdater {
 
@@ -28,7 +28,7 @@
     private final OutlierDetector outliers;
     private final ProbeTracker probes;
 
-    /** Creates an updater of a ring, and of what depends on its servers. */
+    /** Creates an updater of a ring and of the parts that depend on its servers. */
     public EndpointUpdater(
             ConsistentHashRing<Server> ring,
             ServerSubset subset,
@@ -40,7 +40,7 @@
         this.probes = probes;
     }
 
-    /** Applies an update and chooses the subset anew. */
+    /** Applies an update and recomputes the subset. */
     public void apply(EndpointUpdate update, long now) {
         boolean complete = update.scope() != UpdateScope.INCREMENTAL;
         List<Server> named = complete ? ring.first(ring.count()) : new ArrayList<>();
@@ -50,7 +50,8 @@
         for (Endpoint endpoint : update.endpoints()) {
             named.add(apply(endpoint));
         }
-        // Only now: a server that is named twice is what it was named last.
+        // Servers are removed only after all endpoints have been applied, because the last one
+        // counts if the update contains several endpoints with the same id.
         for (Server server : named) {
             if (server.state() == EndpointState.REMOVED) {
                 ring.remove(server.id());
@@ -64,7 +65,7 @@
         Server known = ring.get(endpoint.id());
         Server server = known == null ? add(endpoint) : known;
         if (endpoint.zone() != server.endpoint().zone()) {
-            // Zones are numbered anew.
+            // The zone numbers have changed.
             probes.forgetRoundTrips();
         }
         if (known == null || endpoint.startedAt() > server.endpoint().startedAt()) {
@@ -76,7 +77,8 @@
 
     private Server add(Endpoint endpoint) {
         Server server = new Server(endpoint);
-        // By its first size: a weight that follows the load would move all others.
+        // The ring keeps the weight with which the server was first listed. If the sizes followed
+        // weights that change with the load, the arcs of all other servers would move.
         ring.put(server.id(), Math.max(MIN_SIZE, endpoint.nominalWeight()), server);
         return server;
     }
--- a/src/main/java/ottergauge/decision/endpoints/package-info.java
+++ b/src/main/java/ottergauge/decision/endpoints/package-info.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * The list of servers: {@link ottergauge.decision.endpoints.EndpointUpdater} applies its updates,
- * {@link ottergauge.decision.endpoints.DiscoveryPoller} asks for them.
+ * The endpoint list. {@link ottergauge.decision.endpoints.EndpointUpdater} applies its updates,
+ * {@link ottergauge.decision.endpoints.DiscoveryPoller} requests them from discovery.
  */
 package ottergauge.decision.endpoints;
--- a/src/main/java/ottergauge/decision/health/OutlierDetector.java
+++ b/src/main/java/ottergauge/decision/health/OutlierDetector.java
@@ -13,19 +13,20 @@
 import ottergauge.decision.request.ArrivalInterval;
 
 /**
- * Ejects servers that fail, for a span that doubles with each ejection. Instants are microseconds.
- * See docs/design.md, "Ejection".
+ * Ejects servers that fail, for a time span that doubles with each ejection. Instants are in
+ * microseconds. See docs/design.md, "Ejection".
  */
 public final class OutlierDetector {
 
-    // A server that fails at once looks idle and draws sends: so many errors in a row eject it.
+    // A server that fails requests immediately looks idle and attracts more of them. This number of
+    // consecutive errors ejects it.
     private static final int MAX_CONSECUTIVE_ERRORS = 2;
-    // Where reports tell the load, an ejection for an error begins at this step: a trial costs a
-    // request.
+    // With passive load reports, an ejection for an error starts at this many doublings, because
+    // each trial after an ejection risks a request.
     private static final int ERROR_EJECTION_STEP = 2;
     private static final long FIRST_EJECTION_MICROS = 100_000;
     private static final int MAX_EJECTION_DOUBLINGS = 6;
-    // With what chance a live server may be taken for a dead one.
+    // Maximum probability of marking a live server as unreachable.
     private static final double MAX_FALSE_ALARM_RATIO = 0.005;
     private static final double CONNECT_FAILURE_SMOOTHING_RATIO = 0.02;
 
@@ -33,14 +34,14 @@
     private final LoadSourceSelector loadSource;
     private final ArrivalInterval arrivals;
     private final SplittableRandom random;
-    // Listed servers that are ejected, the first to come back first.
+    // Listed servers that are ejected, ordered by the end of their ejection.
     private final TreeSet<Server> ejected =
             new TreeSet<>(
                     Comparator.comparingLong((Server server) -> server.health().ejectedUntil())
                             .thenComparingLong(Server::id));
     private double connectFailureRatio;
 
-    /** Creates a detector that has ejected no server. */
+    /** Creates a detector without any ejected servers. */
     public OutlierDetector(
             ServerSubset subset,
             LoadSourceSelector loadSource,
@@ -53,8 +54,8 @@
     }
 
     /**
-     * Whether half of the subset is ejected: that is no single server's fault, and the rest could
-     * not carry the load.
+     * Returns whether at least half of the subset is ejected. So many failures have a common cause,
+     * and the remaining servers couldn't carry the load.
      */
     public boolean isHalfEjected(long now) {
         while (!ejected.isEmpty() && !ejected.first().health().isEjected(now)) {
@@ -63,27 +64,29 @@
         return 2 * ejected.size() >= subset.size();
     }
 
-    /** Takes a response of a server: it can be reached. */
+    /** Records a response of a server, which proves that it is reachable. */
     public void recordResponse(Server server, long now) {
         if (server.health().isUnreachable()) {
-            // It has most likely restarted.
+            // The server has most likely restarted.
             server.slowStart().restart(now);
         }
         server.health().recordResponse(now);
     }
 
-    /** Takes a served attempt. */
+    /** Records a successful attempt. */
     public void recordSuccess(Server server, long now) {
         recordResponse(server, now);
         ServerHealth health = server.health();
-        // A server that fails some of its requests would begin anew after each that it serves.
+        // With passive load reports the count is halved only. Otherwise a server that fails some of
+        // its requests would start again with the shortest ejection after each success.
         health.setEjections(loadSource.usesReports() ? health.ejections() / 2 : 0);
         health.clearErrors();
     }
 
-    /** Takes a response that says that the server failed. */
+    /** Records an error response. */
     public void recordError(Server server, long now) {
-        // A node that seldom sends to a server would learn of its failing too late by more errors.
+        // With passive load reports a node may send to a server so seldom that further errors would
+        // come too late.
         int maxErrors = loadSource.usesReports() ? 1 : MAX_CONSECUTIVE_ERRORS;
         ServerHealth health = server.health();
         if (health.countError() >= maxErrors && !isHalfEjected(now)) {
@@ -95,8 +98,9 @@
     }
 
     /**
-     * Takes a broken connection. A process that dies breaks all of them and takes no more: one
-     * break proves no death, and random breaks would eject every server in turn.
+     * Records a connection that was reset. When a process dies, all of its connections break and it
+     * accepts no new ones. A single reset therefore doesn't prove that the process died, and random
+     * resets would eject one server after another.
      */
     public void recordReset(Server server, long now) {
         if (loadSource.usesReports() || server.health().countError() >= MAX_CONSECUTIVE_ERRORS) {
@@ -105,9 +109,9 @@
     }
 
     /**
-     * Takes a connection that could not be made. Where connections fail at all servers some of a
-     * live one fail in a row, so that the server is taken for dead only where chance would hardly
-     * do it.
+     * Records a connection that could not be established. If connections fail at all servers, a
+     * live server has consecutive failures too. The server is therefore marked as unreachable only
+     * if that many consecutive failures are unlikely to be random.
      */
     public void recordConnectFailure(Server server, long now) {
         int failures = server.health().countConnectFailure();
@@ -117,13 +121,16 @@
         eject(server, now);
     }
 
-    /** Counts an attempt at any server, and whether its connection could not be made. */
+    /** Counts an attempt at any server, and whether its connection failed. */
     public void countAttempt(boolean connectFailed) {
         connectFailureRatio +=
                 CONNECT_FAILURE_SMOOTHING_RATIO * ((connectFailed ? 1 : 0) - connectFailureRatio);
     }
 
-    /** Ejects a server that isn't ejected, and chooses the subset anew if it can be replaced. */
+    /**
+     * Ejects a server that isn't ejected yet, and recomputes the subset if listed servers outside
+     * of it can replace this one.
+     */
     public void eject(Server server, long now) {
         ServerHealth health = server.health();
         if (health.isEjected(now)) {
@@ -137,8 +144,9 @@
         }
     }
 
-    // An ejection shorter than the span between two sends to a server is none. The span is by what
-    // arrives: by what is served, ejections would grow with what they keep from being served.
+    // An ejection shorter than the time between two attempts at a server has no effect. That time
+    // is computed from the arrival rate. The rate of successful requests falls because of
+    // ejections, so ejections based on it would lengthen themselves.
     private long ejectionSpan(int ejections) {
         double first =
                 loadSource.usesReports()
@@ -148,7 +156,7 @@
         return (long) Math.min(longest, first * (1 << ejections));
     }
 
-    /** Ejects a server for at least this span, as one that rejects a request asks for. */
+    /** Ejects a server that rejected a request, for at least this time span. */
     public void ejectFor(Server server, long span, long now) {
         ejectUntil(server, Math.max(server.health().ejectedUntil(), now + span), now);
     }
@@ -161,14 +169,14 @@
         }
     }
 
-    /** Forgets the failures of a server's earlier incarnation. */
+    /** Clears the ejection state of a server that has restarted. */
     public void reset(Server server) {
         ejected.remove(server);
         server.health().setEjections(0);
         server.health().setEjectedUntil(Instants.NEVER);
     }
 
-    /** Forgets a server that is listed no more. */
+    /** Removes a server that is no longer listed. */
     public void remove(Server server) {
         ejected.remove(server);
     }
--- a/src/main/java/ottergauge/decision/health/SilenceDetector.java
+++ b/src/main/java/ottergauge/decision/health/SilenceDetector.java
@@ -13,21 +13,26 @@
 import ottergauge.decision.model.ServerHealth;
 
 /**
- * Finds servers that have fallen silent, by the responses that should have come, and attempts whose
- * responses were lost. Instants are microseconds. See docs/design.md, "silent servers" and "overdue
- * attempts".
+ * Detects servers that no longer respond, by the number of responses expected from them, and
+ * attempts whose responses were lost. Instants are in microseconds. See docs/design.md, "silent
+ * servers" and "overdue attempts".
  */
 public final class SilenceDetector {
 
-    /** How much of a service time one attempt proves: a costly request also looks like silence. */
+    /**
+     * Maximum number of missed responses counted for one attempt. A single expensive request also
+     * goes without a response for long.
+     */
     public static final double MAX_MISSED_RESPONSES_PER_ATTEMPT = 3;
 
     private static final long SWEEP_INTERVAL_MICROS = 25_000;
-    // So many missed responses prove silence: e^-5 is under 1 in 100.
+    // A server with more missed responses than this is considered silent. The probability of a
+    // false alarm, e^-5, is under 1 in 100.
     private static final double SILENT_MISSED_RESPONSES = 5;
-    // Few attempts take this multiple of their expected latency.
+    // Few attempts take longer than this multiple of their expected latency.
     private static final double OVERDUE_LATENCY_MULTIPLE = 6;
-    // With fewer unanswered attempts an overdue one is a long request.
+    // If the ratio of unanswered attempts is lower than this, an overdue attempt is considered a
+    // long request rather than a lost one.
     private static final double MIN_LOST_RATIO = 0.15;
 
     private final OutstandingAttempts outstanding;
@@ -36,7 +41,7 @@
     private double unansweredRatio;
     private long nextSweepAt = Instants.NEVER;
 
-    /** Creates a detector for these attempts. */
+    /** Creates a detector that watches these attempts. */
     public SilenceDetector(
             OutstandingAttempts outstanding, LoadEstimates loads, OutlierDetector outliers) {
         this.outstanding = outstanding;
@@ -44,19 +49,19 @@
         this.outliers = outliers;
     }
 
-    /** Counts an ended attempt as answered, or as given up on without an answer. */
+    /** Counts an ended attempt as answered or as unanswered. */
     public void countAttempt(boolean answered) {
         unansweredRatio += MovingAverage.SMOOTHING_RATIO * ((answered ? 0 : 1) - unansweredRatio);
     }
 
-    /** Returns the instant from which on {@link #sweep} is due. */
+    /** Returns the instant at which the next {@link #sweep} is due. */
     public long nextSweepAt() {
         return nextSweepAt;
     }
 
     /**
-     * Ejects silent servers, if a sweep is due, and returns the attempts that are not worth waiting
-     * for, in the order in which they are to be replaced.
+     * Ejects silent servers if a sweep is due. Returns the attempts that are not worth waiting for,
+     * in the order in which they are to be replaced.
      */
     public Set<Attempt> sweep(long now) {
         if (now < nextSweepAt) {
--- a/src/main/java/ottergauge/decision/health/SlowStartBudget.java
+++ b/src/main/java/ottergauge/decision/health/SlowStartBudget.java
@@ -14,16 +14,18 @@
 import ottergauge.decision.model.SlowStartState;
 
 /**
- * Limits what this node sends to a server that warms up. Instants are microseconds. See
- * docs/design.md, "Slow-start budget".
+ * Limits the attempts that this node sends to a server during its slow start. Instants are in
+ * microseconds. See docs/design.md, "Slow-start budget".
  */
 public final class SlowStartBudget {
 
-    // The part of the budget that is used, which is an estimate.
+    // The budget is an estimate. Only this fraction of it is used.
     private static final double SAFETY_RATIO = 0.6;
-    // Sends of all nodes together in a window, at the least: with none a server never warms up.
+    // Minimum number of sends per window by all nodes together. Without any requests a server never
+    // warms up.
     private static final double MIN_FLEET_SENDS = 2;
-    // A send counts from its pick; it may begin in this part of the window from then.
+    // A send counts from the selection of the server. The attempt may start until this fraction of
+    // the window has passed since then.
     private static final double MAX_START_DELAY_RATIO = 0.25;
 
     private final WarmUpSchedule warmUp;
@@ -35,7 +37,7 @@
     private final SplittableRandom random;
     private ServiceRules rules;
 
-    /** Creates a budget by these estimates. */
+    /** Creates a budget that is computed from these estimates. */
     public SlowStartBudget(
             WarmUpSchedule warmUp,
             ServerSubset subset,
@@ -53,12 +55,12 @@
         this.random = random;
     }
 
-    /** Takes other rules. */
+    /** Applies new rules. */
     public void applySettings(ServiceRules next) {
         rules = next;
     }
 
-    /** Whether a server has its full capacity. */
+    /** Returns whether a server has its full capacity. */
     public boolean isWarm(Server server, long now) {
         return factor(server, now) >= 1;
     }
@@ -67,7 +69,10 @@
         return warmUp.factor(server.slowStart().startedAt(), at);
     }
 
-    /** Whether a server may be sent a request now. A budget under one is drawn for. */
+    /**
+     * Returns whether a server may be sent a request now. With a budget under one send per window,
+     * the node waits until the budget accumulated over time reaches a random threshold.
+     */
     public boolean permitsSend(Server server, long now) {
         SlowStartState state = server.slowStart();
         double factor = factor(server, now);
@@ -80,22 +85,23 @@
         if (budget >= 1 || state.recentSends() > 0) {
             return state.recentSends() < (int) budget;
         }
-        // With one send for each of hundreds of nodes the server would fall over.
-        if (!state.hasDraw()) {
-            state.setDraw(-Math.log(1 - random.nextDouble()), now);
+        // If each of hundreds of nodes sent one request at once, the server would be overloaded.
+        if (!state.hasSendThreshold()) {
+            state.setSendThreshold(-Math.log(1 - random.nextDouble()), now);
         }
-        return isDrawReached(server, now);
+        return isSendThresholdReached(server, now);
     }
 
-    private boolean isDrawReached(Server server, long now) {
+    private boolean isSendThresholdReached(Server server, long now) {
         SlowStartState state = server.slowStart();
-        long waited = now - state.drawnAt();
+        long waited = now - state.sendThresholdSetAt();
         return waited * sendsPerWindow(factor(server, now - waited / 2))
-                >= state.draw() * rules.overloadWindow();
+                >= state.sendThreshold() * rules.overloadWindow();
     }
 
-    // By what a server serves alone where loads are known, else by what this node sends to the mean
-    // server, which that one carries.
+    // With load probes the budget is computed from the estimated capacity of a server. Otherwise it
+    // is computed from the rate at which a mean server serves this node's attempts, which that
+    // server is known to sustain.
     private double sendsPerWindow(double factor) {
         double nodes = subset.nodesPerServer();
         double rate =
@@ -107,21 +113,25 @@
         return Math.max(budget, Math.min(1, MIN_FLEET_SENDS / nodes));
     }
 
-    /** Counts a send to a server. */
+    /** Counts an attempt that is sent to a server. */
     public void recordSend(Server server, long now) {
         if (!isWarm(server, now)) {
             server.slowStart().recordSend(now);
         }
     }
 
-    /** Whether a warming server's draw may be reached, so that it should go first. */
-    public boolean hasDraw(Server server, long now) {
-        return server.slowStart().hasDraw() && !isWarm(server, now);
+    /**
+     * Returns whether a send threshold is set for a server in slow start. Such a server is
+     * preferred when it may be sent a request.
+     */
+    public boolean hasSendThreshold(Server server, long now) {
+        return server.slowStart().hasSendThreshold() && !isWarm(server, now);
     }
 
     /**
-     * Whether an attempt may still begin at this instant. Attempts that wait for connections would
-     * else come together, outside of the windows that they were counted in.
+     * Returns whether an attempt may still start at this instant. Otherwise attempts that waited
+     * for connections could reach the server together, outside of the windows in which they were
+     * counted.
      */
     public boolean permitsStart(Attempt attempt, long at) {
         return isWarm(attempt.server(), at)
--- a/src/main/java/ottergauge/decision/health/package-info.java
+++ b/src/main/java/ottergauge/decision/health/package-info.java
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * Which servers are to be spared: {@link ottergauge.decision.health.OutlierDetector} ejects those
- * that fail, {@link ottergauge.decision.health.SilenceDetector} finds those that answer no more,
- * and {@link ottergauge.decision.health.SlowStartBudget} limits what is sent to those that warm up.
+ * Detects servers that should get fewer requests or none. {@link
+ * ottergauge.decision.health.OutlierDetector} ejects servers that fail, {@link
+ * ottergauge.decision.health.SilenceDetector} finds servers that no longer respond, and {@link
+ * ottergauge.decision.health.SlowStartBudget} limits the requests to servers in slow start.
  */
 package ottergauge.decision.health;
--- a/src/main/java/ottergauge/decision/index/ClassIndex.java
+++ b/src/main/java/ottergauge/decision/index/ClassIndex.java
@@ -11,9 +11,10 @@
 import java.util.function.Supplier;
 
 /**
- * Assigns rows of a table to class names: one to each name, up to a bound, and a last one that all
- * other names share. When the names change, a name that stays keeps its row, though its number may
- * be another one; what is kept by row elsewhere is then laid out again by {@link #remap}.
+ * Assigns rows of a table to class names. Each name gets a row of its own, up to a maximum number
+ * of rows. All other names share the last row. When the names change, a name that remains keeps its
+ * row, although the number of the row may change. Data that is stored by row elsewhere must then be
+ * rearranged by {@link #remap}.
  */
 public final class ClassIndex {
 
@@ -22,15 +23,15 @@
     private final int maxOwnRows;
     private final Map<String, Integer> ownRows = new HashMap<>();
 
-    /** The number that each row had before the names changed last. */
+    /** The number that each row had before the last change of the names. */
     private final List<Integer> previousRows = new ArrayList<>(List.of(NEW));
 
-    /** Creates an index without names, which assigns at most so many rows of their own. */
+    /** Creates an index without names that assigns individual rows to at most this many names. */
     public ClassIndex(int maxOwnRows) {
         this.maxOwnRows = maxOwnRows;
     }
 
-    /** Replaces the names; the first new ones are assigned rows before the others. */
+    /** Replaces the names. If there are too few rows, the first of the new names get them. */
     public void rename(Collection<String> names) {
         int previousShared = shared();
         Set<String> distinct = new LinkedHashSet<>(names);
@@ -56,21 +57,22 @@
         previousRows.add(previous);
     }
 
-    /** Returns the row of a name: its own, or the shared one. */
+    /** Returns the row of a name: its own row or the shared one. */
     public int of(String name) {
         return ownRows.getOrDefault(name, shared());
     }
 
-    /** Returns the row that names share which have none of their own. */
+    /** Returns the row shared by all names without a row of their own. */
     public int shared() {
         return previousRows.size() - 1;
     }
 
     /**
-     * Lays out what belongs to rows by their present numbers.
+     * Rearranges values that belong to rows to match the current row numbers.
      *
-     * @param previous what belonged to each row before the names changed last; all is new if empty
-     * @param fresh creates what belongs to a new row
+     * @param previous the value of each row before the last change of the names, or an empty list
+     *     to create new values for all rows
+     * @param fresh creates the value of a new row
      */
     public <T> List<T> remap(List<T> previous, Supplier<T> fresh) {
         List<T> remapped = new ArrayList<>(previousRows.size());
--- a/src/main/java/ottergauge/decision/index/package-info.java
+++ b/src/main/java/ottergauge/decision/index/package-info.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * The index of classes, which come and go while it is used: a data structure that makes no choice.
+ * The index of request classes, which may be added and removed at runtime: a data structure that
+ * makes no decisions.
  */
 package ottergauge.decision.index;
--- a/src/main/java/ottergauge/decision/load/CapacityEstimates.java
+++ b/src/main/java/ottergauge/decision/load/CapacityEstimates.java
@@ -7,17 +7,19 @@
 import ottergauge.decision.model.Server;
 
 /**
- * Capacity of servers and of the mean server of the fleet, in requests that are executed at a time.
- * See docs/design.md, "Capacity estimate".
+ * Capacity of each server and mean capacity of the fleet, in requests executed concurrently. See
+ * docs/design.md, "Capacity estimate".
  */
 public final class CapacityEstimates {
 
-    /** Up to this utilization hardly a request waits for a core. */
+    /** Up to this utilization almost no request waits for a free core. */
     public static final double MAX_UNCONTENDED_UTILIZATION = 0.6;
 
-    // Utilization is a mean over a second: of a fleet that was idle before it tells too little.
+    // Servers report their mean utilization over the last second. Right after the first requests
+    // that second is still mostly idle time, so the figure is too low to use.
     private static final long UTILIZATION_SETTLING_MICROS = 2_000_000;
-    // A rate is a mean over some time, and worth so many counts at an instant.
+    // A reported request rate is a mean over some time. It counts as much as this number of
+    // instantaneous request counts.
     private static final double RATE_REPORT_WEIGHT = 4;
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -32,39 +34,41 @@
         this.serviceTimes = serviceTimes;
     }
 
-    /** Notes the first event of the engine. */
+    /** Records the instant of the engine's first event. */
     public void start(long now) {
         settledAt = now + UTILIZATION_SETTLING_MICROS;
     }
 
-    /** Whether reports have told the fleet's capacity. */
+    /** Returns whether enough load reports have come to estimate the fleet's capacity. */
     public boolean isKnown() {
         return fleet.isKnown();
     }
 
-    /** Returns the capacity of the fleet's mean server. */
+    /** Returns the mean capacity of the fleet's servers. */
     public double fleetMean() {
         return fleet.capacity(1);
     }
 
-    /** Returns a server's capacity; 1 while nothing is known. */
+    /** Returns a server's capacity, or 1 while the fleet's capacity is unknown. */
     public double of(Server server) {
         return fleet.isKnown() ? server.load().capacity().capacity(fleet.capacity(1)) : 1;
     }
 
     /**
-     * Takes a load report.
+     * Records a load report.
      *
-     * @param own requests in the report that this node knows to have ended
+     * @param endedAttempts attempts that the report still counts although this node knows that they
+     *     have ended
      */
-    void record(Server server, LoadReport report, int own, long now) {
+    void record(Server server, LoadReport report, int endedAttempts, long now) {
         boolean queueing = report.queued() >= 1;
         boolean byRate =
                 loadSource.usesReports()
                         && report.requestsPerSecond() > 0
                         && serviceTimes.mean() > 0;
         double busyRatio = queueing && !byRate ? 1 : report.utilization();
-        double running = byRate ? runningByRate(report) : runningByCount(report, queueing, own);
+        double running =
+                byRate ? runningByRate(report) : runningByCount(report, queueing, endedAttempts);
         boolean meaningful =
                 byRate
                         || queueing
@@ -76,12 +80,12 @@
         }
     }
 
-    // Little's law, with the time that a request takes where none waits: waiting is left out.
+    // Little's law with the uncontended service time, so that waiting requests aren't counted.
     private double runningByRate(LoadReport report) {
         return report.requestsPerSecond() * serviceTimes.uncontendedMean() / MICROS_PER_SECOND;
     }
 
-    private static double runningByCount(LoadReport report, boolean queueing, int own) {
-        return queueing ? report.inFlight() - report.queued() : report.inFlight() - own;
+    private static double runningByCount(LoadReport report, boolean queueing, int endedAttempts) {
+        return queueing ? report.inFlight() - report.queued() : report.inFlight() - endedAttempts;
     }
 }
--- a/src/main/java/ottergauge/decision/load/LoadEstimates.java
+++ b/src/main/java/ottergauge/decision/load/LoadEstimates.java
@@ -9,21 +9,25 @@
 import ottergauge.decision.model.ServerLoad;
 
 /**
- * Estimates of how many requests servers hold, from probes, reports or this node's own attempts.
- * See docs/design.md, "Active load probes" and "Passive load reports".
+ * Estimates how many requests servers hold, from load probes, load reports or the node's own
+ * attempts. See docs/design.md, "Active load probes" and "Passive load reports".
  */
 public final class LoadEstimates {
 
-    // A report is fresh for this part of a service time: the load changes with as small a chance.
-    private static final double FRESH_SERVICE_TIMES = 0.08;
-    // A busy server stays so for this part of the work that it was seen to hold.
+    // A load report is fresh for this fraction of a service time. The probability that the load has
+    // changed meanwhile is about as small.
+    private static final double FRESH_REPORT_SERVICE_TIMES = 0.08;
+    // A server that was reported busy is assumed to stay busy for this fraction of the time that it
+    // needs for the requests it held.
     private static final double BUSY_WORK_RATIO = 0.3;
-    // A report is forgotten over so many service times: as seldom do others send to an idle server.
+    // Time constant, in service times, with which a load report loses its weight. Other nodes send
+    // to an idle server about this seldom.
     private static final double REPORT_DECAY_SERVICE_TIMES = 10;
-    // Sends of each other node, for each send of this one.
+    // Assumed number of attempts that each other node sends to a server for each one of this node.
     private static final double OTHERS_SENDS_RATIO = 0.4;
-    // The part of what should have ended since a report that others haven't filled up.
-    private static final double ENDED_RATIO = 0.25;
+    // Fraction of the requests expected to have ended since a load report that other nodes'
+    // requests haven't replaced.
+    private static final double UNREPLACED_RATIO = 0.25;
 
     private final LoadSourceSelector loadSource;
     private final ServiceTimes serviceTimes;
@@ -32,7 +36,7 @@
     private final ServerSubset subset;
     private double meanReported;
 
-    /** Creates estimates without reports. */
+    /** Creates estimates without any load reports. */
     public LoadEstimates(
             LoadSourceSelector loadSource,
             ServiceTimes serviceTimes,
@@ -47,22 +51,23 @@
     }
 
     /**
-     * Takes a load report, if it tells how many requests the server holds.
+     * Records a load report, unless the number of requests in flight is missing from it.
      *
-     * @param own 1 if it came with the response of an attempt that it still counts, else 0
+     * @param endedAttempts 1 if the report came with the response of an attempt and still counts
+     *     that attempt, else 0
      */
-    public void record(Server server, LoadReport report, int own, long now) {
+    public void record(Server server, LoadReport report, int endedAttempts, long now) {
         if (Double.isNaN(report.inFlight())) {
             return;
         }
         ServerLoad load = server.load();
-        load.recordReport(Math.max(0, Math.rint(report.inFlight()) - own), now);
+        load.recordReport(Math.max(0, Math.rint(report.inFlight()) - endedAttempts), now);
         loadSource.reportReceived();
         meanReported += MovingAverage.SMOOTHING_RATIO * (load.inFlight() - meanReported);
-        capacities.record(server, report, own, now);
+        capacities.record(server, report, endedAttempts, now);
     }
 
-    /** Takes the report of a probe that was served. */
+    /** Records the load report of a successful probe. */
     public void recordProbe(Server server, LoadReport report, long now) {
         long gap = now - server.load().reportedAt();
         loadSource.compareProbes(server.probe().lastReport(), report, gap, serviceTimes.mean());
@@ -70,28 +75,28 @@
         record(server, report, 0, now);
         loadSource.dropStaleProbes();
         if (Double.isNaN(report.inFlight())) {
-            // Taken for unknown, all servers would stand idle. See docs/design.md, "probes without
-            // a load".
-            server.load().assume(server.outstandingCount(), now);
+            // If the load counted as unknown, no server would be sent a request. See
+            // docs/design.md, "probes without a load".
+            server.load().recordEstimate(server.outstandingCount(), now);
         }
     }
 
-    /** Takes an attempt that timed out after this span, in microseconds. */
+    /** Records an attempt that timed out after this time span, in microseconds. */
     public void recordTimeout(Server server, long elapsed, long now) {
         if (loadSource.usesReports() && capacities.isKnown()) {
-            // What didn't end in this time had as much work before it. See docs/design.md,
-            // "timeouts as load reports".
+            // An attempt that didn't end in this time had about as much work ahead of it. See
+            // docs/design.md, "timeouts as load reports".
             double implied = capacities.of(server) * elapsed / serviceTimes.mean();
-            server.load().assume(Math.max(server.load().inFlight(), implied), now);
+            server.load().recordEstimate(Math.max(server.load().inFlight(), implied), now);
         }
     }
 
-    /** Whether the last report of a server still tells its load. */
+    /** Returns whether the last load report of a server is still valid. */
     public boolean isFresh(Server server, long now) {
         ServerLoad load = server.load();
         double service = serviceTimes.mean();
         long age = now - load.reportedAt();
-        if (age <= FRESH_SERVICE_TIMES * Math.max(service, probes.roundTrip(server))) {
+        if (age <= FRESH_REPORT_SERVICE_TIMES * Math.max(service, probes.roundTrip(server))) {
             return true;
         }
         double capacity = capacities.of(server);
@@ -99,15 +104,15 @@
                 && age <= BUSY_WORK_RATIO * load.inFlight() / capacity * service;
     }
 
-    /** Returns the span after which an unknown server may be worth another probe. */
-    public long freshMicros() {
-        return (long) (FRESH_SERVICE_TIMES * serviceTimes.mean());
+    /** Returns the time span after which a server of unknown load may be probed again. */
+    public long reportFreshnessMicros() {
+        return (long) (FRESH_REPORT_SERVICE_TIMES * serviceTimes.mean());
     }
 
-    /** Returns the estimate of how many requests a server holds. */
+    /** Returns the estimated number of requests that a server holds. */
     public double inFlight(Server server, long now) {
         return switch (loadSource.source()) {
-            case PASSIVE_REPORTS -> decayed(server, now);
+            case PASSIVE_REPORTS -> inFlightFromReports(server, now);
             case ACTIVE_PROBES ->
                     isFresh(server, now)
                             ? Math.max(server.load().inFlight(), server.outstandingCount())
@@ -116,20 +121,24 @@
         };
     }
 
-    /** Returns the estimate of how many requests a server holds that is picked now. */
+    /**
+     * Returns the estimated number of requests held by a server that has just been selected. With
+     * load probes its last report counts even if it is no longer fresh.
+     */
     public double inFlightAtPick(Server server, long now) {
         return loadSource.usesReports()
-                ? decayed(server, now)
+                ? inFlightFromReports(server, now)
                 : Math.max(server.load().inFlight(), server.outstandingCount());
     }
 
-    private double decayed(Server server, long now) {
-        return Math.max(server.outstandingCount(), believed(server, now));
+    private double inFlightFromReports(Server server, long now) {
+        return Math.max(server.outstandingCount(), decayedLoad(server, now));
     }
 
-    // A report loses weight until the server stands at the mean of all. Meanwhile some of its
-    // requests end, and the nodes that share it send to it, in part as this node does.
-    private double believed(Server server, long now) {
+    // The weight of a load report decays with its age, so that the estimate approaches the mean of
+    // all reports. The estimate also accounts for requests that have ended since the report and for
+    // those that the other nodes have sent.
+    private double decayedLoad(Server server, long now) {
         ServerLoad load = server.load();
         if (load.reportedAt() == Instants.NEVER) {
             return meanReported;
@@ -138,19 +147,20 @@
         double age = (now - load.reportedAt()) / Math.max(1, service);
         double decayMicros =
                 REPORT_DECAY_SERVICE_TIMES * Math.max(probes.roundTrip(server), service);
-        double trust = Math.exp(-age * service / decayMicros);
+        double reportWeight = Math.exp(-age * service / decayMicros);
         double change = capacities.isKnown() ? changeSinceReport(load, age) : 0;
-        return Math.max(0, meanReported + trust * (load.inFlight() + change - meanReported));
+        return Math.max(0, meanReported + reportWeight * (load.inFlight() + change - meanReported));
     }
 
     private double changeSinceReport(ServerLoad load, double ageServiceTimes) {
         return OTHERS_SENDS_RATIO * load.sendsSinceReport() * (subset.nodesPerServer() - 1)
-                - ENDED_RATIO * load.inFlight() * (1 - Math.exp(-ageServiceTimes));
+                - UNREPLACED_RATIO * load.inFlight() * (1 - Math.exp(-ageServiceTimes));
     }
 
     /**
-     * Returns how much a server's queue is in a request's way, to compare servers by. A reported
-     * load is old, so there it counts from what chance fills anyway: the capacity less its root.
+     * Returns a measure of a server's queue, by which servers are compared. A load from passive
+     * reports is outdated, so there the measure is relative to a server that random arrivals fill
+     * up to its capacity less the square root of its capacity.
      */
     public double queueing(Server server, long now) {
         double capacity = capacities.of(server);
@@ -159,12 +169,20 @@
                 : inFlight(server, now) + 1 - capacity;
     }
 
-    /** Returns the service times until a request ends at a server that holds so many. */
+    /**
+     * Returns the expected latency of a request, in service times of the server.
+     *
+     * @param inFlight number of requests that the server holds already
+     */
     public double serviceTimesToEnd(Server server, double inFlight) {
         return Math.max(1, (inFlight + 1) / capacities.of(server));
     }
 
-    /** Returns the expected latency of a request at a server that holds so many. */
+    /**
+     * Returns the expected latency of a request at a server, in microseconds.
+     *
+     * @param inFlight number of requests that the server holds already
+     */
     public double expectedLatency(Server server, double inFlight, long now) {
         return serviceTimes.of(server, now) * serviceTimesToEnd(server, inFlight);
     }
--- a/src/main/java/ottergauge/decision/load/LoadSource.java
+++ b/src/main/java/ottergauge/decision/load/LoadSource.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.load;
 
-/** Where the load of servers is known from. */
+/** The source of information about the load of servers. */
 public enum LoadSource {
-    /** From this node's own attempts alone. */
+    /** Only this node's own attempts. */
     OWN_ATTEMPTS,
-    /** From the load reports that come with responses. */
+    /** The load reports that come with responses. */
     PASSIVE_REPORTS,
-    /** From probes that are sent before a server is picked. */
+    /** Load probes that are sent before a server is selected. */
     ACTIVE_PROBES
 }
--- a/src/main/java/ottergauge/decision/load/LoadSourceSelector.java
+++ b/src/main/java/ottergauge/decision/load/LoadSourceSelector.java
@@ -8,9 +8,10 @@
 import ottergauge.decision.ring.ConsistentHashRing;
 
 /**
- * Selects the {@link LoadSource}: active probes where they are allowed, affordable and fresh, else
- * passive reports once one has come, else this node's own attempts. See docs/design.md, "Active
- * load probes", "Passive load reports" and "stale reports".
+ * Selects the {@link LoadSource}. Active load probes are used if they are allowed and affordable
+ * and their reports are not stale. Otherwise passive load reports are used once one has come, and
+ * this node's own attempts until then. See docs/design.md, "Active load probes", "Passive load
+ * reports" and "stale reports".
  */
 public final class LoadSourceSelector {
 
@@ -24,7 +25,7 @@
         this.ring = ring;
     }
 
-    /** Takes other settings. */
+    /** Applies new settings. */
     public void applySettings(DecisionSettings next) {
         serversReport = next.reportsLoad();
         selectProbes(
@@ -34,27 +35,27 @@
                         && !freshness.isStale());
     }
 
-    /** Returns the present source. */
+    /** Returns the current load source. */
     public LoadSource source() {
         return source;
     }
 
-    /** Whether servers are probed for their load. */
+    /** Returns whether servers are probed for their load. */
     public boolean usesProbes() {
         return source == LoadSource.ACTIVE_PROBES;
     }
 
-    /** Whether the reports that come with responses tell the load. */
+    /** Returns whether the load is taken from the reports that come with responses. */
     public boolean usesReports() {
         return source == LoadSource.PASSIVE_REPORTS;
     }
 
-    /** Whether the load of servers is known beyond this node's own attempts. */
+    /** Returns whether the load source is more than this node's own attempts. */
     public boolean knowsLoad() {
         return source != LoadSource.OWN_ATTEMPTS;
     }
 
-    /** Notes that a report has come. */
+    /** Records that a load report has come, and switches to passive reports if possible. */
     void reportReceived() {
         if (source != LoadSource.ACTIVE_PROBES) {
             source =
@@ -65,16 +66,16 @@
     }
 
     /**
-     * Compares the reports of two successive probes of a server.
+     * Compares the load reports of two successive probes of a server.
      *
-     * @param gapMicros span between them
-     * @param serviceMicros what a request takes
+     * @param gapMicros time between the two reports
+     * @param serviceMicros mean service time of a request
      */
     void compareProbes(LoadReport before, LoadReport now, long gapMicros, double serviceMicros) {
         freshness.recordPair(before, now, gapMicros, serviceMicros);
     }
 
-    /** Stops to probe if reports have turned out to be stale. */
+    /** Stops sending load probes if their reports have proved stale. */
     void dropStaleProbes() {
         selectProbes(usesProbes() && !freshness.isStale());
     }
@@ -83,7 +84,7 @@
         if (probes) {
             source = LoadSource.ACTIVE_PROBES;
         } else if (source == LoadSource.ACTIVE_PROBES) {
-            ring.forEach(server -> server.load().replaceBy(server.outstandingCount()));
+            ring.forEach(server -> server.load().replaceWith(server.outstandingCount()));
             source = LoadSource.OWN_ATTEMPTS;
         } else if (!serversReport) {
             source = LoadSource.OWN_ATTEMPTS;
--- a/src/main/java/ottergauge/decision/load/ProbeTracker.java
+++ b/src/main/java/ottergauge/decision/load/ProbeTracker.java
@@ -9,8 +9,8 @@
 import ottergauge.decision.model.ServerProbe;
 
 /**
- * Round-trip times of probes by zone, and the probe timeout that follows from them. Instants and
- * spans are microseconds. See docs/design.md, "probe timeout".
+ * Tracks the round-trip times of load probes by zone and derives the probe timeout from them.
+ * Instants and time spans are in microseconds. See docs/design.md, "probe timeout".
  */
 public final class ProbeTracker {
 
@@ -20,41 +20,41 @@
     private final Map<Integer, Double> roundTrips = new HashMap<>();
     private long eventInterval;
 
-    /** Takes other settings. */
+    /** Applies new settings. */
     public void applySettings(DecisionSettings next) {
         eventInterval = next.eventInterval();
     }
 
-    /** Returns the usual round trip to a server's zone. */
+    /** Returns the mean round-trip time to a server's zone. */
     public double roundTrip(Server server) {
         return roundTrips.getOrDefault(server.endpoint().zone(), INITIAL_ROUND_TRIP_MICROS);
     }
 
-    /** Takes the round trip of a probe that was answered. */
+    /** Records the round-trip time of a successful probe. */
     public void recordRoundTrip(Server server, long elapsed) {
         roundTrips.merge(server.endpoint().zone(), (double) elapsed, MovingAverage::update);
     }
 
-    /** Forgets all round trips, as zones are numbered anew. */
+    /** Clears the round-trip times of all zones, because zones have been renumbered. */
     public void forgetRoundTrips() {
         roundTrips.clear();
     }
 
-    /** Whether a probe of the server has been in flight for longer than its timeout. */
+    /** Returns whether a probe of the server has been in flight for longer than its timeout. */
     public boolean isUnresponsive(Server server, long now) {
         return server.probe().isInFlight() && now >= timeoutAt(server);
     }
 
-    /** Whether a probe of the server is in flight and its timeout hasn't passed. */
+    /** Returns whether a probe of the server is in flight and its timeout hasn't expired. */
     public boolean isAwaited(Server server, long now) {
         return server.probe().isInFlight() && now < timeoutAt(server);
     }
 
-    /** Returns the instant at which the last probe of the server counts as unanswered. */
+    /** Returns the instant at which the last probe of the server times out. */
     public long timeoutAt(Server server) {
         ServerProbe probe = server.probe();
         double roundTrip = roundTrip(server);
-        // A response is noticed only with the next event.
+        // The node detects a response only at its next event.
         double timeout = Math.max(TIMEOUT_ROUND_TRIPS * roundTrip, roundTrip + 2 * eventInterval);
         return probe.sentAt() + (long) timeout + 1;
     }
--- a/src/main/java/ottergauge/decision/load/ServedRate.java
+++ b/src/main/java/ottergauge/decision/load/ServedRate.java
@@ -3,18 +3,25 @@
 
 import ottergauge.decision.model.MeasurementWindow;
 
-/** How many attempts of this node the mean server of its subset serves per microsecond. */
+/**
+ * The mean rate at which a server of the subset serves attempts of this node, in attempts per
+ * microsecond.
+ */
 public final class ServedRate {
 
     private long served;
     private double perServer;
 
-    /** Counts a served attempt. */
+    /** Counts a successful attempt. */
     public void recordServed() {
         served++;
     }
 
-    /** Ends a measurement window in which the subset had so many servers. */
+    /**
+     * Ends a measurement window.
+     *
+     * @param servers number of servers in the subset during that window
+     */
     public void endWindow(int servers) {
         perServer = served / (double) MeasurementWindow.LENGTH_MICROS / Math.max(1, servers);
         served = 0;
--- a/src/main/java/ottergauge/decision/load/ServiceTimes.java
+++ b/src/main/java/ottergauge/decision/load/ServiceTimes.java
@@ -6,14 +6,14 @@
 import ottergauge.decision.model.Server;
 
 /**
- * Estimates of what a request takes at a server once it is executed, in microseconds. A server's
- * estimate is the fleet's by how much slower than the fleet the server is: a mean of its own would
- * see too few responses to follow when everything becomes slow.
+ * Estimates how long servers take to execute a request, without queueing, in microseconds. A
+ * server's estimate is the fleet's mean times the ratio of the server to the fleet. A mean per
+ * server would get too few responses to follow when the entire fleet becomes slow.
  */
 public final class ServiceTimes {
 
-    // Before it has answered, a warming server is assumed to do this multiple of the least that it
-    // can do.
+    // Until a warming server has responded, its assumed speed is this multiple of the minimum speed
+    // in the warm-up schedule.
     private static final double ASSUMED_WARM_UP_MULTIPLE = 1.5;
 
     private final WarmUpSchedule warmUp;
@@ -25,17 +25,20 @@
         this.warmUp = warmUp;
     }
 
-    /** Whether there is a sample. */
+    /** Returns whether there is a sample. */
     public boolean isKnown() {
         return mean != 0;
     }
 
-    /** Returns the fleet's mean; 0 if it is unknown. */
+    /** Returns the fleet's mean service time, or 0 if it is unknown. */
     public double mean() {
         return mean;
     }
 
-    /** Returns the fleet's mean at servers with idle cores, or else the mean of all. */
+    /**
+     * Returns the fleet's mean service time at servers with idle cores, or the mean of all servers
+     * if that is unknown.
+     */
     public double uncontendedMean() {
         return uncontendedMean > 0 ? uncontendedMean : mean;
     }
@@ -51,13 +54,13 @@
         return mean * (relative > 0 ? Math.min(relative, 1 / warmUpFactor) : assumed);
     }
 
-    /** Takes the service time of an attempt at a server. */
+    /** Records the service time of an attempt at a server. */
     public void record(Server server, double serviceTime) {
         mean = MovingAverage.update(mean, serviceTime);
         server.recordRelativeServiceTime(serviceTime / mean);
     }
 
-    /** Takes the latency of an attempt at a server with idle cores. */
+    /** Records the latency of an attempt at a server with idle cores. */
     public void recordUncontended(long latency) {
         uncontendedMean = MovingAverage.update(uncontendedMean, (double) latency);
     }
--- a/src/main/java/ottergauge/decision/model/Attempt.java
+++ b/src/main/java/ottergauge/decision/model/Attempt.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.model;
 
-/** One attempt of a request at a server. Instants are microseconds. */
+/** One attempt to send a request to a server. Instants are in microseconds. */
 public final class Attempt {
 
     private final Request request;
@@ -11,10 +11,11 @@
     private long sentAt;
 
     /**
-     * Creates an attempt that is sent now.
+     * Creates an attempt.
      *
-     * @param number counts the request's attempts from 0
-     * @param loadBefore estimate of the requests that the server held before this one
+     * @param number number of this attempt within its request, counted from 0
+     * @param sentAt the instant at which the attempt is sent
+     * @param loadBefore estimated number of requests that the server held before this one
      */
     public Attempt(Request request, int number, Server server, long sentAt, double loadBefore) {
         this.request = request;
@@ -29,37 +30,43 @@
         return request;
     }
 
-    /** Returns the number among the request's attempts, from 0. */
+    /** Returns the number of this attempt within its request, counted from 0. */
     public int number() {
         return number;
     }
 
-    /** Returns the server that it was sent to. */
+    /** Returns the server that the attempt was sent to. */
     public Server server() {
         return server;
     }
 
-    /** Returns the estimate of the requests that the server held before this one. */
+    /** Returns the estimated number of requests that the server held before this one. */
     public double loadBefore() {
         return loadBefore;
     }
 
-    /** Returns the instant of its sending; {@link Instants#NEVER} while its body streams. */
+    /**
+     * Returns the instant at which the attempt was sent, or {@link Instants#NEVER} while its
+     * request body is still streaming.
+     */
     public long sentAt() {
         return sentAt;
     }
 
-    /** Whether its body still passes to the server, which has no work with it before the end. */
+    /**
+     * Returns whether the request body is still streaming to the server. The server starts work
+     * only after it has received the last byte.
+     */
     public boolean isBodyStreaming() {
         return sentAt == Instants.NEVER;
     }
 
-    /** Notes that its body passes to the server. */
+    /** Records that the request body is streaming to the server. */
     public void bodyStreaming() {
         sentAt = Instants.NEVER;
     }
 
-    /** Notes that the last byte of its body has passed. */
+    /** Records that the last byte of the request body has been sent. */
     public void bodySent(long now) {
         sentAt = now;
     }
--- a/src/main/java/ottergauge/decision/model/OutstandingAttempts.java
+++ b/src/main/java/ottergauge/decision/model/OutstandingAttempts.java
@@ -5,7 +5,7 @@
 import java.util.Collections;
 import java.util.List;
 
-/** All attempts of this node that servers work on, and how many they are on average. */
+/** All outstanding attempts of this node, and their mean number per measurement window. */
 public final class OutstandingAttempts {
 
     private final List<Attempt> attempts = new ArrayList<>();
@@ -16,58 +16,58 @@
     private double meanOfLastWindow;
     private long lastSentAt;
 
-    /** Integrates the count up to this instant. */
+    /** Integrates the number of outstanding attempts over time, up to this instant. */
     public void advanceTo(long now) {
         long span = advancedTo == Instants.NEVER ? 0 : now - advancedTo;
         attemptMicros += attempts.size() * (double) span;
         advancedTo = now;
     }
 
-    /** Ends a measurement window. */
+    /** Ends a measurement window and computes its mean. */
     public void endWindow() {
         meanOfLastWindow =
                 (attemptMicros - attemptMicrosBeforeWindow) / MeasurementWindow.LENGTH_MICROS;
         attemptMicrosBeforeWindow = attemptMicros;
     }
 
-    /** Counts an attempt as work of its server. */
+    /** Adds an attempt that its server now works on. */
     public void start(Attempt attempt) {
         attempt.server().attemptStarted(attempt);
         attempts.add(attempt);
     }
 
-    /** Counts an attempt as work of its server no more. */
+    /** Removes an attempt that its server no longer works on. */
     public void finish(Attempt attempt) {
         attempts.remove(attempt);
         attempt.server().attemptFinished(attempt);
     }
 
-    /** Notes that an attempt has been sent. */
+    /** Records that an attempt has been sent. */
     public void recordSend(long now) {
         lastSentAt = now;
     }
 
-    /** Returns the instant of the last send; 0 before the first one. */
+    /** Returns the instant at which the last attempt was sent, or 0 before the first one. */
     public long lastSentAt() {
         return lastSentAt;
     }
 
-    /** Returns the attempts, the oldest first. */
+    /** Returns the outstanding attempts, oldest first. */
     public List<Attempt> all() {
         return view;
     }
 
-    /** Returns how many there are. */
+    /** Returns the number of outstanding attempts. */
     public int count() {
         return attempts.size();
     }
 
-    /** Whether there is none. */
+    /** Returns whether no attempt is outstanding. */
     public boolean isEmpty() {
         return attempts.isEmpty();
     }
 
-    /** Returns how many there were on average in the last measurement window. */
+    /** Returns the mean number of outstanding attempts in the last measurement window. */
     public double meanOfLastWindow() {
         return meanOfLastWindow;
     }
--- a/src/main/java/ottergauge/decision/model/Request.java
+++ b/src/main/java/ottergauge/decision/model/Request.java
@@ -8,8 +8,8 @@
 import ottergauge.decision.api.RequestLimits;
 
 /**
- * A request that this node has queued or sent, with the class and the limits that were effective
- * when it arrived. Instants are microseconds.
+ * A request that this node has queued or sent, with the request class and the limits that applied
+ * when it arrived. Instants are in microseconds.
  */
 public final class Request {
 
@@ -39,9 +39,9 @@
     /**
      * Creates a request without attempts.
      *
-     * @param number counts the node's requests
-     * @param clientRetry whether it is taken for a client's retry
-     * @param affinityServer the server that its affinity key is brought to; null if there is none
+     * @param number sequence number of the request at this node
+     * @param clientRetry whether the request is treated as a client's retry
+     * @param affinityServer the server that its affinity key is assigned to, or null
      */
     public Request(
             String id,
@@ -62,70 +62,74 @@
         priority = requestClass.priorityWeight();
     }
 
-    /** Returns the id that events and actions use. */
+    /** Returns the id that identifies the request in events and actions. */
     public String id() {
         return id;
     }
 
-    /** Returns the number of the request at this node, in the order of arrival. */
+    /** Returns the sequence number of the request at this node, in order of arrival. */
     public long number() {
         return number;
     }
 
-    /** Returns the class. */
+    /** Returns the request class. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
-    /** Returns what is permitted for it. */
+    /** Returns the limits that apply to the request. */
     public RequestLimits limits() {
         return limits;
     }
 
-    /** Returns its instants. */
+    /** Returns the arrival time and the deadlines of the request. */
     public RequestTimes times() {
         return times;
     }
 
-    /** Whether it is taken for a client's retry. */
+    /** Returns whether the request is treated as a client's retry. */
     public boolean isClientRetry() {
         return clientRetry;
     }
 
-    /** Returns the server that its affinity key is brought to, or null. */
+    /** Returns the server that its affinity key is assigned to, or null. */
     public Server affinityServer() {
         return affinityServer;
     }
 
     /**
-     * Returns until when a response is worked for: the objective or, once that has passed, late.
+     * Returns the instant until which the node tries to get a response: the latency objective or,
+     * after {@link #extendToLateResponse}, the instant at which a late response loses its value.
      */
     public long deadline() {
         return deadline;
     }
 
-    /** Returns the value of a response before the deadline, relative to other requests. */
+    /** Returns the value of a response before the deadline, relative to that of other requests. */
     public double priority() {
         return priority;
     }
 
-    /** Whether it is worked for a late response. */
+    /** Returns whether the node now aims for a late response, past the latency objective. */
     public boolean isLate() {
         return deadline > times.objectiveAt();
     }
 
-    /** Works on for the value of a late response. It must not be in the pending queue. */
+    /**
+     * Extends the deadline and lowers the priority to those of a late response. The request must
+     * not be in the pending queue, which is ordered by them.
+     */
     public void extendToLateResponse() {
         deadline = times.valuableUntil();
         priority *= requestClass.lateValueRatio();
     }
 
-    /** Returns its attempts that have not ended, the oldest first. */
+    /** Returns the attempts that have not ended, oldest first. */
     public List<Attempt> outstanding() {
         return outstandingView;
     }
 
-    /** Returns how many attempts there have been. */
+    /** Returns the number of attempts so far. */
     public int attempts() {
         return attempts;
     }
@@ -137,12 +141,12 @@
         return attempt;
     }
 
-    /** Notes that an attempt has ended. */
+    /** Removes an attempt that has ended from the outstanding ones. */
     public void finishAttempt(Attempt attempt) {
         outstanding.remove(attempt);
     }
 
-    /** Returns the attempt of this number that has not ended, or null. */
+    /** Returns the outstanding attempt with this number, or null. */
     public Attempt outstandingAttempt(int attemptNumber) {
         for (Attempt attempt : outstanding) {
             if (attempt.number() == attemptNumber) {
@@ -152,89 +156,96 @@
         return null;
     }
 
-    /** Whether an attempt came to a server. */
+    /** Returns whether an attempt has reached a server. */
     public boolean hasReachedServer() {
         return reachedServer;
     }
 
-    /** Notes that an attempt came to a server. */
+    /** Records that an attempt has reached a server. */
     public void markReachedServer() {
         reachedServer = true;
     }
 
-    /** Returns the first ended attempt that may have been executed, or null. */
+    /** Returns the first ended attempt that the server may have executed, or null. */
     public Attempt firstMaybeExecuted() {
         return firstMaybeExecuted;
     }
 
-    /** Notes an ended attempt that may have been executed; the first one counts. */
+    /** Records an ended attempt that the server may have executed. Only the first one is kept. */
     public void recordMaybeExecuted(Attempt attempt) {
         if (firstMaybeExecuted == null) {
             firstMaybeExecuted = attempt;
         }
     }
 
-    /** Whether it is certain that no server has executed it. */
+    /** Returns whether it is certain that no server has executed the request. */
     public boolean isCertainlyNotExecuted() {
         return outstanding.isEmpty() && firstMaybeExecuted == null;
     }
 
-    /** Whether its response has begun. */
+    /** Returns whether the response has started. */
     public boolean hasResponseStarted() {
         return responseStarted;
     }
 
-    /** Notes that its response has begun. */
+    /** Records that the response has started. */
     public void markResponseStarted() {
         responseStarted = true;
     }
 
-    /** Whether its body can't be sent again. */
+    /** Returns whether the request body can't be sent again. */
     public boolean isUnrepeatable() {
         return unrepeatable;
     }
 
-    /** Notes that its body can't be sent again. */
+    /** Records that the request body can't be sent again. */
     public void markUnrepeatable() {
         unrepeatable = true;
     }
 
-    /** Whether it has its final response, or needs none. */
+    /** Returns whether the request has its final response, or no longer needs one. */
     public boolean isComplete() {
         return complete;
     }
 
-    /** Notes that it has its final response, or needs none. */
+    /** Records that the request has its final response, or no longer needs one. */
     public void markComplete() {
         complete = true;
     }
 
-    /** Whether it is in the pending queue. */
+    /** Returns whether the request is in the pending queue. */
     public boolean isPending() {
         return pending;
     }
 
-    /** Sets whether it is in the pending queue, which alone does so. */
+    /** Sets whether the request is in the pending queue. Only the pending queue calls this. */
     public void setPending(boolean pending) {
         this.pending = pending;
     }
 
-    /** Returns the server whose probe it waits for or waited for last, or null. */
+    /** Returns the server whose load probe the request last waited for, or null. */
     public Server probedServer() {
         return probedServer;
     }
 
-    /** Returns how many probes were made for it. */
+    /** Returns the number of load probes that the request has waited for. */
     public int probes() {
         return probes;
     }
 
-    /** Returns the instant from which on probes past half of their number may be made. */
+    /**
+     * Returns the earliest instant of the next load probe, once the request has used half of the
+     * probes it is allowed.
+     */
     public long nextProbeAt() {
         return nextProbeAt;
     }
 
-    /** Notes that it waits for a server's probe. */
+    /**
+     * Records that the request waits for a server's load probe.
+     *
+     * @param nextAt earliest instant of the next probe, once half of the allowed probes are used
+     */
     public void recordProbe(Server server, long nextAt) {
         probedServer = server;
         nextProbeAt = nextAt;
@@ -246,7 +257,7 @@
         return failedServer;
     }
 
-    /** Notes the server of a failed attempt. */
+    /** Records the server of a failed attempt. */
     public void recordFailedServer(Server server) {
         failedServer = server;
     }
--- a/src/main/java/ottergauge/decision/model/RequestTimes.java
+++ b/src/main/java/ottergauge/decision/model/RequestTimes.java
@@ -4,22 +4,24 @@
 import ottergauge.decision.api.RequestClass;
 
 /**
- * The instants of a request, in microseconds.
+ * The arrival time and the deadlines of a request, in microseconds.
  *
- * @param arrivedAt its arrival at this node
- * @param objectiveAt until when a response has its full value
- * @param valuableUntil until when a response has any value
+ * @param arrivedAt instant at which the request arrived at this node
+ * @param objectiveAt instant until which a response has its full value
+ * @param valuableUntil instant until which a response has any value
  */
 public record RequestTimes(long arrivedAt, long objectiveAt, long valuableUntil) {
 
-    // The node can't time the way to the client and back: a response has to leave this early.
+    // The node can't measure the network delay to the client and back. It therefore aims to send a
+    // response this much before the latency objective ends.
     private static final long CLIENT_RESPONSE_MARGIN_MICROS = 2_000;
 
     /**
-     * Returns the instants of a request that arrives now.
+     * Returns the times of a request that arrives now.
      *
      * @param giveUpAt instant at which the client stops waiting
-     * @param clientRetry whether it is a retry, whose objective counts from its first attempt
+     * @param clientRetry whether the request is a client's retry; its latency objective is measured
+     *     from the client's first attempt
      */
     public static RequestTimes of(
             RequestClass requestClass, long now, long giveUpAt, boolean clientRetry) {
@@ -33,7 +35,7 @@
                 now, Math.min(Math.max(now, objectiveAt), valuableUntil), valuableUntil);
     }
 
-    /** Whether a response still has value past the objective. */
+    /** Returns whether a response still has value after the latency objective. */
     public boolean hasLateValue() {
         return valuableUntil > objectiveAt;
     }
--- a/src/main/java/ottergauge/decision/model/RotationEntry.java
+++ b/src/main/java/ottergauge/decision/model/RotationEntry.java
@@ -3,27 +3,31 @@
 
 import java.util.List;
 
-/** A server's statistics by row of the class index, once it has been in the subset. */
+/**
+ * A server's statistics by row of the class index. They are created when the server first joins the
+ * subset.
+ */
 public final class RotationEntry {
 
-    // Past so many windows even the largest sample count has been halved to none.
+    // The sample count halves with each window. After this number of windows even the largest int
+    // has been halved to 0.
     private static final int MAX_WINDOWS_CAUGHT_UP = Integer.SIZE;
 
     private List<ServerStatistics> rows = List.of();
     private long windowsEnded;
     private boolean candidate;
 
-    /** Whether the server has statistics at all. */
+    /** Returns whether the server has no statistics. */
     public boolean isEmpty() {
         return rows.isEmpty();
     }
 
-    /** Returns the statistics of all rows; empty until {@link #setRows}. */
+    /** Returns the statistics of all rows, or an empty list before {@link #setRows}. */
     public List<ServerStatistics> rows() {
         return rows;
     }
 
-    /** Replaces the statistics, after the class index has changed. */
+    /** Replaces the statistics after the class index has changed. */
     public void setRows(List<ServerStatistics> rows) {
         this.rows = rows;
     }
@@ -33,7 +37,10 @@
         return rows.get(row);
     }
 
-    /** Ends the windows up to this count: no end of a window has to visit all servers. */
+    /**
+     * Ends all windows up to this count. Each entry catches up when it is next used, so the end of
+     * a window doesn't have to visit all servers.
+     */
     public void endWindows(long ended) {
         windowsEnded = Math.max(windowsEnded, ended - MAX_WINDOWS_CAUGHT_UP);
         for (; windowsEnded < ended; windowsEnded++) {
@@ -43,12 +50,12 @@
         }
     }
 
-    /** Whether the server takes part in the present pick. */
+    /** Returns whether the server is a candidate in the current selection. */
     public boolean isCandidate() {
         return candidate;
     }
 
-    /** Sets whether the server takes part in the present pick. */
+    /** Sets whether the server is a candidate in the current selection. */
     public void setCandidate(boolean candidate) {
         this.candidate = candidate;
     }
--- a/src/main/java/ottergauge/decision/model/Server.java
+++ b/src/main/java/ottergauge/decision/model/Server.java
@@ -9,7 +9,7 @@
 import ottergauge.decision.limits.ConcurrencyLimit;
 import ottergauge.decision.limits.MovingAverage;
 
-/** A listed server, with what each part of the engine knows of it. */
+/** A server of the endpoint list, with the state that each part of the engine keeps about it. */
 public final class Server {
 
     private final long id;
@@ -37,33 +37,33 @@
         return id;
     }
 
-    /** Returns the entry of the endpoint list that was applied last. */
+    /** Returns the server's last entry in the endpoint list. */
     public Endpoint endpoint() {
         return endpoint;
     }
 
-    /** Returns whether the server takes new requests. */
+    /** Returns the state, which tells whether the server accepts new requests. */
     public EndpointState state() {
         return state;
     }
 
-    /** Takes an entry of the endpoint list. */
+    /** Applies a new entry of the endpoint list. */
     public void setEndpoint(Endpoint next) {
         endpoint = next;
         state = next.state();
     }
 
-    /** Takes the server for removed until an entry names it. */
+    /** Marks the server as removed until {@link #setEndpoint} is called again. */
     public void markRemoved() {
         state = EndpointState.REMOVED;
     }
 
-    /** Returns this node's attempts that the server works on, the oldest first. */
+    /** Returns this node's attempts that the server works on, oldest first. */
     public List<Attempt> outstanding() {
         return outstandingView;
     }
 
-    /** Returns how many attempts of this node the server works on. */
+    /** Returns the number of this node's attempts that the server works on. */
     public int outstandingCount() {
         return outstanding.size();
     }
@@ -78,27 +78,27 @@
         load.attemptFinished();
     }
 
-    /** Returns the server's service time relative to the fleet's; 0 if it is unknown. */
+    /** Returns the ratio of the server's service time to the fleet's mean, or 0 if unknown. */
     public double relativeServiceTime() {
         return relativeServiceTime;
     }
 
-    /** Takes a sample of the server's service time relative to the fleet's. */
+    /** Records a sample of the ratio of the server's service time to the fleet's mean. */
     public void recordRelativeServiceTime(double ratio) {
         relativeServiceTime = MovingAverage.update(relativeServiceTime, ratio);
     }
 
-    /** Forgets the relative service time, as another incarnation has another one. */
+    /** Clears the relative service time, because a restarted server may have another one. */
     public void forgetRelativeServiceTime() {
         relativeServiceTime = 0;
     }
 
-    /** Returns the statistics of the rotation. */
+    /** Returns the statistics for the weighted round-robin. */
     public RotationEntry rotation() {
         return rotation;
     }
 
-    /** Returns what is known of the load. */
+    /** Returns what this node knows about the server's load. */
     public ServerLoad load() {
         return load;
     }
@@ -108,12 +108,12 @@
         return probe;
     }
 
-    /** Returns the state of the outlier detection. */
+    /** Returns the failures and the ejection state. */
     public ServerHealth health() {
         return health;
     }
 
-    /** Returns the state of the slow start. */
+    /** Returns the slow-start state. */
     public SlowStartState slowStart() {
         return slowStart;
     }
--- a/src/main/java/ottergauge/decision/model/ServerHealth.java
+++ b/src/main/java/ottergauge/decision/model/ServerHealth.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.decision.model;
 
-/** A server's failures and its ejection. The outlier detector alone changes it. */
+/** A server's failures and its ejection state. Only the classes of the health package change it. */
 public final class ServerHealth {
 
     private long lastResponseAt = Instants.NEVER;
@@ -12,7 +12,7 @@
     private boolean unreachable;
     private double missedResponses;
 
-    /** Whether the server is ejected at this instant. */
+    /** Returns whether the server is ejected at this instant. */
     public boolean isEjected(long now) {
         return now < ejectedUntil;
     }
@@ -27,42 +27,42 @@
         ejectedUntil = until;
     }
 
-    /** Returns the ejections that count for the length of the next one. */
+    /** Returns the number of ejections that determines the length of the next one. */
     public int ejections() {
         return ejections;
     }
 
-    /** Sets the ejections that count for the length of the next one. */
+    /** Sets the number of ejections that determines the length of the next one. */
     public void setEjections(int count) {
         ejections = count;
     }
 
-    /** Counts a failed connection and returns how many there were in a row. */
+    /** Counts a failed connection and returns the number of consecutive ones. */
     public int countConnectFailure() {
         return ++connectFailures;
     }
 
-    /** Counts an error and returns how many there were in a row. */
+    /** Counts an error and returns the number of consecutive ones. */
     public int countError() {
         return ++errors;
     }
 
-    /** Ends a row of errors. */
+    /** Resets the number of consecutive errors. */
     public void clearErrors() {
         errors = 0;
     }
 
-    /** Whether the server is taken for dead. */
+    /** Returns whether the server is considered unreachable. */
     public boolean isUnreachable() {
         return unreachable;
     }
 
-    /** Takes the server for dead. */
+    /** Marks the server as unreachable. */
     public void markUnreachable() {
         unreachable = true;
     }
 
-    /** Notes a response: the server can be reached. */
+    /** Records a response, which proves that the server is reachable. */
     public void recordResponse(long now) {
         lastResponseAt = now;
         connectFailures = 0;
@@ -74,17 +74,20 @@
         return lastResponseAt;
     }
 
-    /** Returns the responses that should have come since the last one, as the sweep counts them. */
+    /**
+     * Returns how many responses the node expected but didn't receive since the last response, as
+     * of the last sweep of the silence detector.
+     */
     public double missedResponses() {
         return missedResponses;
     }
 
-    /** Begins the sweep's count of missed responses. */
+    /** Resets the number of missed responses at the start of a sweep. */
     public void clearMissedResponses() {
         missedResponses = 0;
     }
 
-    /** Adds to the sweep's count of missed responses. */
+    /** Adds to the number of missed responses during a sweep. */
     public void addMissedResponses(double missed) {
         missedResponses += missed;
     }
--- a/src/main/java/ottergauge/decision/model/ServerLoad.java
+++ b/src/main/java/ottergauge/decision/model/ServerLoad.java
@@ -3,7 +3,7 @@
 
 import ottergauge.decision.limits.CapacityEstimate;
 
-/** What is known of a server's load, by its reports and by this node's own attempts. */
+/** What this node knows about a server's load, from load reports and from its own attempts. */
 public final class ServerLoad {
 
     private final CapacityEstimate capacity = new CapacityEstimate();
@@ -11,22 +11,28 @@
     private int sendsSinceReport;
     private long reportedAt = Instants.NEVER;
 
-    /** Returns the requests at the server as last reported, and this node's changes since. */
+    /**
+     * Returns the number of requests at the server: the last reported or estimated number, adjusted
+     * by the attempts of this node that started or finished since.
+     */
     public double inFlight() {
         return inFlight;
     }
 
-    /** Returns how many attempts this node has sent since the last report. */
+    /** Returns the number of attempts that this node has sent since the last load report. */
     public int sendsSinceReport() {
         return sendsSinceReport;
     }
 
-    /** Returns the instant of the last report; {@link Instants#NEVER} if there was none. */
+    /**
+     * Returns the instant of the last load report or estimate, or {@link Instants#NEVER} if there
+     * was none.
+     */
     public long reportedAt() {
         return reportedAt;
     }
 
-    /** Returns the estimate of how many requests the server executes at a time. */
+    /** Returns the estimate of how many requests the server executes concurrently. */
     public CapacityEstimate capacity() {
         return capacity;
     }
@@ -40,21 +46,21 @@
         inFlight = Math.max(0, inFlight - 1);
     }
 
-    /** Takes the load that the server reported. */
+    /** Records the load that the server reported. */
     public void recordReport(double reported, long now) {
         inFlight = reported;
         sendsSinceReport = 0;
         reportedAt = now;
     }
 
-    /** Takes a load that this node concluded without a report, as of now. */
-    public void assume(double concluded, long now) {
-        inFlight = concluded;
+    /** Records a load that this node estimated without a load report. */
+    public void recordEstimate(double estimated, long now) {
+        inFlight = estimated;
         reportedAt = now;
     }
 
-    /** Replaces the reported load by this node's own count, and leaves its age. */
-    public void replaceBy(double ownCount) {
+    /** Replaces the load with this node's own count, without changing the report time. */
+    public void replaceWith(double ownCount) {
         inFlight = ownCount;
     }
 }
--- a/src/main/java/ottergauge/decision/model/ServerProbe.java
+++ b/src/main/java/ottergauge/decision/model/ServerProbe.java
@@ -3,14 +3,14 @@
 
 import ottergauge.decision.api.LoadReport;
 
-/** The probe that is in flight at a server, and the report of the last one. */
+/** The load probe that is in flight to a server, and the load report of the last one. */
 public final class ServerProbe {
 
     private boolean inFlight;
     private long sentAt = Instants.NEVER;
     private LoadReport lastReport = LoadReport.NONE;
 
-    /** Whether a probe has been sent and not ended. */
+    /** Returns whether a probe has been sent and has not ended. */
     public boolean isInFlight() {
         return inFlight;
     }
@@ -20,23 +20,23 @@
         return sentAt;
     }
 
-    /** Returns the report of the last probe that was served. */
+    /** Returns the load report of the last successful probe. */
     public LoadReport lastReport() {
         return lastReport;
     }
 
-    /** Notes that a probe is sent. */
+    /** Records that a probe is sent. */
     public void start(long now) {
         inFlight = true;
         sentAt = now;
     }
 
-    /** Notes that the probe has ended. */
+    /** Records that the probe has ended. */
     public void finish() {
         inFlight = false;
     }
 
-    /** Takes the report of a served probe. */
+    /** Records the load report of a successful probe. */
     public void recordReport(LoadReport report) {
         lastReport = report;
     }
--- a/src/main/java/ottergauge/decision/model/ServerStatistics.java
+++ b/src/main/java/ottergauge/decision/model/ServerStatistics.java
@@ -2,39 +2,43 @@
 package ottergauge.decision.model;
 
 /**
- * A server's entry in the weight table of one class: its latencies and its state in the smooth
- * weighted round-robin. Latencies are microseconds.
+ * A server's entry in one row of the weight table: its latencies and its state in the smooth
+ * weighted round-robin. Latencies are in microseconds.
  */
 public final class ServerStatistics {
 
     private double latencySum;
     private int sampleCount;
     private double meanLatency;
-    private int evidence;
+    private int effectiveSampleCount;
     private int weight;
     private double currentWeight;
 
-    /** Creates an entry without samples at this position of the rotation. */
+    /** Creates an entry without samples that starts with this current weight. */
     public ServerStatistics(double currentWeight) {
         this.currentWeight = currentWeight;
     }
 
-    /** Counts a latency in the present window. */
+    /** Records a latency in the current window. */
     public void recordLatency(long latency) {
         latencySum += latency;
         sampleCount++;
     }
 
-    /** Makes the present window's samples the mean and begins another window. */
+    /** Computes the mean of the current window's samples and starts the next window. */
     public void endWindow() {
-        // Without samples a mean outlives a window for each doubling of the samples in it.
-        evidence = sampleCount > 0 ? sampleCount : evidence / 2;
-        meanLatency = sampleCount > 0 ? latencySum / sampleCount : evidence > 0 ? meanLatency : 0;
+        // A window without samples halves the sample count of the mean. The mean is kept until the
+        // count reaches 0.
+        effectiveSampleCount = sampleCount > 0 ? sampleCount : effectiveSampleCount / 2;
+        meanLatency =
+                sampleCount > 0
+                        ? latencySum / sampleCount
+                        : effectiveSampleCount > 0 ? meanLatency : 0;
         latencySum = 0;
         sampleCount = 0;
     }
 
-    /** Returns the mean latency of the last window with samples; 0 if it is unknown. */
+    /** Returns the mean latency of the last window with samples, or 0 if it is unknown. */
     public double meanLatency() {
         return meanLatency;
     }
@@ -44,33 +48,33 @@
         return meanLatency > 0 ? meanLatency : fallback;
     }
 
-    /** Returns how many samples the mean is worth. */
-    public int evidence() {
-        return evidence;
+    /** Returns the number of samples behind the mean, halved for each window without samples. */
+    public int effectiveSampleCount() {
+        return effectiveSampleCount;
     }
 
-    /** Returns the weight that {@link #setWeight} gave. */
+    /** Returns the weight that was set by {@link #setWeight}. */
     public int weight() {
         return weight;
     }
 
-    /** Sets the weight in the rotation. */
+    /** Sets the weight in the round-robin. */
     public void setWeight(int weight) {
         this.weight = weight;
     }
 
-    /** Returns the rank in the next pick: the highest is picked. */
+    /** Returns the rank in the next selection. The candidate of the highest rank is selected. */
     public double nextRank() {
         return currentWeight + weight;
     }
 
-    /** Adds the weight to the position, as each candidate does at a pick. */
+    /** Adds the weight to the current weight, which happens to each candidate of a selection. */
     public void advance() {
         currentWeight += weight;
     }
 
-    /** Pays for a pick with the weight of all of its candidates. */
-    public void pay(int totalWeight) {
+    /** Subtracts the total weight of all candidates after this server was selected. */
+    public void subtractTotalWeight(int totalWeight) {
         currentWeight -= totalWeight;
     }
 }
--- a/src/main/java/ottergauge/decision/model/SlowStartState.java
+++ b/src/main/java/ottergauge/decision/model/SlowStartState.java
@@ -3,58 +3,64 @@
 
 import java.util.ArrayDeque;
 
-/** A server's start and what this node sent it while it was warming up. */
+/** A server's start time, and the attempts that this node sent to it during its slow start. */
 public final class SlowStartState {
 
     private long startedAt = Instants.NEVER;
-    private long drawnAt = Instants.NEVER;
-    private double draw;
+    private long sendThresholdSetAt = Instants.NEVER;
+    private double sendThreshold;
     private final ArrayDeque<Long> recentSends = new ArrayDeque<>(0);
 
-    /** Returns the instant of the server's start; {@link Instants#NEVER} if it was long ago. */
+    /**
+     * Returns the instant at which the server started, or {@link Instants#NEVER} if that was long
+     * ago.
+     */
     public long startedAt() {
         return startedAt;
     }
 
-    /** Takes the start of a server's new incarnation. */
+    /** Records that the server has restarted. */
     public void restart(long at) {
         startedAt = at;
-        drawnAt = Instants.NEVER;
+        sendThresholdSetAt = Instants.NEVER;
     }
 
-    /** Whether the server waits for its chance of a send, as it does with a budget under one. */
-    public boolean hasDraw() {
-        return drawnAt != Instants.NEVER;
+    /**
+     * Returns whether a send threshold is set. It is set while the server's slow-start budget is
+     * under one send per window.
+     */
+    public boolean hasSendThreshold() {
+        return sendThresholdSetAt != Instants.NEVER;
     }
 
-    /** Returns the instant of the draw. */
-    public long drawnAt() {
-        return drawnAt;
+    /** Returns the instant at which the send threshold was set. */
+    public long sendThresholdSetAt() {
+        return sendThresholdSetAt;
     }
 
-    /** Returns the budget that has to accrue before the next send. */
-    public double draw() {
-        return draw;
+    /** Returns the budget that has to accumulate before the next send. */
+    public double sendThreshold() {
+        return sendThreshold;
     }
 
-    /** Draws the budget that has to accrue before the next send. */
-    public void setDraw(double draw, long now) {
-        this.draw = draw;
-        drawnAt = now;
+    /** Sets the budget that has to accumulate before the next send. */
+    public void setSendThreshold(double sendThreshold, long now) {
+        this.sendThreshold = sendThreshold;
+        sendThresholdSetAt = now;
     }
 
-    /** Notes a send, which uses up the draw. */
+    /** Records a send, which clears the send threshold. */
     public void recordSend(long now) {
         recentSends.add(now);
-        drawnAt = Instants.NEVER;
+        sendThresholdSetAt = Instants.NEVER;
     }
 
-    /** Returns how many sends are remembered. */
+    /** Returns the number of sends that have not been forgotten. */
     public int recentSends() {
         return recentSends.size();
     }
 
-    /** Forgets the sends that are at least so long ago. */
+    /** Forgets the sends that are at least this time span ago. */
     public void forgetSendsOlderThan(long span, long now) {
         while (!recentSends.isEmpty() && now - recentSends.peekFirst() >= span) {
             recentSends.removeFirst();
--- a/src/main/java/ottergauge/decision/ring/ConsistentHashRing.java
+++ b/src/main/java/ottergauge/decision/ring/ConsistentHashRing.java
@@ -7,13 +7,14 @@
 import java.util.function.Consumer;
 
 /**
- * A consistent-hash ring: elements in the order of a hash of their ids, each with an arc as long as
- * its size. Insertion, removal and both kinds of lookup visit a logarithmic number of elements.
+ * A consistent-hash ring. Its elements are ordered by a hash of their ids, and the arc of each
+ * element is as long as its size. Insertion, removal, lookup by id and lookup by point visit a
+ * logarithmic number of elements.
  *
- * <p>It is a treap (Seidel and Aragon, 1996) whose priorities are hashes of the ids too, and which
- * keeps the length of each subtree's arcs. The same elements make the same tree, whatever was put
- * and removed before: an arc lies at the same place, to the last bit, at all nodes that hold the
- * same elements. Not thread-safe.
+ * <p>The ring is a treap (Seidel and Aragon, 1996). Its priorities are also hashes of the ids, and
+ * each subtree stores the total length of its arcs. The same elements always form the same tree,
+ * regardless of earlier insertions and removals. All nodes with the same elements therefore compute
+ * exactly the same position for an arc, to the last bit. Not thread-safe.
  *
  * @param <E> type of the elements
  */
@@ -45,7 +46,7 @@
             return order < other.order || (order == other.order && id < other.id);
         }
 
-        /** Whether this is to stand above another node in the tree. */
+        /** Returns whether this node belongs above another node in the tree. */
         boolean outranks(Node<E> other) {
             return priority > other.priority || (priority == other.priority && id < other.id);
         }
@@ -59,17 +60,17 @@
     private int count;
     private long visits;
 
-    /** Returns how many elements there are. */
+    /** Returns the number of elements. */
     public int count() {
         return count;
     }
 
-    /** Returns how many elements all calls so far have visited: their cost as a count. */
+    /** Returns how many elements all calls so far have visited, as a measure of their cost. */
     public long visits() {
         return visits;
     }
 
-    /** Returns the element of this id; null if there is none. */
+    /** Returns the element with this id, or null if there is none. */
     public E get(long id) {
         Node<E> wanted = new Node<>(id, 0, null);
         Node<E> node = root;
@@ -80,14 +81,14 @@
         return node == null ? null : node.element;
     }
 
-    /** Adds an element, or replaces the one of this id; its size must be above 0. */
+    /** Adds an element or replaces the one with the same id. Its size must be greater than 0. */
     public void put(long id, double size, E element) {
         remove(id);
         root = insert(root, new Node<>(id, size, element));
         count++;
     }
 
-    /** Removes the element of this id, if there is one. */
+    /** Removes the element with this id, if there is one. */
     public void remove(long id) {
         if (get(id) != null) {
             root = remove(root, new Node<>(id, 0, null));
@@ -96,9 +97,9 @@
     }
 
     /**
-     * Returns the element in whose arc a point lies; null on an empty ring.
+     * Returns the element whose arc contains a point, or null if the ring is empty.
      *
-     * @param point part of the whole ring, 0 to 1
+     * @param point position of the point as a fraction of the ring's length, 0 to 1
      */
     public E at(double point) {
         Node<E> node = root;
@@ -118,7 +119,7 @@
         return null;
     }
 
-    /** Returns a new list of the first elements in the order of the ring, at most so many. */
+    /** Returns a new list of the first elements in the order of the ring, at most {@code limit}. */
     public List<E> first(int limit) {
         List<E> found = new ArrayList<>(Math.min(limit, count));
         collect(root, limit, found);
@@ -161,7 +162,10 @@
         return node;
     }
 
-    /** Makes what precedes a node its left subtree, and the other nodes its right one. */
+    /**
+     * Splits a subtree in two: nodes that precede {@code at} become its left subtree, the others
+     * its right subtree.
+     */
     private void split(Node<E> node, Node<E> at) {
         visits++;
         if (node == null) {
@@ -194,7 +198,7 @@
         return node;
     }
 
-    /** Merges two subtrees, of which the first precedes the second. */
+    /** Merges two subtrees. All nodes of the first must precede those of the second. */
     private Node<E> merge(Node<E> first, Node<E> second) {
         visits++;
         if (first == null || second == null) {
--- a/src/main/java/ottergauge/decision/selection/DeadlineFit.java
+++ b/src/main/java/ottergauge/decision/selection/DeadlineFit.java
@@ -11,16 +11,18 @@
 import ottergauge.decision.model.Server;
 
 /**
- * Judges whether a request can be expected to end at a server while its response has value. See
+ * Estimates whether a server can complete a request while its response still has value. See
  * docs/design.md, "deadline fit", "Queue bound" and "idle capacity for late responses".
  */
 public final class DeadlineFit {
 
-    // The part of the time left that a request may be expected to take.
+    // Maximum ratio of a request's expected latency to the time left until its deadline.
     private static final double MAX_TIME_RATIO = 0.75;
-    // The same where it isn't cut off at its objective but goes on at the cost of others.
+    // The same for a request whose late response has value. It isn't cut off at its latency
+    // objective but continues at the expense of other requests.
     private static final double MAX_LATE_VALUE_TIME_RATIO = 0.5;
-    // Past its capacity a server may have this multiple of its root: the square-root staffing rule.
+    // A server may hold this multiple of the square root of its capacity in addition to its
+    // capacity, after the square-root staffing rule.
     private static final double MAX_QUEUE_ROOT_MULTIPLE = 0.6;
 
     private final LoadSourceSelector loadSource;
@@ -30,7 +32,7 @@
     private final OutstandingAttempts outstanding;
     private final SlowStartBudget slowStart;
 
-    /** Creates a judge by these estimates. */
+    /** Creates a check that uses these estimates. */
     public DeadlineFit(
             LoadSourceSelector loadSource,
             ServiceTimes serviceTimes,
@@ -46,14 +48,15 @@
         this.slowStart = slowStart;
     }
 
-    /** Whether the request fits at the server now. */
+    /** Returns whether the server can be expected to complete the request in time. */
     public boolean fits(Request request, Server server, long now) {
         if (!loadSource.knowsLoad() || !serviceTimes.isKnown() || isReportWanted(now)) {
             return true;
         }
         double inFlight = loads.inFlight(server, now);
         double capacity = capacities.of(server);
-        // A late request has long to wait: queued, it would fill servers that others need in time.
+        // A request that is already late has a long deadline. If such requests queued at servers,
+        // they would take the place of requests that can still meet their latency objective.
         double queue = request.isLate() ? 0 : MAX_QUEUE_ROOT_MULTIPLE * Math.sqrt(capacity);
         if (inFlight >= capacity + queue) {
             return false;
@@ -69,7 +72,8 @@
                                 || serviceTimes.of(server, now) <= timeLeft));
     }
 
-    // With nothing outstanding no report would come, and a full fleet be taken for full for ever.
+    // Passive load reports come only with responses. Without outstanding attempts, a fleet that was
+    // last reported full would be considered full forever.
     private boolean isReportWanted(long now) {
         return loadSource.usesReports()
                 && outstanding.isEmpty()
--- a/src/main/java/ottergauge/decision/selection/ServerSelector.java
+++ b/src/main/java/ottergauge/decision/selection/ServerSelector.java
@@ -17,17 +17,21 @@
 import ottergauge.decision.request.RepeatRules;
 
 /**
- * Selects the server for a request: the next one of the weighted round-robin among those of the
- * subset that may take it and are about the least loaded. Linear in the size of the subset.
+ * Selects the server for a request: the next one of the weighted round-robin among the servers of
+ * the subset that may get the request and have about the shortest queue. The selection takes time
+ * linear in the size of the subset.
  */
 public final class ServerSelector {
 
-    // A server is skipped with more attempts of this node than this multiple of the mean, plus one.
+    // A server is skipped if it has more of this node's attempts than this multiple of the mean,
+    // plus one.
     private static final double MAX_MEAN_ATTEMPTS_MULTIPLE = 2;
-    // Reported loads that differ by less are taken for equal: no report tells as exactly.
+    // Reported queues that differ by less than this are considered equal, because reports are not
+    // more precise.
     private static final double REPORTED_QUEUE_TOLERANCE = 0.1;
     private static final double PROBED_QUEUE_TOLERANCE = 1;
-    // After this part of its objective a request takes a known server: a search uses up time.
+    // After this fraction of its latency objective a request is sent to a server of known load if
+    // there is one, because further probing would use up its time.
     private static final double MAX_SEARCH_RATIO = 0.1;
 
     private final ServerSubset subset;
@@ -41,7 +45,7 @@
     private final SlowStartBudget slowStart;
     private final DeadlineFit deadlineFit;
 
-    /** Creates a selector from the servers of a subset. */
+    /** Creates a selector for the servers of a subset. */
     public ServerSelector(
             ServerSubset subset,
             ClassWeights weights,
@@ -66,28 +70,28 @@
     }
 
     /**
-     * Selects a server and marks the candidates that it was selected from; {@link #commit(Request,
-     * Server)} makes it the picked one.
+     * Selects a server and marks the candidates that it was selected from. {@link #commit(Request,
+     * Server)} then advances the round-robin.
      *
-     * @return the server, which may have to be probed first; null if there is no candidate
+     * @return the server, which may have to be probed first, or null if there is no candidate
      */
     public Server select(Request request, long now) {
         double meanAttempts = outstanding.count() / (double) Math.max(1, subset.size());
-        boolean hasOther = false;
+        boolean hasAlternative = false;
         boolean hasFresh = false;
         for (Server server : subset.servers()) {
             boolean candidate = isCandidate(request, server, meanAttempts, now);
             server.rotation().setCandidate(candidate);
-            hasOther |= candidate && server != request.failedServer();
+            hasAlternative |= candidate && server != request.failedServer();
             hasFresh |= candidate && loads.isFresh(server, now);
         }
         boolean onlyFresh = hasFresh && isSearchOver(request, now);
-        double leastQueue = narrow(request, hasOther, onlyFresh, now);
+        double leastQueue = narrowCandidates(request, hasAlternative, onlyFresh, now);
         return pickNext(request, leastQueue, now);
     }
 
     private boolean isCandidate(Request request, Server server, double meanAttempts, long now) {
-        return isOpen(server, now)
+        return acceptsRequests(server, now)
                 && RepeatRules.mayAttempt(request, server, now)
                 && server.outstandingCount() <= MAX_MEAN_ATTEMPTS_MULTIPLE * meanAttempts + 1
                 && deadlineFit.fits(request, server, now)
@@ -96,7 +100,7 @@
                         || probeBudget.permits(request, now));
     }
 
-    private boolean isOpen(Server server, long now) {
+    private boolean acceptsRequests(Server server, long now) {
         return server.state() == EndpointState.UP
                 && !server.health().isEjected(now)
                 && !probes.isUnresponsive(server, now)
@@ -113,13 +117,15 @@
                         > MAX_SEARCH_RATIO * request.requestClass().latencyObjective();
     }
 
-    // Leaves out the server that failed the request, and perhaps those of unknown load.
-    private double narrow(Request request, boolean hasOther, boolean onlyFresh, long now) {
+    // Excludes the server that failed the request if there is another one, and servers of unknown
+    // load if onlyFresh is set.
+    private double narrowCandidates(
+            Request request, boolean hasAlternative, boolean onlyFresh, long now) {
         double leastQueue = Double.MAX_VALUE;
         for (Server server : subset.servers()) {
             boolean candidate =
                     server.rotation().isCandidate()
-                            && (server != request.failedServer() || !hasOther)
+                            && (server != request.failedServer() || !hasAlternative)
                             && (!onlyFresh || loads.isFresh(server, now));
             server.rotation().setCandidate(candidate);
             if (candidate) {
@@ -152,22 +158,24 @@
         return best;
     }
 
-    // A key's server may go one full turn early: the rotation still gives each its weight's turns.
-    // So does a warming server that has drawn, since budgets that many nodes keep are soon unused.
+    // Two kinds of servers are selected up to one round of the round-robin early, which still gives
+    // each server its share by weight. One is the server that the request's affinity key is
+    // assigned to. The other, with load probes, is a server in slow start with a send threshold:
+    // many nodes hold parts of its budget, which would otherwise soon go unused.
     private double rank(Request request, Server server, int row, long now) {
         ServerStatistics statistics = server.rotation().row(row);
-        boolean early =
-                (loadSource.usesProbes() && slowStart.hasDraw(server, now))
+        boolean preferred =
+                (loadSource.usesProbes() && slowStart.hasSendThreshold(server, now))
                         || server == request.affinityServer();
-        return statistics.nextRank() + (early ? ClassWeights.TOTAL_WEIGHT : 0);
+        return statistics.nextRank() + (preferred ? ClassWeights.TOTAL_WEIGHT : 0);
     }
 
-    /** Makes the server that was selected last for a request the picked one. */
+    /** Advances the round-robin after the request is sent to the server selected for it. */
     public void commit(Request request, Server server) {
         weights.commitPick(subset.servers(), server, weights.weightsRow(request));
     }
 
-    /** Whether the rules let any server of the subset have the request's next attempt. */
+    /** Returns whether the next attempt may be sent to any server of the subset. */
     public boolean hasPermittedServer(Request request, long now) {
         for (Server server : subset.servers()) {
             if (server.state() == EndpointState.UP
--- a/src/main/java/ottergauge/decision/selection/package-info.java
+++ b/src/main/java/ottergauge/decision/selection/package-info.java
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * The choice of a server: {@link ottergauge.decision.selection.ServerSelector} picks the next one
- * of the rotation that may take a request, {@link ottergauge.decision.selection.DeadlineFit} judges
- * where the request can be expected to end in time.
+ * The selection of a server for a request. {@link ottergauge.decision.selection.ServerSelector}
+ * selects the next server of the weighted round-robin that may get the request. {@link
+ * ottergauge.decision.selection.DeadlineFit} estimates which servers can complete it in time.
  */
 package ottergauge.decision.selection;
