--- a/src/main/java/ottergauge/resources/ChangePage.java
+++ b/src/main/java/ottergauge/resources/ChangePage.java
@@ -4,17 +4,17 @@
 import java.util.List;
 
 /**
- * A control process' response to a poll: all changes that match the subscription, after the polled
- * version.
+ * A control process' response to a poll: the changes after the polled version that match the
+ * subscription.
  *
- * @param upTo the position that the page reaches, which may be past its last change
+ * @param upTo the position that the page covers, which may be after its last change
  * @param changes the changes, in the order of their versions
- * @param unreadable the changes that a reader could not decode; never written
+ * @param unreadable the changes that the reader could not decode; not part of the message
  */
 public record ChangePage(
         LogPosition upTo, List<Change> changes, List<UnreadableChange> unreadable) {
 
-    /** A page with nothing unreadable in it. */
+    /** Creates a page without unreadable changes. */
     public ChangePage(LogPosition upTo, List<Change> changes) {
         this(upTo, changes, List.of());
     }
--- a/src/main/java/ottergauge/resources/EntryCodec.java
+++ b/src/main/java/ottergauge/resources/EntryCodec.java
@@ -8,7 +8,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Reads and writes the JSON of resources, changes and their entries. Collects all errors. */
+/**
+ * Reads and writes the JSON of resources, changes and their entries. A reader collects all errors.
+ */
 final class EntryCodec {
 
     static final String VERSION = "version";
@@ -51,7 +53,7 @@
         return entry.errors().size() == before ? value : Optional.empty();
     }
 
-    /** Reads the valid entries that a change puts; the others add errors. */
+    /** Reads the valid put entries of a change; each invalid entry adds errors. */
     static List<Change.Put> puts(FieldReader change) {
         List<Change.Put> puts = new ArrayList<>();
         List<?> entries = change.list(PUT);
--- a/src/main/java/ottergauge/resources/FieldErrors.java
+++ b/src/main/java/ottergauge/resources/FieldErrors.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Collects the errors of a message; those past {@link #MAX_ERRORS} are dropped. */
+/** Collects the errors of a message, up to {@link #MAX_ERRORS}; further errors are dropped. */
 final class FieldErrors {
 
     static final int MAX_ERRORS = 100;
--- a/src/main/java/ottergauge/resources/FieldReader.java
+++ b/src/main/java/ottergauge/resources/FieldReader.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 
 /**
- * Reads the fields of one JSON object, as {@link ottergauge.settings.JsonTree} decodes it, by type.
- * A missing field or one of the wrong type adds an error and yields a placeholder, so that all
- * errors of a message are found; a null counts as missing.
+ * Reads typed fields of one JSON object that {@link ottergauge.settings.JsonTree} decoded. A
+ * missing field or one of the wrong type adds an error and returns a placeholder, so that all
+ * errors of a message are found. A null counts as missing.
  */
 final class FieldReader {
 
@@ -35,7 +35,7 @@
         return errors;
     }
 
-    /** The path of this object in its message; empty for the message itself. */
+    /** The path of this object in its message; empty for the top-level object. */
     String path() {
         return path;
     }
@@ -121,7 +121,9 @@
         return List.of();
     }
 
-    /** Reads an element of a list, which has to be an object; empty if it is none. */
+    /**
+     * Reads an element of a list. If the element is not an object, adds an error and returns empty.
+     */
     Optional<FieldReader> element(String key, int index, Object value) {
         String elementPath = path(key) + "[" + index + "]";
         if (value instanceof Map<?, ?> object) {
@@ -136,7 +138,7 @@
         return new FieldReader(object(key), path(key), errors);
     }
 
-    /** Adds an error of a field of this object. */
+    /** Adds an error for a field of this object. */
     void error(String key, Object value, String allowed) {
         errors.add(path(key), describe(value), allowed);
     }
--- a/src/main/java/ottergauge/resources/InvalidSubmissionException.java
+++ b/src/main/java/ottergauge/resources/InvalidSubmissionException.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import ottergauge.protocol.ProtocolException;
 
-/** A submission that is well-formed JSON, but can't be accepted; carries all its errors. */
+/** Thrown for a submission that is well-formed JSON but invalid; contains all its errors. */
 public final class InvalidSubmissionException extends ProtocolException {
 
     private static final long serialVersionUID = 1L;
@@ -16,7 +16,9 @@
         this.errors = errors;
     }
 
-    /** The errors, in the order of the message; {@link FieldErrors#MAX_ERRORS} at most. */
+    /**
+     * The errors in the order of the submission's fields; at most {@link FieldErrors#MAX_ERRORS}.
+     */
     public List<FieldError> errors() {
         return errors;
     }
--- a/src/main/java/ottergauge/resources/JsonMessage.java
+++ b/src/main/java/ottergauge/resources/JsonMessage.java
@@ -17,8 +17,8 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * Reads and writes messages that are one JSON object each. Length, depth and the size of texts are
- * bounded, as messages come from outside.
+ * Reads and writes messages that are one JSON object each. The message length, nesting depth and
+ * text length are limited because messages are untrusted input.
  */
 final class JsonMessage {
 
@@ -38,16 +38,18 @@
                                     .maxNumberLength(MAX_NUMBER_CHARACTERS)
                                     .build())
                     .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
-                    // Names come from outside: interned, they would never be freed.
+                    // Field names are untrusted input, and interned names would never be freed.
                     .disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
                     .build();
 
-    /** Reads one field; the parser is at its value and has to be left at the value's end. */
+    /**
+     * Reads one field. The parser is at the start of the value and has to be at its end afterwards.
+     */
     interface FieldHandler {
         void read(String name, JsonParser in) throws IOException, ProtocolException;
     }
 
-    /** Reads one object of a list, and its index. */
+    /** Reads one object of a list. */
     interface ElementHandler {
         void read(int index, Map<String, Object> element) throws ProtocolException;
     }
@@ -91,7 +93,7 @@
         return FieldError.oneLine(String.valueOf(message), MAX_CAUSE_CHARACTERS);
     }
 
-    /** Reads a message into a tree. */
+    /** Reads a message into nested maps and lists. */
     static Map<String, Object> readTree(byte[] body, String what, int maxBytes)
             throws ProtocolException {
         Map<String, Object> tree = new LinkedHashMap<>();
@@ -99,7 +101,7 @@
         return tree;
     }
 
-    /** Reads a list of objects one by one, of {@code max} at most. */
+    /** Reads a list of at most {@code max} objects, one at a time. */
     static void readList(String name, JsonParser in, int max, ElementHandler handler)
             throws IOException, ProtocolException {
         if (in.currentToken() != JsonToken.START_ARRAY) {
@@ -117,7 +119,7 @@
         }
     }
 
-    /** Writes a message with the fields that the writer adds. */
+    /** Writes a message whose fields are written by {@code fields}. */
     static byte[] write(Writer fields) {
         return writeValue(
                 out -> {
@@ -127,7 +129,7 @@
                 });
     }
 
-    /** Writes a value alone. */
+    /** Writes a single value without an enclosing message. */
     static byte[] writeValue(Writer value) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
--- a/src/main/java/ottergauge/resources/LogPosition.java
+++ b/src/main/java/ottergauge/resources/LogPosition.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.resources;
 
-/** A version of a log. Versions of two logs can't be compared. */
+/** A version of a log. Versions of different logs can't be compared. */
 public record LogPosition(String log, long version) {}
--- a/src/main/java/ottergauge/resources/NumberText.java
+++ b/src/main/java/ottergauge/resources/NumberText.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.resources;
 
-/** Formats values as a person writes them: integers without a fraction. */
+/** Formats values for messages, integers without a fraction. */
 final class NumberText {
 
     private static final double MAX_WITHOUT_EXPONENT = 1e15;
--- a/src/main/java/ottergauge/resources/ResourceCodec.java
+++ b/src/main/java/ottergauge/resources/ResourceCodec.java
@@ -16,14 +16,16 @@
  * Reads and writes the JSON messages between nodes, control processes and operators
  * (docs/control.md).
  *
- * <p>A message that can't be read is a {@link ProtocolException} whose one-line message names the
- * field and its value; unknown fields are ignored. A single invalid change of a page, or entry of a
- * snapshot, is returned as unreadable beside the valid ones, so that a reader can reject it by
- * version and go on.
+ * <p>A message that can't be read causes a {@link ProtocolException} whose one-line message names
+ * the field and its value. Unknown fields are ignored. An invalid change of a page, or an invalid
+ * entry of a snapshot, is returned as unreadable together with the valid ones, so that the reader
+ * can reject it by its version and continue.
  */
 public final class ResourceCodec {
 
-    /** The longest page or error that is read, in bytes; a page has at least one change. */
+    /**
+     * The longest page or error response that is read, in bytes. A page has at least one change.
+     */
     public static final int MAX_PAGE_BYTES = 1 << 20;
 
     /** The longest submission that is read, in bytes. */
@@ -187,7 +189,7 @@
                 });
     }
 
-    /** Writes a value alone, as it stands in an entry, to be shared by many responses. */
+    /** Writes only the value of an entry, so that many responses can share the encoded bytes. */
     public static byte[] write(ResourceValue value) {
         return JsonMessage.writeValue(out -> ValueCodec.write(out, value));
     }
@@ -197,7 +199,7 @@
     /**
      * Reads and validates a submission.
      *
-     * @throws InvalidSubmissionException if it is JSON, with all its errors
+     * @throws InvalidSubmissionException if it is JSON but invalid; contains all its errors
      * @throws ProtocolException if it is not JSON, or too long
      */
     public static Submission readSubmission(byte[] body) throws ProtocolException {
@@ -229,12 +231,12 @@
 
     // ---- Other responses
 
-    /** Reads the position of an accepted submission. */
+    /** Reads the response to an accepted submission. */
     public static LogPosition readPosition(byte[] body) throws ProtocolException {
         return position(JsonMessage.readTree(body, "an answer", MAX_PAGE_BYTES), null);
     }
 
-    /** Writes the position of an accepted submission. */
+    /** Writes the response to an accepted submission. */
     public static byte[] write(LogPosition position) {
         return JsonMessage.write(out -> writePosition(out, position));
     }
@@ -262,7 +264,7 @@
                 });
     }
 
-    /** Reads the errors of a submission that was not accepted. */
+    /** Reads the errors of a rejected submission. */
     public static List<FieldError> readErrors(byte[] body) throws ProtocolException {
         Map<String, Object> tree = JsonMessage.readTree(body, "an answer", MAX_PAGE_BYTES);
         FieldErrors errors = new FieldErrors();
@@ -284,7 +286,7 @@
         return read;
     }
 
-    /** Writes the errors of a submission that was not accepted. */
+    /** Writes the errors of a rejected submission. */
     public static byte[] writeErrors(List<FieldError> errors) {
         return JsonMessage.write(
                 out -> {
--- a/src/main/java/ottergauge/resources/ResourceKey.java
+++ b/src/main/java/ottergauge/resources/ResourceKey.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * The identity of a resource: its kind and its name. Keys are ordered by kind, then by name, which
- * is the order of a snapshot.
+ * The identity of a resource: its kind and its name. Keys are ordered by kind, then by name.
+ * Snapshots list resources in this order.
  */
 public record ResourceKey(ResourceKind kind, String name) implements Comparable<ResourceKey> {
 
@@ -18,7 +18,10 @@
         return ORDER.compare(this, other);
     }
 
-    /** The key as {@code kind/name}, by which a snapshot names the start of its next page. */
+    /**
+     * The key as {@code kind/name}, the form in which a snapshot page names the first key of the
+     * next page.
+     */
     public String path() {
         return kind.wireName() + "/" + name;
     }
--- a/src/main/java/ottergauge/resources/ResourceValidator.java
+++ b/src/main/java/ottergauge/resources/ResourceValidator.java
@@ -21,7 +21,7 @@
     /** The most entries of one change, puts and deletes together. */
     public static final int MAX_ENTRIES = 1_000;
 
-    /** The form of the names of resources, submissions, logs, nodes and regions. */
+    /** The allowed form of the names of resources, submissions, logs, nodes and regions. */
     public static final String NAME_FORMAT = "1 to 128 characters of A-Z a-z 0-9 . _ : / -";
 
     static final int MAX_DESCRIPTION_CHARACTERS = 1_024;
@@ -45,7 +45,7 @@
 
     private ResourceValidator() {}
 
-    /** Whether a text has the form of names. */
+    /** Whether a text is a valid name. */
     public static boolean isValidName(String text) {
         return NAME.matcher(text).matches();
     }
@@ -70,7 +70,10 @@
         }
     }
 
-    /** The errors of a submission by itself; whether it fits a state is not checked here. */
+    /**
+     * The errors of a submission itself. Whether it can be applied to the current state is not
+     * checked here.
+     */
     public static List<FieldError> errors(Submission submission) {
         FieldErrors errors = new FieldErrors();
         check(submission, errors);
@@ -223,7 +226,7 @@
                                                 && point <= Character.MAX_SURROGATE));
     }
 
-    // The condition is negated so that NaN is out of range, too.
+    // The condition is negated so that NaN is also out of range.
     static void checkRange(String path, double value, double min, double max, FieldErrors errors) {
         if (!(value >= min && value <= max)) {
             errors.add(
--- a/src/main/java/ottergauge/resources/ResourceValue.java
+++ b/src/main/java/ottergauge/resources/ResourceValue.java
@@ -39,7 +39,7 @@
         }
     }
 
-    /** A tenant's limits over the whole deployment; a rate of 0 is no limit. */
+    /** A tenant's limits across the entire deployment; a rate of 0 means no limit. */
     record Tenant(double requestsPerSecond, double burst, int openRequests, double weight)
             implements ResourceValue {
         @Override
--- a/src/main/java/ottergauge/resources/SettingsValidator.java
+++ b/src/main/java/ottergauge/resources/SettingsValidator.java
@@ -8,8 +8,9 @@
 import ottergauge.settings.SettingsReader;
 
 /**
- * Validates a settings object more strictly than a node reads its own configuration file: these
- * settings reach all nodes at once, so a wrong type is an error and not a default.
+ * Validates a settings object more strictly than a node validates its own configuration file. These
+ * settings reach all nodes at once, so a value of the wrong type is an error and is not replaced
+ * with a default.
  */
 final class SettingsValidator {
 
@@ -17,7 +18,7 @@
     static final int MAX_VALUES = 20_000;
     static final int MAX_TEXT_CHARACTERS = 1_024;
 
-    /** The longest time span in settings: a week. */
+    /** The longest time span in settings: one week. */
     static final double MAX_SPAN_MS = 7 * 24 * 3_600_000.0;
 
     private static final String MILLIS_SUFFIX = "Ms";
@@ -40,7 +41,10 @@
         }
     }
 
-    /** The type of a field; {@code section} is its object, empty for the settings object. */
+    /**
+     * The type of a field. {@code section} names the object that contains it; empty for the
+     * settings object itself.
+     */
     private record TypedKey(String section, String key, ValueType type) {}
 
     private static final List<TypedKey> KEYS =
--- a/src/main/java/ottergauge/resources/SnapshotPage.java
+++ b/src/main/java/ottergauge/resources/SnapshotPage.java
@@ -5,13 +5,14 @@
 import java.util.Optional;
 
 /**
- * A page of a snapshot. The pages of one snapshot may be of different versions: they make up one
- * state only together with all changes after the first page's version, up to the newest page's.
+ * A page of a snapshot. The pages of one snapshot may be of different versions. They form a
+ * consistent state only together with all changes after the first page's version, up to the newest
+ * page's version.
  *
- * @param at the position of the state that the page was made of
+ * @param at the position of the state from which the page was read
  * @param resources the resources, in the order of their keys
- * @param next the key that the next page begins at; empty on the last page
- * @param unreadable the entries that a reader could not decode; never written
+ * @param next the key at which the next page begins; empty on the last page
+ * @param unreadable the entries that the reader could not decode; not part of the message
  */
 public record SnapshotPage(
         LogPosition at,
@@ -19,7 +20,7 @@
         Optional<ResourceKey> next,
         List<UnreadableResource> unreadable) {
 
-    /** A page with nothing unreadable in it. */
+    /** Creates a page without unreadable entries. */
     public SnapshotPage(LogPosition at, List<Resource> resources, Optional<ResourceKey> next) {
         this(at, resources, next, List.of());
     }
--- a/src/main/java/ottergauge/resources/Submission.java
+++ b/src/main/java/ottergauge/resources/Submission.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A change that is submitted and has no version yet.
+ * A submitted change, which has no version yet.
  *
- * @param id the idempotency key: the same id again is answered as before and changes nothing
+ * @param id the idempotency key: a repeated submission with the same id gets the same response and
+ *     changes nothing
  */
 public record Submission(String id, List<Change.Put> puts, List<ResourceKey> deletes) {}
--- a/src/main/java/ottergauge/resources/UnreadableChange.java
+++ b/src/main/java/ottergauge/resources/UnreadableChange.java
@@ -2,7 +2,7 @@
 package ottergauge.resources;
 
 /**
- * A change that could not be decoded past its version, so that a reader can reject it by version
- * and go on.
+ * A change of which only the version could be decoded. The reader can reject it by its version and
+ * continue.
  */
 public record UnreadableChange(long version, FieldError error) {}
--- a/src/main/java/ottergauge/resources/UnreadableResource.java
+++ b/src/main/java/ottergauge/resources/UnreadableResource.java
@@ -3,5 +3,8 @@
 
 import java.util.Optional;
 
-/** An entry of a snapshot that could not be decoded; the key is there if that could be. */
+/**
+ * An entry of a snapshot that could not be decoded; {@code key} is present if the key could be
+ * decoded.
+ */
 public record UnreadableResource(Optional<ResourceKey> key, FieldError error) {}
--- a/src/main/java/ottergauge/resources/ValueCodec.java
+++ b/src/main/java/ottergauge/resources/ValueCodec.java
@@ -60,7 +60,8 @@
         return fields.errors().size() == before ? Optional.ofNullable(value) : Optional.empty();
     }
 
-    // Types are checked first, as EndpointCodec reads a default where a field has a wrong one.
+    // Types are checked first because EndpointCodec replaces a field of the wrong type with a
+    // default.
     private static ResourceValue server(String name, FieldReader fields) {
         int before = fields.errors().size();
         String service = fields.text(SERVICE);
--- a/src/test/java/ottergauge/resources/ResourceArbitraries.java
+++ b/src/test/java/ottergauge/resources/ResourceArbitraries.java
@@ -18,7 +18,7 @@
 import ottergauge.resources.ResourceValue.Settings;
 import ottergauge.resources.ResourceValue.Tenant;
 
-/** Random resources, changes and pages that are valid. */
+/** Generates valid random resources, changes and pages. */
 public final class ResourceArbitraries {
 
     private static final int MAX_PORT = 65_535;
--- a/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
@@ -18,7 +18,8 @@
 import ottergauge.settings.SettingsReader;
 
 /**
- * What is written is read again as the same; bytes that are spoilt end in one kind of exception.
+ * Written messages are read back unchanged. Invalid bytes are either read or rejected with a {@link
+ * ProtocolException}.
  */
 class ResourceCodecPropertyTest {
 
@@ -96,30 +97,31 @@
                 ResourceCodec.write(submission), ResourceCodec::readSubmission, seed);
     }
 
-    private static void assertTruncatedIsRejected(byte[] whole, Reader reader, int seed) {
-        int length = new SplittableRandom(seed).nextInt(whole.length);
+    private static void assertTruncatedIsRejected(byte[] encoded, Reader reader, int seed) {
+        int length = new SplittableRandom(seed).nextInt(encoded.length);
         assertIsOneLine(
                 assertThrows(
-                        ProtocolException.class, () -> reader.read(Arrays.copyOf(whole, length))));
+                        ProtocolException.class,
+                        () -> reader.read(Arrays.copyOf(encoded, length))));
     }
 
     @Property(tries = 500, seed = "56")
-    void flippedBytes_areReadOrRejected(
+    void flippedBits_areReadOrRejected(
             @ForAll("changePages") ChangePage page,
             @ForAll("snapshotPages") SnapshotPage snapshot,
             @ForAll("submissions") Submission submission,
             @ForAll int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         assertReadOrRejected(
-                flipped(ResourceCodec.write(page), random), ResourceCodec::readChangePage);
+                flipBits(ResourceCodec.write(page), random), ResourceCodec::readChangePage);
         assertReadOrRejected(
-                flipped(ResourceCodec.write(snapshot), random), ResourceCodec::readSnapshotPage);
+                flipBits(ResourceCodec.write(snapshot), random), ResourceCodec::readSnapshotPage);
         assertReadOrRejected(
-                flipped(ResourceCodec.write(submission), random), ResourceCodec::readSubmission);
+                flipBits(ResourceCodec.write(submission), random), ResourceCodec::readSubmission);
     }
 
-    private static byte[] flipped(byte[] whole, SplittableRandom random) {
-        byte[] bytes = whole.clone();
+    private static byte[] flipBits(byte[] encoded, SplittableRandom random) {
+        byte[] bytes = encoded.clone();
         int flips = random.nextInt(1, 4);
         for (int i = 0; i < flips; i++) {
             bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
@@ -128,7 +130,7 @@
     }
 
     @Provide
-    Arbitrary<byte[]> garbage() {
+    Arbitrary<byte[]> invalidBytes() {
         Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(400);
         Arbitrary<String> pieces =
                 Arbitraries.of(
@@ -169,7 +171,7 @@
     }
 
     @Property(tries = 5000, seed = "57")
-    void garbage_isReadOrRejected(@ForAll("garbage") byte[] body) {
+    void invalidBytes_areReadOrRejected(@ForAll("invalidBytes") byte[] body) {
         assertReadOrRejected(body, ResourceCodec::readChangePage);
         assertReadOrRejected(body, ResourceCodec::readSnapshotPage);
         assertReadOrRejected(body, ResourceCodec::readSubmission);
@@ -178,8 +180,7 @@
         assertReadOrRejected(body, ResourceCodec::readErrors);
     }
 
-    // Any other exception fails the property. What is read can be written, and is then read as the
-    // same.
+    // Any other exception fails the property. A message that could be read can also be written.
     private static void assertReadOrRejected(byte[] body, Reader reader) {
         Object read;
         try {
--- a/src/test/java/ottergauge/resources/ResourceCodecTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecTest.java
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void valueAlone_isWrittenAsInAnEntry() {
+    void singleValue_isWrittenAsInAnEntry() {
         String page =
                 text(
                         ResourceCodec.write(
@@ -317,7 +317,7 @@
     }
 
     @Test
-    void resourceTwiceInAChange_isAnError() {
+    void duplicateResourceInAChange_isAnError() {
         String tenant = "{\"kind\":\"tenant\",\"name\":\"n\",\"value\":{}}";
         assertEquals(List.of("put[1]"), errors(tenant + "," + tenant));
         Change twice =
--- a/src/test/java/ottergauge/resources/ResourceFormatCompatibilityTest.java
+++ b/src/test/java/ottergauge/resources/ResourceFormatCompatibilityTest.java
@@ -11,9 +11,9 @@
 import ottergauge.protocol.ProtocolException;
 
 /**
- * Holds the JSON form of messages that earlier builds wrote: each sample under {@code
- * compatibility/} is read and written back byte by byte. A sample is never edited; a new form gets
- * a sample of its own.
+ * Checks that the JSON of messages stays compatible with earlier builds: each sample under {@code
+ * compatibility/} is read and then written back with identical bytes. Samples are never edited. A
+ * new form gets its own sample.
  */
 class ResourceFormatCompatibilityTest {
 
