--- a/src/main/java/ottergauge/replica/CallScheduler.java
+++ b/src/main/java/ottergauge/replica/CallScheduler.java
@@ -7,13 +7,15 @@
 import ottergauge.replica.ReplicaEffect.StartTimer;
 
 /**
- * Numbers and times the calls of a replica. Owns the one call that may be outstanding, its timeout
- * and the delay before the next one. Timers are never cancelled: a stale one is ignored by the
- * number of the call that it belongs to.
+ * Assigns numbers to the calls of a replica and schedules their timeouts. At most one call is
+ * outstanding. This class owns that call, its timeout and the delay before the next call. Timers
+ * are never cancelled: each timer carries the number of its call, so that a stale timer is ignored.
  */
 final class CallScheduler {
 
-    /** The shortest gap between two polls that brought nothing, in microseconds. */
+    /**
+     * The delay before the next poll if a response came early and without changes, in microseconds.
+     */
     static final long MIN_POLL_GAP_MICROS = 50_000;
 
     private static final long NO_CALL = 0;
@@ -36,7 +38,7 @@
     }
 
     /**
-     * Starts a call and the timer of its timeout.
+     * Starts a call and its timeout timer.
      *
      * @param waitMicros how long the control process may wait before it responds
      * @return the call's number
@@ -55,7 +57,10 @@
         effects.accept(new StartTimer(micros, new ReplicaTimer.CallTimeout(outstandingCall)));
     }
 
-    /** Ends the outstanding call if it has this number; false for a stale response. */
+    /**
+     * Marks the outstanding call as complete. Returns false if the response belongs to an older
+     * call.
+     */
     boolean complete(long call) {
         if (call != outstandingCall || call == NO_CALL) {
             return false;
@@ -72,13 +77,17 @@
         }
     }
 
-    /** Whether the call that a timeout belongs to is outstanding and out of time. */
+    /**
+     * Whether this call is still outstanding and its deadline has passed. If the timer fired late,
+     * the deadline is extended once.
+     */
     boolean hasTimedOut(long now, long call) {
         if (call != outstandingCall) {
             return false;
         }
         if (now - deadline > timeouts.responseGraceMicros() && !deadlineExtended) {
-            // The node itself was stalled: a response may be there that it has not read yet.
+            // The timer fired late, so the node itself was stalled. The response may have arrived
+            // without having been read yet.
             deadlineExtended = true;
             startTimeout(timeouts.responseGraceMicros());
             return false;
@@ -86,7 +95,10 @@
         return true;
     }
 
-    /** How long a poll for changes waits: jittered, unless its process has yet to respond. */
+    /**
+     * How long the control process may hold a poll open: a random time, or the short initial wait
+     * if the process has not responded yet.
+     */
     long drawWaitMicros(boolean responsive) {
         if (!responsive) {
             return timeouts.initialWaitMicros();
@@ -95,22 +107,25 @@
         return min + random.nextLong(timeouts.maxWaitMicros() - min + 1);
     }
 
-    /** Whether the last call ended sooner than it had been asked to wait. */
+    /** Whether the last call ended before its requested wait or the minimum poll gap was over. */
     boolean endedEarly(long now) {
         return now - startedAt < Math.max(MIN_POLL_GAP_MICROS, waitMicros);
     }
 
-    /** Makes the next call after a delay. */
+    /** Starts the timer that triggers the next call. */
     void delayNextCall(long micros) {
         effects.accept(new StartTimer(micros, new ReplicaTimer.DelayElapsed(lastCall)));
     }
 
-    /** Makes the next call after a random delay of at least half the maximum. */
+    /** Delays the next call by a random time between half of the maximum and the maximum. */
     void backOff(long maxMicros) {
         delayNextCall(maxMicros / 2 + random.nextLong(maxMicros / 2 + 1));
     }
 
-    /** Whether a delay after this call has elapsed and no later call was made. */
+    /**
+     * Whether no call is outstanding and the last call has this number, so that the next call may
+     * be made.
+     */
     boolean isNextCallDue(long afterCall) {
         return outstandingCall == NO_CALL && afterCall == lastCall;
     }
--- a/src/main/java/ottergauge/replica/ChangeBatch.java
+++ b/src/main/java/ottergauge/replica/ChangeBatch.java
@@ -14,8 +14,8 @@
 import ottergauge.resources.Subscription;
 
 /**
- * Gathers the newest value of each resource that the changes of one page touch, so that all of them
- * take effect at once, and a change that a later one reverts takes none.
+ * Collects the newest value of each resource that one page of changes modifies, so that the page
+ * takes effect as a unit. A change that a later change of the same page reverts has no effect.
  */
 final class ChangeBatch {
 
@@ -23,8 +23,8 @@
     private final Subscription subscription;
     private final ReplicaLimits limits;
 
-    /** The gathered values; empty for a resource that is deleted. */
-    private final Map<ResourceKey, Optional<Resource>> touched = new TreeMap<>();
+    /** The new value of each modified resource; empty for a deleted one. */
+    private final Map<ResourceKey, Optional<Resource>> newValues = new TreeMap<>();
 
     private int size;
     private long bytes;
@@ -37,7 +37,7 @@
         bytes = table.bytes();
     }
 
-    /** Adds a change; or returns the limit that it would exceed, and adds nothing of it. */
+    /** Adds a change. If the change would exceed a limit, adds none of it and returns the error. */
     Optional<FieldError> add(Change change) {
         int sizeBefore = size;
         long bytesBefore = bytes;
@@ -56,7 +56,7 @@
         }
         Optional<FieldError> error = limitError(sizeBefore, bytesBefore);
         if (error.isPresent()) {
-            before.forEach((key, value) -> touched.put(key, value));
+            before.forEach((key, value) -> newValues.put(key, value));
             size = sizeBefore;
             bytes = bytesBefore;
         }
@@ -67,9 +67,9 @@
             ResourceKey key,
             Optional<Resource> value,
             Map<ResourceKey, Optional<Resource>> before) {
-        Optional<Resource> old = touched.getOrDefault(key, table.get(key));
+        Optional<Resource> old = newValues.getOrDefault(key, table.get(key));
         before.putIfAbsent(key, old);
-        touched.put(key, value);
+        newValues.put(key, value);
         size += (value.isPresent() ? 1 : 0) - (old.isPresent() ? 1 : 0);
         bytes += value.map(ResourceSize::of).orElse(0L) - old.map(ResourceSize::of).orElse(0L);
     }
@@ -87,11 +87,11 @@
         return Optional.empty();
     }
 
-    /** Applies the batch to the table; returns the resources that differ by it. */
+    /** Applies the batch to the table and returns the resources whose values changed. */
     StateChange commit(LogPosition position) {
         List<Resource> puts = new ArrayList<>();
         List<Change.Delete> deletes = new ArrayList<>();
-        touched.forEach(
+        newValues.forEach(
                 (key, value) -> {
                     Optional<Resource> old = table.get(key);
                     if (value.isPresent()) {
--- a/src/main/java/ottergauge/replica/ControlEndpointSelector.java
+++ b/src/main/java/ottergauge/replica/ControlEndpointSelector.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * Selects the control process that a node calls: those of its region first, then the others, each
- * in rendezvous-hash order, so that the nodes of a lost process spread over all that remain. A
- * round visits each endpoint once.
+ * Selects the control process that a node calls: first those of its own region, then the others,
+ * each group in rendezvous-hash order. If a process fails, its nodes are thereby distributed over
+ * all remaining processes. A round visits each endpoint once.
  */
 final class ControlEndpointSelector {
 
@@ -20,10 +20,10 @@
     private static final long MIX_MULTIPLIER_2 = 0xc4ceb9fe1a85ec53L;
     private static final int MIX_SHIFT = 33;
 
-    /** All endpoints, the preferred one first. */
+    /** All endpoints; the first one is the preferred endpoint. */
     private final List<ControlEndpoint> endpoints;
 
-    /** Those that this round has yet to visit. */
+    /** The endpoints that this round has not visited yet. */
     private final Deque<ControlEndpoint> remaining = new ArrayDeque<>();
 
     private ControlEndpoint current;
@@ -52,17 +52,20 @@
         return hash ^ hash >>> MIX_SHIFT;
     }
 
-    /** The endpoint that is called now. */
+    /** The endpoint to call. */
     ControlEndpoint current() {
         return current;
     }
 
-    /** Whether the current endpoint is the first choice of this node. */
+    /** Whether the current endpoint is this node's preferred one. */
     boolean isPreferred() {
         return current.equals(endpoints.get(0));
     }
 
-    /** Goes to the next endpoint of the round; false if it has visited all. */
+    /**
+     * Moves to the next endpoint of the round. Returns false if the round has visited all
+     * endpoints.
+     */
     boolean advance() {
         if (remaining.isEmpty()) {
             return false;
@@ -96,14 +99,20 @@
         current = endpoint;
     }
 
-    /** The current endpoint responded: a round that starts when it is lost visits it last. */
+    /**
+     * Records a response from the current endpoint. If this endpoint fails later, the node tries
+     * all others before it tries this one again.
+     */
     void recordResponse() {
         failedRounds = 0;
         restartAt(current);
         remaining.addLast(current);
     }
 
-    /** Counts a round without a usable response; returns how many came directly before it. */
+    /**
+     * Counts a round without a usable response. Returns the number of consecutive failed rounds
+     * before it.
+     */
     int recordFailedRound() {
         return failedRounds++;
     }
--- a/src/main/java/ottergauge/replica/ControlSession.java
+++ b/src/main/java/ottergauge/replica/ControlSession.java
@@ -8,21 +8,27 @@
 import ottergauge.replica.ReplicaEffect.StartTimer;
 
 /**
- * The control process that a replica calls, and whether it responds. Owns the endpoint selection,
- * the fail-over to the next process and the timer of the fail-back to the preferred one.
+ * Tracks which control process a replica calls and whether that process responds. Owns the endpoint
+ * selection, the fail-over to the next process and the timer for the fail-back to the preferred
+ * one.
  */
 final class ControlSession {
 
-    /** The longest time at another process before the preferred one is tried again. */
+    /**
+     * The longest time that a replica uses another process before it tries the preferred one again.
+     */
     static final long FAIL_BACK_DELAY_MICROS = 90_000_000;
 
-    /** Where a fail-over leads. */
+    /** The result of a fail-over. */
     enum FailOver {
-        /** The next process of the round is called. */
+        /** The replica calls the next process of the round. */
         NEXT_ENDPOINT,
-        /** No process has the log that is followed: the log of another one is fetched. */
+        /**
+         * No process of the round has the replica's log. The replica fetches a snapshot of another
+         * log.
+         */
         OTHER_LOG,
-        /** All were called, and none can be used. */
+        /** The replica called all processes of the round and none of them can be used. */
         ROUND_FAILED
     }
 
@@ -30,10 +36,10 @@
     private final SplittableRandom random;
     private final Consumer<ReplicaEffect> effects;
 
-    /** The first process of this round that had another log than the one that is followed. */
+    /** The first process of this round whose log is not the replica's log. */
     private Optional<ControlEndpoint> otherLog = Optional.empty();
 
-    /** Whether the current process has responded, so that a poll there may wait long. */
+    /** Whether the current process has responded, so that a long poll can be sent to it. */
     private boolean responsive;
 
     private boolean failBackTimerRunning;
@@ -55,7 +61,7 @@
         return responsive;
     }
 
-    /** The current process sent a response that could be used: it stays the one that is called. */
+    /** Records a usable response; the replica keeps calling the current process. */
     void recordResponse() {
         responsive = true;
         otherLog = Optional.empty();
@@ -66,14 +72,17 @@
         }
     }
 
-    /** The current process has another log; a later one of the round may have the followed one. */
+    /**
+     * Records that the current process has another log. A later process of the round may still have
+     * the replica's log.
+     */
     void recordOtherLog() {
         if (otherLog.isEmpty()) {
             otherLog = Optional.of(endpoints.current());
         }
     }
 
-    /** Leaves the current process, which can't be used now. */
+    /** Moves on from the current process because it can't be used now. */
     FailOver failOver() {
         responsive = false;
         if (endpoints.advance()) {
@@ -86,7 +95,10 @@
         return FailOver.ROUND_FAILED;
     }
 
-    /** Counts a round in which no process could be used; returns how many there were before. */
+    /**
+     * Counts a round in which no process could be used. Returns the number of consecutive failed
+     * rounds before it.
+     */
     int recordFailedRound() {
         return endpoints.recordFailedRound();
     }
@@ -98,25 +110,31 @@
         }
     }
 
-    /** A snapshot is fetched from the current process, whatever its log. */
+    /** Prepares to fetch a snapshot from the current process, whichever log it has. */
     void beginSnapshot() {
         otherLog = Optional.empty();
         responsive = true;
     }
 
-    /** Whether the fail-back, whose timer has fired, has a process to go back to. */
+    /**
+     * Handles the fail-back timer. Returns whether the replica should now go back to the preferred
+     * process.
+     */
     boolean isFailBackDue() {
         failBackTimerRunning = false;
         return !endpoints.isPreferred() && responsive;
     }
 
-    /** Goes back to the preferred process; the current one is the next of its round. */
+    /**
+     * Goes back to the preferred process. If that fails, the replica tries the process that it used
+     * until now next.
+     */
     void failBack() {
         responsive = false;
         endpoints.returnToPreferred();
     }
 
-    /** Tries the fail-back again later, as a snapshot is being fetched. */
+    /** Restarts the fail-back timer, because a snapshot is being fetched. */
     void postponeFailBack() {
         startFailBackTimer(FAIL_BACK_DELAY_MICROS);
     }
--- a/src/main/java/ottergauge/replica/EffectiveState.java
+++ b/src/main/java/ottergauge/replica/EffectiveState.java
@@ -17,9 +17,9 @@
 import ottergauge.resources.Resource;
 
 /**
- * The state that the node has applied. Owns its resources, its position and the timer that paces
- * the stored copies. A page or a snapshot takes effect completely at one instant, as the
- * differences to the state before it.
+ * The state that the node has applied. Owns the resources, the log position and the timer that
+ * limits how often the state is stored. A page or a snapshot takes effect as a unit: one effect
+ * carries all differences from the previous state.
  */
 final class EffectiveState {
 
@@ -28,7 +28,7 @@
     private final Consumer<ReplicaEffect> effects;
     private ResourceTable table = new ResourceTable();
 
-    /** Empty until a first state is effective. */
+    /** Empty until the first state is applied. */
     private Optional<LogPosition> position = Optional.empty();
 
     private long rejectedVersion;
@@ -48,7 +48,7 @@
         return position;
     }
 
-    /** The effective version, if it is one of this log; otherwise 0. */
+    /** The effective version if the state is of this log; otherwise 0. */
     long versionIn(String log) {
         return position.filter(each -> each.log().equals(log)).map(LogPosition::version).orElse(0L);
     }
@@ -57,7 +57,7 @@
         return position.map(LogPosition::version).orElse(0L);
     }
 
-    /** The version of the change that was rejected last; 0 for none. */
+    /** The version of the change or snapshot page that was most recently rejected; 0 for none. */
     long rejectedVersion() {
         return rejectedVersion;
     }
@@ -101,7 +101,7 @@
         return true;
     }
 
-    /** Applies a page of changes that begins at or before the effective position. */
+    /** Applies a page of changes that starts at or before the effective position. */
     void apply(ChangePage page) {
         ChangeBatch batch = new ChangeBatch(table, config.subscription(), config.limits());
         for (ValidatedChange change : ValidatedChange.of(page, check)) {
@@ -139,7 +139,10 @@
         report(entry);
     }
 
-    /** Replaces the state by a snapshot's; a rejected resource keeps its effective value. */
+    /**
+     * Replaces the state with a snapshot. A resource whose new value was rejected keeps its
+     * effective value.
+     */
     void replaceWith(SnapshotAssembly snapshot) {
         ResourceTable next = snapshot.table();
         snapshot.rejected().forEach(key -> table.get(key).ifPresent(next::put));
@@ -203,7 +206,7 @@
         storeIfChanged();
     }
 
-    /** Emits the state to be stored, if it changed since that was last done. */
+    /** Emits an effect that stores the state, if the state changed since it was last stored. */
     void storeIfChanged() {
         if (changedSinceStored && config.storeIntervalMicros() > 0 && position.isPresent()) {
             changedSinceStored = false;
--- a/src/main/java/ottergauge/replica/PageValidator.java
+++ b/src/main/java/ottergauge/replica/PageValidator.java
@@ -11,7 +11,9 @@
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.UnreadableChange;
 
-/** Checks that the versions and keys of a page are in the order in which a log holds them. */
+/**
+ * Checks that the versions and keys of a page are in ascending order and within the page's range.
+ */
 final class PageValidator {
 
     private PageValidator() {}
@@ -45,7 +47,7 @@
     /**
      * The first error in the keys and versions of a snapshot page, if there is any.
      *
-     * @param from the key that the page was to begin at; empty for the first page
+     * @param from the key from which the page was queried; empty for the first page
      */
     static Optional<ResponseError> error(SnapshotPage page, Optional<ResourceKey> from) {
         Optional<ResourceKey> previous = Optional.empty();
--- a/src/main/java/ottergauge/replica/PollTimeouts.java
+++ b/src/main/java/ottergauge/replica/PollTimeouts.java
@@ -2,14 +2,16 @@
 package ottergauge.replica;
 
 /**
- * The waits and timeouts of calls, as parts of the propagation deadline: a change has to be
- * effective at the node that soon after a reachable control process has it. Spans are microseconds.
+ * The wait times and timeouts of calls, as fractions of the propagation deadline. Once a reachable
+ * control process has a change, the change must be effective at the node within this deadline.
+ * Times are in microseconds.
  *
- * <p>The worst case of a fail-over takes 18 + 4 + 2 * 8 of 48 parts: the called process fails as a
- * call of the longest wait begins, that is noticed after the response grace, two more processes
- * time out, and the fourth responds. A fail-back to the preferred process adds 8 parts. After an
- * outage of all processes it takes 22 + 18 parts: a call that began just before is lost, then comes
- * the longest back-off, and the next call is answered.
+ * <p>In the worst case, a fail-over takes 18 + 4 + 2 * 8 of the 48 parts. The process fails just as
+ * a call with the longest wait begins (18). The node detects the failure after the response grace
+ * (4). The calls to two more processes time out (8 each), and the fourth process responds. A
+ * fail-back to the preferred process adds 8 parts. After an outage of all processes it takes 22 +
+ * 18 parts: a call that began just before is lost, then comes the longest back-off, and the next
+ * call is answered.
  */
 record PollTimeouts(long propagationDeadlineMicros) {
 
@@ -22,39 +24,48 @@
     private static final int FIRST_BACK_OFF_PARTS = 6;
     private static final int LATER_BACK_OFF_PARTS = 18;
 
-    /** Control processes respond after this time at the latest, whatever a call asks for. */
+    /** Control processes respond within this time, even if a call requests a longer wait. */
     private static final long MAX_WAIT_MICROS = 10_000_000;
 
     private long parts(int parts) {
         return propagationDeadlineMicros * parts / PARTS;
     }
 
-    /** The longest time for which a poll may wait for a change. */
+    /** The longest time for which a control process may hold a poll open. */
     long maxWaitMicros() {
         return Math.min(MAX_WAIT_MICROS, parts(MAX_WAIT_PARTS));
     }
 
-    /** The shortest; waits are drawn between the two, so that nodes don't poll in step. */
+    /**
+     * The shortest such time. Each poll draws a random wait between the two, so that the polls of
+     * different nodes don't synchronize.
+     */
     long minWaitMicros() {
         return Math.min(MAX_WAIT_MICROS, parts(MIN_WAIT_PARTS));
     }
 
-    /** How much later than its wait a response may come. */
+    /** The time after the requested wait within which the response has to arrive. */
     long responseGraceMicros() {
         return parts(RESPONSE_GRACE_PARTS);
     }
 
-    /** The wait of the first poll of a process: its response shows that the process is alive. */
+    /**
+     * The wait of the first poll that is sent to a process. It is short because the response shows
+     * that the process is alive.
+     */
     long initialWaitMicros() {
         return parts(INITIAL_WAIT_PARTS);
     }
 
-    /** The timeout of that poll, its connection included. */
+    /** The timeout of the first poll that is sent to a process, connection setup included. */
     long initialTimeoutMicros() {
         return parts(INITIAL_TIMEOUT_PARTS);
     }
 
-    /** The longest back-off after a failed round, by how many failed directly before it. */
+    /**
+     * The longest back-off after a failed round, given the number of consecutive failed rounds
+     * before it.
+     */
     long maxBackOffMicros(int failedBefore) {
         return parts(failedBefore == 0 ? FIRST_BACK_OFF_PARTS : LATER_BACK_OFF_PARTS);
     }
--- a/src/main/java/ottergauge/replica/Replica.java
+++ b/src/main/java/ottergauge/replica/Replica.java
@@ -17,31 +17,33 @@
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * Replicates the state of a group of control processes: polls one of them for changes, one call at
- * a time, fails over to the next when it is lost, resumes by the position reached, and fetches a
- * snapshot only where no process can continue from there.
+ * Replicates the state of a group of control processes. Polls one of them for changes, one call at
+ * a time. If that process fails, the replica fails over to the next one and resumes from the
+ * position that it has reached. It fetches a snapshot only if it has no complete state, if the
+ * process that it calls no longer has the changes after its position, or if no process has its log.
  *
- * <p>Within one log the version never goes back: a process that has not reached the node's version
- * is passed over. Another log is fetched once no reachable process has the one that is followed.
+ * <p>Within one log, the version never decreases: the replica skips a process that has not reached
+ * the node's version. It switches to another log only after no reachable process has the current
+ * one.
  *
- * <p>A state machine without I/O: it takes events and emits effects, in order, to the consumer it
- * was built with. Not thread-safe; instants and spans are microseconds.
+ * <p>A state machine without I/O: it handles events and emits effects, in order, to the consumer
+ * that was passed to its constructor. Not thread-safe. All times are in microseconds.
  */
 public final class Replica {
 
-    /** Bytes of changes in one response, unless a single change has more. */
+    /** The maximum bytes of changes in one response, unless the first change alone is larger. */
     static final int MAX_CHANGES_BYTES = 64 * 1024;
 
-    /** The longest back-off before a state is fetched again that was too large. */
+    /** The longest back-off before the replica fetches a state again that was too large. */
     static final long TOO_LARGE_BACKOFF_MICROS = 60_000_000;
 
-    /** What the next call is for. */
+    /** The purpose of the next call. */
     private enum Phase {
-        /** Polls for changes after the effective state's position. */
+        /** Polls for the changes after the position of the effective state. */
         FOLLOWING,
         /** Fetches the pages of a snapshot. */
         FETCHING_SNAPSHOT,
-        /** Polls for the changes between the snapshot's first page and its newest. */
+        /** Polls for the changes between the versions of the snapshot's first and newest pages. */
         CATCHING_UP
     }
 
@@ -59,11 +61,11 @@
     private boolean stopped;
 
     /**
-     * Builds a replica that is started by {@link #start}.
+     * Creates a replica; {@link #start} starts it.
      *
      * @param seed seeds the jitter of waits and back-offs
-     * @param check why the node can't apply a change; empty if it can
-     * @param effects takes the effects, in the order in which they are to be carried out
+     * @param check returns why the node can't apply a change; empty if it can
+     * @param effects receives the effects in the order in which they have to be carried out
      */
     public Replica(
             ReplicaConfig config,
@@ -86,7 +88,7 @@
         snapshot = new SnapshotFetch(config, check);
     }
 
-    /** Starts with the state that the node's last process stored, if there is one. */
+    /** Starts from the state that the node's previous process stored, if there is one. */
     public void start(long now, Optional<StoredState> stored) {
         confirmedAt = now;
         boolean resumes = stored.isPresent() && state.restore(stored.get());
@@ -124,7 +126,7 @@
         }
     }
 
-    /** The replica's position, its age and its size. */
+    /** The position, age and size of the effective state. */
     public ReplicaMetrics metrics(long now) {
         return new ReplicaMetrics(
                 state.position().orElse(new LogPosition("", 0)),
@@ -197,7 +199,9 @@
                                 state.rejectedVersion())));
     }
 
-    /** The position that changes are polled from: the effective state's or the snapshot's. */
+    /**
+     * The position after which to poll for changes: that of the effective state or of the snapshot.
+     */
     private Optional<LogPosition> polledPosition() {
         return phase == Phase.FOLLOWING ? state.position() : snapshot.position();
     }
@@ -220,7 +224,8 @@
         }
     }
 
-    // The position is polled from the preferred process at once; a snapshot is finished first.
+    // Polls the preferred process at once. If a snapshot is being fetched, the fail-back is
+    // postponed until that is complete.
     private void failBackDue(long now) {
         if (!session.isFailBackDue()) {
             return;
@@ -292,7 +297,7 @@
         }
     }
 
-    // A process that responds early without news is not polled again at once.
+    // Delays the next poll if the process responded early and without changes.
     private void pollAgain(long now, LogPosition polled, ChangePage page) {
         boolean advanced = page.upTo().version() > polled.version();
         if (!advanced && calls.endedEarly(now)) {
@@ -316,7 +321,7 @@
 
     // ---- Snapshots
 
-    // A snapshot that follows on one that led to nothing is backed off.
+    // Delays a snapshot if no page of changes was applied since the previous snapshot was started.
     private void startSnapshot(long now) {
         phase = Phase.FETCHING_SNAPSHOT;
         session.beginSnapshot();
@@ -371,7 +376,7 @@
         call(now);
     }
 
-    // The state would be as large a moment later: it is not fetched again at once.
+    // The state would still be too large if it was fetched again at once, so the replica backs off.
     private void abandonSnapshot(SnapshotAssembly assembly) {
         report(new ReplicaReport.StateTooLarge(assembly.size(), assembly.bytes(), config.limits()));
         snapshot.discard();
--- a/src/main/java/ottergauge/replica/ReplicaConfig.java
+++ b/src/main/java/ottergauge/replica/ReplicaConfig.java
@@ -9,11 +9,11 @@
  *
  * @param node the node's name
  * @param region the region whose control processes are preferred
- * @param endpoints all control processes, one at least
+ * @param endpoints all control processes; at least one
  * @param subscription the resources that the node replicates
- * @param propagationDeadlineMicros how soon a change has to be effective at the node
+ * @param propagationDeadlineMicros the time within which a change has to be effective at the node
  * @param snapshotBytesPerSecond the rate at which the pages of a snapshot are fetched
- * @param storeIntervalMicros the shortest time between two stored states; 0 stores none
+ * @param storeIntervalMicros the minimum time between two stored states; 0 disables storing
  * @param limits the largest state that is applied
  */
 public record ReplicaConfig(
--- a/src/main/java/ottergauge/replica/ReplicaEffect.java
+++ b/src/main/java/ottergauge/replica/ReplicaEffect.java
@@ -19,12 +19,12 @@
     /** Starts a timer that fires after a delay in microseconds; timers are never cancelled. */
     record StartTimer(long delayMicros, ReplicaTimer timer) implements ReplicaEffect {}
 
-    /** Makes a changed state effective at this instant. */
+    /** Applies a changed state immediately. */
     record ApplyState(StateChange change) implements ReplicaEffect {}
 
     /** Stores a state for the node's next process. */
     record StoreState(StoredState state) implements ReplicaEffect {}
 
-    /** Reports something to the operators. */
+    /** Writes a report to the operators' log. */
     record Report(ReplicaReport report) implements ReplicaEffect {}
 }
--- a/src/main/java/ottergauge/replica/ReplicaLimits.java
+++ b/src/main/java/ottergauge/replica/ReplicaLimits.java
@@ -5,7 +5,7 @@
  * The largest state that a replica applies.
  *
  * @param maxResources the number of resources
- * @param maxBytes their size in memory, as {@link ResourceSize} estimates it
+ * @param maxBytes their size in memory as estimated by {@link ResourceSize}
  */
 public record ReplicaLimits(int maxResources, long maxBytes) {
 
--- a/src/main/java/ottergauge/replica/ReplicaMetrics.java
+++ b/src/main/java/ottergauge/replica/ReplicaMetrics.java
@@ -6,8 +6,9 @@
 /**
  * The metrics of a replica.
  *
- * @param position the effective position; version 0 of an unnamed log before a first state
- * @param rejectedVersion the version that was rejected last; 0 for none
+ * @param position the effective position; before the first state, version 0 of a log with an empty
+ *     name
+ * @param rejectedVersion the version that was most recently rejected; 0 for none
  * @param ageMicros the time since a control process last confirmed the state
  * @param resources the number of effective resources
  * @param bytes their estimated size in memory
--- a/src/main/java/ottergauge/replica/ReplicaReport.java
+++ b/src/main/java/ottergauge/replica/ReplicaReport.java
@@ -7,10 +7,13 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceKey;
 
-/** Something for the operators' log; {@link Object#toString} gives one line. */
+/** An entry of the operators' log; {@link Object#toString} returns it as one line. */
 public sealed interface ReplicaReport {
 
-    /** A change was rejected completely: what it touches keeps its effective value. */
+    /**
+     * A change was rejected completely. The resources that it would modify keep their effective
+     * values.
+     */
     record ChangeRejected(long version, FieldError error) implements ReplicaReport {
         @Override
         public String toString() {
@@ -18,7 +21,10 @@
         }
     }
 
-    /** An entry of a snapshot or of a stored state was rejected; it keeps its effective value. */
+    /**
+     * An entry of a snapshot or of a stored state was rejected. The resource keeps its effective
+     * value.
+     */
     record ResourceRejected(Optional<ResourceKey> key, FieldError error) implements ReplicaReport {
         @Override
         public String toString() {
@@ -28,7 +34,7 @@
         }
     }
 
-    /** A snapshot exceeds the limits: the effective state stays. */
+    /** A snapshot exceeds the limits. The effective state is kept. */
     record StateTooLarge(int resources, long bytes, ReplicaLimits limits) implements ReplicaReport {
         @Override
         public String toString() {
@@ -43,7 +49,7 @@
         }
     }
 
-    /** A response was rejected, and the next control process is called. */
+    /** A response was rejected. The replica calls the next control process. */
     record ResponseRejected(Address endpoint, ResponseError reason) implements ReplicaReport {
         @Override
         public String toString() {
@@ -51,7 +57,7 @@
         }
     }
 
-    /** A call had no response in time. */
+    /** No response to a call arrived before its timeout. */
     record CallTimedOut(Address endpoint) implements ReplicaReport {
         @Override
         public String toString() {
@@ -59,7 +65,7 @@
         }
     }
 
-    /** A snapshot is fetched instead of changes. */
+    /** The replica starts to fetch a snapshot because it can't continue with changes. */
     record SnapshotStarted(Address endpoint) implements ReplicaReport {
         @Override
         public String toString() {
@@ -67,7 +73,7 @@
         }
     }
 
-    /** A state became effective. */
+    /** A new state became effective. */
     record StateEffective(LogPosition position, int puts, int deletes) implements ReplicaReport {
         @Override
         public String toString() {
--- a/src/main/java/ottergauge/replica/ReplicaTimer.java
+++ b/src/main/java/ottergauge/replica/ReplicaTimer.java
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.replica;
 
-/** A timer of a replica. A stale one is ignored by the number of its call. */
+/** A timer of a replica. The number of its call identifies a stale timer, which is ignored. */
 public sealed interface ReplicaTimer {
 
-    /** A call has had no response in time. */
+    /** The timeout of a call. */
     record CallTimeout(long call) implements ReplicaTimer {}
 
-    /** The delay before the call that follows this one is over. */
+    /** The delay between this call and the next one is over. */
     record DelayElapsed(long afterCall) implements ReplicaTimer {}
 
-    /** The node may go back to its preferred control process. */
+    /** The replica may go back to its preferred control process. */
     record FailBackDue() implements ReplicaTimer {}
 
     /** The effective state may be stored again. */
--- a/src/main/java/ottergauge/replica/ResourceSize.java
+++ b/src/main/java/ottergauge/replica/ResourceSize.java
@@ -9,11 +9,11 @@
 
 /**
  * Estimates the bytes that a resource takes in memory, its entry in a {@link ResourceTable}
- * included. The estimate errs on the high side.
+ * included. The estimate is rather too high than too low.
  */
 final class ResourceSize {
 
-    /** Resource, key, value, version and map entry. */
+    /** The resource, key, value, version and map entry. */
     private static final int RESOURCE_BYTES = 200;
 
     private static final int ENDPOINT_BYTES = 104;
--- a/src/main/java/ottergauge/replica/ResponseError.java
+++ b/src/main/java/ottergauge/replica/ResponseError.java
@@ -3,10 +3,13 @@
 
 import ottergauge.resources.ResourceKey;
 
-/** Why a response can't be what a log holds; {@link Object#toString} gives a phrase for a log. */
+/**
+ * Why a response is not a valid part of a log; {@link Object#toString} returns a phrase for a log
+ * line.
+ */
 public sealed interface ResponseError {
 
-    /** The process has reached this version only, and the node has a newer one. */
+    /** The control process has only reached this version, which is older than the node's. */
     record StaleVersion(long version, long known) implements ResponseError {
         @Override
         public String toString() {
@@ -14,7 +17,7 @@
         }
     }
 
-    /** A change doesn't follow the one before it. */
+    /** The version of a change is not higher than that of the previous change. */
     record ChangeOutOfOrder(long version) implements ResponseError {
         @Override
         public String toString() {
@@ -22,7 +25,7 @@
         }
     }
 
-    /** A page has a change past the version that it says it reaches. */
+    /** A change is newer than the version that its page claims to reach. */
     record ChangePastPage(long version, long upTo) implements ResponseError {
         @Override
         public String toString() {
@@ -30,7 +33,10 @@
         }
     }
 
-    /** An entry of a snapshot doesn't follow the one before it, or the key that was queried. */
+    /**
+     * The key of a snapshot entry is not after that of the previous entry, or is before the queried
+     * key.
+     */
     record ResourceOutOfOrder(ResourceKey key) implements ResponseError {
         @Override
         public String toString() {
@@ -46,7 +52,7 @@
         }
     }
 
-    /** The next page of a snapshot would not lie behind this one. */
+    /** The key of the next snapshot page is not after the entries of this page. */
     record NextPageOutOfOrder(ResourceKey next) implements ResponseError {
         @Override
         public String toString() {
--- a/src/main/java/ottergauge/replica/SnapshotAssembly.java
+++ b/src/main/java/ottergauge/replica/SnapshotAssembly.java
@@ -20,12 +20,12 @@
 import ottergauge.resources.UnreadableResource;
 
 /**
- * A state that is assembled from the pages of a snapshot, which may be of different versions, and
- * from the changes after the first page's version, in order.
+ * Assembles a state from the pages of a snapshot and from the changes after the first page's
+ * version, in order. The pages may be of different versions.
  *
- * <p>A change that is older than its resource's page sets the resource back until the changes that
- * led to the page's value are in. The state is therefore consistent once the changes are in up to
- * the newest page's version ({@link #isComplete}).
+ * <p>A change that is older than the page of its resource temporarily reverts the resource to an
+ * older value. Later changes restore the value of the page. The state is therefore consistent once
+ * all changes up to the newest page's version have been applied ({@link #isComplete}).
  */
 final class SnapshotAssembly {
 
@@ -34,10 +34,13 @@
     private final String log;
     private final ResourceTable table = new ResourceTable();
 
-    /** The version of each resource whose value was rejected; the effective value is kept. */
+    /**
+     * The version of each resource whose value was rejected. Such a resource keeps its effective
+     * value.
+     */
     private final Map<ResourceKey, Long> rejected = new TreeMap<>();
 
-    /** All changes are in up to this version; the first page's until changes are applied. */
+    /** All changes up to this version are included. Initially the version of the first page. */
     private long reached;
 
     private long newestPage;
@@ -56,32 +59,32 @@
         newestPage = first.version();
     }
 
-    /** The position up to which all changes are in. */
+    /** The position up to which all changes are included. */
     LogPosition reached() {
         return new LogPosition(log, reached);
     }
 
-    /** The version that every later page has at least. */
+    /** The minimum version of every later page. */
     long firstVersion() {
         return reached;
     }
 
-    /** The key that the next page begins at; empty before the first page and after the last. */
+    /** The key at which the next page begins; empty before the first page and after the last. */
     Optional<ResourceKey> next() {
         return next;
     }
 
-    /** Whether all pages are in. */
+    /** Whether all pages have been added. */
     boolean hasAllPages() {
         return allPages;
     }
 
-    /** Whether the state is that of a single version. */
+    /** Whether the state is consistent, that is, the state of a single version. */
     boolean isComplete() {
         return allPages && reached >= newestPage;
     }
 
-    /** How many resources it has, those with a rejected value included. */
+    /** The number of resources, including those with a rejected value. */
     int size() {
         return table.size() + rejected.size();
     }
@@ -99,7 +102,7 @@
         return rejected.keySet();
     }
 
-    /** Adds the page that begins at {@link #next}; returns the entries that were rejected. */
+    /** Adds the page that begins at {@link #next} and returns its rejected entries. */
     List<ReplicaReport.ResourceRejected> add(SnapshotPage page) {
         newestPage = Math.max(newestPage, page.at().version());
         next = page.next();
@@ -111,7 +114,7 @@
             }
         }
         for (UnreadableResource entry : page.unreadable()) {
-            // Its own version can't be read, but it is no newer than the page.
+            // The version of the entry can't be read, but it is not newer than the page.
             entry.key().ifPresent(key -> rejected.put(key, page.at().version()));
             reports.add(new ReplicaReport.ResourceRejected(entry.key(), entry.error()));
         }
@@ -130,8 +133,8 @@
     }
 
     /**
-     * Applies the changes up to a version. What an invalid change put is removed again from pages
-     * that have it.
+     * Applies the changes up to a version. Values that an invalid change put are removed, since a
+     * page may already have contained them.
      */
     void apply(List<ValidatedChange> changes, long upTo) {
         Set<Long> invalidVersions = new HashSet<>();
--- a/src/main/java/ottergauge/replica/SnapshotFetch.java
+++ b/src/main/java/ottergauge/replica/SnapshotFetch.java
@@ -10,12 +10,15 @@
 import ottergauge.resources.SnapshotPage;
 
 /**
- * The snapshot that a replica fetches page by page. Owns the state that is being assembled, the
- * page timeout and the count of snapshots since changes could last be followed.
+ * Fetches a snapshot page by page. Owns the state that is being assembled, the page timeout and the
+ * number of snapshots that were started since the replica last applied a page of changes.
  */
 final class SnapshotFetch {
 
-    /** Control processes pace the pages of all nodes together: a response may take seconds. */
+    /**
+     * Control processes limit the rate of pages for all nodes together, so a response may take
+     * seconds.
+     */
     static final long PAGE_TIMEOUT_MICROS = 6_000_000;
 
     static final int MAX_TIMEOUT_DOUBLINGS = 2;
@@ -27,7 +30,7 @@
     private final ReplicaConfig config;
     private final Function<Change, Optional<FieldError>> check;
 
-    /** Empty until the first page is in. */
+    /** Empty until the first page has been added. */
     private Optional<SnapshotAssembly> assembly = Optional.empty();
 
     private int consecutiveStarts;
@@ -38,13 +41,16 @@
         this.check = check;
     }
 
-    /** Starts from the first page; returns how many snapshots in a row this makes. */
+    /** Starts again from the first page. Returns the number of snapshots started in a row. */
     int restart() {
         discard();
         return ++consecutiveStarts;
     }
 
-    /** Changes can be followed again: the next snapshot needs no back-off. */
+    /**
+     * Records that a page of changes was received, so that the next snapshot starts without
+     * back-off.
+     */
     void recordFollowed() {
         consecutiveStarts = 0;
     }
@@ -76,7 +82,7 @@
                 Math.max(MIN_PAGE_BYTES, Math.min(MAX_PAGE_BYTES, config.snapshotBytesPerSecond()));
     }
 
-    /** The delay after a page of so many bytes that keeps to the configured rate. */
+    /** The delay after a page of this size that keeps the fetch within the configured rate. */
     long pacingDelayMicros(long bytes) {
         return bytes * MICROS_PER_SECOND / config.snapshotBytesPerSecond();
     }
@@ -85,12 +91,15 @@
         return assembly;
     }
 
-    /** The position up to which the assembled state has all changes; empty before a first page. */
+    /**
+     * The position up to which the assembled state includes all changes; empty before the first
+     * page.
+     */
     Optional<LogPosition> position() {
         return assembly.map(SnapshotAssembly::reached);
     }
 
-    /** Adds the page that was queried; returns the entries that were rejected. */
+    /** Adds the queried page and returns its rejected entries. */
     List<ReplicaReport.ResourceRejected> add(SnapshotPage page) {
         if (assembly.isEmpty()) {
             assembly = Optional.of(new SnapshotAssembly(page.at(), config.subscription(), check));
--- a/src/main/java/ottergauge/replica/SnapshotQuery.java
+++ b/src/main/java/ottergauge/replica/SnapshotQuery.java
@@ -8,9 +8,9 @@
 /**
  * A query for one page of a snapshot.
  *
- * @param log the log that the first page was of; empty for the first page
- * @param from the key that the page begins at; empty for the first page
- * @param maxBytes the size of the page
+ * @param log the log of the first page; empty for the first page
+ * @param from the key at which the page begins; empty for the first page
+ * @param maxBytes the maximum size of the page
  * @param subscription the resources that the node replicates
  * @param node the node's name
  */
--- a/src/main/java/ottergauge/replica/StoredState.java
+++ b/src/main/java/ottergauge/replica/StoredState.java
@@ -7,10 +7,10 @@
 import ottergauge.resources.Subscription;
 
 /**
- * An effective state, stored for the node's next process.
+ * An effective state that is stored for the node's next process.
  *
  * @param position the position of the state
- * @param subscription the subscription that it was replicated by
+ * @param subscription the subscription with which it was replicated
  * @param resources all resources, in the order of the keys
  */
 public record StoredState(
--- a/src/main/java/ottergauge/replica/ValidatedChange.java
+++ b/src/main/java/ottergauge/replica/ValidatedChange.java
@@ -11,7 +11,7 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.UnreadableChange;
 
-/** A change of a page after its validation. */
+/** A change of a page, with the result of its validation. */
 sealed interface ValidatedChange {
 
     long version();
--- a/src/test/java/ottergauge/replica/ControlEndpointSelectorTest.java
+++ b/src/test/java/ottergauge/replica/ControlEndpointSelectorTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void nodes_spreadOverTheirRegionAndOverAllOthersWhenItsProcessIsLost() {
+    void nodes_areDistributedOverTheirRegionAndOverAllOthersIfItsProcessFails() {
         Map<ControlEndpoint, Integer> firsts = new HashMap<>();
         Map<ControlEndpoint, Integer> seconds = new HashMap<>();
         for (int i = 0; i < NODES; i++) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void round_visitsEachOnceAndTheOneThatRespondedLast() {
+    void round_visitsEachOnceAndTheRespondingOneLast() {
         ControlEndpointSelector selector =
                 new ControlEndpointSelector("n", "a", addresses("a", "b", "c", "d"));
         selector.advance();
--- a/src/test/java/ottergauge/replica/EffectiveStateChecker.java
+++ b/src/test/java/ottergauge/replica/EffectiveStateChecker.java
@@ -16,42 +16,43 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Subscription;
 
-/** Follows the state changes of a replica and checks each state against the logs. */
+/** Applies the state changes of a replica and checks each resulting state against the logs. */
 final class EffectiveStateChecker {
 
     private final Map<String, ModelLog> logs;
     private final Subscription subscription;
     private final boolean exact;
     private final boolean restoresOther;
-    private final List<String> journal;
+    private final List<String> eventLog;
     private Map<ResourceKey, Resource> state;
     private LogPosition position;
 
     /**
-     * A checker with no state yet.
+     * Creates a checker without a state.
      *
-     * @param exact whether each state equals the log's, as no change of it is rejected
-     * @param restoresOther whether the stored state is of another subscription or an unknown log
-     * @param journal what happened before, for the messages of failures
+     * @param exact whether each state has to equal the state of the log, because no change is
+     *     rejected
+     * @param restoresOther whether the stored state has another subscription or an unknown log
+     * @param journal the events so far, for failure messages
      */
     EffectiveStateChecker(
             Map<String, ModelLog> logs,
             Subscription subscription,
             boolean exact,
             boolean restoresOther,
-            List<String> journal) {
+            List<String> eventLog) {
         this.logs = logs;
         this.subscription = subscription;
         this.exact = exact;
         this.restoresOther = restoresOther;
-        this.journal = journal;
+        this.eventLog = eventLog;
     }
 
     Map<ResourceKey, Resource> state() {
         return state;
     }
 
-    /** Applies a change, which has to lead to a state that the log has had. */
+    /** Applies a change, and checks that the resulting state is one of the states of the log. */
     void apply(StateChange change) {
         if (change.full()) {
             assertEquals(null, state, "a full state comes first and never again");
@@ -61,7 +62,7 @@
         assertFalse(
                 !change.full() && change.puts().isEmpty() && change.deletes().isEmpty(),
                 "an empty change");
-        assertGoesForward(change.position());
+        assertVersionDoesNotDecrease(change.position());
         for (Resource resource : change.puts()) {
             Resource before = state.put(resource.key(), resource);
             assertNotEquals(
@@ -77,14 +78,15 @@
                             logs.get(position.log())
                                     .stateAt(position.version(), subscription, false)),
                     values(state),
-                    "not the state of " + position + ": " + journal);
+                    "not the state of " + position + ": " + eventLog);
         }
         assertTrue(
-                state.values().stream().noneMatch(each -> ModelChanges.isBad(each.value())),
+                state.values().stream()
+                        .noneMatch(each -> ModelChanges.hasInvalidWeight(each.value())),
                 "a rejected value is effective");
     }
 
-    private void assertGoesForward(LogPosition next) {
+    private void assertVersionDoesNotDecrease(LogPosition next) {
         assertTrue(logs.containsKey(next.log()) || restoresOther, "unknown log");
         if (position != null && position.log().equals(next.log())) {
             assertTrue(next.version() >= position.version(), "goes back to " + next);
--- a/src/test/java/ottergauge/replica/ModelChanges.java
+++ b/src/test/java/ottergauge/replica/ModelChanges.java
@@ -17,23 +17,27 @@
 import ottergauge.resources.ResourceValue;
 
 /**
- * Draws changes of few resources, so that they often touch the same ones, and take each other back.
+ * Generates random changes of a small number of resources, so that changes often modify the same
+ * resources and revert each other.
  */
 final class ModelChanges {
 
-    private static final int NAMES = 4;
-    private static final int VALUES = 3;
+    private static final int NAME_COUNT = 4;
+    private static final int VALUE_COUNT = 3;
     private static final int MAX_ENTRIES = 4;
 
-    /** One in so many changes deletes what it touches. */
-    private static final int DELETES = 3;
+    /** One in this many entries deletes its resource, if the resource exists. */
+    private static final int DELETE_ONE_IN = 3;
 
-    private static final double BAD_WEIGHT = -1;
+    private static final double INVALID_WEIGHT = -1;
 
     private ModelChanges() {}
 
-    /** Appends a change to a log; {@code bad} gives it an invalid value. */
-    static void append(ModelLog log, SplittableRandom random, boolean bad) {
+    /**
+     * Appends a change to a log. With {@code withInvalidValue}, the change contains an invalid
+     * value.
+     */
+    static void append(ModelLog log, SplittableRandom random, boolean withInvalidValue) {
         Map<ResourceKey, Resource> state = log.stateAt(log.version(), false);
         Map<ResourceKey, Change.Put> puts = new TreeMap<>();
         List<Change.Delete> deletes = new ArrayList<>();
@@ -41,27 +45,28 @@
         for (int i = 0; i < entries; i++) {
             ResourceKey key = key(random);
             Resource now = state.remove(key);
-            if (now != null && random.nextInt(DELETES) == 0) {
+            if (now != null && random.nextInt(DELETE_ONE_IN) == 0) {
                 deletes.add(new Change.Delete(key, now.value().service()));
             } else if (deletes.stream().noneMatch(each -> each.key().equals(key))) {
                 puts.put(key, new Change.Put(key, value(key, random)));
             }
         }
-        if (bad) {
-            ResourceKey key = new ResourceKey(ResourceKind.TENANT, "t-" + random.nextInt(NAMES));
+        if (withInvalidValue) {
+            ResourceKey key =
+                    new ResourceKey(ResourceKind.TENANT, "t-" + random.nextInt(NAME_COUNT));
             deletes.removeIf(each -> each.key().equals(key));
-            puts.put(key, new Change.Put(key, new ResourceValue.Tenant(0, 0, 0, BAD_WEIGHT)));
+            puts.put(key, new Change.Put(key, new ResourceValue.Tenant(0, 0, 0, INVALID_WEIGHT)));
         }
         log.append(List.copyOf(puts.values()), deletes);
     }
 
-    /** Whether a value is invalid. */
-    static boolean isBad(ResourceValue value) {
-        return value instanceof ResourceValue.Tenant tenant && tenant.weight() == BAD_WEIGHT;
+    /** Whether a value is one of the invalid values that this class generates. */
+    static boolean hasInvalidWeight(ResourceValue value) {
+        return value instanceof ResourceValue.Tenant tenant && tenant.weight() == INVALID_WEIGHT;
     }
 
     private static ResourceKey key(SplittableRandom random) {
-        int name = random.nextInt(NAMES);
+        int name = random.nextInt(NAME_COUNT);
         return switch (random.nextInt(5)) {
             case 0 -> new ResourceKey(ResourceKind.SERVICE, service(name));
             case 1 -> new ResourceKey(ResourceKind.SERVER, "s-" + name);
@@ -71,13 +76,13 @@
         };
     }
 
-    // A server or a route belongs to a service for good.
+    // A server or a route always belongs to the same service.
     private static String service(int name) {
         return name % 2 == 0 ? "even" : "odd";
     }
 
     private static ResourceValue value(ResourceKey key, SplittableRandom random) {
-        int value = random.nextInt(VALUES);
+        int value = random.nextInt(VALUE_COUNT);
         String service = service(key.name().charAt(key.name().length() - 1));
         return switch (key.kind()) {
             case SERVICE -> new ResourceValue.Service("description " + value);
--- a/src/test/java/ottergauge/replica/ModelControlProcess.java
+++ b/src/test/java/ottergauge/replica/ModelControlProcess.java
@@ -13,26 +13,32 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
-/** A control process in simulated time: its part of a log, its faults and its responses. */
+/**
+ * A model of a control process in simulated time: the part of a log that it has, its faults and its
+ * responses.
+ */
 final class ModelControlProcess {
 
     /** The faults of a process. */
     enum FaultKind {
-        /** Messages to and from it are lost. */
+        /** Messages to and from the process are lost. */
         SILENT,
-        /** It does not run: calls fail at once. */
+        /** The process does not run, so calls fail at once. */
         KILLED,
-        /** Silent, and it receives no changes. */
+        /** Messages to and from the process are lost, and it receives no changes. */
         CUT_OFF,
-        /** It responds, and receives no changes. */
+        /** The process responds, but receives no changes. */
         LAGGING,
-        /** Its responses are slow. */
+        /** The responses of the process are slow. */
         SLOW,
-        /** Its responses are out of order, replayed or older than before. */
+        /**
+         * The responses of the process are out of order, duplicated, of an older version or of an
+         * unknown log.
+         */
         CORRUPT
     }
 
-    /** A fault of a process, from an instant until another. */
+    /** A fault of a process and the period in which it occurs. */
     record FaultWindow(int process, FaultKind fault, long from, long until) {}
 
     static final int MAX_CHANGES = 3;
@@ -62,7 +68,7 @@
         return log;
     }
 
-    void learn(ModelLog of, long version) {
+    void receiveChanges(ModelLog of, long version) {
         if (of != log) {
             log = of;
             reached = 0;
@@ -74,7 +80,7 @@
         return Math.max(1, reached - retained + 1);
     }
 
-    /** The response if it can't serve the changes after a position. */
+    /** The response if the process can't serve the changes after a position; empty if it can. */
     Optional<VersionUnavailable> versionUnavailable(LogPosition after) {
         boolean available =
                 after.log().equals(log.id())
@@ -99,10 +105,10 @@
         return log.snapshot(from, reached, subscription, MAX_RESOURCES);
     }
 
-    /** A corrupt form of a page, chosen by a drawn number. */
-    static ChangePage corrupt(ChangePage page, int drawn) {
+    /** Returns a corrupt form of a page; the random number selects the form. */
+    static ChangePage corrupt(ChangePage page, int randomNumber) {
         List<Change> changes = new ArrayList<>(page.changes());
-        return switch (drawn % 4) {
+        return switch (randomNumber % 4) {
             case 0 -> {
                 Collections.reverse(changes);
                 yield new ChangePage(page.upTo(), changes);
@@ -119,12 +125,12 @@
     }
 
     /**
-     * The same of a page of a snapshot; nobody could tell that a first one is of a log that is
-     * none.
+     * Returns a corrupt form of a snapshot page. The first page keeps its log, because the replica
+     * can't detect that the log of a first page doesn't exist.
      */
-    static SnapshotPage corrupt(SnapshotPage page, boolean first, int drawn) {
+    static SnapshotPage corrupt(SnapshotPage page, boolean first, int randomNumber) {
         var resources = new ArrayList<>(page.resources());
-        return switch (drawn % 4) {
+        return switch (randomNumber % 4) {
             case 0 -> {
                 Collections.reverse(resources);
                 yield new SnapshotPage(page.at(), resources, page.next());
--- a/src/test/java/ottergauge/replica/ModelLog.java
+++ b/src/test/java/ottergauge/replica/ModelLog.java
@@ -15,7 +15,10 @@
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.Subscription;
 
-/** A log of changes and the responses of its control processes, as a fold over all changes. */
+/**
+ * A model of a log of changes, and of the responses of its control processes. Computes each state
+ * by applying all changes in order.
+ */
 final class ModelLog {
 
     private final String id;
@@ -39,7 +42,8 @@
     }
 
     /**
-     * The state at a version; with {@code skipInvalid}, of a reader that rejects invalid changes.
+     * The state at a version. With {@code skipInvalid}, the state of a reader that rejects invalid
+     * changes.
      */
     Map<ResourceKey, Resource> stateAt(long version, boolean skipInvalid) {
         Map<ResourceKey, Resource> state = new TreeMap<>();
@@ -58,7 +62,7 @@
         return state;
     }
 
-    /** The same, of the resources that a subscription matches. */
+    /** The state at a version, restricted to the resources that match a subscription. */
     Map<ResourceKey, Resource> stateAt(
             long version, Subscription subscription, boolean skipInvalid) {
         Map<ResourceKey, Resource> state = stateAt(version, skipInvalid);
@@ -66,8 +70,8 @@
         return state;
     }
 
-    /** The keys that the change with this version touches. */
-    List<ResourceKey> touchedBy(long version) {
+    /** The keys that the change with this version puts or deletes. */
+    List<ResourceKey> modifiedBy(long version) {
         Change change = changes.get((int) version - 1);
         List<ResourceKey> keys = new ArrayList<>();
         change.puts().forEach(put -> keys.add(put.key()));
@@ -79,7 +83,10 @@
         return ResourceValidator.firstError(changes.get((int) version - 1)).isPresent();
     }
 
-    /** The page of at most {@code max} changes from a process that has reached a version. */
+    /**
+     * A page of at most {@code max} changes, from a process that has reached version {@code
+     * reached}.
+     */
     ChangePage changes(long after, long reached, Subscription subscription, int max) {
         List<Change> page = new ArrayList<>();
         long upTo = after;
@@ -105,15 +112,16 @@
     }
 
     /**
-     * Whether a process that has reached a version has anything for a subscription after another.
+     * Whether a process that has reached version {@code reached} has changes after version {@code
+     * after} that match a subscription.
      */
     boolean hasChanges(long after, long reached, Subscription subscription) {
         return !changes(after, reached, subscription, 1).changes().isEmpty();
     }
 
     /**
-     * A page of the state that a process has which has reached a version: so many resources at the
-     * most.
+     * A page of at most {@code max} resources, from a process that has reached version {@code
+     * reached}.
      */
     SnapshotPage snapshot(
             Optional<ResourceKey> from, long reached, Subscription subscription, int max) {
--- a/src/test/java/ottergauge/replica/ReplicaChangesTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaChangesTest.java
@@ -28,11 +28,11 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.UnreadableChange;
 
-/** Following changes: when they take effect, and which are rejected. */
+/** Tests when changes take effect and which changes are rejected. */
 class ReplicaChangesTest {
 
     @Test
-    void pageOfChanges_takesEffectAtOnce() {
+    void pageOfChanges_takesEffectAsAUnit() {
         ReplicaDriver node = ReplicaDriver.following("a", "b");
         node.changesReceived(
                 13,
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void changeRevertedInTheSamePage_takesNoEffect() {
+    void changeRevertedInTheSamePage_hasNoEffect() {
         ReplicaDriver node = ReplicaDriver.following("a");
         node.changesReceived(
                 14,
@@ -119,7 +119,7 @@
                                 + "not -1"),
                 node.reports().stream().filter(each -> each.contains("rejected")).toList());
         node.changesReceived(13, change(13, put("b", 4)));
-        assertEquals("{a=1.0, b=4.0, c=1.0, d=1.0}", node.effectiveVersion().toString());
+        assertEquals("{a=1.0, b=4.0, c=1.0, d=1.0}", node.effectiveTenants().toString());
     }
 
     @Test
@@ -160,7 +160,7 @@
         node.assertEffective(13, "{a=3.0, b=2.0}");
         assertEquals(11, node.query().rejectedVersion());
         node.changesReceived(14, new Change(14, List.of(put("c", 1)), List.of(delete("a"))));
-        assertEquals("{b=2.0, c=1.0}", node.effectiveVersion().toString());
+        assertEquals("{b=2.0, c=1.0}", node.effectiveTenants().toString());
     }
 
     @Test
--- a/src/test/java/ottergauge/replica/ReplicaDriver.java
+++ b/src/test/java/ottergauge/replica/ReplicaDriver.java
@@ -23,7 +23,9 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
-/** Drives a replica by hand: responds to its calls, fires its timers and records its effects. */
+/**
+ * Drives a replica step by step: responds to its calls, fires its timers and records its effects.
+ */
 final class ReplicaDriver {
 
     static final long PROPAGATION_DEADLINE_MICROS = 4_800_000;
@@ -59,7 +61,7 @@
                         effects::add);
     }
 
-    /** A replica that follows changes from version 10, with these tenants. */
+    /** Creates a driver whose replica follows changes after version 10 and has these tenants. */
     static ReplicaDriver following(String... tenants) {
         ReplicaDriver driver = new ReplicaDriver();
         driver.follow(tenants);
@@ -105,7 +107,7 @@
         return all.get(all.size() - 1);
     }
 
-    /** The last call. */
+    /** The most recent call. */
     ReplicaEffect lastCall() {
         return effects.stream()
                 .filter(
@@ -154,7 +156,7 @@
         handle(new ReplicaEvent.ChangesReceived(callNumber(), page));
     }
 
-    /** A page of a snapshot of this version; {@code next} is null on the last one. */
+    /** Delivers a snapshot page of this version; {@code next} is null for the last page. */
     void snapshotPageReceived(long version, String next, Resource... resources) {
         snapshotPageReceived(LOG, version, next, resources);
     }
@@ -184,7 +186,7 @@
         handle(new ReplicaEvent.CallFailed(callNumber()));
     }
 
-    /** Fires the last timer of this kind at its time. */
+    /** Advances the clock to the time of the most recent timer of this type and fires it. */
     <T extends ReplicaTimer> void fire(Class<T> type) {
         ReplicaEffect.StartTimer timer = timer(type);
         now += timer.delayMicros();
@@ -198,8 +200,8 @@
                 .orElseThrow();
     }
 
-    /** The effective tenants, by name and weight: what all state changes so far add up to. */
-    SortedMap<String, Double> effectiveVersion() {
+    /** The weights of the effective tenants by name, after all state changes so far. */
+    SortedMap<String, Double> effectiveTenants() {
         SortedMap<String, Double> tenants = new TreeMap<>();
         for (ReplicaEffect.ApplyState applyState : all(ReplicaEffect.ApplyState.class)) {
             applyState
@@ -222,7 +224,7 @@
     }
 
     void assertEffective(long version, String tenants) {
-        assertEquals(tenants, effectiveVersion().toString());
+        assertEquals(tenants, effectiveTenants().toString());
         assertEquals(new LogPosition(LOG, version), replica.metrics(now).position());
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaFailoverTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaFailoverTest.java
@@ -20,11 +20,14 @@
 import ottergauge.replica.ReplicaEffect.StartTimer;
 import ottergauge.resources.LogPosition;
 
-/** Which control process is called and when: fail-over, back-off, timeouts, fail-back. */
+/**
+ * Tests which control process a replica calls and when: fail-over, back-off, timeouts and
+ * fail-back.
+ */
 class ReplicaFailoverTest {
 
     @Test
-    void processBehindTheNode_isPassedOver() {
+    void processBehindTheNode_isSkipped() {
         ReplicaDriver node = ReplicaDriver.following("a");
         Address first = node.calledAddress();
         node.versionUnavailable(LOG, 1, 9);
@@ -40,7 +43,7 @@
     }
 
     @Test
-    void otherLog_isFetchedOnceNoProcessHasTheFollowedOne() {
+    void otherLog_isFetchedOnceNoProcessHasTheCurrentLog() {
         ReplicaDriver node = ReplicaDriver.following("a");
         node.versionUnavailable("new", 1, 3);
         assertEquals(LOG, node.query().after().log(), "another process may have it");
@@ -50,7 +53,7 @@
         node.versionUnavailable("new", 1, 3);
         assertEquals(Optional.empty(), node.snapshotQuery().log());
         node.snapshotPageReceived("new", 3, null, resource("a", 2, 9));
-        assertEquals("{a=9.0}", node.effectiveVersion().toString());
+        assertEquals("{a=9.0}", node.effectiveTenants().toString());
         assertEquals(new LogPosition("new", 3), node.replica.metrics(node.now).position());
         assertFalse(node.last(ApplyState.class).change().full(), "only what differs");
     }
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -22,34 +22,35 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.Subscription;
 
-/** Random histories of a log, its control processes and the network between them and a node. */
+/**
+ * Tests a replica with random histories of a log, its control processes and the network between
+ * them and the node.
+ */
 class ReplicaHistoryTest {
 
     private static final long SECOND = ReplicaSimulation.SECOND;
-    private static final long TROUBLES_END = 40 * SECOND;
-    private static final long LENGTH = 80 * SECOND;
+    private static final long FAULTS_END = 40 * SECOND;
+    private static final long DURATION = 80 * SECOND;
     private static final int PROCESSES = 4;
-    // Rounds of four calls that end at once, each followed by a pause, or a snapshot's pages.
+    // Allows rounds of four calls that fail at once, each followed by a back-off, or the pages of a
+    // snapshot.
     private static final int MAX_CALLS = 32;
     private static final Subscription ALL = new Subscription(Set.of(), "default");
 
-    private static Arbitrary<Long> instants() {
-        return Arbitraries.longs().between(0, TROUBLES_END - SECOND);
+    private static Arbitrary<Long> faultPhaseInstants() {
+        return Arbitraries.longs().between(0, FAULTS_END - SECOND);
     }
 
     private static Arbitrary<FaultWindow> faults() {
         return Combinators.combine(
                         Arbitraries.integers().between(0, PROCESSES - 1),
                         Arbitraries.of(FaultKind.values()),
-                        instants(),
+                        faultPhaseInstants(),
                         Arbitraries.longs().between(1, 20 * SECOND))
                 .as(
                         (process, fault, from, length) ->
                                 new FaultWindow(
-                                        process,
-                                        fault,
-                                        from,
-                                        Math.min(TROUBLES_END, from + length)));
+                                        process, fault, from, Math.min(FAULTS_END, from + length)));
     }
 
     private static Arbitrary<Subscription> subscriptions() {
@@ -60,13 +61,13 @@
                 new Subscription(Set.of("none"), "none"));
     }
 
-    private static Arbitrary<Optional<Long>> seldom() {
-        return instants().injectNull(0.6).map(Optional::ofNullable);
+    private static Arbitrary<Optional<Long>> optionalInstants() {
+        return faultPhaseInstants().injectNull(0.6).map(Optional::ofNullable);
     }
 
-    private static Arbitrary<SimulationScript> scripts(int badChanges) {
+    private static Arbitrary<SimulationScript> scripts(int invalidChanges) {
         Arbitrary<List<Stall>> stalls =
-                instants()
+                faultPhaseInstants()
                         .list()
                         .ofMaxSize(1)
                         .map(
@@ -76,27 +77,34 @@
                                                 .toList());
         Arbitrary<List<List<Long>>> changes =
                 Combinators.combine(
-                                instants().list().ofMaxSize(30),
-                                instants().list().ofMaxSize(badChanges))
+                                faultPhaseInstants().list().ofMaxSize(30),
+                                faultPhaseInstants().list().ofMaxSize(invalidChanges))
                         .as(List::of);
         return Combinators.combine(
                         faults().list().ofMaxSize(8),
                         changes,
                         stalls,
-                        seldom(),
-                        seldom(),
+                        optionalInstants(),
+                        optionalInstants(),
                         subscriptions(),
                         Arbitraries.integers().between(2, 40),
                         Arbitraries.longs())
                 .as(
-                        (spans, at, still, newLog, clockBack, subscription, retained, seed) ->
+                        (windows,
+                                at,
+                                drawnStalls,
+                                newLog,
+                                clockSetBack,
+                                subscription,
+                                retained,
+                                seed) ->
                                 new SimulationScript(
-                                        spans,
+                                        windows,
                                         at.get(0),
                                         at.get(1),
-                                        still,
+                                        drawnStalls,
                                         newLog,
-                                        clockBack,
+                                        clockSetBack,
                                         subscription,
                                         true,
                                         retained,
@@ -104,20 +112,20 @@
     }
 
     @Provide
-    Arbitrary<SimulationScript> anything() {
+    Arbitrary<SimulationScript> anyScript() {
         return scripts(0);
     }
 
     @Property(tries = 2000, seed = "61")
-    void anyHistory_eachStateIsOneVersionsAndTheLastIsTheNewest(
-            @ForAll("anything") SimulationScript script) {
+    void anyHistory_eachStateMatchesAVersionAndTheLastIsTheNewest(
+            @ForAll("anyScript") SimulationScript script) {
         // The simulation itself checks each effective state against the log.
         ReplicaSimulation simulation = new ReplicaSimulation(script);
-        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
+        simulation.run(DURATION, FAULTS_END, Optional.empty());
         assertEquals(
                 simulation.newest().id(),
                 simulation.metrics().position().log(),
-                simulation.journal.toString());
+                simulation.eventLog.toString());
         assertEquals(
                 EffectiveStateChecker.values(
                         simulation
@@ -127,19 +135,19 @@
                                         script.subscription(),
                                         false)),
                 EffectiveStateChecker.values(simulation.state()),
-                simulation.journal.toString());
+                simulation.eventLog.toString());
     }
 
     @Provide
-    Arbitrary<SimulationScript> withBadChanges() {
+    Arbitrary<SimulationScript> scriptsWithInvalidChanges() {
         return scripts(6);
     }
 
     @Property(tries = 1000, seed = "62")
-    void invalidChanges_neverTakeEffectAndLaterOnesDo(
-            @ForAll("withBadChanges") SimulationScript script) {
+    void invalidChanges_neverTakeEffectAndLaterChangesDo(
+            @ForAll("scriptsWithInvalidChanges") SimulationScript script) {
         ReplicaSimulation simulation = new ReplicaSimulation(script);
-        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
+        simulation.run(DURATION, FAULTS_END, Optional.empty());
         Map<ResourceKey, Object> newest =
                 EffectiveStateChecker.values(
                         simulation
@@ -149,89 +157,93 @@
                                         script.subscription(),
                                         false));
         Map<ResourceKey, Object> state = EffectiveStateChecker.values(simulation.state());
-        Set<ResourceKey> touchedByInvalid = new HashSet<>();
+        Set<ResourceKey> modifiedByInvalid = new HashSet<>();
         for (long version = 1; version <= simulation.newest().version(); version++) {
             if (simulation.newest().isInvalid(version)) {
-                touchedByInvalid.addAll(simulation.newest().touchedBy(version));
+                modifiedByInvalid.addAll(simulation.newest().modifiedBy(version));
             } else {
-                touchedByInvalid.removeAll(simulation.newest().touchedBy(version));
+                modifiedByInvalid.removeAll(simulation.newest().modifiedBy(version));
             }
         }
-        newest.keySet().removeAll(touchedByInvalid);
-        state.keySet().removeAll(touchedByInvalid);
-        assertEquals(newest, state, simulation.journal.toString());
+        newest.keySet().removeAll(modifiedByInvalid);
+        state.keySet().removeAll(modifiedByInvalid);
+        assertEquals(newest, state, simulation.eventLog.toString());
     }
 
     @Property(tries = 1000, seed = "63")
     void restart_resumesFromTheStoredState(
-            @ForAll("anything") SimulationScript script,
-            @ForAll("anything") SimulationScript after,
-            @ForAll boolean endsWell) {
+            @ForAll("anyScript") SimulationScript script,
+            @ForAll("anyScript") SimulationScript after,
+            @ForAll boolean stopsCleanly) {
         ReplicaSimulation first = new ReplicaSimulation(script);
-        first.run(LENGTH, TROUBLES_END, Optional.empty());
-        if (endsWell) {
+        first.run(DURATION, FAULTS_END, Optional.empty());
+        if (stopsCleanly) {
             first.stop();
         }
         ReplicaSimulation second = new ReplicaSimulation(after, first.newest());
-        second.run(LENGTH, TROUBLES_END, Optional.ofNullable(first.stored));
+        second.run(DURATION, FAULTS_END, Optional.ofNullable(first.stored));
         assertEquals(
-                second.newest().id(), second.metrics().position().log(), second.journal.toString());
+                second.newest().id(),
+                second.metrics().position().log(),
+                second.eventLog.toString());
         assertEquals(
                 EffectiveStateChecker.values(
                         second.newest()
                                 .stateAt(second.newest().version(), after.subscription(), false)),
                 EffectiveStateChecker.values(second.state()),
-                second.journal.toString());
+                second.eventLog.toString());
     }
 
-    /** Up to three processes fail at a time, often from the same instant on. */
+    /** Up to three processes fail at a time, often at the same time. */
     @Provide
     Arbitrary<SimulationScript> threeFailedProcesses() {
-        Arbitrary<FaultKind> kinds =
+        Arbitrary<FaultKind> faultKinds =
                 Arbitraries.of(FaultKind.SILENT, FaultKind.KILLED, FaultKind.CUT_OFF);
-        Arbitrary<List<FaultWindow>> together =
+        Arbitrary<List<FaultWindow>> simultaneousFaults =
                 Combinators.combine(
-                                kinds.list().ofSize(3),
-                                instants(),
+                                faultKinds.list().ofSize(3),
+                                faultPhaseInstants(),
                                 Arbitraries.longs().between(1, 20 * SECOND),
                                 Arbitraries.longs().between(0, 50_000))
                         .as(
-                                (three, from, length, apart) -> {
-                                    List<FaultWindow> spans = new ArrayList<>();
-                                    for (int i = 0; i < three.size(); i++) {
-                                        spans.add(
+                                (threeKinds, from, length, stagger) -> {
+                                    List<FaultWindow> windows = new ArrayList<>();
+                                    for (int i = 0; i < threeKinds.size(); i++) {
+                                        windows.add(
                                                 new FaultWindow(
                                                         i,
-                                                        three.get(i),
-                                                        from + i * apart,
+                                                        threeKinds.get(i),
+                                                        from + i * stagger,
                                                         from + length));
                                     }
-                                    return spans;
+                                    return windows;
                                 });
         return Combinators.combine(
-                        together.list().ofMinSize(1).ofMaxSize(3),
-                        instants().list().ofMaxSize(10),
+                        simultaneousFaults.list().ofMinSize(1).ofMaxSize(3),
+                        faultPhaseInstants().list().ofMaxSize(10),
                         Arbitraries.integers().between(0, PROCESSES - 1),
                         Arbitraries.longs())
                 .as(
-                        (drawn, changes, well, seed) -> {
+                        (outages, changes, healthyProcess, seed) -> {
                             List<Long> all = new ArrayList<>(changes);
-                            List<FaultWindow> spans = new ArrayList<>();
-                            drawn.forEach(
+                            List<FaultWindow> windows = new ArrayList<>();
+                            outages.forEach(
                                     each ->
                                             each.forEach(
-                                                    span -> {
-                                                        all.add(span.from());
-                                                        spans.add(
+                                                    window -> {
+                                                        all.add(window.from());
+                                                        windows.add(
                                                                 new FaultWindow(
-                                                                        (span.process() + well + 1)
+                                                                        (window.process()
+                                                                                        + healthyProcess
+                                                                                        + 1)
                                                                                 % PROCESSES,
-                                                                        span.fault(),
-                                                                        span.from(),
-                                                                        span.until()));
+                                                                        window.fault(),
+                                                                        window.from(),
+                                                                        window.until()));
                                                     }));
                             return new SimulationScript(
-                                    spans,
+                                    windows,
                                     all,
                                     List.of(),
                                     List.of(),
@@ -248,20 +260,21 @@
     void threeFailedProcesses_changesTakeEffectByTheDeadline(
             @ForAll("threeFailedProcesses") SimulationScript script) {
         ReplicaSimulation simulation = new ReplicaSimulation(script);
-        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
-        assertEachEffectiveWithin(simulation, ReplicaSimulation.PROPAGATION_DEADLINE_MICROS);
+        simulation.run(DURATION, FAULTS_END, Optional.empty());
+        assertAllChangesEffectiveWithin(simulation, ReplicaSimulation.PROPAGATION_DEADLINE_MICROS);
     }
 
-    private static void assertEachEffectiveWithin(
+    private static void assertAllChangesEffectiveWithin(
             ReplicaSimulation simulation, long propagationDeadlineMicros) {
-        // The first state is fetched in pages, at its own rate.
-        long begins = simulation.effectiveAt.get((long) ReplicaSimulation.FIRST_CHANGES);
+        // The deadline doesn't apply to the first state, which is fetched in pages at a limited
+        // rate.
+        long firstStateAt = simulation.effectiveAt.get((long) ReplicaSimulation.INITIAL_CHANGES);
         simulation.publishedAt.forEach(
                 (version, published) -> {
                     Long at = simulation.effectiveAt.get(version);
-                    long due = Math.max(published, begins) + propagationDeadlineMicros;
+                    long due = Math.max(published, firstStateAt) + propagationDeadlineMicros;
                     assertTrue(
-                            simulation.isNothing(version) || (at != null && at <= due),
+                            simulation.isOutsideSubscription(version) || (at != null && at <= due),
                             "version "
                                     + version
                                     + " of "
@@ -269,11 +282,11 @@
                                     + " effective at "
                                     + at
                                     + ": "
-                                    + simulation.journal);
+                                    + simulation.eventLog);
                 });
     }
 
-    /** All four processes fail together for a while. */
+    /** All four processes fail in the same period. */
     @Provide
     Arbitrary<SimulationScript> allProcessesFailed() {
         Arbitrary<List<FaultKind>> mixed =
@@ -288,13 +301,14 @@
                         Arbitraries.longs().between(1, 15 * SECOND),
                         Arbitraries.longs())
                 .as(
-                        (kinds, from, length, seed) -> {
-                            List<FaultWindow> spans = new ArrayList<>();
+                        (faultKinds, from, length, seed) -> {
+                            List<FaultWindow> windows = new ArrayList<>();
                             for (int i = 0; i < PROCESSES; i++) {
-                                spans.add(new FaultWindow(i, kinds.get(i), from, from + length));
+                                windows.add(
+                                        new FaultWindow(i, faultKinds.get(i), from, from + length));
                             }
                             return new SimulationScript(
-                                    spans,
+                                    windows,
                                     List.of(from + length / 2),
                                     List.of(),
                                     List.of(),
@@ -308,22 +322,24 @@
     }
 
     @Property(tries = 1000, seed = "65")
-    void recoveryOfAllProcesses_isFollowedByTheDeadline(
+    void recoveryOfAllProcesses_changesTakeEffectByTheDeadline(
             @ForAll("allProcessesFailed") SimulationScript script) {
         ReplicaSimulation simulation = new ReplicaSimulation(script);
-        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
-        long healed = script.faults().get(0).until();
+        simulation.run(DURATION, FAULTS_END, Optional.empty());
+        long recoveredAt = script.faults().get(0).until();
         long version = simulation.newest().version();
         Long at = simulation.effectiveAt.get(version);
         assertTrue(
-                simulation.isNothing(version)
+                simulation.isOutsideSubscription(version)
                         || (at != null
-                                && at <= healed + ReplicaSimulation.PROPAGATION_DEADLINE_MICROS),
-                "healed at " + healed + ", effective at " + at + ": " + simulation.journal);
+                                && at
+                                        <= recoveredAt
+                                                + ReplicaSimulation.PROPAGATION_DEADLINE_MICROS),
+                "healed at " + recoveredAt + ", effective at " + at + ": " + simulation.eventLog);
     }
 
     @Property(tries = 1000, seed = "66")
-    void anyHistory_callRateIsBounded(@ForAll("anything") SimulationScript script) {
+    void anyHistory_callRateIsBounded(@ForAll("anyScript") SimulationScript script) {
         ReplicaSimulation simulation =
                 new ReplicaSimulation(
                         new SimulationScript(
@@ -332,12 +348,12 @@
                                 List.of(),
                                 script.stalls(),
                                 Optional.empty(),
-                                script.clockBackAt(),
+                                script.clockSetBackAt(),
                                 script.subscription(),
                                 false,
                                 1000,
                                 script.seed()));
-        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
+        simulation.run(DURATION, FAULTS_END, Optional.empty());
         assertCallsWithinFourSeconds(simulation, MAX_CALLS);
     }
 
@@ -345,7 +361,7 @@
     void outageOfAllProcesses_callRateIsBounded(
             @ForAll("allProcessesFailed") SimulationScript script) {
         ReplicaSimulation simulation = new ReplicaSimulation(script);
-        simulation.run(LENGTH, TROUBLES_END, Optional.empty());
+        simulation.run(DURATION, FAULTS_END, Optional.empty());
         assertCallsWithinFourSeconds(simulation, MAX_CALLS);
     }
 
@@ -358,7 +374,7 @@
                             + " times from "
                             + simulation.calls.get(i - max)
                             + ": "
-                            + simulation.journal);
+                            + simulation.eventLog);
         }
     }
 }
--- a/src/test/java/ottergauge/replica/ReplicaMetricsTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaMetricsTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.api.Test;
 import ottergauge.replica.ReplicaEffect.Report;
 
-/** What a replica tells operators: metrics and reports. */
+/** Tests the metrics and reports of a replica. */
 class ReplicaMetricsTest {
 
     @Test
-    void metrics_tellTheAgeAndSizeOfTheState() {
+    void metrics_reportAgeAndSizeOfTheState() {
         ReplicaDriver node = ReplicaDriver.following("a");
         node.changesReceived(10);
         node.now += 2_000_000;
--- a/src/test/java/ottergauge/replica/ReplicaSimulation.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -24,9 +24,9 @@
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * One replica and four control processes in three regions, in simulated time, over a network that
- * loses, delays, duplicates and reorders messages. An {@link EffectiveStateChecker} checks each
- * state that becomes effective against the log.
+ * Simulates one replica and four control processes in three regions, over a network that loses,
+ * delays, duplicates and reorders messages. An {@link EffectiveStateChecker} checks each state that
+ * becomes effective against the log.
  */
 final class ReplicaSimulation {
 
@@ -34,25 +34,25 @@
     static final long PROPAGATION_DEADLINE_MICROS = 4 * SECOND;
 
     private static final List<String> REGIONS = List.of("r1", "r1", "r2", "r3");
-    static final int FIRST_CHANGES = 6;
+    static final int INITIAL_CHANGES = 6;
 
-    private static final long MAX_TRIP_MICROS = 20_000;
-    private static final long SLOW_TRIP_MICROS = 500_000;
+    private static final long MAX_LATENCY_MICROS = 20_000;
+    private static final long MAX_SLOW_LATENCY_MICROS = 500_000;
     private static final long CLOCK_SET_BACK_MICROS = 3_600 * SECOND;
     private static final int LOSS_ONE_IN = 12;
     private static final int DUPLICATE_ONE_IN = 6;
     private static final int BYTES_PER_RESOURCE = 100;
     private static final long BYTES_PER_SECOND = 20_000;
 
-    /** A long poll that a process has yet to answer. */
+    /** A long poll to which a process has not responded yet. */
     private record Poll(long call, ModelControlProcess process, LogPosition after) {}
 
-    final List<String> journal = new ArrayList<>();
+    final List<String> eventLog = new ArrayList<>();
 
-    /** When the node had each version of the newest log, or a later one. */
+    /** The time at which the node first had each version of the newest log, or a later version. */
     final Map<Long, Long> effectiveAt = new HashMap<>();
 
-    /** When each version of the newest log was published. */
+    /** The time at which each version of the newest log was published. */
     final Map<Long, Long> publishedAt = new HashMap<>();
 
     final List<Long> calls = new ArrayList<>();
@@ -70,19 +70,19 @@
     private ModelLog newest;
     private long outstandingCall;
 
-    /** Until when messages are lost, delayed and duplicated. */
-    private long networkIsBadUntil;
+    /** The time until which messages are randomly lost and duplicated. */
+    private long networkUnreliableUntil;
 
-    /** A node without stored state, and a log with a few changes in it. */
+    /** Creates a simulation with a new log that has a few changes. */
     ReplicaSimulation(SimulationScript script) {
         this(script, new ModelLog("first"));
-        for (int i = 0; i < FIRST_CHANGES; i++) {
+        for (int i = 0; i < INITIAL_CHANGES; i++) {
             ModelChanges.append(newest, changes, false);
         }
-        processes.forEach(each -> each.learn(newest, newest.version()));
+        processes.forEach(each -> each.receiveChanges(newest, newest.version()));
     }
 
-    /** A node, and an existing log. */
+    /** Creates a simulation with an existing log. */
     ReplicaSimulation(SimulationScript script, ModelLog log) {
         this.script = script;
         random = new SplittableRandom(script.seed());
@@ -113,13 +113,13 @@
     }
 
     /**
-     * Runs for a time.
+     * Runs the simulation.
      *
-     * @param goodFrom when the network loses, delays and duplicates no more
-     * @param stored the state that the node starts from
+     * @param goodFrom the time from which the network no longer loses and duplicates messages
+     * @param stored the state from which the node starts
      */
-    void run(long length, long goodFrom, Optional<StoredState> stored) {
-        networkIsBadUntil = script.networkIsBad() ? goodFrom : 0;
+    void run(long length, long networkReliableFrom, Optional<StoredState> stored) {
+        networkUnreliableUntil = script.networkUnreliable() ? networkReliableFrom : 0;
         boolean restoresOther =
                 stored.filter(
                                 each ->
@@ -130,17 +130,17 @@
                 new EffectiveStateChecker(
                         logs,
                         script.subscription(),
-                        script.badChanges().isEmpty(),
+                        script.invalidChanges().isEmpty(),
                         restoresOther,
-                        journal);
+                        eventLog);
         script.changes().forEach(at -> clock.schedule(at, () -> publish(false)));
-        script.badChanges().forEach(at -> clock.schedule(at, () -> publish(true)));
-        script.newLogAt().ifPresent(at -> clock.schedule(at, this::beginNewLog));
+        script.invalidChanges().forEach(at -> clock.schedule(at, () -> publish(true)));
+        script.newLogAt().ifPresent(at -> clock.schedule(at, this::startNewLog));
         script.faults()
                 .forEach(
-                        span -> {
-                            clock.schedule(span.from(), () -> begin(span));
-                            clock.schedule(span.until(), () -> end(span));
+                        window -> {
+                            clock.schedule(window.from(), () -> startFault(window));
+                            clock.schedule(window.until(), () -> endFault(window));
                         });
         replica.start(clock.now(), stored);
         clock.runUntil(length);
@@ -162,59 +162,59 @@
         return checker.state();
     }
 
-    /** Whether the change with this version has nothing for the subscription. */
-    boolean isNothing(long version) {
+    /** Whether no part of the change with this version matches the subscription. */
+    boolean isOutsideSubscription(long version) {
         return !newest.hasChanges(version - 1, version, script.subscription());
     }
 
     // ---- The log and its processes
 
-    private void publish(boolean bad) {
-        ModelChanges.append(newest, changes, bad);
-        journal.add(clock.now() + " published " + newest.version());
+    private void publish(boolean withInvalidValue) {
+        ModelChanges.append(newest, changes, withInvalidValue);
+        eventLog.add(clock.now() + " published " + newest.version());
         publishedAt.put(newest.version(), clock.now());
         ModelLog log = newest;
         long version = newest.version();
         processes.forEach(
                 each ->
                         clock.schedule(
-                                clock.now() + random.nextLong(MAX_TRIP_MICROS),
-                                () -> learn(each, log, version)));
+                                clock.now() + random.nextLong(MAX_LATENCY_MICROS),
+                                () -> receiveChanges(each, log, version)));
     }
 
-    private void learn(ModelControlProcess process, ModelLog log, long version) {
-        if (!isIn(process, FaultKind.CUT_OFF)
-                && !isIn(process, FaultKind.LAGGING)
-                && !isIn(process, FaultKind.KILLED)
+    private void receiveChanges(ModelControlProcess process, ModelLog log, long version) {
+        if (!hasFault(process, FaultKind.CUT_OFF)
+                && !hasFault(process, FaultKind.LAGGING)
+                && !hasFault(process, FaultKind.KILLED)
                 && log == newest) {
-            process.learn(log, version);
-            answerPolls(process);
+            process.receiveChanges(log, version);
+            replyToPolls(process);
         }
     }
 
-    private void beginNewLog() {
+    private void startNewLog() {
         newest = new ModelLog(newest.id() + "-anew");
         logs.put(newest.id(), newest);
         publishedAt.clear();
         effectiveAt.clear();
-        journal.add(clock.now() + " new log");
+        eventLog.add(clock.now() + " new log");
         publish(false);
     }
 
-    private boolean isIn(ModelControlProcess process, FaultKind fault) {
+    private boolean hasFault(ModelControlProcess process, FaultKind fault) {
         return script.faults().stream()
                 .anyMatch(
-                        span ->
-                                span.fault() == fault
-                                        && span.from() <= clock.now()
-                                        && clock.now() < span.until()
-                                        && processes.get(span.process()) == process);
+                        window ->
+                                window.fault() == fault
+                                        && window.from() <= clock.now()
+                                        && clock.now() < window.until()
+                                        && processes.get(window.process()) == process);
     }
 
-    private void begin(FaultWindow span) {
-        journal.add(clock.now() + " " + span);
-        ModelControlProcess process = processes.get(span.process());
-        if (span.fault() == FaultKind.KILLED) {
+    private void startFault(FaultWindow window) {
+        eventLog.add(clock.now() + " " + window);
+        ModelControlProcess process = processes.get(window.process());
+        if (window.fault() == FaultKind.KILLED) {
             List.copyOf(polls.values()).stream()
                     .filter(poll -> poll.process() == process)
                     .forEach(
@@ -225,28 +225,28 @@
         }
     }
 
-    private void end(FaultWindow span) {
-        learn(processes.get(span.process()), newest, newest.version());
+    private void endFault(FaultWindow window) {
+        receiveChanges(processes.get(window.process()), newest, newest.version());
     }
 
-    private void answerPolls(ModelControlProcess process) {
+    private void replyToPolls(ModelControlProcess process) {
         List.copyOf(polls.values()).stream()
                 .filter(
                         poll ->
                                 poll.process() == process
                                         && process.hasChanges(poll.after(), script.subscription()))
-                .forEach(this::answer);
+                .forEach(this::reply);
     }
 
     // ---- Calls
 
     private void execute(ReplicaEffect effect) {
         if (effect instanceof ReplicaEffect.PollChanges call) {
-            begins(call.call());
-            reach(call.call(), call.endpoint(), process -> pollReceived(process, call));
+            callStarted(call.call());
+            sendCall(call.call(), call.endpoint(), process -> pollReceived(process, call));
         } else if (effect instanceof ReplicaEffect.FetchSnapshotPage call) {
-            begins(call.call());
-            reach(call.call(), call.endpoint(), process -> snapshotQueryReceived(process, call));
+            callStarted(call.call());
+            sendCall(call.call(), call.endpoint(), process -> snapshotQueryReceived(process, call));
         } else if (effect instanceof ReplicaEffect.CancelCall call) {
             assertEquals(outstandingCall, call.call(), "cancels a call that is not outstanding");
             outstandingCall = 0;
@@ -254,7 +254,7 @@
             assertTrue(timer.delayMicros() >= 0, "negative delay: " + timer);
             apply(clock.now() + timer.delayMicros(), new ReplicaEvent.TimerFired(timer.timer()));
         } else if (effect instanceof ReplicaEffect.ApplyState applyState) {
-            journal.add(clock.now() + " effective " + applyState.change().position());
+            eventLog.add(clock.now() + " effective " + applyState.change().position());
             checker.apply(applyState.change());
         } else if (effect instanceof ReplicaEffect.StoreState storeState) {
             stored = storeState.state();
@@ -265,34 +265,34 @@
                     EffectiveStateChecker.values(checker.state()),
                     EffectiveStateChecker.values(resources));
         } else if (effect instanceof ReplicaEffect.Report report) {
-            journal.add(clock.now() + " " + report.report());
+            eventLog.add(clock.now() + " " + report.report());
         }
     }
 
-    private void begins(long call) {
+    private void callStarted(long call) {
         assertEquals(0, outstandingCall, "two calls are outstanding");
         outstandingCall = call;
         calls.add(clock.now());
     }
 
-    /** Delivers a call to the process at an address, unless it is lost. */
-    private void reach(long call, Address endpoint, Consumer<ModelControlProcess> arrives) {
+    /** Delivers a call to the process at an address, unless the call is lost. */
+    private void sendCall(long call, Address endpoint, Consumer<ModelControlProcess> onArrival) {
         ModelControlProcess process =
                 processes.stream()
                         .filter(each -> each.address().address().equals(endpoint))
                         .findFirst()
                         .orElseThrow();
-        if (isIn(process, FaultKind.KILLED)) {
+        if (hasFault(process, FaultKind.KILLED)) {
             deliver(process, new ReplicaEvent.CallFailed(call));
         } else if (!isLost(process)) {
             clock.schedule(
-                    clock.now() + trip(process),
+                    clock.now() + latency(process),
                     () -> {
-                        if (isIn(process, FaultKind.KILLED)) {
+                        if (hasFault(process, FaultKind.KILLED)) {
                             deliver(process, new ReplicaEvent.CallFailed(call));
-                        } else if (!isIn(process, FaultKind.SILENT)
-                                && !isIn(process, FaultKind.CUT_OFF)) {
-                            arrives.accept(process);
+                        } else if (!hasFault(process, FaultKind.SILENT)
+                                && !hasFault(process, FaultKind.CUT_OFF)) {
+                            onArrival.accept(process);
                         }
                     });
         }
@@ -310,19 +310,19 @@
         }
         polls.put(call.call(), new Poll(call.call(), process, after));
         if (process.hasChanges(after, script.subscription())) {
-            answer(polls.get(call.call()));
+            reply(polls.get(call.call()));
         } else {
             clock.schedule(
                     clock.now() + call.query().waitMicros(),
                     () -> {
                         if (polls.containsKey(call.call())) {
-                            answer(polls.get(call.call()));
+                            reply(polls.get(call.call()));
                         }
                     });
         }
     }
 
-    private void answer(Poll poll) {
+    private void reply(Poll poll) {
         polls.remove(poll.call());
         Optional<VersionUnavailable> versionUnavailable =
                 poll.process().versionUnavailable(poll.after());
@@ -338,7 +338,7 @@
                 poll.process(),
                 new ReplicaEvent.ChangesReceived(
                         poll.call(),
-                        isIn(poll.process(), FaultKind.CORRUPT)
+                        hasFault(poll.process(), FaultKind.CORRUPT)
                                 ? ModelControlProcess.corrupt(page, random.nextInt(100))
                                 : page));
     }
@@ -347,7 +347,7 @@
             ModelControlProcess process, ReplicaEffect.FetchSnapshotPage call) {
         SnapshotPage page = process.snapshot(call.query().from(), script.subscription());
         SnapshotPage sent =
-                isIn(process, FaultKind.CORRUPT)
+                hasFault(process, FaultKind.CORRUPT)
                         ? ModelControlProcess.corrupt(
                                 page, call.query().from().isEmpty(), random.nextInt(100))
                         : page;
@@ -359,23 +359,25 @@
 
     // ---- The network
 
-    private long trip(ModelControlProcess process) {
+    private long latency(ModelControlProcess process) {
         return 1_000
                 + random.nextLong(
-                        isIn(process, FaultKind.SLOW) ? SLOW_TRIP_MICROS : MAX_TRIP_MICROS);
+                        hasFault(process, FaultKind.SLOW)
+                                ? MAX_SLOW_LATENCY_MICROS
+                                : MAX_LATENCY_MICROS);
     }
 
     private boolean isLost(ModelControlProcess process) {
-        return isIn(process, FaultKind.SILENT)
-                || isIn(process, FaultKind.CUT_OFF)
-                || (clock.now() < networkIsBadUntil && random.nextInt(LOSS_ONE_IN) == 0);
+        return hasFault(process, FaultKind.SILENT)
+                || hasFault(process, FaultKind.CUT_OFF)
+                || (clock.now() < networkUnreliableUntil && random.nextInt(LOSS_ONE_IN) == 0);
     }
 
-    private void deliver(ModelControlProcess process, ReplicaEvent answer) {
+    private void deliver(ModelControlProcess process, ReplicaEvent reply) {
         if (!isLost(process)) {
-            apply(clock.now() + trip(process), answer);
-            if (clock.now() < networkIsBadUntil && random.nextInt(DUPLICATE_ONE_IN) == 0) {
-                apply(clock.now() + trip(process) + random.nextLong(3 * SECOND), answer);
+            apply(clock.now() + latency(process), reply);
+            if (clock.now() < networkUnreliableUntil && random.nextInt(DUPLICATE_ONE_IN) == 0) {
+                apply(clock.now() + latency(process) + random.nextLong(3 * SECOND), reply);
             }
         }
     }
@@ -425,7 +427,7 @@
     }
 
     private long nodeClock() {
-        return script.clockBackAt().filter(at -> at <= clock.now()).isPresent()
+        return script.clockSetBackAt().filter(at -> at <= clock.now()).isPresent()
                 ? clock.now() - CLOCK_SET_BACK_MICROS
                 : clock.now();
     }
--- a/src/test/java/ottergauge/replica/ReplicaSnapshotTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaSnapshotTest.java
@@ -25,7 +25,7 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.UnreadableResource;
 
-/** Fetching snapshots: paging, consistency, rejection, limits. */
+/** Tests fetching of snapshots: paging, consistency, rejection and limits. */
 class ReplicaSnapshotTest {
 
     @Test
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void pagesOfSeveralVersions_takeEffectOnlyWithTheChangesBetween() {
+    void pagesOfSeveralVersions_takeEffectOnlyWithTheChangesInBetween() {
         ReplicaDriver node = new ReplicaDriver();
         node.replica.start(node.now, Optional.empty());
         node.snapshotPageReceived(10, "b", resource("a", 5, 1));
@@ -83,7 +83,7 @@
         node.replica.start(node.now, Optional.empty());
         node.snapshotPageReceived(10, "b", resource("a", 5, 1));
         node.fire(ReplicaTimer.DelayElapsed.class);
-        // The one that sent the first page, the two others, and that one again.
+        // The process that sent the first page, the two others, and the first process again.
         for (int i = 0; i < 4; i++) {
             assertEquals(
                     Optional.of(LOG),
@@ -94,7 +94,7 @@
         assertEquals(Optional.empty(), node.snapshotQuery().log());
         assertEquals(Optional.empty(), node.snapshotQuery().from());
         node.snapshotPageReceived("new", 2, null, resource("c", 1, 7));
-        assertEquals("{c=7.0}", node.effectiveVersion().toString());
+        assertEquals("{c=7.0}", node.effectiveTenants().toString());
         assertEquals(new LogPosition("new", 2), node.replica.metrics(node.now).position());
     }
 
@@ -125,7 +125,7 @@
     void invalidEntryOfSnapshot_keepsItsEffectiveValue() {
         ReplicaDriver node = ReplicaDriver.following("a", "b", "c");
         node.versionUnavailable(LOG, 90, 100);
-        Resource fine = resource("d", 80, 4);
+        Resource valid = resource("d", 80, 4);
         UnreadableResource unreadable =
                 new UnreadableResource(
                         Optional.of(key("b")),
@@ -133,7 +133,7 @@
         SnapshotPage page =
                 new SnapshotPage(
                         new LogPosition(LOG, 100),
-                        List.of(resource("a", 80, -1), fine),
+                        List.of(resource("a", 80, -1), valid),
                         Optional.empty(),
                         List.of(unreadable));
         node.handle(new ReplicaEvent.SnapshotPageReceived(node.callNumber(), page, 100));
@@ -146,7 +146,7 @@
                                         + "from 0 to 1000000, not -1"),
                 node.reports().toString());
         node.changesReceived(101, change(101, put("a", 3)));
-        assertEquals("{a=3.0, b=1.0, d=4.0}", node.effectiveVersion().toString());
+        assertEquals("{a=3.0, b=1.0, d=4.0}", node.effectiveTenants().toString());
     }
 
     @Test
--- a/src/test/java/ottergauge/replica/ReplicaStoredStateTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaStoredStateTest.java
@@ -20,7 +20,7 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Subscription;
 
-/** Storing the effective state and starting from a stored one. */
+/** Tests storing the effective state and starting from a stored state. */
 class ReplicaStoredStateTest {
 
     @Test
@@ -82,7 +82,7 @@
             node.snapshotPageReceived(41, null, resource("a", 40, 1));
             assertEquals(1, node.all(ApplyState.class).size(), "an older state of the same log");
             node.snapshotPageReceived(43, null, resource("a", 40, 1), resource("b", 43, 2));
-            assertEquals("{a=1.0, b=2.0}", node.effectiveVersion().toString());
+            assertEquals("{a=1.0, b=2.0}", node.effectiveTenants().toString());
         }
     }
 }
--- a/src/test/java/ottergauge/replica/SimulatedClock.java
+++ b/src/test/java/ottergauge/replica/SimulatedClock.java
@@ -4,7 +4,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Simulated time: runs tasks by their instants, those of one instant in the order scheduled. */
+/**
+ * Simulated time. Runs tasks in the order of their times; tasks with the same time run in the order
+ * in which they were scheduled.
+ */
 final class SimulatedClock {
 
     private record Task(long at, long number, Runnable job) {}
@@ -18,12 +21,12 @@
         return now;
     }
 
-    /** Runs a task at an instant, or now if that is past. */
+    /** Schedules a task at a time, or at the current time if that time is in the past. */
     void schedule(long at, Runnable job) {
         tasks.add(new Task(Math.max(now, at), lastTask++, job));
     }
 
-    /** Runs all tasks up to an instant and ends there. */
+    /** Runs all tasks up to a time and sets the clock to that time. */
     void runUntil(long end) {
         while (!tasks.isEmpty() && tasks.peek().at() <= end) {
             Task task = tasks.poll();
--- a/src/test/java/ottergauge/replica/SimulationScript.java
+++ b/src/test/java/ottergauge/replica/SimulationScript.java
@@ -6,19 +6,22 @@
 import ottergauge.replica.ModelControlProcess.FaultWindow;
 import ottergauge.resources.Subscription;
 
-/** All that is drawn for one simulation; instants are microseconds from its start. */
+/** The randomly generated input of one simulation. Times are in microseconds since its start. */
 record SimulationScript(
         List<FaultWindow> faults,
         List<Long> changes,
-        List<Long> badChanges,
+        List<Long> invalidChanges,
         List<Stall> stalls,
         Optional<Long> newLogAt,
-        Optional<Long> clockBackAt,
+        Optional<Long> clockSetBackAt,
         Subscription subscription,
-        boolean networkIsBad,
+        boolean networkUnreliable,
         int retained,
         long seed) {
 
-    /** The node is stalled; what arrives meanwhile is handled after it in any order. */
+    /**
+     * A period in which the node is stalled. Events that arrive during it are handled afterwards,
+     * in any order.
+     */
     record Stall(long from, long until) {}
 }
