--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -65,7 +65,7 @@
             bound = open().awaitUninterruptibly();
         }
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + Addresses.text(address), bound.cause());
+            throw new IOException("cannot listen on " + LoopbackAddresses.text(address), bound.cause());
         }
     }
 
--- a/lab/src/main/java/ottergauge/lab/net/Addresses.java
+++ b/lab/src/main/java/ottergauge/lab/net/LoopbackAddresses.java
@@ -10,7 +10,7 @@
  * under an address of its own, so that the stand-in at the other end knows which link a connection
  * came over.
  */
-public record Addresses(int net, int port) {
+public record LoopbackAddresses(int net, int port) {
 
     private static final int FIRST_NET = 64;
     private static final int LAST_NET = 250;
@@ -43,9 +43,9 @@
     }
 
     /** Returns the addresses of the range that a bound lock socket stands for. */
-    public static Addresses of(ServerSocket lock) {
+    public static LoopbackAddresses of(ServerSocket lock) {
         int net = lock.getInetAddress().getAddress()[1] & 0xff;
-        return new Addresses(
+        return new LoopbackAddresses(
                 net,
                 LOWEST_PORT + (int) ((ProcessHandle.current().pid() * 31 + net * 97L) % PORTS));
     }
--- a/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.Effect;
 import ottergauge.lab.scenario.Scenario.Platform;
@@ -30,7 +30,7 @@
      */
     public static String of(
             Scenario scenario,
-            Addresses addresses,
+            LoopbackAddresses addresses,
             int node,
             long seed,
             List<String> known,
@@ -38,8 +38,8 @@
         try {
             ObjectNode root = JSON.createObjectNode();
             root.put("name", "n" + node);
-            root.put("listen", Addresses.text(addresses.node(node)));
-            root.put("discovery", Addresses.text(addresses.registry(node)));
+            root.put("listen", LoopbackAddresses.text(addresses.node(node)));
+            root.put("discovery", LoopbackAddresses.text(addresses.registry(node)));
             root.put("seed", String.format("%016x", seed));
             root.putObject("limits")
                     .put("cores", scenario.nodes().cores())
--- a/lab/src/main/java/ottergauge/lab/play/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/play/Fleet.java
@@ -12,7 +12,7 @@
 import java.util.function.IntFunction;
 import ottergauge.lab.client.Clients;
 import ottergauge.lab.ledger.Ledger;
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.node.NodeConfig;
 import ottergauge.lab.node.NodeProcess;
@@ -30,7 +30,7 @@
 
     private final Loop loop;
     private final Scenario scenario;
-    private final Addresses addresses;
+    private final LoopbackAddresses addresses;
     private final Ledger ledger;
     private final IntFunction<List<String>> lists;
     private final IntFunction<ObjectNode> extras;
@@ -50,7 +50,7 @@
     Fleet(
             Loop loop,
             Scenario scenario,
-            Addresses addresses,
+            LoopbackAddresses addresses,
             Ledger ledger,
             String command,
             Path root,
--- a/lab/src/main/java/ottergauge/lab/play/Play.java
+++ b/lab/src/main/java/ottergauge/lab/play/Play.java
@@ -18,7 +18,7 @@
 import ottergauge.lab.client.Clients;
 import ottergauge.lab.client.Plan;
 import ottergauge.lab.ledger.Ledger;
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
 import ottergauge.lab.net.Loop;
@@ -70,13 +70,13 @@
 
     /** Plays it; no process, port or thread is left, however it ends. */
     public Played run() throws PlayException, IOException, InterruptedException {
-        try (ServerSocket lock = Addresses.reserve();
+        try (ServerSocket lock = LoopbackAddresses.reserve();
                 Loop loop = new Loop()) {
-            return run(loop, Addresses.of(lock));
+            return run(loop, LoopbackAddresses.of(lock));
         }
     }
 
-    private Played run(Loop loop, Addresses addresses)
+    private Played run(Loop loop, LoopbackAddresses addresses)
             throws PlayException, IOException, InterruptedException {
         Links links = new Links(scenario.seed());
         Servers servers = new Servers(loop, scenario, addresses, links, ledger);
--- a/lab/src/main/java/ottergauge/lab/play/Servers.java
+++ b/lab/src/main/java/ottergauge/lab/play/Servers.java
@@ -11,7 +11,7 @@
 import ottergauge.lab.discovery.Registry.Health;
 import ottergauge.lab.discovery.RegistryHost;
 import ottergauge.lab.ledger.Ledger;
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
 import ottergauge.lab.net.Loop;
@@ -35,7 +35,7 @@
     private final RegistryHost discovery;
     private boolean ended;
 
-    Servers(Loop loop, Scenario scenario, Addresses addresses, Links links, Ledger ledger)
+    Servers(Loop loop, Scenario scenario, LoopbackAddresses addresses, Links links, Ledger ledger)
             throws IOException {
         this.loop = loop;
         this.scenario = scenario;
@@ -70,7 +70,7 @@
                         registry,
                         ledger,
                         (node, place) ->
-                                Addresses.text(
+                                LoopbackAddresses.text(
                                         addresses.server(
                                                 node, Integer.parseInt(place.substring(1)))));
         servers.forEach(this::learn);
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
@@ -14,7 +14,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.scale.process.Reporter;
 
@@ -49,7 +49,7 @@
             DiscoveryCounts counts = new DiscoveryCounts(reporter::tell);
             DiscoveryServer server =
                     new DiscoveryServer(loop, list, counts, callsPerSecond, patience);
-            server.listen(Addresses.parse(listen));
+            server.listen(LoopbackAddresses.parse(listen));
             loop.netty().execute(() -> reporter.watch(loop, counts::tell));
             reporter.tell("ready", Reporter.wallMicros(), JsonNodeFactory.instance.objectNode());
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
--- a/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
@@ -14,7 +14,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
 import ottergauge.lab.net.Loop;
@@ -46,8 +46,8 @@
                         new Relay(
                                 loop,
                                 link,
-                                Addresses.parse(each.get("listen").asText()),
-                                Addresses.parse(each.get("target").asText()),
+                                LoopbackAddresses.parse(each.get("listen").asText()),
+                                LoopbackAddresses.parse(each.get("target").asText()),
                                 source(each)));
             }
             loop.netty().execute(() -> reporter.watch(loop, () -> tellBytes(reporter)));
--- a/lab/src/main/java/ottergauge/lab/scale/play/ScaleAddresses.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/ScaleAddresses.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.lab.scale.play;
 
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 
 /** The loopback addresses of one scale test, as HOST:PORT. */
-record ScaleAddresses(Addresses range) {
+record ScaleAddresses(LoopbackAddresses range) {
 
     private static final int DISCOVERY = 2;
     private static final int REAL_LISTEN = 3;
--- a/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.play.PlayException;
 import ottergauge.lab.scale.figures.Observations;
@@ -56,14 +56,14 @@
      * Plays it, and gives back the figures of each phase; the first one is the start of all nodes.
      */
     public List<PhaseFigures> run() throws IOException, InterruptedException, PlayException {
-        try (ServerSocket lock = Addresses.reserve();
+        try (ServerSocket lock = LoopbackAddresses.reserve();
                 Loop loop = new Loop();
                 Fleet fleet =
                         new Fleet(
                                 scenario,
                                 new Fleet.Program(root, run),
                                 folder,
-                                new ScaleAddresses(Addresses.of(lock)),
+                                new ScaleAddresses(LoopbackAddresses.of(lock)),
                                 seen)) {
             ServerList list = new ServerList(scenario);
             PhasePlayer player = new PhasePlayer(loop, fleet, list, seen, scenario, FIRST_VERSION);
