--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
@@ -13,8 +13,8 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
 import ottergauge.lab.scale.scenario.ScaleScenario.State;
 import ottergauge.lab.scale.scenario.ScaleScenario.What;
-import ottergauge.lab.scenario.Entry;
-import ottergauge.lab.scenario.Entry.Range;
+import ottergauge.lab.scenario.YamlMapping;
+import ottergauge.lab.scenario.YamlMapping.Range;
 import ottergauge.lab.scenario.ScenarioException;
 
 /** Reads scale tests from YAML and checks them whole before anything is started. */
@@ -39,25 +39,25 @@
 
     /** Reads and checks a scenario's text; {@code file} is what messages call it. */
     public static ScaleScenario read(String file, String text) throws ScenarioException {
-        Entry root = Entry.root(file, text);
+        YamlMapping root = YamlMapping.root(file, text);
         int regions = atMost(root, "regions", root.count("regions", 1), MOST_REGIONS);
         State state = state(root.child("state"));
         Nodes nodes = nodes(root.child("nodes"), regions);
         ScaleScenario scenario =
                 new ScaleScenario(
                         root.text("name"),
-                        root.whole("seed", 1),
+                        root.wholeNumber("seed", 1),
                         nodes,
                         regions,
                         state,
-                        discovery(root.childOrNone("discovery")),
+                        discovery(root.childOrEmpty("discovery")),
                         root.span("settle", 30 * S),
                         phases(root, regions, nodes, state));
-        root.done();
+        root.rejectUnknownKeys();
         return scenario;
     }
 
-    private static int atMost(Entry entry, String key, int value, int most)
+    private static int atMost(YamlMapping entry, String key, int value, int most)
             throws ScenarioException {
         if (value > most) {
             throw entry.fault(key, "a whole number from 1 to " + most);
@@ -65,16 +65,16 @@
         return value;
     }
 
-    private static State state(Entry e) throws ScenarioException {
+    private static State state(YamlMapping e) throws ScenarioException {
         State state =
                 new State(
                         atMost(e, "servers", e.count("servers"), MOST_SERVERS),
                         e.count("services", 1));
-        e.done();
+        e.rejectUnknownKeys();
         return state;
     }
 
-    private static Nodes nodes(Entry e, int regions) throws ScenarioException {
+    private static Nodes nodes(YamlMapping e, int regions) throws ScenarioException {
         int hollow = atMost(e, "hollow", e.count("hollow"), MOST_HOLLOW);
         int processes = atMost(e, "processes", e.count("processes", regions), MOST_PROCESSES);
         if (processes % regions != 0 || processes > hollow) {
@@ -97,28 +97,28 @@
                         e.span("start_over", 5 * S),
                         real,
                         e.flag("know", false));
-        e.done();
+        e.rejectUnknownKeys();
         return nodes;
     }
 
-    private static Discovery discovery(Entry e) throws ScenarioException {
+    private static Discovery discovery(YamlMapping e) throws ScenarioException {
         Discovery discovery =
                 new Discovery(
                         e.number("calls_per_s", Range.POSITIVE, 1_000),
                         e.span("patience", 2 * S),
                         e.count("heap_mb", 512));
-        e.done();
+        e.rejectUnknownKeys();
         return discovery;
     }
 
-    private static List<Phase> phases(Entry root, int regions, Nodes nodes, State state)
+    private static List<Phase> phases(YamlMapping root, int regions, Nodes nodes, State state)
             throws ScenarioException {
         List<Phase> phases = new ArrayList<>();
         Set<String> names = new HashSet<>(Set.of("start"));
         long length = 0;
-        for (Entry e : root.children("phases")) {
+        for (YamlMapping e : root.children("phases")) {
             Phase phase = phase(e, regions, nodes, state);
-            e.done();
+            e.rejectUnknownKeys();
             if (!names.add(phase.name())) {
                 throw e.fault("name", "a name of its own; start is the rig's");
             }
@@ -132,7 +132,7 @@
         return phases;
     }
 
-    private static Phase phase(Entry e, int regions, Nodes nodes, State state)
+    private static Phase phase(YamlMapping e, int regions, Nodes nodes, State state)
             throws ScenarioException {
         What what = e.oneOf("what", What.class, null);
         String name =
@@ -152,7 +152,7 @@
 
     // Either as such, or as what it is on a day or in a release, and how many times denser it is
     // played.
-    private static double rate(Entry e, What what, double compressed, State state)
+    private static double rate(YamlMapping e, What what, double compressed, State state)
             throws ScenarioException {
         if (what == What.RELEASE) {
             return state.servers()
@@ -168,7 +168,7 @@
         return 0;
     }
 
-    private static List<String> apart(Entry e, int regions) throws ScenarioException {
+    private static List<String> apart(YamlMapping e, int regions) throws ScenarioException {
         List<String> apart = e.texts("regions");
         for (String each : apart) {
             if (!each.matches("r[1-9][0-9]?") || Integer.parseInt(each.substring(1)) > regions) {
@@ -181,7 +181,7 @@
         return apart;
     }
 
-    private static String who(Entry e, What what, Nodes nodes) throws ScenarioException {
+    private static String who(YamlMapping e, What what, Nodes nodes) throws ScenarioException {
         String who = e.text("who", "discovery");
         boolean known =
                 "discovery".equals(who)
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
@@ -8,7 +8,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import ottergauge.lab.scenario.Entry.Range;
+import ottergauge.lab.scenario.YamlMapping.Range;
 import ottergauge.lab.scenario.Scenario.Clients;
 import ottergauge.lab.scenario.Scenario.Effect;
 import ottergauge.lab.scenario.Scenario.Fault;
@@ -45,10 +45,10 @@
 
     /** Reads a scenario's text; {@code file} is what messages call it. */
     public static Scenario read(String file, String text) throws ScenarioException {
-        return new ScenarioReader(file).scenario(Entry.root(file, text));
+        return new ScenarioReader(file).scenario(YamlMapping.root(file, text));
     }
 
-    private Scenario scenario(Entry root) throws ScenarioException {
+    private Scenario scenario(YamlMapping root) throws ScenarioException {
         List<String> zones = root.texts("zones");
         if (zones.isEmpty()) {
             zones = List.of("a");
@@ -57,25 +57,25 @@
         Scenario scenario =
                 new Scenario(
                         root.text("name"),
-                        root.whole("seed", 1),
+                        root.wholeNumber("seed", 1),
                         length,
                         zones,
                         nodes(root.child("nodes")),
                         servers(root),
                         classes(root),
                         tenants(root),
-                        clients(root.childOrNone("clients")),
+                        clients(root.childOrEmpty("clients")),
                         load(root, length),
-                        network(root.childOrNone("network")),
-                        registry(root.childOrNone("registry")),
-                        platform(root.childOrNone("platform")),
+                        network(root.childOrEmpty("network")),
+                        registry(root.childOrEmpty("registry")),
+                        platform(root.childOrEmpty("platform")),
                         faults(root, length));
-        root.done();
+        root.rejectUnknownKeys();
         checkTargets(scenario);
         return scenario;
     }
 
-    private Nodes nodes(Entry e) throws ScenarioException {
+    private Nodes nodes(YamlMapping e) throws ScenarioException {
         Nodes nodes =
                 new Nodes(
                         e.count("count"),
@@ -87,14 +87,14 @@
         if (nodes.count() > MOST_NODES) {
             throw e.fault("count", "at most " + MOST_NODES + " nodes");
         }
-        e.done();
+        e.rejectUnknownKeys();
         return nodes;
     }
 
-    private List<ServerKind> servers(Entry root) throws ScenarioException {
+    private List<ServerKind> servers(YamlMapping root) throws ScenarioException {
         List<ServerKind> kinds = new ArrayList<>();
         int servers = 0;
-        for (Entry e : root.children("servers")) {
+        for (YamlMapping e : root.children("servers")) {
             int cores = e.count("cores", 1);
             kinds.add(
                     new ServerKind(
@@ -113,7 +113,7 @@
                             e.span("probe", 40),
                             e.number("errors", Range.PART, 0),
                             e.flag("reports", true)));
-            e.done();
+            e.rejectUnknownKeys();
             servers += kinds.get(kinds.size() - 1).count();
             if (servers > MOST_SERVERS) {
                 throw e.fault("count", "at most " + MOST_SERVERS + " servers in all");
@@ -125,10 +125,10 @@
         return kinds;
     }
 
-    private List<RequestClass> classes(Entry root) throws ScenarioException {
+    private List<RequestClass> classes(YamlMapping root) throws ScenarioException {
         List<RequestClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Entry e : root.children("classes")) {
+        for (YamlMapping e : root.children("classes")) {
             Effect effect = e.oneOf("effect", Effect.class, Effect.SAFE);
             RequestClass type =
                     new RequestClass(
@@ -145,7 +145,7 @@
                             e.oneOf("group", Group.class, Group.ALL),
                             effect == Effect.KEYED ? e.span("window") : e.span("window", 0),
                             e.count("keys", 1000));
-            e.done();
+            e.rejectUnknownKeys();
             if (type.deadline() < type.aim()) {
                 throw e.fault("deadline", "a time not before the aim");
             }
@@ -160,19 +160,19 @@
         return classes;
     }
 
-    private List<Tenant> tenants(Entry root) throws ScenarioException {
+    private List<Tenant> tenants(YamlMapping root) throws ScenarioException {
         List<Tenant> tenants = new ArrayList<>();
-        for (Entry e : root.children("tenants")) {
+        for (YamlMapping e : root.children("tenants")) {
             double traffic = e.number("traffic", Range.POSITIVE);
             tenants.add(
                     new Tenant(
                             e.text("name"), traffic, e.number("portion", Range.POSITIVE, traffic)));
-            e.done();
+            e.rejectUnknownKeys();
         }
         return tenants;
     }
 
-    private Clients clients(Entry e) throws ScenarioException {
+    private Clients clients(YamlMapping e) throws ScenarioException {
         Clients clients =
                 new Clients(
                         (int) e.number("repeats", Range.ANY, 0),
@@ -182,15 +182,15 @@
                         e.flag("marks_retry", false),
                         e.span("notice", 2 * S),
                         e.number("leave", Range.PART, 0));
-        e.done();
+        e.rejectUnknownKeys();
         return clients;
     }
 
-    private List<LoadStep> load(Entry root, long length) throws ScenarioException {
+    private List<LoadStep> load(YamlMapping root, long length) throws ScenarioException {
         List<LoadStep> steps = new ArrayList<>();
-        for (Entry e : root.children("load")) {
+        for (YamlMapping e : root.children("load")) {
             LoadStep step = new LoadStep(e.span("from", 0), e.number("rate", Range.ANY));
-            e.done();
+            e.rejectUnknownKeys();
             if (step.from() >= length
                     || (!steps.isEmpty() && step.from() <= steps.get(steps.size() - 1).from())) {
                 throw e.fault("from", "a time after the step before and before the play's end");
@@ -203,24 +203,24 @@
         return steps;
     }
 
-    private Network network(Entry e) throws ScenarioException {
+    private Network network(YamlMapping e) throws ScenarioException {
         Network network = new Network(e.span("same", 0), e.span("cross", 0), e.span("jitter", 0));
-        e.done();
+        e.rejectUnknownKeys();
         return network;
     }
 
-    private Registry registry(Entry e) throws ScenarioException {
+    private Registry registry(YamlMapping e) throws ScenarioException {
         Registry registry =
                 new Registry(
                         e.span("notice", S),
                         e.number("calls_per_s", Range.POSITIVE, 1000),
                         e.span("patience", 2 * S),
                         e.span("ask_within", 10 * S));
-        e.done();
+        e.rejectUnknownKeys();
         return registry;
     }
 
-    private Platform platform(Entry e) throws ScenarioException {
+    private Platform platform(YamlMapping e) throws ScenarioException {
         Platform platform =
                 new Platform(
                         e.flag("probes", true),
@@ -236,13 +236,13 @@
                         e.span("connection_idle", 60 * S),
                         e.span("connect_timeout", 200 * MS),
                         e.span("answer_slack", 5 * MS));
-        e.done();
+        e.rejectUnknownKeys();
         return platform;
     }
 
-    private List<Fault> faults(Entry root, long length) throws ScenarioException {
+    private List<Fault> faults(YamlMapping root, long length) throws ScenarioException {
         List<Fault> faults = new ArrayList<>();
-        for (Entry e : root.children("faults")) {
+        for (YamlMapping e : root.children("faults")) {
             What what = e.oneOf("what", What.class, null);
             long at = e.span("at");
             if (at >= length) {
@@ -266,7 +266,7 @@
                             e.span("span", 0),
                             e.span("jitter", 0),
                             faults.size() + 1));
-            e.done();
+            e.rejectUnknownKeys();
         }
         return faults;
     }
--- a/lab/src/main/java/ottergauge/lab/scenario/Entry.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
@@ -20,9 +20,9 @@
 
 /**
  * A mapping of a scenario file that knows its lines. Each value is asked for with what it may be;
- * what nobody asked for is an unknown key and is told by {@link #done}.
+ * what nobody asked for is an unknown key and is told by {@link #rejectUnknownKeys}.
  */
-public final class Entry {
+public final class YamlMapping {
 
     /** What a number may be. */
     public record Range(double least, double most, String words) {
@@ -40,13 +40,13 @@
     private final Map<String, Node> values = new LinkedHashMap<>();
     private final Set<String> asked = new HashSet<>();
 
-    private Entry(String file, int line) {
+    private YamlMapping(String file, int line) {
         this.file = file;
         this.line = line;
     }
 
     /** Reads a file's text, which is one mapping; {@code file} is what messages call it. */
-    public static Entry root(String file, String text) throws ScenarioException {
+    public static YamlMapping root(String file, String text) throws ScenarioException {
         try {
             return of(
                     file,
@@ -64,12 +64,12 @@
         }
     }
 
-    private static Entry of(String file, Node node) throws ScenarioException {
+    private static YamlMapping of(String file, Node node) throws ScenarioException {
         int line = line(node);
         if (!(node instanceof MappingNode mapping)) {
             throw new ScenarioException(file + ":" + line + ": expected keys with values");
         }
-        Entry entry = new Entry(file, line);
+        YamlMapping entry = new YamlMapping(file, line);
         for (NodeTuple tuple : mapping.getValue()) {
             if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
                 throw new ScenarioException(
@@ -178,7 +178,7 @@
     }
 
     /** Returns a whole number, or {@code absent} without the key. */
-    public long whole(String key, long absent) throws ScenarioException {
+    public long wholeNumber(String key, long absent) throws ScenarioException {
         if (!has(key)) {
             return absent;
         }
@@ -226,7 +226,7 @@
     }
 
     /** Returns a group of keys that must be there. */
-    public Entry child(String key) throws ScenarioException {
+    public YamlMapping child(String key) throws ScenarioException {
         asked.add(key);
         Node node = values.get(key);
         if (node == null) {
@@ -236,14 +236,14 @@
     }
 
     /** A mapping that may be left out: all of it then takes what is usual. */
-    public Entry childOrNone(String key) throws ScenarioException {
-        return has(key) ? child(key) : new Entry(file, line);
+    public YamlMapping childOrEmpty(String key) throws ScenarioException {
+        return has(key) ? child(key) : new YamlMapping(file, line);
     }
 
     /** Returns a list of groups of keys; empty without the key. */
-    public List<Entry> children(String key) throws ScenarioException {
+    public List<YamlMapping> children(String key) throws ScenarioException {
         asked.add(key);
-        List<Entry> children = new ArrayList<>();
+        List<YamlMapping> children = new ArrayList<>();
         if (values.get(key) instanceof SequenceNode list) {
             for (Node each : list.getValue()) {
                 children.add(of(file, each));
@@ -272,7 +272,7 @@
     }
 
     /** Names the first key that nobody asked for. */
-    public void done(String... known) throws ScenarioException {
+    public void rejectUnknownKeys(String... known) throws ScenarioException {
         asked.addAll(List.of(known));
         for (String key : values.keySet()) {
             if (!asked.contains(key)) {
