--- a/lab/src/main/java/ottergauge/lab/program/RunCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/RunCommand.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.Callable;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import ottergauge.lab.play.Play;
-import ottergauge.lab.play.Play.Program;
-import ottergauge.lab.play.PlayException;
+import ottergauge.lab.run.ScenarioRun;
+import ottergauge.lab.run.ScenarioRun.Program;
+import ottergauge.lab.run.RunException;
 import ottergauge.lab.report.Report;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioException;
@@ -80,7 +80,7 @@
             Path folder =
                     logs == null ? Files.createTempDirectory("lab") : Files.createDirectories(logs);
             Program program = new Program(command == null ? runLine(root) : command, root);
-            Report report = new Report(new Play(scenario, program, folder.toAbsolutePath()).run());
+            Report report = new Report(new ScenarioRun(scenario, program, folder.toAbsolutePath()).run());
             report.print(out);
             if (seconds) {
                 report.printSeconds(out);
@@ -89,20 +89,20 @@
                 report.write(json);
             }
             return report.verdict() == Report.Verdict.KEPT ? 0 : 1;
-        } catch (PlayException e) {
+        } catch (RunException e) {
             err.println(e.getMessage());
             return 1;
         }
     }
 
     /** The line {@code run} of the deploy file. */
-    static String runLine(Path root) throws IOException, PlayException {
+    static String runLine(Path root) throws IOException, RunException {
         Path deploy = root.resolve("deploy/balancer.toml");
         Matcher run =
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
                         .matcher(Files.readString(deploy));
         if (!run.find()) {
-            throw new PlayException(deploy + ": no line run");
+            throw new RunException(deploy + ": no line run");
         }
         return run.group(1);
     }
--- a/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import ottergauge.lab.play.PlayException;
+import ottergauge.lab.run.RunException;
 import ottergauge.lab.scale.play.ScalePlay;
 import ottergauge.lab.scale.report.ScaleReport;
 import ottergauge.lab.scale.scenario.ScaleScenario;
@@ -79,7 +79,7 @@
                 Files.writeString(json, report.json());
             }
             return report.reached() ? 0 : 1;
-        } catch (PlayException e) {
+        } catch (RunException e) {
             err.println(e.getMessage());
             return 1;
         }
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -18,7 +18,7 @@
 import ottergauge.lab.ledger.Figures.Second;
 import ottergauge.lab.ledger.Figures.Span;
 import ottergauge.lab.ledger.Ledger.Cost;
-import ottergauge.lab.play.Play.Played;
+import ottergauge.lab.run.ScenarioRun.RunResult;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.LoadStep;
 
@@ -38,13 +38,13 @@
     private static final double MS = 1_000;
     private static final double SECOND = 1e6;
 
-    private final Played played;
+    private final RunResult played;
     private final Scenario scenario;
     private final List<Broken> broken;
     private final Figures figures;
 
     /** Checks the rules on what was recorded and computes the figures. */
-    public Report(Played played) {
+    public Report(RunResult played) {
         this.played = played;
         scenario = played.scenario();
         broken = Checker.check(scenario, played.ledger(), scenario.length());
--- a/lab/src/main/java/ottergauge/lab/play/Timetable.java
+++ b/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.play;
+package ottergauge.lab.run;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -15,7 +15,7 @@
 import ottergauge.lab.server.ServerHost;
 
 /** Begins and ends each fault of a play at its time, with whom it befalls drawn from the seed. */
-final class Timetable {
+final class FaultSchedule {
 
     private static final int HEALTHY = 1;
 
@@ -26,7 +26,7 @@
     private final Links links;
     private final Ledger ledger;
 
-    Timetable(
+    FaultSchedule(
             Loop loop,
             Scenario scenario,
             Fleet fleet,
--- a/lab/src/main/java/ottergauge/lab/play/PlayException.java
+++ b/lab/src/main/java/ottergauge/lab/run/RunException.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.play;
+package ottergauge.lab.run;
 
 /** A play that could not be played to its end; it says nothing of the rules. */
-public final class PlayException extends Exception {
+public final class RunException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
-    public PlayException(String message) {
+    public RunException(String message) {
         super(message);
     }
 }
--- a/lab/src/main/java/ottergauge/lab/play/Play.java
+++ b/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.play;
+package ottergauge.lab.run;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.sun.management.OperatingSystemMXBean;
@@ -29,7 +29,7 @@
  * Plays a scenario with real nodes: starts everything, plays load and faults, and leaves nothing
  * running.
  */
-public final class Play {
+public final class ScenarioRun {
 
     /**
      * How the nodes are started: a shell line run from a folder, and what their configuration has
@@ -42,7 +42,7 @@
     }
 
     /** What was played: the ledger, how late the rig was, and the CPU that each side took. */
-    public record Played(
+    public record RunResult(
             Scenario scenario,
             Ledger ledger,
             long lateP99,
@@ -62,22 +62,22 @@
     private final Ledger ledger = new Ledger();
 
     /** {@code folder} keeps the nodes' configurations and logs. */
-    public Play(Scenario scenario, Program program, Path folder) {
+    public ScenarioRun(Scenario scenario, Program program, Path folder) {
         this.scenario = scenario;
         this.program = program;
         this.folder = folder;
     }
 
     /** Plays it; no process, port or thread is left, however it ends. */
-    public Played run() throws PlayException, IOException, InterruptedException {
+    public RunResult run() throws RunException, IOException, InterruptedException {
         try (ServerSocket lock = LoopbackAddresses.reserve();
                 Loop loop = new Loop()) {
             return run(loop, LoopbackAddresses.of(lock));
         }
     }
 
-    private Played run(Loop loop, LoopbackAddresses addresses)
-            throws PlayException, IOException, InterruptedException {
+    private RunResult run(Loop loop, LoopbackAddresses addresses)
+            throws RunException, IOException, InterruptedException {
         Links links = new Links(scenario.seed());
         Servers servers = new Servers(loop, scenario, addresses, links, ledger);
         List<InetSocketAddress> nodes = new ArrayList<>();
@@ -123,7 +123,7 @@
                         ledger.happenings.clear();
                         ledger.paid.clear();
                         clients.begin(Plan.draw(scenario));
-                        new Timetable(loop, scenario, fleet, servers, links, ledger).begin();
+                        new FaultSchedule(loop, scenario, fleet, servers, links, ledger).begin();
                         long longest =
                                 scenario.classes().stream()
                                         .mapToLong(Scenario.RequestClass::deadline)
@@ -145,7 +145,7 @@
             for (NodeProcess node : fleet.nodes()) {
                 levels.add(node.logLines("level"));
             }
-            return new Played(
+            return new RunResult(
                     scenario,
                     ledger,
                     loop.lateness().getValueAtPercentile(99),
@@ -165,28 +165,28 @@
     }
 
     private static void onLoop(Loop loop, Runnable task)
-            throws InterruptedException, PlayException {
+            throws InterruptedException, RunException {
         try {
             loop.netty().submit(task).get();
         } catch (ExecutionException e) {
-            throw new PlayException("the rig failed: " + e.getCause());
+            throw new RunException("the rig failed: " + e.getCause());
         }
     }
 
     private static void await(CompletableFuture<Void> over, long seconds)
-            throws InterruptedException, PlayException {
+            throws InterruptedException, RunException {
         try {
             over.get(seconds, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
-            throw new PlayException(e.getCause().getMessage());
+            throw new RunException(e.getCause().getMessage());
         } catch (TimeoutException e) {
-            throw new PlayException("the play did not come to its end in " + seconds + " s");
+            throw new RunException("the play did not come to its end in " + seconds + " s");
         }
     }
 
     // Looks on the loop, so that all that the front knows is read on its own thread.
     private void awaitReady(Loop loop, Fleet fleet, Clients clients)
-            throws InterruptedException, PlayException {
+            throws InterruptedException, RunException {
         CompletableFuture<Void> ready = new CompletableFuture<>();
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_WITHIN_S);
         loop.netty().execute(() -> look(loop, fleet, clients, until, ready));
@@ -199,7 +199,7 @@
                 fleet.nodes().stream().filter(node -> !node.isAlive()).findFirst().orElse(null);
         if (dead != null) {
             ready.completeExceptionally(
-                    new PlayException(
+                    new RunException(
                             "n"
                                     + dead.number()
                                     + " ended before it was ready; the end of its log:\n"
@@ -216,7 +216,7 @@
                                             .append(node.number())
                                             .append("; the end of its log:\n")
                                             .append(node.logEnd()));
-            ready.completeExceptionally(new PlayException(text.toString()));
+            ready.completeExceptionally(new RunException(text.toString()));
         } else {
             loop.after(LOOK_EVERY, () -> look(loop, fleet, clients, until, ready));
         }
--- a/lab/src/main/java/ottergauge/lab/play/Servers.java
+++ b/lab/src/main/java/ottergauge/lab/run/Servers.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.play;
+package ottergauge.lab.run;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/lab/src/main/java/ottergauge/lab/scale/play/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/Fleet.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import ottergauge.lab.node.Signals;
-import ottergauge.lab.play.PlayException;
+import ottergauge.lab.run.RunException;
 import ottergauge.lab.scale.figures.Observations;
 import ottergauge.lab.scale.process.ChildProcess;
 import ottergauge.lab.scale.process.ProcessUse;
@@ -152,7 +152,7 @@
 
     // Starts a process, gives it its first order and waits until it says that it is ready.
     private void start(String name, String order)
-            throws IOException, InterruptedException, PlayException {
+            throws IOException, InterruptedException, RunException {
         CountDownLatch latch = new CountDownLatch(1);
         synchronized (ready) {
             ready.put(name, latch);
@@ -161,7 +161,7 @@
         process.start();
         process.order(order);
         if (!latch.await(READY_WITHIN_S, TimeUnit.SECONDS)) {
-            throw new PlayException(
+            throw new RunException(
                     name + " is not ready; the end of its log:\n" + process.logEnd());
         }
     }
@@ -171,7 +171,7 @@
      * before.
      */
     void startDiscovery(long version, ArrayNode list)
-            throws IOException, InterruptedException, PlayException {
+            throws IOException, InterruptedException, RunException {
         start(
                 DISCOVERY,
                 JsonNodeFactory.instance
@@ -182,7 +182,7 @@
     }
 
     /** Starts the links. */
-    void startLinks() throws IOException, InterruptedException, PlayException {
+    void startLinks() throws IOException, InterruptedException, RunException {
         ObjectNode order = JsonNodeFactory.instance.objectNode();
         ArrayNode links = order.putArray("links");
         for (int region = 0; region < scenario.regions(); region++) {
--- a/lab/src/main/java/ottergauge/lab/scale/play/PhasePlayer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/PhasePlayer.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.LongFunction;
 import ottergauge.lab.net.Loop;
-import ottergauge.lab.play.PlayException;
+import ottergauge.lab.run.RunException;
 import ottergauge.lab.scale.figures.Observations;
 import ottergauge.lab.scale.process.Reporter;
 import ottergauge.lab.scale.scenario.ScaleScenario;
@@ -175,7 +175,7 @@
     }
 
     private interface Waiting {
-        void run() throws IOException, InterruptedException, PlayException;
+        void run() throws IOException, InterruptedException, RunException;
     }
 
     // What waits for a process does so on a thread of its own: the loop has to be in time.
@@ -185,7 +185,7 @@
                         () -> {
                             try {
                                 task.run();
-                            } catch (IOException | PlayException e) {
+                            } catch (IOException | RunException e) {
                                 failure = e.toString();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
--- a/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
@@ -12,7 +12,7 @@
 import java.util.function.BooleanSupplier;
 import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
-import ottergauge.lab.play.PlayException;
+import ottergauge.lab.run.RunException;
 import ottergauge.lab.scale.figures.Observations;
 import ottergauge.lab.scale.figures.PhaseFigures;
 import ottergauge.lab.scale.figures.PhaseWindow;
@@ -55,7 +55,7 @@
     /**
      * Plays it, and gives back the figures of each phase; the first one is the start of all nodes.
      */
-    public List<PhaseFigures> run() throws IOException, InterruptedException, PlayException {
+    public List<PhaseFigures> run() throws IOException, InterruptedException, RunException {
         try (ServerSocket lock = LoopbackAddresses.reserve();
                 Loop loop = new Loop();
                 Fleet fleet =
@@ -82,11 +82,11 @@
     }
 
     private static void onLoop(Loop loop, Runnable task)
-            throws InterruptedException, PlayException {
+            throws InterruptedException, RunException {
         try {
             loop.netty().submit(task).get();
         } catch (ExecutionException e) {
-            throw new PlayException("the rig failed: " + e.getCause());
+            throw new RunException("the rig failed: " + e.getCause());
         }
     }
 
@@ -106,7 +106,7 @@
     }
 
     private PhaseFigures start(Fleet fleet, ServerList list, PhasePlayer player)
-            throws IOException, InterruptedException, PlayException {
+            throws IOException, InterruptedException, RunException {
         long from = Reporter.wallMicros();
         Phase phase =
                 new Phase(
@@ -125,7 +125,7 @@
 
     private PhaseFigures play(
             Loop loop, Fleet fleet, ServerList list, PhasePlayer player, Phase phase)
-            throws InterruptedException, PlayException {
+            throws InterruptedException, RunException {
         long from = Reporter.wallMicros();
         onLoop(loop, () -> player.begin(phase));
         await(fleet, player, from + phase.length(), () -> false);
@@ -135,7 +135,7 @@
     // Waits until all go by the newest version, or until the time for that is over.
     private PhaseFigures end(
             Fleet fleet, ServerList list, PhasePlayer player, Phase phase, long from)
-            throws InterruptedException, PlayException {
+            throws InterruptedException, RunException {
         long most =
                 Reporter.wallMicros()
                         + phase.length() * (phase.what() == What.RESTART ? 1 : 0)
@@ -175,17 +175,17 @@
 
     // Looks after the processes meanwhile.
     private void await(Fleet fleet, PhasePlayer player, long until, BooleanSupplier over)
-            throws InterruptedException, PlayException {
+            throws InterruptedException, RunException {
         while (Reporter.wallMicros() < until && !over.getAsBoolean()) {
             String ended = fleet.ended(player.away());
             if (ended != null || player.failure() != null) {
-                throw new PlayException(ended != null ? ended : player.failure());
+                throw new RunException(ended != null ? ended : player.failure());
             }
             if (Reporter.wallMicros() - lookedAt >= USE_EVERY) {
                 lookedAt = Reporter.wallMicros();
                 long resident = fleet.look();
                 if (resident > MOST_MEMORY) {
-                    throw new PlayException(
+                    throw new RunException(
                             "the play takes "
                                     + (resident >> 20)
                                     + " MB of memory, over the "
--- a/lab/src/test/java/ottergauge/lab/play/PlayIT.java
+++ b/lab/src/test/java/ottergauge/lab/run/ScenarioRunIT.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.play;
+package ottergauge.lab.run;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,14 +19,14 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ottergauge.lab.play.Play.Program;
+import ottergauge.lab.run.ScenarioRun.Program;
 import ottergauge.lab.report.Report;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioReader;
 
 /** Plays with the node that the project above has built, started by its own {@code run} line. */
 @Timeout(180)
-class PlayIT {
+class ScenarioRunIT {
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
@@ -42,7 +42,7 @@
 
     private Report play(String file, String command) throws Exception {
         Scenario scenario = ScenarioReader.read(Path.of("scenarios", file));
-        return new Report(new Play(scenario, new Program(command, ROOT), folder).run());
+        return new Report(new ScenarioRun(scenario, new Program(command, ROOT), folder).run());
     }
 
     private static String text(Report report) {
@@ -107,7 +107,7 @@
     void aNodeThatNeverBecomesReadyIsNamedWithTheEndOfItsLog() {
         String told =
                 assertThrows(
-                                PlayException.class,
+                                RunException.class,
                                 () -> play("faults.yaml", "echo no such program; exit 3"))
                         .getMessage();
         assertTrue(
