--- a/lab/src/main/java/ottergauge/lab/client/Clients.java
+++ b/lab/src/main/java/ottergauge/lab/client/Clients.java
@@ -19,9 +19,9 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.SplittableRandom;
-import ottergauge.lab.ledger.Ledger;
-import ottergauge.lab.ledger.Ledger.Ask;
-import ottergauge.lab.ledger.Ledger.Try;
+import ottergauge.lab.eventlog.EventLog;
+import ottergauge.lab.eventlog.EventLog.Ask;
+import ottergauge.lab.eventlog.EventLog.Try;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.scenario.Scenario;
@@ -43,7 +43,7 @@
 
     private final Loop loop;
     private final Scenario scenario;
-    private final Ledger ledger;
+    private final EventLog eventLog;
     private final Dialer dialer;
     private final Front front;
     private final List<Deque<Connection>> idle = new ArrayList<>();
@@ -56,18 +56,18 @@
     public Clients(
             Loop loop,
             Scenario scenario,
-            Ledger ledger,
+            EventLog eventLog,
             List<InetSocketAddress> nodes,
             List<Link> links) {
         this.loop = loop;
         this.scenario = scenario;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
         dialer = new Dialer(loop, nodes, links);
         front =
                 new Front(
                         loop,
                         dialer,
-                        ledger,
+                        eventLog,
                         nodes.size(),
                         scenario.nodes().busiest(),
                         scenario.clients().notice(),
@@ -129,7 +129,7 @@
                         request.tenant(),
                         request.at(),
                         request.work());
-        ledger.asks.add(ask);
+        eventLog.asks.add(ask);
         attempt(ask, request, 0);
     }
 
@@ -148,9 +148,9 @@
                         node,
                         waits / MS * MS);
         ask.tries.add(each);
-        ledger.tries.put(each.id, each);
+        eventLog.tries.put(each.id, each);
         if (node == 0) {
-            ended(each, request, repeat, Ledger.NO_CONNECTION);
+            ended(each, request, repeat, EventLog.NO_CONNECTION);
             return;
         }
         Call call = new Call(each, request, repeat);
@@ -186,7 +186,7 @@
                         done -> {
                             if (!done.isSuccess()) {
                                 connection.call = null;
-                                ended(call.each, call.request, call.repeat, Ledger.NO_CONNECTION);
+                                ended(call.each, call.request, call.repeat, EventLog.NO_CONNECTION);
                             }
                         });
     }
@@ -246,7 +246,7 @@
     private void stopWaiting(Call call) {
         if (call.each.answeredAt < 0) {
             call.each.gaveUpAt = loop.now();
-            ended(call.each, call.request, call.repeat, Ledger.OPEN);
+            ended(call.each, call.request, call.repeat, EventLog.OPEN);
             call.over = true;
             loop.after(
                     LISTENS,
@@ -260,7 +260,7 @@
 
     // What came of a try, and whether its client tries again.
     private void ended(Try each, Plan.Request request, int repeat, int status) {
-        if (status != Ledger.OPEN) {
+        if (status != EventLog.OPEN) {
             each.status = status;
             each.answeredAt = loop.now();
         }
@@ -269,7 +269,7 @@
         }
         RequestClass type = scenario.classes().get(each.ask.requestClass);
         boolean harmless =
-                status == UNAVAILABLE || status == TOO_MANY || status == Ledger.NO_CONNECTION;
+                status == UNAVAILABLE || status == TOO_MANY || status == EventLog.NO_CONNECTION;
         if (type.effect() == Effect.UNSAFE && !harmless) {
             return;
         }
@@ -361,11 +361,11 @@
                 connect(broken);
             } else if (broken.over) {
                 if (broken.each.answeredAt < 0) {
-                    broken.each.status = Ledger.BROKEN;
+                    broken.each.status = EventLog.BROKEN;
                 }
             } else {
                 broken.over = true;
-                ended(broken.each, broken.request, broken.repeat, Ledger.BROKEN);
+                ended(broken.each, broken.request, broken.repeat, EventLog.BROKEN);
             }
         }
 
--- a/lab/src/main/java/ottergauge/lab/client/Front.java
+++ b/lab/src/main/java/ottergauge/lab/client/Front.java
@@ -6,7 +6,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpVersion;
 import java.util.SplittableRandom;
-import ottergauge.lab.ledger.Ledger;
+import ottergauge.lab.eventlog.EventLog;
 import ottergauge.lab.net.Loop;
 
 /**
@@ -20,7 +20,7 @@
 
     private final Loop loop;
     private final Dialer dialer;
-    private final Ledger ledger;
+    private final EventLog eventLog;
     private final long notice;
     private final double busiest;
     private final boolean[] in;
@@ -31,14 +31,14 @@
     Front(
             Loop loop,
             Dialer dialer,
-            Ledger ledger,
+            EventLog eventLog,
             int nodes,
             double busiest,
             long notice,
             long seed) {
         this.loop = loop;
         this.dialer = dialer;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
         this.notice = notice;
         this.busiest = busiest;
         in = new boolean[nodes + 1];
@@ -96,7 +96,7 @@
     private void take(int node, boolean next, String what) {
         if (in[node] != next) {
             in[node] = next;
-            ledger.happens(loop.now(), "n" + node, what);
+            eventLog.addEvent(loop.now(), "n" + node, what);
         }
     }
 
--- a/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
@@ -30,8 +30,8 @@
 import java.util.function.BiFunction;
 import ottergauge.lab.discovery.Registry.Health;
 import ottergauge.lab.discovery.Registry.Line;
-import ottergauge.lab.ledger.Ledger;
-import ottergauge.lab.ledger.Ledger.Cost;
+import ottergauge.lab.eventlog.EventLog;
+import ottergauge.lab.eventlog.EventLog.Cost;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Listener;
 import ottergauge.lab.net.Loop;
@@ -57,7 +57,7 @@
     private final Loop loop;
     private final Scenario scenario;
     private final Registry registry;
-    private final Ledger ledger;
+    private final EventLog eventLog;
     private final BiFunction<Integer, String, String> dials;
     private final Map<Integer, Listener> listeners = new LinkedHashMap<>();
     private final List<Link> links = new ArrayList<>();
@@ -85,12 +85,12 @@
             Loop loop,
             Scenario scenario,
             Registry registry,
-            Ledger ledger,
+            EventLog eventLog,
             BiFunction<Integer, String, String> dials) {
         this.loop = loop;
         this.scenario = scenario;
         this.registry = registry;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
         this.dials = dials;
         callsPerSecond = scenario.registry().callsPerSecond();
     }
@@ -154,13 +154,13 @@
         }
         long turn = Math.max(freeAt, now) + (long) (1e6 / callsPerSecond);
         if (turn - now > scenario.registry().patience()) {
-            ledger.pays(now, Cost.LIST_CALL_FAILED, node, TARGET);
+            eventLog.addCost(now, Cost.LIST_CALL_FAILED, node, TARGET);
             loop.after(
                     scenario.registry().patience(),
                     () -> answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "{}"));
             return;
         }
-        ledger.pays(now, Cost.LIST_CALL, node, TARGET);
+        eventLog.addCost(now, Cost.LIST_CALL, node, TARGET);
         freeAt = turn;
         loop.at(turn, () -> handle(ctx, node, after, wait));
     }
@@ -274,7 +274,7 @@
 
     // From now on a node counts as told that a server leaves.
     private void counts(int node, String server) {
-        ledger.lives.values().stream()
+        eventLog.lives.values().stream()
                 .filter(life -> life.server.equals(server))
                 .reduce((first, last) -> last)
                 .ifPresent(life -> life.toldAt.putIfAbsent(node, loop.now()));
--- a/lab/src/main/java/ottergauge/lab/ledger/Ledger.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.ledger;
+package ottergauge.lab.eventlog;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -11,7 +11,7 @@
  * checker and the figures go by. No node writes here. Instants are microseconds from the start of
  * the load.
  */
-public final class Ledger {
+public final class EventLog {
 
     /** A request as it was drawn: its first try and all further ones count as one. */
     public static final class Ask {
@@ -126,13 +126,13 @@
     }
 
     /** A cost that a node caused at a server or at discovery, at an instant in microseconds. */
-    public record Paid(long at, Cost cost, int node, String target) {}
+    public record CostEntry(long at, Cost cost, int node, String target) {}
 
     /** Something that happened to a process: a fault, a start, a state. */
-    public record Happening(long at, String who, String what) {}
+    public record Event(long at, String who, String what) {}
 
     /** A server's time under one id: when it began to drain for each node, when it went. */
-    public static final class Life {
+    public static final class ServerLifetime {
         public final String server;
         public final String zone;
         public final long bornAt;
@@ -144,7 +144,7 @@
         public long fellAt = -1;
 
         /** Records a start of a server at an instant in microseconds. */
-        public Life(String server, String zone, long bornAt, boolean cold) {
+        public ServerLifetime(String server, String zone, long bornAt, boolean cold) {
             this.server = server;
             this.zone = zone;
             this.bornAt = bornAt;
@@ -156,18 +156,18 @@
     public final Map<String, Try> tries = new LinkedHashMap<>();
     public final List<Attempt> attempts = new ArrayList<>();
     public final List<Effect> effects = new ArrayList<>();
-    public final List<Paid> paid = new ArrayList<>();
-    public final List<Happening> happenings = new ArrayList<>();
-    public final Map<String, Life> lives = new LinkedHashMap<>();
+    public final List<CostEntry> costs = new ArrayList<>();
+    public final List<Event> events = new ArrayList<>();
+    public final Map<String, ServerLifetime> lives = new LinkedHashMap<>();
 
     /** Attempts whose id no client sent: a server took something that nobody asked for. */
-    public final List<Happening> strangers = new ArrayList<>();
+    public final List<Event> unknownRequests = new ArrayList<>();
 
-    public void happens(long at, String who, String what) {
-        happenings.add(new Happening(at, who, what));
+    public void addEvent(long at, String who, String what) {
+        events.add(new Event(at, who, what));
     }
 
-    public void pays(long at, Cost cost, int node, String target) {
-        paid.add(new Paid(at, cost, node, target));
+    public void addCost(long at, Cost cost, int node, String target) {
+        costs.add(new CostEntry(at, cost, node, target));
     }
 }
--- a/lab/src/main/java/ottergauge/lab/ledger/Checker.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.ledger;
+package ottergauge.lab.eventlog;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ottergauge.lab.ledger.Ledger.Ask;
-import ottergauge.lab.ledger.Ledger.Attempt;
-import ottergauge.lab.ledger.Ledger.Effect;
-import ottergauge.lab.ledger.Ledger.Happening;
-import ottergauge.lab.ledger.Ledger.Life;
-import ottergauge.lab.ledger.Ledger.Try;
+import ottergauge.lab.eventlog.EventLog.Ask;
+import ottergauge.lab.eventlog.EventLog.Attempt;
+import ottergauge.lab.eventlog.EventLog.Effect;
+import ottergauge.lab.eventlog.EventLog.Event;
+import ottergauge.lab.eventlog.EventLog.ServerLifetime;
+import ottergauge.lab.eventlog.EventLog.Try;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
@@ -19,7 +19,7 @@
  * gets one genuine answer in time, no effect happens twice, a draining server gets nothing new, no
  * cold server is pushed over. It knows nothing of how a node works.
  */
-public final class Checker {
+public final class RuleChecker {
 
     /** The rules, and what a play may show beside them. */
     public enum Rule {
@@ -32,7 +32,7 @@
     }
 
     /** One break of a rule, in words. */
-    public record Broken(Rule rule, long at, String what) {}
+    public record Violation(Rule rule, long at, String what) {}
 
     // Time limits on sockets are longer by this much; and an answer may come so late that it only
     // earns
@@ -52,44 +52,44 @@
     private static final long READ_TWICE = 2;
 
     private final Scenario scenario;
-    private final Ledger ledger;
-    private final List<Broken> broken = new ArrayList<>();
+    private final EventLog eventLog;
+    private final List<Violation> broken = new ArrayList<>();
 
-    private Checker(Scenario scenario, Ledger ledger) {
+    private RuleChecker(Scenario scenario, EventLog eventLog) {
         this.scenario = scenario;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
     }
 
     /** All breaks of the rules in a play that has ended at {@code end}. */
-    public static List<Broken> check(Scenario scenario, Ledger ledger, long end) {
-        Checker checker = new Checker(scenario, ledger);
-        checker.answers(end);
-        checker.effects();
-        checker.drains();
-        checker.gone();
-        for (Life life : ledger.lives.values()) {
+    public static List<Violation> check(Scenario scenario, EventLog eventLog, long end) {
+        RuleChecker ruleChecker = new RuleChecker(scenario, eventLog);
+        ruleChecker.answers(end);
+        ruleChecker.effects();
+        ruleChecker.drains();
+        ruleChecker.gone();
+        for (ServerLifetime life : eventLog.lives.values()) {
             if (life.fellAt >= 0) {
-                checker.fault(Rule.COLD, life.fellAt, life.server + " was pushed over");
+                ruleChecker.fault(Rule.COLD, life.fellAt, life.server + " was pushed over");
             }
         }
-        for (Happening each : ledger.happenings) {
+        for (Event each : eventLog.events) {
             if (each.what().startsWith("crashed")) {
-                checker.fault(Rule.CRASH, each.at(), each.who() + " " + each.what());
+                ruleChecker.fault(Rule.CRASH, each.at(), each.who() + " " + each.what());
             }
         }
-        for (Happening each : ledger.strangers) {
-            checker.fault(Rule.EFFECT, each.at(), each.who() + " got " + each.what());
+        for (Event each : eventLog.unknownRequests) {
+            ruleChecker.fault(Rule.EFFECT, each.at(), each.who() + " got " + each.what());
         }
-        return checker.broken;
+        return ruleChecker.broken;
     }
 
     private void fault(Rule rule, long at, String what) {
-        broken.add(new Broken(rule, at, what));
+        broken.add(new Violation(rule, at, what));
     }
 
     private void answers(long end) {
         Map<Integer, List<long[]>> away = away(end);
-        for (Try each : ledger.tries.values()) {
+        for (Try each : eventLog.tries.values()) {
             long due = each.sentAt + each.waits + LOST_AFTER + SOCKET_SLACK;
             if (each.sentAt < 0 || due > end || each.leftAt >= 0) {
                 continue;
@@ -107,7 +107,7 @@
                         Rule.ANSWER,
                         each.answeredAt,
                         each.id + " was answered " + each.answers + " times");
-            } else if (ran && each.status == Ledger.BROKEN) {
+            } else if (ran && each.status == EventLog.BROKEN) {
                 fault(
                         Rule.ANSWER,
                         each.sentAt,
@@ -137,7 +137,7 @@
     // excused.
     private Map<Integer, List<long[]>> away(long end) {
         Map<Integer, List<long[]>> spans = new HashMap<>();
-        for (Happening each : ledger.happenings) {
+        for (Event each : eventLog.events) {
             if (!each.who().startsWith("n") || !Character.isDigit(each.who().charAt(1))) {
                 continue;
             }
@@ -162,10 +162,10 @@
 
     private void effects() {
         Map<Ask, List<Effect>> byAsk = new HashMap<>();
-        for (Effect effect : ledger.effects) {
+        for (Effect effect : eventLog.effects) {
             byAsk.computeIfAbsent(effect.attempt().of.ask, ask -> new ArrayList<>()).add(effect);
         }
-        for (Try each : ledger.tries.values()) {
+        for (Try each : eventLog.tries.values()) {
             RequestClass type = scenario.classes().get(each.ask.requestClass);
             overlaps(each);
             if (type.effect() == Scenario.Effect.UNSAFE) {
@@ -243,8 +243,8 @@
 
     private void drains() {
         long grace = scenario.platform().drainGrace() + SOCKET_SLACK;
-        for (Attempt each : ledger.attempts) {
-            Life life = ledger.lives.get(each.server);
+        for (Attempt each : eventLog.attempts) {
+            ServerLifetime life = eventLog.lives.get(each.server);
             Long told = life == null ? null : life.toldAt.get(each.node);
             if (told != null && each.firstByteAt > told + grace) {
                 fault(
@@ -263,8 +263,8 @@
     }
 
     /** The attempts that began when their client had been away for long enough to be seen. */
-    public static List<Attempt> forNobody(Ledger ledger) {
-        return ledger.attempts.stream()
+    public static List<Attempt> forNobody(EventLog eventLog) {
+        return eventLog.attempts.stream()
                 .filter(
                         each ->
                                 each.of.leftAt >= 0
@@ -273,7 +273,7 @@
     }
 
     private void gone() {
-        forNobody(ledger).stream()
+        forNobody(eventLog).stream()
                 .skip(GONE_CASES)
                 .forEach(
                         each ->
@@ -293,9 +293,9 @@
      * Keyed requests that ran twice because their clients tried again: no node's fault, but
      * counted.
      */
-    public static long secondRuns(Scenario scenario, Ledger ledger) {
+    public static long secondRuns(Scenario scenario, EventLog eventLog) {
         Map<String, Integer> runs = new HashMap<>();
-        for (Effect effect : ledger.effects) {
+        for (Effect effect : eventLog.effects) {
             if (scenario.classes().get(effect.attempt().of.ask.requestClass).effect()
                     == Scenario.Effect.KEYED) {
                 runs.merge(effect.key(), 1, Integer::sum);
--- a/lab/src/main/java/ottergauge/lab/ledger/Figures.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.ledger;
+package ottergauge.lab.eventlog;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -8,17 +8,17 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import ottergauge.lab.ledger.Ledger.Ask;
-import ottergauge.lab.ledger.Ledger.Attempt;
-import ottergauge.lab.ledger.Ledger.Cost;
-import ottergauge.lab.ledger.Ledger.Paid;
-import ottergauge.lab.ledger.Ledger.Try;
+import ottergauge.lab.eventlog.EventLog.Ask;
+import ottergauge.lab.eventlog.EventLog.Attempt;
+import ottergauge.lab.eventlog.EventLog.Cost;
+import ottergauge.lab.eventlog.EventLog.CostEntry;
+import ottergauge.lab.eventlog.EventLog.Try;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.LoadStep;
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
 /** What a play comes to, summed over all nodes from the ledger. */
-public final class Figures {
+public final class RunStatistics {
 
     /** How a request ended, its further tries included. */
     public enum End {
@@ -73,14 +73,14 @@
     private static final int TOO_MANY = 429;
 
     private final Scenario scenario;
-    private final Ledger ledger;
+    private final EventLog eventLog;
     private final Map<Ask, End> ends = new HashMap<>();
 
     /** Prepares the figures of one run. */
-    public Figures(Scenario scenario, Ledger ledger) {
+    public RunStatistics(Scenario scenario, EventLog eventLog) {
         this.scenario = scenario;
-        this.ledger = ledger;
-        ledger.asks.forEach(ask -> ends.put(ask, end(ask)));
+        this.eventLog = eventLog;
+        eventLog.asks.forEach(ask -> ends.put(ask, end(ask)));
     }
 
     private RequestClass type(Ask ask) {
@@ -114,7 +114,7 @@
     /** The figures of the requests that were due in a span, and of what was paid in it. */
     public Span span(long from, long to) {
         List<Ask> asks =
-                ledger.asks.stream()
+                eventLog.asks.stream()
                         .filter(a -> a.intendedAt >= from && a.intendedAt < to)
                         .toList();
         double offered = asks.stream().mapToDouble(ask -> type(ask).worth()).sum();
@@ -139,10 +139,10 @@
                 tries / count,
                 attempts / count,
                 inverted(asks),
-                paid(Cost.PROBE, from, to) / servers / seconds,
-                paid(Cost.HANDSHAKE, from, to) / servers / seconds,
-                paid(Cost.PROBE, from, to) / count,
-                paid(Cost.TURNED_AWAY, from, to) / Math.max(1, attempts),
+                costs(Cost.PROBE, from, to) / servers / seconds,
+                costs(Cost.HANDSHAKE, from, to) / servers / seconds,
+                costs(Cost.PROBE, from, to) / count,
+                costs(Cost.TURNED_AWAY, from, to) / Math.max(1, attempts),
                 busiestProbes(from, to));
     }
 
@@ -151,8 +151,8 @@
                 / (double) Math.max(1, asks.size());
     }
 
-    private double paid(Cost cost, long from, long to) {
-        return ledger.paid.stream()
+    private double costs(Cost cost, long from, long to) {
+        return eventLog.costs.stream()
                 .filter(p -> p.cost() == cost && p.at() >= from && p.at() < to)
                 .count();
     }
@@ -160,7 +160,7 @@
     // The most probes that one server got in one second.
     private double busiestProbes(long from, long to) {
         Map<String, Integer> bySecond = new HashMap<>();
-        for (Paid each : ledger.paid) {
+        for (CostEntry each : eventLog.costs) {
             if (each.cost() == Cost.PROBE && each.at() >= from && each.at() < to) {
                 bySecond.merge(each.target() + "/" + each.at() / SECOND, 1, Integer::sum);
             }
@@ -267,16 +267,16 @@
     public List<Second> seconds() {
         int count = (int) ((scenario.length() + SECOND - 1) / SECOND);
         int[][] n = new int[count][11];
-        for (Ask ask : ledger.asks) {
+        for (Ask ask : eventLog.asks) {
             int second = (int) (ask.intendedAt / SECOND);
             n[second][0]++;
             n[second][1 + ends.get(ask).ordinal()]++;
             n[second][5] += ask.tries.size();
         }
-        for (Attempt each : ledger.attempts) {
+        for (Attempt each : eventLog.attempts) {
             add(n, each.at, 6);
         }
-        for (Paid each : ledger.paid) {
+        for (CostEntry each : eventLog.costs) {
             add(
                     n,
                     each.at(),
@@ -307,7 +307,7 @@
     /** Times from the intended send to the answer that served, by class, in microseconds. */
     public Map<String, Histogram> latencies() {
         Map<String, Histogram> byClass = new TreeMap<>();
-        for (Ask ask : ledger.asks) {
+        for (Ask ask : eventLog.asks) {
             long served = ask.servedAt();
             if (served >= 0) {
                 byClass.computeIfAbsent(type(ask).name(), name -> new Histogram(3))
@@ -323,7 +323,7 @@
      */
     public int worstTenth(Cost cost) {
         Map<String, Integer> counts = new HashMap<>();
-        ledger.paid.stream()
+        eventLog.costs.stream()
                 .filter(p -> p.cost() == cost)
                 .forEach(p -> counts.merge(p.target() + "/" + p.at() / STEP, 1, Integer::sum));
         return counts.values().stream().mapToInt(n -> n).max().orElse(0);
@@ -332,7 +332,7 @@
     /** How attempts ended, by what the servers say. */
     public Map<String, Long> attemptEnds() {
         Map<String, Long> counts = new TreeMap<>();
-        ledger.attempts.forEach(each -> counts.merge(each.end, 1L, Long::sum));
+        eventLog.attempts.forEach(each -> counts.merge(each.end, 1L, Long::sum));
         return counts;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -12,12 +12,12 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import ottergauge.lab.ledger.Checker;
-import ottergauge.lab.ledger.Checker.Broken;
-import ottergauge.lab.ledger.Figures;
-import ottergauge.lab.ledger.Figures.Second;
-import ottergauge.lab.ledger.Figures.Span;
-import ottergauge.lab.ledger.Ledger.Cost;
+import ottergauge.lab.eventlog.RuleChecker;
+import ottergauge.lab.eventlog.RuleChecker.Violation;
+import ottergauge.lab.eventlog.RunStatistics;
+import ottergauge.lab.eventlog.RunStatistics.Second;
+import ottergauge.lab.eventlog.RunStatistics.Span;
+import ottergauge.lab.eventlog.EventLog.Cost;
 import ottergauge.lab.run.ScenarioRun.RunResult;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.LoadStep;
@@ -40,15 +40,15 @@
 
     private final RunResult played;
     private final Scenario scenario;
-    private final List<Broken> broken;
-    private final Figures figures;
+    private final List<Violation> broken;
+    private final RunStatistics statistics;
 
     /** Checks the rules on what was recorded and computes the figures. */
     public Report(RunResult played) {
         this.played = played;
         scenario = played.scenario();
-        broken = Checker.check(scenario, played.ledger(), scenario.length());
-        figures = new Figures(scenario, played.ledger());
+        broken = RuleChecker.check(scenario, played.eventLog(), scenario.length());
+        statistics = new RunStatistics(scenario, played.eventLog());
     }
 
     /** Returns the verdict; {@code RIG_LATE} goes before a broken rule. */
@@ -58,12 +58,12 @@
                 : broken.isEmpty() ? Verdict.KEPT : Verdict.BROKEN;
     }
 
-    public List<Broken> broken() {
+    public List<Violation> broken() {
         return broken;
     }
 
-    public Figures figures() {
-        return figures;
+    public RunStatistics statistics() {
+        return statistics;
     }
 
     /**
@@ -87,9 +87,9 @@
                 long from = steps.get(i).from();
                 long to = steps.get(i + 1).from();
                 return new Burst(
-                        figures.span(0, from),
-                        figures.span(from, to),
-                        figures.backAfter(from, to, 3));
+                        statistics.span(0, from),
+                        statistics.span(from, to),
+                        statistics.backAfter(from, to, 3));
             }
         }
         return null;
@@ -102,7 +102,7 @@
                 "%s  seed %d  %d requests  verdict %s%n",
                 scenario.name(),
                 scenario.seed(),
-                played.ledger().asks.size(),
+                played.eventLog().asks.size(),
                 verdict());
         out.printf(
                 Locale.ROOT,
@@ -114,7 +114,7 @@
         out.println(
                 "   from offered  worth  ideal refused failed tries  att. invert probes/s shakes/s"
                         + "  away");
-        for (Span span : figures.steps()) {
+        for (Span span : statistics.steps()) {
             out.printf(
                     Locale.ROOT,
                     "%6.1fs %7d %6.3f %6.3f %7.3f %6.3f %5.2f %5.2f %6.3f %8.1f %8.2f %5.3f%n",
@@ -144,7 +144,7 @@
                                     "service is back %.1f s after its end",
                                     burst.backAfter() / SECOND));
         }
-        for (Map.Entry<String, Histogram> each : figures.latencies().entrySet()) {
+        for (Map.Entry<String, Histogram> each : statistics.latencies().entrySet()) {
             out.printf(
                     Locale.ROOT,
                     "%s: served %d, ms p50 %.0f p99 %.0f%n",
@@ -153,18 +153,18 @@
                     each.getValue().getValueAtPercentile(50) / MS,
                     each.getValue().getValueAtPercentile(99) / MS);
         }
-        out.println("attempts: " + figures.attemptEnds());
+        out.println("attempts: " + statistics.attemptEnds());
         out.printf(
                 "clients that left: %d; attempts for those that had: %d%n",
-                played.ledger().tries.values().stream().filter(each -> each.leftAt >= 0).count(),
-                Checker.forNobody(played.ledger()).size());
+                played.eventLog().tries.values().stream().filter(each -> each.leftAt >= 0).count(),
+                RuleChecker.forNobody(played.eventLog()).size());
         out.printf(
                 "worst 100 ms at one target: %d handshakes, %d probes, %d list calls%n",
-                figures.worstTenth(Cost.HANDSHAKE),
-                figures.worstTenth(Cost.PROBE),
-                figures.worstTenth(Cost.LIST_CALL));
+                statistics.worstTenth(Cost.HANDSHAKE),
+                statistics.worstTenth(Cost.PROBE),
+                statistics.worstTenth(Cost.LIST_CALL));
         if (!broken.isEmpty()) {
-            Map<Checker.Rule, Integer> counts = new LinkedHashMap<>();
+            Map<RuleChecker.Rule, Integer> counts = new LinkedHashMap<>();
             broken.forEach(each -> counts.merge(each.rule(), 1, Integer::sum));
             out.println("RULES BROKEN: " + counts);
             broken.stream()
@@ -184,7 +184,7 @@
     /** The per-second table. */
     public void printSeconds(PrintWriter out) {
         out.println(" s offered in time late refused failed tries att. probes shakes lists away");
-        for (Second s : figures.seconds()) {
+        for (Second s : statistics.seconds()) {
             out.printf(
                     "%2d %7d %7d %4d %7d %6d %5d %4d %6d %6d %5d %4d%n",
                     s.second(),
@@ -212,13 +212,13 @@
         root.put("rig_late_p99_ms", played.lateP99() / MS);
         root.put("rig_cores", played.rigCores());
         root.put("node_cores", played.nodeCores());
-        root.put("steps", figures.steps());
+        root.put("steps", statistics.steps());
         root.put("burst", burst());
-        root.put("seconds", figures.seconds());
-        root.put("attempts", figures.attemptEnds());
-        root.put("second_runs_by_clients", Checker.secondRuns(scenario, played.ledger()));
+        root.put("seconds", statistics.seconds());
+        root.put("attempts", statistics.attemptEnds());
+        root.put("second_runs_by_clients", RuleChecker.secondRuns(scenario, played.eventLog()));
         root.put("broken", new ArrayList<>(broken));
-        root.put("happenings", played.ledger().happenings);
+        root.put("happenings", played.eventLog().events);
         new ObjectMapper()
                 .enable(SerializationFeature.INDENT_OUTPUT)
                 .writeValue(file.toFile(), root);
--- a/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
+++ b/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.function.Consumer;
-import ottergauge.lab.ledger.Ledger;
+import ottergauge.lab.eventlog.EventLog;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
 import ottergauge.lab.net.Loop;
@@ -24,7 +24,7 @@
     private final Fleet fleet;
     private final Servers servers;
     private final Links links;
-    private final Ledger ledger;
+    private final EventLog eventLog;
 
     FaultSchedule(
             Loop loop,
@@ -32,13 +32,13 @@
             Fleet fleet,
             Servers servers,
             Links links,
-            Ledger ledger) {
+            EventLog eventLog) {
         this.loop = loop;
         this.scenario = scenario;
         this.fleet = fleet;
         this.servers = servers;
         this.links = links;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
     }
 
     void begin() {
@@ -48,7 +48,7 @@
     }
 
     private void begin(Fault fault) {
-        ledger.happens(
+        eventLog.addEvent(
                 loop.now(),
                 "fault " + fault.line(),
                 fault.what()
@@ -111,7 +111,7 @@
             loop.at(
                     fault.at() + fault.lasts(),
                     () -> {
-                        ledger.happens(loop.now(), "fault " + fault.line(), fault.what() + " ends");
+                        eventLog.addEvent(loop.now(), "fault " + fault.line(), fault.what() + " ends");
                         task.run();
                     });
         }
--- a/lab/src/main/java/ottergauge/lab/run/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/run/Fleet.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.function.IntFunction;
 import ottergauge.lab.client.Clients;
-import ottergauge.lab.ledger.Ledger;
+import ottergauge.lab.eventlog.EventLog;
 import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.node.NodeConfig;
@@ -31,7 +31,7 @@
     private final Loop loop;
     private final Scenario scenario;
     private final LoopbackAddresses addresses;
-    private final Ledger ledger;
+    private final EventLog eventLog;
     private final IntFunction<List<String>> lists;
     private final IntFunction<ObjectNode> extras;
     private final Signals signals;
@@ -51,7 +51,7 @@
             Loop loop,
             Scenario scenario,
             LoopbackAddresses addresses,
-            Ledger ledger,
+            EventLog eventLog,
             String command,
             Path root,
             Path folder,
@@ -61,7 +61,7 @@
         this.loop = loop;
         this.scenario = scenario;
         this.addresses = addresses;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
         this.lists = lists;
         this.extras = extras;
         signals = new Signals();
@@ -109,7 +109,7 @@
                                     lists.apply(number),
                                     extras.apply(number)));
             clients.lives(number, true);
-            ledger.happens(loop.now(), "n" + number, "is started");
+            eventLog.addEvent(loop.now(), "n" + number, "is started");
             if (cores[number] < 1) {
                 loop.after(DUTY * number / nodes.size(), () -> duty(number, node(number).starts()));
             }
@@ -153,7 +153,7 @@
         toEnd.add(number);
         clients.lives(number, false);
         node(number).kill();
-        ledger.happens(loop.now(), "n" + number, "is killed");
+        eventLog.addEvent(loop.now(), "n" + number, "is killed");
         loop.after(after, () -> startOnceGone(number));
     }
 
@@ -169,7 +169,7 @@
     /** Tells it to end, kills it after the platform's time, and starts it again. */
     void term(int number, long after) {
         toEnd.add(number);
-        ledger.happens(loop.now(), "n" + number, "is told to end");
+        eventLog.addEvent(loop.now(), "n" + number, "is told to end");
         node(number).signal("TERM");
         long longest =
                 scenario.classes().stream()
@@ -181,7 +181,7 @@
                 longest + 700_000,
                 () -> {
                     if (node(number).starts() == start && node(number).isAlive()) {
-                        ledger.happens(loop.now(), "n" + number, "is killed: it did not end");
+                        eventLog.addEvent(loop.now(), "n" + number, "is killed: it did not end");
                         clients.lives(number, false);
                         node(number).kill();
                     }
@@ -199,25 +199,25 @@
 
     void hangUp(int number) {
         node(number).signal("HUP");
-        ledger.happens(loop.now(), "n" + number, "is told to read its configuration");
+        eventLog.addEvent(loop.now(), "n" + number, "is told to read its configuration");
     }
 
     void stall(int number) {
         stalled.add(number);
         node(number).signal("STOP");
-        ledger.happens(loop.now(), "n" + number, "is stopped");
+        eventLog.addEvent(loop.now(), "n" + number, "is stopped");
     }
 
     void goOn(int number) {
         stalled.remove(number);
         node(number).signal("CONT");
-        ledger.happens(loop.now(), "n" + number, "goes on");
+        eventLog.addEvent(loop.now(), "n" + number, "goes on");
     }
 
     private void ended(NodeProcess node) {
         if (!closed && !toEnd.contains(node.number())) {
             clients.lives(node.number(), false);
-            ledger.happens(
+            eventLog.addEvent(
                     loop.now(),
                     "n" + node.number(),
                     "crashed with exit code " + node.exitCode() + ": " + node.logEnd());
--- a/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
+++ b/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
@@ -17,7 +17,7 @@
 import java.util.function.IntFunction;
 import ottergauge.lab.client.Clients;
 import ottergauge.lab.client.Plan;
-import ottergauge.lab.ledger.Ledger;
+import ottergauge.lab.eventlog.EventLog;
 import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
@@ -44,7 +44,7 @@
     /** What was played: the ledger, how late the rig was, and the CPU that each side took. */
     public record RunResult(
             Scenario scenario,
-            Ledger ledger,
+            EventLog eventLog,
             long lateP99,
             long lateMost,
             double rigCores,
@@ -59,7 +59,7 @@
     private final Scenario scenario;
     private final Program program;
     private final Path folder;
-    private final Ledger ledger = new Ledger();
+    private final EventLog eventLog = new EventLog();
 
     /** {@code folder} keeps the nodes' configurations and logs. */
     public ScenarioRun(Scenario scenario, Program program, Path folder) {
@@ -79,20 +79,20 @@
     private RunResult run(Loop loop, LoopbackAddresses addresses)
             throws RunException, IOException, InterruptedException {
         Links links = new Links(scenario.seed());
-        Servers servers = new Servers(loop, scenario, addresses, links, ledger);
+        Servers servers = new Servers(loop, scenario, addresses, links, eventLog);
         List<InetSocketAddress> nodes = new ArrayList<>();
         List<Link> toNodes = new ArrayList<>();
         for (int node = 1; node <= scenario.nodes().count(); node++) {
             nodes.add(addresses.node(node));
             toNodes.add(links.add("clients", "n" + node, 0, 0));
         }
-        Clients clients = new Clients(loop, scenario, ledger, nodes, toNodes);
+        Clients clients = new Clients(loop, scenario, eventLog, nodes, toNodes);
         Fleet fleet =
                 new Fleet(
                         loop,
                         scenario,
                         addresses,
-                        ledger,
+                        eventLog,
                         program.command(),
                         program.root(),
                         folder,
@@ -120,10 +120,10 @@
                     loop,
                     () -> {
                         loop.begin();
-                        ledger.happenings.clear();
-                        ledger.paid.clear();
+                        eventLog.events.clear();
+                        eventLog.costs.clear();
                         clients.begin(Plan.draw(scenario));
-                        new FaultSchedule(loop, scenario, fleet, servers, links, ledger).begin();
+                        new FaultSchedule(loop, scenario, fleet, servers, links, eventLog).begin();
                         long longest =
                                 scenario.classes().stream()
                                         .mapToLong(Scenario.RequestClass::deadline)
@@ -147,7 +147,7 @@
             }
             return new RunResult(
                     scenario,
-                    ledger,
+                    eventLog,
                     loop.lateness().getValueAtPercentile(99),
                     loop.lateness().getMaxValue(),
                     rigCores,
--- a/lab/src/main/java/ottergauge/lab/run/Servers.java
+++ b/lab/src/main/java/ottergauge/lab/run/Servers.java
@@ -10,7 +10,7 @@
 import ottergauge.lab.discovery.Registry;
 import ottergauge.lab.discovery.Registry.Health;
 import ottergauge.lab.discovery.RegistryHost;
-import ottergauge.lab.ledger.Ledger;
+import ottergauge.lab.eventlog.EventLog;
 import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
@@ -28,18 +28,18 @@
 
     private final Loop loop;
     private final Scenario scenario;
-    private final Ledger ledger;
+    private final EventLog eventLog;
     private final List<ServerHost> servers = new ArrayList<>();
     private final List<ServerKind> kinds = new ArrayList<>();
     private final Registry registry = new Registry();
     private final RegistryHost discovery;
     private boolean ended;
 
-    Servers(Loop loop, Scenario scenario, LoopbackAddresses addresses, Links links, Ledger ledger)
+    Servers(Loop loop, Scenario scenario, LoopbackAddresses addresses, Links links, EventLog eventLog)
             throws IOException {
         this.loop = loop;
         this.scenario = scenario;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
         SplittableRandom random = new SplittableRandom(scenario.seed() + 3);
         Map<String, Repeats> groups = new HashMap<>();
         boolean byZone =
@@ -57,7 +57,7 @@
                                 zone,
                                 groups.computeIfAbsent(
                                         byZone ? zone : "all", each -> new Repeats()),
-                                ledger,
+                                eventLog,
                                 random.split(),
                                 System::currentTimeMillis));
                 kinds.add(kind);
@@ -68,7 +68,7 @@
                         loop,
                         scenario,
                         registry,
-                        ledger,
+                        eventLog,
                         (node, place) ->
                                 LoopbackAddresses.text(
                                         addresses.server(
@@ -131,25 +131,25 @@
 
     void kill(ServerHost server) {
         server.die();
-        ledger.happens(loop.now(), server.place(), "dies");
+        eventLog.addEvent(loop.now(), server.place(), "dies");
         later(server.id(), server, Health.TERMINATED, server.bornMs());
     }
 
     void vanish(ServerHost server) {
         server.vanish();
-        ledger.happens(loop.now(), server.place(), "vanishes");
+        eventLog.addEvent(loop.now(), server.place(), "vanishes");
         later(server.id(), server, Health.TERMINATED, server.bornMs());
     }
 
     void start(ServerHost server, boolean replaced) {
         server.start(replaced);
-        ledger.happens(loop.now(), server.place(), "starts cold as " + server.id());
+        eventLog.addEvent(loop.now(), server.place(), "starts cold as " + server.id());
         later(server.id(), server, Health.IN_SERVICE, server.bornMs());
     }
 
     void drain(ServerHost server) {
         server.drain();
-        ledger.happens(loop.now(), server.place(), "drains");
+        eventLog.addEvent(loop.now(), server.place(), "drains");
         tell(server.id(), server, Health.TERMINATING, server.bornMs());
     }
 
--- a/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
@@ -12,10 +12,10 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
-import ottergauge.lab.ledger.Ledger.Attempt;
-import ottergauge.lab.ledger.Ledger.Cost;
-import ottergauge.lab.ledger.Ledger.Effect;
-import ottergauge.lab.ledger.Ledger.Try;
+import ottergauge.lab.eventlog.EventLog.Attempt;
+import ottergauge.lab.eventlog.EventLog.Cost;
+import ottergauge.lab.eventlog.EventLog.Effect;
+import ottergauge.lab.eventlog.EventLog.Try;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.RequestClass;
 import ottergauge.lab.server.ServerModel.Job;
@@ -50,12 +50,12 @@
             host.unlessStalled(() -> probe(ctx, path));
             return;
         }
-        Try of = host.ledger().tries.get(String.valueOf(request.headers().get("X-Trace-Id")));
+        Try of = host.eventLog().tries.get(String.valueOf(request.headers().get("X-Trace-Id")));
         if (of == null) {
-            host.ledger()
-                    .strangers
+            host.eventLog()
+                    .unknownRequests
                     .add(
-                            new ottergauge.lab.ledger.Ledger.Happening(
+                            new ottergauge.lab.eventlog.EventLog.Event(
                                     host.loop().now(),
                                     host.id(),
                                     "a request that no client sent: " + path));
@@ -64,7 +64,7 @@
         }
         Attempt here = new Attempt(of, node, host.id(), began, host.loop().now());
         of.attempts.add(here);
-        host.ledger().attempts.add(here);
+        host.eventLog().attempts.add(here);
         attempt = here;
         String key = request.headers().get("Idempotency-Key");
         long waits = number(request.headers().get("X-Expires-In-Ms")) * MS;
@@ -82,7 +82,7 @@
     }
 
     private void probe(ChannelHandlerContext ctx, String path) {
-        host.ledger().pays(host.loop().now(), Cost.PROBE, node, host.id());
+        host.eventLog().addCost(host.loop().now(), Cost.PROBE, node, host.id());
         if (!host.scenario().platform().probes()) {
             answer(ctx, HttpResponseStatus.NOT_FOUND, "", false, false);
             return;
@@ -143,7 +143,7 @@
     private void turnAway(ChannelHandlerContext ctx, Attempt here, String why) {
         here.end = why;
         here.endedAt = host.loop().now();
-        host.ledger().pays(host.loop().now(), Cost.TURNED_AWAY, node, host.id());
+        host.eventLog().addCost(host.loop().now(), Cost.TURNED_AWAY, node, host.id());
         answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true, true);
     }
 
@@ -162,7 +162,7 @@
         String what = type.effect() == Scenario.Effect.KEYED ? key : here.of.id;
         if (type.effect() != Scenario.Effect.KEYED
                 || host.repeats().takes(here.beganAt, what, type.window())) {
-            host.ledger()
+            host.eventLog()
                     .effects
                     .add(
                             new Effect(
--- a/lab/src/main/java/ottergauge/lab/server/ServerHost.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerHost.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
-import ottergauge.lab.ledger.Ledger;
-import ottergauge.lab.ledger.Ledger.Cost;
+import ottergauge.lab.eventlog.EventLog;
+import ottergauge.lab.eventlog.EventLog.Cost;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Listener;
 import ottergauge.lab.net.Loop;
@@ -44,7 +44,7 @@
     private final Loop loop;
     private final Scenario scenario;
     private final ServerKind kind;
-    private final Ledger ledger;
+    private final EventLog eventLog;
     private final String place;
     private final String zone;
     private final Repeats repeats;
@@ -70,7 +70,7 @@
             String place,
             String zone,
             Repeats repeats,
-            Ledger ledger,
+            EventLog eventLog,
             SplittableRandom random,
             LongSupplier wallMs) {
         this.loop = loop;
@@ -79,7 +79,7 @@
         this.place = place;
         this.zone = zone;
         this.repeats = repeats;
-        this.ledger = ledger;
+        this.eventLog = eventLog;
         this.random = random;
         this.wallMs = wallMs;
         double speed = kind.speed() * (1 + kind.spread() * (2 * random.nextDouble() - 1));
@@ -98,7 +98,7 @@
         lives++;
         id = place + (lives == 1 ? "" : "-" + lives);
         bornMs = cold ? wallMs.getAsLong() : 0;
-        ledger.lives.put(id, new Ledger.Life(id, zone, now, cold));
+        eventLog.lives.put(id, new EventLog.ServerLifetime(id, zone, now, cold));
     }
 
     /** Listens for a node. */
@@ -109,7 +109,7 @@
 
     private void adopt(int node, ChannelPipeline pipeline) {
         Channel channel = pipeline.channel();
-        ledger.pays(loop.now(), Cost.HANDSHAKE, node, id);
+        eventLog.addCost(loop.now(), Cost.HANDSHAKE, node, id);
         boolean over = connections.size() >= kind.connections();
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
@@ -197,7 +197,7 @@
             born(loop.now(), true);
         } else {
             bornMs = wallMs.getAsLong();
-            ledger.lives.put(id + "@" + loop.now(), new Ledger.Life(id, zone, loop.now(), true));
+            eventLog.lives.put(id + "@" + loop.now(), new EventLog.ServerLifetime(id, zone, loop.now(), true));
         }
         listeners.values().forEach(listener -> listener.up(true));
     }
@@ -234,8 +234,8 @@
         return model;
     }
 
-    Ledger ledger() {
-        return ledger;
+    EventLog eventLog() {
+        return eventLog;
     }
 
     Repeats repeats() {
@@ -266,14 +266,14 @@
 
     /** It was pushed over: it stays down. */
     void fell() {
-        Ledger.Life life =
-                ledger.lives.values().stream()
+        EventLog.ServerLifetime life =
+                eventLog.lives.values().stream()
                         .filter(each -> each.server.equals(id))
                         .reduce((first, last) -> last)
                         .orElseThrow();
         if (life.fellAt < 0) {
             life.fellAt = loop.now();
-            ledger.happens(loop.now(), place, "was pushed over while cold");
+            eventLog.addEvent(loop.now(), place, "was pushed over while cold");
             die();
         }
     }
--- a/lab/src/test/java/ottergauge/lab/ledger/CheckerTest.java
+++ b/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.ledger;
+package ottergauge.lab.eventlog;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import ottergauge.lab.ledger.Checker.Rule;
-import ottergauge.lab.ledger.Ledger.Ask;
-import ottergauge.lab.ledger.Ledger.Attempt;
-import ottergauge.lab.ledger.Ledger.Effect;
-import ottergauge.lab.ledger.Ledger.Life;
-import ottergauge.lab.ledger.Ledger.Try;
+import ottergauge.lab.eventlog.RuleChecker.Rule;
+import ottergauge.lab.eventlog.EventLog.Ask;
+import ottergauge.lab.eventlog.EventLog.Attempt;
+import ottergauge.lab.eventlog.EventLog.Effect;
+import ottergauge.lab.eventlog.EventLog.ServerLifetime;
+import ottergauge.lab.eventlog.EventLog.Try;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioException;
 import ottergauge.lab.scenario.ScenarioReader;
@@ -20,13 +20,13 @@
  * A checker that cannot fail proves nothing: each rule broken in a ledger, and the same ledger
  * unbroken.
  */
-class CheckerTest {
+class RuleCheckerTest {
 
     private static final long END = 20_000_000;
     private static final long MS = 1_000;
 
     private final Scenario scenario = scenario();
-    private final Ledger ledger = new Ledger();
+    private final EventLog eventLog = new EventLog();
 
     private static Scenario scenario() {
         try {
@@ -48,12 +48,12 @@
     }
 
     private Try sent(int requestClass) {
-        Ask ask = new Ask(ledger.asks.size(), requestClass, -1, 1_000 * MS, 50 * MS);
-        Try each = new Try(ask, "id-" + ledger.tries.size(), 1, 600 * MS);
+        Ask ask = new Ask(eventLog.asks.size(), requestClass, -1, 1_000 * MS, 50 * MS);
+        Try each = new Try(ask, "id-" + eventLog.tries.size(), 1, 600 * MS);
         ask.tries.add(each);
         each.sentAt = 1_000 * MS;
-        ledger.asks.add(ask);
-        ledger.tries.put(each.id, each);
+        eventLog.asks.add(ask);
+        eventLog.tries.put(each.id, each);
         return each;
     }
 
@@ -68,12 +68,12 @@
         attempt.endedAt = end;
         attempt.end = how;
         each.attempts.add(attempt);
-        ledger.attempts.add(attempt);
+        eventLog.attempts.add(attempt);
         return attempt;
     }
 
     private List<Rule> broken() {
-        return Checker.check(scenario, ledger, END).stream().map(Checker.Broken::rule).toList();
+        return RuleChecker.check(scenario, eventLog, END).stream().map(RuleChecker.Violation::rule).toList();
     }
 
     private void expect(Rule rule, Try each, Consumer<Try> wrong) {
@@ -86,31 +86,31 @@
         Try each = sent(requestClass);
         answered(each, 200, 1_200 * MS);
         Attempt attempt = attempt(each, "s1", 1_010 * MS, 1_190 * MS, "served");
-        ledger.effects.add(new Effect(1_100 * MS, each.id, "all", "s1", attempt));
+        eventLog.effects.add(new Effect(1_100 * MS, each.id, "all", "s1", attempt));
         return each;
     }
 
     @Test
     void anAnswerMuchTooLateOrNeverIsLost() {
         expect(Rule.ANSWER, served(0), each -> each.answeredAt = 2_200 * MS);
-        answered(ledger.tries.get("id-0"), 200, 2_100 * MS);
-        expect(Rule.ANSWER, served(0), each -> answered(each, Ledger.OPEN, -1));
+        answered(eventLog.tries.get("id-0"), 200, 2_100 * MS);
+        expect(Rule.ANSWER, served(0), each -> answered(each, EventLog.OPEN, -1));
     }
 
     @Test
     void whatANodeHadTakenWhenItDiedIsExcused() {
         Try each = served(0);
-        answered(each, Ledger.BROKEN, 1_200 * MS);
+        answered(each, EventLog.BROKEN, 1_200 * MS);
         assertEquals(List.of(Rule.ANSWER), broken());
-        ledger.happens(1_190 * MS, "n1", "is killed");
-        ledger.happens(3_000 * MS, "n1", "is started");
+        eventLog.addEvent(1_190 * MS, "n1", "is killed");
+        eventLog.addEvent(3_000 * MS, "n1", "is started");
         assertEquals(List.of(), broken());
     }
 
     @Test
     void twoAnswersOrAnotherRequestsAnswerAreNoAnswer() {
         expect(Rule.ANSWER, served(0), each -> each.answers = 2);
-        ledger.tries.get("id-0").answers = 1;
+        eventLog.tries.get("id-0").answers = 1;
         expect(Rule.ANSWER, served(0), each -> each.genuine = false);
     }
 
@@ -143,21 +143,21 @@
                 Rule.EFFECT,
                 each,
                 again ->
-                        ledger.effects.add(
+                        eventLog.effects.add(
                                 new Effect(
                                         1_150 * MS,
                                         again.id,
                                         "all",
                                         "s2",
-                                        ledger.attempts.get(0))));
-        ledger.effects.remove(1);
+                                        eventLog.attempts.get(0))));
+        eventLog.effects.remove(1);
         expect(Rule.EFFECT, served(0), again -> again.status = 503);
     }
 
     @Test
     void aDrainingServerGetsNothingNew() {
-        Life life = new Life("s1", "a", 0, false);
-        ledger.lives.put("s1", life);
+        ServerLifetime life = new ServerLifetime("s1", "a", 0, false);
+        eventLog.lives.put("s1", life);
         expect(Rule.DRAIN, served(0), each -> life.toldAt.put(1, 700 * MS));
     }
 
@@ -183,14 +183,14 @@
 
     @Test
     void aColdServerPushedOverAndACrashAreCaught() {
-        Life life = new Life("s1", "a", 0, true);
-        ledger.lives.put("s1", life);
+        ServerLifetime life = new ServerLifetime("s1", "a", 0, true);
+        eventLog.lives.put("s1", life);
         expect(Rule.COLD, served(0), each -> life.fellAt = 5_000 * MS);
         life.fellAt = -1;
         expect(
                 Rule.CRASH,
                 served(0),
-                each -> ledger.happens(6_000 * MS, "n2", "crashed with exit code 3"));
+                each -> eventLog.addEvent(6_000 * MS, "n2", "crashed with exit code 3"));
     }
 
     @Test
@@ -199,7 +199,7 @@
                 Rule.EFFECT,
                 served(0),
                 each ->
-                        ledger.strangers.add(
-                                new Ledger.Happening(0, "s1", "a request that no client sent")));
+                        eventLog.unknownRequests.add(
+                                new EventLog.Event(0, "s1", "a request that no client sent")));
     }
 }
