--- a/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.lab.eventlog;
 
+import com.fasterxml.jackson.annotation.JsonProperty;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -37,17 +38,17 @@
     public record Span(
             long from,
             long to,
-            int asks,
+            @JsonProperty("asks") int asks,
             double worth,
             double ideal,
             double refused,
             double failed,
-            double triesPerAsk,
-            double attemptsPerAsk,
+            @JsonProperty("triesPerAsk") double triesPerAsk,
+            @JsonProperty("attemptsPerAsk") double attemptsPerAsk,
             double inverted,
             double probesPerServer,
             double handshakesPerServer,
-            double probesPerAsk,
+            @JsonProperty("probesPerAsk") double probesPerAsk,
             double turnedAway,
             double busiestProbes) {}
 
@@ -59,8 +60,8 @@
             int late,
             int refused,
             int failed,
-            int tries,
-            int attempts,
+            @JsonProperty("tries") int tries,
+            @JsonProperty("attempts") int attempts,
             int probes,
             int handshakes,
             int listCalls,
