--- a/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
@@ -274,7 +274,7 @@
 
     // From now on a node counts as told that a server leaves.
     private void counts(int node, String server) {
-        eventLog.lives.values().stream()
+        eventLog.lifetimes.values().stream()
                 .filter(life -> life.server.equals(server))
                 .reduce((first, last) -> last)
                 .ifPresent(life -> life.toldAt.putIfAbsent(node, loop.now()));
--- a/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
@@ -94,7 +94,7 @@
 
     /** One request that reached a server whole. */
     public static final class Attempt {
-        public final Try of;
+        public final Try clientAttempt;
         public final int node;
         public final String server;
         public final long firstByteAt;
@@ -104,8 +104,8 @@
         public String end = "open";
 
         /** Records an attempt that reached a server; instants are microseconds. */
-        public Attempt(Try of, int node, String server, long firstByteAt, long at) {
-            this.of = of;
+        public Attempt(Try clientAttempt, int node, String server, long firstByteAt, long at) {
+            this.clientAttempt = clientAttempt;
             this.node = node;
             this.server = server;
             this.firstByteAt = firstByteAt;
@@ -158,7 +158,7 @@
     public final List<Effect> effects = new ArrayList<>();
     public final List<CostEntry> costs = new ArrayList<>();
     public final List<Event> events = new ArrayList<>();
-    public final Map<String, ServerLifetime> lives = new LinkedHashMap<>();
+    public final Map<String, ServerLifetime> lifetimes = new LinkedHashMap<>();
 
     /** Attempts whose id no client sent: a server took something that nobody asked for. */
     public final List<Event> unknownRequests = new ArrayList<>();
--- a/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
@@ -67,7 +67,7 @@
         ruleChecker.effects();
         ruleChecker.drains();
         ruleChecker.gone();
-        for (ServerLifetime life : eventLog.lives.values()) {
+        for (ServerLifetime life : eventLog.lifetimes.values()) {
             if (life.fellAt >= 0) {
                 ruleChecker.fault(Rule.COLD, life.fellAt, life.server + " was pushed over");
             }
@@ -163,7 +163,7 @@
     private void effects() {
         Map<Ask, List<Effect>> byAsk = new HashMap<>();
         for (Effect effect : eventLog.effects) {
-            byAsk.computeIfAbsent(effect.attempt().of.ask, ask -> new ArrayList<>()).add(effect);
+            byAsk.computeIfAbsent(effect.attempt().clientAttempt.ask, ask -> new ArrayList<>()).add(effect);
         }
         for (Try each : eventLog.tries.values()) {
             RequestClass type = scenario.classes().get(each.ask.requestClass);
@@ -221,7 +221,7 @@
 
     private void twice(Ask ask, List<Effect> effects) {
         Map<Try, Long> byTry = new HashMap<>();
-        effects.forEach(effect -> byTry.merge(effect.attempt().of, 1L, Long::sum));
+        effects.forEach(effect -> byTry.merge(effect.attempt().clientAttempt, 1L, Long::sum));
         byTry.forEach(
                 (each, times) -> {
                     if (times >= READ_TWICE) {
@@ -244,13 +244,13 @@
     private void drains() {
         long grace = scenario.platform().drainGrace() + SOCKET_SLACK;
         for (Attempt each : eventLog.attempts) {
-            ServerLifetime life = eventLog.lives.get(each.server);
+            ServerLifetime life = eventLog.lifetimes.get(each.server);
             Long told = life == null ? null : life.toldAt.get(each.node);
             if (told != null && each.firstByteAt > told + grace) {
                 fault(
                         Rule.DRAIN,
                         each.firstByteAt,
-                        each.of.id
+                        each.clientAttempt.id
                                 + " went to "
                                 + each.server
                                 + " "
@@ -267,8 +267,8 @@
         return eventLog.attempts.stream()
                 .filter(
                         each ->
-                                each.of.leftAt >= 0
-                                        && each.firstByteAt > each.of.leftAt + GONE_AFTER)
+                                each.clientAttempt.leftAt >= 0
+                                        && each.firstByteAt > each.clientAttempt.leftAt + GONE_AFTER)
                 .toList();
     }
 
@@ -280,11 +280,11 @@
                                 fault(
                                         Rule.GONE,
                                         each.firstByteAt,
-                                        each.of.id
+                                        each.clientAttempt.id
                                                 + " went to "
                                                 + each.server
                                                 + " "
-                                                + (each.firstByteAt - each.of.leftAt) / 1000
+                                                + (each.firstByteAt - each.clientAttempt.leftAt) / 1000
                                                 + " ms after its client had left n"
                                                 + each.node));
     }
@@ -296,7 +296,7 @@
     public static long secondRuns(Scenario scenario, EventLog eventLog) {
         Map<String, Integer> runs = new HashMap<>();
         for (Effect effect : eventLog.effects) {
-            if (scenario.classes().get(effect.attempt().of.ask.requestClass).effect()
+            if (scenario.classes().get(effect.attempt().clientAttempt.ask.requestClass).effect()
                     == Scenario.Effect.KEYED) {
                 runs.merge(effect.key(), 1, Integer::sum);
             }
--- a/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
@@ -50,8 +50,8 @@
             host.unlessStalled(() -> probe(ctx, path));
             return;
         }
-        Try of = host.eventLog().tries.get(String.valueOf(request.headers().get("X-Trace-Id")));
-        if (of == null) {
+        Try clientAttempt = host.eventLog().tries.get(String.valueOf(request.headers().get("X-Trace-Id")));
+        if (clientAttempt == null) {
             host.eventLog()
                     .unknownRequests
                     .add(
@@ -62,8 +62,8 @@
             answer(ctx, HttpResponseStatus.BAD_REQUEST, "", false, false);
             return;
         }
-        Attempt here = new Attempt(of, node, host.id(), began, host.loop().now());
-        of.attempts.add(here);
+        Attempt here = new Attempt(clientAttempt, node, host.id(), began, host.loop().now());
+        clientAttempt.attempts.add(here);
         host.eventLog().attempts.add(here);
         attempt = here;
         String key = request.headers().get("Idempotency-Key");
@@ -121,11 +121,11 @@
 
     private void work(
             ChannelHandlerContext ctx, Attempt here, String key, long over, long handshake) {
-        RequestClass type = host.scenario().classes().get(here.of.ask.requestClass);
+        RequestClass type = host.scenario().classes().get(here.clientAttempt.ask.requestClass);
         Job[] own = new Job[1];
         own[0] =
                 new Job(
-                        here.of.ask.work + handshake,
+                        here.clientAttempt.ask.work + handshake,
                         type.waits(),
                         over,
                         () -> here.beganAt = host.loop().now(),
@@ -159,7 +159,7 @@
                     () -> answer(ctx, HttpResponseStatus.GATEWAY_TIMEOUT, "", true, true));
             return;
         }
-        String what = type.effect() == Scenario.Effect.KEYED ? key : here.of.id;
+        String what = type.effect() == Scenario.Effect.KEYED ? key : here.clientAttempt.id;
         if (type.effect() != Scenario.Effect.KEYED
                 || host.repeats().takes(here.beganAt, what, type.window())) {
             host.eventLog()
@@ -184,7 +184,7 @@
                             answer(
                                     ctx,
                                     HttpResponseStatus.OK,
-                                    "made for " + here.of.id,
+                                    "made for " + here.clientAttempt.id,
                                     false,
                                     true));
         }
--- a/lab/src/main/java/ottergauge/lab/server/ServerHost.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerHost.java
@@ -98,7 +98,7 @@
         lives++;
         id = place + (lives == 1 ? "" : "-" + lives);
         bornMs = cold ? wallMs.getAsLong() : 0;
-        eventLog.lives.put(id, new EventLog.ServerLifetime(id, zone, now, cold));
+        eventLog.lifetimes.put(id, new EventLog.ServerLifetime(id, zone, now, cold));
     }
 
     /** Listens for a node. */
@@ -197,7 +197,7 @@
             born(loop.now(), true);
         } else {
             bornMs = wallMs.getAsLong();
-            eventLog.lives.put(id + "@" + loop.now(), new EventLog.ServerLifetime(id, zone, loop.now(), true));
+            eventLog.lifetimes.put(id + "@" + loop.now(), new EventLog.ServerLifetime(id, zone, loop.now(), true));
         }
         listeners.values().forEach(listener -> listener.up(true));
     }
@@ -267,7 +267,7 @@
     /** It was pushed over: it stays down. */
     void fell() {
         EventLog.ServerLifetime life =
-                eventLog.lives.values().stream()
+                eventLog.lifetimes.values().stream()
                         .filter(each -> each.server.equals(id))
                         .reduce((first, last) -> last)
                         .orElseThrow();
--- a/lab/src/main/java/ottergauge/lab/server/ServerModel.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerModel.java
@@ -18,23 +18,23 @@
 public final class ServerModel {
 
     /**
-     * Work that a server was given; {@code over} is the instant at which nobody waits for it any
+     * Work that a server was given; {@code deadline} is the instant at which nobody waits for it any
      * more.
      */
     public static final class Job {
         final long work;
         final long waits;
-        final long over;
+        final long deadline;
         final Runnable began;
         final Runnable done;
         boolean running;
         boolean withdrawn;
 
         /** Creates work of {@code work} microseconds, of which {@code waits} need no core. */
-        public Job(long work, long waits, long over, Runnable began, Runnable done) {
+        public Job(long work, long waits, long deadline, Runnable began, Runnable done) {
             this.work = work;
             this.waits = waits;
-            this.over = over;
+            this.deadline = deadline;
             this.began = began;
             this.done = done;
         }
@@ -155,7 +155,7 @@
     private void fill(long now) {
         while (running.size() < kind.slots() && !waiting.isEmpty()) {
             Job job = waiting.poll();
-            if (job.withdrawn || job.over <= now) {
+            if (job.withdrawn || job.deadline <= now) {
                 // Nobody waits for it any more: a server drops what has run out of time before it
                 // begins.
                 if (!job.withdrawn) {
@@ -170,11 +170,11 @@
             double crowd = Math.max(1, running.size() / (double) kind.cores());
             long takes = (long) (job.work / (speed * warmth(now)) * slowness * crowd) + job.waits;
             job.began.run();
-            alarm.at(now + takes, () -> over(now + takes, job));
+            alarm.at(now + takes, () -> finish(now + takes, job));
         }
     }
 
-    private void over(long now, Job job) {
+    private void finish(long now, Job job) {
         if (running.contains(job)) {
             count(now);
             running.remove(job);
--- a/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
+++ b/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
@@ -157,7 +157,7 @@
     @Test
     void aDrainingServerGetsNothingNew() {
         ServerLifetime life = new ServerLifetime("s1", "a", 0, false);
-        eventLog.lives.put("s1", life);
+        eventLog.lifetimes.put("s1", life);
         expect(Rule.DRAIN, served(0), each -> life.toldAt.put(1, 700 * MS));
     }
 
@@ -184,7 +184,7 @@
     @Test
     void aColdServerPushedOverAndACrashAreCaught() {
         ServerLifetime life = new ServerLifetime("s1", "a", 0, true);
-        eventLog.lives.put("s1", life);
+        eventLog.lifetimes.put("s1", life);
         expect(Rule.COLD, served(0), each -> life.fellAt = 5_000 * MS);
         life.fellAt = -1;
         expect(
