--- a/lab/src/main/java/ottergauge/lab/client/Clients.java
+++ b/lab/src/main/java/ottergauge/lab/client/LoadGenerator.java
@@ -20,8 +20,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import ottergauge.lab.eventlog.EventLog;
-import ottergauge.lab.eventlog.EventLog.Ask;
-import ottergauge.lab.eventlog.EventLog.Try;
+import ottergauge.lab.eventlog.EventLog.ClientAttempt;
+import ottergauge.lab.eventlog.EventLog.ClientRequest;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.scenario.Scenario;
@@ -33,27 +33,27 @@
  * others, and tried again as its client would. A client that stops waiting goes on listening for a
  * while, so that an answer that comes too late is seen.
  */
-public final class Clients {
+public final class LoadGenerator {
 
     // Past a try's time: what has not come by then is lost.
-    private static final long LISTENS = 1_500_000;
+    private static final long LATE_RESPONSE_WINDOW = 1_500_000;
     private static final int UNAVAILABLE = 503;
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     private static final long MS = 1_000;
 
     private final Loop loop;
     private final Scenario scenario;
     private final EventLog eventLog;
-    private final Dialer dialer;
-    private final Front front;
-    private final List<Deque<Connection>> idle = new ArrayList<>();
-    private final boolean[] dead;
+    private final NodeConnector connector;
+    private final FrontEnd frontEnd;
+    private final List<Deque<Connection>> idleConnections = new ArrayList<>();
+    private final boolean[] nodeDown;
     private final SplittableRandom random;
     private long lastId;
-    private boolean ended;
+    private boolean finished;
 
     /** Connects the load to the nodes; the lists have an entry for each node. */
-    public Clients(
+    public LoadGenerator(
             Loop loop,
             Scenario scenario,
             EventLog eventLog,
@@ -62,20 +62,20 @@
         this.loop = loop;
         this.scenario = scenario;
         this.eventLog = eventLog;
-        dialer = new Dialer(loop, nodes, links);
-        front =
-                new Front(
+        connector = new NodeConnector(loop, nodes, links);
+        frontEnd =
+                new FrontEnd(
                         loop,
-                        dialer,
+                        connector,
                         eventLog,
                         nodes.size(),
-                        scenario.nodes().busiest(),
-                        scenario.clients().notice(),
+                        scenario.nodes().firstNodeWeight(),
+                        scenario.clients().noticeDelay(),
                         scenario.seed());
         random = new SplittableRandom(scenario.seed() + 1);
-        dead = new boolean[nodes.size() + 1];
+        nodeDown = new boolean[nodes.size() + 1];
         for (int node = 0; node <= nodes.size(); node++) {
-            idle.add(new ArrayDeque<>());
+            idleConnections.add(new ArrayDeque<>());
         }
     }
 
@@ -83,31 +83,31 @@
      * A node's process has ended, or lives again: what breaks at a dead one is no close between
      * requests.
      */
-    public void lives(int node, boolean alive) {
-        dead[node] = !alive;
+    public void setAlive(int node, boolean alive) {
+        nodeDown[node] = !alive;
     }
 
     /** Begins to look which nodes are ready. */
-    public void look() {
-        front.begin();
+    public void checkReadiness() {
+        frontEnd.begin();
     }
 
     public boolean allReady() {
-        return front.allIn();
+        return frontEnd.allNodesReady();
     }
 
     /** Begins the load: from here on instants count. */
-    public void begin(List<Plan.Request> plan) {
-        next(plan, 0);
+    public void begin(List<Workload.Request> workload) {
+        next(workload, 0);
     }
 
-    private void next(List<Plan.Request> plan, int index) {
-        if (index < plan.size() && !ended) {
+    private void next(List<Workload.Request> workload, int index) {
+        if (index < workload.size() && !finished) {
             loop.at(
-                    plan.get(index).at(),
+                    workload.get(index).at(),
                     () -> {
-                        next(plan, index + 1);
-                        arrive(plan.get(index));
+                        next(workload, index + 1);
+                        arrive(workload.get(index));
                     });
         }
     }
@@ -116,77 +116,85 @@
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void end() {
-        ended = true;
-        front.end();
-        idle.forEach(each -> each.forEach(connection -> connection.channel.close()));
+        finished = true;
+        frontEnd.end();
+        idleConnections.forEach(each -> each.forEach(connection -> connection.channel.close()));
     }
 
-    private void arrive(Plan.Request request) {
-        Ask ask =
-                new Ask(
-                        request.number(),
-                        request.requestClass(),
-                        request.tenant(),
-                        request.at(),
-                        request.work());
-        eventLog.asks.add(ask);
-        attempt(ask, request, 0);
+    private void arrive(Workload.Request planned) {
+        ClientRequest request =
+                new ClientRequest(
+                        planned.number(),
+                        planned.requestClass(),
+                        planned.tenant(),
+                        planned.at(),
+                        planned.work());
+        eventLog.requests.add(request);
+        startAttempt(request, planned, 0);
     }
 
-    private void attempt(Ask ask, Plan.Request request, int repeat) {
-        RequestClass type = scenario.classes().get(ask.requestClass);
-        long left = ask.intendedAt + type.deadline() - loop.now();
-        long waits = Math.min(left, (long) (scenario.clients().tryPart() * type.deadline()));
-        if (waits < MS || ended) {
+    private void startAttempt(ClientRequest request, Workload.Request planned, int retryNumber) {
+        RequestClass type = scenario.classes().get(request.requestClass);
+        long remaining = request.intendedAt + type.deadline() - loop.now();
+        long timeout =
+                Math.min(
+                        remaining,
+                        (long) (scenario.clients().attemptTimeoutFraction() * type.deadline()));
+        if (timeout < MS || finished) {
             return;
         }
-        int node = front.choose();
-        Try each =
-                new Try(
-                        ask,
+        int node = frontEnd.chooseNode();
+        ClientAttempt each =
+                new ClientAttempt(
+                        request,
                         String.format("%08x%08x", scenario.seed() & 0xffffffffL, ++lastId),
                         node,
-                        waits / MS * MS);
-        ask.tries.add(each);
-        eventLog.tries.put(each.id, each);
+                        timeout / MS * MS);
+        request.clientAttempts.add(each);
+        eventLog.clientAttempts.put(each.id, each);
         if (node == 0) {
-            ended(each, request, repeat, EventLog.NO_CONNECTION);
+            finished(each, planned, retryNumber, EventLog.NO_CONNECTION);
             return;
         }
-        Call call = new Call(each, request, repeat);
-        Connection kept = idle.get(node).pollLast();
-        if (kept != null) {
-            kept.send(call);
+        Call call = new Call(each, planned, retryNumber);
+        Connection pooled = idleConnections.get(node).pollLast();
+        if (pooled != null) {
+            pooled.send(call);
         } else {
             connect(call);
         }
-        loop.after(waits, () -> stopWaiting(call));
-        if (request.leaves() >= 0) {
-            loop.after((long) (request.leaves() * waits), () -> leave(call));
+        loop.after(timeout, () -> onTimeout(call));
+        if (planned.abandonFraction() >= 0) {
+            loop.after((long) (planned.abandonFraction() * timeout), () -> abandon(call));
         }
     }
 
     // It closes its connection and does not come again.
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void leave(Call call) {
-        if (!call.over && call.on != null && call.on.call == call) {
-            call.over = true;
-            call.each.leftAt = loop.now();
-            call.on.channel.close();
+    private void abandon(Call call) {
+        if (!call.settled && call.usedConnection != null && call.usedConnection.call == call) {
+            call.settled = true;
+            call.each.clientClosedAt = loop.now();
+            call.usedConnection.channel.close();
         }
     }
 
     private void connect(Call call) {
         Connection connection = new Connection(call.each.node);
         connection.call = call;
-        call.each.fresh = true;
-        dialer.connect(call.each.node, connection)
+        call.each.firstOnConnection = true;
+        connector
+                .connect(call.each.node, connection)
                 .addListener(
                         done -> {
                             if (!done.isSuccess()) {
                                 connection.call = null;
-                                ended(call.each, call.request, call.repeat, EventLog.NO_CONNECTION);
+                                finished(
+                                        call.each,
+                                        call.planned,
+                                        call.retryNumber,
+                                        EventLog.NO_CONNECTION);
                             }
                         });
     }
@@ -194,26 +202,26 @@
     // One try on its way; its request is written anew if a kept connection turns out to have been
     // closed.
     private final class Call {
-        private final Try each;
-        private final Plan.Request request;
-        private final int repeat;
-        private boolean over;
-        private Connection on;
+        private final ClientAttempt each;
+        private final Workload.Request planned;
+        private final int retryNumber;
+        private boolean settled;
+        private Connection usedConnection;
 
-        Call(Try each, Plan.Request request, int repeat) {
+        Call(ClientAttempt each, Workload.Request planned, int retryNumber) {
             this.each = each;
-            this.request = request;
-            this.repeat = repeat;
+            this.planned = planned;
+            this.retryNumber = retryNumber;
         }
 
         FullHttpRequest message() {
-            RequestClass type = scenario.classes().get(each.ask.requestClass);
+            RequestClass type = scenario.classes().get(each.request.requestClass);
             boolean safe = type.effect() == Effect.SAFE;
             FullHttpRequest message =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
                             safe ? HttpMethod.GET : HttpMethod.POST,
-                            "/api/" + request.key(),
+                            "/api/" + planned.key(),
                             safe
                                     ? Unpooled.EMPTY_BUFFER
                                     : Unpooled.copiedBuffer("asks", StandardCharsets.UTF_8));
@@ -221,7 +229,7 @@
                     .set(HttpHeaderNames.HOST, "lab")
                     .set("X-Trace-Id", each.id)
                     .set("X-Qos", type.name())
-                    .set("X-Expires-In-Ms", each.waits / MS);
+                    .set("X-Expires-In-Ms", each.timeout / MS);
             if (!safe) {
                 HttpUtil.setContentLength(message, message.content().readableBytes());
             }
@@ -229,13 +237,14 @@
                 message.headers()
                         .set(
                                 "Idempotency-Key",
-                                String.format("%016x%016x", scenario.seed(), each.ask.number));
+                                String.format("%016x%016x", scenario.seed(), each.request.number));
             }
-            if (repeat > 0 && scenario.clients().marksRetry()) {
+            if (retryNumber > 0 && scenario.clients().marksRetry()) {
                 message.headers().set("X-Second-Try", "1");
             }
-            if (each.ask.tenant >= 0) {
-                message.headers().set("X-Tenant", scenario.tenants().get(each.ask.tenant).name());
+            if (each.request.tenant >= 0) {
+                message.headers()
+                        .set("X-Tenant", scenario.tenants().get(each.request.tenant).name());
             }
             return message;
         }
@@ -243,44 +252,47 @@
 
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void stopWaiting(Call call) {
+    private void onTimeout(Call call) {
         if (call.each.answeredAt < 0) {
-            call.each.gaveUpAt = loop.now();
-            ended(call.each, call.request, call.repeat, EventLog.OPEN);
-            call.over = true;
+            call.each.timedOutAt = loop.now();
+            finished(call.each, call.planned, call.retryNumber, EventLog.PENDING);
+            call.settled = true;
             loop.after(
-                    LISTENS,
+                    LATE_RESPONSE_WINDOW,
                     () -> {
-                        if (call.on != null && call.on.call == call) {
-                            call.on.channel.close();
+                        if (call.usedConnection != null && call.usedConnection.call == call) {
+                            call.usedConnection.channel.close();
                         }
                     });
         }
     }
 
     // What came of a try, and whether its client tries again.
-    private void ended(Try each, Plan.Request request, int repeat, int status) {
-        if (status != EventLog.OPEN) {
+    private void finished(
+            ClientAttempt each, Workload.Request planned, int retryNumber, int status) {
+        if (status != EventLog.PENDING) {
             each.status = status;
             each.answeredAt = loop.now();
         }
-        if (status == 200 || repeat >= scenario.clients().repeats() || ended) {
+        if (status == 200 || retryNumber >= scenario.clients().maxRetries() || finished) {
             return;
         }
-        RequestClass type = scenario.classes().get(each.ask.requestClass);
-        boolean harmless =
-                status == UNAVAILABLE || status == TOO_MANY || status == EventLog.NO_CONNECTION;
-        if (type.effect() == Effect.UNSAFE && !harmless) {
+        RequestClass type = scenario.classes().get(each.request.requestClass);
+        boolean notExecuted =
+                status == UNAVAILABLE
+                        || status == TOO_MANY_REQUESTS
+                        || status == EventLog.NO_CONNECTION;
+        if (type.effect() == Effect.UNSAFE && !notExecuted) {
             return;
         }
         long wait =
-                request.obeys() && each.advice >= 0
-                        ? Math.min(each.advice, scenario.platform().mostRetryAfter())
-                        : scenario.clients().pause();
+                planned.followsRetryAfter() && each.retryAfter >= 0
+                        ? Math.min(each.retryAfter, scenario.platform().maxRetryAfter())
+                        : scenario.clients().retryPause();
         // A little apart, as clients are.
         loop.after(
                 wait + random.nextLong(wait / 10 + 2_000),
-                () -> attempt(each.ask, request, repeat + 1));
+                () -> startAttempt(each.request, planned, retryNumber + 1));
     }
 
     // A connection to a node: one request at a time.
@@ -305,7 +317,7 @@
         @SuppressWarnings("FutureReturnValueIgnored")
         void send(Call next) {
             call = next;
-            next.on = this;
+            next.usedConnection = this;
             next.each.sentAt = loop.now();
             channel.writeAndFlush(next.message());
         }
@@ -314,34 +326,34 @@
         // A failed write or close shows as the end of its connection.
         @SuppressWarnings("FutureReturnValueIgnored")
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-            Call answered = call;
-            if (answered == null) {
+            Call completed = call;
+            if (completed == null) {
                 ctx.close();
                 return;
             }
             call = null;
-            Try each = answered.each;
-            each.answers++;
+            ClientAttempt each = completed.each;
+            each.responses++;
             int status = response.status().code();
             String after = response.headers().get(HttpHeaderNames.RETRY_AFTER);
             if (after != null) {
-                each.advice = Math.round(Double.parseDouble(after) * 1e6);
+                each.retryAfter = Math.round(Double.parseDouble(after) * 1e6);
             }
-            each.genuine =
+            each.bodyMatches =
                     status != 200
                             || response.content()
                                     .toString(StandardCharsets.UTF_8)
                                     .equals("made for " + each.id);
-            boolean keeps = HttpUtil.isKeepAlive(response);
-            if (answered.over) {
+            boolean keepAlive = HttpUtil.isKeepAlive(response);
+            if (completed.settled) {
                 each.status = status;
                 each.answeredAt = loop.now();
             } else {
-                answered.over = true;
-                ended(each, answered.request, answered.repeat, status);
+                completed.settled = true;
+                finished(each, completed.planned, completed.retryNumber, status);
             }
-            if (keeps && !ended) {
-                idle.get(node).add(this);
+            if (keepAlive && !finished) {
+                idleConnections.get(node).add(this);
             } else {
                 ctx.close();
             }
@@ -349,23 +361,30 @@
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            idle.get(node).remove(this);
-            Call broken = call;
+            idleConnections.get(node).remove(this);
+            Call interrupted = call;
             call = null;
-            if (broken == null) {
+            if (interrupted == null) {
                 return;
             }
-            if (!broken.each.fresh && !broken.over && !dead[node] && !ended) {
+            if (!interrupted.each.firstOnConnection
+                    && !interrupted.settled
+                    && !nodeDown[node]
+                    && !finished) {
                 // The node closed it between requests: that is no answer, and the request goes out
                 // anew.
-                connect(broken);
-            } else if (broken.over) {
-                if (broken.each.answeredAt < 0) {
-                    broken.each.status = EventLog.BROKEN;
+                connect(interrupted);
+            } else if (interrupted.settled) {
+                if (interrupted.each.answeredAt < 0) {
+                    interrupted.each.status = EventLog.CONNECTION_LOST;
                 }
             } else {
-                broken.over = true;
-                ended(broken.each, broken.request, broken.repeat, EventLog.BROKEN);
+                interrupted.settled = true;
+                finished(
+                        interrupted.each,
+                        interrupted.planned,
+                        interrupted.retryNumber,
+                        EventLog.CONNECTION_LOST);
             }
         }
 
--- a/lab/src/main/java/ottergauge/lab/client/Dialer.java
+++ b/lab/src/main/java/ottergauge/lab/client/NodeConnector.java
@@ -22,17 +22,17 @@
 import ottergauge.lab.net.Loop;
 
 /** Opens connections to nodes, each over its link. */
-final class Dialer {
+final class NodeConnector {
 
-    private static final int MOST_BODY = 1 << 20;
-    private static final int CONNECT_WITHIN_MS = 1_000;
+    private static final int MAX_BODY = 1 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private final Loop loop;
     private final List<InetSocketAddress> nodes;
     private final List<Link> links;
 
     /** Nodes are numbered from one: the lists' first entries are node 1's. */
-    Dialer(Loop loop, List<InetSocketAddress> nodes, List<Link> links) {
+    NodeConnector(Loop loop, List<InetSocketAddress> nodes, List<Link> links) {
         this.loop = loop;
         this.nodes = nodes;
         this.links = links;
@@ -45,7 +45,7 @@
                 .group(loop.netty())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_WITHIN_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(
                         new ChannelInitializer<Channel>() {
                             @Override
@@ -54,7 +54,7 @@
                                         .addLast(
                                                 new LinkHandler(loop, link, true),
                                                 new HttpClientCodec(),
-                                                new HttpObjectAggregator(MOST_BODY),
+                                                new HttpObjectAggregator(MAX_BODY),
                                                 handler);
                             }
                         })
@@ -66,7 +66,7 @@
      */
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    void ask(int node, FullHttpRequest request, long within, IntConsumer answered) {
+    void sendOnce(int node, FullHttpRequest request, long timeout, IntConsumer onStatus) {
         ChannelFuture connecting =
                 connect(
                         node,
@@ -76,7 +76,7 @@
                             @SuppressWarnings("FutureReturnValueIgnored")
                             protected void channelRead0(
                                     ChannelHandlerContext ctx, FullHttpResponse response) {
-                                answered.accept(response.status().code());
+                                onStatus.accept(response.status().code());
                                 ctx.close();
                             }
 
@@ -89,7 +89,7 @@
 
                             @Override
                             public void channelInactive(ChannelHandlerContext ctx) {
-                                answered.accept(0);
+                                onStatus.accept(0);
                             }
 
                             @Override
@@ -103,13 +103,13 @@
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        answered.accept(0);
+                        onStatus.accept(0);
                     }
                 });
         loop.after(
-                within,
+                timeout,
                 () -> {
-                    answered.accept(0);
+                    onStatus.accept(0);
                     connecting.channel().close();
                 });
     }
--- a/lab/src/main/java/ottergauge/lab/client/Plan.java
+++ b/lab/src/main/java/ottergauge/lab/client/Workload.java
@@ -15,11 +15,11 @@
 /**
  * All requests of a play, drawn from its seed before it begins: what nodes do changes none of them.
  */
-public final class Plan {
+public final class Workload {
 
     /**
-     * A request to come; {@code obeys} says that its client follows advice, {@code leaves} after
-     * which part of its time its client leaves, or is negative.
+     * A request to come; {@code followsRetryAfter} says that its client follows advice, {@code
+     * abandonFraction} after which part of its time its client leaves, or is negative.
      */
     public record Request(
             int number,
@@ -28,22 +28,23 @@
             int tenant,
             int key,
             long work,
-            boolean obeys,
-            double leaves) {}
+            boolean followsRetryAfter,
+            double abandonFraction) {}
 
-    private Plan() {}
+    private Workload() {}
 
     /** Draws all requests of a scenario, in the order of their instants. */
     public static List<Request> draw(Scenario scenario) {
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(scenario.seed());
-        ZigguratSampler.Exponential gap = ZigguratSampler.Exponential.of(random);
+        ZigguratSampler.Exponential interArrival = ZigguratSampler.Exponential.of(random);
         List<DoubleSupplier> work = new ArrayList<>();
         for (RequestClass type : scenario.classes()) {
             work.add(work(type, random));
         }
         double[] classes = scenario.classes().stream().mapToDouble(RequestClass::share).toArray();
-        double[] tenants = scenario.tenants().stream().mapToDouble(Tenant::traffic).toArray();
-        UniformRandomProvider leaving = RandomSource.XO_SHI_RO_256_PP.create(~scenario.seed());
+        double[] tenants = scenario.tenants().stream().mapToDouble(Tenant::trafficShare).toArray();
+        UniformRandomProvider abandonRandom =
+                RandomSource.XO_SHI_RO_256_PP.create(~scenario.seed());
         List<Request> requests = new ArrayList<>();
         double at = 0;
         while (at < scenario.length()) {
@@ -52,7 +53,7 @@
                 at += 1_000;
                 continue;
             }
-            at += gap.sample() * 1e6 / rate;
+            at += interArrival.sample() * 1e6 / rate;
             int type = pick(classes, random);
             // A few keys are far more popular than the rest: the square of a uniform draw.
             double draw = random.nextDouble();
@@ -66,9 +67,9 @@
                                 tenants.length == 0 ? -1 : pick(tenants, random),
                                 key,
                                 Math.max(100, Math.round(work.get(type).getAsDouble())),
-                                random.nextDouble() < scenario.clients().obey(),
-                                leaving.nextDouble() < scenario.clients().leave()
-                                        ? leaving.nextDouble()
+                                random.nextDouble() < scenario.clients().retryAfterShare(),
+                                abandonRandom.nextDouble() < scenario.clients().abandonShare()
+                                        ? abandonRandom.nextDouble()
                                         : -1));
             }
         }
@@ -94,10 +95,10 @@
         for (double share : shares) {
             sum += share;
         }
-        double left = random.nextDouble() * sum;
+        double remaining = random.nextDouble() * sum;
         for (int i = 0; i < shares.length; i++) {
-            left -= shares[i];
-            if (left < 0) {
+            remaining -= shares[i];
+            if (remaining < 0) {
                 return i;
             }
         }
--- a/lab/src/main/java/ottergauge/lab/discovery/RegistryHost.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/DiscoveryStandIn.java
@@ -28,8 +28,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.BiFunction;
-import ottergauge.lab.discovery.Registry.Health;
-import ottergauge.lab.discovery.Registry.Line;
+import ottergauge.lab.discovery.ServiceRegistry.Health;
+import ottergauge.lab.discovery.ServiceRegistry.Instance;
 import ottergauge.lab.eventlog.EventLog;
 import ottergauge.lab.eventlog.EventLog.Cost;
 import ottergauge.lab.net.Link;
@@ -41,37 +41,37 @@
  * Stand-in discovery: one service for all nodes that works through calls in turn and may be short
  * of time.
  */
-public final class RegistryHost {
+public final class DiscoveryStandIn {
 
     private static final String TARGET = "registry";
-    private static final long MOST_WAIT_MS = 60_000;
+    private static final long MAX_WAIT_MS = 60_000;
     private static final long MS = 1_000;
     // A watch that goes on so soon does not stand in the line again.
-    private static final long GOES_ON = 200 * MS;
+    private static final long CONTINUATION_WINDOW = 200 * MS;
     // Whatever became of calls, a change counts as told so long after it was made and could be
     // asked for.
-    private static final long TOLD_WITHIN = 6_000 * MS;
+    private static final long DRAIN_NOTICE_LIMIT = 6_000 * MS;
 
     private record Watch(ChannelHandlerContext ctx, int node, long after, long until) {}
 
     private final Loop loop;
     private final Scenario scenario;
-    private final Registry registry;
+    private final ServiceRegistry registry;
     private final EventLog eventLog;
-    private final BiFunction<Integer, String, String> dials;
+    private final BiFunction<Integer, String, String> addressOf;
     private final Map<Integer, Listener> listeners = new LinkedHashMap<>();
     private final List<Link> links = new ArrayList<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
 
     /** Connections on which nothing comes any more. */
-    private final Set<ChannelHandlerContext> silent = new HashSet<>();
+    private final Set<ChannelHandlerContext> silentConnections = new HashSet<>();
 
     /** When a watch was answered last, for each connection that is open. */
-    private final Map<ChannelHandlerContext, Long> answered = new HashMap<>();
+    private final Map<ChannelHandlerContext, Long> lastAnswered = new HashMap<>();
 
-    private final Map<Integer, Map<String, Long>> drainsTold = new LinkedHashMap<>();
-    private final Set<Line> counted = new HashSet<>();
-    private boolean lives = true;
+    private final Map<Integer, Map<String, Long>> unconfirmedDrains = new LinkedHashMap<>();
+    private final Set<Instance> scheduledDrains = new HashSet<>();
+    private boolean running = true;
     private boolean frozen;
 
     /** From when on it has answered with what it knows. */
@@ -80,27 +80,28 @@
     private double callsPerSecond;
     private long freeAt;
 
-    /** {@code dials} gives the address under which a node finds the server of a place. */
-    public RegistryHost(
+    /** {@code addressOf} gives the address under which a node finds the server of a place. */
+    public DiscoveryStandIn(
             Loop loop,
             Scenario scenario,
-            Registry registry,
+            ServiceRegistry registry,
             EventLog eventLog,
-            BiFunction<Integer, String, String> dials) {
+            BiFunction<Integer, String, String> addressOf) {
         this.loop = loop;
         this.scenario = scenario;
         this.registry = registry;
         this.eventLog = eventLog;
-        this.dials = dials;
+        this.addressOf = addressOf;
         callsPerSecond = scenario.registry().callsPerSecond();
     }
 
     public void listen(int node, InetSocketAddress address, Link link) throws IOException {
         links.add(link);
-        listeners.put(node, new Listener(loop, address, link, pipeline -> adopt(node, pipeline)));
+        listeners.put(
+                node, new Listener(loop, address, link, pipeline -> addHandlers(node, pipeline)));
     }
 
-    private void adopt(int node, ChannelPipeline pipeline) {
+    private void addHandlers(int node, ChannelPipeline pipeline) {
         pipeline.addLast(
                 new HttpServerCodec(),
                 new HttpObjectAggregator(1 << 16),
@@ -108,14 +109,14 @@
                     @Override
                     protected void channelRead0(
                             ChannelHandlerContext ctx, FullHttpRequest request) {
-                        asked(ctx, node, new QueryStringDecoder(request.uri()));
+                        receive(ctx, node, new QueryStringDecoder(request.uri()));
                     }
 
                     @Override
                     public void channelInactive(ChannelHandlerContext ctx) {
                         watches.removeIf(watch -> watch.ctx() == ctx);
-                        silent.remove(ctx);
-                        answered.remove(ctx);
+                        silentConnections.remove(ctx);
+                        lastAnswered.remove(ctx);
                     }
 
                     @Override
@@ -130,34 +131,34 @@
     /**
      * The watches that are open fall silent: their connections stay up, and nothing comes on them.
      */
-    public void silence() {
-        watches.forEach(watch -> silent.add(watch.ctx()));
+    public void silenceWatches() {
+        watches.forEach(watch -> silentConnections.add(watch.ctx()));
         watches.clear();
     }
 
-    private void asked(ChannelHandlerContext ctx, int node, QueryStringDecoder call) {
-        if (silent.contains(ctx)) {
+    private void receive(ChannelHandlerContext ctx, int node, QueryStringDecoder call) {
+        if (silentConnections.contains(ctx)) {
             return;
         }
         if (!call.path().equals("/registry/instances")) {
-            answer(ctx, HttpResponseStatus.NOT_FOUND, "{}");
+            respond(ctx, HttpResponseStatus.NOT_FOUND, "{}");
             return;
         }
         long after = number(call, "after", -1);
-        long wait = Math.min(MOST_WAIT_MS, number(call, "wait_ms", 0)) * MS;
-        confirmed(node, after);
+        long wait = Math.min(MAX_WAIT_MS, number(call, "wait_ms", 0)) * MS;
+        confirmDrains(node, after);
         long now = loop.now();
-        Long before = answered.get(ctx);
-        if (after >= 0 && before != null && now - before <= GOES_ON) {
+        Long before = lastAnswered.get(ctx);
+        if (after >= 0 && before != null && now - before <= CONTINUATION_WINDOW) {
             handle(ctx, node, after, wait);
             return;
         }
         long turn = Math.max(freeAt, now) + (long) (1e6 / callsPerSecond);
-        if (turn - now > scenario.registry().patience()) {
+        if (turn - now > scenario.registry().maxQueueTime()) {
             eventLog.addCost(now, Cost.LIST_CALL_FAILED, node, TARGET);
             loop.after(
-                    scenario.registry().patience(),
-                    () -> answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "{}"));
+                    scenario.registry().maxQueueTime(),
+                    () -> respond(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "{}"));
             return;
         }
         eventLog.addCost(now, Cost.LIST_CALL, node, TARGET);
@@ -176,9 +177,9 @@
 
     private void handle(ChannelHandlerContext ctx, int node, long after, long wait) {
         if (after < 0) {
-            tell(ctx, node, true, registry.whole());
+            sendUpdate(ctx, node, true, registry.fullList());
         } else if (!registry.since(after).isEmpty() || wait == 0) {
-            tell(ctx, node, false, registry.since(after));
+            sendUpdate(ctx, node, false, registry.since(after));
         } else {
             Watch watch = new Watch(ctx, node, after, loop.now() + wait);
             watches.add(watch);
@@ -186,105 +187,118 @@
                     watch.until(),
                     () -> {
                         if (watches.remove(watch)) {
-                            tell(ctx, node, false, registry.since(after));
+                            sendUpdate(ctx, node, false, registry.since(after));
                         }
                     });
         }
     }
 
     /** The list has changed: those who watch are told. */
-    public void changed() {
+    public void listChanged() {
         long now = loop.now();
         registry.since(0).stream()
-                .filter(line -> line.health() != Health.IN_SERVICE && counted.add(line))
-                .forEach(line -> loop.at(now + TOLD_WITHIN, () -> countsByNow(line, now)));
+                .filter(
+                        instance ->
+                                instance.health() != Health.IN_SERVICE
+                                        && scheduledDrains.add(instance))
+                .forEach(
+                        instance ->
+                                loop.at(
+                                        now + DRAIN_NOTICE_LIMIT,
+                                        () -> markKnownIfReachable(instance, now)));
         for (Watch watch : new ArrayList<>(watches)) {
-            List<Line> news = registry.since(watch.after());
-            if (!news.isEmpty() && watches.remove(watch)) {
-                tell(watch.ctx(), watch.node(), false, news);
+            List<Instance> updates = registry.since(watch.after());
+            if (!updates.isEmpty() && watches.remove(watch)) {
+                sendUpdate(watch.ctx(), watch.node(), false, updates);
             }
         }
     }
 
-    private void tell(ChannelHandlerContext ctx, int node, boolean whole, List<Line> lines) {
+    private void sendUpdate(
+            ChannelHandlerContext ctx, int node, boolean fullList, List<Instance> instances) {
         StringBuilder text =
                 new StringBuilder(
-                        "{\"seq\":" + registry.version() + ",\"whole\":" + whole + ",\"hosts\":[");
-        for (Line line : lines) {
-            if (line.health() != Health.IN_SERVICE) {
-                drainsTold
+                        "{\"seq\":"
+                                + registry.version()
+                                + ",\"whole\":"
+                                + fullList
+                                + ",\"hosts\":[");
+        for (Instance instance : instances) {
+            if (instance.health() != Health.IN_SERVICE) {
+                unconfirmedDrains
                         .computeIfAbsent(node, each -> new LinkedHashMap<>())
-                        .put(line.id(), line.version());
+                        .put(instance.id(), instance.version());
             }
-            text.append(text.charAt(text.length() - 1) == '[' ? "" : ",").append(entry(node, line));
+            text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
+                    .append(instanceJson(node, instance));
         }
-        answered.put(ctx, loop.now());
-        answer(ctx, HttpResponseStatus.OK, text.append("]}").toString());
+        lastAnswered.put(ctx, loop.now());
+        respond(ctx, HttpResponseStatus.OK, text.append("]}").toString());
     }
 
-    private void countsByNow(Line line, long since) {
-        if (!lives || frozen || reachableSince > since) {
-            long from = lives && !frozen ? reachableSince : loop.now();
-            loop.at(from + TOLD_WITHIN, () -> countsByNow(line, from));
-        } else if (registry.isLatest(line)) {
-            listeners.keySet().forEach(node -> counts(node, line.id()));
+    private void markKnownIfReachable(Instance instance, long since) {
+        if (!running || frozen || reachableSince > since) {
+            long from = running && !frozen ? reachableSince : loop.now();
+            loop.at(from + DRAIN_NOTICE_LIMIT, () -> markKnownIfReachable(instance, from));
+        } else if (registry.isLatest(instance)) {
+            listeners.keySet().forEach(node -> markDrainKnown(node, instance.id()));
         }
     }
 
     /** It tells what it knew when it froze, or again what it knows. */
-    public void freeze(boolean freezes) {
-        frozen = freezes;
-        if (freezes) {
+    public void freeze(boolean freezeNow) {
+        frozen = freezeNow;
+        if (freezeNow) {
             registry.freeze();
         } else {
             registry.thaw();
             reachableSince = loop.now();
-            changed();
+            listChanged();
         }
     }
 
     /** A line as a node is told it. */
-    public String entry(int node, Line line) {
+    public String instanceJson(int node, Instance instance) {
         return String.format(
                 Locale.ROOT,
                 "{\"host\":\"%s\",\"dial\":\"%s\",\"site\":\"%s\",\"class\":\"%s\","
                         + "\"block\":0,\"health\":\"%s\",\"share\":1.0,\"born_ms\":%d}",
-                line.id(),
-                dials.apply(node, line.place()),
-                line.zone(),
-                line.kind(),
-                line.health().name().toLowerCase(Locale.ROOT),
-                line.bornMs());
+                instance.id(),
+                addressOf.apply(node, instance.serverName()),
+                instance.zone(),
+                instance.kind(),
+                instance.health().name().toLowerCase(Locale.ROOT),
+                instance.startedAtMs());
     }
 
     // A node that asks for what is newer than a version has heard all of that.
-    private void confirmed(int node, long version) {
-        drainsTold
+    private void confirmDrains(int node, long version) {
+        unconfirmedDrains
                 .getOrDefault(node, Map.of())
                 .entrySet()
                 .removeIf(
-                        told -> {
-                            boolean heard = version >= told.getValue();
-                            if (heard) {
-                                counts(node, told.getKey());
+                        drain -> {
+                            boolean reached = version >= drain.getValue();
+                            if (reached) {
+                                markDrainKnown(node, drain.getKey());
                             }
-                            return heard;
+                            return reached;
                         });
     }
 
     // From now on a node counts as told that a server leaves.
-    private void counts(int node, String server) {
+    private void markDrainKnown(int node, String server) {
         eventLog.lifetimes.values().stream()
-                .filter(life -> life.server.equals(server))
+                .filter(lifetime -> lifetime.server.equals(server))
                 .reduce((first, last) -> last)
-                .ifPresent(life -> life.toldAt.putIfAbsent(node, loop.now()));
+                .ifPresent(lifetime -> lifetime.drainKnownAt.putIfAbsent(node, loop.now()));
     }
 
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
+    private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
         Channel channel = ctx.channel();
-        if (channel.isActive() && !silent.contains(ctx)) {
+        if (channel.isActive() && !silentConnections.contains(ctx)) {
             FullHttpResponse response =
                     new DefaultFullHttpResponse(
                             HttpVersion.HTTP_1_1,
@@ -298,25 +312,25 @@
     }
 
     /** Its process is gone, or back. */
-    public void up(boolean lives) {
-        this.lives = lives;
-        if (lives) {
+    public void setRunning(boolean running) {
+        this.running = running;
+        if (running) {
             reachableSince = loop.now();
         } else {
             watches.clear();
             links.forEach(Link::resetAll);
         }
-        listeners.values().forEach(listener -> listener.up(lives));
+        listeners.values().forEach(listener -> listener.setRunning(running));
     }
 
     /** How many calls a second it works through from now on. */
-    public void speed(double perSecond) {
+    public void setCallsPerSecond(double perSecond) {
         callsPerSecond = perSecond;
         reachableSince = loop.now();
         freeAt = Math.min(freeAt, loop.now());
     }
 
-    public Registry registry() {
+    public ServiceRegistry registry() {
         return registry;
     }
 
--- a/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
@@ -14,16 +14,16 @@
 public final class EventLog {
 
     /** A request as it was drawn: its first try and all further ones count as one. */
-    public static final class Ask {
+    public static final class ClientRequest {
         public final int number;
         public final int requestClass;
         public final int tenant;
         public final long intendedAt;
         public final long work;
-        public final List<Try> tries = new ArrayList<>(1);
+        public final List<ClientAttempt> clientAttempts = new ArrayList<>(1);
 
         /** Records a request; the instant and the work are microseconds. */
-        public Ask(int number, int requestClass, int tenant, long intendedAt, long work) {
+        public ClientRequest(int number, int requestClass, int tenant, long intendedAt, long work) {
             this.number = number;
             this.requestClass = requestClass;
             this.tenant = tenant;
@@ -33,8 +33,8 @@
 
         /** The instant at which an answer came in a try's time that served it, or -1. */
         public long servedAt() {
-            return tries.stream()
-                    .filter(t -> t.status == 200 && t.answeredAt <= t.sentAt + t.waits)
+            return clientAttempts.stream()
+                    .filter(t -> t.status == 200 && t.answeredAt <= t.sentAt + t.timeout)
                     .mapToLong(t -> t.answeredAt)
                     .min()
                     .orElse(-1);
@@ -42,19 +42,19 @@
     }
 
     /** How a try ended where no status says it. */
-    public static final int OPEN = 0;
+    public static final int PENDING = 0;
 
-    public static final int BROKEN = -1;
+    public static final int CONNECTION_LOST = -1;
     public static final int NO_CONNECTION = -2;
 
     /** One request on the wire, with an id of its own. */
-    public static final class Try {
-        public final Ask ask;
+    public static final class ClientAttempt {
+        public final ClientRequest request;
         public final String id;
         public final int node;
 
         /** How long the client waits for its answer. */
-        public final long waits;
+        public final long timeout;
 
         /** When the last byte was written to the node, or -1. */
         public long sentAt = -1;
@@ -63,38 +63,38 @@
         public long answeredAt = -1;
 
         /** When the client closed its connection, or -1. */
-        public long leftAt = -1;
+        public long clientClosedAt = -1;
 
         /** When the client stopped waiting, or -1. */
-        public long gaveUpAt = -1;
+        public long timedOutAt = -1;
 
-        public int status = OPEN;
+        public int status = PENDING;
 
         /** The advice on when to come back, or -1. */
-        public long advice = -1;
+        public long retryAfter = -1;
 
-        public int answers;
+        public int responses;
 
         /** Whether the body is what a server made for this try. */
-        public boolean genuine = true;
+        public boolean bodyMatches = true;
 
         /** Whether it was the first that its connection carried. */
-        public boolean fresh;
+        public boolean firstOnConnection;
 
-        public final List<Attempt> attempts = new ArrayList<>(1);
+        public final List<ServerAttempt> serverAttempts = new ArrayList<>(1);
 
-        /** Records a try of a request at a node; {@code waits} is microseconds. */
-        public Try(Ask ask, String id, int node, long waits) {
-            this.ask = ask;
+        /** Records a try of a request at a node; {@code timeout} is microseconds. */
+        public ClientAttempt(ClientRequest request, String id, int node, long timeout) {
+            this.request = request;
             this.id = id;
             this.node = node;
-            this.waits = waits;
+            this.timeout = timeout;
         }
     }
 
     /** One request that reached a server whole. */
-    public static final class Attempt {
-        public final Try clientAttempt;
+    public static final class ServerAttempt {
+        public final ClientAttempt clientAttempt;
         public final int node;
         public final String server;
         public final long firstByteAt;
@@ -104,7 +104,8 @@
         public String end = "open";
 
         /** Records an attempt that reached a server; instants are microseconds. */
-        public Attempt(Try clientAttempt, int node, String server, long firstByteAt, long at) {
+        public ServerAttempt(
+                ClientAttempt clientAttempt, int node, String server, long firstByteAt, long at) {
             this.clientAttempt = clientAttempt;
             this.node = node;
             this.server = server;
@@ -114,7 +115,7 @@
     }
 
     /** An effect that a request had at a server, by what must not happen twice. */
-    public record Effect(long at, String key, String group, String server, Attempt attempt) {}
+    public record Effect(long at, String key, String group, String server, ServerAttempt attempt) {}
 
     /** What costs a server or discovery something beside requests. */
     public enum Cost {
@@ -135,26 +136,26 @@
     public static final class ServerLifetime {
         public final String server;
         public final String zone;
-        public final long bornAt;
+        public final long startedAt;
         public final boolean cold;
 
         /** When each node was told that it drains. */
-        public final Map<Integer, Long> toldAt = new LinkedHashMap<>();
+        public final Map<Integer, Long> drainKnownAt = new LinkedHashMap<>();
 
-        public long fellAt = -1;
+        public long collapsedAt = -1;
 
         /** Records a start of a server at an instant in microseconds. */
-        public ServerLifetime(String server, String zone, long bornAt, boolean cold) {
+        public ServerLifetime(String server, String zone, long startedAt, boolean cold) {
             this.server = server;
             this.zone = zone;
-            this.bornAt = bornAt;
+            this.startedAt = startedAt;
             this.cold = cold;
         }
     }
 
-    public final List<Ask> asks = new ArrayList<>();
-    public final Map<String, Try> tries = new LinkedHashMap<>();
-    public final List<Attempt> attempts = new ArrayList<>();
+    public final List<ClientRequest> requests = new ArrayList<>();
+    public final Map<String, ClientAttempt> clientAttempts = new LinkedHashMap<>();
+    public final List<ServerAttempt> serverAttempts = new ArrayList<>();
     public final List<Effect> effects = new ArrayList<>();
     public final List<CostEntry> costs = new ArrayList<>();
     public final List<Event> events = new ArrayList<>();
--- a/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
@@ -5,12 +5,12 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import ottergauge.lab.eventlog.EventLog.Ask;
-import ottergauge.lab.eventlog.EventLog.Attempt;
+import ottergauge.lab.eventlog.EventLog.ClientAttempt;
+import ottergauge.lab.eventlog.EventLog.ClientRequest;
 import ottergauge.lab.eventlog.EventLog.Effect;
 import ottergauge.lab.eventlog.EventLog.Event;
+import ottergauge.lab.eventlog.EventLog.ServerAttempt;
 import ottergauge.lab.eventlog.EventLog.ServerLifetime;
-import ottergauge.lab.eventlog.EventLog.Try;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
@@ -38,22 +38,22 @@
     // earns
     // nothing.
     private static final long SOCKET_SLACK = 50_000;
-    private static final long LOST_AFTER = 500_000;
+    private static final long LATE_LIMIT = 500_000;
     // Two ends of a connection do not learn of its end at one instant.
-    private static final long OVERLAP = 5_000;
+    private static final long OVERLAP_TOLERANCE = 5_000;
     private static final int REFUSED = 503;
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
     // An attempt that begins so long after its client has left is for nobody; the first cases are
     // put down to
     // messages that crossed.
-    private static final long GONE_AFTER = 100_000;
-    private static final int GONE_CASES = 2;
+    private static final long ABANDON_TOLERANCE = 100_000;
+    private static final int ALLOWED_ABANDONED_ATTEMPTS = 2;
     // New connections of a node that is told to end go on being taken for so long.
-    private static final long READ_TWICE = 2;
+    private static final long DUPLICATE_EFFECTS = 2;
 
     private final Scenario scenario;
     private final EventLog eventLog;
-    private final List<Violation> broken = new ArrayList<>();
+    private final List<Violation> violations = new ArrayList<>();
 
     private RuleChecker(Scenario scenario, EventLog eventLog) {
         this.scenario = scenario;
@@ -63,60 +63,61 @@
     /** All breaks of the rules in a play that has ended at {@code end}. */
     public static List<Violation> check(Scenario scenario, EventLog eventLog, long end) {
         RuleChecker ruleChecker = new RuleChecker(scenario, eventLog);
-        ruleChecker.answers(end);
+        ruleChecker.responses(end);
         ruleChecker.effects();
         ruleChecker.drains();
-        ruleChecker.gone();
-        for (ServerLifetime life : eventLog.lifetimes.values()) {
-            if (life.fellAt >= 0) {
-                ruleChecker.fault(Rule.COLD, life.fellAt, life.server + " was pushed over");
+        ruleChecker.abandonedRequests();
+        for (ServerLifetime lifetime : eventLog.lifetimes.values()) {
+            if (lifetime.collapsedAt >= 0) {
+                ruleChecker.addViolation(
+                        Rule.COLD, lifetime.collapsedAt, lifetime.server + " was pushed over");
             }
         }
         for (Event each : eventLog.events) {
             if (each.what().startsWith("crashed")) {
-                ruleChecker.fault(Rule.CRASH, each.at(), each.who() + " " + each.what());
+                ruleChecker.addViolation(Rule.CRASH, each.at(), each.who() + " " + each.what());
             }
         }
         for (Event each : eventLog.unknownRequests) {
-            ruleChecker.fault(Rule.EFFECT, each.at(), each.who() + " got " + each.what());
+            ruleChecker.addViolation(Rule.EFFECT, each.at(), each.who() + " got " + each.what());
         }
-        return ruleChecker.broken;
+        return ruleChecker.violations;
     }
 
-    private void fault(Rule rule, long at, String what) {
-        broken.add(new Violation(rule, at, what));
+    private void addViolation(Rule rule, long at, String what) {
+        violations.add(new Violation(rule, at, what));
     }
 
-    private void answers(long end) {
-        Map<Integer, List<long[]>> away = away(end);
-        for (Try each : eventLog.tries.values()) {
-            long due = each.sentAt + each.waits + LOST_AFTER + SOCKET_SLACK;
-            if (each.sentAt < 0 || due > end || each.leftAt >= 0) {
+    private void responses(long end) {
+        Map<Integer, List<long[]>> unavailableSpans = unavailableSpans(end);
+        for (ClientAttempt each : eventLog.clientAttempts.values()) {
+            long due = each.sentAt + each.timeout + LATE_LIMIT + SOCKET_SLACK;
+            if (each.sentAt < 0 || due > end || each.clientClosedAt >= 0) {
                 continue;
             }
-            boolean ran =
-                    away.getOrDefault(each.node, List.of()).stream()
+            boolean nodeRan =
+                    unavailableSpans.getOrDefault(each.node, List.of()).stream()
                             .noneMatch(span -> span[0] <= due && span[1] >= each.sentAt);
-            if (!each.genuine) {
-                fault(
+            if (!each.bodyMatches) {
+                addViolation(
                         Rule.ANSWER,
                         each.answeredAt,
                         each.id + " was served with what no server made for it");
-            } else if (each.answers > 1) {
-                fault(
+            } else if (each.responses > 1) {
+                addViolation(
                         Rule.ANSWER,
                         each.answeredAt,
-                        each.id + " was answered " + each.answers + " times");
-            } else if (ran && each.status == EventLog.BROKEN) {
-                fault(
+                        each.id + " was answered " + each.responses + " times");
+            } else if (nodeRan && each.status == EventLog.CONNECTION_LOST) {
+                addViolation(
                         Rule.ANSWER,
                         each.sentAt,
                         each.id
                                 + " was taken by n"
                                 + each.node
                                 + " and its connection ended with no answer");
-            } else if (ran && (each.answeredAt < 0 || each.answeredAt > due)) {
-                fault(
+            } else if (nodeRan && (each.answeredAt < 0 || each.answeredAt > due)) {
+                addViolation(
                         Rule.ANSWER,
                         each.sentAt,
                         each.id
@@ -128,20 +129,20 @@
                                         : "answered "
                                                 + (each.answeredAt - each.sentAt) / 1000
                                                 + " ms later, of "
-                                                + each.waits / 1000));
+                                                + each.timeout / 1000));
             }
         }
     }
 
     // When each node did not run, or its clients could not reach it: what it had taken then is
     // excused.
-    private Map<Integer, List<long[]>> away(long end) {
+    private Map<Integer, List<long[]>> unavailableSpans(long end) {
         Map<Integer, List<long[]>> spans = new HashMap<>();
         for (Event each : eventLog.events) {
             if (!each.who().startsWith("n") || !Character.isDigit(each.who().charAt(1))) {
                 continue;
             }
-            List<long[]> own =
+            List<long[]> nodeSpans =
                     spans.computeIfAbsent(
                             Integer.parseInt(each.who().substring(1)), node -> new ArrayList<>());
             String what = each.what();
@@ -149,48 +150,52 @@
                     || what.startsWith("is stopped")
                     || what.startsWith("crashed")
                     || what.startsWith("cannot be reached")) {
-                own.add(new long[] {each.at(), end});
-            } else if (!own.isEmpty()
+                nodeSpans.add(new long[] {each.at(), end});
+            } else if (!nodeSpans.isEmpty()
                     && (what.startsWith("is started")
                             || what.startsWith("goes on")
                             || what.startsWith("can be reached"))) {
-                own.get(own.size() - 1)[1] = each.at();
+                nodeSpans.get(nodeSpans.size() - 1)[1] = each.at();
             }
         }
         return spans;
     }
 
     private void effects() {
-        Map<Ask, List<Effect>> byAsk = new HashMap<>();
+        Map<ClientRequest, List<Effect>> byRequest = new HashMap<>();
         for (Effect effect : eventLog.effects) {
-            byAsk.computeIfAbsent(effect.attempt().clientAttempt.ask, ask -> new ArrayList<>()).add(effect);
+            byRequest
+                    .computeIfAbsent(
+                            effect.attempt().clientAttempt.request, request -> new ArrayList<>())
+                    .add(effect);
         }
-        for (Try each : eventLog.tries.values()) {
-            RequestClass type = scenario.classes().get(each.ask.requestClass);
+        for (ClientAttempt each : eventLog.clientAttempts.values()) {
+            RequestClass type = scenario.classes().get(each.request.requestClass);
             overlaps(each);
             if (type.effect() == Scenario.Effect.UNSAFE) {
-                repeated(each);
+                unsafeRepeats(each);
             }
         }
-        byAsk.forEach(
-                (ask, effects) -> {
-                    if (scenario.classes().get(ask.requestClass).effect() != Scenario.Effect.SAFE) {
-                        twice(ask, effects);
+        byRequest.forEach(
+                (request, effects) -> {
+                    if (scenario.classes().get(request.requestClass).effect()
+                            != Scenario.Effect.SAFE) {
+                        duplicateEffects(request, effects);
                     }
                 });
     }
 
-    private void overlaps(Try each) {
-        for (int i = 1; i < each.attempts.size(); i++) {
-            Attempt before = each.attempts.get(i - 1);
-            long at = each.attempts.get(i).at;
-            if (before.endedAt < 0 || before.endedAt > at + OVERLAP) {
-                fault(
+    private void overlaps(ClientAttempt each) {
+        for (int i = 1; i < each.serverAttempts.size(); i++) {
+            ServerAttempt before = each.serverAttempts.get(i - 1);
+            long at = each.serverAttempts.get(i).at;
+            if (before.endedAt < 0 || before.endedAt > at + OVERLAP_TOLERANCE) {
+                addViolation(
                         Rule.EFFECT,
                         at,
                         each.id
                                 + " was sent to "
-                                + each.attempts.get(i).server
+                                + each.serverAttempts.get(i).server
                                 + " while it was out at "
                                 + before.server);
             }
@@ -198,19 +203,19 @@
     }
 
     // What may have run and is unsafe to repeat goes out once.
-    private void repeated(Try each) {
-        for (int i = 1; i < each.attempts.size(); i++) {
-            Attempt before = each.attempts.get(i - 1);
+    private void unsafeRepeats(ClientAttempt each) {
+        for (int i = 1; i < each.serverAttempts.size(); i++) {
+            ServerAttempt before = each.serverAttempts.get(i - 1);
             if (before.end.equals("served")
                     || before.end.equals("error")
                     || before.end.equals("answer lost")
                     || before.end.startsWith("given up")) {
-                fault(
+                addViolation(
                         Rule.EFFECT,
-                        each.attempts.get(i).at,
+                        each.serverAttempts.get(i).at,
                         each.id
                                 + ", unsafe to repeat, was sent again to "
-                                + each.attempts.get(i).server
+                                + each.serverAttempts.get(i).server
                                 + " after "
                                 + before.server
                                 + ": "
@@ -219,21 +224,22 @@
         }
     }
 
-    private void twice(Ask ask, List<Effect> effects) {
-        Map<Try, Long> byTry = new HashMap<>();
-        effects.forEach(effect -> byTry.merge(effect.attempt().clientAttempt, 1L, Long::sum));
-        byTry.forEach(
+    private void duplicateEffects(ClientRequest request, List<Effect> effects) {
+        Map<ClientAttempt, Long> byClientAttempt = new HashMap<>();
+        effects.forEach(
+                effect -> byClientAttempt.merge(effect.attempt().clientAttempt, 1L, Long::sum));
+        byClientAttempt.forEach(
                 (each, times) -> {
-                    if (times >= READ_TWICE) {
-                        fault(
+                    if (times >= DUPLICATE_EFFECTS) {
+                        addViolation(
                                 Rule.EFFECT,
                                 each.sentAt,
                                 each.id + " had its effect " + times + " times");
                     }
-                    if ((each.status == REFUSED || each.status == TOO_MANY)
-                            && scenario.classes().get(ask.requestClass).effect()
+                    if ((each.status == REFUSED || each.status == TOO_MANY_REQUESTS)
+                            && scenario.classes().get(request.requestClass).effect()
                                     == Scenario.Effect.UNSAFE) {
-                        fault(
+                        addViolation(
                                 Rule.EFFECT,
                                 each.answeredAt,
                                 each.id + " was refused and had its effect");
@@ -243,18 +249,18 @@
 
     private void drains() {
         long grace = scenario.platform().drainGrace() + SOCKET_SLACK;
-        for (Attempt each : eventLog.attempts) {
-            ServerLifetime life = eventLog.lifetimes.get(each.server);
-            Long told = life == null ? null : life.toldAt.get(each.node);
-            if (told != null && each.firstByteAt > told + grace) {
-                fault(
+        for (ServerAttempt each : eventLog.serverAttempts) {
+            ServerLifetime lifetime = eventLog.lifetimes.get(each.server);
+            Long knownAt = lifetime == null ? null : lifetime.drainKnownAt.get(each.node);
+            if (knownAt != null && each.firstByteAt > knownAt + grace) {
+                addViolation(
                         Rule.DRAIN,
                         each.firstByteAt,
                         each.clientAttempt.id
                                 + " went to "
                                 + each.server
                                 + " "
-                                + (each.firstByteAt - told) / 1000
+                                + (each.firstByteAt - knownAt) / 1000
                                 + " ms after n"
                                 + each.node
                                 + " knew that it drains");
@@ -263,28 +269,32 @@
     }
 
     /** The attempts that began when their client had been away for long enough to be seen. */
-    public static List<Attempt> forNobody(EventLog eventLog) {
-        return eventLog.attempts.stream()
+    public static List<ServerAttempt> attemptsAfterClientClosed(EventLog eventLog) {
+        return eventLog.serverAttempts.stream()
                 .filter(
                         each ->
-                                each.clientAttempt.leftAt >= 0
-                                        && each.firstByteAt > each.clientAttempt.leftAt + GONE_AFTER)
+                                each.clientAttempt.clientClosedAt >= 0
+                                        && each.firstByteAt
+                                                > each.clientAttempt.clientClosedAt
+                                                        + ABANDON_TOLERANCE)
                 .toList();
     }
 
-    private void gone() {
-        forNobody(eventLog).stream()
-                .skip(GONE_CASES)
+    private void abandonedRequests() {
+        attemptsAfterClientClosed(eventLog).stream()
+                .skip(ALLOWED_ABANDONED_ATTEMPTS)
                 .forEach(
                         each ->
-                                fault(
+                                addViolation(
                                         Rule.GONE,
                                         each.firstByteAt,
                                         each.clientAttempt.id
                                                 + " went to "
                                                 + each.server
                                                 + " "
-                                                + (each.firstByteAt - each.clientAttempt.leftAt) / 1000
+                                                + (each.firstByteAt
+                                                                - each.clientAttempt.clientClosedAt)
+                                                        / 1000
                                                 + " ms after its client had left n"
                                                 + each.node));
     }
@@ -296,7 +306,7 @@
     public static long secondRuns(Scenario scenario, EventLog eventLog) {
         Map<String, Integer> runs = new HashMap<>();
         for (Effect effect : eventLog.effects) {
-            if (scenario.classes().get(effect.attempt().clientAttempt.ask.requestClass).effect()
+            if (scenario.classes().get(effect.attempt().clientAttempt.request.requestClass).effect()
                     == Scenario.Effect.KEYED) {
                 runs.merge(effect.key(), 1, Integer::sum);
             }
--- a/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
-import ottergauge.lab.eventlog.EventLog.Ask;
-import ottergauge.lab.eventlog.EventLog.Attempt;
+import ottergauge.lab.eventlog.EventLog.ClientAttempt;
+import ottergauge.lab.eventlog.EventLog.ClientRequest;
 import ottergauge.lab.eventlog.EventLog.Cost;
 import ottergauge.lab.eventlog.EventLog.CostEntry;
-import ottergauge.lab.eventlog.EventLog.Try;
+import ottergauge.lab.eventlog.EventLog.ServerAttempt;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.LoadStep;
 import ottergauge.lab.scenario.Scenario.RequestClass;
@@ -22,7 +22,7 @@
 public final class RunStatistics {
 
     /** How a request ended, its further tries included. */
-    public enum End {
+    public enum Outcome {
         IN_TIME,
         LATE,
         REFUSED,
@@ -35,20 +35,20 @@
      * of the requests that were served, or refused, while one of higher or lower worth was the
      * other.
      */
-    public record Span(
+    public record IntervalStats(
             long from,
             long to,
-            @JsonProperty("asks") int asks,
+            @JsonProperty("asks") int requests,
             double worth,
             double ideal,
             double refused,
             double failed,
-            @JsonProperty("triesPerAsk") double triesPerAsk,
-            @JsonProperty("attemptsPerAsk") double attemptsPerAsk,
+            @JsonProperty("triesPerAsk") double clientAttemptsPerRequest,
+            @JsonProperty("attemptsPerAsk") double serverAttemptsPerRequest,
             double inverted,
             double probesPerServer,
             double handshakesPerServer,
-            @JsonProperty("probesPerAsk") double probesPerAsk,
+            @JsonProperty("probesPerAsk") double probesPerRequest,
             double turnedAway,
             double busiestProbes) {}
 
@@ -60,8 +60,8 @@
             int late,
             int refused,
             int failed,
-            @JsonProperty("tries") int tries,
-            @JsonProperty("attempts") int attempts,
+            @JsonProperty("tries") int clientAttempts,
+            @JsonProperty("attempts") int serverAttempts,
             int probes,
             int handshakes,
             int listCalls,
@@ -69,87 +69,93 @@
 
     private static final long SECOND = 1_000_000;
     private static final long STEP = 100_000;
-    private static final double FULL = 0.95;
+    private static final double RECOVERED_SHARE = 0.95;
     private static final int REFUSED = 503;
-    private static final int TOO_MANY = 429;
+    private static final int TOO_MANY_REQUESTS = 429;
 
     private final Scenario scenario;
     private final EventLog eventLog;
-    private final Map<Ask, End> ends = new HashMap<>();
+    private final Map<ClientRequest, Outcome> outcomes = new HashMap<>();
 
     /** Prepares the figures of one run. */
     public RunStatistics(Scenario scenario, EventLog eventLog) {
         this.scenario = scenario;
         this.eventLog = eventLog;
-        eventLog.asks.forEach(ask -> ends.put(ask, end(ask)));
+        eventLog.requests.forEach(request -> outcomes.put(request, end(request)));
     }
 
-    private RequestClass type(Ask ask) {
-        return scenario.classes().get(ask.requestClass);
+    private RequestClass type(ClientRequest request) {
+        return scenario.classes().get(request.requestClass);
     }
 
-    private End end(Ask ask) {
-        long served = ask.servedAt();
-        RequestClass type = type(ask);
-        if (served >= 0 && served <= ask.intendedAt + type.deadline()) {
-            return served <= ask.intendedAt + type.aim() ? End.IN_TIME : End.LATE;
+    private Outcome end(ClientRequest request) {
+        long served = request.servedAt();
+        RequestClass type = type(request);
+        if (served >= 0 && served <= request.intendedAt + type.deadline()) {
+            return served <= request.intendedAt + type.latencyObjective()
+                    ? Outcome.IN_TIME
+                    : Outcome.LATE;
         }
-        Try last = ask.tries.isEmpty() ? null : ask.tries.get(ask.tries.size() - 1);
-        return last != null && (last.status == REFUSED || last.status == TOO_MANY)
-                ? End.REFUSED
-                : End.FAILED;
+        ClientAttempt last =
+                request.clientAttempts.isEmpty()
+                        ? null
+                        : request.clientAttempts.get(request.clientAttempts.size() - 1);
+        return last != null && (last.status == REFUSED || last.status == TOO_MANY_REQUESTS)
+                ? Outcome.REFUSED
+                : Outcome.FAILED;
     }
 
-    public End endOf(Ask ask) {
-        return ends.get(ask);
+    public Outcome outcomeOf(ClientRequest request) {
+        return outcomes.get(request);
     }
 
-    private double earned(Ask ask) {
-        return switch (ends.get(ask)) {
-            case IN_TIME -> type(ask).worth();
-            case LATE -> type(ask).worth() * type(ask).lateWorth();
+    private double earned(ClientRequest request) {
+        return switch (outcomes.get(request)) {
+            case IN_TIME -> type(request).worth();
+            case LATE -> type(request).worth() * type(request).lateWorth();
             default -> 0;
         };
     }
 
     /** The figures of the requests that were due in a span, and of what was paid in it. */
-    public Span span(long from, long to) {
-        List<Ask> asks =
-                eventLog.asks.stream()
+    public IntervalStats interval(long from, long to) {
+        List<ClientRequest> requests =
+                eventLog.requests.stream()
                         .filter(a -> a.intendedAt >= from && a.intendedAt < to)
                         .toList();
-        double offered = asks.stream().mapToDouble(ask -> type(ask).worth()).sum();
-        double earned = asks.stream().mapToDouble(this::earned).sum();
-        double tries = asks.stream().mapToInt(ask -> ask.tries.size()).sum();
-        double attempts =
-                asks.stream()
-                        .flatMap(ask -> ask.tries.stream())
-                        .mapToInt(t -> t.attempts.size())
+        double offered = requests.stream().mapToDouble(request -> type(request).worth()).sum();
+        double earned = requests.stream().mapToDouble(this::earned).sum();
+        double clientAttempts =
+                requests.stream().mapToInt(request -> request.clientAttempts.size()).sum();
+        double serverAttempts =
+                requests.stream()
+                        .flatMap(request -> request.clientAttempts.stream())
+                        .mapToInt(t -> t.serverAttempts.size())
                         .sum();
         int servers = scenario.servers().stream().mapToInt(Scenario.ServerKind::count).sum();
         double seconds = (to - from) / (double) SECOND;
-        int count = Math.max(1, asks.size());
-        return new Span(
+        int count = Math.max(1, requests.size());
+        return new IntervalStats(
                 from,
                 to,
-                asks.size(),
+                requests.size(),
                 offered == 0 ? 1 : earned / offered,
-                offered == 0 ? 1 : ideal(asks, from, to) / offered,
-                share(asks, End.REFUSED),
-                share(asks, End.FAILED),
-                tries / count,
-                attempts / count,
-                inverted(asks),
+                offered == 0 ? 1 : ideal(requests, from, to) / offered,
+                share(requests, Outcome.REFUSED),
+                share(requests, Outcome.FAILED),
+                clientAttempts / count,
+                serverAttempts / count,
+                inverted(requests),
                 costs(Cost.PROBE, from, to) / servers / seconds,
                 costs(Cost.HANDSHAKE, from, to) / servers / seconds,
                 costs(Cost.PROBE, from, to) / count,
-                costs(Cost.TURNED_AWAY, from, to) / Math.max(1, attempts),
+                costs(Cost.TURNED_AWAY, from, to) / Math.max(1, serverAttempts),
                 busiestProbes(from, to));
     }
 
-    private double share(List<Ask> asks, End end) {
-        return asks.stream().filter(ask -> ends.get(ask) == end).count()
-                / (double) Math.max(1, asks.size());
+    private double share(List<ClientRequest> requests, Outcome end) {
+        return requests.stream().filter(request -> outcomes.get(request) == end).count()
+                / (double) Math.max(1, requests.size());
     }
 
     private double costs(Cost cost, long from, long to) {
@@ -171,63 +177,70 @@
 
     // Filled greedily by worth for the work, with all that the servers can do in the span and one
     // aim more.
-    private double ideal(List<Ask> asks, long from, long to) {
-        long aim = scenario.classes().stream().mapToLong(RequestClass::aim).max().orElse(0);
-        double left =
+    private double ideal(List<ClientRequest> requests, long from, long to) {
+        long latencyObjective =
+                scenario.classes().stream()
+                        .mapToLong(RequestClass::latencyObjective)
+                        .max()
+                        .orElse(0);
+        double remainingWork =
                 scenario.servers().stream()
                                 .mapToDouble(kind -> kind.count() * kind.cores() * kind.speed())
                                 .sum()
-                        * (to - from + aim);
+                        * (to - from + latencyObjective);
         double worth = 0;
-        List<Ask> byWorth =
-                asks.stream()
+        List<ClientRequest> byWorth =
+                requests.stream()
                         .sorted(
                                 Comparator.comparingDouble(
-                                        (Ask ask) -> -type(ask).worth() / ask.work))
+                                        (ClientRequest request) ->
+                                                -type(request).worth() / request.work))
                         .toList();
-        for (Ask ask : byWorth) {
-            if (left < ask.work) {
+        for (ClientRequest request : byWorth) {
+            if (remainingWork < request.work) {
                 break;
             }
-            left -= ask.work;
-            worth += type(ask).worth();
+            remainingWork -= request.work;
+            worth += type(request).worth();
         }
         return worth;
     }
 
     // In each second: the requests that changed places with one of another worth for its work.
-    private double inverted(List<Ask> asks) {
-        Map<Long, List<Ask>> bySecond = new TreeMap<>();
-        asks.forEach(
-                ask ->
-                        bySecond.computeIfAbsent(ask.intendedAt / SECOND, s -> new ArrayList<>())
-                                .add(ask));
+    private double inverted(List<ClientRequest> requests) {
+        Map<Long, List<ClientRequest>> bySecond = new TreeMap<>();
+        requests.forEach(
+                request ->
+                        bySecond.computeIfAbsent(
+                                        request.intendedAt / SECOND, s -> new ArrayList<>())
+                                .add(request));
         double inverted = 0;
-        for (List<Ask> second : bySecond.values()) {
+        for (List<ClientRequest> second : bySecond.values()) {
             int best = 0;
-            for (RequestClass low : scenario.classes()) {
+            for (RequestClass lowWorth : scenario.classes()) {
                 long lowServed =
                         second.stream()
                                 .filter(
-                                        ask ->
-                                                type(ask).equals(low)
-                                                        && ends.get(ask) == End.IN_TIME)
+                                        request ->
+                                                type(request).equals(lowWorth)
+                                                        && outcomes.get(request) == Outcome.IN_TIME)
                                 .count();
                 long highRefused =
                         second.stream()
                                 .filter(
-                                        ask ->
-                                                ends.get(ask) == End.REFUSED
-                                                        && density(type(ask)) > density(low))
+                                        request ->
+                                                outcomes.get(request) == Outcome.REFUSED
+                                                        && worthPerWork(type(request))
+                                                                > worthPerWork(lowWorth))
                                 .count();
                 best = Math.max(best, (int) Math.min(lowServed, highRefused));
             }
             inverted += best;
         }
-        return inverted / Math.max(1, asks.size());
+        return inverted / Math.max(1, requests.size());
     }
 
-    private static double density(RequestClass type) {
+    private static double worthPerWork(RequestClass type) {
         return type.worth() / type.work();
     }
 
@@ -237,11 +250,11 @@
      * never is.
      */
     public long backAfter(long before, long after, int seconds) {
-        double full = FULL * span(Math.min(SECOND, before / 2), before).worth();
+        double recovered = RECOVERED_SHARE * interval(Math.min(SECOND, before / 2), before).worth();
         for (long from = after; from + seconds * SECOND <= scenario.length(); from += STEP) {
             boolean back = true;
             for (int i = 0; i < seconds && back; i++) {
-                back = span(from + i * SECOND, from + (i + 1) * SECOND).worth() >= full;
+                back = interval(from + i * SECOND, from + (i + 1) * SECOND).worth() >= recovered;
             }
             if (back) {
                 return from - after;
@@ -251,12 +264,12 @@
     }
 
     /** The spans of the load's steps. */
-    public List<Span> steps() {
-        List<Span> spans = new ArrayList<>();
+    public List<IntervalStats> steps() {
+        List<IntervalStats> spans = new ArrayList<>();
         List<LoadStep> steps = scenario.load();
         for (int i = 0; i < steps.size(); i++) {
             spans.add(
-                    span(
+                    interval(
                             steps.get(i).from(),
                             i + 1 < steps.size() ? steps.get(i + 1).from() : scenario.length()));
         }
@@ -268,13 +281,13 @@
     public List<Second> seconds() {
         int count = (int) ((scenario.length() + SECOND - 1) / SECOND);
         int[][] n = new int[count][11];
-        for (Ask ask : eventLog.asks) {
-            int second = (int) (ask.intendedAt / SECOND);
+        for (ClientRequest request : eventLog.requests) {
+            int second = (int) (request.intendedAt / SECOND);
             n[second][0]++;
-            n[second][1 + ends.get(ask).ordinal()]++;
-            n[second][5] += ask.tries.size();
+            n[second][1 + outcomes.get(request).ordinal()]++;
+            n[second][5] += request.clientAttempts.size();
         }
-        for (Attempt each : eventLog.attempts) {
+        for (ServerAttempt each : eventLog.serverAttempts) {
             add(n, each.at, 6);
         }
         for (CostEntry each : eventLog.costs) {
@@ -308,11 +321,11 @@
     /** Times from the intended send to the answer that served, by class, in microseconds. */
     public Map<String, Histogram> latencies() {
         Map<String, Histogram> byClass = new TreeMap<>();
-        for (Ask ask : eventLog.asks) {
-            long served = ask.servedAt();
+        for (ClientRequest request : eventLog.requests) {
+            long served = request.servedAt();
             if (served >= 0) {
-                byClass.computeIfAbsent(type(ask).name(), name -> new Histogram(3))
-                        .recordValue(Math.max(0, served - ask.intendedAt));
+                byClass.computeIfAbsent(type(request).name(), name -> new Histogram(3))
+                        .recordValue(Math.max(0, served - request.intendedAt));
             }
         }
         return byClass;
@@ -322,7 +335,7 @@
      * How many first sends, or probes and the like, each target got from all nodes in its worst 100
      * ms.
      */
-    public int worstTenth(Cost cost) {
+    public int worst100Ms(Cost cost) {
         Map<String, Integer> counts = new HashMap<>();
         eventLog.costs.stream()
                 .filter(p -> p.cost() == cost)
@@ -333,7 +346,7 @@
     /** How attempts ended, by what the servers say. */
     public Map<String, Long> attemptEnds() {
         Map<String, Long> counts = new TreeMap<>();
-        eventLog.attempts.forEach(each -> counts.merge(each.end, 1L, Long::sum));
+        eventLog.serverAttempts.forEach(each -> counts.merge(each.end, 1L, Long::sum));
         return counts;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/net/Link.java
+++ b/lab/src/main/java/ottergauge/lab/net/Link.java
@@ -6,8 +6,8 @@
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
 import java.util.Set;
+import ottergauge.lab.scenario.Scenario.Direction;
 import ottergauge.lab.scenario.Scenario.Fault;
-import ottergauge.lab.scenario.Scenario.Way;
 
 /**
  * The way between two processes: its two lanes, its open connections, and whether new ones come up.
@@ -15,47 +15,47 @@
 public final class Link {
 
     /** What becomes of a connection that is asked for. */
-    public enum Door {
+    public enum AcceptMode {
         OPEN,
-        REFUSES,
+        REFUSE,
         SILENT
     }
 
-    private final Lane there;
-    private final Lane back;
+    private final OneWayLink forward;
+    private final OneWayLink backward;
     private final Set<Channel> open = new LinkedHashSet<>();
-    private Door door = Door.OPEN;
-    private Runnable doorMoved = () -> {};
-    private boolean resets;
+    private AcceptMode acceptMode = AcceptMode.OPEN;
+    private Runnable acceptModeListener = () -> {};
+    private boolean resetNew;
 
     Link(long seed, long base, long jitter) {
-        there = new Lane(seed, base, jitter);
-        back = new Lane(~seed, base, jitter);
+        forward = new OneWayLink(seed, base, jitter);
+        backward = new OneWayLink(~seed, base, jitter);
     }
 
     /** Bytes to the side that was connected to. */
-    public Lane there() {
-        return there;
+    public OneWayLink forward() {
+        return forward;
     }
 
     /** Bytes from the side that was connected to. */
-    public Lane back() {
-        return back;
+    public OneWayLink backward() {
+        return backward;
     }
 
-    public Door door() {
-        return door;
+    public AcceptMode acceptMode() {
+        return acceptMode;
     }
 
     /** Runs something whenever the door has changed. */
-    public void whenDoorMoves(Runnable task) {
-        doorMoved = task;
+    public void onAcceptModeChange(Runnable task) {
+        acceptModeListener = task;
     }
 
     void opened(Channel channel) {
         open.add(channel);
         channel.closeFuture().addListener(closed -> open.remove(channel));
-        if (resets) {
+        if (resetNew) {
             reset(channel);
         }
     }
@@ -66,13 +66,13 @@
     }
 
     /** The machine at the other side is gone, or back. */
-    public void silent(boolean gone) {
-        door(gone ? Door.SILENT : Door.OPEN);
+    public void setSilent(boolean loseAll) {
+        acceptMode(loseAll ? AcceptMode.SILENT : AcceptMode.OPEN);
     }
 
-    private void door(Door next) {
-        door = next;
-        doorMoved.run();
+    private void acceptMode(AcceptMode next) {
+        acceptMode = next;
+        acceptModeListener.run();
     }
 
     // A failed write or close shows as the end of its connection.
@@ -85,44 +85,46 @@
 
     /** Begins what a fault does to this link. */
     public void apply(Fault fault) {
-        switch (fault.what()) {
-            case LINK_REFUSE -> door(Door.REFUSES);
+        switch (fault.faultKind()) {
+            case LINK_REFUSE -> acceptMode(AcceptMode.REFUSE);
             case LINK_RESET -> {
-                resets = true;
+                resetNew = true;
                 resetAll();
             }
             case LINK_DROP -> {
-                each(fault.way(), Lane::hold);
-                if (fault.way() == Way.BOTH) {
-                    door(Door.SILENT);
+                each(fault.direction(), OneWayLink::hold);
+                if (fault.direction() == Direction.BOTH) {
+                    acceptMode(AcceptMode.SILENT);
                 }
             }
-            case LINK_DELAY -> each(fault.way(), lane -> lane.delay(fault.span(), fault.jitter()));
-            case LINK_LOSE -> each(fault.way(), lane -> lane.lose(fault.amount()));
-            case LINK_DOUBLE -> each(fault.way(), lane -> lane.twice(fault.amount()));
-            case LINK_REORDER -> each(fault.way(), lane -> lane.reorder(fault.amount()));
-            case LINK_RATE -> each(fault.way(), lane -> lane.rate(fault.amount()));
-            case LINK_CUT -> each(fault.way(), lane -> lane.cut((long) fault.amount()));
-            default -> throw new IllegalArgumentException("no fault of a link: " + fault.what());
+            case LINK_DELAY ->
+                    each(fault.direction(), oneWay -> oneWay.delay(fault.span(), fault.jitter()));
+            case LINK_LOSE -> each(fault.direction(), oneWay -> oneWay.lose(fault.amount()));
+            case LINK_DOUBLE -> each(fault.direction(), oneWay -> oneWay.duplicate(fault.amount()));
+            case LINK_REORDER -> each(fault.direction(), oneWay -> oneWay.reorder(fault.amount()));
+            case LINK_RATE -> each(fault.direction(), oneWay -> oneWay.rate(fault.amount()));
+            case LINK_CUT -> each(fault.direction(), oneWay -> oneWay.cut((long) fault.amount()));
+            default ->
+                    throw new IllegalArgumentException("no fault of a link: " + fault.faultKind());
         }
     }
 
     /** Ends whatever is wrong with this link. */
     public void heal() {
-        resets = false;
-        there.heal();
-        back.heal();
-        if (door != Door.OPEN) {
-            door(Door.OPEN);
+        resetNew = false;
+        forward.heal();
+        backward.heal();
+        if (acceptMode != AcceptMode.OPEN) {
+            acceptMode(AcceptMode.OPEN);
         }
     }
 
-    private void each(Way way, java.util.function.Consumer<Lane> change) {
-        if (way != Way.BACK) {
-            change.accept(there);
+    private void each(Direction direction, java.util.function.Consumer<OneWayLink> change) {
+        if (direction != Direction.BACK) {
+            change.accept(forward);
         }
-        if (way != Way.THERE) {
-            change.accept(back);
+        if (direction != Direction.THERE) {
+            change.accept(backward);
         }
     }
 }
--- a/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
+++ b/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
@@ -16,72 +16,75 @@
  */
 public final class LinkHandler extends ChannelDuplexHandler {
 
-    private record Piece(ByteBuf bytes, Consumer<ByteBuf> deliver, long due) {}
+    private record Chunk(ByteBuf bytes, Consumer<ByteBuf> deliver, long dueAt) {}
 
     // The bytes of one way of one connection, in their order.
-    private final class Stream {
-        private final Lane lane;
-        private final Deque<Piece> queue = new ArrayDeque<>();
-        private boolean silent;
+    private final class ByteStream {
+        private final OneWayLink oneWay;
+        private final Deque<Chunk> queue = new ArrayDeque<>();
+        private boolean discards;
         private long lastDue = Long.MIN_VALUE;
-        private long passed;
-        private boolean waits;
+        private long passedBytes;
+        private boolean waiting;
 
-        Stream(Lane lane) {
-            this.lane = lane;
+        ByteStream(OneWayLink oneWay) {
+            this.oneWay = oneWay;
         }
 
-        void take(ByteBuf bytes, Consumer<ByteBuf> deliver) {
-            silent |= lane.loses();
-            if (silent) {
+        void transfer(ByteBuf bytes, Consumer<ByteBuf> deliver) {
+            discards |= oneWay.losesNext();
+            if (discards) {
                 bytes.release();
-            } else if (queue.isEmpty() && lane.clear()) {
+            } else if (queue.isEmpty() && oneWay.clear()) {
                 deliver.accept(bytes);
             } else {
                 long now = loop.now();
                 lastDue =
-                        Math.max(lastDue, now + lane.trip()) + lane.writing(bytes.readableBytes());
-                queue.add(new Piece(bytes, deliver, lastDue));
-                move();
+                        Math.max(lastDue, now + oneWay.latency())
+                                + oneWay.transmissionTime(bytes.readableBytes());
+                queue.add(new Chunk(bytes, deliver, lastDue));
+                deliverDue();
             }
         }
 
-        private void move() {
-            while (!waits && !queue.isEmpty()) {
-                if (lane.holds()) {
-                    waits = true;
-                    lane.whenHealed(this::go);
-                } else if (queue.peek().due() > loop.now()) {
-                    waits = true;
-                    loop.at(queue.peek().due(), this::go);
+        private void deliverDue() {
+            while (!waiting && !queue.isEmpty()) {
+                if (oneWay.isHeld()) {
+                    waiting = true;
+                    oneWay.onHeal(this::resume);
+                } else if (queue.peek().dueAt() > loop.now()) {
+                    waiting = true;
+                    loop.at(queue.peek().dueAt(), this::resume);
                 } else {
                     deliver(queue.poll());
                 }
             }
         }
 
-        private void go() {
-            waits = false;
-            move();
+        private void resume() {
+            waiting = false;
+            deliverDue();
         }
 
-        private void deliver(Piece piece) {
+        private void deliver(Chunk piece) {
             int length = piece.bytes().readableBytes();
-            long left = lane.cutAfter() < 0 ? Long.MAX_VALUE : lane.cutAfter() - passed;
-            if (length > left) {
-                piece.deliver().accept(piece.bytes().readRetainedSlice((int) Math.max(0, left)));
+            long remaining =
+                    oneWay.cutAfter() < 0 ? Long.MAX_VALUE : oneWay.cutAfter() - passedBytes;
+            if (length > remaining) {
+                piece.deliver()
+                        .accept(piece.bytes().readRetainedSlice((int) Math.max(0, remaining)));
                 piece.bytes().release();
-                drop();
+                discard();
                 context.flush();
                 Link.reset(context.channel());
                 return;
             }
-            passed += length;
+            passedBytes += length;
             piece.deliver().accept(piece.bytes());
         }
 
-        void drop() {
-            silent = true;
+        void discard() {
+            discards = true;
             queue.forEach(piece -> piece.bytes().release());
             queue.clear();
         }
@@ -89,16 +92,16 @@
 
     private final Loop loop;
     private final Link link;
-    private final Stream in;
-    private final Stream out;
+    private final ByteStream in;
+    private final ByteStream out;
     private ChannelHandlerContext context;
 
-    /** {@code connects} says that the stand-in is the side that opened the connection. */
-    public LinkHandler(Loop loop, Link link, boolean connects) {
+    /** {@code initiator} says that the stand-in is the side that opened the connection. */
+    public LinkHandler(Loop loop, Link link, boolean initiator) {
         this.loop = loop;
         this.link = link;
-        in = new Stream(connects ? link.back() : link.there());
-        out = new Stream(connects ? link.there() : link.back());
+        in = new ByteStream(initiator ? link.backward() : link.forward());
+        out = new ByteStream(initiator ? link.forward() : link.backward());
     }
 
     @Override
@@ -114,7 +117,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        in.take(
+        in.transfer(
                 (ByteBuf) message,
                 bytes -> {
                     ctx.fireChannelRead(bytes);
@@ -129,7 +132,7 @@
         if (message instanceof ByteBuf bytes && bytes.isReadable()) {
             // Written as far as the stand-in is concerned: what becomes of it is the link's.
             promise.trySuccess();
-            out.take(bytes, each -> ctx.writeAndFlush(each));
+            out.transfer(bytes, each -> ctx.writeAndFlush(each));
         } else {
             ctx.write(message, promise);
         }
@@ -137,8 +140,8 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        in.drop();
-        out.drop();
+        in.discard();
+        out.discard();
         ctx.fireChannelInactive();
     }
 }
--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -28,78 +28,79 @@
 
     private static final int BACKLOG = 1024;
     private static final int SHORT_BACKLOG = 1;
-    private static final int FILLING = 3;
-    private static final long AGAIN = 1_000;
-    private static final int FIRST_TRIES = 100;
-    private static final long FIRST_PAUSE = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final int BACKLOG_FILLERS = 3;
+    private static final long RETRY_INTERVAL = 1_000;
+    private static final int MAX_BIND_ATTEMPTS = 100;
+    private static final long BIND_RETRY_PAUSE = TimeUnit.MILLISECONDS.toNanos(20);
 
     private final Loop loop;
     private final InetSocketAddress address;
     private final Link link;
-    private final Consumer<ChannelPipeline> accepted;
-    private final List<SocketChannel> filling = new ArrayList<>();
+    private final Consumer<ChannelPipeline> onAccept;
+    private final List<SocketChannel> backlogFillers = new ArrayList<>();
     private Channel channel;
-    private ServerSocket silent;
-    private boolean up = true;
-    private long moves;
+    private ServerSocket silentSocket;
+    private boolean setRunning = true;
+    private long rebindCount;
     private boolean closed;
 
     /**
-     * Listens at once, not on the loop; {@code accepted} gets the pipeline of each connection,
+     * Listens at once, not on the loop; {@code onAccept} gets the pipeline of each connection,
      * behind its link.
      */
     public Listener(
-            Loop loop, InetSocketAddress address, Link link, Consumer<ChannelPipeline> accepted)
+            Loop loop, InetSocketAddress address, Link link, Consumer<ChannelPipeline> onAccept)
             throws IOException {
         this.loop = loop;
         this.address = address;
         this.link = link;
-        this.accepted = accepted;
-        link.whenDoorMoves(this::move);
+        this.onAccept = onAccept;
+        link.onAcceptModeChange(this::rebind);
         ChannelFuture bound = open().awaitUninterruptibly();
         // On a busy machine a process of the play before may hold this address for a moment: until
         // the one
         // that is being started has become its own program, it has all that the rig had open.
-        for (int tries = 1; !bound.isSuccess() && tries < FIRST_TRIES; tries++) {
-            LockSupport.parkNanos(FIRST_PAUSE);
+        for (int attempts = 1; !bound.isSuccess() && attempts < MAX_BIND_ATTEMPTS; attempts++) {
+            LockSupport.parkNanos(BIND_RETRY_PAUSE);
             bound = open().awaitUninterruptibly();
         }
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + LoopbackAddresses.text(address), bound.cause());
+            throw new IOException(
+                    "cannot listen on " + LoopbackAddresses.text(address), bound.cause());
         }
     }
 
     /** The process that listens here is gone, or back. */
-    public void up(boolean lives) {
-        if (up != lives) {
-            up = lives;
-            move();
+    public void setRunning(boolean running) {
+        if (setRunning != running) {
+            setRunning = running;
+            rebind();
         }
     }
 
-    private void move() {
+    private void rebind() {
         close();
-        settle(++moves);
+        bindWhenFree(++rebindCount);
     }
 
     // The system gives an address back a moment after it was closed: until then it is tried again.
-    private void settle(long move) {
-        if (closed || move != moves) {
+    private void bindWhenFree(long rebind) {
+        if (closed || rebind != rebindCount) {
             return;
         }
-        Runnable again = () -> loop.after(AGAIN, () -> settle(move));
-        if (link.door() == Link.Door.SILENT) {
+        Runnable retry = () -> loop.after(RETRY_INTERVAL, () -> bindWhenFree(rebind));
+        if (link.acceptMode() == Link.AcceptMode.SILENT) {
             try {
-                silence();
+                listenSilently();
             } catch (IOException e) {
-                closeQuietly(silent);
-                again.run();
+                closeQuietly(silentSocket);
+                retry.run();
             }
-        } else if (up && link.door() == Link.Door.OPEN) {
+        } else if (setRunning && link.acceptMode() == Link.AcceptMode.OPEN) {
             open().addListener(
                             bound -> {
                                 if (!bound.isSuccess()) {
-                                    again.run();
+                                    retry.run();
                                 }
                             });
         }
@@ -120,7 +121,7 @@
                                         connection
                                                 .pipeline()
                                                 .addLast(new LinkHandler(loop, link, false));
-                                        accepted.accept(connection.pipeline());
+                                        onAccept.accept(connection.pipeline());
                                     }
                                 })
                         .bind(address);
@@ -128,14 +129,14 @@
         return bound;
     }
 
-    private void silence() throws IOException {
-        silent = new ServerSocket();
-        silent.setReuseAddress(true);
-        silent.bind(address, SHORT_BACKLOG);
+    private void listenSilently() throws IOException {
+        silentSocket = new ServerSocket();
+        silentSocket.setReuseAddress(true);
+        silentSocket.bind(address, SHORT_BACKLOG);
         // Not waited for: a busy machine may take its time over them, but it takes them in turn.
-        for (int i = 0; i < FILLING; i++) {
+        for (int i = 0; i < BACKLOG_FILLERS; i++) {
             SocketChannel socket = SocketChannel.open();
-            filling.add(socket);
+            backlogFillers.add(socket);
             socket.configureBlocking(false);
             socket.connect(address);
         }
@@ -148,12 +149,12 @@
             channel.close();
             channel = null;
         }
-        closeQuietly(silent);
-        silent = null;
-        for (SocketChannel socket : filling) {
+        closeQuietly(silentSocket);
+        silentSocket = null;
+        for (SocketChannel socket : backlogFillers) {
             closeQuietly(socket);
         }
-        filling.clear();
+        backlogFillers.clear();
     }
 
     private static void closeQuietly(Closeable each) {
--- a/lab/src/main/java/ottergauge/lab/net/Loop.java
+++ b/lab/src/main/java/ottergauge/lab/net/Loop.java
@@ -17,12 +17,12 @@
 public final class Loop implements AutoCloseable {
 
     private static final Logger LOG = LoggerFactory.getLogger(Loop.class);
-    private static final long MOST_LATE = TimeUnit.MINUTES.toMicros(10);
-    private static final long MICROS = 1_000;
+    private static final long MAX_LATENESS = TimeUnit.MINUTES.toMicros(10);
+    private static final long NANOS_PER_MICRO = 1_000;
 
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private final Histogram lateness = new Histogram(MOST_LATE, 3);
+    private final Histogram lateness = new Histogram(MAX_LATENESS, 3);
     private long origin = System.nanoTime();
 
     /** Starts the thread; it ends with {@link #close}. */
@@ -45,7 +45,7 @@
 
     /** Microseconds since the beginning; negative before it. */
     public long now() {
-        return (System.nanoTime() - origin) / MICROS;
+        return (System.nanoTime() - origin) / NANOS_PER_MICRO;
     }
 
     /** Does something at an instant, or at once if that has passed. */
@@ -53,7 +53,7 @@
     public void at(long instant, Runnable task) {
         loop.schedule(
                 () -> {
-                    lateness.recordValue(Math.min(MOST_LATE, Math.max(0, now() - instant)));
+                    lateness.recordValue(Math.min(MAX_LATENESS, Math.max(0, now() - instant)));
                     runLogged(task);
                 },
                 Math.max(0, instant - now()),
--- a/lab/src/main/java/ottergauge/lab/net/LoopbackAddresses.java
+++ b/lab/src/main/java/ottergauge/lab/net/LoopbackAddresses.java
@@ -16,9 +16,9 @@
     private static final int LAST_NET = 250;
     private static final int LOWEST_PORT = 20_000;
     private static final int PORTS = 10_000;
-    private static final int NODES = 1;
-    private static final int REGISTRY = 4;
-    private static final int BY_NODE = 100;
+    private static final int NODE_OCTET = 1;
+    private static final int DISCOVERY_OCTET = 4;
+    private static final int FIRST_LINK_OCTET = 100;
 
     /**
      * Addresses that no other play uses: the socket given back holds them until it is closed. Ports
@@ -50,33 +50,34 @@
                 LOWEST_PORT + (int) ((ProcessHandle.current().pid() * 31 + net * 97L) % PORTS));
     }
 
-    private InetSocketAddress at(int third, int fourth, int toPort) {
-        return new InetSocketAddress("127." + net + "." + third + "." + fourth, toPort);
+    private InetSocketAddress at(int thirdOctet, int fourthOctet, int addressPort) {
+        return new InetSocketAddress(
+                "127." + net + "." + thirdOctet + "." + fourthOctet, addressPort);
     }
 
     /** Where a node listens for clients. */
     public InetSocketAddress node(int node) {
-        return at(NODES, node, port);
+        return at(NODE_OCTET, node, port);
     }
 
     /** Where one node finds one server. */
     public InetSocketAddress server(int node, int server) {
-        return at(BY_NODE + node, server, port);
+        return at(FIRST_LINK_OCTET + node, server, port);
     }
 
     /** Where a node finds discovery. */
     public InetSocketAddress registry(int node) {
-        return at(REGISTRY, node, port);
+        return at(DISCOVERY_OCTET, node, port);
     }
 
     /** Where a node listens for what other nodes tell it. */
     public InetSocketAddress peer(int node) {
-        return at(NODES, node, port + 1);
+        return at(NODE_OCTET, node, port + 1);
     }
 
     /** Where one node finds another. */
     public InetSocketAddress peer(int node, int other) {
-        return at(BY_NODE + node, other, port + 1);
+        return at(FIRST_LINK_OCTET + node, other, port + 1);
     }
 
     /** Reads HOST:PORT, as {@link #text} writes it. */
--- a/lab/src/main/java/ottergauge/lab/net/Lane.java
+++ b/lab/src/main/java/ottergauge/lab/net/OneWayLink.java
@@ -6,18 +6,18 @@
 import java.util.SplittableRandom;
 
 /** One way of a link and what is wrong with it now; shared by all connections over it. */
-public final class Lane {
+public final class OneWayLink {
 
     private final SplittableRandom random;
     private final long base;
     private final long baseJitter;
     private boolean held;
-    private boolean gone;
+    private boolean loseAll;
     private long delay;
     private long jitter;
-    private double lost;
-    private double doubled;
-    private double reordered;
+    private double lossShare;
+    private double duplicateShare;
+    private double reorderShare;
     private double bytesPerSecond;
     private long cutAfter = -1;
     private final List<Runnable> waiting = new ArrayList<>();
@@ -25,7 +25,7 @@
     /**
      * {@code base} is how long a byte takes with nothing wrong, and {@code baseJitter} its spread.
      */
-    Lane(long seed, long base, long baseJitter) {
+    OneWayLink(long seed, long base, long baseJitter) {
         random = new SplittableRandom(seed);
         this.base = base;
         this.baseJitter = baseJitter;
@@ -42,15 +42,15 @@
     }
 
     void lose(double share) {
-        lost = share;
+        lossShare = share;
     }
 
-    void twice(double share) {
-        doubled = share;
+    void duplicate(double share) {
+        duplicateShare = share;
     }
 
     void reorder(double share) {
-        reordered = share;
+        reorderShare = share;
     }
 
     void rate(double bytes) {
@@ -63,17 +63,17 @@
     }
 
     /** Whether all that goes this way is lost: the machine at its end is gone. */
-    public void loseAll(boolean all) {
-        gone = all;
+    public void setLoseAll(boolean all) {
+        loseAll = all;
     }
 
     void heal() {
         held = false;
         delay = 0;
         jitter = 0;
-        lost = 0;
-        doubled = 0;
-        reordered = 0;
+        lossShare = 0;
+        duplicateShare = 0;
+        reorderShare = 0;
         bytesPerSecond = 0;
         cutAfter = -1;
         List<Runnable> released = new ArrayList<>(waiting);
@@ -81,47 +81,47 @@
         released.forEach(Runnable::run);
     }
 
-    boolean holds() {
+    boolean isHeld() {
         return held;
     }
 
     /** Runs something when this heals. */
-    void whenHealed(Runnable task) {
+    void onHeal(Runnable task) {
         waiting.add(task);
     }
 
     /** Whether nothing at all is wrong and no byte takes any time. */
     boolean clear() {
         return !held
-                && !gone
+                && !loseAll
                 && delay + jitter + base + baseJitter == 0
-                && lost == 0
+                && lossShare == 0
                 && bytesPerSecond == 0
                 && cutAfter < 0;
     }
 
     /** How long the next bytes take on their way. */
-    long trip() {
+    long latency() {
         long spread = jitter + baseJitter;
         return base + delay + (spread > 0 ? random.nextLong(spread) : 0);
     }
 
     /** How long so many bytes take to be written at all. */
-    long writing(long bytes) {
+    long transmissionTime(long bytes) {
         return bytesPerSecond > 0 ? (long) (bytes * 1e6 / bytesPerSecond) : 0;
     }
 
-    boolean loses() {
-        return gone || (lost > 0 && random.nextDouble() < lost);
+    boolean losesNext() {
+        return loseAll || (lossShare > 0 && random.nextDouble() < lossShare);
     }
 
-    boolean doubles() {
-        return doubled > 0 && random.nextDouble() < doubled;
+    boolean duplicatesNext() {
+        return duplicateShare > 0 && random.nextDouble() < duplicateShare;
     }
 
     /** Whether the next datagram is overtaken by those behind it. */
-    boolean reorders() {
-        return reordered > 0 && random.nextDouble() < reordered;
+    boolean reordersNext() {
+        return reorderShare > 0 && random.nextDouble() < reorderShare;
     }
 
     long cutAfter() {
--- a/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
@@ -86,21 +86,21 @@
                 .put("probes", platform.probes())
                 .put("cancel", platform.cancel())
                 .put("retryAfter", platform.retryAfter())
-                .put("maxAttempts", (double) platform.mostAttempts())
-                .put("maxRetryAfterMs", platform.mostRetryAfter() / MS)
+                .put("maxAttempts", (double) platform.maxAttempts())
+                .put("maxRetryAfterMs", platform.maxRetryAfter() / MS)
                 .put("secondCopies", false)
                 .put("connectTimeoutMs", platform.connectTimeout() / MS)
                 .put("connIdleMs", platform.connectionIdle() / MS)
-                .put("peerMessages", scenario.nodes().talk());
+                .put("peerMessages", scenario.nodes().peerMessages());
         Scenario.ServerKind kind = scenario.servers().get(0);
         settings.putObject("rules")
                 .put("answerSlackMs", platform.answerSlack() / MS)
                 .put("stopSendingWithinMs", platform.drainGrace() / MS)
                 .put("coldFrom", kind.coldFrom())
                 .put("coldMs", kind.coldFor() / MS)
-                .put("tipMultiple", platform.tipMultiple())
-                .put("fallMs", platform.fallAfter() / MS)
-                .put("mustAskInMs", scenario.registry().askWithin() / MS);
+                .put("tipMultiple", platform.overloadMultiple())
+                .put("fallMs", platform.overloadWindow() / MS)
+                .put("mustAskInMs", scenario.registry().maxPollInterval() / MS);
         settings.putObject("penalties").put("probe", platform.probePrice()).put("connection", 0.0);
         ArrayNode classes = settings.putArray("classes");
         for (RequestClass type : scenario.classes()) {
@@ -108,7 +108,7 @@
                     .put("name", type.name())
                     .put("semantics", SEMANTICS.get(type.effect()))
                     .put("group", type.group().name().toLowerCase(Locale.ROOT))
-                    .put("aimMs", type.aim() / MS)
+                    .put("aimMs", type.latencyObjective() / MS)
                     .put("hardLimitMs", type.deadline() / MS)
                     .put("windowMs", type.window() / MS)
                     .put("value", type.worth())
@@ -117,14 +117,17 @@
         }
         ArrayNode parties = settings.putArray("parties");
         double capacity = scenario.capacity();
-        double portions = scenario.tenants().stream().mapToDouble(Scenario.Tenant::portion).sum();
+        double portions =
+                scenario.tenants().stream().mapToDouble(Scenario.Tenant::capacityShare).sum();
         scenario.tenants()
                 .forEach(
                         tenant ->
                                 parties.addObject()
                                         .put("name", tenant.name())
-                                        .put("portion", tenant.portion() / portions)
-                                        .put("quotaPerS", tenant.portion() / portions * capacity));
+                                        .put("portion", tenant.capacityShare() / portions)
+                                        .put(
+                                                "quotaPerS",
+                                                tenant.capacityShare() / portions * capacity));
         return settings;
     }
 
--- a/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
@@ -13,22 +13,22 @@
 /** One node of the program under test: a process under a name, started again after its end. */
 public final class NodeProcess {
 
-    private static final int LOG_END = 2_000;
+    private static final int LOG_TAIL = 2_000;
 
     private final int number;
     private final String command;
     private final Path root;
     private final Path folder;
     private final Signals signals;
-    private final Consumer<NodeProcess> ended;
+    private final Consumer<NodeProcess> exitListener;
     private Process process;
-    private int starts;
-    private long cpuBefore;
+    private int startCount;
+    private long cpuOfPreviousProcesses;
 
     /**
      * {@code command} is a shell line run from {@code root}; {@code folder} is the node's own, with
-     * its configuration and logs; {@code ended} is told, on a thread of its own, that the process
-     * has ended.
+     * its configuration and logs; {@code exitListener} is told, on a thread of its own, that the
+     * process has ended.
      */
     public NodeProcess(
             int number,
@@ -36,14 +36,14 @@
             Path root,
             Path folder,
             Signals signals,
-            Consumer<NodeProcess> ended)
+            Consumer<NodeProcess> exitListener)
             throws IOException {
         this.number = number;
         this.command = command;
         this.root = root;
         this.folder = Files.createDirectories(folder);
         this.signals = signals;
-        this.ended = ended;
+        this.exitListener = exitListener;
     }
 
     /** Starts it; the folder for files of its own is empty then, as the platform has it. */
@@ -54,7 +54,7 @@
         Path temporary = folder.resolve("tmp");
         delete(temporary);
         Files.createDirectories(temporary);
-        starts++;
+        startCount++;
         ProcessBuilder builder =
                 new ProcessBuilder("/bin/sh", "-c", command)
                         .directory(root.toFile())
@@ -63,7 +63,7 @@
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.environment().put("TMPDIR", temporary.toString());
         process = builder.start();
-        process.onExit().thenAccept(gone -> ended.accept(this));
+        process.onExit().thenAccept(exited -> exitListener.accept(this));
     }
 
     private static void delete(Path folder) throws IOException {
@@ -77,7 +77,7 @@
     }
 
     private Path log() {
-        return folder.resolve("log-" + starts);
+        return folder.resolve("log-" + startCount);
     }
 
     /** Replaces its configuration, which it reads on SIGHUP and at its next start. */
@@ -104,13 +104,13 @@
         return process.exitValue();
     }
 
-    public int starts() {
-        return starts;
+    public int startCount() {
+        return startCount;
     }
 
     /** The CPU that all of its processes have used, in microseconds. */
     public long cpuMicros() {
-        return cpuBefore + (isAlive() ? cpuNow() : 0);
+        return cpuOfPreviousProcesses + (isAlive() ? cpuNow() : 0);
     }
 
     private long cpuNow() {
@@ -120,7 +120,7 @@
     /** Kills it, whatever it is doing; its CPU so far counts on. */
     public void kill() {
         if (isAlive()) {
-            cpuBefore += cpuNow();
+            cpuOfPreviousProcesses += cpuNow();
             signals.send("CONT", process.pid());
             process.destroyForcibly();
         }
@@ -134,10 +134,10 @@
     }
 
     /** The last lines of its log. */
-    public String logEnd() {
+    public String logTail() {
         try {
             String text = Files.readString(log());
-            return text.substring(Math.max(0, text.length() - LOG_END));
+            return text.substring(Math.max(0, text.length() - LOG_TAIL));
         } catch (IOException e) {
             return "no log: " + e.getMessage();
         }
@@ -146,7 +146,7 @@
     /** The lines of all of its logs that a word is in. */
     public List<String> logLines(String word) throws IOException {
         List<String> found = new java.util.ArrayList<>();
-        for (int i = 1; i <= starts; i++) {
+        for (int i = 1; i <= startCount; i++) {
             try (Stream<String> lines = Files.lines(folder.resolve("log-" + i))) {
                 lines.filter(line -> line.contains(word)).forEach(found::add);
             }
--- a/lab/src/main/java/ottergauge/lab/node/Signals.java
+++ b/lab/src/main/java/ottergauge/lab/node/Signals.java
@@ -9,7 +9,7 @@
 public final class Signals implements AutoCloseable {
 
     private final Process shell;
-    private final OutputStream orders;
+    private final OutputStream shellInput;
 
     /** Starts the shell; an {@link IOException} says that it cannot be started. */
     public Signals() throws IOException {
@@ -19,14 +19,14 @@
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .start();
-        orders = shell.getOutputStream();
+        shellInput = shell.getOutputStream();
     }
 
     /** Sends a signal by its short name, such as KILL or STOP. */
     public synchronized void send(String signal, long pid) {
         try {
-            orders.write((signal + " " + pid + "\n").getBytes(StandardCharsets.US_ASCII));
-            orders.flush();
+            shellInput.write((signal + " " + pid + "\n").getBytes(StandardCharsets.US_ASCII));
+            shellInput.flush();
         } catch (IOException e) {
             throw new IllegalStateException("no signal can be sent any more", e);
         }
@@ -34,7 +34,7 @@
 
     @Override
     public void close() throws IOException {
-        orders.close();
+        shellInput.close();
         shell.destroy();
     }
 }
--- a/lab/src/main/java/ottergauge/lab/program/RunCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/RunCommand.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.Callable;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import ottergauge.lab.report.Report;
+import ottergauge.lab.run.RunException;
 import ottergauge.lab.run.ScenarioRun;
 import ottergauge.lab.run.ScenarioRun.Program;
-import ottergauge.lab.run.RunException;
-import ottergauge.lab.report.Report;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioException;
 import ottergauge.lab.scenario.ScenarioReader;
@@ -80,7 +80,8 @@
             Path folder =
                     logs == null ? Files.createTempDirectory("lab") : Files.createDirectories(logs);
             Program program = new Program(command == null ? runLine(root) : command, root);
-            Report report = new Report(new ScenarioRun(scenario, program, folder.toAbsolutePath()).run());
+            Report report =
+                    new Report(new ScenarioRun(scenario, program, folder.toAbsolutePath()).run());
             report.print(out);
             if (seconds) {
                 report.printSeconds(out);
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -12,12 +12,12 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
+import ottergauge.lab.eventlog.EventLog.Cost;
 import ottergauge.lab.eventlog.RuleChecker;
 import ottergauge.lab.eventlog.RuleChecker.Violation;
 import ottergauge.lab.eventlog.RunStatistics;
+import ottergauge.lab.eventlog.RunStatistics.IntervalStats;
 import ottergauge.lab.eventlog.RunStatistics.Second;
-import ottergauge.lab.eventlog.RunStatistics.Span;
-import ottergauge.lab.eventlog.EventLog.Cost;
 import ottergauge.lab.run.ScenarioRun.RunResult;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.LoadStep;
@@ -38,28 +38,28 @@
     private static final double MS = 1_000;
     private static final double SECOND = 1e6;
 
-    private final RunResult played;
+    private final RunResult result;
     private final Scenario scenario;
-    private final List<Violation> broken;
+    private final List<Violation> violations;
     private final RunStatistics statistics;
 
     /** Checks the rules on what was recorded and computes the figures. */
-    public Report(RunResult played) {
-        this.played = played;
-        scenario = played.scenario();
-        broken = RuleChecker.check(scenario, played.eventLog(), scenario.length());
-        statistics = new RunStatistics(scenario, played.eventLog());
+    public Report(RunResult result) {
+        this.result = result;
+        scenario = result.scenario();
+        violations = RuleChecker.check(scenario, result.eventLog(), scenario.length());
+        statistics = new RunStatistics(scenario, result.eventLog());
     }
 
     /** Returns the verdict; {@code RIG_LATE} goes before a broken rule. */
     public Verdict verdict() {
-        return played.lateP99() > LATE_P99
+        return result.lateP99() > LATE_P99
                 ? Verdict.RIG_LATE
-                : broken.isEmpty() ? Verdict.KEPT : Verdict.BROKEN;
+                : violations.isEmpty() ? Verdict.KEPT : Verdict.BROKEN;
     }
 
-    public List<Violation> broken() {
-        return broken;
+    public List<Violation> violations() {
+        return violations;
     }
 
     public RunStatistics statistics() {
@@ -70,7 +70,7 @@
      * The burst of a play: the step with the highest load, and how long after it service is back;
      * or null.
      */
-    public record Burst(Span before, Span during, long backAfter) {
+    public record Burst(IntervalStats before, IntervalStats during, long backAfter) {
         /**
          * The worth served in time during the burst, of what an order that knows all could serve.
          */
@@ -87,8 +87,8 @@
                 long from = steps.get(i).from();
                 long to = steps.get(i + 1).from();
                 return new Burst(
-                        statistics.span(0, from),
-                        statistics.span(from, to),
+                        statistics.interval(0, from),
+                        statistics.interval(from, to),
                         statistics.backAfter(from, to, 3));
             }
         }
@@ -102,34 +102,34 @@
                 "%s  seed %d  %d requests  verdict %s%n",
                 scenario.name(),
                 scenario.seed(),
-                played.eventLog().asks.size(),
+                result.eventLog().requests.size(),
                 verdict());
         out.printf(
                 Locale.ROOT,
                 "rig late p99 %.1f ms, most %.1f ms; cores: rig %.2f, nodes %.2f%n",
-                played.lateP99() / MS,
-                played.lateMost() / MS,
-                played.rigCores(),
-                played.nodeCores());
+                result.lateP99() / MS,
+                result.lateMax() / MS,
+                result.rigCores(),
+                result.nodeCores());
         out.println(
                 "   from offered  worth  ideal refused failed tries  att. invert probes/s shakes/s"
                         + "  away");
-        for (Span span : statistics.steps()) {
+        for (IntervalStats interval : statistics.steps()) {
             out.printf(
                     Locale.ROOT,
                     "%6.1fs %7d %6.3f %6.3f %7.3f %6.3f %5.2f %5.2f %6.3f %8.1f %8.2f %5.3f%n",
-                    span.from() / SECOND,
-                    span.asks(),
-                    span.worth(),
-                    span.ideal(),
-                    span.refused(),
-                    span.failed(),
-                    span.triesPerAsk(),
-                    span.attemptsPerAsk(),
-                    span.inverted(),
-                    span.probesPerServer(),
-                    span.handshakesPerServer(),
-                    span.turnedAway());
+                    interval.from() / SECOND,
+                    interval.requests(),
+                    interval.worth(),
+                    interval.ideal(),
+                    interval.refused(),
+                    interval.failed(),
+                    interval.clientAttemptsPerRequest(),
+                    interval.serverAttemptsPerRequest(),
+                    interval.inverted(),
+                    interval.probesPerServer(),
+                    interval.handshakesPerServer(),
+                    interval.turnedAway());
         }
         Burst burst = burst();
         if (burst != null) {
@@ -156,18 +156,20 @@
         out.println("attempts: " + statistics.attemptEnds());
         out.printf(
                 "clients that left: %d; attempts for those that had: %d%n",
-                played.eventLog().tries.values().stream().filter(each -> each.leftAt >= 0).count(),
-                RuleChecker.forNobody(played.eventLog()).size());
+                result.eventLog().clientAttempts.values().stream()
+                        .filter(each -> each.clientClosedAt >= 0)
+                        .count(),
+                RuleChecker.attemptsAfterClientClosed(result.eventLog()).size());
         out.printf(
                 "worst 100 ms at one target: %d handshakes, %d probes, %d list calls%n",
-                statistics.worstTenth(Cost.HANDSHAKE),
-                statistics.worstTenth(Cost.PROBE),
-                statistics.worstTenth(Cost.LIST_CALL));
-        if (!broken.isEmpty()) {
+                statistics.worst100Ms(Cost.HANDSHAKE),
+                statistics.worst100Ms(Cost.PROBE),
+                statistics.worst100Ms(Cost.LIST_CALL));
+        if (!violations.isEmpty()) {
             Map<RuleChecker.Rule, Integer> counts = new LinkedHashMap<>();
-            broken.forEach(each -> counts.merge(each.rule(), 1, Integer::sum));
+            violations.forEach(each -> counts.merge(each.rule(), 1, Integer::sum));
             out.println("RULES BROKEN: " + counts);
-            broken.stream()
+            violations.stream()
                     .limit(SHOWN)
                     .forEach(
                             each ->
@@ -193,8 +195,8 @@
                     s.late(),
                     s.refused(),
                     s.failed(),
-                    s.tries(),
-                    s.attempts(),
+                    s.clientAttempts(),
+                    s.serverAttempts(),
                     s.probes(),
                     s.handshakes(),
                     s.listCalls(),
@@ -209,16 +211,16 @@
         root.put("scenario", scenario.name());
         root.put("seed", scenario.seed());
         root.put("verdict", verdict());
-        root.put("rig_late_p99_ms", played.lateP99() / MS);
-        root.put("rig_cores", played.rigCores());
-        root.put("node_cores", played.nodeCores());
+        root.put("rig_late_p99_ms", result.lateP99() / MS);
+        root.put("rig_cores", result.rigCores());
+        root.put("node_cores", result.nodeCores());
         root.put("steps", statistics.steps());
         root.put("burst", burst());
         root.put("seconds", statistics.seconds());
         root.put("attempts", statistics.attemptEnds());
-        root.put("second_runs_by_clients", RuleChecker.secondRuns(scenario, played.eventLog()));
-        root.put("broken", new ArrayList<>(broken));
-        root.put("happenings", played.eventLog().events);
+        root.put("second_runs_by_clients", RuleChecker.secondRuns(scenario, result.eventLog()));
+        root.put("broken", new ArrayList<>(violations));
+        root.put("happenings", result.eventLog().events);
         new ObjectMapper()
                 .enable(SerializationFeature.INDENT_OUTPUT)
                 .writeValue(file.toFile(), root);
--- a/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
+++ b/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
@@ -12,12 +12,12 @@
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.Fault;
-import ottergauge.lab.server.ServerHost;
+import ottergauge.lab.server.ServerStandIn;
 
 /** Begins and ends each fault of a play at its time, with whom it befalls drawn from the seed. */
 final class FaultSchedule {
 
-    private static final int HEALTHY = 1;
+    private static final int NORMAL_SPEED = 1;
 
     private final Loop loop;
     private final Scenario scenario;
@@ -50,30 +50,30 @@
     private void begin(Fault fault) {
         eventLog.addEvent(
                 loop.now(),
-                "fault " + fault.line(),
-                fault.what()
+                "fault " + fault.index(),
+                fault.faultKind()
                         + " begins for "
-                        + (fault.who().isEmpty()
-                                ? fault.part() + " of them"
-                                : String.join(", ", fault.who())));
-        switch (fault.what()) {
-            case NODE_KILL -> nodes(fault, node -> fleet.kill(node, fault.lasts()), null);
-            case NODE_TERM -> nodes(fault, node -> fleet.term(node, fault.lasts()), null);
-            case NODE_HUP -> nodes(fault, fleet::hangUp, null);
-            case NODE_STALL -> nodes(fault, fleet::stall, fleet::goOn);
+                        + (fault.targets().isEmpty()
+                                ? fault.fraction() + " of them"
+                                : String.join(", ", fault.targets())));
+        switch (fault.faultKind()) {
+            case NODE_KILL -> nodes(fault, node -> fleet.kill(node, fault.duration()), null);
+            case NODE_TERM -> nodes(fault, node -> fleet.terminate(node, fault.duration()), null);
+            case NODE_HUP -> nodes(fault, fleet::reload, null);
+            case NODE_STALL -> nodes(fault, fleet::stall, fleet::resume);
             case NODE_CORES ->
                     nodes(
                             fault,
                             node -> fleet.cores(node, fault.amount()),
                             node -> fleet.cores(node, scenario.nodes().cores()));
-            case SERVER_STALL -> servers(fault, ServerHost::stall, ServerHost::recover);
+            case SERVER_STALL -> servers(fault, ServerStandIn::stall, ServerStandIn::recover);
             case SERVER_SLOW ->
                     servers(
                             fault,
                             server -> server.slow(fault.amount()),
-                            server -> server.slow(HEALTHY));
-            case SERVER_FAIL -> servers(fault, ServerHost::failAll, ServerHost::recover);
-            case SERVER_FULL -> servers(fault, ServerHost::fillUp, ServerHost::recover);
+                            server -> server.slow(NORMAL_SPEED));
+            case SERVER_FAIL -> servers(fault, ServerStandIn::failAll, ServerStandIn::recover);
+            case SERVER_FULL -> servers(fault, ServerStandIn::rejectAll, ServerStandIn::recover);
             case SERVER_KILL ->
                     servers(fault, servers::kill, server -> servers.start(server, false));
             case SERVER_VANISH ->
@@ -84,19 +84,22 @@
             case ANSWERS_LOST ->
                     servers(
                             fault,
-                            server -> server.loseAnswers(fault.amount()),
-                            ServerHost::recover);
+                            server -> server.loseResponses(fault.amount()),
+                            ServerStandIn::recover);
             case REGISTRY_AWAY ->
                     registry(
                             fault,
-                            () -> servers.discovery().up(false),
-                            () -> servers.discovery().up(true));
+                            () -> servers.discovery().setRunning(false),
+                            () -> servers.discovery().setRunning(true));
             case REGISTRY_SLOW ->
                     registry(
                             fault,
-                            () -> servers.discovery().speed(fault.amount()),
-                            () -> servers.discovery().speed(scenario.registry().callsPerSecond()));
-            case REGISTRY_SILENT -> servers.discovery().silence();
+                            () -> servers.discovery().setCallsPerSecond(fault.amount()),
+                            () ->
+                                    servers.discovery()
+                                            .setCallsPerSecond(
+                                                    scenario.registry().callsPerSecond()));
+            case REGISTRY_SILENT -> servers.discovery().silenceWatches();
             case REGISTRY_FROZEN ->
                     registry(
                             fault,
@@ -107,11 +110,12 @@
     }
 
     private void end(Fault fault, Runnable task) {
-        if (fault.lasts() > 0) {
+        if (fault.duration() > 0) {
             loop.at(
-                    fault.at() + fault.lasts(),
+                    fault.at() + fault.duration(),
                     () -> {
-                        eventLog.addEvent(loop.now(), "fault " + fault.line(), fault.what() + " ends");
+                        eventLog.addEvent(
+                                loop.now(), "fault " + fault.index(), fault.faultKind() + " ends");
                         task.run();
                     });
         }
@@ -123,34 +127,35 @@
     }
 
     private void nodes(Fault fault, Consumer<Integer> begins, Consumer<Integer> ends) {
-        List<Integer> hit =
-                drawn(
+        List<Integer> affected =
+                choose(
                         fault,
-                        numbers(fault.who(), "n", scenario.nodes().count()),
+                        numbers(fault.targets(), "n", scenario.nodes().count()),
                         scenario.nodes().count());
-        hit.forEach(begins);
+        affected.forEach(begins);
         if (ends != null) {
-            end(fault, () -> hit.forEach(ends));
+            end(fault, () -> affected.forEach(ends));
         }
     }
 
-    private void servers(Fault fault, Consumer<ServerHost> begins, Consumer<ServerHost> ends) {
+    private void servers(
+            Fault fault, Consumer<ServerStandIn> begins, Consumer<ServerStandIn> ends) {
         int count = servers.all().size();
-        List<ServerHost> hit =
-                drawn(fault, numbers(fault.who(), "s", count), count).stream()
+        List<ServerStandIn> affected =
+                choose(fault, numbers(fault.targets(), "s", count), count).stream()
                         .map(servers::server)
                         .toList();
-        hit.forEach(begins);
-        end(fault, () -> hit.forEach(ends));
+        affected.forEach(begins);
+        end(fault, () -> affected.forEach(ends));
     }
 
     private void links(Fault fault) {
-        List<Link> hit = links.between(names(fault.who()), names(fault.to()));
-        hit.forEach(link -> link.apply(fault));
-        end(fault, () -> hit.forEach(Link::heal));
+        List<Link> affected = links.between(names(fault.targets()), names(fault.peers()));
+        affected.forEach(link -> link.apply(fault));
+        end(fault, () -> affected.forEach(Link::heal));
     }
 
-    private List<Integer> drawn(Fault fault, List<Integer> named, int count) {
+    private List<Integer> choose(Fault fault, List<Integer> named, int count) {
         if (!named.isEmpty()) {
             return named;
         }
@@ -158,8 +163,8 @@
         for (int i = 1; i <= count; i++) {
             all.add(i);
         }
-        Collections.shuffle(all, new Random(scenario.seed() * 31 + fault.line()));
-        return all.subList(0, (int) Math.round(fault.part() * count));
+        Collections.shuffle(all, new Random(scenario.seed() * 31 + fault.index()));
+        return all.subList(0, (int) Math.round(fault.fraction() * count));
     }
 
     private List<Integer> numbers(List<String> names, String letter, int count) {
@@ -179,11 +184,11 @@
             if (name.equals("nodes")) {
                 fleet.nodes().forEach(node -> names.add("n" + node.number()));
             } else if (name.equals("servers")) {
-                servers.all().forEach(server -> names.add(server.place()));
+                servers.all().forEach(server -> names.add(server.serverName()));
             } else if (name.startsWith("zone-")) {
                 servers.all().stream()
                         .filter(server -> server.zone().equals(name.substring(5)))
-                        .forEach(server -> names.add(server.place()));
+                        .forEach(server -> names.add(server.serverName()));
             } else {
                 names.add(name);
             }
--- a/lab/src/main/java/ottergauge/lab/run/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/run/Fleet.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.IntFunction;
-import ottergauge.lab.client.Clients;
+import ottergauge.lab.client.LoadGenerator;
 import ottergauge.lab.eventlog.EventLog;
-import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.node.NodeConfig;
 import ottergauge.lab.node.NodeProcess;
 import ottergauge.lab.node.Signals;
@@ -26,26 +26,26 @@
 final class Fleet implements AutoCloseable {
 
     // A node's time on its core is given and taken in steps of this length.
-    private static final long DUTY = 40_000;
+    private static final long DUTY_PERIOD = 40_000;
 
     private final Loop loop;
     private final Scenario scenario;
     private final LoopbackAddresses addresses;
     private final EventLog eventLog;
-    private final IntFunction<List<String>> lists;
+    private final IntFunction<List<String>> knownInstances;
     private final IntFunction<ObjectNode> extras;
     private final Signals signals;
     private final List<NodeProcess> nodes = new ArrayList<>();
     private final Set<Integer> stalled = new HashSet<>();
-    private final Set<Integer> toEnd = new HashSet<>();
+    private final Set<Integer> expectedExits = new HashSet<>();
     private final double[] cores;
     private final SplittableRandom seeds;
-    private Clients clients;
+    private LoadGenerator loadGenerator;
     private boolean closed;
 
     /**
-     * {@code lists} gives the lines of the server list that a node had last, {@code extras} what
-     * its configuration has beside the usual.
+     * {@code knownInstances} gives the lines of the server list that a node had last, {@code
+     * extras} what its configuration has beside the usual.
      */
     Fleet(
             Loop loop,
@@ -55,14 +55,14 @@
             String command,
             Path root,
             Path folder,
-            IntFunction<List<String>> lists,
+            IntFunction<List<String>> knownInstances,
             IntFunction<ObjectNode> extras)
             throws IOException {
         this.loop = loop;
         this.scenario = scenario;
         this.addresses = addresses;
         this.eventLog = eventLog;
-        this.lists = lists;
+        this.knownInstances = knownInstances;
         this.extras = extras;
         signals = new Signals();
         seeds = new SplittableRandom(scenario.seed() + 2);
@@ -76,12 +76,12 @@
                             root,
                             folder.resolve("n" + n),
                             signals,
-                            gone -> loop.netty().execute(() -> ended(gone))));
+                            exited -> loop.netty().execute(() -> handleExit(exited))));
         }
     }
 
-    void clients(Clients those) {
-        clients = those;
+    void loadGenerator(LoadGenerator generator) {
+        loadGenerator = generator;
     }
 
     List<NodeProcess> nodes() {
@@ -97,7 +97,7 @@
             return;
         }
         try {
-            toEnd.remove(number);
+            expectedExits.remove(number);
             stalled.remove(number);
             node(number)
                     .start(
@@ -106,12 +106,14 @@
                                     addresses,
                                     number,
                                     seeds.nextLong(),
-                                    lists.apply(number),
+                                    knownInstances.apply(number),
                                     extras.apply(number)));
-            clients.lives(number, true);
+            loadGenerator.setAlive(number, true);
             eventLog.addEvent(loop.now(), "n" + number, "is started");
             if (cores[number] < 1) {
-                loop.after(DUTY * number / nodes.size(), () -> duty(number, node(number).starts()));
+                loop.after(
+                        DUTY_PERIOD * number / nodes.size(),
+                        () -> runDutyCycle(number, node(number).startCount()));
             }
         } catch (IOException e) {
             throw new IllegalStateException("n" + number + " cannot be started", e);
@@ -119,85 +121,87 @@
     }
 
     /** From now on it has this part of a core. */
-    void cores(int number, double part) {
-        boolean runs = cores[number] < 1;
-        cores[number] = part;
-        if (!runs && part < 1) {
-            duty(number, node(number).starts());
+    void cores(int number, double fraction) {
+        boolean alreadyThrottled = cores[number] < 1;
+        cores[number] = fraction;
+        if (!alreadyThrottled && fraction < 1) {
+            runDutyCycle(number, node(number).startCount());
         }
     }
 
     // Runs for its part of each step and stands still for the rest of it.
-    private void duty(int number, int start) {
+    private void runDutyCycle(int number, int start) {
         NodeProcess node = node(number);
-        if (closed || node.starts() != start || !node.isAlive() || cores[number] >= 1) {
+        if (closed || node.startCount() != start || !node.isAlive() || cores[number] >= 1) {
             return;
         }
         if (stalled.contains(number)) {
-            loop.after(DUTY, () -> duty(number, start));
+            loop.after(DUTY_PERIOD, () -> runDutyCycle(number, start));
             return;
         }
         node.signal("CONT");
         loop.after(
-                (long) (DUTY * cores[number]),
+                (long) (DUTY_PERIOD * cores[number]),
                 () -> {
-                    if (node.starts() == start && !stalled.contains(number) && cores[number] < 1) {
+                    if (node.startCount() == start
+                            && !stalled.contains(number)
+                            && cores[number] < 1) {
                         node.signal("STOP");
                     }
                 });
-        loop.after(DUTY, () -> duty(number, start));
+        loop.after(DUTY_PERIOD, () -> runDutyCycle(number, start));
     }
 
     /** Kills it outright and starts it again after a while. */
     void kill(int number, long after) {
-        toEnd.add(number);
-        clients.lives(number, false);
+        expectedExits.add(number);
+        loadGenerator.setAlive(number, false);
         node(number).kill();
         eventLog.addEvent(loop.now(), "n" + number, "is killed");
-        loop.after(after, () -> startOnceGone(number));
+        loop.after(after, () -> startAfterExit(number));
     }
 
     // The old process has to be gone: its address is the new one's.
-    private void startOnceGone(int number) {
+    private void startAfterExit(int number) {
         if (node(number).isAlive()) {
-            loop.after(5_000, () -> startOnceGone(number));
+            loop.after(5_000, () -> startAfterExit(number));
         } else {
             start(number);
         }
     }
 
     /** Tells it to end, kills it after the platform's time, and starts it again. */
-    void term(int number, long after) {
-        toEnd.add(number);
+    void terminate(int number, long after) {
+        expectedExits.add(number);
         eventLog.addEvent(loop.now(), "n" + number, "is told to end");
         node(number).signal("TERM");
-        long longest =
+        long maxDeadline =
                 scenario.classes().stream()
                         .mapToLong(Scenario.RequestClass::deadline)
                         .max()
                         .orElse(0);
-        int start = node(number).starts();
+        int start = node(number).startCount();
         loop.after(
-                longest + 700_000,
+                maxDeadline + 700_000,
                 () -> {
-                    if (node(number).starts() == start && node(number).isAlive()) {
+                    if (node(number).startCount() == start && node(number).isAlive()) {
                         eventLog.addEvent(loop.now(), "n" + number, "is killed: it did not end");
-                        clients.lives(number, false);
+                        loadGenerator.setAlive(number, false);
                         node(number).kill();
                     }
                 });
-        awaitEnd(number, after);
+        restartAfterExit(number, after);
     }
 
-    private void awaitEnd(int number, long after) {
+    private void restartAfterExit(int number, long after) {
         if (node(number).isAlive()) {
-            loop.after(20_000, () -> awaitEnd(number, after));
+            loop.after(20_000, () -> restartAfterExit(number, after));
         } else {
             loop.after(after, () -> start(number));
         }
     }
 
-    void hangUp(int number) {
+    void reload(int number) {
         node(number).signal("HUP");
         eventLog.addEvent(loop.now(), "n" + number, "is told to read its configuration");
     }
@@ -208,19 +212,19 @@
         eventLog.addEvent(loop.now(), "n" + number, "is stopped");
     }
 
-    void goOn(int number) {
+    void resume(int number) {
         stalled.remove(number);
         node(number).signal("CONT");
         eventLog.addEvent(loop.now(), "n" + number, "goes on");
     }
 
-    private void ended(NodeProcess node) {
-        if (!closed && !toEnd.contains(node.number())) {
-            clients.lives(node.number(), false);
+    private void handleExit(NodeProcess node) {
+        if (!closed && !expectedExits.contains(node.number())) {
+            loadGenerator.setAlive(node.number(), false);
             eventLog.addEvent(
                     loop.now(),
                     "n" + node.number(),
-                    "crashed with exit code " + node.exitCode() + ": " + node.logEnd());
+                    "crashed with exit code " + node.exitCode() + ": " + node.logTail());
         }
     }
 
--- a/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
+++ b/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
@@ -15,13 +15,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.IntFunction;
-import ottergauge.lab.client.Clients;
-import ottergauge.lab.client.Plan;
+import ottergauge.lab.client.LoadGenerator;
+import ottergauge.lab.client.Workload;
 import ottergauge.lab.eventlog.EventLog;
-import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
 import ottergauge.lab.net.Loop;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.node.NodeProcess;
 import ottergauge.lab.scenario.Scenario;
 
@@ -46,15 +46,15 @@
             Scenario scenario,
             EventLog eventLog,
             long lateP99,
-            long lateMost,
+            long lateMax,
             double rigCores,
             double nodeCores,
             List<List<String>> levels) {}
 
-    private static final long READY_WITHIN_S = 60;
-    private static final long LOOK_EVERY = 20_000;
+    private static final long READY_TIMEOUT_S = 60;
+    private static final long READY_CHECK_INTERVAL = 20_000;
     // After the last request's time, for what is late to be seen.
-    private static final long AFTER = 1_700_000;
+    private static final long LATE_RESPONSE_TIME = 1_700_000;
 
     private final Scenario scenario;
     private final Program program;
@@ -86,7 +86,7 @@
             nodes.add(addresses.node(node));
             toNodes.add(links.add("clients", "n" + node, 0, 0));
         }
-        Clients clients = new Clients(loop, scenario, eventLog, nodes, toNodes);
+        LoadGenerator loadGenerator = new LoadGenerator(loop, scenario, eventLog, nodes, toNodes);
         Fleet fleet =
                 new Fleet(
                         loop,
@@ -96,12 +96,12 @@
                         program.command(),
                         program.root(),
                         folder,
-                        servers::lines,
+                        servers::instanceList,
                         program.extras());
-        fleet.clients(clients);
-        Thread interrupted =
+        fleet.loadGenerator(loadGenerator);
+        Thread killOnShutdown =
                 new Thread(() -> fleet.nodes().forEach(NodeProcess::kill), "interrupted");
-        Runtime.getRuntime().addShutdownHook(interrupted);
+        Runtime.getRuntime().addShutdownHook(killOnShutdown);
         try (fleet) {
             onLoop(
                     loop,
@@ -109,36 +109,38 @@
                         for (int node = 1; node <= scenario.nodes().count(); node++) {
                             fleet.start(node);
                         }
-                        clients.look();
+                        loadGenerator.checkReadiness();
                     });
-            awaitReady(loop, fleet, clients);
+            awaitReady(loop, fleet, loadGenerator);
             long rigCpu = rigCpu();
             long nodeCpu = fleet.cpuMicros();
             long from = System.nanoTime();
-            CompletableFuture<Void> over = new CompletableFuture<>();
+            CompletableFuture<Void> finished = new CompletableFuture<>();
             onLoop(
                     loop,
                     () -> {
                         loop.begin();
                         eventLog.events.clear();
                         eventLog.costs.clear();
-                        clients.begin(Plan.draw(scenario));
+                        loadGenerator.begin(Workload.draw(scenario));
                         new FaultSchedule(loop, scenario, fleet, servers, links, eventLog).begin();
-                        long longest =
+                        long maxDeadline =
                                 scenario.classes().stream()
                                         .mapToLong(Scenario.RequestClass::deadline)
                                         .max()
                                         .orElse(0);
-                        loop.at(scenario.length() + longest + AFTER, () -> over.complete(null));
+                        loop.at(
+                                scenario.length() + maxDeadline + LATE_RESPONSE_TIME,
+                                () -> finished.complete(null));
                     });
-            await(over, scenario.length() / 1_000_000 + 60);
+            await(finished, scenario.length() / 1_000_000 + 60);
             double seconds = (System.nanoTime() - from) / 1e9;
             double rigCores = (rigCpu() - rigCpu) / 1e6 / seconds;
             double nodeCores = (fleet.cpuMicros() - nodeCpu) / 1e6 / seconds;
             onLoop(
                     loop,
                     () -> {
-                        clients.end();
+                        loadGenerator.end();
                         servers.end();
                     });
             List<List<String>> levels = new ArrayList<>();
@@ -154,7 +156,7 @@
                     nodeCores,
                     levels);
         } finally {
-            Runtime.getRuntime().removeShutdownHook(interrupted);
+            Runtime.getRuntime().removeShutdownHook(killOnShutdown);
         }
     }
 
@@ -164,8 +166,7 @@
                 : 0;
     }
 
-    private static void onLoop(Loop loop, Runnable task)
-            throws InterruptedException, RunException {
+    private static void onLoop(Loop loop, Runnable task) throws InterruptedException, RunException {
         try {
             loop.netty().submit(task).get();
         } catch (ExecutionException e) {
@@ -173,10 +174,10 @@
         }
     }
 
-    private static void await(CompletableFuture<Void> over, long seconds)
+    private static void await(CompletableFuture<Void> finished, long seconds)
             throws InterruptedException, RunException {
         try {
-            over.get(seconds, TimeUnit.SECONDS);
+            finished.get(seconds, TimeUnit.SECONDS);
         } catch (ExecutionException e) {
             throw new RunException(e.getCause().getMessage());
         } catch (TimeoutException e) {
@@ -185,40 +186,46 @@
     }
 
     // Looks on the loop, so that all that the front knows is read on its own thread.
-    private void awaitReady(Loop loop, Fleet fleet, Clients clients)
+    private void awaitReady(Loop loop, Fleet fleet, LoadGenerator loadGenerator)
             throws InterruptedException, RunException {
         CompletableFuture<Void> ready = new CompletableFuture<>();
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_WITHIN_S);
-        loop.netty().execute(() -> look(loop, fleet, clients, until, ready));
-        await(ready, READY_WITHIN_S + 5);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_TIMEOUT_S);
+        loop.netty().execute(() -> checkReadiness(loop, fleet, loadGenerator, until, ready));
+        await(ready, READY_TIMEOUT_S + 5);
     }
 
-    private void look(
-            Loop loop, Fleet fleet, Clients clients, long until, CompletableFuture<Void> ready) {
-        NodeProcess dead =
+    private void checkReadiness(
+            Loop loop,
+            Fleet fleet,
+            LoadGenerator loadGenerator,
+            long until,
+            CompletableFuture<Void> ready) {
+        NodeProcess exitedNode =
                 fleet.nodes().stream().filter(node -> !node.isAlive()).findFirst().orElse(null);
-        if (dead != null) {
+        if (exitedNode != null) {
             ready.completeExceptionally(
                     new RunException(
                             "n"
-                                    + dead.number()
+                                    + exitedNode.number()
                                     + " ended before it was ready; the end of its log:\n"
-                                    + dead.logEnd()));
-        } else if (clients.allReady()) {
+                                    + exitedNode.logTail()));
+        } else if (loadGenerator.allReady()) {
             ready.complete(null);
         } else if (System.nanoTime() > until) {
             StringBuilder text =
-                    new StringBuilder("nodes are not ready after " + READY_WITHIN_S + " s");
+                    new StringBuilder("nodes are not ready after " + READY_TIMEOUT_S + " s");
             fleet.nodes()
                     .forEach(
                             node ->
                                     text.append("\nn")
                                             .append(node.number())
                                             .append("; the end of its log:\n")
-                                            .append(node.logEnd()));
+                                            .append(node.logTail()));
             ready.completeExceptionally(new RunException(text.toString()));
         } else {
-            loop.after(LOOK_EVERY, () -> look(loop, fleet, clients, until, ready));
+            loop.after(
+                    READY_CHECK_INTERVAL,
+                    () -> checkReadiness(loop, fleet, loadGenerator, until, ready));
         }
     }
 }
--- a/lab/src/main/java/ottergauge/lab/run/Servers.java
+++ b/lab/src/main/java/ottergauge/lab/run/Servers.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import ottergauge.lab.discovery.Registry;
-import ottergauge.lab.discovery.Registry.Health;
-import ottergauge.lab.discovery.RegistryHost;
+import ottergauge.lab.discovery.DiscoveryStandIn;
+import ottergauge.lab.discovery.ServiceRegistry;
+import ottergauge.lab.discovery.ServiceRegistry.Health;
 import ottergauge.lab.eventlog.EventLog;
-import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
 import ottergauge.lab.net.Loop;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.node.NodeConfig;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.ServerKind;
-import ottergauge.lab.server.Repeats;
-import ottergauge.lab.server.ServerHost;
+import ottergauge.lab.server.DeduplicationCache;
+import ottergauge.lab.server.ServerStandIn;
 
 /** The servers of a play and discovery, which learns of them late. */
 final class Servers {
@@ -29,19 +29,24 @@
     private final Loop loop;
     private final Scenario scenario;
     private final EventLog eventLog;
-    private final List<ServerHost> servers = new ArrayList<>();
+    private final List<ServerStandIn> servers = new ArrayList<>();
     private final List<ServerKind> kinds = new ArrayList<>();
-    private final Registry registry = new Registry();
-    private final RegistryHost discovery;
+    private final ServiceRegistry registry = new ServiceRegistry();
+    private final DiscoveryStandIn discovery;
     private boolean ended;
 
-    Servers(Loop loop, Scenario scenario, LoopbackAddresses addresses, Links links, EventLog eventLog)
+    Servers(
+            Loop loop,
+            Scenario scenario,
+            LoopbackAddresses addresses,
+            Links links,
+            EventLog eventLog)
             throws IOException {
         this.loop = loop;
         this.scenario = scenario;
         this.eventLog = eventLog;
         SplittableRandom random = new SplittableRandom(scenario.seed() + 3);
-        Map<String, Repeats> groups = new HashMap<>();
+        Map<String, DeduplicationCache> groups = new HashMap<>();
         boolean byZone =
                 scenario.classes().stream().anyMatch(type -> type.group() == Scenario.Group.ZONE);
         for (ServerKind kind : scenario.servers()) {
@@ -49,14 +54,14 @@
                 int number = servers.size() + 1;
                 String zone = scenario.zones().get((number - 1) % scenario.zones().size());
                 servers.add(
-                        new ServerHost(
+                        new ServerStandIn(
                                 loop,
                                 scenario,
                                 kind,
                                 "s" + number,
                                 zone,
                                 groups.computeIfAbsent(
-                                        byZone ? zone : "all", each -> new Repeats()),
+                                        byZone ? zone : "all", each -> new DeduplicationCache()),
                                 eventLog,
                                 random.split(),
                                 System::currentTimeMillis));
@@ -64,107 +69,115 @@
             }
         }
         discovery =
-                new RegistryHost(
+                new DiscoveryStandIn(
                         loop,
                         scenario,
                         registry,
                         eventLog,
-                        (node, place) ->
+                        (node, serverName) ->
                                 LoopbackAddresses.text(
                                         addresses.server(
-                                                node, Integer.parseInt(place.substring(1)))));
-        servers.forEach(this::learn);
+                                                node, Integer.parseInt(serverName.substring(1)))));
+        servers.forEach(this::publish);
         for (int node = 1; node <= scenario.nodes().count(); node++) {
             String name = "n" + node;
             Link toRegistry = links.add(name, REGISTRY, 0, 0);
             discovery.listen(node, addresses.registry(node), toRegistry);
             for (int server = 1; server <= servers.size(); server++) {
-                boolean same =
+                boolean sameZone =
                         NodeConfig.zoneOf(scenario, node).equals(servers.get(server - 1).zone());
                 Link link =
                         links.add(
                                 name,
                                 "s" + server,
-                                same ? scenario.network().same() : scenario.network().cross(),
+                                sameZone
+                                        ? scenario.network().sameZone()
+                                        : scenario.network().crossZone(),
                                 scenario.network().jitter());
                 servers.get(server - 1).listen(node, addresses.server(node, server), link);
             }
         }
     }
 
-    List<ServerHost> all() {
+    List<ServerStandIn> all() {
         return servers;
     }
 
-    ServerHost server(int number) {
+    ServerStandIn server(int number) {
         return servers.get(number - 1);
     }
 
-    RegistryHost discovery() {
+    DiscoveryStandIn discovery() {
         return discovery;
     }
 
     /** The list's lines as a node is told them now. */
-    List<String> lines(int node) {
-        return registry.whole().stream().map(line -> discovery.entry(node, line)).toList();
+    List<String> instanceList(int node) {
+        return registry.fullList().stream()
+                .map(instance -> discovery.instanceJson(node, instance))
+                .toList();
     }
 
-    private void learn(ServerHost server) {
-        tell(
+    private void publish(ServerStandIn server) {
+        updateRegistry(
                 server.id(),
                 server,
                 server.draining() ? Health.TERMINATING : Health.IN_SERVICE,
-                server.bornMs());
+                server.startedAtMs());
     }
 
-    private void tell(String id, ServerHost server, Health health, long bornMs) {
+    private void updateRegistry(String id, ServerStandIn server, Health health, long startedAtMs) {
         String kind = kinds.get(servers.indexOf(server)).name();
-        if (!ended && registry.set(id, server.place(), server.zone(), kind, health, bornMs)) {
-            discovery.changed();
+        if (!ended
+                && registry.update(
+                        id, server.serverName(), server.zone(), kind, health, startedAtMs)) {
+            discovery.listChanged();
         }
     }
 
     // Discovery hears of it after a while: of what is so now.
-    private void later(String id, ServerHost server, Health health, long bornMs) {
-        loop.after(scenario.registry().notice(), () -> tell(id, server, health, bornMs));
+    private void updateLater(String id, ServerStandIn server, Health health, long startedAtMs) {
+        loop.after(
+                scenario.registry().noticeDelay(),
+                () -> updateRegistry(id, server, health, startedAtMs));
     }
 
-    void kill(ServerHost server) {
-        server.die();
-        eventLog.addEvent(loop.now(), server.place(), "dies");
-        later(server.id(), server, Health.TERMINATED, server.bornMs());
+    void kill(ServerStandIn server) {
+        server.crash();
+        eventLog.addEvent(loop.now(), server.serverName(), "dies");
+        updateLater(server.id(), server, Health.TERMINATED, server.startedAtMs());
     }
 
-    void vanish(ServerHost server) {
+    void vanish(ServerStandIn server) {
         server.vanish();
-        eventLog.addEvent(loop.now(), server.place(), "vanishes");
-        later(server.id(), server, Health.TERMINATED, server.bornMs());
+        eventLog.addEvent(loop.now(), server.serverName(), "vanishes");
+        updateLater(server.id(), server, Health.TERMINATED, server.startedAtMs());
     }
 
-    void start(ServerHost server, boolean replaced) {
+    void start(ServerStandIn server, boolean replaced) {
         server.start(replaced);
-        eventLog.addEvent(loop.now(), server.place(), "starts cold as " + server.id());
-        later(server.id(), server, Health.IN_SERVICE, server.bornMs());
+        eventLog.addEvent(loop.now(), server.serverName(), "starts cold as " + server.id());
+        updateLater(server.id(), server, Health.IN_SERVICE, server.startedAtMs());
     }
 
-    void drain(ServerHost server) {
+    void drain(ServerStandIn server) {
         server.drain();
-        eventLog.addEvent(loop.now(), server.place(), "drains");
-        tell(server.id(), server, Health.TERMINATING, server.bornMs());
+        eventLog.addEvent(loop.now(), server.serverName(), "drains");
+        updateRegistry(server.id(), server, Health.TERMINATING, server.startedAtMs());
     }
 
     /** A drained server's place is taken by another, cold, at the same address. */
-    void replace(ServerHost server) {
-        String old = server.id();
-        long born = server.bornMs();
-        server.die();
-        later(old, server, Health.TERMINATED, born);
+    void replace(ServerStandIn server) {
+        String oldId = server.id();
+        long previousStartMs = server.startedAtMs();
+        server.crash();
+        updateLater(oldId, server, Health.TERMINATED, previousStartMs);
         start(server, true);
     }
 
     void end() {
         ended = true;
-        servers.forEach(ServerHost::end);
+        servers.forEach(ServerStandIn::end);
         discovery.end();
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
@@ -14,8 +14,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.scale.process.Reporter;
 
 /**
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
@@ -30,8 +30,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.scale.discovery.ListLog.Answer;
 
 /**
@@ -100,7 +100,8 @@
                         .bind(address)
                         .awaitUninterruptibly();
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + LoopbackAddresses.text(address), bound.cause());
+            throw new IOException(
+                    "cannot listen on " + LoopbackAddresses.text(address), bound.cause());
         }
         return (InetSocketAddress) bound.channel().localAddress();
     }
--- a/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
@@ -14,10 +14,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Link;
 import ottergauge.lab.net.Links;
 import ottergauge.lab.net.Loop;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.scale.process.Reporter;
 
 /**
--- a/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
@@ -164,7 +164,7 @@
     /** Cuts it off, or heals it. */
     void cut(boolean cuts) {
         cut = cuts;
-        link.silent(cuts);
+        link.setSilent(cuts);
         List.copyOf(open).stream().filter(Channel::isActive).forEach(this::read);
     }
 
--- a/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.net.Loop;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.run.RunException;
 import ottergauge.lab.scale.figures.Observations;
 import ottergauge.lab.scale.figures.PhaseFigures;
@@ -81,8 +81,7 @@
         }
     }
 
-    private static void onLoop(Loop loop, Runnable task)
-            throws InterruptedException, RunException {
+    private static void onLoop(Loop loop, Runnable task) throws InterruptedException, RunException {
         try {
             loop.netty().submit(task).get();
         } catch (ExecutionException e) {
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
@@ -13,9 +13,9 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
 import ottergauge.lab.scale.scenario.ScaleScenario.State;
 import ottergauge.lab.scale.scenario.ScaleScenario.What;
+import ottergauge.lab.scenario.ScenarioException;
 import ottergauge.lab.scenario.YamlMapping;
 import ottergauge.lab.scenario.YamlMapping.Range;
-import ottergauge.lab.scenario.ScenarioException;
 
 /** Reads scale tests from YAML and checks them whole before anything is started. */
 public final class ScaleScenarioReader {
--- a/lab/src/main/java/ottergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/Scenario.java
@@ -25,10 +25,15 @@
 
     /**
      * The nodes; {@code cores} is the part of a core that each has, kept by stopping and continuing
-     * it; {@code busiest} is how many times the traffic of the others the first one has.
+     * it; {@code firstNodeWeight} is how many times the traffic of the others the first one has.
      */
     public record Nodes(
-            int count, int memoryMb, int sockets, double cores, double busiest, boolean talk) {}
+            int count,
+            int memoryMb,
+            int sockets,
+            double cores,
+            double firstNodeWeight,
+            boolean peerMessages) {}
 
     /** Whether a request's running holds a core, or waits on others for part of its time. */
     public record ServerKind(
@@ -45,7 +50,7 @@
             int connections,
             long handshakeWork,
             long probeWork,
-            double errors,
+            double errorRate,
             boolean reports) {}
 
     /** What a repeat of a request may do. */
@@ -67,8 +72,8 @@
             double share,
             long work,
             double spread,
-            long waits,
-            long aim,
+            long waitTime,
+            long latencyObjective,
             long deadline,
             double worth,
             double lateWorth,
@@ -78,7 +83,7 @@
             int keys) {}
 
     /** Who brings requests: its part of the traffic and of the service. */
-    public record Tenant(String name, double traffic, double portion) {}
+    public record Tenant(String name, double trafficShare, double capacityShare) {}
 
     /**
      * What clients do: further tries of a request, the wait before one, the part of them that
@@ -86,44 +91,45 @@
      * and the part of the requests whose client leaves before that.
      */
     public record Clients(
-            int repeats,
-            long pause,
-            double obey,
-            double tryPart,
+            int maxRetries,
+            long retryPause,
+            double retryAfterShare,
+            double attemptTimeoutFraction,
             boolean marksRetry,
-            long notice,
-            double leave) {}
+            long noticeDelay,
+            double abandonShare) {}
 
     /** From an instant on, the load as a part of what all servers can do. */
     public record LoadStep(long from, double rate) {}
 
     /** Times of one way between two processes, beyond what loopback takes. */
-    public record Network(long same, long cross, long jitter) {}
+    public record Network(long sameZone, long crossZone, long jitter) {}
 
     /**
      * Discovery: how late it learns, how many calls a second it answers, how long one may wait in
      * turn, and how often a node has to ask that does not watch.
      */
-    public record Registry(long notice, double callsPerSecond, long patience, long askWithin) {}
+    public record Registry(
+            long noticeDelay, double callsPerSecond, long maxQueueTime, long maxPollInterval) {}
 
     /** What the deployment permits and asks; it becomes the nodes' settings. */
     public record Platform(
             boolean probes,
             boolean cancel,
             boolean retryAfter,
-            long mostRetryAfter,
-            int mostAttempts,
+            long maxRetryAfter,
+            int maxAttempts,
             boolean reports,
             double probePrice,
             long drainGrace,
-            double tipMultiple,
-            long fallAfter,
+            double overloadMultiple,
+            long overloadWindow,
             long connectionIdle,
             long connectTimeout,
             long answerSlack) {}
 
     /** What can go wrong. */
-    public enum What {
+    public enum FaultKind {
         NODE_KILL,
         NODE_TERM,
         NODE_HUP,
@@ -154,30 +160,30 @@
     }
 
     /** Which way of a link is meant: to the side that was connected to, from it, or both. */
-    public enum Way {
+    public enum Direction {
         THERE,
         BACK,
         BOTH
     }
 
     /**
-     * A fault and its end. {@code who} names processes, or is empty for {@code part} of them, drawn
-     * from the seed; for links {@code who} is the one side and {@code to} the other. {@code amount}
-     * is the kind's own figure (a factor, a share, bytes), {@code span} its time, {@code jitter}
-     * that time's spread.
+     * A fault and its end. {@code targets} names processes, or is empty for {@code fraction} of
+     * them, drawn from the seed; for links {@code targets} is the one side and {@code peers} the
+     * other. {@code amount} is the kind's own figure (a factor, a share, bytes), {@code span} its
+     * time, {@code jitter} that time's spread.
      */
     public record Fault(
             long at,
-            long lasts,
-            What what,
-            List<String> who,
-            double part,
-            List<String> to,
-            Way way,
+            long duration,
+            FaultKind faultKind,
+            List<String> targets,
+            double fraction,
+            List<String> peers,
+            Direction direction,
             double amount,
             long span,
             long jitter,
-            int line) {}
+            int index) {}
 
     /** The same with another seed. */
     public Scenario withSeed(long other) {
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
@@ -8,10 +8,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import ottergauge.lab.scenario.YamlMapping.Range;
 import ottergauge.lab.scenario.Scenario.Clients;
+import ottergauge.lab.scenario.Scenario.Direction;
 import ottergauge.lab.scenario.Scenario.Effect;
 import ottergauge.lab.scenario.Scenario.Fault;
+import ottergauge.lab.scenario.Scenario.FaultKind;
 import ottergauge.lab.scenario.Scenario.Group;
 import ottergauge.lab.scenario.Scenario.LoadStep;
 import ottergauge.lab.scenario.Scenario.Network;
@@ -21,15 +22,14 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 import ottergauge.lab.scenario.Scenario.ServerKind;
 import ottergauge.lab.scenario.Scenario.Tenant;
-import ottergauge.lab.scenario.Scenario.Way;
-import ottergauge.lab.scenario.Scenario.What;
+import ottergauge.lab.scenario.YamlMapping.Range;
 
 /** Reads scenarios from YAML and checks them whole before anything is started. */
 public final class ScenarioReader {
 
     // Loopback addresses have one byte for a server and one for a node.
-    private static final int MOST_NODES = 99;
-    private static final int MOST_SERVERS = 199;
+    private static final int MAX_NODES = 99;
+    private static final int MAX_SERVERS = 199;
     private static final long MS = 1_000;
     private static final long S = 1_000_000;
 
@@ -84,8 +84,8 @@
                         e.number("cores", new Range(0.05, 1, "a part of a core from 0.05 to 1"), 1),
                         e.number("busiest", Range.POSITIVE, 1),
                         e.flag("talk", false));
-        if (nodes.count() > MOST_NODES) {
-            throw e.fault("count", "at most " + MOST_NODES + " nodes");
+        if (nodes.count() > MAX_NODES) {
+            throw e.fault("count", "at most " + MAX_NODES + " nodes");
         }
         e.rejectUnknownKeys();
         return nodes;
@@ -115,8 +115,8 @@
                             e.flag("reports", true)));
             e.rejectUnknownKeys();
             servers += kinds.get(kinds.size() - 1).count();
-            if (servers > MOST_SERVERS) {
-                throw e.fault("count", "at most " + MOST_SERVERS + " servers in all");
+            if (servers > MAX_SERVERS) {
+                throw e.fault("count", "at most " + MAX_SERVERS + " servers in all");
             }
         }
         if (kinds.isEmpty()) {
@@ -146,7 +146,7 @@
                             effect == Effect.KEYED ? e.span("window") : e.span("window", 0),
                             e.count("keys", 1000));
             e.rejectUnknownKeys();
-            if (type.deadline() < type.aim()) {
+            if (type.deadline() < type.latencyObjective()) {
                 throw e.fault("deadline", "a time not before the aim");
             }
             if (!names.add(type.name())) {
@@ -163,10 +163,12 @@
     private List<Tenant> tenants(YamlMapping root) throws ScenarioException {
         List<Tenant> tenants = new ArrayList<>();
         for (YamlMapping e : root.children("tenants")) {
-            double traffic = e.number("traffic", Range.POSITIVE);
+            double trafficShare = e.number("traffic", Range.POSITIVE);
             tenants.add(
                     new Tenant(
-                            e.text("name"), traffic, e.number("portion", Range.POSITIVE, traffic)));
+                            e.text("name"),
+                            trafficShare,
+                            e.number("portion", Range.POSITIVE, trafficShare)));
             e.rejectUnknownKeys();
         }
         return tenants;
@@ -243,26 +245,26 @@
     private List<Fault> faults(YamlMapping root, long length) throws ScenarioException {
         List<Fault> faults = new ArrayList<>();
         for (YamlMapping e : root.children("faults")) {
-            What what = e.oneOf("what", What.class, null);
+            FaultKind faultKind = e.oneOf("what", FaultKind.class, null);
             long at = e.span("at");
             if (at >= length) {
                 throw e.fault("at", "a time before the play's end");
             }
-            List<String> who = e.texts("who");
-            double part =
-                    who.isEmpty() && !what.name().startsWith("REGISTRY")
+            List<String> targets = e.texts("who");
+            double fraction =
+                    targets.isEmpty() && !faultKind.name().startsWith("REGISTRY")
                             ? e.number("part", Range.PART)
                             : e.number("part", Range.PART, 0);
             faults.add(
                     new Fault(
                             at,
                             e.span("for", 0),
-                            what,
-                            who,
-                            part,
+                            faultKind,
+                            targets,
+                            fraction,
                             e.texts("to"),
-                            e.oneOf("way", Way.class, Way.BOTH),
-                            e.number("amount", Range.ANY, usual(what)),
+                            e.oneOf("way", Direction.class, Direction.BOTH),
+                            e.number("amount", Range.ANY, defaultAmount(faultKind)),
                             e.span("span", 0),
                             e.span("jitter", 0),
                             faults.size() + 1));
@@ -271,8 +273,8 @@
         return faults;
     }
 
-    private static double usual(What what) {
-        return switch (what) {
+    private static double defaultAmount(FaultKind faultKind) {
+        return switch (faultKind) {
             case SERVER_SLOW -> 4;
             case LINK_RATE -> 64_000;
             case LINK_CUT -> 200;
@@ -282,13 +284,13 @@
 
     private void checkTargets(Scenario scenario) throws ScenarioException {
         for (Fault fault : scenario.faults()) {
-            for (List<String> names : List.of(fault.who(), fault.to())) {
+            for (List<String> names : List.of(fault.targets(), fault.peers())) {
                 for (String name : names) {
                     if (!isKnown(scenario, name)) {
                         throw new ScenarioException(
                                 file
                                         + ": faults: "
-                                        + fault.line()
+                                        + fault.index()
                                         + ": "
                                         + name
                                         + ": no process of this play; allowed are n1 to n"
@@ -300,12 +302,12 @@
                     }
                 }
             }
-            boolean link = fault.what().name().startsWith("LINK");
-            if (link && (fault.who().isEmpty() || fault.to().isEmpty())) {
+            boolean isLink = fault.faultKind().name().startsWith("LINK");
+            if (isLink && (fault.targets().isEmpty() || fault.peers().isEmpty())) {
                 throw new ScenarioException(
                         file
                                 + ": faults: "
-                                + fault.line()
+                                + fault.index()
                                 + ": who, to: a link has two sides; both are named");
             }
         }
@@ -322,13 +324,13 @@
         if (name.startsWith("zone-")) {
             return scenario.zones().contains(name.substring("zone-".length()));
         }
-        int most =
+        int max =
                 name.startsWith("n")
                         ? scenario.nodes().count()
                         : name.startsWith("s") ? servers(scenario) : 0;
         try {
             int number = Integer.parseInt(name.substring(1));
-            return number >= 1 && number <= most;
+            return number >= 1 && number <= max;
         } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
             return false;
         }
--- a/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
@@ -25,7 +25,7 @@
 public final class YamlMapping {
 
     /** What a number may be. */
-    public record Range(double least, double most, String words) {
+    public record Range(double min, double max, String words) {
         public static final Range PART = new Range(0, 1, "a part from 0 to 1");
         public static final Range POSITIVE = new Range(1e-9, 1e9, "a number over 0");
         public static final Range ANY = new Range(0, 1e9, "a number of 0 or more");
@@ -38,7 +38,7 @@
     private final String file;
     private final int line;
     private final Map<String, Node> values = new LinkedHashMap<>();
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> readKeys = new HashSet<>();
 
     private YamlMapping(String file, int line) {
         this.file = file;
@@ -90,7 +90,7 @@
     /** Returns an error that names file, line, key, value and what is allowed. */
     public ScenarioException fault(String key, String allowed) {
         Node node = values.get(key);
-        String told = node instanceof ScalarNode scalar ? ", not " + scalar.getValue() : "";
+        String actual = node instanceof ScalarNode scalar ? ", not " + scalar.getValue() : "";
         return new ScenarioException(
                 file
                         + ":"
@@ -100,16 +100,16 @@
                         + ": "
                         + (node == null ? "missing; " : "")
                         + allowed
-                        + told);
+                        + actual);
     }
 
     public boolean has(String key) {
-        asked.add(key);
+        readKeys.add(key);
         return values.containsKey(key);
     }
 
     private String scalar(String key, String allowed) throws ScenarioException {
-        asked.add(key);
+        readKeys.add(key);
         if (!(values.get(key) instanceof ScalarNode scalar)) {
             throw fault(key, allowed);
         }
@@ -125,15 +125,15 @@
         return text;
     }
 
-    public String text(String key, String absent) throws ScenarioException {
-        return has(key) ? text(key) : absent;
+    public String text(String key, String defaultValue) throws ScenarioException {
+        return has(key) ? text(key) : defaultValue;
     }
 
-    /** Returns one of the values of an enum, or {@code absent} without the key. */
-    public <E extends Enum<E>> E oneOf(String key, Class<E> kind, E absent)
+    /** Returns one of the values of an enum, or {@code defaultValue} without the key. */
+    public <E extends Enum<E>> E oneOf(String key, Class<E> kind, E defaultValue)
             throws ScenarioException {
-        if (absent != null && !has(key)) {
-            return absent;
+        if (defaultValue != null && !has(key)) {
+            return defaultValue;
         }
         List<String> names = new ArrayList<>();
         for (E each : kind.getEnumConstants()) {
@@ -151,7 +151,7 @@
     public double number(String key, Range range) throws ScenarioException {
         try {
             double value = Double.parseDouble(scalar(key, range.words()));
-            if (value >= range.least() && value <= range.most()) {
+            if (value >= range.min() && value <= range.max()) {
                 return value;
             }
         } catch (NumberFormatException e) {
@@ -160,8 +160,8 @@
         throw fault(key, range.words());
     }
 
-    public double number(String key, Range range, double absent) throws ScenarioException {
-        return has(key) ? number(key, range) : absent;
+    public double number(String key, Range range, double defaultValue) throws ScenarioException {
+        return has(key) ? number(key, range) : defaultValue;
     }
 
     /** Returns a whole number that must be there and is not negative. */
@@ -173,14 +173,14 @@
         return (int) value;
     }
 
-    public int count(String key, int absent) throws ScenarioException {
-        return has(key) ? count(key) : absent;
+    public int count(String key, int defaultValue) throws ScenarioException {
+        return has(key) ? count(key) : defaultValue;
     }
 
-    /** Returns a whole number, or {@code absent} without the key. */
-    public long wholeNumber(String key, long absent) throws ScenarioException {
+    /** Returns a whole number, or {@code defaultValue} without the key. */
+    public long wholeNumber(String key, long defaultValue) throws ScenarioException {
         if (!has(key)) {
-            return absent;
+            return defaultValue;
         }
         String allowed = "a whole number";
         try {
@@ -190,10 +190,10 @@
         }
     }
 
-    /** Returns true or false, or {@code absent} without the key. */
-    public boolean flag(String key, boolean absent) throws ScenarioException {
+    /** Returns true or false, or {@code defaultValue} without the key. */
+    public boolean flag(String key, boolean defaultValue) throws ScenarioException {
         if (!has(key)) {
-            return absent;
+            return defaultValue;
         }
         String text = scalar(key, "true or false");
         if (!"true".equals(text) && !"false".equals(text)) {
@@ -221,13 +221,13 @@
         throw fault(key, allowed);
     }
 
-    public long span(String key, long absent) throws ScenarioException {
-        return has(key) ? span(key) : absent;
+    public long span(String key, long defaultValue) throws ScenarioException {
+        return has(key) ? span(key) : defaultValue;
     }
 
     /** Returns a group of keys that must be there. */
     public YamlMapping child(String key) throws ScenarioException {
-        asked.add(key);
+        readKeys.add(key);
         Node node = values.get(key);
         if (node == null) {
             throw fault(key, "keys with values");
@@ -242,7 +242,7 @@
 
     /** Returns a list of groups of keys; empty without the key. */
     public List<YamlMapping> children(String key) throws ScenarioException {
-        asked.add(key);
+        readKeys.add(key);
         List<YamlMapping> children = new ArrayList<>();
         if (values.get(key) instanceof SequenceNode list) {
             for (Node each : list.getValue()) {
@@ -256,7 +256,7 @@
 
     /** Returns one word or a list of them. */
     public List<String> texts(String key) throws ScenarioException {
-        asked.add(key);
+        readKeys.add(key);
         List<String> texts = new ArrayList<>();
         if (values.get(key) instanceof SequenceNode list) {
             for (Node each : list.getValue()) {
@@ -273,9 +273,9 @@
 
     /** Names the first key that nobody asked for. */
     public void rejectUnknownKeys(String... known) throws ScenarioException {
-        asked.addAll(List.of(known));
+        readKeys.addAll(List.of(known));
         for (String key : values.keySet()) {
-            if (!asked.contains(key)) {
+            if (!readKeys.contains(key)) {
                 throw new ScenarioException(
                         file
                                 + ":"
@@ -283,7 +283,7 @@
                                 + ": "
                                 + key
                                 + ": unknown key; known here: "
-                                + String.join(", ", new java.util.TreeSet<>(asked)));
+                                + String.join(", ", new java.util.TreeSet<>(readKeys)));
             }
         }
     }
--- a/lab/src/main/java/ottergauge/lab/server/Repeats.java
+++ b/lab/src/main/java/ottergauge/lab/server/DeduplicationCache.java
@@ -8,22 +8,22 @@
  * What the servers of one group remember of keyed requests: a repeat within the window has no
  * effect.
  */
-public final class Repeats {
+public final class DeduplicationCache {
 
-    private final Map<String, Long> until = new HashMap<>();
+    private final Map<String, Long> expiryByKey = new HashMap<>();
 
     /**
      * Whether a request with this key has its effect now; from then on repeats have none for the
      * window.
      */
-    public boolean takes(long now, String key, long window) {
-        Long end = until.get(key);
-        if (end != null && now < end) {
+    public boolean isFirst(long now, String key, long window) {
+        Long expiry = expiryByKey.get(key);
+        if (expiry != null && now < expiry) {
             return false;
         }
-        until.put(key, now + window);
-        if (until.size() > 100_000) {
-            until.values().removeIf(each -> each <= now);
+        expiryByKey.put(key, now + window);
+        if (expiryByKey.size() > 100_000) {
+            expiryByKey.values().removeIf(each -> each <= now);
         }
         return true;
     }
--- a/lab/src/main/java/ottergauge/lab/server/FirstByte.java
+++ b/lab/src/main/java/ottergauge/lab/server/FirstByteRecorder.java
@@ -6,12 +6,12 @@
 import ottergauge.lab.net.Loop;
 
 /** Notes when the first byte of each request came: for drains a send counts from there. */
-final class FirstByte extends ChannelInboundHandlerAdapter {
+final class FirstByteRecorder extends ChannelInboundHandlerAdapter {
 
     private final Loop loop;
     private long at = -1;
 
-    FirstByte(Loop loop) {
+    FirstByteRecorder(Loop loop) {
         this.loop = loop;
     }
 
@@ -24,9 +24,9 @@
     }
 
     /** When the request that has come whole began; the next one begins with the next byte. */
-    long take() {
-        long taken = at;
+    long takeTime() {
+        long time = at;
         at = -1;
-        return taken;
+        return time;
     }
 }
