--- a/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
@@ -12,14 +12,14 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
-import ottergauge.lab.eventlog.EventLog.Attempt;
+import ottergauge.lab.eventlog.EventLog.ClientAttempt;
 import ottergauge.lab.eventlog.EventLog.Cost;
 import ottergauge.lab.eventlog.EventLog.Effect;
-import ottergauge.lab.eventlog.EventLog.Try;
+import ottergauge.lab.eventlog.EventLog.ServerAttempt;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.RequestClass;
+import ottergauge.lab.server.ServerModel.Admission;
 import ottergauge.lab.server.ServerModel.Job;
-import ottergauge.lab.server.ServerModel.Offer;
 
 /** A node's connection to a stand-in server: one request at a time. */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
@@ -27,30 +27,37 @@
     private static final String NEVER_RAN = "X-Never-Ran";
     private static final long MS = 1_000;
 
-    private final ServerHost host;
+    private final ServerStandIn host;
     private final int node;
-    private final FirstByte firstByte;
-    private final boolean overTheTable;
-    private boolean first = true;
-    private Job job;
-    private Attempt attempt;
+    private final FirstByteRecorder firstByte;
+    private final boolean overConnectionLimit;
+    private boolean firstRequest = true;
+    private Job currentJob;
+    private ServerAttempt currentAttempt;
 
-    ServerConnection(ServerHost host, int node, FirstByte firstByte, boolean overTheTable) {
+    ServerConnection(
+            ServerStandIn host,
+            int node,
+            FirstByteRecorder firstByte,
+            boolean overConnectionLimit) {
         this.host = host;
         this.node = node;
         this.firstByte = firstByte;
-        this.overTheTable = overTheTable;
+        this.overConnectionLimit = overConnectionLimit;
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-        long began = firstByte.take();
-        String path = request.uri();
+    protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest httpRequest) {
+        long firstByteAt = firstByte.takeTime();
+        String path = httpRequest.uri();
         if (path.equals("/stats") || path.equals("/health/live")) {
-            host.unlessStalled(() -> probe(ctx, path));
+            host.runUnlessStalled(() -> probe(ctx, path));
             return;
         }
-        Try clientAttempt = host.eventLog().tries.get(String.valueOf(request.headers().get("X-Trace-Id")));
+        ClientAttempt clientAttempt =
+                host.eventLog()
+                        .clientAttempts
+                        .get(String.valueOf(httpRequest.headers().get("X-Trace-Id")));
         if (clientAttempt == null) {
             host.eventLog()
                     .unknownRequests
@@ -59,18 +66,26 @@
                                     host.loop().now(),
                                     host.id(),
                                     "a request that no client sent: " + path));
-            answer(ctx, HttpResponseStatus.BAD_REQUEST, "", false, false);
+            respond(ctx, HttpResponseStatus.BAD_REQUEST, "", false, false);
             return;
         }
-        Attempt here = new Attempt(clientAttempt, node, host.id(), began, host.loop().now());
-        clientAttempt.attempts.add(here);
-        host.eventLog().attempts.add(here);
-        attempt = here;
-        String key = request.headers().get("Idempotency-Key");
-        long waits = number(request.headers().get("X-Expires-In-Ms")) * MS;
-        boolean fresh = first;
-        first = false;
-        host.unlessStalled(() -> begin(ctx, here, key, here.at + waits, fresh));
+        ServerAttempt serverAttempt =
+                new ServerAttempt(clientAttempt, node, host.id(), firstByteAt, host.loop().now());
+        clientAttempt.serverAttempts.add(serverAttempt);
+        host.eventLog().serverAttempts.add(serverAttempt);
+        currentAttempt = serverAttempt;
+        String key = httpRequest.headers().get("Idempotency-Key");
+        long waitTime = number(httpRequest.headers().get("X-Expires-In-Ms")) * MS;
+        boolean firstOnConnection = firstRequest;
+        firstRequest = false;
+        host.runUnlessStalled(
+                () ->
+                        startRequest(
+                                ctx,
+                                serverAttempt,
+                                key,
+                                serverAttempt.at + waitTime,
+                                firstOnConnection));
     }
 
     private static long number(String text) {
@@ -84,107 +99,127 @@
     private void probe(ChannelHandlerContext ctx, String path) {
         host.eventLog().addCost(host.loop().now(), Cost.PROBE, node, host.id());
         if (!host.scenario().platform().probes()) {
-            answer(ctx, HttpResponseStatus.NOT_FOUND, "", false, false);
+            respond(ctx, HttpResponseStatus.NOT_FOUND, "", false, false);
             return;
         }
         host.loop()
                 .after(
                         host.kind().probeWork(),
                         () ->
-                                host.unlessStalled(
+                                host.runUnlessStalled(
                                         () ->
-                                                answer(
+                                                respond(
                                                         ctx,
                                                         HttpResponseStatus.OK,
                                                         path.equals("/stats")
                                                                         && host.kind().reports()
-                                                                ? host.report()
+                                                                ? host.loadReport()
                                                                 : "",
                                                         false,
                                                         false)));
     }
 
-    private void begin(
-            ChannelHandlerContext ctx, Attempt here, String key, long over, boolean fresh) {
+    private void startRequest(
+            ChannelHandlerContext ctx,
+            ServerAttempt serverAttempt,
+            String key,
+            long deadline,
+            boolean firstOnConnection) {
         if (!ctx.channel().isActive()) {
-            here.end = "given up unbegun";
-        } else if (overTheTable || host.full()) {
-            turnAway(ctx, here, overTheTable ? "table full" : "full");
-        } else if (host.fails()) {
-            here.end = "error";
-            here.endedAt = host.loop().now();
-            answer(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false, true);
+            serverAttempt.end = "given up unbegun";
+        } else if (overConnectionLimit || host.isFull()) {
+            reject(ctx, serverAttempt, overConnectionLimit ? "table full" : "full");
+        } else if (host.failsRequest()) {
+            serverAttempt.end = "error";
+            serverAttempt.endedAt = host.loop().now();
+            respond(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false, true);
         } else {
-            work(ctx, here, key, over, fresh ? host.kind().handshakeWork() : 0);
+            work(
+                    ctx,
+                    serverAttempt,
+                    key,
+                    deadline,
+                    firstOnConnection ? host.kind().handshakeWork() : 0);
         }
     }
 
     private void work(
-            ChannelHandlerContext ctx, Attempt here, String key, long over, long handshake) {
-        RequestClass type = host.scenario().classes().get(here.clientAttempt.ask.requestClass);
-        Job[] own = new Job[1];
-        own[0] =
+            ChannelHandlerContext ctx,
+            ServerAttempt serverAttempt,
+            String key,
+            long deadline,
+            long handshake) {
+        RequestClass type =
+                host.scenario().classes().get(serverAttempt.clientAttempt.request.requestClass);
+        Job[] ownJob = new Job[1];
+        ownJob[0] =
                 new Job(
-                        here.clientAttempt.ask.work + handshake,
-                        type.waits(),
-                        over,
-                        () -> here.beganAt = host.loop().now(),
-                        () -> done(ctx, here, own[0], type, key));
-        job = own[0];
-        Offer offer = host.model().offer(host.loop().now(), own[0]);
-        if (offer == Offer.FULL) {
-            turnAway(ctx, here, "full");
-        } else if (offer == Offer.FALLEN) {
-            here.end = "fallen";
-            host.fell();
+                        serverAttempt.clientAttempt.request.work + handshake,
+                        type.waitTime(),
+                        deadline,
+                        () -> serverAttempt.beganAt = host.loop().now(),
+                        () -> done(ctx, serverAttempt, ownJob[0], type, key));
+        currentJob = ownJob[0];
+        Admission offer = host.model().offer(host.loop().now(), ownJob[0]);
+        if (offer == Admission.FULL) {
+            reject(ctx, serverAttempt, "full");
+        } else if (offer == Admission.COLLAPSED) {
+            serverAttempt.end = "fallen";
+            host.collapse();
         }
     }
 
-    private void turnAway(ChannelHandlerContext ctx, Attempt here, String why) {
-        here.end = why;
-        here.endedAt = host.loop().now();
+    private void reject(ChannelHandlerContext ctx, ServerAttempt serverAttempt, String reason) {
+        serverAttempt.end = reason;
+        serverAttempt.endedAt = host.loop().now();
         host.eventLog().addCost(host.loop().now(), Cost.TURNED_AWAY, node, host.id());
-        answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true, true);
+        respond(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true, true);
     }
 
     private void done(
-            ChannelHandlerContext ctx, Attempt here, Job own, RequestClass type, String key) {
-        boolean givenUp = here.endedAt >= 0;
-        if (!givenUp) {
-            here.endedAt = host.loop().now();
-        }
-        if (own.withdrawn) {
-            here.end = "out of time unbegun";
-            host.unlessStalled(
-                    () -> answer(ctx, HttpResponseStatus.GATEWAY_TIMEOUT, "", true, true));
+            ChannelHandlerContext ctx,
+            ServerAttempt serverAttempt,
+            Job ownJob,
+            RequestClass type,
+            String key) {
+        boolean abandoned = serverAttempt.endedAt >= 0;
+        if (!abandoned) {
+            serverAttempt.endedAt = host.loop().now();
+        }
+        if (ownJob.cancelled) {
+            serverAttempt.end = "out of time unbegun";
+            host.runUnlessStalled(
+                    () -> respond(ctx, HttpResponseStatus.GATEWAY_TIMEOUT, "", true, true));
             return;
         }
-        String what = type.effect() == Scenario.Effect.KEYED ? key : here.clientAttempt.id;
+        String effectKey =
+                type.effect() == Scenario.Effect.KEYED ? key : serverAttempt.clientAttempt.id;
         if (type.effect() != Scenario.Effect.KEYED
-                || host.repeats().takes(here.beganAt, what, type.window())) {
+                || host.deduplicationCache()
+                        .isFirst(serverAttempt.beganAt, effectKey, type.window())) {
             host.eventLog()
                     .effects
                     .add(
                             new Effect(
-                                    here.beganAt,
-                                    what,
+                                    serverAttempt.beganAt,
+                                    effectKey,
                                     type.group() == Scenario.Group.ALL ? "all" : host.zone(),
                                     host.id(),
-                                    here));
+                                    serverAttempt));
         }
-        here.end = givenUp ? "given up, ran on" : "served";
-        if (givenUp) {
+        serverAttempt.end = abandoned ? "given up, ran on" : "served";
+        if (abandoned) {
             return;
         }
-        if (host.losesAnswer()) {
-            here.end = "answer lost";
+        if (host.losesResponse()) {
+            serverAttempt.end = "answer lost";
         } else {
-            host.unlessStalled(
+            host.runUnlessStalled(
                     () ->
-                            answer(
+                            respond(
                                     ctx,
                                     HttpResponseStatus.OK,
-                                    "made for " + here.clientAttempt.id,
+                                    "made for " + serverAttempt.clientAttempt.id,
                                     false,
                                     true));
         }
@@ -192,14 +227,14 @@
 
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void answer(
+    private void respond(
             ChannelHandlerContext ctx,
             HttpResponseStatus status,
             String body,
             boolean neverRan,
-            boolean report) {
-        job = null;
-        attempt = null;
+            boolean loadReport) {
+        currentJob = null;
+        currentAttempt = null;
         if (!ctx.channel().isActive()) {
             return;
         }
@@ -212,10 +247,10 @@
         if (neverRan) {
             response.headers().set(NEVER_RAN, "1");
         }
-        if (report && host.kind().reports() && host.scenario().platform().reports()) {
-            response.headers().set("Endpoint-Load-Metrics", host.report());
+        if (loadReport && host.kind().reports() && host.scenario().platform().reports()) {
+            response.headers().set("Endpoint-Load-Metrics", host.loadReport());
         }
-        if (overTheTable) {
+        if (overConnectionLimit) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
             ctx.writeAndFlush(response).addListener(ChannelFutureListener.CLOSE);
         } else {
@@ -225,12 +260,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (job != null) {
-            host.model().withdraw(job);
+        if (currentJob != null) {
+            host.model().cancel(currentJob);
         }
-        if (attempt != null && attempt.endedAt < 0) {
-            attempt.end = "given up";
-            attempt.endedAt = host.loop().now();
+        if (currentAttempt != null && currentAttempt.endedAt < 0) {
+            currentAttempt.end = "given up";
+            currentAttempt.endedAt = host.loop().now();
         }
     }
 
--- a/lab/src/main/java/ottergauge/lab/server/ServerModel.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerModel.java
@@ -18,203 +18,207 @@
 public final class ServerModel {
 
     /**
-     * Work that a server was given; {@code deadline} is the instant at which nobody waits for it any
-     * more.
+     * Work that a server was given; {@code deadline} is the instant at which nobody waits for it
+     * any more.
      */
     public static final class Job {
         final long work;
-        final long waits;
+        final long waitTime;
         final long deadline;
-        final Runnable began;
-        final Runnable done;
+        final Runnable onStart;
+        final Runnable onDone;
         boolean running;
-        boolean withdrawn;
+        boolean cancelled;
 
-        /** Creates work of {@code work} microseconds, of which {@code waits} need no core. */
-        public Job(long work, long waits, long deadline, Runnable began, Runnable done) {
+        /** Creates work of {@code work} microseconds, of which {@code waitTime} need no core. */
+        public Job(long work, long waitTime, long deadline, Runnable onStart, Runnable onDone) {
             this.work = work;
-            this.waits = waits;
+            this.waitTime = waitTime;
             this.deadline = deadline;
-            this.began = began;
-            this.done = done;
+            this.onStart = onStart;
+            this.onDone = onDone;
         }
     }
 
     /** What becomes of a job that is offered. */
-    public enum Offer {
-        TAKEN,
+    public enum Admission {
+        ACCEPTED,
         FULL,
-        FALLEN
+        COLLAPSED
     }
 
     /** Asks to be told when a job that has begun is over. */
     @FunctionalInterface
-    public interface Alarm {
+    public interface Timer {
         void at(long instant, Runnable task);
     }
 
-    private record Sent(long at, long work) {}
+    private record OfferedWork(long at, long work) {}
 
     // The load that it reports as busy is a mean over so long.
-    private static final long BUSY_OVER = 500_000;
+    private static final long BUSY_TIME_CONSTANT = 500_000;
 
     private final ServerKind kind;
     private final double speed;
-    private final double tipMultiple;
-    private final long fallAfter;
-    private final Alarm alarm;
+    private final double overloadMultiple;
+    private final long overloadWindow;
+    private final Timer timer;
     private final Deque<Job> waiting = new ArrayDeque<>();
     private final Set<Job> running = new LinkedHashSet<>();
-    private final Deque<Sent> sent = new ArrayDeque<>();
-    private long bornAt;
-    private double slowness = 1;
-    private boolean fallen;
+    private final Deque<OfferedWork> recentWork = new ArrayDeque<>();
+    private long startedAt;
+    private double slowdown = 1;
+    private boolean collapsed;
     private long busyAt;
     private double busy;
     private long work;
 
-    /** {@code bornAt} is when it last started; far in the past, it is warm. */
+    /** {@code startedAt} is when it last started; far in the past, it is warm. */
     public ServerModel(
             ServerKind kind,
             double speed,
-            long bornAt,
-            double tipMultiple,
-            long fallAfter,
-            Alarm alarm) {
+            long startedAt,
+            double overloadMultiple,
+            long overloadWindow,
+            Timer timer) {
         this.kind = kind;
         this.speed = speed;
-        this.bornAt = bornAt;
-        this.tipMultiple = tipMultiple;
-        this.fallAfter = fallAfter;
-        this.alarm = alarm;
-        busyAt = bornAt;
+        this.startedAt = startedAt;
+        this.overloadMultiple = overloadMultiple;
+        this.overloadWindow = overloadWindow;
+        this.timer = timer;
+        busyAt = startedAt;
     }
 
     /** Makes it so many times slower than it is. */
     public void slow(double factor) {
-        slowness = factor;
+        slowdown = factor;
     }
 
-    public boolean fallen() {
-        return fallen;
+    public boolean collapsed() {
+        return collapsed;
     }
 
     /** The part of its capacity that it has by now. */
-    public double warmth(long now) {
-        long age = now - bornAt;
+    public double warmUpFraction(long now) {
+        long age = now - startedAt;
         return age >= kind.coldFor()
                 ? 1
                 : kind.coldFrom() + (1 - kind.coldFrom()) * age / kind.coldFor();
     }
 
     private double capacity(long now) {
-        return kind.cores() * speed * warmth(now) / slowness;
+        return kind.cores() * speed * warmUpFraction(now) / slowdown;
     }
 
     /** Offers a job; one that is taken runs when a slot is free. */
-    public Offer offer(long now, Job job) {
-        if (fallen || tips(now, job)) {
-            fallen = true;
-            return Offer.FALLEN;
+    public Admission offer(long now, Job job) {
+        if (collapsed || overloadsWhileCold(now, job)) {
+            collapsed = true;
+            return Admission.COLLAPSED;
         }
         if (running.size() >= kind.slots()
                 && (waiting.size() >= kind.queue()
-                        || (kind.earlyFull() > 0 && held() / capacity(now) > kind.earlyFull()))) {
-            return Offer.FULL;
+                        || (kind.earlyFull() > 0
+                                && heldWork() / capacity(now) > kind.earlyFull()))) {
+            return Admission.FULL;
         }
         waiting.add(job);
-        fill(now);
-        return Offer.TAKEN;
+        startWaiting(now);
+        return Admission.ACCEPTED;
     }
 
-    private double held() {
-        double held = 0;
+    private double heldWork() {
+        double heldWork = 0;
         for (Job job : waiting) {
-            held += job.work;
+            heldWork += job.work;
         }
         for (Job job : running) {
-            held += job.work / 2.0;
+            heldWork += job.work / 2.0;
         }
-        return held;
+        return heldWork;
     }
 
     // What all nodes together sent it in the last while is over the multiple of what it can do now.
-    private boolean tips(long now, Job job) {
-        if (warmth(now) >= 1) {
-            sent.clear();
+    private boolean overloadsWhileCold(long now, Job job) {
+        if (warmUpFraction(now) >= 1) {
+            recentWork.clear();
             return false;
         }
-        sent.add(new Sent(now, job.work));
-        while (now - sent.peek().at() > fallAfter) {
-            sent.poll();
+        recentWork.add(new OfferedWork(now, job.work));
+        while (now - recentWork.peek().at() > overloadWindow) {
+            recentWork.poll();
         }
-        double offered = sent.stream().mapToLong(Sent::work).sum();
-        return offered > tipMultiple * capacity(now) * fallAfter && now - bornAt >= fallAfter;
+        double offered = recentWork.stream().mapToLong(OfferedWork::work).sum();
+        return offered > overloadMultiple * capacity(now) * overloadWindow
+                && now - startedAt >= overloadWindow;
     }
 
-    private void fill(long now) {
+    private void startWaiting(long now) {
         while (running.size() < kind.slots() && !waiting.isEmpty()) {
             Job job = waiting.poll();
-            if (job.withdrawn || job.deadline <= now) {
+            if (job.cancelled || job.deadline <= now) {
                 // Nobody waits for it any more: a server drops what has run out of time before it
                 // begins.
-                if (!job.withdrawn) {
-                    job.withdrawn = true;
-                    job.done.run();
+                if (!job.cancelled) {
+                    job.cancelled = true;
+                    job.onDone.run();
                 }
                 continue;
             }
-            count(now);
+            updateBusy(now);
             running.add(job);
             job.running = true;
-            double crowd = Math.max(1, running.size() / (double) kind.cores());
-            long takes = (long) (job.work / (speed * warmth(now)) * slowness * crowd) + job.waits;
-            job.began.run();
-            alarm.at(now + takes, () -> finish(now + takes, job));
+            double slotsPerCore = Math.max(1, running.size() / (double) kind.cores());
+            long runTime =
+                    (long) (job.work / (speed * warmUpFraction(now)) * slowdown * slotsPerCore)
+                            + job.waitTime;
+            job.onStart.run();
+            timer.at(now + runTime, () -> finish(now + runTime, job));
         }
     }
 
     private void finish(long now, Job job) {
         if (running.contains(job)) {
-            count(now);
+            updateBusy(now);
             running.remove(job);
             work += job.work;
-            job.done.run();
-            fill(now);
+            job.onDone.run();
+            startWaiting(now);
         }
     }
 
     /** Nobody waits for a job any more: it is dropped if it has not begun, else it runs on. */
-    public void withdraw(Job job) {
+    public void cancel(Job job) {
         if (!job.running) {
-            job.withdrawn = true;
+            job.cancelled = true;
             waiting.remove(job);
         }
     }
 
     /** It dies: all that it holds is gone; gives back what that was. */
-    public List<Job> die() {
+    public List<Job> crash() {
         List<Job> lost = new ArrayList<>(running);
         lost.addAll(waiting);
         running.clear();
         waiting.clear();
-        sent.clear();
+        recentWork.clear();
         return lost;
     }
 
     /** It starts again, cold. */
     public void start(long now) {
-        die();
-        bornAt = now;
-        fallen = false;
+        crash();
+        startedAt = now;
+        collapsed = false;
         busy = 0;
         busyAt = now;
     }
 
-    private void count(long now) {
-        double part = Math.min(1, running.size() / (double) kind.cores());
-        double old = Math.exp(-(now - busyAt) / (double) BUSY_OVER);
-        busy = busy * old + part * (1 - old);
+    private void updateBusy(long now) {
+        double busyFraction = Math.min(1, running.size() / (double) kind.cores());
+        double decay = Math.exp(-(now - busyAt) / (double) BUSY_TIME_CONSTANT);
+        busy = busy * decay + busyFraction * (1 - decay);
         busyAt = now;
     }
 
@@ -228,7 +232,7 @@
 
     /** The busy part of its cores, as a mean over a while. */
     public double utilization(long now) {
-        count(now);
+        updateBusy(now);
         return busy;
     }
 
--- a/lab/src/main/java/ottergauge/lab/server/ServerHost.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerStandIn.java
@@ -27,14 +27,14 @@
  * One stand-in server: an address for each node, the model that says how it works, and what ails
  * it.
  */
-public final class ServerHost {
+public final class ServerStandIn {
 
-    private static final int MOST_BODY = 128 * 1024;
+    private static final int MAX_BODY = 128 * 1024;
     // A server that has run for long.
     private static final long LONG_AGO = -3_600_000_000L;
 
     /** What a server does with requests while something is wrong with it. */
-    private enum Ailment {
+    private enum FaultMode {
         NONE,
         STALLED,
         FAILS,
@@ -45,80 +45,81 @@
     private final Scenario scenario;
     private final ServerKind kind;
     private final EventLog eventLog;
-    private final String place;
+    private final String serverName;
     private final String zone;
-    private final Repeats repeats;
+    private final DeduplicationCache deduplicationCache;
     private final ServerModel model;
     private final SplittableRandom random;
     private final Map<Integer, Listener> listeners = new LinkedHashMap<>();
     private final List<Link> links = new ArrayList<>();
     private final Set<Channel> connections = new LinkedHashSet<>();
-    private final List<Runnable> held = new ArrayList<>();
-    private final LongSupplier wallMs;
+    private final List<Runnable> heldTasks = new ArrayList<>();
+    private final LongSupplier wallClockMs;
     private String id;
-    private long bornMs;
-    private int lives;
-    private Ailment ailment = Ailment.NONE;
-    private double answersLost;
+    private long startedAtMs;
+    private int lifetimes;
+    private FaultMode faultMode = FaultMode.NONE;
+    private double lostResponseShare;
     private boolean draining;
 
-    /** {@code place} is the server's name in the play; its id changes when it is replaced. */
-    public ServerHost(
+    /** {@code serverName} is the server's name in the play; its id changes when it is replaced. */
+    public ServerStandIn(
             Loop loop,
             Scenario scenario,
             ServerKind kind,
-            String place,
+            String serverName,
             String zone,
-            Repeats repeats,
+            DeduplicationCache deduplicationCache,
             EventLog eventLog,
             SplittableRandom random,
-            LongSupplier wallMs) {
+            LongSupplier wallClockMs) {
         this.loop = loop;
         this.scenario = scenario;
         this.kind = kind;
-        this.place = place;
+        this.serverName = serverName;
         this.zone = zone;
-        this.repeats = repeats;
+        this.deduplicationCache = deduplicationCache;
         this.eventLog = eventLog;
         this.random = random;
-        this.wallMs = wallMs;
+        this.wallClockMs = wallClockMs;
         double speed = kind.speed() * (1 + kind.spread() * (2 * random.nextDouble() - 1));
         model =
                 new ServerModel(
                         kind,
                         speed,
                         LONG_AGO,
-                        scenario.platform().tipMultiple(),
-                        scenario.platform().fallAfter(),
+                        scenario.platform().overloadMultiple(),
+                        scenario.platform().overloadWindow(),
                         loop::at);
-        born(0, false);
+        startLifetime(0, false);
     }
 
-    private void born(long now, boolean cold) {
-        lives++;
-        id = place + (lives == 1 ? "" : "-" + lives);
-        bornMs = cold ? wallMs.getAsLong() : 0;
+    private void startLifetime(long now, boolean cold) {
+        lifetimes++;
+        id = serverName + (lifetimes == 1 ? "" : "-" + lifetimes);
+        startedAtMs = cold ? wallClockMs.getAsLong() : 0;
         eventLog.lifetimes.put(id, new EventLog.ServerLifetime(id, zone, now, cold));
     }
 
     /** Listens for a node. */
     public void listen(int node, InetSocketAddress address, Link link) throws IOException {
         links.add(link);
-        listeners.put(node, new Listener(loop, address, link, pipeline -> adopt(node, pipeline)));
+        listeners.put(
+                node, new Listener(loop, address, link, pipeline -> addHandlers(node, pipeline)));
     }
 
-    private void adopt(int node, ChannelPipeline pipeline) {
+    private void addHandlers(int node, ChannelPipeline pipeline) {
         Channel channel = pipeline.channel();
         eventLog.addCost(loop.now(), Cost.HANDSHAKE, node, id);
-        boolean over = connections.size() >= kind.connections();
+        boolean overLimit = connections.size() >= kind.connections();
         connections.add(channel);
         channel.closeFuture().addListener(closed -> connections.remove(channel));
-        FirstByte firstByte = new FirstByte(loop);
+        FirstByteRecorder firstByte = new FirstByteRecorder(loop);
         pipeline.addLast(
                 firstByte,
                 new HttpServerCodec(),
-                new HttpObjectAggregator(MOST_BODY),
-                new ServerConnection(this, node, firstByte, over));
+                new HttpObjectAggregator(MAX_BODY),
+                new ServerConnection(this, node, firstByte, overLimit));
     }
 
     // ---- What ails it
@@ -128,24 +129,24 @@
      * It takes what comes and answers nothing until it goes on; then it does all that was held up.
      */
     public void stall() {
-        ailment = Ailment.STALLED;
+        faultMode = FaultMode.STALLED;
     }
 
     public void failAll() {
-        ailment = Ailment.FAILS;
+        faultMode = FaultMode.FAILS;
     }
 
-    public void fillUp() {
-        ailment = Ailment.FULL;
+    public void rejectAll() {
+        faultMode = FaultMode.FULL;
     }
 
     /** Ends whatever is wrong with the server; what it held back is answered. */
     public void recover() {
-        ailment = Ailment.NONE;
-        answersLost = 0;
+        faultMode = FaultMode.NONE;
+        lostResponseShare = 0;
         model.slow(1);
-        List<Runnable> released = new ArrayList<>(held);
-        held.clear();
+        List<Runnable> released = new ArrayList<>(heldTasks);
+        heldTasks.clear();
         released.forEach(Runnable::run);
     }
 
@@ -154,30 +155,30 @@
     }
 
     /** Loses this share of its answers after the work is done. */
-    public void loseAnswers(double share) {
-        answersLost = share;
+    public void loseResponses(double share) {
+        lostResponseShare = share;
     }
 
     /** The process dies: connections are reset, new ones refused, and what ran is lost. */
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    public void die() {
-        model.die();
-        held.clear();
+    public void crash() {
+        model.crash();
+        heldTasks.clear();
         new ArrayList<>(connections).forEach(Channel::close);
         links.forEach(Link::resetAll);
-        listeners.values().forEach(listener -> listener.up(false));
+        listeners.values().forEach(listener -> listener.setRunning(false));
     }
 
     /** The machine is gone: nothing is answered, nothing comes up. */
     public void vanish() {
-        model.die();
-        held.clear();
+        model.crash();
+        heldTasks.clear();
         links.forEach(
                 link -> {
-                    link.there().loseAll(true);
-                    link.back().loseAll(true);
-                    link.silent(true);
+                    link.forward().setLoseAll(true);
+                    link.backward().setLoseAll(true);
+                    link.setSilent(true);
                 });
     }
 
@@ -185,21 +186,22 @@
     public void start(boolean replaced) {
         links.forEach(
                 link -> {
-                    link.there().loseAll(false);
-                    link.back().loseAll(false);
-                    link.silent(false);
+                    link.forward().setLoseAll(false);
+                    link.backward().setLoseAll(false);
+                    link.setSilent(false);
                     link.resetAll();
                 });
         model.start(loop.now());
-        ailment = Ailment.NONE;
+        faultMode = FaultMode.NONE;
         draining = false;
         if (replaced) {
-            born(loop.now(), true);
+            startLifetime(loop.now(), true);
         } else {
-            bornMs = wallMs.getAsLong();
-            eventLog.lifetimes.put(id + "@" + loop.now(), new EventLog.ServerLifetime(id, zone, loop.now(), true));
+            startedAtMs = wallClockMs.getAsLong();
+            eventLog.lifetimes.put(
+                    id + "@" + loop.now(), new EventLog.ServerLifetime(id, zone, loop.now(), true));
         }
-        listeners.values().forEach(listener -> listener.up(true));
+        listeners.values().forEach(listener -> listener.setRunning(true));
     }
 
     /** From now on its list entry says that it drains. */
@@ -238,47 +240,47 @@
         return eventLog;
     }
 
-    Repeats repeats() {
-        return repeats;
+    DeduplicationCache deduplicationCache() {
+        return deduplicationCache;
     }
 
-    boolean fails() {
-        return ailment == Ailment.FAILS
-                || (kind.errors() > 0 && random.nextDouble() < kind.errors());
+    boolean failsRequest() {
+        return faultMode == FaultMode.FAILS
+                || (kind.errorRate() > 0 && random.nextDouble() < kind.errorRate());
     }
 
-    boolean full() {
-        return ailment == Ailment.FULL;
+    boolean isFull() {
+        return faultMode == FaultMode.FULL;
     }
 
-    boolean losesAnswer() {
-        return answersLost > 0 && random.nextDouble() < answersLost;
+    boolean losesResponse() {
+        return lostResponseShare > 0 && random.nextDouble() < lostResponseShare;
     }
 
     /** Does something, or keeps it until the server goes on. */
-    void unlessStalled(Runnable task) {
-        if (ailment == Ailment.STALLED) {
-            held.add(task);
+    void runUnlessStalled(Runnable task) {
+        if (faultMode == FaultMode.STALLED) {
+            heldTasks.add(task);
         } else {
             task.run();
         }
     }
 
     /** It was pushed over: it stays down. */
-    void fell() {
-        EventLog.ServerLifetime life =
+    void collapse() {
+        EventLog.ServerLifetime lifetime =
                 eventLog.lifetimes.values().stream()
                         .filter(each -> each.server.equals(id))
                         .reduce((first, last) -> last)
                         .orElseThrow();
-        if (life.fellAt < 0) {
-            life.fellAt = loop.now();
-            eventLog.addEvent(loop.now(), place, "was pushed over while cold");
-            die();
+        if (lifetime.collapsedAt < 0) {
+            lifetime.collapsedAt = loop.now();
+            eventLog.addEvent(loop.now(), serverName, "was pushed over while cold");
+            crash();
         }
     }
 
-    String report() {
+    String loadReport() {
         return "TEXT inflight="
                 + model.inFlight()
                 + ", queue="
@@ -291,8 +293,8 @@
         return id;
     }
 
-    public String place() {
-        return place;
+    public String serverName() {
+        return serverName;
     }
 
     public String zone() {
@@ -303,13 +305,13 @@
         return draining;
     }
 
-    public boolean fallen() {
-        return model.fallen();
+    public boolean collapsed() {
+        return model.collapsed();
     }
 
     /** When it last started, as Unix time in milliseconds; 0 for long ago. */
-    public long bornMs() {
-        return bornMs;
+    public long startedAtMs() {
+        return startedAtMs;
     }
 
     public double speed() {
--- a/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
+++ b/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
@@ -6,12 +6,12 @@
 import java.util.List;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import ottergauge.lab.eventlog.RuleChecker.Rule;
-import ottergauge.lab.eventlog.EventLog.Ask;
-import ottergauge.lab.eventlog.EventLog.Attempt;
+import ottergauge.lab.eventlog.EventLog.ClientAttempt;
+import ottergauge.lab.eventlog.EventLog.ClientRequest;
 import ottergauge.lab.eventlog.EventLog.Effect;
+import ottergauge.lab.eventlog.EventLog.ServerAttempt;
 import ottergauge.lab.eventlog.EventLog.ServerLifetime;
-import ottergauge.lab.eventlog.EventLog.Try;
+import ottergauge.lab.eventlog.RuleChecker.Rule;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioException;
 import ottergauge.lab.scenario.ScenarioReader;
@@ -47,99 +47,108 @@
         }
     }
 
-    private Try sent(int requestClass) {
-        Ask ask = new Ask(eventLog.asks.size(), requestClass, -1, 1_000 * MS, 50 * MS);
-        Try each = new Try(ask, "id-" + eventLog.tries.size(), 1, 600 * MS);
-        ask.tries.add(each);
+    private ClientAttempt sent(int requestClass) {
+        ClientRequest request =
+                new ClientRequest(eventLog.requests.size(), requestClass, -1, 1_000 * MS, 50 * MS);
+        ClientAttempt each =
+                new ClientAttempt(request, "id-" + eventLog.clientAttempts.size(), 1, 600 * MS);
+        request.clientAttempts.add(each);
         each.sentAt = 1_000 * MS;
-        eventLog.asks.add(ask);
-        eventLog.tries.put(each.id, each);
+        eventLog.requests.add(request);
+        eventLog.clientAttempts.put(each.id, each);
         return each;
     }
 
-    private static void answered(Try each, int status, long at) {
+    private static void answered(ClientAttempt each, int status, long at) {
         each.status = status;
         each.answeredAt = at;
-        each.answers = 1;
+        each.responses = 1;
     }
 
-    private Attempt attempt(Try each, String server, long at, long end, String how) {
-        Attempt attempt = new Attempt(each, 1, server, at, at);
+    private ServerAttempt attempt(
+            ClientAttempt each, String server, long at, long end, String how) {
+        ServerAttempt attempt = new ServerAttempt(each, 1, server, at, at);
         attempt.endedAt = end;
         attempt.end = how;
-        each.attempts.add(attempt);
-        eventLog.attempts.add(attempt);
+        each.serverAttempts.add(attempt);
+        eventLog.serverAttempts.add(attempt);
         return attempt;
     }
 
-    private List<Rule> broken() {
-        return RuleChecker.check(scenario, eventLog, END).stream().map(RuleChecker.Violation::rule).toList();
+    private List<Rule> violations() {
+        return RuleChecker.check(scenario, eventLog, END).stream()
+                .map(RuleChecker.Violation::rule)
+                .toList();
     }
 
-    private void expect(Rule rule, Try each, Consumer<Try> wrong) {
-        assertEquals(List.of(), broken());
-        wrong.accept(each);
-        assertEquals(List.of(rule), broken());
+    private void expectViolation(Rule rule, ClientAttempt each, Consumer<ClientAttempt> breakRule) {
+        assertEquals(List.of(), violations());
+        breakRule.accept(each);
+        assertEquals(List.of(rule), violations());
     }
 
-    private Try served(int requestClass) {
-        Try each = sent(requestClass);
+    private ClientAttempt served(int requestClass) {
+        ClientAttempt each = sent(requestClass);
         answered(each, 200, 1_200 * MS);
-        Attempt attempt = attempt(each, "s1", 1_010 * MS, 1_190 * MS, "served");
+        ServerAttempt attempt = attempt(each, "s1", 1_010 * MS, 1_190 * MS, "served");
         eventLog.effects.add(new Effect(1_100 * MS, each.id, "all", "s1", attempt));
         return each;
     }
 
     @Test
-    void anAnswerMuchTooLateOrNeverIsLost() {
-        expect(Rule.ANSWER, served(0), each -> each.answeredAt = 2_200 * MS);
-        answered(eventLog.tries.get("id-0"), 200, 2_100 * MS);
-        expect(Rule.ANSWER, served(0), each -> answered(each, EventLog.OPEN, -1));
+    void aMissingOrVeryLateResponseIsAViolation() {
+        expectViolation(Rule.ANSWER, served(0), each -> each.answeredAt = 2_200 * MS);
+        answered(eventLog.clientAttempts.get("id-0"), 200, 2_100 * MS);
+        expectViolation(Rule.ANSWER, served(0), each -> answered(each, EventLog.PENDING, -1));
     }
 
     @Test
-    void whatANodeHadTakenWhenItDiedIsExcused() {
-        Try each = served(0);
-        answered(each, EventLog.BROKEN, 1_200 * MS);
-        assertEquals(List.of(Rule.ANSWER), broken());
+    void requestsAtAKilledNodeAreExcused() {
+        ClientAttempt each = served(0);
+        answered(each, EventLog.CONNECTION_LOST, 1_200 * MS);
+        assertEquals(List.of(Rule.ANSWER), violations());
         eventLog.addEvent(1_190 * MS, "n1", "is killed");
         eventLog.addEvent(3_000 * MS, "n1", "is started");
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), violations());
     }
 
     @Test
-    void twoAnswersOrAnotherRequestsAnswerAreNoAnswer() {
-        expect(Rule.ANSWER, served(0), each -> each.answers = 2);
-        eventLog.tries.get("id-0").answers = 1;
-        expect(Rule.ANSWER, served(0), each -> each.genuine = false);
+    void twoResponsesOrAnotherRequestsResponseAreAViolation() {
+        expectViolation(Rule.ANSWER, served(0), each -> each.responses = 2);
+        eventLog.clientAttempts.get("id-0").responses = 1;
+        expectViolation(Rule.ANSWER, served(0), each -> each.bodyMatches = false);
     }
 
     @Test
-    void whatMayHaveRunAndIsUnsafeIsSentOnce() {
-        expect(Rule.EFFECT, served(0), each -> attempt(each, "s2", 1_192 * MS, 1_198 * MS, "full"));
+    void anUnsafeRequestThatMayHaveRunIsNotSentAgain() {
+        expectViolation(
+                Rule.EFFECT,
+                served(0),
+                each -> attempt(each, "s2", 1_192 * MS, 1_198 * MS, "full"));
     }
 
     @Test
-    void whatWasTurnedAwayMayBeSentAgain() {
-        Try each = sent(0);
+    void aRejectedRequestMayBeSentAgain() {
+        ClientAttempt each = sent(0);
         answered(each, 200, 1_200 * MS);
         attempt(each, "s1", 1_010 * MS, 1_011 * MS, "full");
         attempt(each, "s2", 1_012 * MS, 1_190 * MS, "served");
-        assertEquals(List.of(), broken());
+        assertEquals(List.of(), violations());
     }
 
     @Test
-    void twoCopiesAreNotOutAtOnce() {
-        Try each = sent(1);
+    void overlappingAttemptsAreAViolation() {
+        ClientAttempt each = sent(1);
         answered(each, 200, 1_200 * MS);
         attempt(each, "s1", 1_010 * MS, 1_100 * MS, "given up");
-        expect(Rule.EFFECT, each, again -> attempt(again, "s2", 1_050 * MS, 1_190 * MS, "served"));
+        expectViolation(
+                Rule.EFFECT, each, again -> attempt(again, "s2", 1_050 * MS, 1_190 * MS, "served"));
     }
 
     @Test
-    void anEffectTwiceByOneTryOrBehindARefusalIsCaught() {
-        Try each = served(1);
-        expect(
+    void aDuplicateEffectOrAnEffectAfterARefusalIsAViolation() {
+        ClientAttempt each = served(1);
+        expectViolation(
                 Rule.EFFECT,
                 each,
                 again ->
@@ -149,53 +158,53 @@
                                         again.id,
                                         "all",
                                         "s2",
-                                        eventLog.attempts.get(0))));
+                                        eventLog.serverAttempts.get(0))));
         eventLog.effects.remove(1);
-        expect(Rule.EFFECT, served(0), again -> again.status = 503);
+        expectViolation(Rule.EFFECT, served(0), again -> again.status = 503);
     }
 
     @Test
-    void aDrainingServerGetsNothingNew() {
-        ServerLifetime life = new ServerLifetime("s1", "a", 0, false);
-        eventLog.lifetimes.put("s1", life);
-        expect(Rule.DRAIN, served(0), each -> life.toldAt.put(1, 700 * MS));
+    void aNewRequestToADrainingServerIsAViolation() {
+        ServerLifetime lifetime = new ServerLifetime("s1", "a", 0, false);
+        eventLog.lifetimes.put("s1", lifetime);
+        expectViolation(Rule.DRAIN, served(0), each -> lifetime.drainKnownAt.put(1, 700 * MS));
     }
 
     @Test
-    void attemptsForClientsThatHaveLeftAreCaughtFromTheThirdOn() {
+    void attemptsForClosedClientsAreAViolationFromTheThirdOn() {
         for (int i = 0; i < 3; i++) {
-            Try each = sent(0);
-            each.leftAt = 1_050 * MS;
+            ClientAttempt each = sent(0);
+            each.clientClosedAt = 1_050 * MS;
             attempt(each, "s1", 1_100 * MS, 1_200 * MS, "served");
         }
-        assertEquals(List.of(), broken(), "within the time that an end takes to be seen");
+        assertEquals(List.of(), violations(), "within the time that an end takes to be seen");
         for (int i = 0; i < 2; i++) {
-            Try each = sent(0);
-            each.leftAt = 1_050 * MS;
+            ClientAttempt each = sent(0);
+            each.clientClosedAt = 1_050 * MS;
             attempt(each, "s1", 1_151 * MS, 1_200 * MS, "served");
         }
-        assertEquals(List.of(), broken());
-        Try third = sent(0);
-        third.leftAt = 1_050 * MS;
+        assertEquals(List.of(), violations());
+        ClientAttempt third = sent(0);
+        third.clientClosedAt = 1_050 * MS;
         attempt(third, "s1", 1_300 * MS, 1_400 * MS, "served");
-        assertEquals(List.of(Rule.GONE), broken());
+        assertEquals(List.of(Rule.GONE), violations());
     }
 
     @Test
-    void aColdServerPushedOverAndACrashAreCaught() {
-        ServerLifetime life = new ServerLifetime("s1", "a", 0, true);
-        eventLog.lifetimes.put("s1", life);
-        expect(Rule.COLD, served(0), each -> life.fellAt = 5_000 * MS);
-        life.fellAt = -1;
-        expect(
+    void aCollapsedColdServerAndACrashAreViolations() {
+        ServerLifetime lifetime = new ServerLifetime("s1", "a", 0, true);
+        eventLog.lifetimes.put("s1", lifetime);
+        expectViolation(Rule.COLD, served(0), each -> lifetime.collapsedAt = 5_000 * MS);
+        lifetime.collapsedAt = -1;
+        expectViolation(
                 Rule.CRASH,
                 served(0),
                 each -> eventLog.addEvent(6_000 * MS, "n2", "crashed with exit code 3"));
     }
 
     @Test
-    void whatNoClientSentIsCaught() {
-        expect(
+    void aRequestThatNoClientSentIsAViolation() {
+        expectViolation(
                 Rule.EFFECT,
                 served(0),
                 each ->
--- a/lab/src/test/java/ottergauge/lab/net/LinkTest.java
+++ b/lab/src/test/java/ottergauge/lab/net/LinkTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import ottergauge.lab.scenario.Scenario.Direction;
 import ottergauge.lab.scenario.Scenario.Fault;
-import ottergauge.lab.scenario.Scenario.Way;
-import ottergauge.lab.scenario.Scenario.What;
+import ottergauge.lab.scenario.Scenario.FaultKind;
 
 /** Each fault of a link on real sockets: an echo behind a link, and a client that asks it. */
 @Timeout(30)
@@ -35,8 +35,8 @@
 
     // What is to come may be late on a busy machine; what is not to come is not waited for that
     // long.
-    private static final int PATIENCE_MS = 10_000;
-    private static final int SOON_MS = 300;
+    private static final int RESPONSE_TIMEOUT_MS = 10_000;
+    private static final int SHORT_TIMEOUT_MS = 300;
 
     private final Loop loop = new Loop();
     private final Link link = new Links(1).add("n1", "s1", 0, 0);
@@ -79,14 +79,15 @@
         loop.close();
     }
 
-    private void fault(What what, Way way, double amount, long span) throws Exception {
+    private void fault(FaultKind faultKind, Direction direction, double amount, long span)
+            throws Exception {
         loop.netty()
                 .submit(
                         () ->
                                 link.apply(
                                         new Fault(
-                                                0, 0, what, List.of(), 0, List.of(), way, amount,
-                                                span, 0, 1)))
+                                                0, 0, faultKind, List.of(), 0, List.of(), direction,
+                                                amount, span, 0, 1)))
                 .get();
     }
 
@@ -96,13 +97,13 @@
 
     private Socket connect() throws IOException {
         Socket socket = new Socket();
-        socket.connect(address, SOON_MS);
-        socket.setSoTimeout(SOON_MS);
+        socket.connect(address, SHORT_TIMEOUT_MS);
+        socket.setSoTimeout(SHORT_TIMEOUT_MS);
         return socket;
     }
 
     // A door that moves has settled a moment later.
-    private void awaitConnecting(Class<? extends IOException> failure) throws IOException {
+    private void awaitConnectFailure(Class<? extends IOException> failure) throws IOException {
         for (; ; ) {
             try {
                 connect().close();
@@ -114,7 +115,7 @@
         }
     }
 
-    private Socket connectOnceUp() {
+    private Socket connectWhenAccepted() {
         for (; ; ) {
             try {
                 return connect();
@@ -124,11 +125,11 @@
         }
     }
 
-    private static String ask(Socket socket, String text) throws IOException {
-        return ask(socket, text, PATIENCE_MS);
+    private static String echo(Socket socket, String text) throws IOException {
+        return echo(socket, text, RESPONSE_TIMEOUT_MS);
     }
 
-    private static String ask(Socket socket, String text, int within) throws IOException {
+    private static String echo(Socket socket, String text, int within) throws IOException {
         socket.setSoTimeout(within);
         socket.getOutputStream().write(text.getBytes(UTF_8));
         return new String(socket.getInputStream().readNBytes(text.length()), UTF_8);
@@ -139,37 +140,37 @@
      * stand-in behind it did not hear of the end, and the next attempt counted as a second copy.
      */
     @Test
-    void theStandInHearsOfAResetOfItsConnection() throws Exception {
+    void theStandInIsNotifiedWhenTheLinkResetsItsConnection() throws Exception {
         try (Socket socket = connect()) {
-            assertEquals("ok", ask(socket, "ok"));
-            fault(What.LINK_RESET, Way.BOTH, 0, 0);
-            assertThrows(SocketException.class, () -> ask(socket, "lost"));
-            assertEquals("ended", ended.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+            assertEquals("ok", echo(socket, "ok"));
+            fault(FaultKind.LINK_RESET, Direction.BOTH, 0, 0);
+            assertThrows(SocketException.class, () -> echo(socket, "lost"));
+            assertEquals("ended", ended.poll(RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS));
         }
     }
 
     @Test
-    void withNothingWrongBytesPass() throws Exception {
+    void withoutFaultsBytesPass() throws Exception {
         try (Socket socket = connect()) {
-            assertEquals("hello", ask(socket, "hello"));
+            assertEquals("hello", echo(socket, "hello"));
         }
     }
 
     @Test
-    void aLinkThatRefusesIsConnectedToByNobodyUntilItHeals() throws Exception {
-        fault(What.LINK_REFUSE, Way.BOTH, 1, 0);
-        awaitConnecting(ConnectException.class);
+    void aRefusingLinkAcceptsNoConnectionUntilTheFaultEnds() throws Exception {
+        fault(FaultKind.LINK_REFUSE, Direction.BOTH, 1, 0);
+        awaitConnectFailure(ConnectException.class);
         heal();
-        try (Socket socket = connectOnceUp()) {
-            assertEquals("again", ask(socket, "again"));
+        try (Socket socket = connectWhenAccepted()) {
+            assertEquals("again", echo(socket, "again"));
         }
     }
 
     @Test
-    void aResetEndsWhatIsOpenAndWhatComes() throws Exception {
+    void aResetClosesOpenAndNewConnections() throws Exception {
         try (Socket socket = connect()) {
-            assertEquals("before", ask(socket, "before"));
-            fault(What.LINK_RESET, Way.BOTH, 1, 0);
+            assertEquals("before", echo(socket, "before"));
+            fault(FaultKind.LINK_RESET, Direction.BOTH, 1, 0);
             assertThrows(
                     SocketException.class,
                     () -> {
@@ -192,50 +193,54 @@
     }
 
     @Test
-    void silenceHoldsOneWayAndGivesItBackWhenItHeals() throws Exception {
+    void aDropInOneDirectionHoldsBytesUntilTheFaultEnds() throws Exception {
         try (Socket socket = connect()) {
-            fault(What.LINK_DROP, Way.BACK, 1, 0);
-            assertThrows(SocketTimeoutException.class, () -> ask(socket, "held", SOON_MS));
+            fault(FaultKind.LINK_DROP, Direction.BACK, 1, 0);
+            assertThrows(
+                    SocketTimeoutException.class, () -> echo(socket, "held", SHORT_TIMEOUT_MS));
             heal();
-            socket.setSoTimeout(PATIENCE_MS);
+            socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
             assertEquals("held", new String(socket.getInputStream().readNBytes(4), UTF_8));
         }
     }
 
     @Test
-    void aLinkSilentBothWaysLetsNoConnectionComeUp() throws Exception {
-        fault(What.LINK_DROP, Way.BOTH, 1, 0);
-        awaitConnecting(SocketTimeoutException.class);
+    void aDropInBothDirectionsLetsNoConnectionBeEstablished() throws Exception {
+        fault(FaultKind.LINK_DROP, Direction.BOTH, 1, 0);
+        awaitConnectFailure(SocketTimeoutException.class);
         heal();
-        try (Socket socket = connectOnceUp()) {
-            assertEquals("back", ask(socket, "back"));
+        try (Socket socket = connectWhenAccepted()) {
+            assertEquals("back", echo(socket, "back"));
         }
     }
 
     @Test
     void aDelayKeepsTheOrderOfBytes() throws Exception {
-        fault(What.LINK_DELAY, Way.BOTH, 1, 30_000);
+        fault(FaultKind.LINK_DELAY, Direction.BOTH, 1, 30_000);
         try (Socket socket = connect()) {
             long from = System.nanoTime();
-            assertEquals("one", ask(socket, "one"));
+            assertEquals("one", echo(socket, "one"));
             assertTrue(System.nanoTime() - from >= 60_000_000, "both ways take their time");
-            assertEquals("two", ask(socket, "two"));
+            assertEquals("two", echo(socket, "two"));
         }
     }
 
     @Test
-    void whatIsLostIsNeverMadeUpFor() throws Exception {
-        fault(What.LINK_LOSE, Way.THERE, 1, 0);
+    void lostBytesAreNotRetransmitted() throws Exception {
+        fault(FaultKind.LINK_LOSE, Direction.THERE, 1, 0);
         try (Socket socket = connect()) {
-            assertThrows(SocketTimeoutException.class, () -> ask(socket, "lost", SOON_MS));
+            assertThrows(
+                    SocketTimeoutException.class, () -> echo(socket, "lost", SHORT_TIMEOUT_MS));
             heal();
-            assertThrows(SocketTimeoutException.class, () -> ask(socket, "behind it", SOON_MS));
+            assertThrows(
+                    SocketTimeoutException.class,
+                    () -> echo(socket, "behind it", SHORT_TIMEOUT_MS));
         }
     }
 
     @Test
     void aCutEndsAConnectionInTheMiddleOfAMessage() throws Exception {
-        fault(What.LINK_CUT, Way.BACK, 3, 0);
+        fault(FaultKind.LINK_CUT, Direction.BACK, 3, 0);
         try (Socket socket = connect()) {
             socket.getOutputStream().write("message".getBytes(UTF_8));
             assertEquals("mes", new String(socket.getInputStream().readNBytes(3), UTF_8));
@@ -250,11 +255,11 @@
     }
 
     @Test
-    void aSlowLinkPassesItsBytesASecond() throws Exception {
-        fault(What.LINK_RATE, Way.THERE, 100, 0);
+    void aRateLimitedLinkPassesItsBytesPerSecond() throws Exception {
+        fault(FaultKind.LINK_RATE, Direction.THERE, 100, 0);
         try (Socket socket = connect()) {
             long from = System.nanoTime();
-            assertEquals("0123456789", ask(socket, "0123456789"));
+            assertEquals("0123456789", echo(socket, "0123456789"));
             assertTrue(System.nanoTime() - from >= 100_000_000, "ten bytes at a hundred a second");
         }
     }
@@ -263,23 +268,24 @@
     @Test
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    void anAddressThatIsNotYetGivenBackIsTriedAgain() throws Exception {
-        ServerSocket before = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    void anAddressStillInUseIsRetried() throws Exception {
+        ServerSocket previousSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         loop.netty()
                 .schedule(
                         () -> {
-                            before.close();
+                            previousSocket.close();
                             return null;
                         },
-                        SOON_MS,
+                        SHORT_TIMEOUT_MS,
                         TimeUnit.MILLISECONDS);
-        InetSocketAddress held = (InetSocketAddress) before.getLocalSocketAddress();
-        Listener late =
-                new Listener(loop, held, new Links(1).add("n2", "s1", 0, 0), pipeline -> {});
+        InetSocketAddress addressInUse = (InetSocketAddress) previousSocket.getLocalSocketAddress();
+        Listener listenerUnderTest =
+                new Listener(
+                        loop, addressInUse, new Links(1).add("n2", "s1", 0, 0), pipeline -> {});
         try (Socket socket = new Socket()) {
-            socket.connect(held, PATIENCE_MS);
+            socket.connect(addressInUse, RESPONSE_TIMEOUT_MS);
         } finally {
-            late.end();
+            listenerUnderTest.end();
         }
     }
 }
--- a/lab/src/test/java/ottergauge/lab/run/ScenarioRunIT.java
+++ b/lab/src/test/java/ottergauge/lab/run/ScenarioRunIT.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ottergauge.lab.run.ScenarioRun.Program;
 import ottergauge.lab.report.Report;
+import ottergauge.lab.run.ScenarioRun.Program;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioReader;
 
@@ -40,7 +40,7 @@
         return run.group(1);
     }
 
-    private Report play(String file, String command) throws Exception {
+    private Report runScenario(String file, String command) throws Exception {
         Scenario scenario = ScenarioReader.read(Path.of("scenarios", file));
         return new Report(new ScenarioRun(scenario, new Program(command, ROOT), folder).run());
     }
@@ -52,11 +52,11 @@
     }
 
     @Test
-    void theRulesHoldWhateverBreaks() throws Exception {
-        Report report = play("faults.yaml", runLine());
-        assertEquals("[]", report.broken().toString(), text(report));
-        assertTrue(report.figures().steps().get(0).worth() > 0.5, text(report));
-        assertFalse(left(), "processes are left");
+    void theRulesHoldUnderAllFaults() throws Exception {
+        Report report = runScenario("faults.yaml", runLine());
+        assertEquals("[]", report.violations().toString(), text(report));
+        assertTrue(report.statistics().steps().get(0).worth() > 0.5, text(report));
+        assertFalse(processesLeft(), "processes are left");
     }
 
     /**
@@ -65,9 +65,9 @@
      */
     @Test
     void aServerThatLeavesWhileWatchesAreSilentGetsNothingNew() throws Exception {
-        Report report = play("silent.yaml", runLine());
-        assertEquals("[]", report.broken().toString(), text(report));
-        assertTrue(report.figures().steps().get(0).worth() > 0.5, text(report));
+        Report report = runScenario("silent.yaml", runLine());
+        assertEquals("[]", report.violations().toString(), text(report));
+        assertTrue(report.statistics().steps().get(0).worth() > 0.5, text(report));
     }
 
     /**
@@ -77,14 +77,14 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"late-list.yaml", "leaving.yaml"})
-    void whatIsOverIsNotSentOn(String scenario) throws Exception {
-        Report report = play(scenario, runLine());
-        assertEquals("[]", report.broken().toString(), text(report));
-        assertTrue(report.figures().steps().get(0).worth() > 0.3, text(report));
+    void requestsThatAreOverAreNotForwarded(String scenario) throws Exception {
+        Report report = runScenario(scenario, runLine());
+        assertEquals("[]", report.violations().toString(), text(report));
+        assertTrue(report.statistics().steps().get(0).worth() > 0.3, text(report));
     }
 
     // Whether any process still has this play's folder for its configuration.
-    private boolean left() {
+    private boolean processesLeft() {
         return ProcessHandle.allProcesses()
                 .anyMatch(
                         process -> {
@@ -104,15 +104,16 @@
     }
 
     @Test
-    void aNodeThatNeverBecomesReadyIsNamedWithTheEndOfItsLog() {
-        String told =
+    void aNodeThatNeverBecomesReadyIsReportedWithItsLogTail() {
+        String message =
                 assertThrows(
                                 RunException.class,
-                                () -> play("faults.yaml", "echo no such program; exit 3"))
+                                () -> runScenario("faults.yaml", "echo no such program; exit 3"))
                         .getMessage();
         assertTrue(
-                told.startsWith("n1 ended before it was ready") && told.contains("no such program"),
-                told);
-        assertFalse(left(), "processes are left");
+                message.startsWith("n1 ended before it was ready")
+                        && message.contains("no such program"),
+                message);
+        assertFalse(processesLeft(), "processes are left");
     }
 }
--- a/lab/src/test/java/ottergauge/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/ottergauge/lab/scenario/ScenarioReaderTest.java
@@ -40,9 +40,9 @@
         assertEquals(10_000_000, scenario.length());
         assertEquals(3 * 2 * 1000 / 50.0, scenario.capacity());
         assertEquals(2, scenario.rateAt(5_000_000));
-        assertEquals(Scenario.What.NODE_STALL, scenario.faults().get(0).what());
-        assertEquals(1_500_000, scenario.faults().get(1).lasts());
-        assertEquals(List.of("servers"), scenario.faults().get(1).to());
+        assertEquals(Scenario.FaultKind.NODE_STALL, scenario.faults().get(0).faultKind());
+        assertEquals(1_500_000, scenario.faults().get(1).duration());
+        assertEquals(List.of("servers"), scenario.faults().get(1).peers());
     }
 
     /**
@@ -81,12 +81,12 @@
                 "to: [servers], way|way|small.yaml: faults: 2: who, to: a link has two sides",
                 "name: small|name: [small|small.yaml:2: no YAML"
             })
-    void whatIsWrongIsNamedWithItsLine(String good, String bad, String message) {
+    void errorsNameFileLineAndKey(String good, String bad, String message) {
         String text = GOOD.replace(good, bad.replace("%", "\n"));
-        String told =
+        String actual =
                 assertThrows(ScenarioException.class, () -> ScenarioReader.read("small.yaml", text))
                         .getMessage();
-        assertTrue(told.startsWith(message), told);
+        assertTrue(actual.startsWith(message), actual);
     }
 
     /** Guards against scenarios of the project's own that went out of date. */
--- a/lab/src/test/java/ottergauge/lab/server/ServerModelTest.java
+++ b/lab/src/test/java/ottergauge/lab/server/ServerModelTest.java
@@ -13,8 +13,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 import ottergauge.lab.scenario.Scenario.ServerKind;
+import ottergauge.lab.server.ServerModel.Admission;
 import ottergauge.lab.server.ServerModel.Job;
-import ottergauge.lab.server.ServerModel.Offer;
 
 class ServerModelTest {
 
@@ -23,7 +23,7 @@
 
     private record Due(long at, long order, Runnable task) {}
 
-    private final PriorityQueue<Due> alarms =
+    private final PriorityQueue<Due> timers =
             new PriorityQueue<>(
                     (a, b) ->
                             a.at() != b.at()
@@ -32,22 +32,22 @@
     private long order;
     private long now;
 
-    private ServerModel server(int cores, int queue, long bornAt) {
+    private ServerModel server(int cores, int queue, long startedAt) {
         return new ServerModel(
                 new ServerKind(
                         "std", 1, cores, 1, 0, cores, queue, 0, 0.25, 8_000_000, 100, 0, 0, 0,
                         true),
                 1,
-                bornAt,
+                startedAt,
                 2,
                 1_000_000,
-                (at, task) -> alarms.add(new Due(at, order++, task)));
+                (at, task) -> timers.add(new Due(at, order++, task)));
     }
 
-    private void passUntil(long until) {
-        while (!alarms.isEmpty() && alarms.peek().at() <= until) {
-            now = alarms.peek().at();
-            alarms.poll().task().run();
+    private void advanceTo(long until) {
+        while (!timers.isEmpty() && timers.peek().at() <= until) {
+            now = timers.peek().at();
+            timers.poll().task().run();
         }
         now = until;
     }
@@ -57,52 +57,56 @@
     }
 
     @Test
-    void whatFindsNoSlotWaitsAndWhatFindsNoRoomIsTurnedAway() {
+    void jobsWaitForASlotAndAreRejectedWhenTheQueueIsFull() {
         ServerModel server = server(1, 1, WARM);
         List<String> ended = new ArrayList<>();
-        assertEquals(Offer.TAKEN, server.offer(now, job(100, () -> ended.add("first at " + now))));
-        assertEquals(Offer.TAKEN, server.offer(now, job(100, () -> ended.add("second at " + now))));
-        assertEquals(Offer.FULL, server.offer(now, job(100, () -> ended.add("third"))));
-        passUntil(1_000);
+        assertEquals(
+                Admission.ACCEPTED,
+                server.offer(now, job(100, () -> ended.add("first at " + now))));
+        assertEquals(
+                Admission.ACCEPTED,
+                server.offer(now, job(100, () -> ended.add("second at " + now))));
+        assertEquals(Admission.FULL, server.offer(now, job(100, () -> ended.add("third"))));
+        advanceTo(1_000);
         assertEquals(List.of("first at 100", "second at 200"), ended);
     }
 
     @Test
-    void whatIsGivenUpIsDroppedUnlessItRuns() {
+    void aCancelledJobIsDroppedUnlessItRuns() {
         ServerModel server = server(1, 2, WARM);
         List<String> ended = new ArrayList<>();
         Job runs = job(100, () -> ended.add("ran"));
         Job waits = job(100, () -> ended.add("waited"));
         server.offer(now, runs);
         server.offer(now, waits);
-        server.withdraw(runs);
-        server.withdraw(waits);
-        passUntil(1_000);
+        server.cancel(runs);
+        server.cancel(waits);
+        advanceTo(1_000);
         assertEquals(List.of("ran"), ended);
         assertEquals(0, server.inFlight());
     }
 
     @Test
-    void aColdServerIsSlowAndFallsOverWhenPushed() {
+    void aColdServerIsSlowAndCollapsesUnderOverload() {
         ServerModel server = server(1, 100, 0);
         long[] ended = new long[1];
         server.offer(now, job(100_000, () -> ended[0] = now));
-        passUntil(2_000_000);
+        advanceTo(2_000_000);
         assertEquals(400_000, ended[0], "a quarter of its capacity at first");
         int taken = 0;
-        while (server.offer(now, job(100_000, () -> {})) == Offer.TAKEN && taken < 100) {
+        while (server.offer(now, job(100_000, () -> {})) == Admission.ACCEPTED && taken < 100) {
             taken++;
         }
-        assertTrue(server.fallen());
+        assertTrue(server.collapsed());
         // 2 times its 0.44 of a core for a second is 8.75 requests of 100 ms.
         assertEquals(8, taken);
         server.start(now);
-        assertFalse(server.fallen());
+        assertFalse(server.collapsed());
     }
 
     /** Guards against an emulator that is another queue than the one it is taken for. */
     @Test
-    void aServerWithRandomArrivalsWaitsAsTheFormulaSays() {
+    void meanTimeInSystemMatchesTheQueueingFormula() {
         double meanWork = 50_000;
         for (int cores : new int[] {1, 2}) {
             double load = 0.7;
@@ -114,15 +118,15 @@
             double at = now;
             for (int i = 0; i < count; i++) {
                 at += exponential.sample() * meanWork / cores / load;
-                passUntil((long) at);
-                long came = now;
+                advanceTo((long) at);
+                long arrivedAt = now;
                 server.offer(
                         now,
                         job(
                                 Math.max(1, Math.round(exponential.sample() * meanWork)),
-                                () -> sum[0] += now - came));
+                                () -> sum[0] += now - arrivedAt));
             }
-            passUntil(now + 60_000_000);
+            advanceTo(now + 60_000_000);
             // Time in an M/M/1 and an M/M/2: 1 / (1 - load) and 1 / (1 - load^2) services.
             double expected = meanWork / (1 - Math.pow(load, cores));
             assertEquals(expected, sum[0] / count, 0.03 * expected, cores + " cores");
