--- a/lab/src/main/java/ottergauge/lab/client/FrontEnd.java
+++ b/lab/src/main/java/ottergauge/lab/client/FrontEnd.java
@@ -10,8 +10,10 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * Deals clients out among the nodes: takes one in once it says that it is ready, out as soon as it
- * says that it is not, and notices late that one has died.
+ * Stand-in for the load balancer in front of the nodes. It picks a node for each request, and
+ * checks the readiness of all nodes: a node receives clients as soon as it reports ready, receives
+ * none as soon as it reports not ready, and receives none after it has not responded for {@code
+ * noticeDelay}.
  */
 final class FrontEnd {
 
@@ -83,13 +85,13 @@
         long now = loop.now();
         if (status == 200) {
             silentSince[node] = 0;
-            setReceivesClients(node, true, "takes clients");
+            setReceivesClients(node, true, "receives clients");
         } else if (status > 0) {
-            setReceivesClients(node, false, "takes no clients");
+            setReceivesClients(node, false, "receives no clients");
         } else if (silentSince[node] == 0) {
             silentSince[node] = now;
         } else if (now - silentSince[node] >= noticeDelay) {
-            setReceivesClients(node, false, "is gone, the front notices");
+            setReceivesClients(node, false, "does not respond and receives no clients");
         }
     }
 
@@ -100,7 +102,7 @@
         }
     }
 
-    /** A node for the next request, or 0 if none is in. */
+    /** Returns a random node for the next request, or 0 if no node receives clients. */
     int chooseNode() {
         double sum = 0;
         for (int node = 1; node < receivesClients.length; node++) {
--- a/lab/src/main/java/ottergauge/lab/client/LoadGenerator.java
+++ b/lab/src/main/java/ottergauge/lab/client/LoadGenerator.java
@@ -29,13 +29,15 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
 /**
- * All clients of a play: an open loop, each request begun at its drawn instant whatever became of
- * others, and tried again as its client would. A client that stops waiting goes on listening for a
- * while, so that an answer that comes too late is seen.
+ * Generates the requests of all clients. The load is open-loop: each request starts at its planned
+ * time, whatever happens to other requests, and is retried as its client would retry it. After a
+ * timeout the client keeps the connection open for a while, so that a response that arrives too
+ * late is recorded.
  */
 public final class LoadGenerator {
 
-    // Past a try's time: what has not come by then is lost.
+    // How long a client keeps a connection open after the timeout; a response that has not arrived
+    // by then counts as lost.
     private static final long LATE_RESPONSE_WINDOW = 1_500_000;
     private static final int UNAVAILABLE = 503;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -52,7 +54,7 @@
     private long lastId;
     private boolean finished;
 
-    /** Connects the load to the nodes; the lists have an entry for each node. */
+    /** Creates the clients; {@code nodes} and {@code links} have one entry for each node. */
     public LoadGenerator(
             Loop loop,
             Scenario scenario,
@@ -80,14 +82,14 @@
     }
 
     /**
-     * A node's process has ended, or lives again: what breaks at a dead one is no close between
-     * requests.
+     * Records whether a node's process is running. A connection that ends while the node is down is
+     * a failure, not an idle connection that the node closed between two requests.
      */
     public void setAlive(int node, boolean alive) {
         nodeDown[node] = !alive;
     }
 
-    /** Begins to look which nodes are ready. */
+    /** Starts the periodic readiness checks of all nodes. */
     public void checkReadiness() {
         frontEnd.begin();
     }
@@ -96,7 +98,7 @@
         return frontEnd.allNodesReady();
     }
 
-    /** Begins the load: from here on instants count. */
+    /** Starts the load; the times in {@code workload} are relative to this call. */
     public void begin(List<Workload.Request> workload) {
         next(workload, 0);
     }
@@ -112,7 +114,7 @@
         }
     }
 
-    /** No request begins any more, and connections are closed. */
+    /** Starts no more requests and closes the idle connections. */
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void end() {
@@ -169,7 +171,7 @@
         }
     }
 
-    // It closes its connection and does not come again.
+    // The client closes its connection and does not retry.
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void abandon(Call call) {
@@ -199,8 +201,8 @@
                         });
     }
 
-    // One try on its way; its request is written anew if a kept connection turns out to have been
-    // closed.
+    // One attempt in progress. Its request is sent again on a new connection if the pooled
+    // connection turns out to have been closed by the node.
     private final class Call {
         private final ClientAttempt each;
         private final Workload.Request planned;
@@ -267,7 +269,7 @@
         }
     }
 
-    // What came of a try, and whether its client tries again.
+    // Records the result of an attempt and schedules a retry if its client retries.
     private void finished(
             ClientAttempt each, Workload.Request planned, int retryNumber, int status) {
         if (status != EventLog.PENDING) {
@@ -289,13 +291,13 @@
                 planned.followsRetryAfter() && each.retryAfter >= 0
                         ? Math.min(each.retryAfter, scenario.platform().maxRetryAfter())
                         : scenario.clients().retryPause();
-        // A little apart, as clients are.
+        // Random jitter: real clients do not retry in step.
         loop.after(
                 wait + random.nextLong(wait / 10 + 2_000),
                 () -> startAttempt(each.request, planned, retryNumber + 1));
     }
 
-    // A connection to a node: one request at a time.
+    // A connection to a node; it carries one request at a time.
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final int node;
         private Channel channel;
@@ -371,8 +373,8 @@
                     && !interrupted.settled
                     && !nodeDown[node]
                     && !finished) {
-                // The node closed it between requests: that is no answer, and the request goes out
-                // anew.
+                // The node closed an idle connection. That is not a response, so the request is
+                // sent again on a new connection.
                 connect(interrupted);
             } else if (interrupted.settled) {
                 if (interrupted.each.answeredAt < 0) {
--- a/lab/src/main/java/ottergauge/lab/client/NodeConnector.java
+++ b/lab/src/main/java/ottergauge/lab/client/NodeConnector.java
@@ -21,7 +21,7 @@
 import ottergauge.lab.net.LinkHandler;
 import ottergauge.lab.net.Loop;
 
-/** Opens connections to nodes, each over its link. */
+/** Opens connections to nodes, each through its simulated link. */
 final class NodeConnector {
 
     private static final int MAX_BODY = 1 << 20;
@@ -31,14 +31,14 @@
     private final List<InetSocketAddress> nodes;
     private final List<Link> links;
 
-    /** Nodes are numbered from one: the lists' first entries are node 1's. */
+    /** Nodes are numbered from 1: the first entries of the lists belong to node 1. */
     NodeConnector(Loop loop, List<InetSocketAddress> nodes, List<Link> links) {
         this.loop = loop;
         this.nodes = nodes;
         this.links = links;
     }
 
-    /** Connects to a node; the handler sits behind HTTP's codec. */
+    /** Connects to a node; {@code handler} comes after the HTTP codec in the pipeline. */
     ChannelFuture connect(int node, ChannelHandler handler) {
         Link link = links.get(node - 1);
         return new Bootstrap()
@@ -62,7 +62,8 @@
     }
 
     /**
-     * Asks a node one thing on a connection of its own; the status, or 0 if no answer came in time.
+     * Sends one request on a connection of its own. {@code onStatus} gets the response status, or 0
+     * if no response came in time; it may be called more than once.
      */
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
--- a/lab/src/main/java/ottergauge/lab/client/Workload.java
+++ b/lab/src/main/java/ottergauge/lab/client/Workload.java
@@ -13,13 +13,15 @@
 import ottergauge.lab.scenario.Scenario.Tenant;
 
 /**
- * All requests of a play, drawn from its seed before it begins: what nodes do changes none of them.
+ * All requests of a run, drawn from the seed before the run starts, so that they do not depend on
+ * what the nodes do.
  */
 public final class Workload {
 
     /**
-     * A request to come; {@code followsRetryAfter} says that its client follows advice, {@code
-     * abandonFraction} after which part of its time its client leaves, or is negative.
+     * A planned request. {@code followsRetryAfter} says whether its client obeys the Retry-After
+     * header. {@code abandonFraction} is the fraction of the timeout after which its client closes
+     * the connection, or negative if it does not.
      */
     public record Request(
             int number,
@@ -33,7 +35,7 @@
 
     private Workload() {}
 
-    /** Draws all requests of a scenario, in the order of their instants. */
+    /** Draws all requests of a scenario, in the order of their start times. */
     public static List<Request> draw(Scenario scenario) {
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(scenario.seed());
         ZigguratSampler.Exponential interArrival = ZigguratSampler.Exponential.of(random);
@@ -55,7 +57,7 @@
             }
             at += interArrival.sample() * 1e6 / rate;
             int type = pick(classes, random);
-            // A few keys are far more popular than the rest: the square of a uniform draw.
+            // The square of a uniform draw makes a few keys far more popular than the rest.
             double draw = random.nextDouble();
             int key = (int) (draw * draw * scenario.classes().get(type).keys());
             if (at < scenario.length()) {
@@ -76,7 +78,7 @@
         return requests;
     }
 
-    // Log-normal, by its mean and its coefficient of variation.
+    // Log-normal with the class's mean and coefficient of variation.
     private static DoubleSupplier work(RequestClass type, UniformRandomProvider random) {
         if (type.spread() == 0) {
             return type::work;
--- a/lab/src/main/java/ottergauge/lab/discovery/DiscoveryStandIn.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/DiscoveryStandIn.java
@@ -38,18 +38,18 @@
 import ottergauge.lab.scenario.Scenario;
 
 /**
- * Stand-in discovery: one service for all nodes that works through calls in turn and may be short
- * of time.
+ * Stand-in for discovery, the same for all nodes. It handles calls one after the other at a limited
+ * rate, so calls may have to queue.
  */
 public final class DiscoveryStandIn {
 
     private static final String TARGET = "registry";
     private static final long MAX_WAIT_MS = 60_000;
     private static final long MS = 1_000;
-    // A watch that goes on so soon does not stand in the line again.
+    // A watch that is renewed this soon after its response does not queue again.
     private static final long CONTINUATION_WINDOW = 200 * MS;
-    // Whatever became of calls, a change counts as told so long after it was made and could be
-    // asked for.
+    // A node counts as informed of a change this long after the change was made and discovery was
+    // reachable, even if its calls failed.
     private static final long DRAIN_NOTICE_LIMIT = 6_000 * MS;
 
     private record Watch(ChannelHandlerContext ctx, int node, long after, long until) {}
@@ -63,10 +63,10 @@
     private final List<Link> links = new ArrayList<>();
     private final Set<Watch> watches = new LinkedHashSet<>();
 
-    /** Connections on which nothing comes any more. */
+    /** Connections on which discovery sends nothing any more. */
     private final Set<ChannelHandlerContext> silentConnections = new HashSet<>();
 
-    /** When a watch was answered last, for each connection that is open. */
+    /** When the last list was sent, for each open connection. */
     private final Map<ChannelHandlerContext, Long> lastAnswered = new HashMap<>();
 
     private final Map<Integer, Map<String, Long>> unconfirmedDrains = new LinkedHashMap<>();
@@ -74,13 +74,15 @@
     private boolean running = true;
     private boolean frozen;
 
-    /** From when on it has answered with what it knows. */
+    /** Since when discovery has answered calls with its current list. */
     private long reachableSince;
 
     private double callsPerSecond;
     private long freeAt;
 
-    /** {@code addressOf} gives the address under which a node finds the server of a place. */
+    /**
+     * {@code addressOf} returns the address under which a node reaches the server of a given name.
+     */
     public DiscoveryStandIn(
             Loop loop,
             Scenario scenario,
@@ -129,7 +131,8 @@
     }
 
     /**
-     * The watches that are open fall silent: their connections stay up, and nothing comes on them.
+     * Stops responding to all open watches: their connections stay open, but discovery sends
+     * nothing on them.
      */
     public void silenceWatches() {
         watches.forEach(watch -> silentConnections.add(watch.ctx()));
@@ -193,7 +196,7 @@
         }
     }
 
-    /** The list has changed: those who watch are told. */
+    /** Sends the changes to all open watches. */
     public void listChanged() {
         long now = loop.now();
         registry.since(0).stream()
@@ -245,7 +248,7 @@
         }
     }
 
-    /** It tells what it knew when it froze, or again what it knows. */
+    /** Serves the list as it is now and ignores later changes, or serves the current list again. */
     public void freeze(boolean freezeNow) {
         frozen = freezeNow;
         if (freezeNow) {
@@ -257,7 +260,7 @@
         }
     }
 
-    /** A line as a node is told it. */
+    /** The JSON object that describes an instance to a node. */
     public String instanceJson(int node, Instance instance) {
         return String.format(
                 Locale.ROOT,
@@ -271,7 +274,7 @@
                 instance.startedAtMs());
     }
 
-    // A node that asks for what is newer than a version has heard all of that.
+    // A node that asks for changes after a version has received everything up to it.
     private void confirmDrains(int node, long version) {
         unconfirmedDrains
                 .getOrDefault(node, Map.of())
@@ -286,7 +289,7 @@
                         });
     }
 
-    // From now on a node counts as told that a server leaves.
+    // Records that a node knows from now on that a server is leaving.
     private void markDrainKnown(int node, String server) {
         eventLog.lifetimes.values().stream()
                 .filter(lifetime -> lifetime.server.equals(server))
@@ -311,7 +314,7 @@
         }
     }
 
-    /** Its process is gone, or back. */
+    /** Simulates the end or the restart of the discovery process. */
     public void setRunning(boolean running) {
         this.running = running;
         if (running) {
@@ -323,7 +326,7 @@
         listeners.values().forEach(listener -> listener.setRunning(running));
     }
 
-    /** How many calls a second it works through from now on. */
+    /** Sets the number of calls per second that discovery handles. */
     public void setCallsPerSecond(double perSecond) {
         callsPerSecond = perSecond;
         reachableSince = loop.now();
--- a/lab/src/main/java/ottergauge/lab/discovery/ServiceRegistry.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/ServiceRegistry.java
@@ -7,18 +7,22 @@
 import java.util.Map;
 
 /**
- * The list of servers as discovery knows it, by versions; what it is told becomes known here late.
+ * The versioned list of server instances as discovery knows it. The caller decides how late a
+ * change is entered here.
  */
 public final class ServiceRegistry {
 
-    /** What the list says of a server. */
+    /** The state of a server instance in the list. */
     public enum Health {
         IN_SERVICE,
         TERMINATING,
         TERMINATED
     }
 
-    /** A line of the list; {@code serverName} is where the server stands, whatever its id. */
+    /**
+     * An entry of the list; {@code serverName} is the server's name in the scenario, which stays
+     * when a replacement gets another {@code id}.
+     */
     public record Instance(
             String id,
             String serverName,
@@ -34,7 +38,7 @@
     private List<Instance> frozen;
     private long frozenVersion;
 
-    /** Notes a server's state; the same as before is no news. */
+    /** Sets the state of a server instance; returns false if nothing has changed. */
     public boolean update(
             String id,
             String serverName,
@@ -58,7 +62,10 @@
         return true;
     }
 
-    /** From now on it tells what it knows now, whatever it is told. */
+    /**
+     * From now on the list is served as it is now; updates are recorded but not visible until
+     * {@link #thaw}.
+     */
     public void freeze() {
         frozen = List.copyOf(instances.values());
         frozenVersion = version;
@@ -76,7 +83,7 @@
         return frozen == null ? List.copyOf(instances.values()) : frozen;
     }
 
-    /** Whether this is still the last that is known of its server. */
+    /** Whether this is still the latest recorded state of its instance. */
     public boolean isLatest(Instance instance) {
         Instance listed = instances.get(instance.id());
         return listed != null
@@ -88,7 +95,9 @@
                         .isPresent();
     }
 
-    /** What has changed since a version; a frozen one knows of no change. */
+    /**
+     * The instances changed after a version, removed ones included; empty while the list is frozen.
+     */
     public List<Instance> since(long after) {
         List<Instance> updates = new ArrayList<>();
         if (frozen == null) {
--- a/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
@@ -7,13 +7,14 @@
 import java.util.Map;
 
 /**
- * What the stand-ins and clients saw, in the order in which they saw it: the only thing that the
- * checker and the figures go by. No node writes here. Instants are microseconds from the start of
- * the load.
+ * What the stand-ins and clients observed, in order; the rule checker and the statistics use
+ * nothing else, and nodes do not write here. Times are microseconds from the start of the load.
  */
 public final class EventLog {
 
-    /** A request as it was drawn: its first try and all further ones count as one. */
+    /**
+     * A planned request with all attempts of its client; retries do not count as further requests.
+     */
     public static final class ClientRequest {
         public final int number;
         public final int requestClass;
@@ -22,7 +23,7 @@
         public final long work;
         public final List<ClientAttempt> clientAttempts = new ArrayList<>(1);
 
-        /** Records a request; the instant and the work are microseconds. */
+        /** Creates a request; {@code intendedAt} and {@code work} are microseconds. */
         public ClientRequest(int number, int requestClass, int tenant, long intendedAt, long work) {
             this.number = number;
             this.requestClass = requestClass;
@@ -31,7 +32,7 @@
             this.work = work;
         }
 
-        /** The instant at which an answer came in a try's time that served it, or -1. */
+        /** When the first successful response arrived within an attempt's timeout, or -1. */
         public long servedAt() {
             return clientAttempts.stream()
                     .filter(t -> t.status == 200 && t.answeredAt <= t.sentAt + t.timeout)
@@ -41,49 +42,49 @@
         }
     }
 
-    /** How a try ended where no status says it. */
+    /** Values of {@link ClientAttempt#status} that are not HTTP status codes. */
     public static final int PENDING = 0;
 
     public static final int CONNECTION_LOST = -1;
     public static final int NO_CONNECTION = -2;
 
-    /** One request on the wire, with an id of its own. */
+    /** One attempt of a client, sent to one node under an id of its own. */
     public static final class ClientAttempt {
         public final ClientRequest request;
         public final String id;
         public final int node;
 
-        /** How long the client waits for its answer. */
+        /** How long the client waits for the response, in microseconds. */
         public final long timeout;
 
         /** When the last byte was written to the node, or -1. */
         public long sentAt = -1;
 
-        /** When its last answer came, or its connection ended; -1 if neither has. */
+        /** When the last response arrived or the connection ended; -1 if neither has happened. */
         public long answeredAt = -1;
 
-        /** When the client closed its connection, or -1. */
+        /** When the client closed its connection before its timeout, or -1. */
         public long clientClosedAt = -1;
 
-        /** When the client stopped waiting, or -1. */
+        /** When the client's timeout expired, or -1. */
         public long timedOutAt = -1;
 
         public int status = PENDING;
 
-        /** The advice on when to come back, or -1. */
+        /** The response's Retry-After in microseconds, or -1. */
         public long retryAfter = -1;
 
         public int responses;
 
-        /** Whether the body is what a server made for this try. */
+        /** Whether the response body is the one that a server created for this attempt. */
         public boolean bodyMatches = true;
 
-        /** Whether it was the first that its connection carried. */
+        /** Whether this was the first request on its connection. */
         public boolean firstOnConnection;
 
         public final List<ServerAttempt> serverAttempts = new ArrayList<>(1);
 
-        /** Records a try of a request at a node; {@code timeout} is microseconds. */
+        /** Creates an attempt of a request at a node; {@code timeout} is microseconds. */
         public ClientAttempt(ClientRequest request, String id, int node, long timeout) {
             this.request = request;
             this.id = id;
@@ -92,7 +93,7 @@
         }
     }
 
-    /** One request that reached a server whole. */
+    /** One request that a node sent to a server and that arrived there completely. */
     public static final class ServerAttempt {
         public final ClientAttempt clientAttempt;
         public final int node;
@@ -103,7 +104,7 @@
         public long endedAt = -1;
         public String end = "open";
 
-        /** Records an attempt that reached a server; instants are microseconds. */
+        /** Creates an attempt that reached a server; times are microseconds. */
         public ServerAttempt(
                 ClientAttempt clientAttempt, int node, String server, long firstByteAt, long at) {
             this.clientAttempt = clientAttempt;
@@ -114,10 +115,13 @@
         }
     }
 
-    /** An effect that a request had at a server, by what must not happen twice. */
+    /**
+     * A side effect that a request had at a server; {@code key} identifies what must not happen
+     * twice.
+     */
     public record Effect(long at, String key, String group, String server, ServerAttempt attempt) {}
 
-    /** What costs a server or discovery something beside requests. */
+    /** Load on a server or on discovery other than requests. */
     public enum Cost {
         PROBE,
         HANDSHAKE,
@@ -126,25 +130,25 @@
         TURNED_AWAY
     }
 
-    /** A cost that a node caused at a server or at discovery, at an instant in microseconds. */
+    /** A cost that a node caused at a server or at discovery; {@code at} is microseconds. */
     public record CostEntry(long at, Cost cost, int node, String target) {}
 
-    /** Something that happened to a process: a fault, a start, a state. */
+    /** Something that happened to a process: a fault, a start, a change of state. */
     public record Event(long at, String who, String what) {}
 
-    /** A server's time under one id: when it began to drain for each node, when it went. */
+    /** The lifetime of a server under one id. */
     public static final class ServerLifetime {
         public final String server;
         public final String zone;
         public final long startedAt;
         public final boolean cold;
 
-        /** When each node was told that it drains. */
+        /** When each node learned that this server drains. */
         public final Map<Integer, Long> drainKnownAt = new LinkedHashMap<>();
 
         public long collapsedAt = -1;
 
-        /** Records a start of a server at an instant in microseconds. */
+        /** Creates the lifetime of a server that starts at {@code startedAt}, in microseconds. */
         public ServerLifetime(String server, String zone, long startedAt, boolean cold) {
             this.server = server;
             this.zone = zone;
@@ -161,7 +165,7 @@
     public final List<Event> events = new ArrayList<>();
     public final Map<String, ServerLifetime> lifetimes = new LinkedHashMap<>();
 
-    /** Attempts whose id no client sent: a server took something that nobody asked for. */
+    /** Requests that arrived at a server with an id that no client has sent. */
     public final List<Event> unknownRequests = new ArrayList<>();
 
     public void addEvent(long at, String who, String what) {
--- a/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
@@ -15,13 +15,13 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
 /**
- * Decides by the ledger alone whether the rules were kept: each request that a running node took
- * gets one genuine answer in time, no effect happens twice, a draining server gets nothing new, no
- * cold server is pushed over. It knows nothing of how a node works.
+ * Checks the rules using the event log only: each request that a running node accepted gets one
+ * matching response in time, no effect happens twice, a draining server gets no new requests, no
+ * cold server collapses under load. It knows nothing of how a node works.
  */
 public final class RuleChecker {
 
-    /** The rules, and what a play may show beside them. */
+    /** The rules, and further failures that a run may show. */
     public enum Rule {
         ANSWER,
         EFFECT,
@@ -31,21 +31,19 @@
         CRASH
     }
 
-    /** One break of a rule, in words. */
+    /** One violation of a rule with a description. */
     public record Violation(Rule rule, long at, String what) {}
 
-    // Time limits on sockets are longer by this much; and an answer may come so late that it only
-    // earns
-    // nothing.
+    // Tolerance on time limits that are measured at sockets. A response may be late by up to
+    // LATE_LIMIT: it is then worth nothing, but no violation.
     private static final long SOCKET_SLACK = 50_000;
     private static final long LATE_LIMIT = 500_000;
-    // Two ends of a connection do not learn of its end at one instant.
+    // The two ends of a connection do not notice its end at the same time.
     private static final long OVERLAP_TOLERANCE = 5_000;
     private static final int REFUSED = 503;
     private static final int TOO_MANY_REQUESTS = 429;
-    // An attempt that begins so long after its client has left is for nobody; the first cases are
-    // put down to
-    // messages that crossed.
+    // An attempt that starts this long after its client has closed the connection has no recipient.
+    // The first cases are tolerated as messages that crossed on the network.
     private static final long ABANDON_TOLERANCE = 100_000;
     private static final int ALLOWED_ABANDONED_ATTEMPTS = 2;
     // New connections of a node that is told to end go on being taken for so long.
@@ -60,7 +58,7 @@
         this.eventLog = eventLog;
     }
 
-    /** All breaks of the rules in a play that has ended at {@code end}. */
+    /** Returns all violations of the rules in a run that ended at {@code end}. */
     public static List<Violation> check(Scenario scenario, EventLog eventLog, long end) {
         RuleChecker ruleChecker = new RuleChecker(scenario, eventLog);
         ruleChecker.responses(end);
@@ -70,7 +68,9 @@
         for (ServerLifetime lifetime : eventLog.lifetimes.values()) {
             if (lifetime.collapsedAt >= 0) {
                 ruleChecker.addViolation(
-                        Rule.COLD, lifetime.collapsedAt, lifetime.server + " was pushed over");
+                        Rule.COLD,
+                        lifetime.collapsedAt,
+                        lifetime.server + " collapsed under load while cold");
             }
         }
         for (Event each : eventLog.events) {
@@ -102,7 +102,7 @@
                 addViolation(
                         Rule.ANSWER,
                         each.answeredAt,
-                        each.id + " was served with what no server made for it");
+                        each.id + " got a response that no server created for it");
             } else if (each.responses > 1) {
                 addViolation(
                         Rule.ANSWER,
@@ -113,29 +113,29 @@
                         Rule.ANSWER,
                         each.sentAt,
                         each.id
-                                + " was taken by n"
+                                + " was accepted by n"
                                 + each.node
-                                + " and its connection ended with no answer");
+                                + " and its connection ended without a response");
             } else if (nodeRan && (each.answeredAt < 0 || each.answeredAt > due)) {
                 addViolation(
                         Rule.ANSWER,
                         each.sentAt,
                         each.id
-                                + " was taken by n"
+                                + " was accepted by n"
                                 + each.node
                                 + " and "
                                 + (each.answeredAt < 0
-                                        ? "never answered"
-                                        : "answered "
+                                        ? "never got a response"
+                                        : "got a response "
                                                 + (each.answeredAt - each.sentAt) / 1000
-                                                + " ms later, of "
+                                                + " ms later; timeout in ms: "
                                                 + each.timeout / 1000));
             }
         }
     }
 
-    // When each node did not run, or its clients could not reach it: what it had taken then is
-    // excused.
+    // The spans in which each node did not run or was unreachable for its clients. Requests that it
+    // had accepted then are excused.
     private Map<Integer, List<long[]>> unavailableSpans(long end) {
         Map<Integer, List<long[]>> spans = new HashMap<>();
         for (Event each : eventLog.events) {
@@ -153,7 +153,7 @@
                 nodeSpans.add(new long[] {each.at(), end});
             } else if (!nodeSpans.isEmpty()
                     && (what.startsWith("is started")
-                            || what.startsWith("goes on")
+                            || what.startsWith("continues")
                             || what.startsWith("can be reached"))) {
                 nodeSpans.get(nodeSpans.size() - 1)[1] = each.at();
             }
@@ -196,13 +196,13 @@
                         each.id
                                 + " was sent to "
                                 + each.serverAttempts.get(i).server
-                                + " while it was out at "
+                                + " while an attempt was in progress at "
                                 + before.server);
             }
         }
     }
 
-    // What may have run and is unsafe to repeat goes out once.
+    // A request that may have been executed and is unsafe to repeat is sent only once.
     private void unsafeRepeats(ClientAttempt each) {
         for (int i = 1; i < each.serverAttempts.size(); i++) {
             ServerAttempt before = each.serverAttempts.get(i - 1);
@@ -263,12 +263,15 @@
                                 + (each.firstByteAt - knownAt) / 1000
                                 + " ms after n"
                                 + each.node
-                                + " knew that it drains");
+                                + " learned that it drains");
             }
         }
     }
 
-    /** The attempts that began when their client had been away for long enough to be seen. */
+    /**
+     * The attempts that started after their client had closed its connection, long enough for the
+     * node to notice.
+     */
     public static List<ServerAttempt> attemptsAfterClientClosed(EventLog eventLog) {
         return eventLog.serverAttempts.stream()
                 .filter(
@@ -295,13 +298,13 @@
                                                 + (each.firstByteAt
                                                                 - each.clientAttempt.clientClosedAt)
                                                         / 1000
-                                                + " ms after its client had left n"
+                                                + " ms after its client had disconnected from n"
                                                 + each.node));
     }
 
     /**
-     * Keyed requests that ran twice because their clients tried again: no node's fault, but
-     * counted.
+     * Counts keyed requests that ran twice because their clients retried. No node is at fault for
+     * these.
      */
     public static long secondRuns(Scenario scenario, EventLog eventLog) {
         Map<String, Integer> runs = new HashMap<>();
--- a/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
@@ -18,10 +18,10 @@
 import ottergauge.lab.scenario.Scenario.LoadStep;
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
-/** What a play comes to, summed over all nodes from the ledger. */
+/** Statistics of a run, summed over all nodes from the event log. */
 public final class RunStatistics {
 
-    /** How a request ended, its further tries included. */
+    /** How a request ended, including its retries. */
     public enum Outcome {
         IN_TIME,
         LATE,
@@ -30,10 +30,11 @@
     }
 
     /**
-     * A span of the play. {@code worth} is the part of the offered worth that was served in time,
-     * {@code ideal} the part that an order which knows all could serve, {@code inverted} the part
-     * of the requests that were served, or refused, while one of higher or lower worth was the
-     * other.
+     * Statistics of an interval. {@code worth} is the fraction of the offered worth that was served
+     * in time. {@code ideal} is the fraction that a scheduler with perfect knowledge could serve.
+     * {@code inverted} is the fraction of the requests that were served while a request of higher
+     * worth was refused, or the reverse. The component names, or the names in their annotations,
+     * are field names of the report.
      */
     public record IntervalStats(
             long from,
@@ -52,7 +53,10 @@
             double turnedAway,
             double busiestProbes) {}
 
-    /** One second of the play. */
+    /**
+     * Counts for one second of the run. The component names, or the names in their annotations, are
+     * field names of the report.
+     */
     public record Second(
             int second,
             int offered,
@@ -77,7 +81,7 @@
     private final EventLog eventLog;
     private final Map<ClientRequest, Outcome> outcomes = new HashMap<>();
 
-    /** Prepares the figures of one run. */
+    /** Computes the outcome of each request of one run. */
     public RunStatistics(Scenario scenario, EventLog eventLog) {
         this.scenario = scenario;
         this.eventLog = eventLog;
@@ -117,7 +121,10 @@
         };
     }
 
-    /** The figures of the requests that were due in a span, and of what was paid in it. */
+    /**
+     * The statistics of the requests that were planned for an interval, and of the costs caused in
+     * it.
+     */
     public IntervalStats interval(long from, long to) {
         List<ClientRequest> requests =
                 eventLog.requests.stream()
@@ -164,7 +171,7 @@
                 .count();
     }
 
-    // The most probes that one server got in one second.
+    // The highest number of probes that one server got in one second.
     private double busiestProbes(long from, long to) {
         Map<String, Integer> bySecond = new HashMap<>();
         for (CostEntry each : eventLog.costs) {
@@ -175,8 +182,8 @@
         return bySecond.values().stream().mapToInt(n -> n).max().orElse(0);
     }
 
-    // Filled greedily by worth for the work, with all that the servers can do in the span and one
-    // aim more.
+    // Takes requests greedily by worth per work, until they use all work that the servers can do in
+    // the interval plus one latency objective.
     private double ideal(List<ClientRequest> requests, long from, long to) {
         long latencyObjective =
                 scenario.classes().stream()
@@ -206,7 +213,8 @@
         return worth;
     }
 
-    // In each second: the requests that changed places with one of another worth for its work.
+    // Sums over the seconds: the highest number of pairs of a request of one class that was served
+    // in time and a refused request with more worth per work.
     private double inverted(List<ClientRequest> requests) {
         Map<Long, List<ClientRequest>> bySecond = new TreeMap<>();
         requests.forEach(
@@ -245,9 +253,9 @@
     }
 
     /**
-     * How long after an instant service is back: until the first second from which on, for three
-     * seconds, 0.95 of the part of worth that was served in time before {@code before} is; -1 if it
-     * never is.
+     * The time after {@code after} until service has recovered: from then on, for {@code seconds}
+     * consecutive seconds, the fraction of the worth that is served in time is at least 0.95 of
+     * that before {@code before}. Returns -1 if this never happens.
      */
     public long backAfter(long before, long after, int seconds) {
         double recovered = RECOVERED_SHARE * interval(Math.min(SECOND, before / 2), before).worth();
@@ -263,7 +271,7 @@
         return -1;
     }
 
-    /** The spans of the load's steps. */
+    /** The statistics of each load step. */
     public List<IntervalStats> steps() {
         List<IntervalStats> spans = new ArrayList<>();
         List<LoadStep> steps = scenario.load();
@@ -276,7 +284,7 @@
         return spans;
     }
 
-    /** Returns the figures of each second of the run. */
+    /** Returns the counts of each second of the run. */
     @SuppressWarnings("EnumOrdinal") // Columns 1 to 4 stand in the order of End.
     public List<Second> seconds() {
         int count = (int) ((scenario.length() + SECOND - 1) / SECOND);
@@ -318,7 +326,7 @@
         }
     }
 
-    /** Times from the intended send to the answer that served, by class, in microseconds. */
+    /** Latency from the planned start to the successful response, by class, in microseconds. */
     public Map<String, Histogram> latencies() {
         Map<String, Histogram> byClass = new TreeMap<>();
         for (ClientRequest request : eventLog.requests) {
@@ -332,8 +340,8 @@
     }
 
     /**
-     * How many first sends, or probes and the like, each target got from all nodes in its worst 100
-     * ms.
+     * The highest number of costs of one kind that one target got from all nodes together within
+     * 100 ms.
      */
     public int worst100Ms(Cost cost) {
         Map<String, Integer> counts = new HashMap<>();
@@ -343,7 +351,7 @@
         return counts.values().stream().mapToInt(n -> n).max().orElse(0);
     }
 
-    /** How attempts ended, by what the servers say. */
+    /** The number of attempts for each outcome that the servers recorded. */
     public Map<String, Long> attemptEnds() {
         Map<String, Long> counts = new TreeMap<>();
         eventLog.serverAttempts.forEach(each -> counts.merge(each.end, 1L, Long::sum));
--- a/lab/src/main/java/ottergauge/lab/net/Link.java
+++ b/lab/src/main/java/ottergauge/lab/net/Link.java
@@ -10,11 +10,12 @@
 import ottergauge.lab.scenario.Scenario.Fault;
 
 /**
- * The way between two processes: its two lanes, its open connections, and whether new ones come up.
+ * The simulated network link between two processes: its two directions, its open connections, and
+ * how it treats new connections.
  */
 public final class Link {
 
-    /** What becomes of a connection that is asked for. */
+    /** How an attempt to connect is treated. */
     public enum AcceptMode {
         OPEN,
         REFUSE,
@@ -33,12 +34,12 @@
         backward = new OneWayLink(~seed, base, jitter);
     }
 
-    /** Bytes to the side that was connected to. */
+    /** The direction towards the side that accepts connections. */
     public OneWayLink forward() {
         return forward;
     }
 
-    /** Bytes from the side that was connected to. */
+    /** The direction from the side that accepts connections. */
     public OneWayLink backward() {
         return backward;
     }
@@ -47,7 +48,7 @@
         return acceptMode;
     }
 
-    /** Runs something whenever the door has changed. */
+    /** Sets a task that runs after each change of {@link #acceptMode}. */
     public void onAcceptModeChange(Runnable task) {
         acceptModeListener = task;
     }
@@ -60,12 +61,12 @@
         }
     }
 
-    /** Resets what is open. */
+    /** Resets all open connections. */
     public void resetAll() {
         new ArrayList<>(open).forEach(Link::reset);
     }
 
-    /** The machine at the other side is gone, or back. */
+    /** Simulates that the machine at the accepting side is gone or back. */
     public void setSilent(boolean loseAll) {
         acceptMode(loseAll ? AcceptMode.SILENT : AcceptMode.OPEN);
     }
@@ -78,12 +79,13 @@
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
     static void reset(Channel channel) {
-        // Not by force: the stand-in behind it has to hear of its end.
+        // Closed as usual instead of forcibly, so that the stand-in's handlers are notified.
+        // SO_LINGER 0 makes the close send a reset.
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
     }
 
-    /** Begins what a fault does to this link. */
+    /** Starts a fault on this link. */
     public void apply(Fault fault) {
         switch (fault.faultKind()) {
             case LINK_REFUSE -> acceptMode(AcceptMode.REFUSE);
@@ -109,7 +111,7 @@
         }
     }
 
-    /** Ends whatever is wrong with this link. */
+    /** Ends all faults of this link. */
     public void heal() {
         resetNew = false;
         forward.heal();
--- a/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
+++ b/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
@@ -10,15 +10,16 @@
 import java.util.function.Consumer;
 
 /**
- * What lies between a connection's socket and the stand-in behind it: all bytes of either way pass
- * its lane, which holds, delays, loses or slows them or cuts the connection. A lost byte of a
- * stream is never made up for: what comes behind it on that connection is not delivered either.
+ * Simulates a link between a connection's socket and the stand-in behind it. All bytes pass through
+ * the link's state for their direction, which holds, delays, loses or slows them or resets the
+ * connection. Lost bytes are not retransmitted: after a loss, nothing more is delivered on that
+ * connection in that direction.
  */
 public final class LinkHandler extends ChannelDuplexHandler {
 
     private record Chunk(ByteBuf bytes, Consumer<ByteBuf> deliver, long dueAt) {}
 
-    // The bytes of one way of one connection, in their order.
+    // The bytes of one direction of one connection, in order.
     private final class ByteStream {
         private final OneWayLink oneWay;
         private final Deque<Chunk> queue = new ArrayDeque<>();
@@ -96,7 +97,7 @@
     private final ByteStream out;
     private ChannelHandlerContext context;
 
-    /** {@code initiator} says that the stand-in is the side that opened the connection. */
+    /** {@code initiator} is true if the stand-in opened the connection. */
     public LinkHandler(Loop loop, Link link, boolean initiator) {
         this.loop = loop;
         this.link = link;
@@ -130,7 +131,8 @@
     @SuppressWarnings("FutureReturnValueIgnored")
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes && bytes.isReadable()) {
-            // Written as far as the stand-in is concerned: what becomes of it is the link's.
+            // The write is complete for the stand-in; the link decides whether and when the bytes
+            // are sent.
             promise.trySuccess();
             out.transfer(bytes, each -> ctx.writeAndFlush(each));
         } else {
--- a/lab/src/main/java/ottergauge/lab/net/Links.java
+++ b/lab/src/main/java/ottergauge/lab/net/Links.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All links of a play, by the names of their two sides: the one that connects first. */
+/** All links of a run, by the names of their two sides; the connecting side comes first. */
 public final class Links {
 
     private record Ends(String from, String to) {}
@@ -17,7 +17,7 @@
         this.seed = seed;
     }
 
-    /** Adds a link whose bytes take {@code base} to {@code base + jitter} microseconds. */
+    /** Adds a link with a latency of {@code base} to {@code base + jitter} microseconds. */
     public Link add(String from, String to, long base, long jitter) {
         Link link =
                 new Link(seed ^ (from + '/' + to).hashCode() * 0x9E3779B97F4A7C15L, base, jitter);
@@ -29,7 +29,7 @@
         return links.get(new Ends(from, to));
     }
 
-    /** The links between two sets of processes, whichever connects. */
+    /** Returns the links between two sets of processes, whichever side connects. */
     public List<Link> between(List<String> some, List<String> others) {
         return links.entrySet().stream()
                 .filter(
--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -20,9 +20,10 @@
 import java.util.function.Consumer;
 
 /**
- * An address at which a stand-in is connected to over one link. Open, it accepts; refusing, nothing
- * listens; silent, a listener that accepts nothing has its short queue filled by the rig itself, so
- * that the system answers no further connection, as if the machine were gone.
+ * A listening address of a stand-in, reached over one link. In mode ACCEPT it accepts connections.
+ * In mode REFUSE no socket listens. In mode SILENT a socket listens but accepts nothing, and the
+ * laboratory itself fills its short backlog. The operating system then responds to no further
+ * connection attempt, as if the machine were gone.
  */
 public final class Listener {
 
@@ -45,8 +46,8 @@
     private boolean closed;
 
     /**
-     * Listens at once, not on the loop; {@code onAccept} gets the pipeline of each connection,
-     * behind its link.
+     * Binds the address in the calling thread; {@code onAccept} gets the pipeline of each
+     * connection, with the link's handler already added.
      */
     public Listener(
             Loop loop, InetSocketAddress address, Link link, Consumer<ChannelPipeline> onAccept)
@@ -57,9 +58,9 @@
         this.onAccept = onAccept;
         link.onAcceptModeChange(this::rebind);
         ChannelFuture bound = open().awaitUninterruptibly();
-        // On a busy machine a process of the play before may hold this address for a moment: until
-        // the one
-        // that is being started has become its own program, it has all that the rig had open.
+        // On a busy machine the address may still be in use for a moment by a process of the
+        // previous run: between fork and exec, a child process has inherited all sockets of the
+        // laboratory.
         for (int attempts = 1; !bound.isSuccess() && attempts < MAX_BIND_ATTEMPTS; attempts++) {
             LockSupport.parkNanos(BIND_RETRY_PAUSE);
             bound = open().awaitUninterruptibly();
@@ -70,7 +71,7 @@
         }
     }
 
-    /** The process that listens here is gone, or back. */
+    /** Simulates that the process that listens here is gone or back. */
     public void setRunning(boolean running) {
         if (setRunning != running) {
             setRunning = running;
@@ -83,7 +84,8 @@
         bindWhenFree(++rebindCount);
     }
 
-    // The system gives an address back a moment after it was closed: until then it is tried again.
+    // The operating system frees an address a moment after its socket was closed; binding is
+    // retried until then.
     private void bindWhenFree(long rebind) {
         if (closed || rebind != rebindCount) {
             return;
@@ -133,7 +135,8 @@
         silentSocket = new ServerSocket();
         silentSocket.setReuseAddress(true);
         silentSocket.bind(address, SHORT_BACKLOG);
-        // Not waited for: a busy machine may take its time over them, but it takes them in turn.
+        // Does not wait for these connections: a busy machine may take its time, but handles them
+        // in order.
         for (int i = 0; i < BACKLOG_FILLERS; i++) {
             SocketChannel socket = SocketChannel.open();
             backlogFillers.add(socket);
@@ -163,11 +166,11 @@
                 each.close();
             }
         } catch (IOException e) {
-            // It was there to be in the way, and is not any more.
+            // The socket was only there to block the address, and is no longer needed.
         }
     }
 
-    /** Ends for good. */
+    /** Stops listening for good. */
     public void end() {
         closed = true;
         close();
--- a/lab/src/main/java/ottergauge/lab/net/Loop.java
+++ b/lab/src/main/java/ottergauge/lab/net/Loop.java
@@ -11,8 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The rig's one thread and its clock: stand-ins, faults and clients all run on it, in turn. It
- * counts how late it is with what it was to do: a rig that ran late has measured itself.
+ * The laboratory's single thread and its clock; stand-ins, faults and clients all run on it. It
+ * measures how late scheduled tasks run: if they run late, a run has measured the laboratory
+ * instead of the nodes.
  */
 public final class Loop implements AutoCloseable {
 
@@ -25,7 +26,7 @@
     private final Histogram lateness = new Histogram(MAX_LATENESS, 3);
     private long origin = System.nanoTime();
 
-    /** Starts the thread; it ends with {@link #close}. */
+    /** Starts the thread; it stops with {@link #close}. */
     public Loop() {
         group =
                 new MultiThreadIoEventLoopGroup(
@@ -37,18 +38,18 @@
         return loop;
     }
 
-    /** From here on instants count from now, and lateness is counted anew: on the loop only. */
+    /** Sets the clock to 0 and resets the lateness. Must be called on the loop. */
     public void begin() {
         origin = System.nanoTime();
         lateness.reset();
     }
 
-    /** Microseconds since the beginning; negative before it. */
+    /** Microseconds since {@link #begin}, or since the creation of this loop. */
     public long now() {
         return (System.nanoTime() - origin) / NANOS_PER_MICRO;
     }
 
-    /** Does something at an instant, or at once if that has passed. */
+    /** Runs a task at a time, or at once if that time has passed. */
     @SuppressWarnings("FutureReturnValueIgnored")
     public void at(long instant, Runnable task) {
         loop.schedule(
@@ -60,7 +61,7 @@
                 TimeUnit.MICROSECONDS);
     }
 
-    // Nobody looks at the future of a scheduled task: without this its failure would go unseen.
+    // Nobody checks the future of a scheduled task, so its failure would go unnoticed without this.
     private static void runLogged(Runnable task) {
         try {
             task.run();
@@ -74,7 +75,7 @@
         at(now() + span, task);
     }
 
-    /** How late things were done, in microseconds. */
+    /** How late scheduled tasks ran, in microseconds. */
     public Histogram lateness() {
         return lateness;
     }
--- a/lab/src/main/java/ottergauge/lab/net/LoopbackAddresses.java
+++ b/lab/src/main/java/ottergauge/lab/net/LoopbackAddresses.java
@@ -6,9 +6,9 @@
 import java.net.ServerSocket;
 
 /**
- * The loopback addresses of one play: each node reaches each server, discovery and each other node
+ * The loopback addresses of one run. Each node reaches each server, discovery and each other node
  * under an address of its own, so that the stand-in at the other end knows which link a connection
- * came over.
+ * uses.
  */
 public record LoopbackAddresses(int net, int port) {
 
@@ -21,8 +21,8 @@
     private static final int FIRST_LINK_OCTET = 100;
 
     /**
-     * Addresses that no other play uses: the socket given back holds them until it is closed. Ports
-     * are below the range that the system gives out by itself.
+     * Reserves a range of addresses that no other run uses; the returned socket holds it until it
+     * is closed. Ports are below the range from which the operating system assigns ephemeral ports.
      */
     public static ServerSocket reserve() throws IOException {
         for (int net = FIRST_NET; net <= LAST_NET; net++) {
@@ -42,7 +42,7 @@
         throw new IOException("no free range of loopback addresses");
     }
 
-    /** Returns the addresses of the range that a bound lock socket stands for. */
+    /** Returns the addresses of the range that a socket from {@link #reserve} holds. */
     public static LoopbackAddresses of(ServerSocket lock) {
         int net = lock.getInetAddress().getAddress()[1] & 0xff;
         return new LoopbackAddresses(
@@ -55,32 +55,32 @@
                 "127." + net + "." + thirdOctet + "." + fourthOctet, addressPort);
     }
 
-    /** Where a node listens for clients. */
+    /** Returns the address where a node listens for clients. */
     public InetSocketAddress node(int node) {
         return at(NODE_OCTET, node, port);
     }
 
-    /** Where one node finds one server. */
+    /** Returns the address under which a node reaches a server. */
     public InetSocketAddress server(int node, int server) {
         return at(FIRST_LINK_OCTET + node, server, port);
     }
 
-    /** Where a node finds discovery. */
+    /** Returns the address under which a node reaches discovery. */
     public InetSocketAddress registry(int node) {
         return at(DISCOVERY_OCTET, node, port);
     }
 
-    /** Where a node listens for what other nodes tell it. */
+    /** Returns the address where a node listens for messages of other nodes. */
     public InetSocketAddress peer(int node) {
         return at(NODE_OCTET, node, port + 1);
     }
 
-    /** Where one node finds another. */
+    /** Returns the address under which a node reaches another node. */
     public InetSocketAddress peer(int node, int other) {
         return at(FIRST_LINK_OCTET + node, other, port + 1);
     }
 
-    /** Reads HOST:PORT, as {@link #text} writes it. */
+    /** Parses HOST:PORT, the format of {@link #text}. */
     public static InetSocketAddress parse(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(
--- a/lab/src/main/java/ottergauge/lab/net/OneWayLink.java
+++ b/lab/src/main/java/ottergauge/lab/net/OneWayLink.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** One way of a link and what is wrong with it now; shared by all connections over it. */
+/** One direction of a link and the faults active on it, shared by all connections over the link. */
 public final class OneWayLink {
 
     private final SplittableRandom random;
@@ -23,7 +23,8 @@
     private final List<Runnable> waiting = new ArrayList<>();
 
     /**
-     * {@code base} is how long a byte takes with nothing wrong, and {@code baseJitter} its spread.
+     * {@code base} is the latency in microseconds without faults, and {@code baseJitter} its random
+     * spread.
      */
     OneWayLink(long seed, long base, long baseJitter) {
         random = new SplittableRandom(seed);
@@ -31,7 +32,7 @@
         this.baseJitter = baseJitter;
     }
 
-    /** Nothing arrives until it heals; then what was held does. */
+    /** Holds all bytes until the faults end; they are delivered then. */
     void hold() {
         held = true;
     }
@@ -57,12 +58,14 @@
         bytesPerSecond = bytes;
     }
 
-    /** A connection ends in the middle of what it carries, after so many more bytes. */
+    /**
+     * Resets a connection after it has carried this number of bytes, in the middle of a message.
+     */
     void cut(long bytes) {
         cutAfter = bytes;
     }
 
-    /** Whether all that goes this way is lost: the machine at its end is gone. */
+    /** Sets whether all bytes are lost, as if the machine at the receiving end were gone. */
     public void setLoseAll(boolean all) {
         loseAll = all;
     }
@@ -85,12 +88,12 @@
         return held;
     }
 
-    /** Runs something when this heals. */
+    /** Runs a task when the faults end. */
     void onHeal(Runnable task) {
         waiting.add(task);
     }
 
-    /** Whether nothing at all is wrong and no byte takes any time. */
+    /** Whether bytes can be passed on at once: none are held, delayed, lost or cut off. */
     boolean clear() {
         return !held
                 && !loseAll
@@ -100,13 +103,13 @@
                 && cutAfter < 0;
     }
 
-    /** How long the next bytes take on their way. */
+    /** Returns the latency of the next bytes, with jitter, in microseconds. */
     long latency() {
         long spread = jitter + baseJitter;
         return base + delay + (spread > 0 ? random.nextLong(spread) : 0);
     }
 
-    /** How long so many bytes take to be written at all. */
+    /** Returns how long the rate limit takes to send this number of bytes, in microseconds. */
     long transmissionTime(long bytes) {
         return bytesPerSecond > 0 ? (long) (bytes * 1e6 / bytesPerSecond) : 0;
     }
@@ -119,7 +122,7 @@
         return duplicateShare > 0 && random.nextDouble() < duplicateShare;
     }
 
-    /** Whether the next datagram is overtaken by those behind it. */
+    /** Whether the next datagram is overtaken by later ones. */
     boolean reordersNext() {
         return reorderShare > 0 && random.nextDouble() < reorderShare;
     }
--- a/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
@@ -14,7 +14,9 @@
 import ottergauge.lab.scenario.Scenario.Platform;
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
-/** Writes what a node is told at its start, as the platform would. Spans go out in milliseconds. */
+/**
+ * Writes a node's configuration file as the platform would. Durations are written in milliseconds.
+ */
 public final class NodeConfig {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -25,8 +27,8 @@
     private NodeConfig() {}
 
     /**
-     * The configuration of a node; {@code known} are the lines of the list that it had last, and
-     * {@code extra} is put into the root object as it is (null for nothing).
+     * Returns the configuration of a node. {@code known} are the entries of the endpoint list that
+     * the node had last. {@code extra} is merged into the root object; null for nothing.
      */
     public static String of(
             Scenario scenario,
@@ -131,7 +133,7 @@
         return settings;
     }
 
-    /** The zone that a node stands in: they go round. */
+    /** Returns a node's zone; nodes are assigned to the zones in turn. */
     public static String zoneOf(Scenario scenario, int node) {
         return scenario.zones().get((node - 1) % scenario.zones().size());
     }
--- a/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
@@ -10,7 +10,10 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** One node of the program under test: a process under a name, started again after its end. */
+/**
+ * One node of the program under test. The process can be started again after it has ended and keeps
+ * its name.
+ */
 public final class NodeProcess {
 
     private static final int LOG_TAIL = 2_000;
@@ -26,9 +29,9 @@
     private long cpuOfPreviousProcesses;
 
     /**
-     * {@code command} is a shell line run from {@code root}; {@code folder} is the node's own, with
-     * its configuration and logs; {@code exitListener} is told, on a thread of its own, that the
-     * process has ended.
+     * {@code command} is a shell command run in {@code root}. {@code folder} belongs to this node
+     * and holds its configuration and logs. {@code exitListener} is called on another thread when
+     * the process has ended.
      */
     public NodeProcess(
             int number,
@@ -46,8 +49,8 @@
         this.exitListener = exitListener;
     }
 
-    /** Starts it; the folder for files of its own is empty then, as the platform has it. */
-    // Nothing waits for the end of the process here: the consumer is told of it.
+    /** Starts the process. Its temporary folder is empty then, as on the platform. */
+    // Nothing waits for the end of the process here: the exit listener is called.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void start(String config) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
@@ -80,12 +83,12 @@
         return folder.resolve("log-" + startCount);
     }
 
-    /** Replaces its configuration, which it reads on SIGHUP and at its next start. */
+    /** Replaces the configuration, which the process reads on SIGHUP and at its next start. */
     public void configure(String config) throws IOException {
         Files.writeString(folder.resolve("config.json"), config);
     }
 
-    /** Sends the process a signal by its short name; nothing if it has ended. */
+    /** Sends the process a signal by its short name; does nothing if it has ended. */
     public void signal(String name) {
         if (isAlive()) {
             signals.send(name, process.pid());
@@ -108,7 +111,7 @@
         return startCount;
     }
 
-    /** The CPU that all of its processes have used, in microseconds. */
+    /** The CPU time of all processes of this node so far, in microseconds. */
     public long cpuMicros() {
         return cpuOfPreviousProcesses + (isAlive() ? cpuNow() : 0);
     }
@@ -117,7 +120,7 @@
         return process.info().totalCpuDuration().map(each -> each.toNanos() / 1_000).orElse(0L);
     }
 
-    /** Kills it, whatever it is doing; its CPU so far counts on. */
+    /** Kills the process, even if it is stopped. Its CPU time so far stays counted. */
     public void kill() {
         if (isAlive()) {
             cpuOfPreviousProcesses += cpuNow();
@@ -126,14 +129,17 @@
         }
     }
 
-    /** Waits for its end. */
+    /** Waits until the process has ended. */
     public void await() throws InterruptedException {
         if (process != null && !process.waitFor(10, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("n" + number + " cannot be ended");
+            throw new IllegalStateException(
+                    "n"
+                            + number
+                            + " still runs 10 s after the laboratory began to wait for its end");
         }
     }
 
-    /** The last lines of its log. */
+    /** The end of the current log. */
     public String logTail() {
         try {
             String text = Files.readString(log());
@@ -143,7 +149,7 @@
         }
     }
 
-    /** The lines of all of its logs that a word is in. */
+    /** The lines that contain a word, from the logs of all starts. */
     public List<String> logLines(String word) throws IOException {
         List<String> found = new java.util.ArrayList<>();
         for (int i = 1; i <= startCount; i++) {
--- a/lab/src/main/java/ottergauge/lab/node/Signals.java
+++ b/lab/src/main/java/ottergauge/lab/node/Signals.java
@@ -5,13 +5,15 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Sends signals through one shell that stays: nothing is started for each. */
+/**
+ * Sends signals through one long-lived shell, so that no process has to be started for each signal.
+ */
 public final class Signals implements AutoCloseable {
 
     private final Process shell;
     private final OutputStream shellInput;
 
-    /** Starts the shell; an {@link IOException} says that it cannot be started. */
+    /** Starts the shell; throws {@link IOException} if it cannot be started. */
     public Signals() throws IOException {
         shell =
                 new ProcessBuilder(
@@ -28,7 +30,7 @@
             shellInput.write((signal + " " + pid + "\n").getBytes(StandardCharsets.US_ASCII));
             shellInput.flush();
         } catch (IOException e) {
-            throw new IllegalStateException("no signal can be sent any more", e);
+            throw new IllegalStateException("cannot send a signal: the shell has ended", e);
         }
     }
 
--- a/lab/src/main/java/ottergauge/lab/program/DiscoveryCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/DiscoveryCommand.java
@@ -7,13 +7,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** A process of a scale test: discovery. */
+/** Runs the discovery stand-in of a scale test in a process of its own. */
 @Command(
         name = "discovery",
         hidden = true,
         mixinStandardHelpOptions = true,
         description =
-                "Stand in for discovery; orders come on standard input, and it ends with that.")
+                "Stand in for discovery; reads commands from standard input and exits at its end.")
 final class DiscoveryCommand implements Callable<Integer> {
 
     @Option(names = "--listen", required = true, description = "The address, as HOST:PORT.")
@@ -22,13 +22,13 @@
     @Option(
             names = "--calls-per-second",
             required = true,
-            description = "The calls that it works through.")
+            description = "The number of calls handled per second.")
     private double callsPerSecond;
 
     @Option(
             names = "--patience-us",
             required = true,
-            description = "How long a call may stand in line.")
+            description = "How long a call may queue, in microseconds.")
     private long patience;
 
     @Override
--- a/lab/src/main/java/ottergauge/lab/program/LinksCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/LinksCommand.java
@@ -6,13 +6,13 @@
 import ottergauge.lab.scale.link.LinksProcess;
 import picocli.CommandLine.Command;
 
-/** A process of a scale test: the links between regions. */
+/** Runs the links between regions of a scale test in a process of their own. */
 @Command(
         name = "links",
         hidden = true,
         mixinStandardHelpOptions = true,
         description =
-                "Relay bytes over links; orders come on standard input, and it ends with that.")
+                "Relay bytes over links; reads commands from standard input and exits at its end.")
 final class LinksCommand implements Callable<Integer> {
 
     @Override
--- a/lab/src/main/java/ottergauge/lab/program/Main.java
+++ b/lab/src/main/java/ottergauge/lab/program/Main.java
@@ -9,7 +9,7 @@
         name = "lab",
         mixinStandardHelpOptions = true,
         version = "ottergauge-lab 0.1.0",
-        description = "Plays fleets of nodes against stand-ins with faults between them.",
+        description = "Runs nodes against stand-ins and injects faults between them.",
         subcommands = {
             RunCommand.class,
             ScaleCommand.class,
--- a/lab/src/main/java/ottergauge/lab/program/RunCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/RunCommand.java
@@ -22,10 +22,10 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Plays one scenario: exit code 0 if all rules were kept, 1 if not or if it could not be played, 2
- * if bad.
+ * Runs one scenario. Exit code 0: all rules were kept; 1: they were not, or the run could not be
+ * completed; 2: the scenario is invalid.
  */
-@Command(name = "run", mixinStandardHelpOptions = true, description = "Play a scenario and report.")
+@Command(name = "run", mixinStandardHelpOptions = true, description = "Run a scenario and report.")
 final class RunCommand implements Callable<Integer> {
 
     private static final int BAD_INPUT = 2;
@@ -45,7 +45,7 @@
     @Option(
             names = "--command",
             description =
-                    "How a node is started; the line run of deploy/balancer.toml "
+                    "The shell command that starts a node; the run line of deploy/balancer.toml "
                             + "under the root unless given.")
     private String command;
 
@@ -57,7 +57,7 @@
     @Option(names = "--json", description = "Where the report for programs is written.")
     private Path json;
 
-    @Option(names = "--seconds", description = "Print the play second by second too.")
+    @Option(names = "--seconds", description = "Print the counts of each second too.")
     private boolean seconds;
 
     @Spec private CommandSpec spec;
@@ -96,14 +96,14 @@
         }
     }
 
-    /** The line {@code run} of the deploy file. */
+    /** Returns the value of {@code run} in the deployment file. */
     static String runLine(Path root) throws IOException, RunException {
         Path deploy = root.resolve("deploy/balancer.toml");
         Matcher run =
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
                         .matcher(Files.readString(deploy));
         if (!run.find()) {
-            throw new RunException(deploy + ": no line run");
+            throw new RunException(deploy + ": the line run = is missing");
         }
         return run.group(1);
     }
--- a/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
@@ -19,13 +19,13 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Plays one scale test: exit code 0 if all nodes came to go by all that was changed, 1 if not, if
- * the rig was late or if it could not be played, 2 if the scenario is wrong.
+ * Runs one scale test. Exit code 0: all changes took effect on all nodes; 1: they did not, the
+ * laboratory itself ran late, or the run could not be completed; 2: the scenario is invalid.
  */
 @Command(
         name = "scale",
         mixinStandardHelpOptions = true,
-        description = "Play a scale test with hollow nodes and report.")
+        description = "Run a scale test with hollow nodes and report.")
 final class ScaleCommand implements Callable<Integer> {
 
     private static final int BAD_INPUT = 2;
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -22,17 +22,20 @@
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.LoadStep;
 
-/** What a play came to, for people and for programs. */
+/** The report of a run, as text and as JSON. */
 public final class Report {
 
-    /** Whether a play says anything: a rig that was late, or short of CPU, has measured itself. */
+    /**
+     * The verdict on a run. {@code RIG_LATE} means that the laboratory's own tasks ran late, so the
+     * run has measured the laboratory instead of the nodes.
+     */
     public enum Verdict {
         KEPT,
         BROKEN,
         RIG_LATE
     }
 
-    // A hundredth of what the rig did may be so late.
+    // At most 1% of the laboratory's tasks may run later than this, in microseconds.
     private static final long LATE_P99 = 20_000;
     private static final int SHOWN = 10;
     private static final double MS = 1_000;
@@ -43,7 +46,7 @@
     private final List<Violation> violations;
     private final RunStatistics statistics;
 
-    /** Checks the rules on what was recorded and computes the figures. */
+    /** Checks the rules on the recorded events and computes the statistics. */
     public Report(RunResult result) {
         this.result = result;
         scenario = result.scenario();
@@ -51,7 +54,7 @@
         statistics = new RunStatistics(scenario, result.eventLog());
     }
 
-    /** Returns the verdict; {@code RIG_LATE} goes before a broken rule. */
+    /** Returns the verdict; {@code RIG_LATE} takes precedence over a broken rule. */
     public Verdict verdict() {
         return result.lateP99() > LATE_P99
                 ? Verdict.RIG_LATE
@@ -67,19 +70,24 @@
     }
 
     /**
-     * The burst of a play: the step with the highest load, and how long after it service is back;
-     * or null.
+     * The overload burst of a run: the statistics before and during it, and how long after its end
+     * service has recovered, in microseconds, or -1. The component names are field names of the
+     * report.
      */
     public record Burst(IntervalStats before, IntervalStats during, long backAfter) {
         /**
-         * The worth served in time during the burst, of what an order that knows all could serve.
+         * The worth served in time during the burst, relative to what a scheduler with perfect
+         * knowledge could serve.
          */
         public double ofIdeal() {
             return during.worth() / during.ideal();
         }
     }
 
-    /** Returns the burst of the scenario; null if its load has none. */
+    /**
+     * Returns the burst of the scenario, the load step above the servers' capacity that is followed
+     * by one below it; null if there is none.
+     */
     public Burst burst() {
         List<LoadStep> steps = scenario.load();
         for (int i = 1; i + 1 < steps.size(); i++) {
@@ -95,7 +103,7 @@
         return null;
     }
 
-    /** Prints the report for people. */
+    /** Prints the report as text. */
     public void print(PrintWriter out) {
         out.printf(
                 Locale.ROOT,
@@ -135,13 +143,13 @@
         if (burst != null) {
             out.printf(
                     Locale.ROOT,
-                    "burst: %.3f of what an order that knows all would serve; %s%n",
+                    "burst: %.3f of what a scheduler with perfect knowledge would serve; %s%n",
                     burst.ofIdeal(),
                     burst.backAfter() < 0
-                            ? "service never comes back"
+                            ? "service does not recover"
                             : String.format(
                                     Locale.ROOT,
-                                    "service is back %.1f s after its end",
+                                    "service recovers %.1f s after its end",
                                     burst.backAfter() / SECOND));
         }
         for (Map.Entry<String, Histogram> each : statistics.latencies().entrySet()) {
@@ -155,7 +163,7 @@
         }
         out.println("attempts: " + statistics.attemptEnds());
         out.printf(
-                "clients that left: %d; attempts for those that had: %d%n",
+                "clients that closed their connections: %d; attempts for them afterwards: %d%n",
                 result.eventLog().clientAttempts.values().stream()
                         .filter(each -> each.clientClosedAt >= 0)
                         .count(),
@@ -183,7 +191,7 @@
         out.flush();
     }
 
-    /** The per-second table. */
+    /** Prints the counts of each second as a table. */
     public void printSeconds(PrintWriter out) {
         out.println(" s offered in time late refused failed tries att. probes shakes lists away");
         for (Second s : statistics.seconds()) {
@@ -205,7 +213,7 @@
         out.flush();
     }
 
-    /** The same for programs. */
+    /** Writes the report as JSON. */
     public void write(Path file) throws IOException {
         Map<String, Object> root = new LinkedHashMap<>();
         root.put("scenario", scenario.name());
--- a/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
+++ b/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
@@ -14,7 +14,10 @@
 import ottergauge.lab.scenario.Scenario.Fault;
 import ottergauge.lab.server.ServerStandIn;
 
-/** Begins and ends each fault of a play at its time, with whom it befalls drawn from the seed. */
+/**
+ * Starts and ends each fault of a run at its time; targets that the scenario does not name are
+ * chosen at random from the seed.
+ */
 final class FaultSchedule {
 
     private static final int NORMAL_SPEED = 1;
@@ -177,7 +180,7 @@
         return numbers.stream().filter(number -> number <= count).distinct().toList();
     }
 
-    /** The single processes that names stand for. */
+    /** Expands group names to the names of single processes. */
     private List<String> names(List<String> named) {
         List<String> names = new ArrayList<>();
         for (String name : named) {
--- a/lab/src/main/java/ottergauge/lab/run/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/run/Fleet.java
@@ -20,12 +20,11 @@
 import ottergauge.lab.scenario.Scenario;
 
 /**
- * The nodes of a play: started, stalled, killed and started again, each under its name and
- * addresses.
+ * The nodes of a run. Starts, stalls, kills and restarts them, each under its name and addresses.
  */
 final class Fleet implements AutoCloseable {
 
-    // A node's time on its core is given and taken in steps of this length.
+    // CPU limits are enforced by stopping and continuing a node in periods of this length.
     private static final long DUTY_PERIOD = 40_000;
 
     private final Loop loop;
@@ -44,8 +43,8 @@
     private boolean closed;
 
     /**
-     * {@code knownInstances} gives the lines of the server list that a node had last, {@code
-     * extras} what its configuration has beside the usual.
+     * {@code knownInstances} returns the entries of the endpoint list that a node had last; {@code
+     * extras} returns additional configuration.
      */
     Fleet(
             Loop loop,
@@ -120,7 +119,7 @@
         }
     }
 
-    /** From now on it has this part of a core. */
+    /** Limits a node to this fraction of a core from now on. */
     void cores(int number, double fraction) {
         boolean alreadyThrottled = cores[number] < 1;
         cores[number] = fraction;
@@ -129,7 +128,7 @@
         }
     }
 
-    // Runs for its part of each step and stands still for the rest of it.
+    // Lets the node run for its fraction of each period and stops it for the rest.
     private void runDutyCycle(int number, int start) {
         NodeProcess node = node(number);
         if (closed || node.startCount() != start || !node.isAlive() || cores[number] >= 1) {
@@ -152,7 +151,7 @@
         loop.after(DUTY_PERIOD, () -> runDutyCycle(number, start));
     }
 
-    /** Kills it outright and starts it again after a while. */
+    /** Kills a node with SIGKILL and starts it again after a delay. */
     void kill(int number, long after) {
         expectedExits.add(number);
         loadGenerator.setAlive(number, false);
@@ -161,7 +160,7 @@
         loop.after(after, () -> startAfterExit(number));
     }
 
-    // The old process has to be gone: its address is the new one's.
+    // The old process must have ended, since the new one listens on the same address.
     private void startAfterExit(int number) {
         if (node(number).isAlive()) {
             loop.after(5_000, () -> startAfterExit(number));
@@ -170,10 +169,13 @@
         }
     }
 
-    /** Tells it to end, kills it after the platform's time, and starts it again. */
+    /**
+     * Sends SIGTERM, kills the node if it has not ended within the platform's limit, and starts it
+     * again after a delay.
+     */
     void terminate(int number, long after) {
         expectedExits.add(number);
-        eventLog.addEvent(loop.now(), "n" + number, "is told to end");
+        eventLog.addEvent(loop.now(), "n" + number, "gets SIGTERM");
         node(number).signal("TERM");
         long maxDeadline =
                 scenario.classes().stream()
@@ -185,7 +187,8 @@
                 maxDeadline + 700_000,
                 () -> {
                     if (node(number).startCount() == start && node(number).isAlive()) {
-                        eventLog.addEvent(loop.now(), "n" + number, "is killed: it did not end");
+                        eventLog.addEvent(
+                                loop.now(), "n" + number, "is killed: it did not exit in time");
                         loadGenerator.setAlive(number, false);
                         node(number).kill();
                     }
@@ -203,7 +206,7 @@
 
     void reload(int number) {
         node(number).signal("HUP");
-        eventLog.addEvent(loop.now(), "n" + number, "is told to read its configuration");
+        eventLog.addEvent(loop.now(), "n" + number, "gets SIGHUP to reload its configuration");
     }
 
     void stall(int number) {
@@ -215,7 +218,7 @@
     void resume(int number) {
         stalled.remove(number);
         node(number).signal("CONT");
-        eventLog.addEvent(loop.now(), "n" + number, "goes on");
+        eventLog.addEvent(loop.now(), "n" + number, "continues");
     }
 
     private void handleExit(NodeProcess node) {
--- a/lab/src/main/java/ottergauge/lab/run/RunException.java
+++ b/lab/src/main/java/ottergauge/lab/run/RunException.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.lab.run;
 
-/** A play that could not be played to its end; it says nothing of the rules. */
+/** A run that could not be completed, and therefore says nothing about the rules. */
 public final class RunException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
+++ b/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
@@ -26,14 +26,14 @@
 import ottergauge.lab.scenario.Scenario;
 
 /**
- * Plays a scenario with real nodes: starts everything, plays load and faults, and leaves nothing
- * running.
+ * Runs a scenario with real nodes: starts everything, applies load and faults, and leaves no
+ * process, port or thread behind.
  */
 public final class ScenarioRun {
 
     /**
-     * How the nodes are started: a shell line run from a folder, and what their configuration has
-     * more.
+     * How the nodes are started: a shell command, the folder in which it runs, and additional
+     * configuration.
      */
     public record Program(String command, Path root, IntFunction<ObjectNode> extras) {
         public Program(String command, Path root) {
@@ -41,7 +41,11 @@
         }
     }
 
-    /** What was played: the ledger, how late the rig was, and the CPU that each side took. */
+    /**
+     * The result of a run: the event log, how late the laboratory's own tasks ran (microseconds),
+     * the CPU cores that the laboratory and the nodes used, and for each node the lines of its logs
+     * that contain "level".
+     */
     public record RunResult(
             Scenario scenario,
             EventLog eventLog,
@@ -53,7 +57,8 @@
 
     private static final long READY_TIMEOUT_S = 60;
     private static final long READY_CHECK_INTERVAL = 20_000;
-    // After the last request's time, for what is late to be seen.
+    // The run goes on for this long after the deadline of the last request, so that late responses
+    // are recorded.
     private static final long LATE_RESPONSE_TIME = 1_700_000;
 
     private final Scenario scenario;
@@ -61,14 +66,14 @@
     private final Path folder;
     private final EventLog eventLog = new EventLog();
 
-    /** {@code folder} keeps the nodes' configurations and logs. */
+    /** {@code folder} is where the nodes' configurations and logs are kept. */
     public ScenarioRun(Scenario scenario, Program program, Path folder) {
         this.scenario = scenario;
         this.program = program;
         this.folder = folder;
     }
 
-    /** Plays it; no process, port or thread is left, however it ends. */
+    /** Runs the scenario; no process, port or thread is left behind, however the run ends. */
     public RunResult run() throws RunException, IOException, InterruptedException {
         try (ServerSocket lock = LoopbackAddresses.reserve();
                 Loop loop = new Loop()) {
@@ -170,7 +175,7 @@
         try {
             loop.netty().submit(task).get();
         } catch (ExecutionException e) {
-            throw new RunException("the rig failed: " + e.getCause());
+            throw new RunException("a task of the laboratory failed: " + e.getCause());
         }
     }
 
@@ -181,11 +186,11 @@
         } catch (ExecutionException e) {
             throw new RunException(e.getCause().getMessage());
         } catch (TimeoutException e) {
-            throw new RunException("the play did not come to its end in " + seconds + " s");
+            throw new RunException("the run did not finish within " + seconds + " s");
         }
     }
 
-    // Looks on the loop, so that all that the front knows is read on its own thread.
+    // The checks run on the loop, since the state of the front end may be read on its thread only.
     private void awaitReady(Loop loop, Fleet fleet, LoadGenerator loadGenerator)
             throws InterruptedException, RunException {
         CompletableFuture<Void> ready = new CompletableFuture<>();
--- a/lab/src/main/java/ottergauge/lab/run/Servers.java
+++ b/lab/src/main/java/ottergauge/lab/run/Servers.java
@@ -21,7 +21,7 @@
 import ottergauge.lab.server.DeduplicationCache;
 import ottergauge.lab.server.ServerStandIn;
 
-/** The servers of a play and discovery, which learns of them late. */
+/** The server stand-ins of a run and discovery, which learns of their changes with a delay. */
 final class Servers {
 
     static final String REGISTRY = "registry";
@@ -111,7 +111,7 @@
         return discovery;
     }
 
-    /** The list's lines as a node is told them now. */
+    /** Returns the list's current entries, as sent to a node. */
     List<String> instanceList(int node) {
         return registry.fullList().stream()
                 .map(instance -> discovery.instanceJson(node, instance))
@@ -135,7 +135,7 @@
         }
     }
 
-    // Discovery hears of it after a while: of what is so now.
+    // Discovery learns of a change after the delay, as it was when this was called.
     private void updateLater(String id, ServerStandIn server, Health health, long startedAtMs) {
         loop.after(
                 scenario.registry().noticeDelay(),
@@ -166,7 +166,7 @@
         updateRegistry(server.id(), server, Health.TERMINATING, server.startedAtMs());
     }
 
-    /** A drained server's place is taken by another, cold, at the same address. */
+    /** Replaces a drained server with a new, cold one at the same address. */
     void replace(ServerStandIn server) {
         String oldId = server.id();
         long previousStartMs = server.startedAtMs();
--- a/lab/src/main/java/ottergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/Scenario.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A play as it is written down: a fleet, its load and a timetable of faults. Spans and instants are
- * microseconds, instants from the start of the load.
+ * A scenario: nodes, servers, their load and a schedule of faults. Durations and times are
+ * microseconds; times count from the start of the load. Names in the scenario file are in {@link
+ * ScenarioReader}.
  */
 public record Scenario(
         String name,
@@ -24,8 +25,9 @@
         List<Fault> faults) {
 
     /**
-     * The nodes; {@code cores} is the part of a core that each has, kept by stopping and continuing
-     * it; {@code firstNodeWeight} is how many times the traffic of the others the first one has.
+     * The nodes. {@code cores} is the fraction of a core that each node has, enforced by stopping
+     * and continuing it. {@code firstNodeWeight} is the traffic of the first node as a multiple of
+     * that of each other node.
      */
     public record Nodes(
             int count,
@@ -35,7 +37,10 @@
             double firstNodeWeight,
             boolean peerMessages) {}
 
-    /** Whether a request's running holds a core, or waits on others for part of its time. */
+    /**
+     * A kind of servers: how many there are and how fast they work, what they accept, how they warm
+     * up, and what connections and probes cost.
+     */
     public record ServerKind(
             String name,
             int count,
@@ -53,20 +58,26 @@
             double errorRate,
             boolean reports) {}
 
-    /** What a repeat of a request may do. */
+    /**
+     * What a repeat of a request does: it is harmless, it is deduplicated by its idempotency key,
+     * or it repeats the effect.
+     */
     public enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** Which servers drop repeats of a keyed request together. */
+    /** Which servers deduplicate a keyed request together. */
     public enum Group {
         ALL,
         ZONE
     }
 
-    /** A class of requests; {@code work} is the mean time that it holds a core of speed one. */
+    /**
+     * A class of requests; {@code work} is the mean time for which a request occupies a core of
+     * speed 1, {@code waitTime} the time that it runs in addition without using a core.
+     */
     public record RequestClass(
             String name,
             double share,
@@ -82,13 +93,14 @@
             long window,
             int keys) {}
 
-    /** Who brings requests: its part of the traffic and of the service. */
+    /** A tenant: its share of the traffic and its share of the capacity. */
     public record Tenant(String name, double trafficShare, double capacityShare) {}
 
     /**
-     * What clients do: further tries of a request, the wait before one, the part of them that
-     * follows advice on when to come back, the part of the deadline after which a try is given up,
-     * and the part of the requests whose client leaves before that.
+     * How clients behave: the number of retries and the pause before each, the share of clients
+     * that obey Retry-After, the fraction of the deadline after which an attempt times out, whether
+     * retries are marked as such, how late the front end notices that a node does not respond, and
+     * the share of requests whose client closes its connection before the timeout.
      */
     public record Clients(
             int maxRetries,
@@ -99,20 +111,23 @@
             long noticeDelay,
             double abandonShare) {}
 
-    /** From an instant on, the load as a part of what all servers can do. */
+    /** The load from a time on, as a fraction of the capacity of all servers. */
     public record LoadStep(long from, double rate) {}
 
-    /** Times of one way between two processes, beyond what loopback takes. */
+    /**
+     * One-way latencies between a node and a server in the same zone or in another one, and their
+     * jitter, in addition to those of loopback.
+     */
     public record Network(long sameZone, long crossZone, long jitter) {}
 
     /**
-     * Discovery: how late it learns, how many calls a second it answers, how long one may wait in
-     * turn, and how often a node has to ask that does not watch.
+     * Discovery: how late it learns of changes, how many calls it handles per second, how long a
+     * call may queue, and how often a node must poll that does not watch.
      */
     public record Registry(
             long noticeDelay, double callsPerSecond, long maxQueueTime, long maxPollInterval) {}
 
-    /** What the deployment permits and asks; it becomes the nodes' settings. */
+    /** What the deployment permits and requires; it becomes the nodes' settings. */
     public record Platform(
             boolean probes,
             boolean cancel,
@@ -128,7 +143,7 @@
             long connectTimeout,
             long answerSlack) {}
 
-    /** What can go wrong. */
+    /** The kinds of faults. Scenario files have these names in lower case with hyphens. */
     public enum FaultKind {
         NODE_KILL,
         NODE_TERM,
@@ -159,7 +174,10 @@
         REGISTRY_SILENT
     }
 
-    /** Which way of a link is meant: to the side that was connected to, from it, or both. */
+    /**
+     * The direction of a link that a fault affects: towards the side that accepts connections, from
+     * it, or both.
+     */
     public enum Direction {
         THERE,
         BACK,
@@ -167,10 +185,10 @@
     }
 
     /**
-     * A fault and its end. {@code targets} names processes, or is empty for {@code fraction} of
-     * them, drawn from the seed; for links {@code targets} is the one side and {@code peers} the
-     * other. {@code amount} is the kind's own figure (a factor, a share, bytes), {@code span} its
-     * time, {@code jitter} that time's spread.
+     * A fault and how long it lasts. {@code targets} names processes; if empty, {@code fraction} of
+     * them are chosen at random from the seed. For links, {@code targets} is one side and {@code
+     * peers} the other. {@code amount} is a figure whose meaning depends on the kind (a factor, a
+     * share, bytes), {@code span} a duration and {@code jitter} its spread.
      */
     public record Fault(
             long at,
@@ -185,14 +203,14 @@
             long jitter,
             int index) {}
 
-    /** The same with another seed. */
+    /** Returns this scenario with another seed. */
     public Scenario withSeed(long other) {
         return new Scenario(
                 name, other, length, zones, nodes, servers, classes, tenants, clients, load,
                 network, registry, platform, faults);
     }
 
-    /** Requests a second that all servers together can serve, each busy with nothing else. */
+    /** The requests per second that all servers together can serve if they do nothing else. */
     public double capacity() {
         double cores =
                 servers.stream()
@@ -207,7 +225,7 @@
         return classes.stream().mapToDouble(type -> type.share() * type.work()).sum() / shares;
     }
 
-    /** The load at an instant, as a part of the capacity. */
+    /** The load at a time, as a fraction of the capacity. */
     public double rateAt(long at) {
         double rate = 0;
         for (LoadStep step : load) {
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioException.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioException.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.lab.scenario;
 
-/** A scenario that cannot be played; the message names file, line, key and what is allowed. */
+/** An invalid scenario; the message names file, line, key and what is allowed. */
 public final class ScenarioException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
@@ -24,7 +24,7 @@
 import ottergauge.lab.scenario.Scenario.Tenant;
 import ottergauge.lab.scenario.YamlMapping.Range;
 
-/** Reads scenarios from YAML and checks them whole before anything is started. */
+/** Reads scenarios from YAML and checks them completely before anything is started. */
 public final class ScenarioReader {
 
     // Loopback addresses have one byte for a server and one for a node.
@@ -43,7 +43,7 @@
         return read(path.getFileName().toString(), Files.readString(path));
     }
 
-    /** Reads a scenario's text; {@code file} is what messages call it. */
+    /** Parses a scenario's text; {@code file} is its name in error messages. */
     public static Scenario read(String file, String text) throws ScenarioException {
         return new ScenarioReader(file).scenario(YamlMapping.root(file, text));
     }
@@ -81,7 +81,10 @@
                         e.count("count"),
                         e.count("memory_mb", 192),
                         e.count("sockets", 1024),
-                        e.number("cores", new Range(0.05, 1, "a part of a core from 0.05 to 1"), 1),
+                        e.number(
+                                "cores",
+                                new Range(0.05, 1, "a fraction of a core from 0.05 to 1"),
+                                1),
                         e.number("busiest", Range.POSITIVE, 1),
                         e.flag("talk", false));
         if (nodes.count() > MAX_NODES) {
@@ -150,7 +153,7 @@
                 throw e.fault("deadline", "a time not before the aim");
             }
             if (!names.add(type.name())) {
-                throw e.fault("name", "a name of its own");
+                throw e.fault("name", "a unique name");
             }
             classes.add(type);
         }
@@ -195,7 +198,8 @@
             e.rejectUnknownKeys();
             if (step.from() >= length
                     || (!steps.isEmpty() && step.from() <= steps.get(steps.size() - 1).from())) {
-                throw e.fault("from", "a time after the step before and before the play's end");
+                throw e.fault(
+                        "from", "a time after the previous step and before the end of the run");
             }
             steps.add(step);
         }
@@ -248,7 +252,7 @@
             FaultKind faultKind = e.oneOf("what", FaultKind.class, null);
             long at = e.span("at");
             if (at >= length) {
-                throw e.fault("at", "a time before the play's end");
+                throw e.fault("at", "a time before the end of the run");
             }
             List<String> targets = e.texts("who");
             double fraction =
@@ -293,7 +297,7 @@
                                         + fault.index()
                                         + ": "
                                         + name
-                                        + ": no process of this play; allowed are n1 to n"
+                                        + ": no process of this scenario; allowed are n1 to n"
                                         + scenario.nodes().count()
                                         + ", s1 to s"
                                         + servers(scenario)
@@ -308,7 +312,7 @@
                         file
                                 + ": faults: "
                                 + fault.index()
-                                + ": who, to: a link has two sides; both are named");
+                                + ": who, to: a link has two sides; both must be named");
             }
         }
     }
--- a/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
@@ -19,15 +19,15 @@
 import org.snakeyaml.engine.v2.nodes.SequenceNode;
 
 /**
- * A mapping of a scenario file that knows its lines. Each value is asked for with what it may be;
- * what nobody asked for is an unknown key and is told by {@link #rejectUnknownKeys}.
+ * A mapping of a scenario file that knows its line numbers. Each value is read with the values that
+ * are allowed; {@link #rejectUnknownKeys} reports keys that were never read.
  */
 public final class YamlMapping {
 
-    /** What a number may be. */
+    /** The range of allowed numbers, and its description for error messages. */
     public record Range(double min, double max, String words) {
-        public static final Range PART = new Range(0, 1, "a part from 0 to 1");
-        public static final Range POSITIVE = new Range(1e-9, 1e9, "a number over 0");
+        public static final Range PART = new Range(0, 1, "a fraction from 0 to 1");
+        public static final Range POSITIVE = new Range(1e-9, 1e9, "a number greater than 0");
         public static final Range ANY = new Range(0, 1e9, "a number of 0 or more");
         public static final Range COUNT = new Range(1, 100_000, "a whole number of 1 or more");
     }
@@ -45,7 +45,9 @@
         this.line = line;
     }
 
-    /** Reads a file's text, which is one mapping; {@code file} is what messages call it. */
+    /**
+     * Parses a file's text, which must be one mapping; {@code file} is its name in error messages.
+     */
     public static YamlMapping root(String file, String text) throws ScenarioException {
         try {
             return of(
@@ -53,27 +55,25 @@
                     new Compose(LoadSettings.builder().setLabel(file).build())
                             .composeReader(new StringReader(text))
                             .orElseThrow(
-                                    () ->
-                                            new ScenarioException(
-                                                    file + ":1: expected keys with values")));
+                                    () -> new ScenarioException(file + ":1: expected a mapping")));
         } catch (MarkedYamlEngineException e) {
             int line = e.getProblemMark().map(mark -> mark.getLine() + 1).orElse(0);
-            throw new ScenarioException(file + ":" + line + ": no YAML: " + e.getProblem());
+            throw new ScenarioException(file + ":" + line + ": invalid YAML: " + e.getProblem());
         } catch (YamlEngineException e) {
-            throw new ScenarioException(file + ": no YAML: " + e.getMessage());
+            throw new ScenarioException(file + ": invalid YAML: " + e.getMessage());
         }
     }
 
     private static YamlMapping of(String file, Node node) throws ScenarioException {
         int line = line(node);
         if (!(node instanceof MappingNode mapping)) {
-            throw new ScenarioException(file + ":" + line + ": expected keys with values");
+            throw new ScenarioException(file + ":" + line + ": expected a mapping");
         }
         YamlMapping entry = new YamlMapping(file, line);
         for (NodeTuple tuple : mapping.getValue()) {
             if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
                 throw new ScenarioException(
-                        file + ":" + line(tuple.getKeyNode()) + ": a key is a word");
+                        file + ":" + line(tuple.getKeyNode()) + ": a key must be a word");
             }
             if (entry.values.put(key.getValue(), tuple.getValueNode()) != null) {
                 throw new ScenarioException(
@@ -116,7 +116,7 @@
         return scalar.getValue();
     }
 
-    /** Returns a text that must be there and must not be blank. */
+    /** Returns a required text that must not be blank. */
     public String text(String key) throws ScenarioException {
         String text = scalar(key, "a word");
         if (text.isBlank()) {
@@ -129,7 +129,10 @@
         return has(key) ? text(key) : defaultValue;
     }
 
-    /** Returns one of the values of an enum, or {@code defaultValue} without the key. */
+    /**
+     * Returns an enum value, written in lower case with hyphens in the file, or {@code
+     * defaultValue} if the key is absent.
+     */
     public <E extends Enum<E>> E oneOf(String key, Class<E> kind, E defaultValue)
             throws ScenarioException {
         if (defaultValue != null && !has(key)) {
@@ -147,7 +150,7 @@
         return kind.getEnumConstants()[index];
     }
 
-    /** Returns a number that must be there and within the range. */
+    /** Returns a required number within the range. */
     public double number(String key, Range range) throws ScenarioException {
         try {
             double value = Double.parseDouble(scalar(key, range.words()));
@@ -155,7 +158,7 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, as what is out of its range is.
+            // Reported below, like a number outside the range.
         }
         throw fault(key, range.words());
     }
@@ -164,7 +167,7 @@
         return has(key) ? number(key, range) : defaultValue;
     }
 
-    /** Returns a whole number that must be there and is not negative. */
+    /** Returns a required whole number of 1 or more. */
     public int count(String key) throws ScenarioException {
         double value = number(key, Range.COUNT);
         if (value != Math.rint(value)) {
@@ -177,7 +180,7 @@
         return has(key) ? count(key) : defaultValue;
     }
 
-    /** Returns a whole number, or {@code defaultValue} without the key. */
+    /** Returns a whole number, or {@code defaultValue} if the key is absent. */
     public long wholeNumber(String key, long defaultValue) throws ScenarioException {
         if (!has(key)) {
             return defaultValue;
@@ -190,7 +193,7 @@
         }
     }
 
-    /** Returns true or false, or {@code defaultValue} without the key. */
+    /** Returns true or false, or {@code defaultValue} if the key is absent. */
     public boolean flag(String key, boolean defaultValue) throws ScenarioException {
         if (!has(key)) {
             return defaultValue;
@@ -202,7 +205,7 @@
         return "true".equals(text);
     }
 
-    /** A span with its unit, in microseconds. */
+    /** Returns a required duration, given with its unit, in microseconds. */
     public long span(String key) throws ScenarioException {
         String allowed = "a time with its unit, such as 250ms or 1.5s";
         String text = scalar(key, allowed).trim();
@@ -216,7 +219,7 @@
                 return Math.round(Double.parseDouble(text.substring(0, digits)) * unit);
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
         throw fault(key, allowed);
     }
@@ -225,22 +228,25 @@
         return has(key) ? span(key) : defaultValue;
     }
 
-    /** Returns a group of keys that must be there. */
+    /** Returns a required nested mapping. */
     public YamlMapping child(String key) throws ScenarioException {
         readKeys.add(key);
         Node node = values.get(key);
         if (node == null) {
-            throw fault(key, "keys with values");
+            throw fault(key, "a mapping");
         }
         return of(file, node);
     }
 
-    /** A mapping that may be left out: all of it then takes what is usual. */
+    /**
+     * Returns an optional nested mapping; if the key is absent, an empty one, so that all its
+     * values are defaults.
+     */
     public YamlMapping childOrEmpty(String key) throws ScenarioException {
         return has(key) ? child(key) : new YamlMapping(file, line);
     }
 
-    /** Returns a list of groups of keys; empty without the key. */
+    /** Returns a list of nested mappings; empty if the key is absent. */
     public List<YamlMapping> children(String key) throws ScenarioException {
         readKeys.add(key);
         List<YamlMapping> children = new ArrayList<>();
@@ -254,7 +260,7 @@
         return children;
     }
 
-    /** Returns one word or a list of them. */
+    /** Returns a word or a list of words; empty if the key is absent. */
     public List<String> texts(String key) throws ScenarioException {
         readKeys.add(key);
         List<String> texts = new ArrayList<>();
@@ -271,7 +277,7 @@
         return texts;
     }
 
-    /** Names the first key that nobody asked for. */
+    /** Throws an error for the first key that was never read and is not one of {@code known}. */
     public void rejectUnknownKeys(String... known) throws ScenarioException {
         readKeys.addAll(List.of(known));
         for (String key : values.keySet()) {
--- a/lab/src/main/java/ottergauge/lab/server/DeduplicationCache.java
+++ b/lab/src/main/java/ottergauge/lab/server/DeduplicationCache.java
@@ -5,16 +5,15 @@
 import java.util.Map;
 
 /**
- * What the servers of one group remember of keyed requests: a repeat within the window has no
- * effect.
+ * The idempotency keys that a group of servers has seen; a repeat within the window has no effect.
  */
 public final class DeduplicationCache {
 
     private final Map<String, Long> expiryByKey = new HashMap<>();
 
     /**
-     * Whether a request with this key has its effect now; from then on repeats have none for the
-     * window.
+     * Whether a request with this key takes effect now. If so, repeats have no effect until the
+     * window has passed.
      */
     public boolean isFirst(long now, String key, long window) {
         Long expiry = expiryByKey.get(key);
--- a/lab/src/main/java/ottergauge/lab/server/FirstByteRecorder.java
+++ b/lab/src/main/java/ottergauge/lab/server/FirstByteRecorder.java
@@ -5,7 +5,10 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import ottergauge.lab.net.Loop;
 
-/** Notes when the first byte of each request came: for drains a send counts from there. */
+/**
+ * Records when the first byte of each request arrived; the rule on draining servers counts a
+ * request from there.
+ */
 final class FirstByteRecorder extends ChannelInboundHandlerAdapter {
 
     private final Loop loop;
@@ -23,7 +26,10 @@
         ctx.fireChannelRead(message);
     }
 
-    /** When the request that has come whole began; the next one begins with the next byte. */
+    /**
+     * Returns when the first byte of the completely received request arrived, and waits for the
+     * next request.
+     */
     long takeTime() {
         long time = at;
         at = -1;
--- a/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
@@ -21,7 +21,7 @@
 import ottergauge.lab.server.ServerModel.Admission;
 import ottergauge.lab.server.ServerModel.Job;
 
-/** A node's connection to a stand-in server: one request at a time. */
+/** A node's connection to a server stand-in; it carries one request at a time. */
 final class ServerConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
     private static final String NEVER_RAN = "X-Never-Ran";
--- a/lab/src/main/java/ottergauge/lab/server/ServerModel.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerModel.java
@@ -10,17 +10,14 @@
 import ottergauge.lab.scenario.Scenario.ServerKind;
 
 /**
- * How a server works, without a socket or a clock: requests run in slots, as many at once as it
- * has, and wait in a bounded room before that. Of what runs, each holds a core for its work; with
- * more than cores of them all take so much longer. It starts cold and falls over if far more is
- * sent to it than it can do.
+ * A model of a server, without sockets or a clock. Requests run in a limited number of slots and
+ * wait in a bounded queue before that. Each running request needs a core for its work; if more
+ * requests run than there are cores, all of them take longer in proportion. The server starts cold,
+ * and collapses if it is sent far more than it can do while cold.
  */
 public final class ServerModel {
 
-    /**
-     * Work that a server was given; {@code deadline} is the instant at which nobody waits for it
-     * any more.
-     */
+    /** Work given to a server; {@code deadline} is the time after which no client waits for it. */
     public static final class Job {
         final long work;
         final long waitTime;
@@ -30,7 +27,10 @@
         boolean running;
         boolean cancelled;
 
-        /** Creates work of {@code work} microseconds, of which {@code waitTime} need no core. */
+        /**
+         * Creates a job of {@code work} microseconds on a core plus {@code waitTime} microseconds
+         * without one.
+         */
         public Job(long work, long waitTime, long deadline, Runnable onStart, Runnable onDone) {
             this.work = work;
             this.waitTime = waitTime;
@@ -40,14 +40,14 @@
         }
     }
 
-    /** What becomes of a job that is offered. */
+    /** The response to an offered job. */
     public enum Admission {
         ACCEPTED,
         FULL,
         COLLAPSED
     }
 
-    /** Asks to be told when a job that has begun is over. */
+    /** Schedules a task at a time. */
     @FunctionalInterface
     public interface Timer {
         void at(long instant, Runnable task);
@@ -55,7 +55,7 @@
 
     private record OfferedWork(long at, long work) {}
 
-    // The load that it reports as busy is a mean over so long.
+    // Time constant of the mean of the reported utilization, in microseconds.
     private static final long BUSY_TIME_CONSTANT = 500_000;
 
     private final ServerKind kind;
@@ -73,7 +73,9 @@
     private double busy;
     private long work;
 
-    /** {@code startedAt} is when it last started; far in the past, it is warm. */
+    /**
+     * {@code startedAt} is when the server last started; if this is far in the past, it is warm.
+     */
     public ServerModel(
             ServerKind kind,
             double speed,
@@ -90,7 +92,7 @@
         busyAt = startedAt;
     }
 
-    /** Makes it so many times slower than it is. */
+    /** Makes the server slower by this factor. */
     public void slow(double factor) {
         slowdown = factor;
     }
@@ -99,7 +101,7 @@
         return collapsed;
     }
 
-    /** The part of its capacity that it has by now. */
+    /** The fraction of its full capacity that the server has reached while warming up. */
     public double warmUpFraction(long now) {
         long age = now - startedAt;
         return age >= kind.coldFor()
@@ -111,7 +113,7 @@
         return kind.cores() * speed * warmUpFraction(now) / slowdown;
     }
 
-    /** Offers a job; one that is taken runs when a slot is free. */
+    /** Offers a job; if accepted, it runs when a slot is free. */
     public Admission offer(long now, Job job) {
         if (collapsed || overloadsWhileCold(now, job)) {
             collapsed = true;
@@ -139,7 +141,8 @@
         return heldWork;
     }
 
-    // What all nodes together sent it in the last while is over the multiple of what it can do now.
+    // Whether the work offered by all nodes within the overload window exceeds the given multiple
+    // of the current capacity.
     private boolean overloadsWhileCold(long now, Job job) {
         if (warmUpFraction(now) >= 1) {
             recentWork.clear();
@@ -158,8 +161,7 @@
         while (running.size() < kind.slots() && !waiting.isEmpty()) {
             Job job = waiting.poll();
             if (job.cancelled || job.deadline <= now) {
-                // Nobody waits for it any more: a server drops what has run out of time before it
-                // begins.
+                // A job that has passed its deadline is dropped before it starts.
                 if (!job.cancelled) {
                     job.cancelled = true;
                     job.onDone.run();
@@ -188,7 +190,10 @@
         }
     }
 
-    /** Nobody waits for a job any more: it is dropped if it has not begun, else it runs on. */
+    /**
+     * Cancels a job that no client waits for: it is dropped if it has not started, else it runs to
+     * its end.
+     */
     public void cancel(Job job) {
         if (!job.running) {
             job.cancelled = true;
@@ -196,7 +201,7 @@
         }
     }
 
-    /** It dies: all that it holds is gone; gives back what that was. */
+    /** Drops all jobs and returns them. */
     public List<Job> crash() {
         List<Job> lost = new ArrayList<>(running);
         lost.addAll(waiting);
@@ -206,7 +211,7 @@
         return lost;
     }
 
-    /** It starts again, cold. */
+    /** Starts the server again, cold. */
     public void start(long now) {
         crash();
         startedAt = now;
@@ -230,13 +235,13 @@
         return waiting.size();
     }
 
-    /** The busy part of its cores, as a mean over a while. */
+    /** The busy fraction of the cores, as an exponentially weighted mean. */
     public double utilization(long now) {
         updateBusy(now);
         return busy;
     }
 
-    /** All work that it has finished, in microseconds of a core of speed one. */
+    /** The total work finished, in microseconds on a core of speed 1. */
     public long workDone() {
         return work;
     }
--- a/lab/src/main/java/ottergauge/lab/server/ServerStandIn.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerStandIn.java
@@ -24,16 +24,16 @@
 import ottergauge.lab.scenario.Scenario.ServerKind;
 
 /**
- * One stand-in server: an address for each node, the model that says how it works, and what ails
- * it.
+ * A server stand-in: it has one address for each node, a model of how it processes requests, and
+ * the faults that are active on it.
  */
 public final class ServerStandIn {
 
     private static final int MAX_BODY = 128 * 1024;
-    // A server that has run for long.
+    // The start time of a server that is warm when the run begins: an hour earlier.
     private static final long LONG_AGO = -3_600_000_000L;
 
-    /** What a server does with requests while something is wrong with it. */
+    /** How an active fault changes the handling of requests. */
     private enum FaultMode {
         NONE,
         STALLED,
@@ -62,7 +62,9 @@
     private double lostResponseShare;
     private boolean draining;
 
-    /** {@code serverName} is the server's name in the play; its id changes when it is replaced. */
+    /**
+     * {@code serverName} is the server's name in the scenario; its id changes when it is replaced.
+     */
     public ServerStandIn(
             Loop loop,
             Scenario scenario,
@@ -101,7 +103,7 @@
         eventLog.lifetimes.put(id, new EventLog.ServerLifetime(id, zone, now, cold));
     }
 
-    /** Listens for a node. */
+    /** Starts listening on the address that a node uses. */
     public void listen(int node, InetSocketAddress address, Link link) throws IOException {
         links.add(link);
         listeners.put(
@@ -122,11 +124,10 @@
                 new ServerConnection(this, node, firstByte, overLimit));
     }
 
-    // ---- What ails it
-    // ---------------------------------------------------------------------------------
+    // Faults
 
     /**
-     * It takes what comes and answers nothing until it goes on; then it does all that was held up.
+     * Accepts requests but responds to none until {@link #recover}; then it handles all of them.
      */
     public void stall() {
         faultMode = FaultMode.STALLED;
@@ -140,7 +141,7 @@
         faultMode = FaultMode.FULL;
     }
 
-    /** Ends whatever is wrong with the server; what it held back is answered. */
+    /** Ends the server's faults and handles the requests that it has held. */
     public void recover() {
         faultMode = FaultMode.NONE;
         lostResponseShare = 0;
@@ -154,12 +155,15 @@
         model.slow(factor);
     }
 
-    /** Loses this share of its answers after the work is done. */
+    /** Loses this share of the responses after the work was done. */
     public void loseResponses(double share) {
         lostResponseShare = share;
     }
 
-    /** The process dies: connections are reset, new ones refused, and what ran is lost. */
+    /**
+     * Simulates a crash of the process: connections are reset, new ones are refused, and running
+     * requests are lost.
+     */
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void crash() {
@@ -170,7 +174,10 @@
         listeners.values().forEach(listener -> listener.setRunning(false));
     }
 
-    /** The machine is gone: nothing is answered, nothing comes up. */
+    /**
+     * Simulates the loss of the machine: no packet is answered and no connection can be
+     * established.
+     */
     public void vanish() {
         model.crash();
         heldTasks.clear();
@@ -182,7 +189,7 @@
                 });
     }
 
-    /** It starts again, cold; under another id if it is replaced. */
+    /** Starts the server again, cold; under another id if it replaces the previous one. */
     public void start(boolean replaced) {
         links.forEach(
                 link -> {
@@ -204,12 +211,12 @@
         listeners.values().forEach(listener -> listener.setRunning(true));
     }
 
-    /** From now on its list entry says that it drains. */
+    /** Marks the server as draining in the endpoint list. */
     public void drain() {
         draining = true;
     }
 
-    /** Ends for good, with all of its addresses. */
+    /** Stops the server for good and frees its addresses. */
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void end() {
@@ -217,8 +224,7 @@
         new ArrayList<>(connections).forEach(Channel::close);
     }
 
-    // ---- What its connections ask of it
-    // -----------------------------------------------------------------
+    // Used by the server's connections
 
     Loop loop() {
         return loop;
@@ -257,7 +263,7 @@
         return lostResponseShare > 0 && random.nextDouble() < lostResponseShare;
     }
 
-    /** Does something, or keeps it until the server goes on. */
+    /** Runs a task, or holds it until the server recovers from a stall. */
     void runUnlessStalled(Runnable task) {
         if (faultMode == FaultMode.STALLED) {
             heldTasks.add(task);
@@ -266,7 +272,10 @@
         }
     }
 
-    /** It was pushed over: it stays down. */
+    /**
+     * Simulates the collapse of a cold server under overload; it stays down until it is started
+     * again.
+     */
     void collapse() {
         EventLog.ServerLifetime lifetime =
                 eventLog.lifetimes.values().stream()
@@ -275,7 +284,7 @@
                         .orElseThrow();
         if (lifetime.collapsedAt < 0) {
             lifetime.collapsedAt = loop.now();
-            eventLog.addEvent(loop.now(), serverName, "was pushed over while cold");
+            eventLog.addEvent(loop.now(), serverName, "collapsed under load while cold");
             crash();
         }
     }
@@ -309,7 +318,7 @@
         return model.collapsed();
     }
 
-    /** When it last started, as Unix time in milliseconds; 0 for long ago. */
+    /** When the server last started, as Unix time in milliseconds; 0 for long ago. */
     public long startedAtMs() {
         return startedAtMs;
     }
--- a/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
+++ b/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
@@ -17,8 +17,8 @@
 import ottergauge.lab.scenario.ScenarioReader;
 
 /**
- * A checker that cannot fail proves nothing: each rule broken in a ledger, and the same ledger
- * unbroken.
+ * For each rule: an event log that violates it is reported, and the same log without the violation
+ * is not.
  */
 class RuleCheckerTest {
 
--- a/lab/src/test/java/ottergauge/lab/net/LinkTest.java
+++ b/lab/src/test/java/ottergauge/lab/net/LinkTest.java
@@ -29,12 +29,12 @@
 import ottergauge.lab.scenario.Scenario.Fault;
 import ottergauge.lab.scenario.Scenario.FaultKind;
 
-/** Each fault of a link on real sockets: an echo behind a link, and a client that asks it. */
+/** Tests each link fault on real sockets, with an echo server behind a link and a client. */
 @Timeout(30)
 class LinkTest {
 
-    // What is to come may be late on a busy machine; what is not to come is not waited for that
-    // long.
+    // Expected data may be late on a busy machine; data that must not arrive is awaited for a
+    // shorter time.
     private static final int RESPONSE_TIMEOUT_MS = 10_000;
     private static final int SHORT_TIMEOUT_MS = 300;
 
@@ -102,7 +102,7 @@
         return socket;
     }
 
-    // A door that moves has settled a moment later.
+    // A change of the accept mode takes effect a moment later.
     private void awaitConnectFailure(Class<? extends IOException> failure) throws IOException {
         for (; ; ) {
             try {
@@ -136,8 +136,9 @@
     }
 
     /**
-     * Guards against a rig that takes an attempt for open whose connection it has reset itself: the
-     * stand-in behind it did not hear of the end, and the next attempt counted as a second copy.
+     * Guards against an attempt that stays open in the event log after the link has reset its
+     * connection: the stand-in was not notified of the end, and the next attempt counted as a
+     * second copy.
      */
     @Test
     void theStandInIsNotifiedWhenTheLinkResetsItsConnection() throws Exception {
@@ -179,7 +180,7 @@
                         throw new SocketException("ended");
                     });
         }
-        // The reset may come as soon as the connection is up, or later.
+        // The reset may come as soon as the connection is established, or later.
         assertThrows(
                 SocketException.class,
                 () -> {
@@ -264,7 +265,7 @@
         }
     }
 
-    /** Guards against a play that ends since the one before it gives its addresses back late. */
+    /** Guards against a run that fails because the previous run's addresses are freed late. */
     @Test
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
--- a/lab/src/test/java/ottergauge/lab/run/ScenarioRunIT.java
+++ b/lab/src/test/java/ottergauge/lab/run/ScenarioRunIT.java
@@ -24,7 +24,10 @@
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioReader;
 
-/** Plays with the node that the project above has built, started by its own {@code run} line. */
+/**
+ * Runs scenarios with the node that the parent project has built, started by its own {@code run}
+ * line.
+ */
 @Timeout(180)
 class ScenarioRunIT {
 
@@ -60,8 +63,8 @@
     }
 
     /**
-     * Guards against requests to servers that began to leave right after all watches had fallen
-     * silent.
+     * Guards against requests to servers that started to drain right after all watches had stopped
+     * receiving updates.
      */
     @Test
     void aServerThatLeavesWhileWatchesAreSilentGetsNothingNew() throws Exception {
@@ -71,9 +74,9 @@
     }
 
     /**
-     * Guards against requests to servers that left while discovery was away or its watches silent,
-     * and against attempts for clients that had left while their requests waited or their node
-     * stood still.
+     * Guards against requests to servers that drained while discovery was unavailable or its
+     * watches were silent, and against attempts for clients that had closed their connections while
+     * their requests were pending or their node was stopped.
      */
     @ParameterizedTest
     @ValueSource(strings = {"late-list.yaml", "leaving.yaml"})
@@ -83,7 +86,7 @@
         assertTrue(report.statistics().steps().get(0).worth() > 0.3, text(report));
     }
 
-    // Whether any process still has this play's folder for its configuration.
+    // Whether any process still has this run's folder in its environment.
     private boolean processesLeft() {
         return ProcessHandle.allProcesses()
                 .anyMatch(
--- a/lab/src/test/java/ottergauge/lab/scenario/ScenarioReaderTest.java
+++ b/lab/src/test/java/ottergauge/lab/scenario/ScenarioReaderTest.java
@@ -46,8 +46,8 @@
     }
 
     /**
-     * Each line of a good scenario replaced by a bad one: the message has file, line, key and what
-     * is allowed.
+     * Each line of a valid scenario replaced by an invalid one: the message has file, line, key and
+     * what is allowed.
      */
     @ParameterizedTest
     @CsvSource(
@@ -61,8 +61,8 @@
                 "nodes: {count: 2}|nodes: {count: -2}|small.yaml:4: count: a whole number of 1 or"
                         + " more, not -2",
                 "nodes: {count: 2}|nodes: {count: 200}|small.yaml:4: count: at most 99 nodes",
-                "nodes: {count: 2}|nodes: {count: 2, cores: 3}|small.yaml:4: cores: a part of a"
-                        + " core from 0.05 to 1",
+                "nodes: {count: 2}|nodes: {count: 2, cores: 3}|small.yaml:4: cores: a fraction of"
+                        + " a core from 0.05 to 1",
                 "count: 3, cores: 2|count: 3, cores: two|small.yaml:6: cores: a whole number of 1"
                         + " or more, not two",
                 "work: 50ms, aim: 400ms|aim: 400ms|small.yaml:8: work: missing; a time with its"
@@ -70,16 +70,16 @@
                 "deadline: 1s|deadline: 300ms|small.yaml:8: deadline: a time not before the aim",
                 "deadline: 1s|deadline: 1s, effect: odd|small.yaml:8: effect: one of safe, keyed,"
                         + " unsafe, not odd",
-                "from: 4s, rate: 2|from: 12s, rate: 2|small.yaml:11: from: a time after the step"
-                        + " before",
+                "from: 4s, rate: 2|from: 12s, rate: 2|small.yaml:11: from: a time after the"
+                        + " previous step",
                 "from: 0s, rate: 0.5|from: 0s, rate: -1|small.yaml:10: rate: a number of 0 or more,"
                         + " not -1",
                 "what: node-stall|what: node-sulk|small.yaml:13: what: one of node-kill",
-                "who: n2|part: 1.5|small.yaml:13: part: a part from 0 to 1",
-                "who: n2|who: n3|small.yaml: faults: 1: n3: no process of this play; allowed are n1"
-                        + " to n2",
+                "who: n2|part: 1.5|small.yaml:13: part: a fraction from 0 to 1",
+                "who: n2|who: n3|small.yaml: faults: 1: n3: no process of this scenario; allowed"
+                        + " are n1 to n2",
                 "to: [servers], way|way|small.yaml: faults: 2: who, to: a link has two sides",
-                "name: small|name: [small|small.yaml:2: no YAML"
+                "name: small|name: [small|small.yaml:2: invalid YAML"
             })
     void errorsNameFileLineAndKey(String good, String bad, String message) {
         String text = GOOD.replace(good, bad.replace("%", "\n"));
@@ -89,7 +89,7 @@
         assertTrue(actual.startsWith(message), actual);
     }
 
-    /** Guards against scenarios of the project's own that went out of date. */
+    /** Guards against scenario files in the repository that no longer match the reader. */
     @Test
     void theProjectsOwnScenariosCanBeRead() throws IOException, ScenarioException {
         try (Stream<Path> files = Files.list(Path.of("scenarios"))) {
--- a/lab/src/test/java/ottergauge/lab/server/ServerModelTest.java
+++ b/lab/src/test/java/ottergauge/lab/server/ServerModelTest.java
@@ -98,13 +98,13 @@
             taken++;
         }
         assertTrue(server.collapsed());
-        // 2 times its 0.44 of a core for a second is 8.75 requests of 100 ms.
+        // 2 times its 0.44 of a core for one second is 8.75 requests of 100 ms.
         assertEquals(8, taken);
         server.start(now);
         assertFalse(server.collapsed());
     }
 
-    /** Guards against an emulator that is another queue than the one it is taken for. */
+    /** Guards against a model that does not behave like the queue that it stands for. */
     @Test
     void meanTimeInSystemMatchesTheQueueingFormula() {
         double meanWork = 50_000;
@@ -127,7 +127,8 @@
                                 () -> sum[0] += now - arrivedAt));
             }
             advanceTo(now + 60_000_000);
-            // Time in an M/M/1 and an M/M/2: 1 / (1 - load) and 1 / (1 - load^2) services.
+            // Time in the system of an M/M/1 and an M/M/2: 1 / (1 - load) and 1 / (1 - load^2)
+            // services.
             double expected = meanWork / (1 - Math.pow(load, cores));
             assertEquals(expected, sum[0] / count, 0.03 * expected, cores + " cores");
         }
