--- a/lab/src/main/java/ottergauge/lab/client/Dialer.java
+++ b/lab/src/main/java/ottergauge/lab/client/NodeConnector.java
@@ -21,31 +21,31 @@
 import ottergauge.lab.net.LinkHandler;
 import ottergauge.lab.net.Loop;
 
-/** Opens connections to nodes, each over its link. */
-final class Dialer {
+/** Opens connections to nodes, each through its simulated link. */
+final class NodeConnector {
 
-    private static final int MOST_BODY = 1 << 20;
-    private static final int CONNECT_WITHIN_MS = 1_000;
+    private static final int MAX_BODY = 1 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1_000;
 
     private final Loop loop;
     private final List<InetSocketAddress> nodes;
     private final List<Link> links;
 
-    /** Nodes are numbered from one: the lists' first entries are node 1's. */
-    Dialer(Loop loop, List<InetSocketAddress> nodes, List<Link> links) {
+    /** Nodes are numbered from 1: the first entries of the lists belong to node 1. */
+    NodeConnector(Loop loop, List<InetSocketAddress> nodes, List<Link> links) {
         this.loop = loop;
         this.nodes = nodes;
         this.links = links;
     }
 
-    /** Connects to a node; the handler sits behind HTTP's codec. */
+    /** Connects to a node; {@code handler} comes after the HTTP codec in the pipeline. */
     ChannelFuture connect(int node, ChannelHandler handler) {
         Link link = links.get(node - 1);
         return new Bootstrap()
                 .group(loop.netty())
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_WITHIN_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(
                         new ChannelInitializer<Channel>() {
                             @Override
@@ -54,7 +54,7 @@
                                         .addLast(
                                                 new LinkHandler(loop, link, true),
                                                 new HttpClientCodec(),
-                                                new HttpObjectAggregator(MOST_BODY),
+                                                new HttpObjectAggregator(MAX_BODY),
                                                 handler);
                             }
                         })
@@ -62,11 +62,12 @@
     }
 
     /**
-     * Asks a node one thing on a connection of its own; the status, or 0 if no answer came in time.
+     * Sends one request on a connection of its own. {@code onStatus} gets the response status, or 0
+     * if no response came in time; it may be called more than once.
      */
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    void ask(int node, FullHttpRequest request, long within, IntConsumer answered) {
+    void sendOnce(int node, FullHttpRequest request, long timeout, IntConsumer onStatus) {
         ChannelFuture connecting =
                 connect(
                         node,
@@ -76,7 +77,7 @@
                             @SuppressWarnings("FutureReturnValueIgnored")
                             protected void channelRead0(
                                     ChannelHandlerContext ctx, FullHttpResponse response) {
-                                answered.accept(response.status().code());
+                                onStatus.accept(response.status().code());
                                 ctx.close();
                             }
 
@@ -89,7 +90,7 @@
 
                             @Override
                             public void channelInactive(ChannelHandlerContext ctx) {
-                                answered.accept(0);
+                                onStatus.accept(0);
                             }
 
                             @Override
@@ -103,13 +104,13 @@
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        answered.accept(0);
+                        onStatus.accept(0);
                     }
                 });
         loop.after(
-                within,
+                timeout,
                 () -> {
-                    answered.accept(0);
+                    onStatus.accept(0);
                     connecting.channel().close();
                 });
     }
--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -20,86 +20,89 @@
 import java.util.function.Consumer;
 
 /**
- * An address at which a stand-in is connected to over one link. Open, it accepts; refusing, nothing
- * listens; silent, a listener that accepts nothing has its short queue filled by the rig itself, so
- * that the system answers no further connection, as if the machine were gone.
+ * A listening address of a stand-in, reached over one link. In mode ACCEPT it accepts connections.
+ * In mode REFUSE no socket listens. In mode SILENT a socket listens but accepts nothing, and the
+ * laboratory itself fills its short backlog. The operating system then responds to no further
+ * connection attempt, as if the machine were gone.
  */
 public final class Listener {
 
     private static final int BACKLOG = 1024;
     private static final int SHORT_BACKLOG = 1;
-    private static final int FILLING = 3;
-    private static final long AGAIN = 1_000;
-    private static final int FIRST_TRIES = 100;
-    private static final long FIRST_PAUSE = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final int BACKLOG_FILLERS = 3;
+    private static final long RETRY_INTERVAL = 1_000;
+    private static final int MAX_BIND_ATTEMPTS = 100;
+    private static final long BIND_RETRY_PAUSE = TimeUnit.MILLISECONDS.toNanos(20);
 
     private final Loop loop;
     private final InetSocketAddress address;
     private final Link link;
-    private final Consumer<ChannelPipeline> accepted;
-    private final List<SocketChannel> filling = new ArrayList<>();
+    private final Consumer<ChannelPipeline> onAccept;
+    private final List<SocketChannel> backlogFillers = new ArrayList<>();
     private Channel channel;
-    private ServerSocket silent;
-    private boolean up = true;
-    private long moves;
+    private ServerSocket silentSocket;
+    private boolean setRunning = true;
+    private long rebindCount;
     private boolean closed;
 
     /**
-     * Listens at once, not on the loop; {@code accepted} gets the pipeline of each connection,
-     * behind its link.
+     * Binds the address in the calling thread; {@code onAccept} gets the pipeline of each
+     * connection, with the link's handler already added.
      */
     public Listener(
-            Loop loop, InetSocketAddress address, Link link, Consumer<ChannelPipeline> accepted)
+            Loop loop, InetSocketAddress address, Link link, Consumer<ChannelPipeline> onAccept)
             throws IOException {
         this.loop = loop;
         this.address = address;
         this.link = link;
-        this.accepted = accepted;
-        link.whenDoorMoves(this::move);
+        this.onAccept = onAccept;
+        link.onAcceptModeChange(this::rebind);
         ChannelFuture bound = open().awaitUninterruptibly();
-        // On a busy machine a process of the play before may hold this address for a moment: until
-        // the one
-        // that is being started has become its own program, it has all that the rig had open.
-        for (int tries = 1; !bound.isSuccess() && tries < FIRST_TRIES; tries++) {
-            LockSupport.parkNanos(FIRST_PAUSE);
+        // On a busy machine the address may still be in use for a moment by a process of the
+        // previous run: between fork and exec, a child process has inherited all sockets of the
+        // laboratory.
+        for (int attempts = 1; !bound.isSuccess() && attempts < MAX_BIND_ATTEMPTS; attempts++) {
+            LockSupport.parkNanos(BIND_RETRY_PAUSE);
             bound = open().awaitUninterruptibly();
         }
         if (!bound.isSuccess()) {
-            throw new IOException("cannot listen on " + Addresses.text(address), bound.cause());
+            throw new IOException(
+                    "cannot listen on " + LoopbackAddresses.text(address), bound.cause());
         }
     }
 
-    /** The process that listens here is gone, or back. */
-    public void up(boolean lives) {
-        if (up != lives) {
-            up = lives;
-            move();
+    /** Simulates that the process that listens here is gone or back. */
+    public void setRunning(boolean running) {
+        if (setRunning != running) {
+            setRunning = running;
+            rebind();
         }
     }
 
-    private void move() {
+    private void rebind() {
         close();
-        settle(++moves);
+        bindWhenFree(++rebindCount);
     }
 
-    // The system gives an address back a moment after it was closed: until then it is tried again.
-    private void settle(long move) {
-        if (closed || move != moves) {
+    // The operating system frees an address a moment after its socket was closed; binding is
+    // retried until then.
+    private void bindWhenFree(long rebind) {
+        if (closed || rebind != rebindCount) {
             return;
         }
-        Runnable again = () -> loop.after(AGAIN, () -> settle(move));
-        if (link.door() == Link.Door.SILENT) {
+        Runnable retry = () -> loop.after(RETRY_INTERVAL, () -> bindWhenFree(rebind));
+        if (link.acceptMode() == Link.AcceptMode.SILENT) {
             try {
-                silence();
+                listenSilently();
             } catch (IOException e) {
-                closeQuietly(silent);
-                again.run();
+                closeQuietly(silentSocket);
+                retry.run();
             }
-        } else if (up && link.door() == Link.Door.OPEN) {
+        } else if (setRunning && link.acceptMode() == Link.AcceptMode.OPEN) {
             open().addListener(
                             bound -> {
                                 if (!bound.isSuccess()) {
-                                    again.run();
+                                    retry.run();
                                 }
                             });
         }
@@ -120,7 +123,7 @@
                                         connection
                                                 .pipeline()
                                                 .addLast(new LinkHandler(loop, link, false));
-                                        accepted.accept(connection.pipeline());
+                                        onAccept.accept(connection.pipeline());
                                     }
                                 })
                         .bind(address);
@@ -128,14 +131,15 @@
         return bound;
     }
 
-    private void silence() throws IOException {
-        silent = new ServerSocket();
-        silent.setReuseAddress(true);
-        silent.bind(address, SHORT_BACKLOG);
-        // Not waited for: a busy machine may take its time over them, but it takes them in turn.
-        for (int i = 0; i < FILLING; i++) {
+    private void listenSilently() throws IOException {
+        silentSocket = new ServerSocket();
+        silentSocket.setReuseAddress(true);
+        silentSocket.bind(address, SHORT_BACKLOG);
+        // Does not wait for these connections: a busy machine may take its time, but handles them
+        // in order.
+        for (int i = 0; i < BACKLOG_FILLERS; i++) {
             SocketChannel socket = SocketChannel.open();
-            filling.add(socket);
+            backlogFillers.add(socket);
             socket.configureBlocking(false);
             socket.connect(address);
         }
@@ -148,12 +152,12 @@
             channel.close();
             channel = null;
         }
-        closeQuietly(silent);
-        silent = null;
-        for (SocketChannel socket : filling) {
+        closeQuietly(silentSocket);
+        silentSocket = null;
+        for (SocketChannel socket : backlogFillers) {
             closeQuietly(socket);
         }
-        filling.clear();
+        backlogFillers.clear();
     }
 
     private static void closeQuietly(Closeable each) {
@@ -162,11 +166,11 @@
                 each.close();
             }
         } catch (IOException e) {
-            // It was there to be in the way, and is not any more.
+            // The socket was only there to block the address, and is no longer needed.
         }
     }
 
-    /** Ends for good. */
+    /** Stops listening for good. */
     public void end() {
         closed = true;
         close();
--- a/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
@@ -8,13 +8,15 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import ottergauge.lab.net.Addresses;
+import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.Effect;
 import ottergauge.lab.scenario.Scenario.Platform;
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
-/** Writes what a node is told at its start, as the platform would. Spans go out in milliseconds. */
+/**
+ * Writes a node's configuration file as the platform would. Durations are written in milliseconds.
+ */
 public final class NodeConfig {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -25,12 +27,12 @@
     private NodeConfig() {}
 
     /**
-     * The configuration of a node; {@code known} are the lines of the list that it had last, and
-     * {@code extra} is put into the root object as it is (null for nothing).
+     * Returns the configuration of a node. {@code known} are the entries of the endpoint list that
+     * the node had last. {@code extra} is merged into the root object; null for nothing.
      */
     public static String of(
             Scenario scenario,
-            Addresses addresses,
+            LoopbackAddresses addresses,
             int node,
             long seed,
             List<String> known,
@@ -38,8 +40,8 @@
         try {
             ObjectNode root = JSON.createObjectNode();
             root.put("name", "n" + node);
-            root.put("listen", Addresses.text(addresses.node(node)));
-            root.put("discovery", Addresses.text(addresses.registry(node)));
+            root.put("listen", LoopbackAddresses.text(addresses.node(node)));
+            root.put("discovery", LoopbackAddresses.text(addresses.registry(node)));
             root.put("seed", String.format("%016x", seed));
             root.putObject("limits")
                     .put("cores", scenario.nodes().cores())
@@ -86,21 +88,21 @@
                 .put("probes", platform.probes())
                 .put("cancel", platform.cancel())
                 .put("retryAfter", platform.retryAfter())
-                .put("maxAttempts", (double) platform.mostAttempts())
-                .put("maxRetryAfterMs", platform.mostRetryAfter() / MS)
+                .put("maxAttempts", (double) platform.maxAttempts())
+                .put("maxRetryAfterMs", platform.maxRetryAfter() / MS)
                 .put("secondCopies", false)
                 .put("connectTimeoutMs", platform.connectTimeout() / MS)
                 .put("connIdleMs", platform.connectionIdle() / MS)
-                .put("peerMessages", scenario.nodes().talk());
+                .put("peerMessages", scenario.nodes().peerMessages());
         Scenario.ServerKind kind = scenario.servers().get(0);
         settings.putObject("rules")
                 .put("answerSlackMs", platform.answerSlack() / MS)
                 .put("stopSendingWithinMs", platform.drainGrace() / MS)
                 .put("coldFrom", kind.coldFrom())
                 .put("coldMs", kind.coldFor() / MS)
-                .put("tipMultiple", platform.tipMultiple())
-                .put("fallMs", platform.fallAfter() / MS)
-                .put("mustAskInMs", scenario.registry().askWithin() / MS);
+                .put("tipMultiple", platform.overloadMultiple())
+                .put("fallMs", platform.overloadWindow() / MS)
+                .put("mustAskInMs", scenario.registry().maxPollInterval() / MS);
         settings.putObject("penalties").put("probe", platform.probePrice()).put("connection", 0.0);
         ArrayNode classes = settings.putArray("classes");
         for (RequestClass type : scenario.classes()) {
@@ -108,7 +110,7 @@
                     .put("name", type.name())
                     .put("semantics", SEMANTICS.get(type.effect()))
                     .put("group", type.group().name().toLowerCase(Locale.ROOT))
-                    .put("aimMs", type.aim() / MS)
+                    .put("aimMs", type.latencyObjective() / MS)
                     .put("hardLimitMs", type.deadline() / MS)
                     .put("windowMs", type.window() / MS)
                     .put("value", type.worth())
@@ -117,18 +119,21 @@
         }
         ArrayNode parties = settings.putArray("parties");
         double capacity = scenario.capacity();
-        double portions = scenario.tenants().stream().mapToDouble(Scenario.Tenant::portion).sum();
+        double portions =
+                scenario.tenants().stream().mapToDouble(Scenario.Tenant::capacityShare).sum();
         scenario.tenants()
                 .forEach(
                         tenant ->
                                 parties.addObject()
                                         .put("name", tenant.name())
-                                        .put("portion", tenant.portion() / portions)
-                                        .put("quotaPerS", tenant.portion() / portions * capacity));
+                                        .put("portion", tenant.capacityShare() / portions)
+                                        .put(
+                                                "quotaPerS",
+                                                tenant.capacityShare() / portions * capacity));
         return settings;
     }
 
-    /** The zone that a node stands in: they go round. */
+    /** Returns a node's zone; nodes are assigned to the zones in turn. */
     public static String zoneOf(Scenario scenario, int node) {
         return scenario.zones().get((node - 1) % scenario.zones().size());
     }
--- a/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
@@ -10,25 +10,28 @@
 import java.util.function.Consumer;
 import java.util.stream.Stream;
 
-/** One node of the program under test: a process under a name, started again after its end. */
+/**
+ * One node of the program under test. The process can be started again after it has ended and keeps
+ * its name.
+ */
 public final class NodeProcess {
 
-    private static final int LOG_END = 2_000;
+    private static final int LOG_TAIL = 2_000;
 
     private final int number;
     private final String command;
     private final Path root;
     private final Path folder;
     private final Signals signals;
-    private final Consumer<NodeProcess> ended;
+    private final Consumer<NodeProcess> exitListener;
     private Process process;
-    private int starts;
-    private long cpuBefore;
+    private int startCount;
+    private long cpuOfPreviousProcesses;
 
     /**
-     * {@code command} is a shell line run from {@code root}; {@code folder} is the node's own, with
-     * its configuration and logs; {@code ended} is told, on a thread of its own, that the process
-     * has ended.
+     * {@code command} is a shell command run in {@code root}. {@code folder} belongs to this node
+     * and holds its configuration and logs. {@code exitListener} is called on another thread when
+     * the process has ended.
      */
     public NodeProcess(
             int number,
@@ -36,25 +39,25 @@
             Path root,
             Path folder,
             Signals signals,
-            Consumer<NodeProcess> ended)
+            Consumer<NodeProcess> exitListener)
             throws IOException {
         this.number = number;
         this.command = command;
         this.root = root;
         this.folder = Files.createDirectories(folder);
         this.signals = signals;
-        this.ended = ended;
+        this.exitListener = exitListener;
     }
 
-    /** Starts it; the folder for files of its own is empty then, as the platform has it. */
-    // Nothing waits for the end of the process here: the consumer is told of it.
+    /** Starts the process. Its temporary folder is empty then, as on the platform. */
+    // Nothing waits for the end of the process here: the exit listener is called.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void start(String config) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
         Path temporary = folder.resolve("tmp");
         delete(temporary);
         Files.createDirectories(temporary);
-        starts++;
+        startCount++;
         ProcessBuilder builder =
                 new ProcessBuilder("/bin/sh", "-c", command)
                         .directory(root.toFile())
@@ -63,7 +66,7 @@
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.environment().put("TMPDIR", temporary.toString());
         process = builder.start();
-        process.onExit().thenAccept(gone -> ended.accept(this));
+        process.onExit().thenAccept(exited -> exitListener.accept(this));
     }
 
     private static void delete(Path folder) throws IOException {
@@ -77,15 +80,15 @@
     }
 
     private Path log() {
-        return folder.resolve("log-" + starts);
+        return folder.resolve("log-" + startCount);
     }
 
-    /** Replaces its configuration, which it reads on SIGHUP and at its next start. */
+    /** Replaces the configuration, which the process reads on SIGHUP and at its next start. */
     public void configure(String config) throws IOException {
         Files.writeString(folder.resolve("config.json"), config);
     }
 
-    /** Sends the process a signal by its short name; nothing if it has ended. */
+    /** Sends the process a signal by its short name; does nothing if it has ended. */
     public void signal(String name) {
         if (isAlive()) {
             signals.send(name, process.pid());
@@ -104,49 +107,52 @@
         return process.exitValue();
     }
 
-    public int starts() {
-        return starts;
+    public int startCount() {
+        return startCount;
     }
 
-    /** The CPU that all of its processes have used, in microseconds. */
+    /** The CPU time of all processes of this node so far, in microseconds. */
     public long cpuMicros() {
-        return cpuBefore + (isAlive() ? cpuNow() : 0);
+        return cpuOfPreviousProcesses + (isAlive() ? cpuNow() : 0);
     }
 
     private long cpuNow() {
         return process.info().totalCpuDuration().map(each -> each.toNanos() / 1_000).orElse(0L);
     }
 
-    /** Kills it, whatever it is doing; its CPU so far counts on. */
+    /** Kills the process, even if it is stopped. Its CPU time so far stays counted. */
     public void kill() {
         if (isAlive()) {
-            cpuBefore += cpuNow();
+            cpuOfPreviousProcesses += cpuNow();
             signals.send("CONT", process.pid());
             process.destroyForcibly();
         }
     }
 
-    /** Waits for its end. */
+    /** Waits until the process has ended. */
     public void await() throws InterruptedException {
         if (process != null && !process.waitFor(10, TimeUnit.SECONDS)) {
-            throw new IllegalStateException("n" + number + " cannot be ended");
+            throw new IllegalStateException(
+                    "n"
+                            + number
+                            + " still runs 10 s after the laboratory began to wait for its end");
         }
     }
 
-    /** The last lines of its log. */
-    public String logEnd() {
+    /** The end of the current log. */
+    public String logTail() {
         try {
             String text = Files.readString(log());
-            return text.substring(Math.max(0, text.length() - LOG_END));
+            return text.substring(Math.max(0, text.length() - LOG_TAIL));
         } catch (IOException e) {
             return "no log: " + e.getMessage();
         }
     }
 
-    /** The lines of all of its logs that a word is in. */
+    /** The lines that contain a word, from the logs of all starts. */
     public List<String> logLines(String word) throws IOException {
         List<String> found = new java.util.ArrayList<>();
-        for (int i = 1; i <= starts; i++) {
+        for (int i = 1; i <= startCount; i++) {
             try (Stream<String> lines = Files.lines(folder.resolve("log-" + i))) {
                 lines.filter(line -> line.contains(word)).forEach(found::add);
             }
--- a/lab/src/main/java/ottergauge/lab/node/Signals.java
+++ b/lab/src/main/java/ottergauge/lab/node/Signals.java
@@ -5,13 +5,15 @@
 import java.io.OutputStream;
 import java.nio.charset.StandardCharsets;
 
-/** Sends signals through one shell that stays: nothing is started for each. */
+/**
+ * Sends signals through one long-lived shell, so that no process has to be started for each signal.
+ */
 public final class Signals implements AutoCloseable {
 
     private final Process shell;
-    private final OutputStream orders;
+    private final OutputStream shellInput;
 
-    /** Starts the shell; an {@link IOException} says that it cannot be started. */
+    /** Starts the shell; throws {@link IOException} if it cannot be started. */
     public Signals() throws IOException {
         shell =
                 new ProcessBuilder(
@@ -19,22 +21,22 @@
                         .redirectErrorStream(true)
                         .redirectOutput(ProcessBuilder.Redirect.DISCARD)
                         .start();
-        orders = shell.getOutputStream();
+        shellInput = shell.getOutputStream();
     }
 
     /** Sends a signal by its short name, such as KILL or STOP. */
     public synchronized void send(String signal, long pid) {
         try {
-            orders.write((signal + " " + pid + "\n").getBytes(StandardCharsets.US_ASCII));
-            orders.flush();
+            shellInput.write((signal + " " + pid + "\n").getBytes(StandardCharsets.US_ASCII));
+            shellInput.flush();
         } catch (IOException e) {
-            throw new IllegalStateException("no signal can be sent any more", e);
+            throw new IllegalStateException("cannot send a signal: the shell has ended", e);
         }
     }
 
     @Override
     public void close() throws IOException {
-        orders.close();
+        shellInput.close();
         shell.destroy();
     }
 }
--- a/lab/src/main/java/ottergauge/lab/program/RunCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/RunCommand.java
@@ -8,10 +8,10 @@
 import java.util.concurrent.Callable;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import ottergauge.lab.play.Play;
-import ottergauge.lab.play.Play.Program;
-import ottergauge.lab.play.PlayException;
 import ottergauge.lab.report.Report;
+import ottergauge.lab.run.RunException;
+import ottergauge.lab.run.ScenarioRun;
+import ottergauge.lab.run.ScenarioRun.Program;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioException;
 import ottergauge.lab.scenario.ScenarioReader;
@@ -22,10 +22,10 @@
 import picocli.CommandLine.Spec;
 
 /**
- * Plays one scenario: exit code 0 if all rules were kept, 1 if not or if it could not be played, 2
- * if bad.
+ * Runs one scenario. Exit code 0: all rules were kept; 1: they were not, or the run could not be
+ * completed; 2: the scenario is invalid.
  */
-@Command(name = "run", mixinStandardHelpOptions = true, description = "Play a scenario and report.")
+@Command(name = "run", mixinStandardHelpOptions = true, description = "Run a scenario and report.")
 final class RunCommand implements Callable<Integer> {
 
     private static final int BAD_INPUT = 2;
@@ -45,7 +45,7 @@
     @Option(
             names = "--command",
             description =
-                    "How a node is started; the line run of deploy/balancer.toml "
+                    "The shell command that starts a node; the run line of deploy/balancer.toml "
                             + "under the root unless given.")
     private String command;
 
@@ -57,7 +57,7 @@
     @Option(names = "--json", description = "Where the report for programs is written.")
     private Path json;
 
-    @Option(names = "--seconds", description = "Print the play second by second too.")
+    @Option(names = "--seconds", description = "Print the counts of each second too.")
     private boolean seconds;
 
     @Spec private CommandSpec spec;
@@ -80,7 +80,8 @@
             Path folder =
                     logs == null ? Files.createTempDirectory("lab") : Files.createDirectories(logs);
             Program program = new Program(command == null ? runLine(root) : command, root);
-            Report report = new Report(new Play(scenario, program, folder.toAbsolutePath()).run());
+            Report report =
+                    new Report(new ScenarioRun(scenario, program, folder.toAbsolutePath()).run());
             report.print(out);
             if (seconds) {
                 report.printSeconds(out);
@@ -89,20 +90,20 @@
                 report.write(json);
             }
             return report.verdict() == Report.Verdict.KEPT ? 0 : 1;
-        } catch (PlayException e) {
+        } catch (RunException e) {
             err.println(e.getMessage());
             return 1;
         }
     }
 
-    /** The line {@code run} of the deploy file. */
-    static String runLine(Path root) throws IOException, PlayException {
+    /** Returns the value of {@code run} in the deployment file. */
+    static String runLine(Path root) throws IOException, RunException {
         Path deploy = root.resolve("deploy/balancer.toml");
         Matcher run =
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
                         .matcher(Files.readString(deploy));
         if (!run.find()) {
-            throw new PlayException(deploy + ": no line run");
+            throw new RunException(deploy + ": the line run = is missing");
         }
         return run.group(1);
     }
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -12,74 +12,82 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import ottergauge.lab.ledger.Checker;
-import ottergauge.lab.ledger.Checker.Broken;
-import ottergauge.lab.ledger.Figures;
-import ottergauge.lab.ledger.Figures.Second;
-import ottergauge.lab.ledger.Figures.Span;
-import ottergauge.lab.ledger.Ledger.Cost;
-import ottergauge.lab.play.Play.Played;
+import ottergauge.lab.eventlog.EventLog.Cost;
+import ottergauge.lab.eventlog.RuleChecker;
+import ottergauge.lab.eventlog.RuleChecker.Violation;
+import ottergauge.lab.eventlog.RunStatistics;
+import ottergauge.lab.eventlog.RunStatistics.IntervalStats;
+import ottergauge.lab.eventlog.RunStatistics.Second;
+import ottergauge.lab.run.ScenarioRun.RunResult;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.Scenario.LoadStep;
 
-/** What a play came to, for people and for programs. */
+/** The report of a run, as text and as JSON. */
 public final class Report {
 
-    /** Whether a play says anything: a rig that was late, or short of CPU, has measured itself. */
+    /**
+     * The verdict on a run. {@code RIG_LATE} means that the laboratory's own tasks ran late, so the
+     * run has measured the laboratory instead of the nodes.
+     */
     public enum Verdict {
         KEPT,
         BROKEN,
         RIG_LATE
     }
 
-    // A hundredth of what the rig did may be so late.
+    // At most 1% of the laboratory's tasks may run later than this, in microseconds.
     private static final long LATE_P99 = 20_000;
     private static final int SHOWN = 10;
     private static final double MS = 1_000;
     private static final double SECOND = 1e6;
 
-    private final Played played;
+    private final RunResult result;
     private final Scenario scenario;
-    private final List<Broken> broken;
-    private final Figures figures;
+    private final List<Violation> violations;
+    private final RunStatistics statistics;
 
-    /** Checks the rules on what was recorded and computes the figures. */
-    public Report(Played played) {
-        this.played = played;
-        scenario = played.scenario();
-        broken = Checker.check(scenario, played.ledger(), scenario.length());
-        figures = new Figures(scenario, played.ledger());
+    /** Checks the rules on the recorded events and computes the statistics. */
+    public Report(RunResult result) {
+        this.result = result;
+        scenario = result.scenario();
+        violations = RuleChecker.check(scenario, result.eventLog(), scenario.length());
+        statistics = new RunStatistics(scenario, result.eventLog());
     }
 
-    /** Returns the verdict; {@code RIG_LATE} goes before a broken rule. */
+    /** Returns the verdict; {@code RIG_LATE} takes precedence over a broken rule. */
     public Verdict verdict() {
-        return played.lateP99() > LATE_P99
+        return result.lateP99() > LATE_P99
                 ? Verdict.RIG_LATE
-                : broken.isEmpty() ? Verdict.KEPT : Verdict.BROKEN;
+                : violations.isEmpty() ? Verdict.KEPT : Verdict.BROKEN;
     }
 
-    public List<Broken> broken() {
-        return broken;
+    public List<Violation> violations() {
+        return violations;
     }
 
-    public Figures figures() {
-        return figures;
+    public RunStatistics statistics() {
+        return statistics;
     }
 
     /**
-     * The burst of a play: the step with the highest load, and how long after it service is back;
-     * or null.
+     * The overload burst of a run: the statistics before and during it, and how long after its end
+     * service has recovered, in microseconds, or -1. The component names are field names of the
+     * report.
      */
-    public record Burst(Span before, Span during, long backAfter) {
+    public record Burst(IntervalStats before, IntervalStats during, long backAfter) {
         /**
-         * The worth served in time during the burst, of what an order that knows all could serve.
+         * The worth served in time during the burst, relative to what a scheduler with perfect
+         * knowledge could serve.
          */
         public double ofIdeal() {
             return during.worth() / during.ideal();
         }
     }
 
-    /** Returns the burst of the scenario; null if its load has none. */
+    /**
+     * Returns the burst of the scenario, the load step above the servers' capacity that is followed
+     * by one below it; null if there is none.
+     */
     public Burst burst() {
         List<LoadStep> steps = scenario.load();
         for (int i = 1; i + 1 < steps.size(); i++) {
@@ -87,64 +95,64 @@
                 long from = steps.get(i).from();
                 long to = steps.get(i + 1).from();
                 return new Burst(
-                        figures.span(0, from),
-                        figures.span(from, to),
-                        figures.backAfter(from, to, 3));
+                        statistics.interval(0, from),
+                        statistics.interval(from, to),
+                        statistics.backAfter(from, to, 3));
             }
         }
         return null;
     }
 
-    /** Prints the report for people. */
+    /** Prints the report as text. */
     public void print(PrintWriter out) {
         out.printf(
                 Locale.ROOT,
                 "%s  seed %d  %d requests  verdict %s%n",
                 scenario.name(),
                 scenario.seed(),
-                played.ledger().asks.size(),
+                result.eventLog().requests.size(),
                 verdict());
         out.printf(
                 Locale.ROOT,
                 "rig late p99 %.1f ms, most %.1f ms; cores: rig %.2f, nodes %.2f%n",
-                played.lateP99() / MS,
-                played.lateMost() / MS,
-                played.rigCores(),
-                played.nodeCores());
+                result.lateP99() / MS,
+                result.lateMax() / MS,
+                result.rigCores(),
+                result.nodeCores());
         out.println(
                 "   from offered  worth  ideal refused failed tries  att. invert probes/s shakes/s"
                         + "  away");
-        for (Span span : figures.steps()) {
+        for (IntervalStats interval : statistics.steps()) {
             out.printf(
                     Locale.ROOT,
                     "%6.1fs %7d %6.3f %6.3f %7.3f %6.3f %5.2f %5.2f %6.3f %8.1f %8.2f %5.3f%n",
-                    span.from() / SECOND,
-                    span.asks(),
-                    span.worth(),
-                    span.ideal(),
-                    span.refused(),
-                    span.failed(),
-                    span.triesPerAsk(),
-                    span.attemptsPerAsk(),
-                    span.inverted(),
-                    span.probesPerServer(),
-                    span.handshakesPerServer(),
-                    span.turnedAway());
+                    interval.from() / SECOND,
+                    interval.requests(),
+                    interval.worth(),
+                    interval.ideal(),
+                    interval.refused(),
+                    interval.failed(),
+                    interval.clientAttemptsPerRequest(),
+                    interval.serverAttemptsPerRequest(),
+                    interval.inverted(),
+                    interval.probesPerServer(),
+                    interval.handshakesPerServer(),
+                    interval.turnedAway());
         }
         Burst burst = burst();
         if (burst != null) {
             out.printf(
                     Locale.ROOT,
-                    "burst: %.3f of what an order that knows all would serve; %s%n",
+                    "burst: %.3f of what a scheduler with perfect knowledge would serve; %s%n",
                     burst.ofIdeal(),
                     burst.backAfter() < 0
-                            ? "service never comes back"
+                            ? "service does not recover"
                             : String.format(
                                     Locale.ROOT,
-                                    "service is back %.1f s after its end",
+                                    "service recovers %.1f s after its end",
                                     burst.backAfter() / SECOND));
         }
-        for (Map.Entry<String, Histogram> each : figures.latencies().entrySet()) {
+        for (Map.Entry<String, Histogram> each : statistics.latencies().entrySet()) {
             out.printf(
                     Locale.ROOT,
                     "%s: served %d, ms p50 %.0f p99 %.0f%n",
@@ -153,21 +161,23 @@
                     each.getValue().getValueAtPercentile(50) / MS,
                     each.getValue().getValueAtPercentile(99) / MS);
         }
-        out.println("attempts: " + figures.attemptEnds());
+        out.println("attempts: " + statistics.attemptEnds());
         out.printf(
-                "clients that left: %d; attempts for those that had: %d%n",
-                played.ledger().tries.values().stream().filter(each -> each.leftAt >= 0).count(),
-                Checker.forNobody(played.ledger()).size());
+                "clients that closed their connections: %d; attempts for them afterwards: %d%n",
+                result.eventLog().clientAttempts.values().stream()
+                        .filter(each -> each.clientClosedAt >= 0)
+                        .count(),
+                RuleChecker.attemptsAfterClientClosed(result.eventLog()).size());
         out.printf(
                 "worst 100 ms at one target: %d handshakes, %d probes, %d list calls%n",
-                figures.worstTenth(Cost.HANDSHAKE),
-                figures.worstTenth(Cost.PROBE),
-                figures.worstTenth(Cost.LIST_CALL));
-        if (!broken.isEmpty()) {
-            Map<Checker.Rule, Integer> counts = new LinkedHashMap<>();
-            broken.forEach(each -> counts.merge(each.rule(), 1, Integer::sum));
+                statistics.worst100Ms(Cost.HANDSHAKE),
+                statistics.worst100Ms(Cost.PROBE),
+                statistics.worst100Ms(Cost.LIST_CALL));
+        if (!violations.isEmpty()) {
+            Map<RuleChecker.Rule, Integer> counts = new LinkedHashMap<>();
+            violations.forEach(each -> counts.merge(each.rule(), 1, Integer::sum));
             out.println("RULES BROKEN: " + counts);
-            broken.stream()
+            violations.stream()
                     .limit(SHOWN)
                     .forEach(
                             each ->
@@ -181,10 +191,10 @@
         out.flush();
     }
 
-    /** The per-second table. */
+    /** Prints the counts of each second as a table. */
     public void printSeconds(PrintWriter out) {
         out.println(" s offered in time late refused failed tries att. probes shakes lists away");
-        for (Second s : figures.seconds()) {
+        for (Second s : statistics.seconds()) {
             out.printf(
                     "%2d %7d %7d %4d %7d %6d %5d %4d %6d %6d %5d %4d%n",
                     s.second(),
@@ -193,8 +203,8 @@
                     s.late(),
                     s.refused(),
                     s.failed(),
-                    s.tries(),
-                    s.attempts(),
+                    s.clientAttempts(),
+                    s.serverAttempts(),
                     s.probes(),
                     s.handshakes(),
                     s.listCalls(),
@@ -203,22 +213,22 @@
         out.flush();
     }
 
-    /** The same for programs. */
+    /** Writes the report as JSON. */
     public void write(Path file) throws IOException {
         Map<String, Object> root = new LinkedHashMap<>();
         root.put("scenario", scenario.name());
         root.put("seed", scenario.seed());
         root.put("verdict", verdict());
-        root.put("rig_late_p99_ms", played.lateP99() / MS);
-        root.put("rig_cores", played.rigCores());
-        root.put("node_cores", played.nodeCores());
-        root.put("steps", figures.steps());
+        root.put("rig_late_p99_ms", result.lateP99() / MS);
+        root.put("rig_cores", result.rigCores());
+        root.put("node_cores", result.nodeCores());
+        root.put("steps", statistics.steps());
         root.put("burst", burst());
-        root.put("seconds", figures.seconds());
-        root.put("attempts", figures.attemptEnds());
-        root.put("second_runs_by_clients", Checker.secondRuns(scenario, played.ledger()));
-        root.put("broken", new ArrayList<>(broken));
-        root.put("happenings", played.ledger().happenings);
+        root.put("seconds", statistics.seconds());
+        root.put("attempts", statistics.attemptEnds());
+        root.put("second_runs_by_clients", RuleChecker.secondRuns(scenario, result.eventLog()));
+        root.put("broken", new ArrayList<>(violations));
+        root.put("happenings", result.eventLog().events);
         new ObjectMapper()
                 .enable(SerializationFeature.INDENT_OUTPUT)
                 .writeValue(file.toFile(), root);
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
@@ -8,10 +8,11 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import ottergauge.lab.scenario.Entry.Range;
 import ottergauge.lab.scenario.Scenario.Clients;
+import ottergauge.lab.scenario.Scenario.Direction;
 import ottergauge.lab.scenario.Scenario.Effect;
 import ottergauge.lab.scenario.Scenario.Fault;
+import ottergauge.lab.scenario.Scenario.FaultKind;
 import ottergauge.lab.scenario.Scenario.Group;
 import ottergauge.lab.scenario.Scenario.LoadStep;
 import ottergauge.lab.scenario.Scenario.Network;
@@ -21,15 +22,14 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 import ottergauge.lab.scenario.Scenario.ServerKind;
 import ottergauge.lab.scenario.Scenario.Tenant;
-import ottergauge.lab.scenario.Scenario.Way;
-import ottergauge.lab.scenario.Scenario.What;
+import ottergauge.lab.scenario.YamlMapping.Range;
 
-/** Reads scenarios from YAML and checks them whole before anything is started. */
+/** Reads scenarios from YAML and checks them completely before anything is started. */
 public final class ScenarioReader {
 
     // Loopback addresses have one byte for a server and one for a node.
-    private static final int MOST_NODES = 99;
-    private static final int MOST_SERVERS = 199;
+    private static final int MAX_NODES = 99;
+    private static final int MAX_SERVERS = 199;
     private static final long MS = 1_000;
     private static final long S = 1_000_000;
 
@@ -43,12 +43,12 @@
         return read(path.getFileName().toString(), Files.readString(path));
     }
 
-    /** Reads a scenario's text; {@code file} is what messages call it. */
+    /** Parses a scenario's text; {@code file} is its name in error messages. */
     public static Scenario read(String file, String text) throws ScenarioException {
-        return new ScenarioReader(file).scenario(Entry.root(file, text));
+        return new ScenarioReader(file).scenario(YamlMapping.root(file, text));
     }
 
-    private Scenario scenario(Entry root) throws ScenarioException {
+    private Scenario scenario(YamlMapping root) throws ScenarioException {
         List<String> zones = root.texts("zones");
         if (zones.isEmpty()) {
             zones = List.of("a");
@@ -57,44 +57,47 @@
         Scenario scenario =
                 new Scenario(
                         root.text("name"),
-                        root.whole("seed", 1),
+                        root.wholeNumber("seed", 1),
                         length,
                         zones,
                         nodes(root.child("nodes")),
                         servers(root),
                         classes(root),
                         tenants(root),
-                        clients(root.childOrNone("clients")),
+                        clients(root.childOrEmpty("clients")),
                         load(root, length),
-                        network(root.childOrNone("network")),
-                        registry(root.childOrNone("registry")),
-                        platform(root.childOrNone("platform")),
+                        network(root.childOrEmpty("network")),
+                        registry(root.childOrEmpty("registry")),
+                        platform(root.childOrEmpty("platform")),
                         faults(root, length));
-        root.done();
+        root.rejectUnknownKeys();
         checkTargets(scenario);
         return scenario;
     }
 
-    private Nodes nodes(Entry e) throws ScenarioException {
+    private Nodes nodes(YamlMapping e) throws ScenarioException {
         Nodes nodes =
                 new Nodes(
                         e.count("count"),
                         e.count("memory_mb", 192),
                         e.count("sockets", 1024),
-                        e.number("cores", new Range(0.05, 1, "a part of a core from 0.05 to 1"), 1),
+                        e.number(
+                                "cores",
+                                new Range(0.05, 1, "a fraction of a core from 0.05 to 1"),
+                                1),
                         e.number("busiest", Range.POSITIVE, 1),
                         e.flag("talk", false));
-        if (nodes.count() > MOST_NODES) {
-            throw e.fault("count", "at most " + MOST_NODES + " nodes");
+        if (nodes.count() > MAX_NODES) {
+            throw e.fault("count", "at most " + MAX_NODES + " nodes");
         }
-        e.done();
+        e.rejectUnknownKeys();
         return nodes;
     }
 
-    private List<ServerKind> servers(Entry root) throws ScenarioException {
+    private List<ServerKind> servers(YamlMapping root) throws ScenarioException {
         List<ServerKind> kinds = new ArrayList<>();
         int servers = 0;
-        for (Entry e : root.children("servers")) {
+        for (YamlMapping e : root.children("servers")) {
             int cores = e.count("cores", 1);
             kinds.add(
                     new ServerKind(
@@ -113,10 +116,10 @@
                             e.span("probe", 40),
                             e.number("errors", Range.PART, 0),
                             e.flag("reports", true)));
-            e.done();
+            e.rejectUnknownKeys();
             servers += kinds.get(kinds.size() - 1).count();
-            if (servers > MOST_SERVERS) {
-                throw e.fault("count", "at most " + MOST_SERVERS + " servers in all");
+            if (servers > MAX_SERVERS) {
+                throw e.fault("count", "at most " + MAX_SERVERS + " servers in all");
             }
         }
         if (kinds.isEmpty()) {
@@ -125,10 +128,10 @@
         return kinds;
     }
 
-    private List<RequestClass> classes(Entry root) throws ScenarioException {
+    private List<RequestClass> classes(YamlMapping root) throws ScenarioException {
         List<RequestClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Entry e : root.children("classes")) {
+        for (YamlMapping e : root.children("classes")) {
             Effect effect = e.oneOf("effect", Effect.class, Effect.SAFE);
             RequestClass type =
                     new RequestClass(
@@ -145,12 +148,12 @@
                             e.oneOf("group", Group.class, Group.ALL),
                             effect == Effect.KEYED ? e.span("window") : e.span("window", 0),
                             e.count("keys", 1000));
-            e.done();
-            if (type.deadline() < type.aim()) {
+            e.rejectUnknownKeys();
+            if (type.deadline() < type.latencyObjective()) {
                 throw e.fault("deadline", "a time not before the aim");
             }
             if (!names.add(type.name())) {
-                throw e.fault("name", "a name of its own");
+                throw e.fault("name", "a unique name");
             }
             classes.add(type);
         }
@@ -160,19 +163,21 @@
         return classes;
     }
 
-    private List<Tenant> tenants(Entry root) throws ScenarioException {
+    private List<Tenant> tenants(YamlMapping root) throws ScenarioException {
         List<Tenant> tenants = new ArrayList<>();
-        for (Entry e : root.children("tenants")) {
-            double traffic = e.number("traffic", Range.POSITIVE);
+        for (YamlMapping e : root.children("tenants")) {
+            double trafficShare = e.number("traffic", Range.POSITIVE);
             tenants.add(
                     new Tenant(
-                            e.text("name"), traffic, e.number("portion", Range.POSITIVE, traffic)));
-            e.done();
+                            e.text("name"),
+                            trafficShare,
+                            e.number("portion", Range.POSITIVE, trafficShare)));
+            e.rejectUnknownKeys();
         }
         return tenants;
     }
 
-    private Clients clients(Entry e) throws ScenarioException {
+    private Clients clients(YamlMapping e) throws ScenarioException {
         Clients clients =
                 new Clients(
                         (int) e.number("repeats", Range.ANY, 0),
@@ -182,18 +187,19 @@
                         e.flag("marks_retry", false),
                         e.span("notice", 2 * S),
                         e.number("leave", Range.PART, 0));
-        e.done();
+        e.rejectUnknownKeys();
         return clients;
     }
 
-    private List<LoadStep> load(Entry root, long length) throws ScenarioException {
+    private List<LoadStep> load(YamlMapping root, long length) throws ScenarioException {
         List<LoadStep> steps = new ArrayList<>();
-        for (Entry e : root.children("load")) {
+        for (YamlMapping e : root.children("load")) {
             LoadStep step = new LoadStep(e.span("from", 0), e.number("rate", Range.ANY));
-            e.done();
+            e.rejectUnknownKeys();
             if (step.from() >= length
                     || (!steps.isEmpty() && step.from() <= steps.get(steps.size() - 1).from())) {
-                throw e.fault("from", "a time after the step before and before the play's end");
+                throw e.fault(
+                        "from", "a time after the previous step and before the end of the run");
             }
             steps.add(step);
         }
@@ -203,24 +209,24 @@
         return steps;
     }
 
-    private Network network(Entry e) throws ScenarioException {
+    private Network network(YamlMapping e) throws ScenarioException {
         Network network = new Network(e.span("same", 0), e.span("cross", 0), e.span("jitter", 0));
-        e.done();
+        e.rejectUnknownKeys();
         return network;
     }
 
-    private Registry registry(Entry e) throws ScenarioException {
+    private Registry registry(YamlMapping e) throws ScenarioException {
         Registry registry =
                 new Registry(
                         e.span("notice", S),
                         e.number("calls_per_s", Range.POSITIVE, 1000),
                         e.span("patience", 2 * S),
                         e.span("ask_within", 10 * S));
-        e.done();
+        e.rejectUnknownKeys();
         return registry;
     }
 
-    private Platform platform(Entry e) throws ScenarioException {
+    private Platform platform(YamlMapping e) throws ScenarioException {
         Platform platform =
                 new Platform(
                         e.flag("probes", true),
@@ -236,43 +242,43 @@
                         e.span("connection_idle", 60 * S),
                         e.span("connect_timeout", 200 * MS),
                         e.span("answer_slack", 5 * MS));
-        e.done();
+        e.rejectUnknownKeys();
         return platform;
     }
 
-    private List<Fault> faults(Entry root, long length) throws ScenarioException {
+    private List<Fault> faults(YamlMapping root, long length) throws ScenarioException {
         List<Fault> faults = new ArrayList<>();
-        for (Entry e : root.children("faults")) {
-            What what = e.oneOf("what", What.class, null);
+        for (YamlMapping e : root.children("faults")) {
+            FaultKind faultKind = e.oneOf("what", FaultKind.class, null);
             long at = e.span("at");
             if (at >= length) {
-                throw e.fault("at", "a time before the play's end");
+                throw e.fault("at", "a time before the end of the run");
             }
-            List<String> who = e.texts("who");
-            double part =
-                    who.isEmpty() && !what.name().startsWith("REGISTRY")
+            List<String> targets = e.texts("who");
+            double fraction =
+                    targets.isEmpty() && !faultKind.name().startsWith("REGISTRY")
                             ? e.number("part", Range.PART)
                             : e.number("part", Range.PART, 0);
             faults.add(
                     new Fault(
                             at,
                             e.span("for", 0),
-                            what,
-                            who,
-                            part,
+                            faultKind,
+                            targets,
+                            fraction,
                             e.texts("to"),
-                            e.oneOf("way", Way.class, Way.BOTH),
-                            e.number("amount", Range.ANY, usual(what)),
+                            e.oneOf("way", Direction.class, Direction.BOTH),
+                            e.number("amount", Range.ANY, defaultAmount(faultKind)),
                             e.span("span", 0),
                             e.span("jitter", 0),
                             faults.size() + 1));
-            e.done();
+            e.rejectUnknownKeys();
         }
         return faults;
     }
 
-    private static double usual(What what) {
-        return switch (what) {
+    private static double defaultAmount(FaultKind faultKind) {
+        return switch (faultKind) {
             case SERVER_SLOW -> 4;
             case LINK_RATE -> 64_000;
             case LINK_CUT -> 200;
@@ -282,16 +288,16 @@
 
     private void checkTargets(Scenario scenario) throws ScenarioException {
         for (Fault fault : scenario.faults()) {
-            for (List<String> names : List.of(fault.who(), fault.to())) {
+            for (List<String> names : List.of(fault.targets(), fault.peers())) {
                 for (String name : names) {
                     if (!isKnown(scenario, name)) {
                         throw new ScenarioException(
                                 file
                                         + ": faults: "
-                                        + fault.line()
+                                        + fault.index()
                                         + ": "
                                         + name
-                                        + ": no process of this play; allowed are n1 to n"
+                                        + ": no process of this scenario; allowed are n1 to n"
                                         + scenario.nodes().count()
                                         + ", s1 to s"
                                         + servers(scenario)
@@ -300,13 +306,13 @@
                     }
                 }
             }
-            boolean link = fault.what().name().startsWith("LINK");
-            if (link && (fault.who().isEmpty() || fault.to().isEmpty())) {
+            boolean isLink = fault.faultKind().name().startsWith("LINK");
+            if (isLink && (fault.targets().isEmpty() || fault.peers().isEmpty())) {
                 throw new ScenarioException(
                         file
                                 + ": faults: "
-                                + fault.line()
-                                + ": who, to: a link has two sides; both are named");
+                                + fault.index()
+                                + ": who, to: a link has two sides; both must be named");
             }
         }
     }
@@ -322,13 +328,13 @@
         if (name.startsWith("zone-")) {
             return scenario.zones().contains(name.substring("zone-".length()));
         }
-        int most =
+        int max =
                 name.startsWith("n")
                         ? scenario.nodes().count()
                         : name.startsWith("s") ? servers(scenario) : 0;
         try {
             int number = Integer.parseInt(name.substring(1));
-            return number >= 1 && number <= most;
+            return number >= 1 && number <= max;
         } catch (NumberFormatException | StringIndexOutOfBoundsException e) {
             return false;
         }
--- a/lab/src/main/java/ottergauge/lab/scenario/Entry.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
@@ -19,15 +19,15 @@
 import org.snakeyaml.engine.v2.nodes.SequenceNode;
 
 /**
- * A mapping of a scenario file that knows its lines. Each value is asked for with what it may be;
- * what nobody asked for is an unknown key and is told by {@link #done}.
+ * A mapping of a scenario file that knows its line numbers. Each value is read with the values that
+ * are allowed; {@link #rejectUnknownKeys} reports keys that were never read.
  */
-public final class Entry {
+public final class YamlMapping {
 
-    /** What a number may be. */
-    public record Range(double least, double most, String words) {
-        public static final Range PART = new Range(0, 1, "a part from 0 to 1");
-        public static final Range POSITIVE = new Range(1e-9, 1e9, "a number over 0");
+    /** The range of allowed numbers, and its description for error messages. */
+    public record Range(double min, double max, String words) {
+        public static final Range PART = new Range(0, 1, "a fraction from 0 to 1");
+        public static final Range POSITIVE = new Range(1e-9, 1e9, "a number greater than 0");
         public static final Range ANY = new Range(0, 1e9, "a number of 0 or more");
         public static final Range COUNT = new Range(1, 100_000, "a whole number of 1 or more");
     }
@@ -38,42 +38,42 @@
     private final String file;
     private final int line;
     private final Map<String, Node> values = new LinkedHashMap<>();
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> readKeys = new HashSet<>();
 
-    private Entry(String file, int line) {
+    private YamlMapping(String file, int line) {
         this.file = file;
         this.line = line;
     }
 
-    /** Reads a file's text, which is one mapping; {@code file} is what messages call it. */
-    public static Entry root(String file, String text) throws ScenarioException {
+    /**
+     * Parses a file's text, which must be one mapping; {@code file} is its name in error messages.
+     */
+    public static YamlMapping root(String file, String text) throws ScenarioException {
         try {
             return of(
                     file,
                     new Compose(LoadSettings.builder().setLabel(file).build())
                             .composeReader(new StringReader(text))
                             .orElseThrow(
-                                    () ->
-                                            new ScenarioException(
-                                                    file + ":1: expected keys with values")));
+                                    () -> new ScenarioException(file + ":1: expected a mapping")));
         } catch (MarkedYamlEngineException e) {
             int line = e.getProblemMark().map(mark -> mark.getLine() + 1).orElse(0);
-            throw new ScenarioException(file + ":" + line + ": no YAML: " + e.getProblem());
+            throw new ScenarioException(file + ":" + line + ": invalid YAML: " + e.getProblem());
         } catch (YamlEngineException e) {
-            throw new ScenarioException(file + ": no YAML: " + e.getMessage());
+            throw new ScenarioException(file + ": invalid YAML: " + e.getMessage());
         }
     }
 
-    private static Entry of(String file, Node node) throws ScenarioException {
+    private static YamlMapping of(String file, Node node) throws ScenarioException {
         int line = line(node);
         if (!(node instanceof MappingNode mapping)) {
-            throw new ScenarioException(file + ":" + line + ": expected keys with values");
+            throw new ScenarioException(file + ":" + line + ": expected a mapping");
         }
-        Entry entry = new Entry(file, line);
+        YamlMapping entry = new YamlMapping(file, line);
         for (NodeTuple tuple : mapping.getValue()) {
             if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
                 throw new ScenarioException(
-                        file + ":" + line(tuple.getKeyNode()) + ": a key is a word");
+                        file + ":" + line(tuple.getKeyNode()) + ": a key must be a word");
             }
             if (entry.values.put(key.getValue(), tuple.getValueNode()) != null) {
                 throw new ScenarioException(
@@ -90,7 +90,7 @@
     /** Returns an error that names file, line, key, value and what is allowed. */
     public ScenarioException fault(String key, String allowed) {
         Node node = values.get(key);
-        String told = node instanceof ScalarNode scalar ? ", not " + scalar.getValue() : "";
+        String actual = node instanceof ScalarNode scalar ? ", not " + scalar.getValue() : "";
         return new ScenarioException(
                 file
                         + ":"
@@ -100,23 +100,23 @@
                         + ": "
                         + (node == null ? "missing; " : "")
                         + allowed
-                        + told);
+                        + actual);
     }
 
     public boolean has(String key) {
-        asked.add(key);
+        readKeys.add(key);
         return values.containsKey(key);
     }
 
     private String scalar(String key, String allowed) throws ScenarioException {
-        asked.add(key);
+        readKeys.add(key);
         if (!(values.get(key) instanceof ScalarNode scalar)) {
             throw fault(key, allowed);
         }
         return scalar.getValue();
     }
 
-    /** Returns a text that must be there and must not be blank. */
+    /** Returns a required text that must not be blank. */
     public String text(String key) throws ScenarioException {
         String text = scalar(key, "a word");
         if (text.isBlank()) {
@@ -125,15 +125,18 @@
         return text;
     }
 
-    public String text(String key, String absent) throws ScenarioException {
-        return has(key) ? text(key) : absent;
+    public String text(String key, String defaultValue) throws ScenarioException {
+        return has(key) ? text(key) : defaultValue;
     }
 
-    /** Returns one of the values of an enum, or {@code absent} without the key. */
-    public <E extends Enum<E>> E oneOf(String key, Class<E> kind, E absent)
+    /**
+     * Returns an enum value, written in lower case with hyphens in the file, or {@code
+     * defaultValue} if the key is absent.
+     */
+    public <E extends Enum<E>> E oneOf(String key, Class<E> kind, E defaultValue)
             throws ScenarioException {
-        if (absent != null && !has(key)) {
-            return absent;
+        if (defaultValue != null && !has(key)) {
+            return defaultValue;
         }
         List<String> names = new ArrayList<>();
         for (E each : kind.getEnumConstants()) {
@@ -147,24 +150,24 @@
         return kind.getEnumConstants()[index];
     }
 
-    /** Returns a number that must be there and within the range. */
+    /** Returns a required number within the range. */
     public double number(String key, Range range) throws ScenarioException {
         try {
             double value = Double.parseDouble(scalar(key, range.words()));
-            if (value >= range.least() && value <= range.most()) {
+            if (value >= range.min() && value <= range.max()) {
                 return value;
             }
         } catch (NumberFormatException e) {
-            // Told below, as what is out of its range is.
+            // Reported below, like a number outside the range.
         }
         throw fault(key, range.words());
     }
 
-    public double number(String key, Range range, double absent) throws ScenarioException {
-        return has(key) ? number(key, range) : absent;
+    public double number(String key, Range range, double defaultValue) throws ScenarioException {
+        return has(key) ? number(key, range) : defaultValue;
     }
 
-    /** Returns a whole number that must be there and is not negative. */
+    /** Returns a required whole number of 1 or more. */
     public int count(String key) throws ScenarioException {
         double value = number(key, Range.COUNT);
         if (value != Math.rint(value)) {
@@ -173,14 +176,14 @@
         return (int) value;
     }
 
-    public int count(String key, int absent) throws ScenarioException {
-        return has(key) ? count(key) : absent;
+    public int count(String key, int defaultValue) throws ScenarioException {
+        return has(key) ? count(key) : defaultValue;
     }
 
-    /** Returns a whole number, or {@code absent} without the key. */
-    public long whole(String key, long absent) throws ScenarioException {
+    /** Returns a whole number, or {@code defaultValue} if the key is absent. */
+    public long wholeNumber(String key, long defaultValue) throws ScenarioException {
         if (!has(key)) {
-            return absent;
+            return defaultValue;
         }
         String allowed = "a whole number";
         try {
@@ -190,10 +193,10 @@
         }
     }
 
-    /** Returns true or false, or {@code absent} without the key. */
-    public boolean flag(String key, boolean absent) throws ScenarioException {
+    /** Returns true or false, or {@code defaultValue} if the key is absent. */
+    public boolean flag(String key, boolean defaultValue) throws ScenarioException {
         if (!has(key)) {
-            return absent;
+            return defaultValue;
         }
         String text = scalar(key, "true or false");
         if (!"true".equals(text) && !"false".equals(text)) {
@@ -202,7 +205,7 @@
         return "true".equals(text);
     }
 
-    /** A span with its unit, in microseconds. */
+    /** Returns a required duration, given with its unit, in microseconds. */
     public long span(String key) throws ScenarioException {
         String allowed = "a time with its unit, such as 250ms or 1.5s";
         String text = scalar(key, allowed).trim();
@@ -216,34 +219,37 @@
                 return Math.round(Double.parseDouble(text.substring(0, digits)) * unit);
             }
         } catch (NumberFormatException e) {
-            // Told below.
+            // Reported below.
         }
         throw fault(key, allowed);
     }
 
-    public long span(String key, long absent) throws ScenarioException {
-        return has(key) ? span(key) : absent;
+    public long span(String key, long defaultValue) throws ScenarioException {
+        return has(key) ? span(key) : defaultValue;
     }
 
-    /** Returns a group of keys that must be there. */
-    public Entry child(String key) throws ScenarioException {
-        asked.add(key);
+    /** Returns a required nested mapping. */
+    public YamlMapping child(String key) throws ScenarioException {
+        readKeys.add(key);
         Node node = values.get(key);
         if (node == null) {
-            throw fault(key, "keys with values");
+            throw fault(key, "a mapping");
         }
         return of(file, node);
     }
 
-    /** A mapping that may be left out: all of it then takes what is usual. */
-    public Entry childOrNone(String key) throws ScenarioException {
-        return has(key) ? child(key) : new Entry(file, line);
+    /**
+     * Returns an optional nested mapping; if the key is absent, an empty one, so that all its
+     * values are defaults.
+     */
+    public YamlMapping childOrEmpty(String key) throws ScenarioException {
+        return has(key) ? child(key) : new YamlMapping(file, line);
     }
 
-    /** Returns a list of groups of keys; empty without the key. */
-    public List<Entry> children(String key) throws ScenarioException {
-        asked.add(key);
-        List<Entry> children = new ArrayList<>();
+    /** Returns a list of nested mappings; empty if the key is absent. */
+    public List<YamlMapping> children(String key) throws ScenarioException {
+        readKeys.add(key);
+        List<YamlMapping> children = new ArrayList<>();
         if (values.get(key) instanceof SequenceNode list) {
             for (Node each : list.getValue()) {
                 children.add(of(file, each));
@@ -254,9 +260,9 @@
         return children;
     }
 
-    /** Returns one word or a list of them. */
+    /** Returns a word or a list of words; empty if the key is absent. */
     public List<String> texts(String key) throws ScenarioException {
-        asked.add(key);
+        readKeys.add(key);
         List<String> texts = new ArrayList<>();
         if (values.get(key) instanceof SequenceNode list) {
             for (Node each : list.getValue()) {
@@ -271,11 +277,11 @@
         return texts;
     }
 
-    /** Names the first key that nobody asked for. */
-    public void done(String... known) throws ScenarioException {
-        asked.addAll(List.of(known));
+    /** Throws an error for the first key that was never read and is not one of {@code known}. */
+    public void rejectUnknownKeys(String... known) throws ScenarioException {
+        readKeys.addAll(List.of(known));
         for (String key : values.keySet()) {
-            if (!asked.contains(key)) {
+            if (!readKeys.contains(key)) {
                 throw new ScenarioException(
                         file
                                 + ":"
@@ -283,7 +289,7 @@
                                 + ": "
                                 + key
                                 + ": unknown key; known here: "
-                                + String.join(", ", new java.util.TreeSet<>(asked)));
+                                + String.join(", ", new java.util.TreeSet<>(readKeys)));
             }
         }
     }
--- a/lab/src/main/java/ottergauge/lab/server/FirstByte.java
+++ b/lab/src/main/java/ottergauge/lab/server/FirstByteRecorder.java
@@ -5,13 +5,16 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import ottergauge.lab.net.Loop;
 
-/** Notes when the first byte of each request came: for drains a send counts from there. */
-final class FirstByte extends ChannelInboundHandlerAdapter {
+/**
+ * Records when the first byte of each request arrived; the rule on draining servers counts a
+ * request from there.
+ */
+final class FirstByteRecorder extends ChannelInboundHandlerAdapter {
 
     private final Loop loop;
     private long at = -1;
 
-    FirstByte(Loop loop) {
+    FirstByteRecorder(Loop loop) {
         this.loop = loop;
     }
 
@@ -23,10 +26,13 @@
         ctx.fireChannelRead(message);
     }
 
-    /** When the request that has come whole began; the next one begins with the next byte. */
-    long take() {
-        long taken = at;
+    /**
+     * Returns when the first byte of the completely received request arrived, and waits for the
+     * next request.
+     */
+    long takeTime() {
+        long time = at;
         at = -1;
-        return taken;
+        return time;
     }
 }
--- a/lab/src/test/java/ottergauge/lab/play/PlayIT.java
+++ b/lab/src/test/java/ottergauge/lab/run/ScenarioRunIT.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.play;
+package ottergauge.lab.run;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,14 +19,17 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import ottergauge.lab.play.Play.Program;
 import ottergauge.lab.report.Report;
+import ottergauge.lab.run.ScenarioRun.Program;
 import ottergauge.lab.scenario.Scenario;
 import ottergauge.lab.scenario.ScenarioReader;
 
-/** Plays with the node that the project above has built, started by its own {@code run} line. */
+/**
+ * Runs scenarios with the node that the parent project has built, started by its own {@code run}
+ * line.
+ */
 @Timeout(180)
-class PlayIT {
+class ScenarioRunIT {
 
     private static final Path ROOT = Path.of("..").toAbsolutePath().normalize();
 
@@ -40,9 +43,9 @@
         return run.group(1);
     }
 
-    private Report play(String file, String command) throws Exception {
+    private Report runScenario(String file, String command) throws Exception {
         Scenario scenario = ScenarioReader.read(Path.of("scenarios", file));
-        return new Report(new Play(scenario, new Program(command, ROOT), folder).run());
+        return new Report(new ScenarioRun(scenario, new Program(command, ROOT), folder).run());
     }
 
     private static String text(Report report) {
@@ -52,39 +55,39 @@
     }
 
     @Test
-    void theRulesHoldWhateverBreaks() throws Exception {
-        Report report = play("faults.yaml", runLine());
-        assertEquals("[]", report.broken().toString(), text(report));
-        assertTrue(report.figures().steps().get(0).worth() > 0.5, text(report));
-        assertFalse(left(), "processes are left");
+    void theRulesHoldUnderAllFaults() throws Exception {
+        Report report = runScenario("faults.yaml", runLine());
+        assertEquals("[]", report.violations().toString(), text(report));
+        assertTrue(report.statistics().steps().get(0).worth() > 0.5, text(report));
+        assertFalse(processesLeft(), "processes are left");
     }
 
     /**
-     * Guards against requests to servers that began to leave right after all watches had fallen
-     * silent.
+     * Guards against requests to servers that started to drain right after all watches had stopped
+     * receiving updates.
      */
     @Test
     void aServerThatLeavesWhileWatchesAreSilentGetsNothingNew() throws Exception {
-        Report report = play("silent.yaml", runLine());
-        assertEquals("[]", report.broken().toString(), text(report));
-        assertTrue(report.figures().steps().get(0).worth() > 0.5, text(report));
+        Report report = runScenario("silent.yaml", runLine());
+        assertEquals("[]", report.violations().toString(), text(report));
+        assertTrue(report.statistics().steps().get(0).worth() > 0.5, text(report));
     }
 
     /**
-     * Guards against requests to servers that left while discovery was away or its watches silent,
-     * and against attempts for clients that had left while their requests waited or their node
-     * stood still.
+     * Guards against requests to servers that drained while discovery was unavailable or its
+     * watches were silent, and against attempts for clients that had closed their connections while
+     * their requests were pending or their node was stopped.
      */
     @ParameterizedTest
     @ValueSource(strings = {"late-list.yaml", "leaving.yaml"})
-    void whatIsOverIsNotSentOn(String scenario) throws Exception {
-        Report report = play(scenario, runLine());
-        assertEquals("[]", report.broken().toString(), text(report));
-        assertTrue(report.figures().steps().get(0).worth() > 0.3, text(report));
+    void requestsThatAreOverAreNotForwarded(String scenario) throws Exception {
+        Report report = runScenario(scenario, runLine());
+        assertEquals("[]", report.violations().toString(), text(report));
+        assertTrue(report.statistics().steps().get(0).worth() > 0.3, text(report));
     }
 
-    // Whether any process still has this play's folder for its configuration.
-    private boolean left() {
+    // Whether any process still has this run's folder in its environment.
+    private boolean processesLeft() {
         return ProcessHandle.allProcesses()
                 .anyMatch(
                         process -> {
@@ -104,15 +107,16 @@
     }
 
     @Test
-    void aNodeThatNeverBecomesReadyIsNamedWithTheEndOfItsLog() {
-        String told =
+    void aNodeThatNeverBecomesReadyIsReportedWithItsLogTail() {
+        String message =
                 assertThrows(
-                                PlayException.class,
-                                () -> play("faults.yaml", "echo no such program; exit 3"))
+                                RunException.class,
+                                () -> runScenario("faults.yaml", "echo no such program; exit 3"))
                         .getMessage();
         assertTrue(
-                told.startsWith("n1 ended before it was ready") && told.contains("no such program"),
-                told);
-        assertFalse(left(), "processes are left");
+                message.startsWith("n1 ended before it was ready")
+                        && message.contains("no such program"),
+                message);
+        assertFalse(processesLeft(), "processes are left");
     }
 }
