--- a/src/main/java/ottergauge/transport/AdminConnection.java
+++ b/src/main/java/ottergauge/transport/AdminConnection.java
@@ -155,10 +155,7 @@
         context().writeAndFlush(response).addListener(written -> close(CloseReason.NOT_REUSABLE));
     }
 
-    /**
-     * Ends the connection. A client that has not sent a complete request first gets a response that
-     * says so.
-     */
+    /** Ends the connection; if no complete request has arrived, sends a 408 response first. */
     void onTimeout() {
         if (responded) {
             close(CloseReason.SLOW_ANSWER);
--- a/src/main/java/ottergauge/transport/SingleLoopTransport.java
+++ b/src/main/java/ottergauge/transport/SingleLoopTransport.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Runs everything on one event loop. A separate thread for accepting connections accepted hundreds
- * of them while the loop was busy, until no descriptor was left. The library then stops accepting
- * for a second, and the connections that had queued up meanwhile used up the descriptors again: the
- * node served no client for the rest of the day.
+ * Runs everything on one event loop. When a separate thread accepted connections, it accepted
+ * hundreds of them while the loop was busy, until no descriptor was left. The library then stops
+ * accepting for a second, and the connections that had queued up meanwhile used up the descriptors
+ * again: the node served no client for the rest of the day.
  */
 final class SingleLoopTransport extends NioTransport {
 
--- a/src/test/java/ottergauge/migration/MigrationTest.java
+++ b/src/test/java/ottergauge/migration/MigrationTest.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void whatTheShapeSaysCountsAndTheRestIsCarriedOver() throws Exception {
+    void shapeOverridesSettingsAndTheRestIsKept() throws Exception {
         Map<?, ?> settings = settings(translate(",\"weights\":\"nominal\"", ""));
         assertEquals(98.0, settings.get("balancers"));
         assertEquals(5.0, settings.get("roundMs"));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void nothingIsLeftOverOfAFileThatTheNewShapeHoldsWhole() throws Exception {
+    void noLeftoversIfTheNewShapeHoldsAllOldValues() throws Exception {
         Map<String, Object> shape = json(SHAPE.formatted(""));
         shape.put("zones", List.of("a", "b"));
         shape.put("zone", "b");
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void whatHasNoCounterpartIsListedWithItsValue() throws Exception {
+    void valuesWithoutCounterpartAreListedAsLeftovers() throws Exception {
         Map<String, Object> old =
                 old(",\"parties\":[{\"name\":\"t\"}],\"flavour\":\"x\",\"kinds\":[\"m1\"]");
         old.put("known", Map.of("seq", 1.0));
@@ -95,28 +95,29 @@
     }
 
     /**
-     * Guards against an effect twice: who drops repeats together was told in zones that are no
-     * more.
+     * Guards against a request that takes effect twice: the old zones, which no longer exist,
+     * defined which servers detect repeated requests together.
      */
     @Test
-    void aKeyedClassOfOldZonesIsNeverRepeatedUntilTheShapeSaysItsGroup() throws Exception {
+    void keyedClassOfOldZonesIsNotRetriedUntilTheShapeNamesItsGroup() throws Exception {
         Result result = translate("", "");
         assertTrue(keys(result).contains("settings.classes.pay.group"));
         assertEquals(
                 0.0,
                 ((Map<?, ?>) ((List<?>) settings(result).get("classes")).get(0)).get("windowMs"));
-        Result said =
+        Result withGroup =
                 translate(
                         "",
                         ",\"classes\":[{\"name\":\"pay\",\"group\":\"cell\",\"windowMs\":15000}]");
-        assertFalse(keys(said).contains("settings.classes.pay.group"));
+        assertFalse(keys(withGroup).contains("settings.classes.pay.group"));
         assertEquals(
                 15000.0,
-                ((Map<?, ?>) ((List<?>) settings(said).get("classes")).get(0)).get("windowMs"));
+                ((Map<?, ?>) ((List<?>) settings(withGroup).get("classes")).get(0))
+                        .get("windowMs"));
     }
 
     @Test
-    void aBadShapeIsRefusedWithItsKeyNamed() throws Exception {
+    void invalidShapeIsRejectedWithItsKeyNamed() throws Exception {
         String[][] bad = {
             {"{\"zones\":[\"a\"]}", "balancers"},
             {SHAPE.formatted(",\"baton\":1"), "baton"},
--- a/src/test/java/ottergauge/program/AdminClient.java
+++ b/src/test/java/ottergauge/program/AdminClient.java
@@ -8,17 +8,17 @@
 import java.net.Socket;
 import ottergauge.program.RunningNode.Client;
 
-/** Calls a node's management address. */
+/** Sends requests to a node's admin address. */
 final class AdminClient {
 
     private AdminClient() {}
 
-    /** Makes one call, such as {@code GET /stats}, on a connection that the node then closes. */
+    /** Sends one request, such as {@code GET /stats}, on a connection that the node then closes. */
     static HttpMessage call(int port, String call) throws IOException {
         try (Client operator = new Client(new Socket(InetAddress.getLoopbackAddress(), port))) {
-            HttpMessage answer = operator.ask(call + " HTTP/1.1\r\nHost: x\r\n\r\n");
-            assertTrue(operator.atEnd(), "one call to a connection");
-            return answer;
+            HttpMessage reply = operator.exchange(call + " HTTP/1.1\r\nHost: x\r\n\r\n");
+            assertTrue(operator.atEnd(), "one request per connection");
+            return reply;
         }
     }
 }
--- a/src/test/java/ottergauge/program/AdminListenerIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -24,11 +24,11 @@
 import ottergauge.program.RunningNode.Client;
 import ottergauge.protocol.TestConfig;
 
-/** The operators' door and upgrades, with real processes. */
+/** The admin listener and upgrades without downtime, with real processes. */
 @Timeout(120)
 class AdminListenerIT {
 
-    private static final String NOWHERE = "127.0.0.1:1";
+    private static final String UNREACHABLE = "127.0.0.1:1";
 
     @TempDir private Path folder;
     private final List<AutoCloseable> open = new ArrayList<>();
@@ -46,18 +46,18 @@
         return each;
     }
 
-    private RunningNode process(int door, String... hosts) throws Exception {
+    private RunningNode process(int adminPort, String... hosts) throws Exception {
         port = port == 0 ? RunningNode.freePort() : port;
         return closing(
                 RunningNode.ready(
                         folder,
-                        new TestConfig().managed("127.0.0.1:" + door).knows(hosts),
-                        NOWHERE,
+                        new TestConfig().managed("127.0.0.1:" + adminPort).knows(hosts),
+                        UNREACHABLE,
                         port));
     }
 
-    private static long figure(int door, String name) throws IOException {
-        return call(door, "GET /stats")
+    private static long stat(int adminPort, String name) throws IOException {
+        return call(adminPort, "GET /stats")
                 .body()
                 .lines()
                 .filter(line -> line.startsWith("balancer." + name + "="))
@@ -65,7 +65,7 @@
                 .sum();
     }
 
-    /** A call that is none gets its answer, and the node goes on for others. */
+    /** An invalid request gets an error status, and the node keeps serving other requests. */
     @ParameterizedTest
     @CsvSource({
         "no call at all,400",
@@ -77,39 +77,40 @@
         "POST /servers//maint HTTP/1.1,404",
         "GET /stats HTTP/1.0,400"
     })
-    void aBadCallGetsItsNo(String line, int status) throws Exception {
-        int door = RunningNode.freePort();
-        process(door, host("s-1", "127.0.0.1:2", "in_service"));
-        try (Client operator = new Client(new Socket(InetAddress.getLoopbackAddress(), door))) {
-            assertEquals(status, operator.ask(line + "\r\nHost: x\r\n\r\n").status());
+    void invalidRequestGetsAnErrorStatus(String line, int status) throws Exception {
+        int adminPort = RunningNode.freePort();
+        process(adminPort, host("s-1", "127.0.0.1:2", "in_service"));
+        try (Client operator =
+                new Client(new Socket(InetAddress.getLoopbackAddress(), adminPort))) {
+            assertEquals(status, operator.exchange(line + "\r\nHost: x\r\n\r\n").status());
         }
-        assertEquals(200, call(door, "GET /healthcheck").status());
+        assertEquals(200, call(adminPort, "GET /healthcheck").status());
     }
 
-    /** Hundreds that say nothing, or half a call, keep neither operators nor clients out. */
+    /** Hundreds of connections without a complete request block neither operators nor clients. */
     @Test
-    void silentCallersGiveWay() throws Exception {
-        int door = RunningNode.freePort();
-        StubServer server = closing(StubServer.obedient());
-        RunningNode node = process(door, host("s-1", server.address(), "in_service"));
+    void silentConnectionsAreClosedToMakeRoom() throws Exception {
+        int adminPort = RunningNode.freePort();
+        StubServer server = closing(StubServer.queryControlled());
+        RunningNode node = process(adminPort, host("s-1", server.address(), "in_service"));
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            Socket socket = closing(new Socket(InetAddress.getLoopbackAddress(), door));
+            Socket socket = closing(new Socket(InetAddress.getLoopbackAddress(), adminPort));
             String part = i % 2 == 0 ? "" : "GET /sta";
             socket.getOutputStream().write(part.getBytes(StandardCharsets.US_ASCII));
             silent.add(socket);
         }
         long from = System.nanoTime();
-        assertEquals(200, call(door, "GET /stats").status());
+        assertEquals(200, call(adminPort, "GET /stats").status());
         assertTrue(System.nanoTime() - from < TimeUnit.SECONDS.toNanos(1), "within a second");
         try (Client client = node.client()) {
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
         }
         for (Socket socket : silent) {
             socket.setSoTimeout(10_000);
             try {
                 while (socket.getInputStream().read() >= 0) {
-                    // A word that it was too slow may come first.
+                    // A response that it was too slow may come first.
                 }
             } catch (java.net.SocketException e) {
                 // A reset ends it as well.
@@ -117,59 +118,59 @@
         }
     }
 
-    /** With its socket path cold a node refused 500 requests in its first second. */
+    /** Without this warm-up, a node rejected 500 requests in its first second. */
     @Test
-    void theSocketPathIsWarmBeforeClientsAreTaken() throws Exception {
+    void socketPathIsWarmedUpBeforeClientsAreServed() throws Exception {
         RunningNode node = process(RunningNode.freePort());
-        int called = node.log().indexOf("warm-up requests to itself");
-        assertTrue(called > 0 && called < node.log().indexOf("listens on"), node.log());
+        int warmUpLogged = node.log().indexOf("warm-up requests to itself");
+        assertTrue(warmUpLogged > 0 && warmUpLogged < node.log().indexOf("listens on"), node.log());
         assertTrue(
                 node.log().matches("(?s).* sent [1-9][0-9]{2} warm-up requests to itself.*"),
                 node.log());
-        assertFalse(node.log().contains("side=itself"), "no line for each");
+        assertFalse(node.log().contains("side=itself"), "a line for each connection");
     }
 
-    /** A flood that fills the clients' part leaves the door alone. */
+    /** A flood that uses up the connections for clients does not affect the admin listener. */
     @Test
-    void aFloodOfClientsLeavesTheDoorOpen() throws Exception {
-        int door = RunningNode.freePort();
+    void floodOfClientsDoesNotBlockTheAdminListener() throws Exception {
+        int adminPort = RunningNode.freePort();
         port = RunningNode.freePort();
         RunningNode node =
                 closing(
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().sockets(160).managed("127.0.0.1:" + door),
-                                NOWHERE,
+                                new TestConfig().sockets(160).managed("127.0.0.1:" + adminPort),
+                                UNREACHABLE,
                                 port));
         for (int i = 0; i < 300; i++) {
             closing(node.client().socket());
         }
-        assertEquals(200, call(door, "GET /healthcheck").status());
+        assertEquals(200, call(adminPort, "GET /healthcheck").status());
     }
 
     @Test
-    void figuresTellWhatBecameOfRequests() throws Exception {
-        int door = RunningNode.freePort();
-        StubServer server = closing(StubServer.obedient());
-        RunningNode node = process(door, host("s-1", server.address(), "in_service"));
+    void statsCountTheOutcomesOfRequests() throws Exception {
+        int adminPort = RunningNode.freePort();
+        StubServer server = closing(StubServer.queryControlled());
+        RunningNode node = process(adminPort, host("s-1", server.address(), "in_service"));
         try (Client client = node.client()) {
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
-            assertEquals(502, client.ask(Client.request("grant", "error", "")).status());
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
+            assertEquals(502, client.exchange(Client.request("grant", "error", "")).status());
         }
-        assertEquals(1, figure(door, "completed.read"));
-        assertEquals(1, figure(door, "failed.grant"));
-        assertEquals(2, figure(door, "upstream_requests"));
-        assertEquals(0, figure(door, "pending"));
-        assertEquals(1, figure(door, "members"));
+        assertEquals(1, stat(adminPort, "completed.read"));
+        assertEquals(1, stat(adminPort, "failed.grant"));
+        assertEquals(2, stat(adminPort, "upstream_requests"));
+        assertEquals(0, stat(adminPort, "pending"));
+        assertEquals(1, stat(adminPort, "members"));
     }
 
     /**
-     * Two processes are one node: a server stays out over the upgrade, and no client is turned
-     * back.
+     * Two processes form one node: a server stays in maintenance during the upgrade, and no client
+     * is rejected.
      */
     @Test
-    void anUpgradeKeepsClientsAndServersHeldOut() throws Exception {
-        StubServer server = closing(StubServer.obedient());
+    void upgradeKeepsClientsAndServersInMaintenance() throws Exception {
+        StubServer server = closing(StubServer.queryControlled());
         int before = RunningNode.freePort();
         int after = RunningNode.freePort();
         RunningNode old =
@@ -185,15 +186,15 @@
         old.awaitLog("runs beside another process");
         try (Client kept = old.client();
                 Client other = old.client()) {
-            assertEquals(200, kept.ask(Client.request("read", "ok", "")).status());
-            assertEquals(200, other.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, kept.exchange(Client.request("read", "ok", "")).status());
+            assertEquals(200, other.exchange(Client.request("read", "ok", "")).status());
             old.process.destroy();
             old.awaitLog("another process takes its clients");
-            assertEquals(200, kept.ask(Client.request("read", "ok", "")).status());
-            assertEquals(200, other.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, kept.exchange(Client.request("read", "ok", "")).status());
+            assertEquals(200, other.exchange(Client.request("read", "ok", "")).status());
             for (int i = 0; i < 20; i++) {
                 try (Client fresh = next.client()) {
-                    assertEquals(200, fresh.ask(Client.request("read", "ok", "")).status());
+                    assertEquals(200, fresh.exchange(Client.request("read", "ok", "")).status());
                 }
             }
         }
@@ -201,19 +202,19 @@
         next.awaitLog("runs alone again");
         assertEquals(200, call(after, "POST /servers/s-2/ready").status());
         assertEquals("s-1 used\ns-2 used\n", call(after, "GET /servers").body());
-        assertEquals(1, leftIn("process-"));
-        assertEquals(0, leftIn("held-"));
+        assertEquals(1, filesNamed("process-"));
+        assertEquals(0, filesNamed("held-"));
     }
 
-    /** Killed, neither process leaves anything that the next one takes for one that lives. */
+    /** A killed process leaves no file that the next one takes for that of a live process. */
     @Test
-    void aProcessStartsAloneWithLeftovers() throws Exception {
-        int door = RunningNode.freePort();
-        RunningNode first = process(door, host("s-1", "127.0.0.1:2", "in_service"));
-        assertEquals(200, call(door, "POST /servers/s-1/maint").status());
+    void processStartsAloneDespiteLeftoverFiles() throws Exception {
+        int adminPort = RunningNode.freePort();
+        RunningNode first = process(adminPort, host("s-1", "127.0.0.1:2", "in_service"));
+        assertEquals(200, call(adminPort, "POST /servers/s-1/maint").status());
         first.process.destroyForcibly().waitFor();
-        Files.writeString(shared().resolve("held-broken"), "no time");
-        Files.writeString(shared().resolve("list.json"), "{");
+        Files.writeString(hotRestartDirectory().resolve("held-broken"), "no time");
+        Files.writeString(hotRestartDirectory().resolve("list.json"), "{");
         int next = RunningNode.freePort();
         RunningNode second = process(next, host("s-1", "127.0.0.1:2", "in_service"));
         assertEquals("s-1 held\n", call(next, "GET /servers").body());
@@ -222,15 +223,15 @@
         second.awaitLog("stopped: all pending requests responded to");
     }
 
-    private Path shared() throws IOException {
+    private Path hotRestartDirectory() throws IOException {
         try (var folders = Files.newDirectoryStream(folder, "ottergauge-*")) {
             return folders.iterator().next();
         }
     }
 
-    private int leftIn(String mark) throws IOException {
+    private int filesNamed(String prefix) throws IOException {
         int count = 0;
-        try (var files = Files.newDirectoryStream(shared(), mark + "*")) {
+        try (var files = Files.newDirectoryStream(hotRestartDirectory(), prefix + "*")) {
             for (Path ignored : files) {
                 count++;
             }
--- a/src/test/java/ottergauge/program/FlowIT.java
+++ b/src/test/java/ottergauge/program/BodyStreamingIT.java
@@ -33,22 +33,22 @@
 import ottergauge.program.RunningNode.Client;
 import ottergauge.protocol.TestConfig;
 
-/** Large bodies, slow peers and every form of HTTP/1.1, before and behind a real process. */
+/** Large bodies, slow peers and all forms of HTTP/1.1 framing, on both sides of a real process. */
 @Timeout(120)
-class FlowIT {
+class BodyStreamingIT {
 
-    private static final String NOWHERE = "127.0.0.1:1";
+    private static final String UNREACHABLE = "127.0.0.1:1";
     private static final int LARGE = 8 << 20;
 
-    /** What a server does once it has read a head; the body, if any, is still to be read. */
+    /** Handles a request whose head has been read; its body, if any, has not. */
     private interface Behaviour {
-        void answer(String head, InputStream in, OutputStream out)
+        void reply(String head, InputStream in, OutputStream out)
                 throws IOException, InterruptedException;
     }
 
     @TempDir private Path folder;
     private final List<AutoCloseable> open = new ArrayList<>();
-    private final BlockingQueue<String> seen = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> receivedHeads = new LinkedBlockingQueue<>();
 
     @AfterEach
     void closeAll() throws Exception {
@@ -57,7 +57,7 @@
         }
     }
 
-    private RunningNode nodeBefore(Behaviour behaviour) throws Exception {
+    private RunningNode nodeInFrontOf(Behaviour behaviour) throws Exception {
         ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         open.add(listener);
         thread(
@@ -76,7 +76,7 @@
                                                 "s-1",
                                                 "127.0.0.1:" + listener.getLocalPort(),
                                                 "in_service")),
-                        NOWHERE);
+                        UNREACHABLE);
         open.add(0, node);
         return node;
     }
@@ -85,8 +85,8 @@
         try (connection) {
             InputStream in = new BufferedInputStream(connection.getInputStream());
             for (String head = head(in); head != null; head = head(in)) {
-                seen.add(head);
-                behaviour.answer(head, in, connection.getOutputStream());
+                receivedHeads.add(head);
+                behaviour.reply(head, in, connection.getOutputStream());
                 if (head.contains("do=close")) {
                     return;
                 }
@@ -98,25 +98,25 @@
         }
     }
 
-    private interface Work {
+    private interface Task {
         void run() throws Exception;
     }
 
-    private static void thread(Work work) {
+    private static void thread(Task work) {
         Thread thread =
                 new Thread(
                         () -> {
                             try {
                                 work.run();
                             } catch (Exception e) {
-                                // The other side has gone, or the test is over.
+                                // The peer has disconnected, or the test is over.
                             }
                         });
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** A head as it came; null at the end. */
+    /** Reads a head unchanged; null at the end of the stream. */
     private static String head(InputStream in) throws IOException {
         ByteArrayOutputStream head = new ByteArrayOutputStream();
         int last = 0;
@@ -130,7 +130,7 @@
         return null;
     }
 
-    /** Reads the body that a head tells of; null if it was cut short. */
+    /** Reads the body that a head announces; null if it is truncated. */
     private static byte[] body(String head, InputStream in) throws IOException {
         if (!head.toLowerCase(Locale.ROOT).contains("transfer-encoding: chunked")) {
             int at = head.toLowerCase(Locale.ROOT).indexOf("content-length:");
@@ -174,18 +174,18 @@
         return bytes;
     }
 
-    private static String sum(byte[] bytes) {
-        CRC32 sum = new CRC32();
-        sum.update(bytes);
-        return bytes.length + ":" + sum.getValue();
+    private static String checksum(byte[] bytes) {
+        CRC32 checksum = new CRC32();
+        checksum.update(bytes);
+        return bytes.length + ":" + checksum.getValue();
     }
 
     private static byte[] text(String text) {
         return text.getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static String ask(String wish, String fields) {
-        return Client.request("grant", wish, "").replace("Content-Length: 0\r\n", fields);
+    private static String requestWithFields(String action, String fields) {
+        return Client.request("grant", action, "").replace("Content-Length: 0\r\n", fields);
     }
 
     private static void write(Socket socket, String head, byte[]... parts) throws IOException {
@@ -195,72 +195,80 @@
         }
     }
 
-    // A server that tells what came, and answers with as much as it was asked for.
+    // A server that responds with the checksum of the request body.
     private static final Behaviour ECHO =
             (head, in, out) -> {
                 byte[] body = body(head, in);
-                String told = sum(body);
+                String bodyChecksum = checksum(body);
                 out.write(
                         text(
                                 "HTTP/1.1 200 OK\r\nContent-Length: "
-                                        + told.length()
+                                        + bodyChecksum.length()
                                         + "\r\n\r\n"
-                                        + told));
+                                        + bodyChecksum));
             };
 
     /**
-     * Guards against a request that came whole before its server's connection was up, and went
-     * nowhere.
+     * Guards against a request that arrived completely before its server's connection was
+     * established, and was never forwarded.
      */
     @Test
-    void aRequestJustTooLargeToBeKeptWaitsWholeForItsServer() throws Exception {
-        RunningNode node = nodeBefore(ECHO);
+    void requestJustTooLargeToBufferIsForwardedOnceItsServerIsConnected() throws Exception {
+        RunningNode node = nodeInFrontOf(ECHO);
         byte[] body = bytes((64 << 10) + 100);
         try (Client client = node.client()) {
-            node.standStill();
-            write(client.socket(), ask("ok", "Content-Length: " + body.length + "\r\n"), body);
-            node.goOn();
-            assertEquals(sum(body), client.read().body());
+            node.pauseProcess();
+            write(
+                    client.socket(),
+                    requestWithFields("ok", "Content-Length: " + body.length + "\r\n"),
+                    body);
+            node.resumeProcess();
+            assertEquals(checksum(body), client.read().body());
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"length", "chunked"})
-    void aLargeRequestComesThroughUnchanged(String framing) throws Exception {
-        RunningNode node = nodeBefore(ECHO);
+    void largeRequestIsForwardedUnchanged(String framing) throws Exception {
+        RunningNode node = nodeInFrontOf(ECHO);
         byte[] body = bytes(LARGE);
         try (Client client = node.client()) {
             if ("length".equals(framing)) {
-                write(client.socket(), ask("ok", "Content-Length: " + LARGE + "\r\n"), body);
+                write(
+                        client.socket(),
+                        requestWithFields("ok", "Content-Length: " + LARGE + "\r\n"),
+                        body);
             } else {
                 write(
                         client.socket(),
-                        ask("ok", "Transfer-Encoding: CHUNKED\r\n"),
+                        requestWithFields("ok", "Transfer-Encoding: CHUNKED\r\n"),
                         text(Integer.toHexString(LARGE) + ";name=value\r\n"),
                         body,
                         text("\r\n0\r\nTrailer: x\r\n\r\n"));
             }
-            HttpMessage answer = client.read();
-            assertEquals(200, answer.status());
-            assertEquals(sum(body), answer.body());
-            // The connection and what lies behind it go on.
-            assertEquals(200, client.ask(Client.request("grant", "ok", "small")).status());
+            HttpMessage reply = client.read();
+            assertEquals(200, reply.status());
+            assertEquals(checksum(body), reply.body());
+            // The connection and the server connection stay usable.
+            assertEquals(200, client.exchange(Client.request("grant", "ok", "small")).status());
         }
-        assertEquals("length".equals(framing), seen.poll(5, TimeUnit.SECONDS).contains("ontent-"));
+        assertEquals(
+                "length".equals(framing),
+                receivedHeads.poll(5, TimeUnit.SECONDS).contains("ontent-"));
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"ok", "chunked", "close"})
-    void aLargeAnswerComesThroughUnchangedHoweverSlowlyItIsRead(String wish) throws Exception {
+    void largeResponseIsRelayedUnchangedToASlowClient(String action) throws Exception {
         byte[] body = bytes(LARGE);
         RunningNode node =
-                nodeBefore(
+                nodeInFrontOf(
                         (head, in, out) -> {
                             body(head, in);
                             out.write(
                                     text(
                                             "HTTP/1.1 200 \r\n"
-                                                    + switch (wish) {
+                                                    + switch (action) {
                                                         case "chunked" ->
                                                                 "transfer-encoding: Chunked\r\n\r\n"
                                                                         + Integer.toHexString(LARGE)
@@ -272,33 +280,34 @@
                                                                         + "\r\n\r\n";
                                                     }));
                             out.write(body);
-                            if ("chunked".equals(wish)) {
+                            if ("chunked".equals(action)) {
                                 out.write(text("\r\n0\r\n\r\n"));
                             }
                         });
         try (Client client = node.client()) {
-            write(client.socket(), ask(wish, "Content-Length: 0\r\n"));
+            write(client.socket(), requestWithFields(action, "Content-Length: 0\r\n"));
             InputStream in = new BufferedInputStream(client.socket().getInputStream(), 1 << 14);
             String head = head(in);
-            // Far over the deadline of 0.9 s: once begun, an answer is the client's.
+            // Longer than the deadline of 0.9 s, which no longer applies once the response has
+            // begun.
             in.mark(1);
             assertTrue(in.read() >= 0);
             in.reset();
             Thread.sleep(1_500);
-            assertEquals(sum(body), sum(body(head, in)));
+            assertEquals(checksum(body), checksum(body(head, in)));
         }
     }
 
     /**
-     * The node's memory is bounded: a dozen answers of 32 MB that nobody reads for a while fit in
-     * it.
+     * The node's memory is bounded: it can relay a dozen responses of 32 MB that are not read for a
+     * while.
      */
     @Test
-    void answersThatAreNotReadWaitAtTheServer() throws Exception {
+    void unreadResponsesAreHeldBackAtTheServer() throws Exception {
         int length = 32 << 20;
         byte[] body = bytes(1 << 20);
         RunningNode node =
-                nodeBefore(
+                nodeInFrontOf(
                         (head, in, out) -> {
                             body(head, in);
                             out.write(
@@ -315,7 +324,7 @@
             Client client = node.client();
             open.add(0, client);
             clients.add(client);
-            write(client.socket(), ask("ok", "Content-Length: 0\r\n"));
+            write(client.socket(), requestWithFields("ok", "Content-Length: 0\r\n"));
         }
         for (Client client : clients) {
             InputStream in = new BufferedInputStream(client.socket().getInputStream(), 1 << 16);
@@ -330,12 +339,12 @@
         }
     }
 
-    /** Cut off by its server, an answer ends so that its client can tell. */
+    /** The client can detect that its server has truncated a response. */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset"})
-    void anAnswerThatBreaksOffIsNoWholeAnswer(String wish) throws Exception {
+    void truncatedResponseIsRecognizablyIncomplete(String action) throws Exception {
         RunningNode node =
-                nodeBefore(
+                nodeInFrontOf(
                         (head, in, out) -> {
                             body(head, in);
                             out.write(
@@ -346,15 +355,15 @@
                             out.write(bytes(1 << 18));
                         });
         try (Client client = node.client()) {
-            write(client.socket(), ask(wish, "Content-Length: 0\r\n"));
+            write(client.socket(), requestWithFields(action, "Content-Length: 0\r\n"));
             InputStream in = client.socket().getInputStream();
             String head = head(in);
             assertTrue(head.contains("ength: " + LARGE), head);
-            assertNull(wholeOrNull(head, in));
+            assertNull(bodyOrNull(head, in));
         }
     }
 
-    private static byte[] wholeOrNull(String head, InputStream in) {
+    private static byte[] bodyOrNull(String head, InputStream in) {
         try {
             return body(head, in);
         } catch (IOException e) {
@@ -363,36 +372,38 @@
     }
 
     /**
-     * Without a length an answer ends with its connection, but not with a reset: that one failed.
+     * A response without a length ends when its connection is closed. If the connection is reset,
+     * the response has failed.
      */
     @ParameterizedTest
     @ValueSource(strings = {"close", "reset"})
-    void aShortAnswerWithoutALengthEndsWithTheClose(String wish) throws Exception {
+    void shortResponseWithoutLengthEndsWithTheConnectionClose(String action) throws Exception {
         RunningNode node =
-                nodeBefore(
+                nodeInFrontOf(
                         (head, in, out) -> {
                             body(head, in);
                             out.write(
                                     text("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200\r\n\r\nhello"));
-                            if ("reset".equals(wish)) {
-                                // The bytes are to arrive before the reset.
+                            if ("reset".equals(action)) {
+                                // The bytes have to arrive before the reset.
                                 Thread.sleep(100);
                             }
                         });
         try (Client client = node.client()) {
-            HttpMessage answer = client.ask(ask(wish, "Content-Length: 0\r\n"));
-            assertEquals("close".equals(wish) ? 200 : 502, answer.status());
-            assertEquals("close".equals(wish) ? "hello" : "", answer.body());
+            HttpMessage reply = client.exchange(requestWithFields(action, "Content-Length: 0\r\n"));
+            assertEquals("close".equals(action) ? 200 : 502, reply.status());
+            assertEquals("close".equals(action) ? "hello" : "", reply.body());
         }
     }
 
     /**
-     * A head may take two seconds, and its client is served; half a head alone ends the connection.
+     * A request whose head takes two seconds is served; a connection with an incomplete head is
+     * closed.
      */
     @Test
-    void aSlowHeadIsServedAndHalfAHeadIsNot() throws Exception {
-        RunningNode node = nodeBefore(ECHO);
-        String request = ask("ok", "Content-Length: 0\r\n");
+    void slowRequestHeadIsServedAndIncompleteHeadIsNot() throws Exception {
+        RunningNode node = nodeInFrontOf(ECHO);
+        String request = requestWithFields("ok", "Content-Length: 0\r\n");
         long from = System.nanoTime();
         try (Client slow = node.client();
                 Client half = node.client()) {
@@ -412,17 +423,19 @@
     }
 
     /**
-     * The client's time runs from its last byte: a body of two seconds is served though it waits
-     * 0.9 s.
+     * The deadline of 0.9 s counts from the last byte of the request: a request whose body takes
+     * over two seconds is served.
      */
     @Test
-    void aBodyThatComesSlowlyIsServed() throws Exception {
-        RunningNode node = nodeBefore(ECHO);
+    void slowRequestBodyIsServed() throws Exception {
+        RunningNode node = nodeInFrontOf(ECHO);
         byte[] body = bytes(160 * 1024);
         try (Client client = node.client()) {
             write(
                     client.socket(),
-                    ask("ok", "Content-Length: " + body.length + "\r\nExpect: 100-continue\r\n"));
+                    requestWithFields(
+                            "ok",
+                            "Content-Length: " + body.length + "\r\nExpect: 100-continue\r\n"));
             assertTrue(head(client.socket().getInputStream()).startsWith("HTTP/1.1 100"));
             int steps = 25;
             for (int i = 0; i < steps; i++) {
@@ -432,22 +445,25 @@
                         .write(body, begin, body.length * (i + 1) / steps - begin);
                 Thread.sleep(100);
             }
-            HttpMessage answer = client.read();
-            assertEquals(200, answer.status());
-            assertEquals(sum(body), answer.body());
+            HttpMessage reply = client.read();
+            assertEquals(200, reply.status());
+            assertEquals(checksum(body), reply.body());
         }
     }
 
     /**
-     * Announced longer than it comes, a body that stands still ends; the server never sees it
-     * whole.
+     * A body that stops before its announced length ends the connection; the server never gets the
+     * complete body.
      */
     @Test
-    void aBodyThatStandsStillEnds() throws Exception {
-        RunningNode node = nodeBefore(ECHO);
+    void stalledRequestBodyEndsTheConnection() throws Exception {
+        RunningNode node = nodeInFrontOf(ECHO);
         try (Client client = node.client()) {
             long from = System.nanoTime();
-            write(client.socket(), ask("ok", "Content-Length: 200000\r\n"), bytes(100_000));
+            write(
+                    client.socket(),
+                    requestWithFields("ok", "Content-Length: 200000\r\n"),
+                    bytes(100_000));
             assertTrue(client.atEnd());
             assertTrue(
                     System.nanoTime() - from < TimeUnit.SECONDS.toNanos(3),
@@ -456,22 +472,30 @@
     }
 
     @Test
-    void aBodyPastTheMostIsRefusedBeforeItIsRead() throws Exception {
-        RunningNode node = nodeBefore(ECHO);
+    void bodyOverTheSizeLimitIsRejectedBeforeItIsRead() throws Exception {
+        RunningNode node = nodeInFrontOf(ECHO);
         try (Client client = node.client()) {
-            assertEquals(413, client.ask(ask("ok", "Content-Length: 60000000\r\n")).status());
+            assertEquals(
+                    413,
+                    client.exchange(requestWithFields("ok", "Content-Length: 60000000\r\n"))
+                            .status());
         }
     }
 
-    /** Asked to by the client, the node ends the connection with its answer and says so. */
+    /**
+     * If the client asks for it, the node closes the connection after the response and announces
+     * it.
+     */
     @Test
-    void aListInConnectionIsRead() throws Exception {
-        RunningNode node = nodeBefore(ECHO);
+    void connectionHeaderWithSeveralValuesIsParsed() throws Exception {
+        RunningNode node = nodeInFrontOf(ECHO);
         try (Client client = node.client()) {
-            HttpMessage answer =
-                    client.ask(ask("ok", "Content-Length: 0\r\nCONNECTION: x-mine, Close\r\n"));
-            assertEquals(200, answer.status());
-            assertEquals("close", answer.headers().get("connection"));
+            HttpMessage reply =
+                    client.exchange(
+                            requestWithFields(
+                                    "ok", "Content-Length: 0\r\nCONNECTION: x-mine, Close\r\n"));
+            assertEquals(200, reply.status());
+            assertEquals("close", reply.headers().get("connection"));
             assertTrue(client.atEnd());
         }
     }
--- a/src/test/java/ottergauge/program/HollowIT.java
+++ b/src/test/java/ottergauge/program/HollowCommandIT.java
@@ -32,16 +32,16 @@
 import ottergauge.protocol.TestConfig;
 import ottergauge.settings.JsonTree;
 
-/** Starts the program's hollow nodes before a stand-in for discovery, and reads what they tell. */
+/** Runs the hollow command against a stub discovery server and reads its report. */
 @Timeout(60)
-class HollowIT {
+class HollowCommandIT {
 
-    private static final long PATIENCE_S = 30;
+    private static final long TIMEOUT_S = 30;
     private static final int NODES = 3;
 
     @TempDir private Path folder;
 
-    /** A process of hollow nodes: what it tells, by events. */
+    /** A process of hollow nodes and the events that it reports. */
     private final class Fleet implements AutoCloseable {
         private final Process process;
         private final BlockingQueue<Map<String, Object>> lines = new LinkedBlockingQueue<>();
@@ -75,26 +75,26 @@
                     lines.add(JsonTree.read(line.getBytes(StandardCharsets.UTF_8)));
                 }
             } catch (IOException e) {
-                // The process was ended.
+                // The process has ended.
             }
         }
 
-        void order(String order) throws IOException {
-            process.getOutputStream().write((order + "\n").getBytes(StandardCharsets.US_ASCII));
+        void sendCommand(String line) throws IOException {
+            process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.US_ASCII));
             process.getOutputStream().flush();
         }
 
-        /** Waits for an event that fits, and passes over the others. */
+        /** Waits for a matching event and skips the others. */
         Map<String, Object> await(String event, Predicate<Map<String, Object>> fits)
                 throws Exception {
-            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+            long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
             while (System.nanoTime() < until) {
                 Map<String, Object> line = lines.poll(100, TimeUnit.MILLISECONDS);
                 if (line != null && event.equals(line.get("event")) && fits.test(line)) {
                     return line;
                 }
             }
-            throw new AssertionError("not told: " + event + "; log:\n" + Files.readString(log));
+            throw new AssertionError("not reported: " + event + "; log:\n" + Files.readString(log));
         }
 
         @Override
@@ -110,13 +110,20 @@
                 .replace("\"seq\":41", "\"seq\":0");
     }
 
-    /** Discovery that has two servers at version 41, of which one drains at 42; no more comes. */
+    /**
+     * Discovery that lists two servers at version 41, one of which drains at version 42; there are
+     * no later changes.
+     */
     private static StubServer discovery(AtomicLong bytes) throws IOException {
         return discovery(bytes, false);
     }
 
-    /** The same; {@code answersAll} says that it answers calls that bring nothing at once. */
-    private static StubServer discovery(AtomicLong bytes, boolean answersAll) throws IOException {
+    /**
+     * The same; with {@code respondsToAll} it responds at once to polls for which there is no
+     * change.
+     */
+    private static StubServer discovery(AtomicLong bytes, boolean respondsToAll)
+            throws IOException {
         return new StubServer(
                 (request, connection) -> {
                     if (request.target().contains("after=0&")) {
@@ -134,7 +141,7 @@
                                 bytes,
                                 TestConfig.list(
                                         42, false, host("s-2", "127.0.0.1:2", "terminating")));
-                    } else if (answersAll) {
+                    } else if (respondsToAll) {
                         send(connection, bytes, TestConfig.list(42, false));
                     }
                     return true;
@@ -142,9 +149,9 @@
     }
 
     private static void send(Socket connection, AtomicLong bytes, String list) throws IOException {
-        byte[] answer = HttpMessage.response(200, "", list);
-        bytes.addAndGet(answer.length);
-        connection.getOutputStream().write(answer);
+        byte[] reply = HttpMessage.response(200, "", list);
+        bytes.addAndGet(reply.length);
+        connection.getOutputStream().write(reply);
     }
 
     private static String digest(String text) throws Exception {
@@ -154,7 +161,7 @@
     }
 
     @Test
-    void eachNodeFollowsTheListAndTellsWhatIsInForce() throws Exception {
+    void eachNodeFollowsTheListAndReportsTheVersionInEffect() throws Exception {
         AtomicLong bytes = new AtomicLong();
         try (StubServer discovery = discovery(bytes);
                 Fleet fleet =
@@ -184,7 +191,7 @@
                             "h7",
                             List.of(41.0, 42.0)),
                     versions);
-            fleet.order("servers");
+            fleet.sendCommand("servers");
             for (int i = 0; i < NODES; i++) {
                 Map<String, Object> servers = fleet.await("servers", line -> true);
                 assertEquals(2.0, servers.get("count"));
@@ -194,46 +201,46 @@
     }
 
     @Test
-    void allBytesAndCallsAreCounted() throws Exception {
+    void allBytesAndPollsAreCounted() throws Exception {
         AtomicLong bytes = new AtomicLong();
         try (StubServer discovery = discovery(bytes);
                 Fleet fleet = new Fleet(config(discovery), "--count", "1")) {
             long in = 0;
             long out = 0;
-            double calls = 0;
-            while (calls < 3 || in < bytes.get() || out == 0) {
+            double polls = 0;
+            while (polls < 3 || in < bytes.get() || out == 0) {
                 Map<String, Object> line = fleet.await("traffic", each -> true);
                 in += ((Double) line.get("in")).longValue();
                 out += ((Double) line.get("out")).longValue();
-                calls = discovery.requests.size();
+                polls = discovery.requests.size();
             }
             assertEquals(bytes.get(), in);
-            long asked =
+            long targetBytes =
                     discovery.requests.stream()
                             .limit(3)
                             .mapToLong(each -> each.target().length())
                             .sum();
-            assertTrue(out > asked, out + " bytes out for " + asked + " of targets");
-            fleet.order("restart");
+            assertTrue(out > targetBytes, out + " bytes out for " + targetBytes + " of targets");
+            fleet.sendCommand("restart");
             fleet.await(
                     "calls",
                     line -> "whole".equals(line.get("kind")) && line.get("count").equals(1.0));
         }
     }
 
-    /** Guards against nodes that keep a connection or the list over a restart. */
+    /** Guards against nodes that keep a connection or the list when they are restarted. */
     @Test
-    void aRestartDropsConnectionsAndState() throws Exception {
-        // No call is ever given up here: only the restart ends connections.
+    void restartDropsConnectionsAndState() throws Exception {
+        // No poll times out here: only the restart ends connections.
         try (StubServer discovery = discovery(new AtomicLong(), true);
                 Fleet fleet = new Fleet(config(discovery), "--count", "" + NODES)) {
             for (int i = 0; i < NODES; i++) {
                 fleet.await("in-force", line -> line.get("version").equals(42.0));
             }
-            fleet.order("restart");
+            fleet.sendCommand("restart");
             for (int i = 0; i < NODES; i++) {
                 assertNotNull(
-                        discovery.ended.poll(PATIENCE_S, TimeUnit.SECONDS),
+                        discovery.endedConnections.poll(TIMEOUT_S, TimeUnit.SECONDS),
                         "a connection was kept");
             }
             for (int i = 0; i < NODES; i++) {
@@ -246,16 +253,17 @@
         }
     }
 
-    /** Guards against processes that are left when the one that started them is killed. */
+    /** Guards against processes that keep running when their parent process is killed. */
     @Test
-    void itEndsWithItsOrdersAndListensNowhere() throws Exception {
+    void processExitsAtTheEndOfItsInputAndListensNowhere() throws Exception {
         try (StubServer discovery = discovery(new AtomicLong());
                 Fleet fleet = new Fleet(config(discovery), "--count", "" + NODES)) {
             fleet.await("in-force", line -> line.get("version").equals(42.0));
             assertFalse(listens(fleet.process.pid()));
-            assertTrue(listens(ProcessHandle.current().pid()), "the look itself sees no listener");
+            assertTrue(
+                    listens(ProcessHandle.current().pid()), "the check itself detects no listener");
             fleet.process.getOutputStream().close();
-            assertTrue(fleet.process.waitFor(PATIENCE_S, TimeUnit.SECONDS));
+            assertTrue(fleet.process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
             assertEquals(0, fleet.process.exitValue());
         }
     }
@@ -280,7 +288,7 @@
     }
 
     @Test
-    void badUsageAndABadConfigurationAreNamed() throws Exception {
+    void invalidOptionAndInvalidConfigurationAreReported() throws Exception {
         try (StubServer discovery = discovery(new AtomicLong())) {
             try (Fleet fleet = new Fleet(config(discovery), "--count", "0")) {
                 assertEquals(2, fleet.process.waitFor());
--- a/src/test/java/ottergauge/program/HttpMessage.java
+++ b/src/test/java/ottergauge/program/HttpMessage.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** One HTTP/1.1 message as it stands on the wire: just enough for the tests' two ends. */
+/** An HTTP/1.1 message, parsed as far as the tests' clients and servers need it. */
 record HttpMessage(String startLine, Map<String, String> headers, String body) {
 
     /** Reads a message; null at the end of the stream. */
--- a/src/test/java/ottergauge/program/MainTest.java
+++ b/src/test/java/ottergauge/program/MainTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void noCommandAnUnknownCommandOrOptionGivesUsageAndTwo() {
+    void missingOrUnknownCommandOrOptionPrintsUsageAndExitsWithTwo() {
         for (String[] args :
                 new String[][] {{}, {"serve"}, {"fly"}, {"--fast"}, {"simhost", "--fast"}}) {
             err.getBuffer().setLength(0);
--- a/src/test/java/ottergauge/program/ManyServersIT.java
+++ b/src/test/java/ottergauge/program/ManyServersIT.java
@@ -17,21 +17,21 @@
 import ottergauge.program.RunningNode.Client;
 import ottergauge.protocol.TestConfig;
 
-/** The program as one of 1,024 nodes before 1,024 servers. */
+/** The program as one of 1,024 nodes with 1,024 servers. */
 @Timeout(120)
 class ManyServersIT {
 
-    private static final int MANY = 1024;
-    // A list of the size to design for: 1.5 MB.
-    private static final int FLEET_AHEAD = 8_000;
-    private static final String NOWHERE = "127.0.0.1:1";
-    // What the platform's days allow at the most; the settings of the test say so too.
-    private static final long MEMORY_KB = 192 * 1024;
+    private static final int SERVER_COUNT = 1024;
+    // The design size of a list, 1.5 MB.
+    private static final int LARGE_SERVER_COUNT = 8_000;
+    private static final String UNREACHABLE = "127.0.0.1:1";
+    // The memory that the platform allows at most; the test's settings name the same limit.
+    private static final long MEMORY_LIMIT_KB = 192 * 1024;
 
     @TempDir private Path folder;
 
     private static String[] all(String dial) {
-        return all(MANY, dial);
+        return all(SERVER_COUNT, dial);
     }
 
     private static String[] all(int servers, String dial) {
@@ -41,25 +41,25 @@
     }
 
     /**
-     * A line for each field and a blank after each colon, as a registry writes it for people to
-     * read.
+     * A line for each field and a space after each colon, as a registry formats it for human
+     * readers.
      */
     private static String indented(String json) {
         return json.replace(",", ",\n        ").replace(":[", " : [\n    ").replace("\":", "\" : ");
     }
 
     /**
-     * Guards against a bound on lists below what 1,024 servers take, and a list that comes in odd
-     * pieces.
+     * Guards against a size limit below the size of a list of 1,024 servers, and against a list
+     * that arrives in pieces of irregular size.
      */
     @Test
-    void aListOf1024ServersIsReadIndentedInOddPiecesAndServedFrom() throws Exception {
-        try (StubServer server = StubServer.obedient();
+    void indentedListOf1024ServersInSmallPiecesIsReadAndUsed() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
                 StubServer discovery =
                         new StubServer(
                                 (request, connection) -> {
                                     if (!request.target().contains("after=42")) {
-                                        byte[] answer =
+                                        byte[] reply =
                                                 HttpMessage.response(
                                                         200,
                                                         "",
@@ -71,12 +71,10 @@
                                         OutputStream out = connection.getOutputStream();
                                         int piece = 1;
                                         for (int at = 0;
-                                                at < answer.length;
+                                                at < reply.length;
                                                 at += piece, piece = piece * 5 % 16_381) {
                                             out.write(
-                                                    answer,
-                                                    at,
-                                                    Math.min(piece, answer.length - at));
+                                                    reply, at, Math.min(piece, reply.length - at));
                                             out.flush();
                                         }
                                     }
@@ -85,7 +83,7 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().fleet(MANY, 0.002).knows(all(NOWHERE)),
+                                new TestConfig().fleet(SERVER_COUNT, 0.002).knows(all(UNREACHABLE)),
                                 discovery.address());
                 Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
@@ -93,9 +91,9 @@
                     discovery.requests.take().target().contains("after=42"),
                     "the list was not read");
             for (int i = 0; i < 100; i++) {
-                assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+                assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
             }
-            assertTrue(peakMemoryKb(node) < MEMORY_KB, "needs " + peakMemoryKb(node) + " KB");
+            assertTrue(peakMemoryKb(node) < MEMORY_LIMIT_KB, "needs " + peakMemoryKb(node) + " KB");
             assertEquals(
                     0,
                     node.log().lines().filter(line -> line.contains("ERROR")).count(),
@@ -103,10 +101,13 @@
         }
     }
 
-    /** Guards against a whole list of over 1 MiB that was never read and fetched again for ever. */
+    /**
+     * Guards against a complete list of over 1 MiB that was never accepted and requested again
+     * forever.
+     */
     @Test
-    void aListOf8000ServersIsReadAndServedFrom() throws Exception {
-        try (StubServer server = StubServer.obedient();
+    void listOf8000ServersIsReadAndUsed() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
                 StubServer discovery =
                         new StubServer(
                                 (request, connection) -> {
@@ -121,7 +122,7 @@
                                                                         42,
                                                                         true,
                                                                         all(
-                                                                                FLEET_AHEAD,
+                                                                                LARGE_SERVER_COUNT,
                                                                                 server
                                                                                         .address()))));
                                     }
@@ -132,26 +133,26 @@
                                 folder,
                                 new TestConfig()
                                         .fleet(780, 0.002)
-                                        .knows(host("s-1", NOWHERE, "in_service")),
+                                        .knows(host("s-1", UNREACHABLE, "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
             assertTrue(
                     discovery.requests.take().target().contains("after=42"),
                     "the list was not read");
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
-            assertTrue(peakMemoryKb(node) < MEMORY_KB, "needs " + peakMemoryKb(node) + " KB");
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
+            assertTrue(peakMemoryKb(node) < MEMORY_LIMIT_KB, "needs " + peakMemoryKb(node) + " KB");
         }
     }
 
     /**
-     * A list that there is no room for is told of with its size and the bound, and the one before
-     * stays.
+     * A list that is too large is logged with its size and the limit, and the previous one stays in
+     * effect.
      */
     @Test
-    void aListOverTheBoundLeavesTheOneBeforeInForceAndIsToldOfOnce() throws Exception {
+    void listOverTheSizeLimitIsLoggedAndLeavesThePreviousListInEffect() throws Exception {
         long size = 1L << 30;
-        try (StubServer server = StubServer.obedient();
+        try (StubServer server = StubServer.queryControlled();
                 StubServer discovery =
                         new StubServer(
                                 (request, connection) -> {
@@ -172,7 +173,7 @@
                 Client client = node.client()) {
             node.awaitLog(
                     "the endpoint list of " + size + " bytes exceeds the limit of 12582912 bytes");
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
         }
     }
 
--- a/src/test/java/ottergauge/program/MigrateCommandTest.java
+++ b/src/test/java/ottergauge/program/MigrateCommandTest.java
@@ -52,7 +52,7 @@
                                 .toArray(String[]::new));
     }
 
-    private static String whole() {
+    private static String configWithoutLeftovers() {
         return new TestConfig()
                 .at("127.0.0.1:3000", "127.0.0.1:8500")
                 .json()
@@ -66,8 +66,8 @@
     }
 
     @Test
-    void aWholeFileIsWrittenAsTheNodeReadsIt() throws Exception {
-        assertEquals(0, migrate(whole(), SHAPE), out + " " + err);
+    void fileWithoutLeftoversIsWrittenAsTheNodeReadsIt() throws Exception {
+        assertEquals(0, migrate(configWithoutLeftovers(), SHAPE), out + " " + err);
         NodeConfig config = NodeConfig.read(Files.readAllBytes(folder.resolve("new.json")));
         assertEquals(98, config.settings().decisions().nodeCount());
         assertEquals(5_000, config.settings().decisions().eventInterval());
@@ -75,43 +75,51 @@
     }
 
     @Test
-    void whatIsLeftOverIsPrintedAndTheExitCodeSaysSo() throws Exception {
+    void leftoversArePrintedAndReportedByTheExitCode() throws Exception {
         assertEquals(
                 3, migrate(new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8500").json(), SHAPE));
         assertTrue(out.toString().contains("left over: known"), out.toString());
     }
 
     @Test
-    void aDryRunPrintsTheSameAndChangesNothing() throws Exception {
+    void dryRunPrintsTheSameAndWritesNothing() throws Exception {
         String old = new TestConfig().at("127.0.0.1:3000", "127.0.0.1:8500").json();
         assertEquals(3, migrate(old, SHAPE, "--dry-run"));
-        String said = out.toString().replace("would write", "wrote");
+        String printed = out.toString().replace("would write", "wrote");
         assertEquals(List.of("old.json", "shape.json"), files());
         out.getBuffer().setLength(0);
         migrate(old, SHAPE);
-        assertEquals(said, out.toString());
+        assertEquals(printed, out.toString());
     }
 
     @Test
-    void anExistingFileIsOnlyReplacedWhenTold() throws Exception {
+    void existingFileIsReplacedOnlyWithForce() throws Exception {
         file("new.json", "kept");
-        assertEquals(2, migrate(whole(), SHAPE));
+        assertEquals(2, migrate(configWithoutLeftovers(), SHAPE));
         assertEquals("kept", Files.readString(folder.resolve("new.json")));
-        assertEquals(0, migrate(whole(), SHAPE, "--force"));
+        assertEquals(0, migrate(configWithoutLeftovers(), SHAPE, "--force"));
         assertTrue(Files.readString(folder.resolve("new.json")).contains("roundMs"));
     }
 
     @Test
-    void badInputWritesNothingAndNamesFileAndFault() throws Exception {
+    void invalidInputWritesNothingAndNamesFileAndError() throws Exception {
         String[][] bad = {
             {"{", SHAPE, "old.json"},
-            {whole(), "[]", "shape.json"},
-            {whole(), "{} {}", "shape.json"},
+            {configWithoutLeftovers(), "[]", "shape.json"},
+            {configWithoutLeftovers(), "{} {}", "shape.json"},
             {"{}", SHAPE, "settings"},
-            {whole(), SHAPE.replace("\"roundMs\":5", "\"roundMs\":-5"), "roundMs"},
-            {whole().replace("127.0.0.1:3000", "nowhere"), SHAPE, "nowhere"},
-            {whole(), SHAPE.replace("\"balancers\":98", "\"balancers\":\"98\""), "balancers"},
-            {whole(), SHAPE.replace("\"balancers\":98", "\"balancers\":0,\"me\":-1"), "balancers"},
+            {configWithoutLeftovers(), SHAPE.replace("\"roundMs\":5", "\"roundMs\":-5"), "roundMs"},
+            {configWithoutLeftovers().replace("127.0.0.1:3000", "nowhere"), SHAPE, "nowhere"},
+            {
+                configWithoutLeftovers(),
+                SHAPE.replace("\"balancers\":98", "\"balancers\":\"98\""),
+                "balancers"
+            },
+            {
+                configWithoutLeftovers(),
+                SHAPE.replace("\"balancers\":98", "\"balancers\":0,\"me\":-1"),
+                "balancers"
+            },
         };
         for (String[] each : bad) {
             err.getBuffer().setLength(0);
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -32,31 +32,32 @@
 import ottergauge.protocol.TestConfig;
 import picocli.CommandLine;
 
-/** Starts the built program as the platform does and speaks to it over loopback. */
+/** Starts the built program as the platform does and sends requests to it over loopback. */
 @Timeout(120)
 class NodeIT {
 
-    private static final String NOWHERE = "127.0.0.1:1";
+    private static final String UNREACHABLE = "127.0.0.1:1";
 
     @TempDir private Path folder;
 
-    private RunningNode nodeBefore(StubServer server) throws Exception {
+    private RunningNode nodeInFrontOf(StubServer server) throws Exception {
         return RunningNode.ready(
                 folder,
                 new TestConfig().knows(host("s-1", server.address(), "in_service")),
-                NOWHERE);
+                UNREACHABLE);
     }
 
     @Test
-    void aRequestAndItsAnswerPassUnchangedOverKeptConnections() throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+    void requestAndResponseAreForwardedUnchangedOnReusedConnections() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
             for (int i = 0; i < 2; i++) {
-                HttpMessage answer =
-                        client.ask(Client.request("pay", "9b1f03aa" + i, "ok&n=1", "amount=7"));
-                assertEquals(200, answer.status());
-                assertEquals("served amount=7", answer.body());
+                HttpMessage reply =
+                        client.exchange(
+                                Client.request("pay", "9b1f03aa" + i, "ok&n=1", "amount=7"));
+                assertEquals(200, reply.status());
+                assertEquals("served amount=7", reply.body());
                 HttpMessage seen = server.requests.poll(5, TimeUnit.SECONDS);
                 assertEquals("POST /api?do=ok&n=1 HTTP/1.1", seen.startLine());
                 assertEquals("amount=7", seen.body());
@@ -65,9 +66,9 @@
                 int wait = Integer.parseInt(seen.headers().get("x-expires-in-ms"));
                 assertTrue(wait > 0 && wait <= 900, "waits " + wait);
             }
-            assertTrue(server.ended.isEmpty());
+            assertTrue(server.endedConnections.isEmpty());
             HttpMessage read =
-                    client.ask(
+                    client.exchange(
                             "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: read\r\n\r\n");
             assertEquals(200, read.status());
             assertNull(server.requests.poll(5, TimeUnit.SECONDS).headers().get("content-length"));
@@ -75,57 +76,61 @@
     }
 
     /**
-     * An unsafe request: what may have run is sent once and fails, what never ran may be refused.
+     * An unsafe request is sent only once if it may have run, and then fails. If it never ran, it
+     * may be sent again or rejected.
      */
     @ParameterizedTest
     @CsvSource({"error,502,once", "break,502,once", "silence,502,once", "busy,503,any"})
-    void whatComesBackDecidesTheAnswer(String wish, int status, String sent) throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+    void serverOutcomeDeterminesTheResponseToAnUnsafeRequest(String action, int status, String sent)
+            throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
-            assertEquals(200, client.ask(Client.request("grant", "ok", "")).status());
-            assertEquals(status, client.ask(Client.request("grant", wish, "")).status());
-            assertEquals(200, client.ask(Client.request("grant", "ok", "")).status());
+            assertEquals(200, client.exchange(Client.request("grant", "ok", "")).status());
+            assertEquals(status, client.exchange(Client.request("grant", action, "")).status());
+            assertEquals(200, client.exchange(Client.request("grant", "ok", "")).status());
             long times =
-                    server.requests.stream().filter(r -> r.target().endsWith("do=" + wish)).count();
-            assertTrue(times == 1 || "any".equals(sent), wish + " was sent " + times + " times");
+                    server.requests.stream()
+                            .filter(r -> r.target().endsWith("do=" + action))
+                            .count();
+            assertTrue(times == 1 || "any".equals(sent), action + " was sent " + times + " times");
         }
     }
 
     @Test
-    void anAttemptGivenUpHasItsConnectionClosed() throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server)) {
+    void cancelledAttemptClosesItsServerConnection() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server)) {
             try (Client client = node.client()) {
                 client.write(Client.request("pay", "silence", ""));
                 assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             }
             assertNotNull(
-                    server.ended.poll(10, TimeUnit.SECONDS),
-                    "the client left and nothing was closed");
+                    server.endedConnections.poll(10, TimeUnit.SECONDS),
+                    "the client disconnected and no server connection was closed");
             node.awaitLog("side=server");
             node.awaitLog("code=CANCELLED");
         }
     }
 
     @Test
-    void noServerMeansARefusal() throws Exception {
+    void requestWithoutReachableServerIsRejectedWithRetryAfter() throws Exception {
         int nobody = RunningNode.freePort();
         try (RunningNode node =
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
                                         .knows(host("s-1", "127.0.0.1:" + nobody, "in_service")),
-                                NOWHERE);
+                                UNREACHABLE);
                 Client client = node.client()) {
-            HttpMessage answer = client.ask(Client.request("grant", "ok", ""));
-            assertEquals(503, answer.status());
-            assertEquals("0.600", answer.headers().get("retry-after"));
+            HttpMessage reply = client.exchange(Client.request("grant", "ok", ""));
+            assertEquals(503, reply.status());
+            assertEquals("0.600", reply.headers().get("retry-after"));
             node.awaitLog("code=CONNECT_FAILED");
         }
     }
 
-    /** Each tilde stands for the end of a line, LARGE for 70,000 characters. */
+    /** A tilde stands for a line end, LARGE for 70,000 characters. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -163,25 +168,26 @@
                 "414|GET /LARGE HTTP/1.1~Host: x~~",
                 "431|GET /api HTTP/1.1~Host: LARGE~~"
             })
-    void badInputGetsAStatusAndItsConnectionClosed(int status, String request) throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server)) {
+    void invalidRequestGetsAnErrorStatusAndItsConnectionIsClosed(int status, String request)
+            throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server)) {
             try (Client client = node.client()) {
                 client.write(request.replace("~", "\r\n").replace("LARGE", "x".repeat(70_000)));
                 assertEquals(status, client.read().status());
                 assertTrue(client.atEnd());
             }
-            assertTrue(server.requests.isEmpty(), "it was passed on");
+            assertTrue(server.requests.isEmpty(), "it was forwarded");
             try (Client client = node.client()) {
-                assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+                assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
             }
         }
     }
 
     @Test
-    void aBodyThatIsNoneEndsItsConnectionAlone() throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+    void malformedChunkedBodyClosesOnlyItsOwnConnection() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client bad = node.client();
                 Client client = node.client()) {
             bad.write(
@@ -199,12 +205,12 @@
             assertEquals(400, bad.read().status());
             assertTrue(bad.atEnd());
             node.awaitLog("code=MALFORMED");
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
         }
     }
 
     @Test
-    void aServerThatTalksNonsenseIsTakenForOneThatBroke() throws Exception {
+    void malformedServerResponseFailsTheRequestWithoutRetry() throws Exception {
         StubServer server =
                 new StubServer(
                         (request, connection) -> {
@@ -214,18 +220,16 @@
                             return true;
                         });
         try (server;
-                RunningNode node = nodeBefore(server);
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
-            assertEquals(502, client.ask(Client.request("grant", "ok", "")).status());
-            assertNotNull(server.ended.poll(10, TimeUnit.SECONDS));
+            assertEquals(502, client.exchange(Client.request("grant", "ok", "")).status());
+            assertNotNull(server.endedConnections.poll(10, TimeUnit.SECONDS));
             node.awaitLog("code=MALFORMED");
             assertEquals(1, server.requests.size());
         }
     }
 
-    /**
-     * What a server sends for one request, each tilde the end of a line; none of it may be served.
-     */
+    /** Invalid responses of a server, with a tilde for each line end; none may be relayed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -241,28 +245,31 @@
                 "ICY 200 OK~Content-Length: 2~~ok",
                 "HTTP/1.1 101 Switching Protocols~~ok"
             })
-    void aSpoiltAnswerIsAFailedAttemptThatMayHaveRun(String answer) throws Exception {
+    void invalidServerResponseIsAFailedAttemptThatMayHaveRun(String reply) throws Exception {
         StubServer server =
                 new StubServer(
                         (request, connection) -> {
                             connection
                                     .getOutputStream()
                                     .write(
-                                            answer.replace("~", "\r\n")
+                                            reply.replace("~", "\r\n")
                                                     .getBytes(StandardCharsets.US_ASCII));
                             return true;
                         });
         try (server;
-                RunningNode node = nodeBefore(server);
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
-            assertEquals(502, client.ask(Client.request("grant", "ok", "")).status());
-            assertNotNull(server.ended.poll(10, TimeUnit.SECONDS), "a useless connection was kept");
+            assertEquals(502, client.exchange(Client.request("grant", "ok", "")).status());
+            assertNotNull(
+                    server.endedConnections.poll(10, TimeUnit.SECONDS),
+                    "an unusable connection was kept");
             assertEquals(1, server.requests.size());
         }
     }
 
     /**
-     * What comes with a good answer: the answer is served, and what came with it reaches nobody.
+     * Bytes that follow a valid response: the response is relayed, and the bytes after it reach no
+     * client.
      */
     @ParameterizedTest
     @ValueSource(
@@ -272,7 +279,7 @@
                 "HTTP/1.1 200 OK~Content-Length: 6~~served|noise",
                 "HTTP/1.1 200 OK~Content-Length: 6~~served|"
             })
-    void whatComesBehindAnAnswerIsNotTheNextOne(String written) throws Exception {
+    void bytesAfterAResponseAreNotTakenForTheNextResponse(String written) throws Exception {
         String[] parts = written.replace("~", "\r\n").split("\\|", -1);
         StubServer server =
                 new StubServer(
@@ -296,35 +303,35 @@
                             return true;
                         });
         try (server;
-                RunningNode node = nodeBefore(server);
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
-            assertEquals("served", client.ask(Client.request("grant", "first", "")).body());
+            assertEquals("served", client.exchange(Client.request("grant", "first", "")).body());
             for (int i = 0; i < 3; i++) {
-                assertEquals("second", client.ask(Client.request("grant", "next", "")).body());
+                assertEquals("second", client.exchange(Client.request("grant", "next", "")).body());
             }
-            assertEquals(parts[1].isEmpty(), server.ended.isEmpty());
+            assertEquals(parts[1].isEmpty(), server.endedConnections.isEmpty());
         }
     }
 
     @Test
-    void moreConnectionsThanDescriptorsLeaveTheNodeServing() throws Exception {
+    void nodeServesRequestsDespiteMoreConnectionsThanDescriptors() throws Exception {
         List<Client> silent = new ArrayList<>();
-        try (StubServer server = StubServer.obedient();
+        try (StubServer server = StubServer.queryControlled();
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
                                         .knows(host("s-1", server.address(), "in_service")),
-                                NOWHERE)) {
+                                UNREACHABLE)) {
             for (int i = 0; i < 300; i++) {
                 silent.add(node.client());
             }
             try (Client client = node.client()) {
-                assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+                assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
             }
             for (Client each : silent) {
-                assertTrue(each.atEnd(), "one that says nothing was kept");
+                assertTrue(each.atEnd(), "a silent connection was kept");
                 each.close();
             }
             assertFalse(node.log().contains("Too many open files"), node.log());
@@ -332,26 +339,26 @@
     }
 
     @Test
-    void clientsThatStopHalfwayHurtNobody() throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+    void incompleteRequestsDoNotAffectOtherClients() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client slow = node.client();
                 Client client = node.client()) {
             try (Client gone = node.client()) {
                 gone.write("POST /api HTTP/1.1\r\nHost: x\r\nContent-Le");
             }
             slow.write(Client.request("pay", "ok", "12345678").replace("12345678", "123"));
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
-            assertTrue(slow.atEnd(), "half a request was kept for ever");
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
+            assertTrue(slow.atEnd(), "an incomplete request was kept forever");
             node.awaitLog("code=SLOW_REQUEST");
             assertEquals(1, server.requests.size());
         }
     }
 
     @Test
-    void discoveryIsWatchedAndFollowed() throws Exception {
-        try (StubServer first = StubServer.obedient();
-                StubServer second = StubServer.obedient()) {
+    void nodeFollowsChangesFromDiscovery() throws Exception {
+        try (StubServer first = StubServer.queryControlled();
+                StubServer second = StubServer.queryControlled()) {
             CountDownLatch change = new CountDownLatch(1);
             StubServer discovery =
                     new StubServer(
@@ -376,7 +383,7 @@
                                                                             second.address(),
                                                                             "in_service"))));
                                 }
-                                // Later versions do not come: the watch hangs.
+                                // There are no later versions: the poll stays open.
                                 return true;
                             });
             try (discovery;
@@ -387,7 +394,7 @@
                                             .knows(host("s-1", first.address(), "in_service")),
                                     discovery.address());
                     Client client = node.client()) {
-                assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+                assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
                 assertEquals(1, first.requests.size());
                 change.countDown();
                 assertTrue(
@@ -402,7 +409,7 @@
                                 .poll(10, TimeUnit.SECONDS)
                                 .target()
                                 .contains("after=42&"));
-                assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+                assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
                 assertEquals(1, first.requests.size());
                 assertEquals(1, second.requests.size());
             }
@@ -410,13 +417,13 @@
     }
 
     @Test
-    void aCallThatDiscoveryLeavesHangingIsClosedAndMadeAgain() throws Exception {
+    void unansweredDiscoveryPollIsClosedAndRepeated() throws Exception {
         try (StubServer discovery = new StubServer((request, connection) -> true);
                 RunningNode node =
                         RunningNode.ready(
                                 folder, new TestConfig().askMs(200), discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
-            assertNotNull(discovery.ended.poll(10, TimeUnit.SECONDS));
+            assertNotNull(discovery.endedConnections.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             node.awaitLog("discovery poll failed");
             node.awaitLog("ended side=discovery");
@@ -424,7 +431,7 @@
     }
 
     @Test
-    void discoverysNonsenseIsPassedOverAndAskedAgain() throws Exception {
+    void malformedDiscoveryResponseIsIgnoredAndPolledAgain() throws Exception {
         StubServer discovery =
                 new StubServer(
                         (request, connection) -> {
@@ -434,7 +441,7 @@
                             return true;
                         });
         try (discovery;
-                StubServer server = StubServer.obedient();
+                StubServer server = StubServer.queryControlled();
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
@@ -443,14 +450,14 @@
                 Client client = node.client()) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
         }
     }
 
     @Test
-    void aHangUpMovesTheWatchToAnotherAddressAndABadFileChangesNothing() throws Exception {
-        try (StubServer first = StubServer.obedient();
-                StubServer second = StubServer.obedient();
+    void sighupMovesTheWatchToAnotherAddressAndAnInvalidFileChangesNothing() throws Exception {
+        try (StubServer first = StubServer.queryControlled();
+                StubServer second = StubServer.queryControlled();
                 StubServer before = new StubServer((request, connection) -> true);
                 StubServer after =
                         new StubServer(
@@ -479,63 +486,68 @@
                                 before.address());
                 Client client = node.client()) {
             assertNotNull(before.requests.poll(10, TimeUnit.SECONDS));
-            node.hangUp("{\"settings\":");
+            node.reload("{\"settings\":");
             node.awaitLog("stays in effect");
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
             assertEquals(1, first.requests.size());
-            node.hangUp(new TestConfig().at(node.address(), after.address()).json());
-            assertNotNull(before.ended.poll(10, TimeUnit.SECONDS), "the old watch was kept open");
+            node.reload(new TestConfig().at(node.address(), after.address()).json());
+            assertNotNull(
+                    before.endedConnections.poll(10, TimeUnit.SECONDS),
+                    "the old watch was kept open");
             assertEquals("/registry/instances", after.requests.poll(10, TimeUnit.SECONDS).target());
             assertTrue(after.requests.poll(10, TimeUnit.SECONDS).target().contains("after=1&"));
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
             assertEquals(1, second.requests.size());
         }
     }
 
-    /** Classes come and go while connections of clients and to servers stay as they are. */
+    /**
+     * Request classes are added and removed while the connections of clients and to servers stay
+     * open.
+     */
     @Test
-    void aHangUpTakesSettingsOverWithoutARestart() throws Exception {
+    void sighupAppliesNewSettingsWithoutARestart() throws Exception {
         String one;
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client();
                 Client other = node.client()) {
             one = host("s-1", server.address(), "in_service");
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
-            assertEquals(400, other.ask(Client.request("audit", "ok", "x")).status());
-            TestConfig next = new TestConfig().knows(one).at(node.address(), NOWHERE);
-            node.hangUp(
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
+            assertEquals(400, other.exchange(Client.request("audit", "ok", "x")).status());
+            TestConfig next = new TestConfig().knows(one).at(node.address(), UNREACHABLE);
+            node.reload(
                     next.classes(
                                     TestConfig.requestClass("audit", "single_shot", 1000),
                                     TestConfig.READ,
                                     TestConfig.requestClass("read", "free", 500))
                             .json());
             node.awaitLog("not read twice");
-            assertEquals(200, client.ask(Client.request("pay", "ok", "x")).status());
-            node.hangUp(
+            assertEquals(200, client.exchange(Client.request("pay", "ok", "x")).status());
+            node.reload(
                     next.classes(
                                     TestConfig.requestClass("audit", "single_shot", 1000),
                                     TestConfig.READ)
                             .json());
             node.awaitLog("applies new settings with 2 request classes");
-            assertEquals(200, client.ask(Client.request("audit", "ok", "x")).status());
-            assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
-            assertEquals(400, client.ask(Client.request("pay", "ok", "x")).status());
-            assertTrue(server.ended.isEmpty(), "a connection was closed");
-            node.hangUp(next.at("127.0.0.1:1", NOWHERE).json());
+            assertEquals(200, client.exchange(Client.request("audit", "ok", "x")).status());
+            assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
+            assertEquals(400, client.exchange(Client.request("pay", "ok", "x")).status());
+            assertTrue(server.endedConnections.isEmpty(), "a connection was closed");
+            node.reload(next.at("127.0.0.1:1", UNREACHABLE).json());
             node.awaitLog("take effect at the next start");
             try (Client late = node.client()) {
-                assertEquals(200, late.ask(Client.request("audit", "ok", "x")).status());
+                assertEquals(200, late.exchange(Client.request("audit", "ok", "x")).status());
             }
         }
     }
 
     /**
-     * The whole way of the move: an old file translated, a node started with it that asks for its
-     * list.
+     * The complete migration: an old file is translated, and a node started with the result polls
+     * discovery for its list.
      */
     @Test
-    void aMigratedConfigurationStartsANodeThatAsksThoughItsListIsSaidToBePushed() throws Exception {
+    void nodeWithMigratedConfigurationPollsDiscoveryDespitePushedRegistryMode() throws Exception {
         Path shape =
                 Files.writeString(
                         folder.resolve("shape.json"),
@@ -545,7 +557,7 @@
                          "specifics":{"warmKeys":true},"reporting":{"how":"on_probe",
                          "fields":["outstanding"]}}
                         """);
-        try (StubServer server = StubServer.obedient();
+        try (StubServer server = StubServer.queryControlled();
                 StubServer discovery =
                         new StubServer(
                                 (request, connection) -> {
@@ -571,7 +583,7 @@
                     Files.writeString(
                             folder.resolve("old.json"),
                             new TestConfig()
-                                    .knows(host("gone", NOWHERE, "in_service"))
+                                    .knows(host("gone", UNREACHABLE, "in_service"))
                                     .at("127.0.0.1:" + port, discovery.address())
                                     .json());
             Path migrated = folder.resolve("new.json");
@@ -591,17 +603,18 @@
                         "served",
                         () -> {
                             try (Client client = node.client()) {
-                                return client.ask(Client.request("read", "ok", "")).status() == 200;
+                                return client.exchange(Client.request("read", "ok", "")).status()
+                                        == 200;
                             } catch (IOException e) {
                                 return false;
                             }
                         });
                 String good = Files.readString(migrated);
-                node.hangUp(good.replaceAll("\"roundMs\" : 5", "\"roundMs\" : \"five\""));
+                node.reload(good.replaceAll("\"roundMs\" : 5", "\"roundMs\" : \"five\""));
                 node.awaitLog("roundMs");
                 node.awaitLog("stays in effect");
                 try (Client client = node.client()) {
-                    assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+                    assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
                 }
             }
         }
@@ -616,7 +629,7 @@
                 "\"specifics\":{\"warmKeys\":1}",
                 "\"penalties\":{\"probe\":-2}"
             })
-    void aBadSettingEndsTheStartWithItsKeyNamed(String bad) throws Exception {
+    void invalidSettingFailsTheStartAndItsKeyIsNamed(String bad) throws Exception {
         String config =
                 new TestConfig()
                         .json()
@@ -630,7 +643,7 @@
     }
 
     @Test
-    void aNodeToldToStopAnswersWhatItHasTakenAndEnds() throws Exception {
+    void stoppedNodeRespondsToAcceptedRequestsAndExits() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         StubServer server =
                 new StubServer(
@@ -644,10 +657,10 @@
                             return true;
                         });
         try (server;
-                RunningNode node = nodeBefore(server);
+                RunningNode node = nodeInFrontOf(server);
                 Client idle = node.client();
                 Client waiting = node.client()) {
-            assertEquals(200, idle.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, idle.exchange(Client.request("read", "ok", "")).status());
             waiting.write(Client.request("grant", "wait", ""));
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
@@ -656,7 +669,7 @@
                     "not ready",
                     () -> {
                         try (Client client = node.client()) {
-                            return client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                            return client.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                                             .status()
                                     == 503;
                         } catch (java.io.IOException e) {
@@ -664,9 +677,9 @@
                         }
                     });
             try (Client late = node.client()) {
-                HttpMessage answer = late.ask(Client.request("read", "ok", ""));
-                assertEquals(200, answer.status());
-                assertEquals("close", answer.headers().get("connection"));
+                HttpMessage reply = late.exchange(Client.request("read", "ok", ""));
+                assertEquals(200, reply.status());
+                assertEquals("close", reply.headers().get("connection"));
                 assertTrue(late.atEnd());
             }
             assertTrue(node.process.isAlive());
@@ -680,14 +693,14 @@
     }
 
     @Test
-    void aBadConfigurationOrATakenAddressEndsTheProgramWithOne() throws Exception {
+    void invalidConfigurationOrAddressInUseExitsWithCodeOne() throws Exception {
         try (RunningNode node = RunningNode.start(folder, "{\"settings\":", 0)) {
             assertEquals(1, node.exitCode());
             assertTrue(node.log().contains("invalid configuration"), node.log());
         }
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             String listen = "127.0.0.1:" + taken.getLocalPort();
-            String config = new TestConfig().at(listen, NOWHERE).json();
+            String config = new TestConfig().at(listen, UNREACHABLE).json();
             try (RunningNode node = RunningNode.start(folder, config, 0)) {
                 assertEquals(1, node.exitCode());
                 assertTrue(node.log().contains("cannot listen on " + listen), node.log());
@@ -696,9 +709,9 @@
     }
 
     @Test
-    void itListensOnItsOwnAddressOnly() throws Exception {
+    void nodeListensOnItsOwnAddressOnly() throws Exception {
         int port = RunningNode.freePort();
-        String config = new TestConfig().at("127.0.0.2:" + port, NOWHERE).json();
+        String config = new TestConfig().at("127.0.0.2:" + port, UNREACHABLE).json();
         try (RunningNode node = RunningNode.start(folder, config, port)) {
             node.awaitLog("listens on 127.0.0.2:" + port);
             boolean reached;
@@ -707,22 +720,23 @@
             } catch (java.net.ConnectException e) {
                 reached = false;
             }
-            assertFalse(reached, "another address is served too");
+            assertFalse(reached, "the node listens on another address too");
         }
     }
 
     /**
-     * Guards against a node that never reloads and says nothing: nohup hands down an ignored
-     * SIGHUP.
+     * Guards against a node that never reloads and does not log why: nohup makes it inherit an
+     * ignored SIGHUP.
      */
     @Test
-    void anIgnoredHangUpIsToldOfAtTheStart() throws Exception {
+    void ignoredSighupIsLoggedAtTheStart() throws Exception {
         int port = RunningNode.freePort();
-        String config = new TestConfig().at("127.0.0.1:" + port, NOWHERE).json();
-        try (RunningNode node = RunningNode.startAfter("trap '' HUP; ", folder, config, port)) {
+        String config = new TestConfig().at("127.0.0.1:" + port, UNREACHABLE).json();
+        try (RunningNode node =
+                RunningNode.startAfterCommand("trap '' HUP; ", folder, config, port)) {
             node.awaitLog("SIGHUP is ignored");
             node.awaitLog("listens on");
-            node.hangUp(config);
+            node.reload(config);
             node.signal("TERM");
             node.exitCode();
             assertFalse(node.log().contains("reloads its configuration"), node.log());
--- a/src/test/java/ottergauge/program/CrossingIT.java
+++ b/src/test/java/ottergauge/program/RaceConditionIT.java
@@ -27,25 +27,27 @@
 import ottergauge.protocol.TestConfig;
 
 /**
- * What crosses on the wire, forced: the program stands still while a request and what undoes it
- * both arrive, and finds them together when it goes on. docs/crossings.md lists them.
+ * Forces events to cross on the wire: the process is stopped while a request and an event that
+ * invalidates it both arrive, and it reads them together when it continues. docs/crossings.md lists
+ * the cases.
  */
 @Timeout(120)
-class CrossingIT {
+class RaceConditionIT {
 
-    private static final String NOWHERE = "127.0.0.1:1";
+    private static final String UNREACHABLE = "127.0.0.1:1";
 
     @TempDir private Path folder;
 
-    private RunningNode nodeBefore(StubServer server) throws Exception {
+    private RunningNode nodeInFrontOf(StubServer server) throws Exception {
         return RunningNode.ready(
                 folder,
                 new TestConfig().knows(host("s-1", server.address(), "in_service")),
-                NOWHERE);
+                UNREACHABLE);
     }
 
-    /** A server that keeps its connections for the test to write on and to end. */
-    private static StubServer held(BlockingQueue<Socket> connections) throws Exception {
+    /** A server that hands its connections to the test, which writes to them and closes them. */
+    private static StubServer serverKeepingConnections(BlockingQueue<Socket> connections)
+            throws Exception {
         return new StubServer(
                 (request, connection) -> {
                     connections.add(connection);
@@ -57,20 +59,21 @@
     }
 
     /**
-     * Guards against work for clients that have left: their end lay unread behind their request.
+     * Guards against work for clients that have disconnected, while the end of their connection was
+     * still unread after their request.
      */
     @ParameterizedTest
     @ValueSource(strings = {"end", "half-close", "reset"})
-    void aRequestWhoseClientHasLeftIsNotSentOn(String how) throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+    void requestOfADisconnectedClientIsNotForwarded(String how) throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
-            assertEquals(200, client.ask(Client.request("grant", "ok", "")).status());
+            assertEquals(200, client.exchange(Client.request("grant", "ok", "")).status());
             server.requests.clear();
             Client leaving = node.client();
-            assertEquals(200, leaving.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, leaving.exchange(Client.request("read", "ok", "")).status());
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
-            node.standStill();
+            node.pauseProcess();
             leaving.write(Client.request("grant", "ok", ""));
             switch (how) {
                 case "end" -> leaving.close();
@@ -80,23 +83,26 @@
                     leaving.close();
                 }
             }
-            node.goOn();
-            assertEquals(200, client.ask(Client.request("grant", "last", "")).status());
+            node.resumeProcess();
+            assertEquals(200, client.exchange(Client.request("grant", "last", "")).status());
             assertTrue(
                     server.requests.poll(10, TimeUnit.SECONDS).target().endsWith("last"),
-                    "sent on though its client had left");
+                    "forwarded although its client had disconnected");
             leaving.close();
         }
     }
 
-    /** Guards against requests to a server whose drain lay unread behind them. */
+    /**
+     * Guards against requests to a draining server, while the new list was still unread after the
+     * requests.
+     */
     @Test
-    void requestsThatCameWithAListGoByThatList() throws Exception {
-        int many = 8;
+    void requestsThatArriveWithANewListUseThatList() throws Exception {
+        int requestCount = 8;
         CountDownLatch change = new CountDownLatch(1);
         CountDownLatch changed = new CountDownLatch(1);
-        try (StubServer leaves = StubServer.obedient();
-                StubServer stays = StubServer.obedient();
+        try (StubServer drainingServer = StubServer.queryControlled();
+                StubServer remainingServer = StubServer.queryControlled();
                 StubServer discovery =
                         new StubServer(
                                 (request, connection) -> {
@@ -113,7 +119,8 @@
                                                                         false,
                                                                         host(
                                                                                 "s-1",
-                                                                                leaves.address(),
+                                                                                drainingServer
+                                                                                        .address(),
                                                                                 "terminating"))));
                                         changed.countDown();
                                     }
@@ -124,89 +131,93 @@
                                 folder,
                                 new TestConfig()
                                         .knows(
-                                                host("s-1", leaves.address(), "in_service"),
-                                                host("s-2", stays.address(), "in_service")),
+                                                host("s-1", drainingServer.address(), "in_service"),
+                                                host(
+                                                        "s-2",
+                                                        remainingServer.address(),
+                                                        "in_service")),
                                 discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             List<Client> clients = new ArrayList<>();
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < requestCount; i++) {
                 clients.add(node.client());
-                assertEquals(200, clients.get(i).ask(Client.request("read", "ok", "")).status());
+                assertEquals(
+                        200, clients.get(i).exchange(Client.request("read", "ok", "")).status());
             }
             assertTrue(
-                    !leaves.requests.isEmpty() && !stays.requests.isEmpty(),
-                    "both are in use before");
-            leaves.requests.clear();
-            node.standStill();
+                    !drainingServer.requests.isEmpty() && !remainingServer.requests.isEmpty(),
+                    "both servers are in use before the change");
+            drainingServer.requests.clear();
+            node.pauseProcess();
             for (Client each : clients) {
                 each.write(Client.request("read", "ok", ""));
             }
             change.countDown();
             assertTrue(changed.await(10, TimeUnit.SECONDS));
-            node.goOn();
+            node.resumeProcess();
             for (Client each : clients) {
                 assertEquals(200, each.read().status());
                 each.close();
             }
             assertTrue(
-                    leaves.requests.isEmpty(),
-                    leaves.requests.size() + " went to the server that leaves");
+                    drainingServer.requests.isEmpty(),
+                    drainingServer.requests.size() + " requests went to the draining server");
         }
     }
 
-    /** Guards against a second answer of the request before being served for the next one. */
+    /** Guards against a second response to the previous request being used for the next request. */
     @Test
-    void anAnswerThatNobodyAskedForIsNotTheNextRequests() throws Exception {
+    void unsolicitedResponseIsNotUsedForTheNextRequest() throws Exception {
         BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
-        try (StubServer server = held(connections);
-                RunningNode node = nodeBefore(server);
+        try (StubServer server = serverKeepingConnections(connections);
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
-            assertEquals("served one", client.ask(Client.request("grant", "x", "one")).body());
-            Socket resting = connections.poll(10, TimeUnit.SECONDS);
-            node.standStill();
+            assertEquals("served one", client.exchange(Client.request("grant", "x", "one")).body());
+            Socket keptOpen = connections.poll(10, TimeUnit.SECONDS);
+            node.pauseProcess();
             client.write(Client.request("grant", "x", "two"));
-            resting.getOutputStream().write(HttpMessage.response(200, "", "served one"));
-            node.goOn();
+            keptOpen.getOutputStream().write(HttpMessage.response(200, "", "served one"));
+            node.resumeProcess();
             assertEquals("served two", client.read().body());
             node.awaitLog("code=MALFORMED");
         }
     }
 
     /**
-     * Guards against a request that may have run for all one knows: its connection had ended before
-     * it.
+     * Guards against a request that may or may not have run, because it was sent on a connection
+     * that had already ended.
      */
     @ParameterizedTest
     @ValueSource(strings = {"end", "reset", "half a line"})
-    void aRestingConnectionThatEndsAsARequestComesCarriesNothing(String how) throws Exception {
+    void idleConnectionThatEndsAsARequestArrivesIsNotUsed(String how) throws Exception {
         BlockingQueue<Socket> connections = new LinkedBlockingQueue<>();
-        try (StubServer server = held(connections);
-                RunningNode node = nodeBefore(server);
+        try (StubServer server = serverKeepingConnections(connections);
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
-            assertEquals(200, client.ask(Client.request("grant", "x", "one")).status());
-            Socket resting = connections.poll(10, TimeUnit.SECONDS);
-            node.standStill();
+            assertEquals(200, client.exchange(Client.request("grant", "x", "one")).status());
+            Socket keptOpen = connections.poll(10, TimeUnit.SECONDS);
+            node.pauseProcess();
             client.write(Client.request("grant", "x", "two"));
             if ("half a line".equals(how)) {
-                resting.getOutputStream().write("HTTP/1.1 20".getBytes(StandardCharsets.US_ASCII));
+                keptOpen.getOutputStream().write("HTTP/1.1 20".getBytes(StandardCharsets.US_ASCII));
             } else {
-                resting.setSoLinger("reset".equals(how), 0);
-                resting.close();
+                keptOpen.setSoLinger("reset".equals(how), 0);
+                keptOpen.close();
             }
-            node.goOn();
+            node.resumeProcess();
             assertEquals("served two", client.read().body());
             assertEquals(2, server.requests.size(), "it was sent more than once");
         }
     }
 
     /**
-     * Guards against an answer lost with its connection, reset over bytes that the node had not
-     * read.
+     * Guards against a response that is lost because the connection is reset while it has bytes
+     * that the node has not read.
      */
     @Test
-    void aConnectionEndsInOrderThoughItsClientStillSends() throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+    void connectionClosesGracefullyWhileItsClientStillSends() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client()) {
             client.write(
                     Client.request("grant", "ok", "x")
@@ -219,33 +230,36 @@
                             client.write(Client.request("grant", "ok", "stray"));
                         }
                     },
-                    "reset over bytes that it had not read");
+                    "the connection was reset");
             client.socket().close();
             try (Client next = node.client()) {
-                assertEquals(200, next.ask(Client.request("grant", "last", "")).status());
+                assertEquals(200, next.exchange(Client.request("grant", "last", "")).status());
             }
-            assertEquals(2, server.requests.size(), "what came after the end was taken");
+            assertEquals(
+                    2,
+                    server.requests.size(),
+                    "a request after the end of the connection was accepted");
         }
     }
 
     /**
-     * Guards against requests read after the shutdown: sent on, their answers would have nowhere to
-     * go.
+     * Guards against requests read after the output of the connection was shut down: their
+     * responses could not be sent.
      */
     @Test
-    void whatComesOnAConnectionThatTheNodeIsEndingIsNeverTaken() throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+    void requestOnAConnectionThatTheNodeIsClosingIsIgnored() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client idle = node.client();
                 Client open = node.client()) {
-            assertEquals(200, idle.ask(Client.request("grant", "ok", "")).status());
+            assertEquals(200, idle.exchange(Client.request("grant", "ok", "")).status());
             open.write(Client.request("grant", "silence", ""));
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(server.requests.poll(10, TimeUnit.SECONDS));
             node.signal("TERM");
             assertTrue(
                     idle.socket().getInputStream().read() < 0,
-                    "ended once the front has been quiet");
+                    "closed once no new clients have connected for a while");
             assertDoesNotThrow(
                     () -> {
                         idle.write(Client.request("grant", "ok", ""));
@@ -256,21 +270,18 @@
             assertEquals(502, open.read().status());
             open.socket().close();
             assertEquals(143, node.exitCode());
-            assertTrue(server.requests.isEmpty(), "taken after its connection was shut");
+            assertTrue(server.requests.isEmpty(), "accepted after its connection was closed");
         }
     }
 
-    /**
-     * A request whose last byte comes after the node was told to stop, twice, is answered all the
-     * same.
-     */
+    /** A request whose last byte arrives after the node got SIGTERM twice is served. */
     @Test
-    void aRequestHalfReadWhenTheNodeIsToldToStopIsAnswered() throws Exception {
-        try (StubServer server = StubServer.obedient();
-                RunningNode node = nodeBefore(server);
+    void requestPartlyReadAtShutdownIsServed() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
+                RunningNode node = nodeInFrontOf(server);
                 Client client = node.client();
                 Client idle = node.client()) {
-            assertEquals(200, idle.ask(Client.request("read", "ok", "")).status());
+            assertEquals(200, idle.exchange(Client.request("read", "ok", "")).status());
             String request = Client.request("grant", "ok", "12345678");
             client.write(request.substring(0, request.length() - 4));
             node.signal("TERM");
@@ -279,29 +290,29 @@
             assertTrue(idle.socket().getInputStream().read() < 0);
             idle.socket().close();
             client.write(request.substring(request.length() - 4));
-            HttpMessage answer = client.read();
-            assertEquals("served 12345678", answer.body());
-            assertEquals("close", answer.headers().get("connection"));
+            HttpMessage reply = client.read();
+            assertEquals("served 12345678", reply.body());
+            assertEquals("close", reply.headers().get("connection"));
             client.socket().close();
             assertEquals(143, node.exitCode());
         }
     }
 
-    /** Guards against a node that is ended by the signal that announces a new configuration. */
+    /** Guards against a node that is ended by SIGHUP, which asks it to reload its configuration. */
     @Test
-    void aHangUpWhileTheNodeStartsIsFollowedOnceItRuns() throws Exception {
-        try (StubServer server = StubServer.obedient();
+    void sighupDuringStartReloadsOnceTheNodeRuns() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
                 StubServer discovery = new StubServer((request, connection) -> true)) {
             int port = RunningNode.freePort();
             String config =
                     new TestConfig()
                             .knows(host("s-1", server.address(), "in_service"))
-                            .at("127.0.0.1:" + port, NOWHERE)
+                            .at("127.0.0.1:" + port, UNREACHABLE)
                             .json();
-            String moved = config.replace(NOWHERE, discovery.address());
+            String moved = config.replace(UNREACHABLE, discovery.address());
             try (RunningNode node = RunningNode.fromPipe(folder, port)) {
                 try (var pipe = node.configPipe()) {
-                    // The node has opened it: it is starting, and waits for what comes.
+                    // The node has opened the pipe: it is starting and waits for its configuration.
                     node.signal("HUP");
                     pipe.write(config.getBytes(StandardCharsets.UTF_8));
                 }
@@ -316,14 +327,14 @@
     }
 
     /**
-     * Guards against a node that cannot reach discovery any more once its clients hold all
+     * Guards against a node that can no longer connect to discovery once its clients use up all
      * descriptors.
      */
     @Test
-    void clientsAtRestLeaveDescriptorsForDiscoveryAndForServers() throws Exception {
+    void idleClientsLeaveDescriptorsForDiscoveryAndServers() throws Exception {
         int discoveryPort = RunningNode.freePort();
-        List<Client> resting = new ArrayList<>();
-        try (StubServer server = StubServer.obedient();
+        List<Client> keptOpen = new ArrayList<>();
+        try (StubServer server = StubServer.queryControlled();
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
@@ -333,18 +344,19 @@
                                 "127.0.0.1:" + discoveryPort)) {
             for (int i = 0; i < 200; i++) {
                 Client each = node.client();
-                resting.add(each);
+                keptOpen.add(each);
                 assertEquals(
-                        200, each.ask("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n").status());
+                        200,
+                        each.exchange("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n").status());
             }
             try (StubServer discovery =
                             new StubServer(discoveryPort, (request, connection) -> true);
                     Client client = node.client()) {
                 assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS), node.log());
-                assertEquals(200, client.ask(Client.request("grant", "ok", "")).status());
-                assertTrue(resting.get(0).atEnd(), "the oldest gives way");
+                assertEquals(200, client.exchange(Client.request("grant", "ok", "")).status());
+                assertTrue(keptOpen.get(0).atEnd(), "the oldest connection is closed");
             }
-            for (Client each : resting) {
+            for (Client each : keptOpen) {
                 each.close();
             }
         }
--- a/src/test/java/ottergauge/program/RunningNode.java
+++ b/src/test/java/ottergauge/program/RunningNode.java
@@ -22,14 +22,14 @@
 import ottergauge.protocol.TestConfig;
 
 /**
- * The program, started by the line {@code run} of deploy/balancer.toml, with its log kept in a
- * file.
+ * A process of the program, started by the line {@code run} of deploy/balancer.toml, with its log
+ * in a file.
  */
 final class RunningNode implements AutoCloseable {
 
-    private static final long PATIENCE_S = 30;
-    private static final Path CHECKOUT = Path.of(".");
-    private static final AtomicLong START = new AtomicLong();
+    private static final long TIMEOUT_S = 30;
+    private static final Path CURRENT_CHECKOUT = Path.of(".");
+    private static final AtomicLong LOG_NUMBER = new AtomicLong();
     private static final AtomicLong LAST_ID = new AtomicLong();
 
     final Process process;
@@ -55,13 +55,13 @@
         return ready(folder, config, discovery, freePort());
     }
 
-    /** The same at a port that another process of this node may share. */
+    /** The same on a port that another process of this node may share. */
     static RunningNode ready(Path folder, TestConfig config, String discovery, int port)
             throws Exception {
-        return ready(CHECKOUT, folder, config, discovery, port);
+        return ready(CURRENT_CHECKOUT, folder, config, discovery, port);
     }
 
-    /** The same of the version that is built in another checkout. */
+    /** The same with the version that is built in another checkout. */
     static RunningNode ready(
             Path checkout, Path folder, TestConfig config, String discovery, int port)
             throws Exception {
@@ -73,7 +73,8 @@
                 "ready",
                 () -> {
                     try (Client client = node.client()) {
-                        return client.ask("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status()
+                        return client.exchange("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                                        .status()
                                 == 200;
                     } catch (IOException e) {
                         return false;
@@ -86,32 +87,32 @@
         return start(folder, Files.writeString(folder.resolve("config.json"), config), port);
     }
 
-    /** Starts a node whose configuration comes through a pipe, when the test writes it. */
+    /** Starts a node that reads its configuration from a pipe, to which the test writes it. */
     static RunningNode fromPipe(Path folder, int port) throws IOException, InterruptedException {
         Path pipe = folder.resolve("config.pipe");
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
         return start(folder, pipe, port);
     }
 
-    /** The writing end: it is there once the node reads its configuration. */
+    /** Opens the writing end; blocks until the node reads its configuration. */
     OutputStream configPipe() throws IOException {
         return Files.newOutputStream(file);
     }
 
-    /** Starts a node by a shell that runs this first. */
-    static RunningNode startAfter(String first, Path folder, String config, int port)
+    /** Starts a node from a shell that runs {@code command} first. */
+    static RunningNode startAfterCommand(String command, Path folder, String config, int port)
             throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
-        return start(CHECKOUT, first, folder, file, port);
+        return start(CURRENT_CHECKOUT, command, folder, file, port);
     }
 
     private static RunningNode start(Path folder, Path file, int port) throws IOException {
-        return start(CHECKOUT, "", folder, file, port);
+        return start(CURRENT_CHECKOUT, "", folder, file, port);
     }
 
-    private static RunningNode start(Path checkout, String first, Path folder, Path file, int port)
-            throws IOException {
-        Path log = folder.resolve("log-" + START.incrementAndGet());
+    private static RunningNode start(
+            Path checkout, String command, Path folder, Path file, int port) throws IOException {
+        Path log = folder.resolve("log-" + LOG_NUMBER.incrementAndGet());
         Matcher run =
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
                         .matcher(Files.readString(checkout.resolve("deploy/balancer.toml")));
@@ -119,19 +120,19 @@
             return fail("no run line");
         }
         ProcessBuilder builder =
-                new ProcessBuilder("/bin/sh", "-c", first + run.group(1))
+                new ProcessBuilder("/bin/sh", "-c", command + run.group(1))
                         .directory(checkout.toFile())
                         .redirectErrorStream(true)
                         .redirectOutput(log.toFile());
         builder.environment().put("BALANCER_CONFIG", file.toString());
-        // Of the node and not of the process, as the platform has it.
+        // The directory belongs to the node and not to the process, as on the platform.
         builder.environment().put("TMPDIR", folder.toString());
         return new RunningNode(builder.start(), port, file, log);
     }
 
-    /** Waits for something to become true, looking often. */
+    /** Waits until a condition is true. */
     void await(String what, BooleanSupplier condition) throws Exception {
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > until || !process.isAlive()) {
                 fail("not " + what + "; log:\n" + log());
@@ -157,7 +158,7 @@
     }
 
     /** Replaces the configuration and sends SIGHUP. */
-    void hangUp(String config) throws IOException, InterruptedException {
+    void reload(String config) throws IOException, InterruptedException {
         Files.writeString(file, config);
         signal("HUP");
     }
@@ -166,8 +167,8 @@
         new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Stops it, and waits until each of its threads stands still. */
-    void standStill() throws Exception {
+    /** Stops the process (SIGSTOP) and waits until all of its threads are stopped. */
+    void pauseProcess() throws Exception {
         signal("STOP");
         Path tasks = Path.of("/proc", Long.toString(process.pid()), "task");
         await(
@@ -186,12 +187,12 @@
             String stat = Files.readString(task.resolve("stat"));
             return stat.charAt(stat.lastIndexOf(')') + 2) == 'T';
         } catch (IOException e) {
-            // It has ended meanwhile.
+            // The thread has ended meanwhile.
             return true;
         }
     }
 
-    void goOn() throws IOException, InterruptedException {
+    void resumeProcess() throws IOException, InterruptedException {
         signal("CONT");
     }
 
@@ -200,7 +201,7 @@
     }
 
     int exitCode() throws InterruptedException {
-        if (!process.waitFor(PATIENCE_S, TimeUnit.SECONDS)) {
+        if (!process.waitFor(TIMEOUT_S, TimeUnit.SECONDS)) {
             fail("still running; log:\n" + log());
         }
         return process.exitValue();
@@ -218,30 +219,30 @@
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        /** Reads an answer; null if the node has closed the connection. */
+        /** Reads a response; null if the node has closed the connection. */
         HttpMessage read() throws IOException {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
             return HttpMessage.read(socket.getInputStream());
         }
 
-        HttpMessage ask(String request) throws IOException {
+        HttpMessage exchange(String request) throws IOException {
             write(request);
-            HttpMessage answer = read();
-            if (answer == null) {
-                throw new IOException("closed with no answer");
+            HttpMessage reply = read();
+            if (reply == null) {
+                throw new IOException("closed without a response");
             }
-            return answer;
+            return reply;
         }
 
-        /** A request of a class that asks its server to do this. */
-        static String request(String requestClass, String wish, String body) {
-            return request(requestClass, Long.toHexString(LAST_ID.incrementAndGet()), wish, body);
+        /** Returns a request of a class, whose query tells a {@link StubServer} what to do. */
+        static String request(String requestClass, String action, String body) {
+            return request(requestClass, Long.toHexString(LAST_ID.incrementAndGet()), action, body);
         }
 
-        static String request(String requestClass, String id, String wish, String body) {
+        static String request(String requestClass, String id, String action, String body) {
             String head =
                     " /api?do="
-                            + wish
+                            + action
                             + " HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: "
                             + id
                             + "\r\nX-Qos: "
@@ -259,11 +260,11 @@
         }
 
         boolean atEnd() throws IOException {
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_S));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
             try {
                 return socket.getInputStream().read() < 0;
             } catch (SocketException e) {
-                // A connection that is closed with something unread ends as a reset.
+                // Closing a connection with unread bytes resets it.
                 return true;
             }
         }
--- a/src/test/java/ottergauge/program/StallIT.java
+++ b/src/test/java/ottergauge/program/StallIT.java
@@ -15,73 +15,74 @@
 import ottergauge.program.RunningNode.Client;
 import ottergauge.protocol.TestConfig;
 
-/** The program stopped and continued by the system under requests that it has taken. */
+/** The process is stopped and continued (SIGSTOP, SIGCONT) while it has open requests. */
 @Timeout(120)
 class StallIT {
 
-    // As RunningNode.Client.request has it, and a tenth more.
-    private static final long REQUEST_OVER_MS = 1_000;
+    // A tenth more than the deadline that RunningNode.Client.request sets.
+    private static final long OVER_REQUEST_DEADLINE_MS = 1_000;
 
     @TempDir private Path folder;
 
     /**
-     * Guards against a request whose time ran out while the node stood still being taken for a new
-     * one: sent on and waited for once more, it was answered a whole deadline late, which the
+     * Guards against a request whose deadline passed during a stall being treated as new: it was
+     * forwarded and waited for once more, and the response came a full deadline late, which
      * operators count as lost.
      */
     @Test
-    void whatCameWhileTheNodeStoodStillIsJudgedByWhenItCame() throws Exception {
-        try (StubServer server = StubServer.obedient();
+    void requestsReceivedDuringAStallAreTimedFromTheirArrival() throws Exception {
+        try (StubServer server = StubServer.queryControlled();
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
                                 new TestConfig().knows(host("s-1", server.address(), "in_service")),
                                 "127.0.0.1:1");
                 Client known = node.client()) {
-            assertEquals(200, known.ask(Client.request("grant", "ok", "")).status());
+            assertEquals(200, known.exchange(Client.request("grant", "ok", "")).status());
             server.requests.clear();
-            node.standStill();
+            node.pauseProcess();
             try (Client fresh = node.client()) {
                 known.write(Client.request("grant", "silence", ""));
                 fresh.write(Client.request("grant", "silence", ""));
-                park(REQUEST_OVER_MS);
-                node.goOn();
+                park(OVER_REQUEST_DEADLINE_MS);
+                node.resumeProcess();
                 assertEquals(503, known.read().status(), "on a connection that was open before");
                 assertEquals(503, fresh.read().status(), "on a new connection");
             }
-            assertTrue(server.requests.isEmpty(), "sent on though its time was up");
-            assertEquals(200, known.ask(Client.request("grant", "ok", "")).status());
+            assertTrue(server.requests.isEmpty(), "forwarded although its deadline had passed");
+            assertEquals(200, known.exchange(Client.request("grant", "ok", "")).status());
         }
     }
 
     /**
-     * Guards against a node that goes by its clock before it reads: continued, it closed as idle
-     * what a request had come on meanwhile, and gave up attempts whose answers were there.
+     * Guards against a node that runs its timers before it reads its sockets: after a stall it
+     * closed connections as idle although a request had arrived on them, and gave up attempts whose
+     * responses had arrived.
      */
     @Test
-    void whatCameWhileTheNodeStoodStillIsReadBeforeTimeIsUp() throws Exception {
-        CountDownLatch answered = new CountDownLatch(1);
-        try (StubServer server = StubServer.obedient(answered);
+    void inputReceivedDuringAStallIsReadBeforeTimersFire() throws Exception {
+        CountDownLatch responsesAllowed = new CountDownLatch(1);
+        try (StubServer server = StubServer.queryControlled(responsesAllowed);
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
                                 new TestConfig().knows(host("s-1", server.address(), "in_service")),
                                 "127.0.0.1:1");
                 Client idle = node.client()) {
-            assertEquals(200, idle.ask(Client.request("grant", "ok", "")).status());
+            assertEquals(200, idle.exchange(Client.request("grant", "ok", "")).status());
             // Idle connections are closed after five seconds.
             park(4_400);
             server.requests.clear();
             Client asking = node.client();
             asking.write(Client.request("grant", "late", ""));
             assertTrue(server.requests.poll(10, TimeUnit.SECONDS).target().endsWith("late"));
-            node.standStill();
-            answered.countDown();
+            node.pauseProcess();
+            responsesAllowed.countDown();
             idle.write(Client.request("grant", "ok", ""));
-            park(REQUEST_OVER_MS);
-            node.goOn();
-            assertEquals(503, idle.read().status(), "refused: its time was up");
-            assertEquals(200, asking.read().status(), "the answer was there");
+            park(OVER_REQUEST_DEADLINE_MS);
+            node.resumeProcess();
+            assertEquals(503, idle.read().status(), "rejected: its deadline had passed");
+            assertEquals(200, asking.read().status(), "the response had arrived");
             asking.close();
         }
     }
--- a/src/test/java/ottergauge/program/StubServer.java
+++ b/src/test/java/ottergauge/program/StubServer.java
@@ -9,21 +9,19 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/**
- * Stands in for a server or for discovery: does with each connection's requests what the test says.
- */
+/** Stands in for a server or for discovery, and handles requests as the test defines. */
 final class StubServer implements AutoCloseable {
 
-    /** What to do with a request; the connection goes on if it gives true. */
+    /** Handles a request; the connection stays open if it returns true. */
     interface Behaviour {
-        boolean answer(HttpMessage request, Socket connection)
+        boolean reply(HttpMessage request, Socket connection)
                 throws IOException, InterruptedException;
     }
 
     final BlockingQueue<HttpMessage> requests = new LinkedBlockingQueue<>();
 
-    /** Gets an entry each time that the node ends a connection. */
-    final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+    /** Has an entry for each connection that has ended. */
+    final BlockingQueue<String> endedConnections = new LinkedBlockingQueue<>();
 
     private final ServerSocket listener;
     private final Behaviour behaviour;
@@ -38,20 +36,20 @@
         thread(this::accept);
     }
 
-    /** A server that does what the request's query asks for: ok, error, busy, break, silence. */
-    static StubServer obedient() throws IOException {
-        return obedient(new CountDownLatch(0));
+    /** A server whose behaviour the request's query selects: ok, error, busy, break, silence. */
+    static StubServer queryControlled() throws IOException {
+        return queryControlled(new CountDownLatch(0));
     }
 
-    /** The same; "late" is answered once the latch is down. */
-    static StubServer obedient(CountDownLatch late) throws IOException {
+    /** The same; it responds to "late" once the latch is down. */
+    static StubServer queryControlled(CountDownLatch late) throws IOException {
         return new StubServer(
                 (request, connection) -> {
-                    String wish = request.target().replaceAll(".*do=", "");
-                    if ("late".equals(wish)) {
+                    String action = request.target().replaceAll(".*do=", "");
+                    if ("late".equals(action)) {
                         late.await();
                     }
-                    switch (wish) {
+                    switch (action) {
                         case "error" ->
                                 connection
                                         .getOutputStream()
@@ -97,12 +95,12 @@
                     break;
                 }
                 requests.add(request);
-                open = behaviour.answer(request, connection);
+                open = behaviour.reply(request, connection);
             }
         } catch (IOException | InterruptedException e) {
-            // The other side broke the connection, or the test is over.
+            // The peer reset the connection, or the test is over.
         }
-        ended.add("ended");
+        endedConnections.add("ended");
     }
 
     private static void thread(Runnable work) {
--- a/src/test/java/ottergauge/program/UpgradeFromPreviousVersionCheck.java
+++ b/src/test/java/ottergauge/program/UpgradeFromPreviousVersionCheck.java
@@ -81,7 +81,7 @@
 
     /** The endpoint list and a server in maintenance are handed on, and no client is rejected. */
     private void takesOver(Path oldVersion, Path newVersion) throws Exception {
-        StubServer server = closing(StubServer.obedient());
+        StubServer server = closing(StubServer.queryControlled());
         int oldManagement = RunningNode.freePort();
         int newManagement = RunningNode.freePort();
         RunningNode oldProcess =
@@ -122,7 +122,7 @@
     }
 
     private static void assertServed(Client client) throws Exception {
-        assertEquals(200, client.ask(Client.request("read", "ok", "")).status());
+        assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
     }
 
     private int filesNamed(String prefix) throws Exception {
--- a/src/test/java/ottergauge/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/ottergauge/simulator/SimulatorAdapterTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The adapter on wire text. */
+/** Tests the adapter with messages in the simulator's JSON format. */
 class SimulatorAdapterTest {
 
     private static final String CONFIG =
@@ -39,8 +39,8 @@
         return "{\"simTimeMs\":" + at + ",\"parts\":[" + String.join(",", parts) + "]}\n";
     }
 
-    private static String part(int instance, String... messages) {
-        return "{\"nodeId\":" + instance + ",\"inbox\":[" + String.join(",", messages) + "]}";
+    private static String part(int engine, String... messages) {
+        return "{\"nodeId\":" + engine + ",\"inbox\":[" + String.join(",", messages) + "]}";
     }
 
     private static String query(String id, double giveUpAt) {
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void anEmptyBatchDrawsAnEmptyReply() throws IOException {
+    void emptyBatchGetsAnEmptyReply() throws IOException {
         assertEquals(List.of("{\"parts\":[]}", "{\"parts\":[]}"), run(batch(1, "") + batch(1, "")));
     }
 
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void aRequestIsPassedOn() throws IOException {
+    void requestIsForwarded() throws IOException {
         List<String> replies = run(batch(10, part(7, start("1"), query("rq_a", 1010))));
         assertTrue(
                 replies.get(0)
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void theOrderOfKeysDoesNotMatterAndUnknownKeysAreSkipped() throws IOException {
+    void orderOfKeysDoesNotMatterAndUnknownKeysAreSkipped() throws IOException {
         String input =
                 "{\"x\":[{}],\"parts\":[{\"inbox\":["
                         + start("5")
@@ -93,7 +93,7 @@
     }
 
     @Test
-    void everyFinalAnswerAppears() throws IOException {
+    void rejectionIsWrittenAsOverloadReply() throws IOException {
         String empty =
                 "{\"msg\":\"Ledger\",\"rosterId\":3,\"entries\":[]},"
                     + "{\"msg\":\"BackendsChanged\",\"mode\":\"F\",\"generation\":2,\"rosterId\":3}";
@@ -110,12 +110,12 @@
     }
 
     @Test
-    void seedsMayLieOverTheSignedRange() throws IOException {
+    void seedsAboveTheSignedRangeAreAccepted() throws IOException {
         assertEquals(1, run(batch(1, part(0, start("18446744073709551615")))).size());
     }
 
     @Test
-    void anInstanceMayStopAndStartInOneBatchAndListNumbersAreReused() throws IOException {
+    void engineMayStopAndStartInOneBatchAndTableNumbersAreReused() throws IOException {
         List<String> replies =
                 run(
                         batch(1, part(0, start("1"), query("rq_a", 900)))
@@ -131,7 +131,7 @@
     }
 
     @Test
-    void oddButLegalEventsAreTaken() throws IOException {
+    void unusualButValidEventsAreAccepted() throws IOException {
         String verdict =
                 "{\"msg\":\"Verdict\",\"msgId\":\"rq_x\",\"last\":true,\"shot\":0,\"code\":\"CXL\","
                         + "\"server\":1,\"spentMs\":1.0,\"pressure\":null}";
@@ -153,21 +153,21 @@
     }
 
     @Test
-    void instancesActAlikeHoweverTheyAreSpread() throws IOException {
-        StringBuilder together = new StringBuilder();
-        List<StringBuilder> apart = List.of(new StringBuilder(), new StringBuilder());
+    void enginesActTheSameInSharedAndInSeparateBatches() throws IOException {
+        StringBuilder sharedBatches = new StringBuilder();
+        List<StringBuilder> separateBatches = List.of(new StringBuilder(), new StringBuilder());
         for (int i = 0; i < 50; i++) {
             List<String> parts = new ArrayList<>();
             for (int n = 0; n < 2; n++) {
                 String query = query("rq_" + n + "_" + i, 1000 + i);
                 parts.add(i == 0 ? part(n, start("" + (n + 3)), query) : part(n, query));
-                apart.get(n).append(batch(i, parts.get(n)));
+                separateBatches.get(n).append(batch(i, parts.get(n)));
             }
-            together.append(batch(i, parts.get(0), parts.get(1)));
+            sharedBatches.append(batch(i, parts.get(0), parts.get(1)));
         }
-        List<String> both = run(together.toString());
+        List<String> both = run(sharedBatches.toString());
         for (int n = 0; n < 2; n++) {
-            List<String> one = run(apart.get(n).toString());
+            List<String> one = run(separateBatches.get(n).toString());
             for (int i = 0; i < 50; i++) {
                 String own = one.get(i).substring("{\"parts\":[".length(), one.get(i).length() - 2);
                 assertTrue(both.get(i).contains(own), both.get(i) + " lacks " + own);
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void whatWasNeverIntroducedIsNamed() {
+    void undefinedReferencesAreNamed() {
         assertMessage("instance 4 was never started", batch(1, part(4, query("rq_a", 9))));
         assertMessage(
                 "list 5 was never given",
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void malformedTextIsRefused() {
+    void malformedInputIsRejected() {
         assertThrows(SimulatorFormatException.class, () -> run("{\"simTimeMs\":1,\"parts\":[\n"));
         assertThrows(SimulatorFormatException.class, () -> run("[]\n"));
         assertThrows(
--- a/src/test/java/ottergauge/transport/EventLoopLagTest.java
+++ b/src/test/java/ottergauge/transport/EventLoopLagTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Holds the measure of a loop's lateness to made-up time. */
+/** Checks the measured lag of an event loop against simulated time. */
 class EventLoopLagTest {
 
     private static long ms(double millis) {
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aLookInTimeIsNotLate() {
+    void runOnTimeIsCountedWithoutLag() {
         EventLoopLag lag = new EventLoopLag(0);
         assertEquals(ms(9.5), lag.record(ms(10.5)));
         assertArrayEquals(counts(0, 1), lag.takeCounts());
@@ -32,15 +32,15 @@
     }
 
     @Test
-    void aLookTooEarlyIsNone() {
+    void earlyRunIsNotCounted() {
         EventLoopLag lag = new EventLoopLag(0);
         assertEquals(ms(1), lag.record(ms(9)));
         assertArrayEquals(counts(-1, 0), lag.takeCounts());
     }
 
-    /** Guards against a standstill of a second that counts as one late look among many in time. */
+    /** Guards against a stall of a second being counted as a single late run among many on time. */
     @Test
-    void looksThatWereMissedCountToo() {
+    void missedRunsAreCounted() {
         EventLoopLag lag = new EventLoopLag(0);
         lag.record(ms(1_010));
         long[] counts = lag.takeCounts();
--- a/src/test/java/ottergauge/transport/EventLoopMonitorTest.java
+++ b/src/test/java/ottergauge/transport/EventLoopMonitorTest.java
@@ -11,43 +11,48 @@
     private long now = TimeUnit.SECONDS.toNanos(5);
     private final EventLoopMonitor monitor = new EventLoopMonitor(() -> now);
 
-    // Asks for what is ready, waits for so long, and then handles something for so long.
-    private long round(long waits, long handles) throws Exception {
+    // Simulates a round: selects, waits, and then handles input. Returns how long ago, in
+    // milliseconds, the input may have arrived.
+    private long round(long waitMs, long handleMs) throws Exception {
         monitor.calculateStrategy(() -> 0, false);
-        now += TimeUnit.MILLISECONDS.toNanos(waits);
-        long since = monitor.earliestArrival();
-        long waited = monitor.microsSince(since) / 1000;
-        now += TimeUnit.MILLISECONDS.toNanos(handles);
+        now += TimeUnit.MILLISECONDS.toNanos(waitMs);
+        long arrival = monitor.earliestArrival();
+        long waited = monitor.microsSince(arrival) / 1000;
+        now += TimeUnit.MILLISECONDS.toNanos(handleMs);
         return waited;
     }
 
     @Test
-    void whatEndsAWaitCameJustThen() throws Exception {
+    void inputThatEndsAWaitArrivedAtThatMoment() throws Exception {
         assertEquals(0, round(40, 0));
         assertEquals(0, round(250, 3));
     }
 
-    /** Guards against requests taken for new that came while a loop short of CPU handled others. */
+    /**
+     * Guards against treating requests as new that arrived while a loop short of CPU handled
+     * others.
+     */
     @Test
-    void whatIsReadyAtOnceMayHaveComeWhileTheRoundBeforeWasHandled() throws Exception {
+    void inputReadyWithoutAWaitMayHaveArrivedDuringThePreviousRound() throws Exception {
         round(40, 400);
         assertEquals(400, round(0, 30));
         assertEquals(30, round(0, 0));
         assertEquals(0, round(40, 0));
     }
 
-    /** Guards against the same with a process that was stopped while it had nothing to do. */
+    /** Guards against the same in a process that was stopped while it was idle. */
     @Test
-    void aWaitLongerThanAnyTimerLetsItBeIsNone() throws Exception {
+    void waitLongerThanAnyTimerAllowsCountsAsAStall() throws Exception {
         round(40, 0);
         assertEquals(900, round(900, 0));
     }
 
     /**
-     * Guards against the system ending the wait of a continued process before what came is ready.
+     * Guards against the operating system ending the wait of a continued process before the arrived
+     * input is ready.
      */
     @Test
-    void whatComesAfterAWaitThatEndedWithNothingIsAsOldAsThat() throws Exception {
+    void inputAfterAStallThatEndedWithNothingReadyIsAsOldAsTheStall() throws Exception {
         round(40, 0);
         round(900, 20);
         assertEquals(920, round(0, 5));
@@ -58,11 +63,10 @@
     }
 
     /**
-     * Guards against the same where the machine is busy: what had come was ready 5 ms after the
-     * asking.
+     * Guards against the same on a busy machine: the arrived input was ready 5 ms after the select.
      */
     @Test
-    void whatComesALittleAfterAStandstillIsAsOldAsThat() throws Exception {
+    void inputShortlyAfterAStallIsAsOldAsTheStall() throws Exception {
         round(40, 0);
         round(900, 0);
         assertEquals(905, round(5, 0));
@@ -70,7 +74,7 @@
     }
 
     @Test
-    void aRoundInWhichNothingIsHandledHidesNothing() throws Exception {
+    void roundThatHandlesNothingEndsItsWaitAtTheNextRound() throws Exception {
         round(40, 0);
         monitor.calculateStrategy(() -> 0, false);
         now += TimeUnit.MILLISECONDS.toNanos(200);
--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void processFileWithoutItsLock_isALeftover() throws IOException {
+    void processFileWithoutLock_isDeletedAsLeftover() throws IOException {
         HotRestartProcesses.OtherProcesses others = new HotRestartProcesses(folder).others();
         assertEquals(new HotRestartProcesses.OtherProcesses(false, false, 0), others);
         assertFalse(Files.exists(folder.resolve(PROCESS)));
@@ -149,7 +149,10 @@
         assertFalse(Files.exists(folder.resolve("process-" + ProcessHandle.current().pid())));
     }
 
-    /** A process that locks a file until it is killed: within one process locks don't count. */
+    /**
+     * A process that locks a file until it is killed. A second process is needed, since file locks
+     * have no effect within one process.
+     */
     static final class LockHolder {
 
         static final int LOCKED = 'l';
--- a/src/test/java/ottergauge/transport/JitWarmUpTest.java
+++ b/src/test/java/ottergauge/transport/JitWarmUpTest.java
@@ -10,9 +10,9 @@
 
 class JitWarmUpTest {
 
-    /** One that is refused goes through a part of the node alone, and leaves the rest cold. */
+    /** A rejected request runs only a part of the code, so that the rest is not warmed up. */
     @Test
-    void nearlyAllThatIsRehearsedIsServed() {
+    void nearlyAllWarmUpRequestsAreServed() {
         JitWarmUp.Outcome outcome =
                 JitWarmUp.run(new TestConfig().probes().build(), 1_000, Long.MAX_VALUE);
         assertEquals(1_000, outcome.requests());
@@ -20,12 +20,12 @@
     }
 
     /**
-     * One of many nodes, with probes that are dear, holds a request while its part of the servers
-     * is used up. The next one came on the same connection, which ended it, and every node of the
-     * fleet crashed at start.
+     * One of many nodes with expensive load probes queues a request while its share of the servers
+     * is used up. The next request came on the same connection, which ended the first one, and
+     * every node of the fleet crashed at the start.
      */
     @Test
-    void whatIsHeldIsAnsweredBeforeTheNextRequest() {
+    void queuedRequestIsAnsweredBeforeTheNextOne() {
         NodeConfig config = new TestConfig().fleet(600, 1).build();
         JitWarmUp.Outcome outcome = JitWarmUp.run(config, 1_000, Long.MAX_VALUE);
         assertEquals(1_000, outcome.requests());
@@ -33,11 +33,12 @@
     }
 
     /**
-     * With up to 1,000 requests each, ten of fourteen nodes restarted together were away for 4.5 s;
-     * with 60 each, the nodes of a small fleet lost most of their first seconds' requests.
+     * With up to 1,000 requests each, ten of fourteen nodes that were restarted together were
+     * unavailable for 4.5 s. With 60 each, the nodes of a small fleet lost most requests of their
+     * first seconds.
      */
     @Test
-    void oneOfManyRehearsesLessThanOneOfFew() {
+    void nodeOfALargeFleetSendsFewerRequests() {
         assertEquals(1_000, JitWarmUp.maxRequests(1));
         assertEquals(1_000, JitWarmUp.maxRequests(3));
         assertTrue(JitWarmUp.maxRequests(14) <= 250);
@@ -45,7 +46,7 @@
     }
 
     @Test
-    void itEndsWhenItsTimeIsOver() {
+    void warmUpEndsAtItsTimeLimit() {
         assertEquals(0, JitWarmUp.run(new TestConfig().build(), 300, 0).requests());
     }
 }
--- a/src/test/java/ottergauge/transport/TimersTest.java
+++ b/src/test/java/ottergauge/transport/TimersTest.java
@@ -20,11 +20,11 @@
             new Timers(() -> now, (millis, task) -> started.add(new Started(millis, task)));
 
     /**
-     * Guards against a time-out that is lost: a timer that fires 2 ms early was passed over for
-     * good.
+     * Guards against a lost timeout: a timer that fired 2 ms early was ignored and not started
+     * again.
      */
     @Test
-    void aTimerThatTheLibraryFiresEarlyWaitsForTheRest() {
+    void timerThatTheLibraryFiresEarlyWaitsForTheRest() {
         timers.start(100_000, () -> ran.add(now));
         assertEquals(100, started.get(0).millis());
 
@@ -40,23 +40,23 @@
     }
 
     @Test
-    void aPartOfAMillisecondIsWaitedForWhole() {
+    void delaysAreRoundedUpToMilliseconds() {
         timers.start(1, () -> ran.add(now));
         timers.start(1_001, () -> ran.add(now));
         assertEquals(List.of(1L, 2L), started.stream().map(Started::millis).toList());
     }
 
     /**
-     * Guards against connections closed as idle, and attempts given up, before what has come is
+     * Guards against connections closed as idle, and attempts given up, before the arrived input is
      * read.
      */
     @Test
-    void aLateTimerLetsTheLoopReadFirst() {
+    void lateTimerLetsTheLoopReadFirst() {
         boolean[] ran = new boolean[1];
         timers.start(50_000, () -> ran[0] = true);
         now += 950_000;
         started.remove(0).task().run();
-        assertFalse(ran[0], "the loop has not read what came meanwhile");
+        assertFalse(ran[0], "the loop has not read its sockets yet");
         assertEquals(1, started.get(0).millis());
         now += 1_000;
         started.remove(0).task().run();
