--- a/src/test/java/ottergauge/routing/AdminStateTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -74,11 +74,11 @@
         assertEquals("s-1", node.expect(StoreMaintenance.class).server());
         assertEquals(200, ask(new AdminRequest.StartMaintenance("s-1")).status());
         assertEquals(false, uses(FIRST, 8));
-        node.list(42, true, ONE, TWO);
+        node.receiveList(42, true, ONE, TWO);
         assertEquals(false, uses(FIRST, 8));
-        node.list(43, true, TWO);
+        node.receiveList(43, true, TWO);
         assertEquals(1, figure("members"));
-        node.list(44, true, ONE, TWO);
+        node.receiveList(44, true, ONE, TWO);
         assertEquals(false, uses(FIRST, 8));
         assertEquals(2, figure("members"));
         assertEquals(1, figure("members_unavailable"));
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -79,7 +79,7 @@
         String chosen = connect.address().host();
         node.holdPendingReads();
         node.handle(new Event.UpstreamConnected(connect.connection()));
-        node.list(
+        node.receiveList(
                 42,
                 false,
                 endpointJson(
@@ -124,11 +124,11 @@
     @Test
     void suspendedNode_sendsNothingBeforeItsListIsCurrent() {
         RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
-        node.list(41, false);
+        node.receiveList(41, false);
         node.suspendMs(7_000);
         assertEquals(503, node.status(node.request("grant")));
         node.expectNo(Forward.class);
-        node.list(41, false);
+        node.receiveList(41, false);
         node.request("grant");
         node.expect(Forward.class);
     }
@@ -152,7 +152,7 @@
             node.request("grant");
         }
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.list(42, false, endpointStartedAt("s-1", "10.0.0.1:80", node.nowMs()));
+        node.receiveList(42, false, endpointStartedAt("s-1", "10.0.0.1:80", node.nowMs()));
         node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
         assertEquals(connect.connection(), node.expect(CloseUpstream.class).connection());
@@ -185,7 +185,7 @@
         String chosen = connect.address().host();
         node.holdPendingReads();
         node.handle(new Event.UpstreamConnected(connect.connection()));
-        node.list(
+        node.receiveList(
                 42,
                 false,
                 endpointJson(
--- a/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
@@ -39,7 +39,7 @@
         RouterDriver node = watching();
         long client = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.list(42, false, endpointJson("s-1", "10.0.0.1:80", "terminating"), TWO);
+        node.receiveList(42, false, endpointJson("s-1", "10.0.0.1:80", "terminating"), TWO);
         assertEquals("10.0.0.2:80", node.expect(ConnectUpstream.class).address().toString());
         node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
@@ -53,7 +53,7 @@
         node.request("read");
         Forward busy = node.connectNext();
         node.written(busy);
-        node.list(42, true);
+        node.receiveList(42, true);
         node.expectNo(CloseUpstream.class);
         node.answer(busy, 200, false);
         assertEquals(200, node.expect(Respond.class).status());
@@ -65,7 +65,7 @@
         RouterDriver node = one();
         node.request("read");
         node.serve(node.connectNext());
-        node.list(42, false, endpointJson("s-1", "10.0.0.9:80", "in_service"));
+        node.receiveList(42, false, endpointJson("s-1", "10.0.0.9:80", "in_service"));
         assertEquals(CloseReason.DELISTED, node.expect(CloseUpstream.class).reason());
         node.request("read");
         assertEquals("10.0.0.9:80", node.expect(ConnectUpstream.class).address().toString());
@@ -83,7 +83,7 @@
         PollDiscovery first = node.expect(PollDiscovery.class);
         assertEquals(41, first.afterVersion());
         node.advanceMs(1000);
-        node.list(43, false, TWO);
+        node.receiveList(43, false, TWO);
         PollDiscovery next = node.expect(PollDiscovery.class);
         assertEquals(43, next.afterVersion());
         assertTrue(
@@ -96,12 +96,12 @@
     @Test
     void silentWatch_isNoticedBeforeThePropagationDeadline() {
         RouterDriver node = watching();
-        node.list(41, false);
+        node.receiveList(41, false);
         node.expect(PollDiscovery.class);
         PollDiscovery silent = node.expect(PollDiscovery.class);
         node.advanceMs(silent.maxWaitMicros() / 1000 + 300);
         assertEquals(41, node.expect(PollDiscovery.class).afterVersion());
-        node.list(42, false, endpointJson("s-1", "127.0.0.1:4000", "terminating"));
+        node.receiveList(42, false, endpointJson("s-1", "127.0.0.1:4000", "terminating"));
         node.request("read");
         node.expectNo(ConnectUpstream.class);
     }
@@ -113,7 +113,7 @@
     @Test
     void endpointListedTwice_isWhatItIsListedAsLast() {
         RouterDriver node = watching();
-        node.list(
+        node.receiveList(
                 42,
                 true,
                 endpointJson("s-1", "127.0.0.1:4000", "in_service"),
@@ -123,7 +123,7 @@
             node.request("read");
             assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
         }
-        node.list(
+        node.receiveList(
                 43,
                 false,
                 endpointJson("s-1", "127.0.0.1:4000", "terminated"),
@@ -137,9 +137,9 @@
     void emptyAnswers_areNotPolledWithoutAPause() {
         RouterDriver node = watching();
         node.expect(PollDiscovery.class);
-        node.list(41, false);
+        node.receiveList(41, false);
         node.expect(PollDiscovery.class);
-        node.list(41, false);
+        node.receiveList(41, false);
         node.expectNo(PollDiscovery.class);
         node.advanceMs(199);
         node.expect(PollDiscovery.class);
@@ -204,7 +204,7 @@
         node.handle(new Event.DiscoveryPollFailed(old.poll()));
         node.advanceMs(1900);
         node.expectNo(PollDiscovery.class);
-        node.list(3, true, TWO);
+        node.receiveList(3, true, TWO);
         assertEquals(3, node.expect(PollDiscovery.class).afterVersion());
         node.request("read");
         assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
--- a/src/test/java/ottergauge/routing/DiscoveryWatchHistoryTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchHistoryTest.java
@@ -13,48 +13,46 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 import ottergauge.routing.SimulatedDiscovery.Fault;
-import ottergauge.routing.SimulatedDiscovery.Trouble;
+import ottergauge.routing.SimulatedDiscovery.FaultKind;
 
 /**
- * Guards against requests to servers that have been announced as leaving, whatever befalls the
- * calls to discovery: on random histories of failed, refused, swallowed and silent calls, given-up
- * ones and moves of discovery, each change is in hand 6 s after discovery had it and could be
- * reached.
+ * Guards against requests to servers that discovery lists as draining. In random histories of polls
+ * that fail, are rejected, are ignored, become silent or time out, and of moves of discovery, each
+ * change reaches the node within 6 s after discovery has it and is reachable.
  */
 class DiscoveryWatchHistoryTest {
 
     private static final long SECOND = 1_000_000;
-    private static final long TOLD = 6 * SECOND;
-    private static final long LENGTH = 60 * SECOND;
-    // A call is asked for again in this time of no news at the most so often: by no means by the
-    // dozen.
-    private static final int MOST_CALLS = 12;
+    private static final long PROPAGATION_DEADLINE = 6 * SECOND;
+    private static final long DURATION = 60 * SECOND;
+    // Without changes the node sends at most this number of polls within 4 s.
+    private static final int MAX_POLLS = 12;
 
-    /** What befalls discovery, when changes are made, and the seed of the rest. */
+    /** The faults of discovery, the times of changes, and the seed of all other random choices. */
     record History(List<Fault> faults, List<Long> changes, long seed) {}
 
     @Provide
     Arbitrary<History> histories() {
-        Arbitrary<Long> at = Arbitraries.longs().between(SECOND, LENGTH - 20 * SECOND);
+        Arbitrary<Long> at = Arbitraries.longs().between(SECOND, DURATION - 20 * SECOND);
         Arbitrary<Fault> faults =
                 Combinators.combine(
-                                Arbitraries.of(Trouble.values()),
+                                Arbitraries.of(FaultKind.values()),
                                 at,
                                 Arbitraries.longs().between(1, 12 * SECOND))
                         .as(Fault::new);
-        // Changes of their own, and such that are made in the very moment of a fault or of its end.
+        // Independent changes, and changes within 2 ms of the start or end of a fault.
         return Combinators.combine(
                         faults.list().ofMaxSize(4),
                         at.list().ofMaxSize(6),
                         Arbitraries.longs().between(-2_000, 2_000),
                         Arbitraries.longs())
                 .as(
-                        (f, changes, off, seed) -> {
+                        (f, changes, offset, seed) -> {
                             List<Long> all = new ArrayList<>(changes);
                             f.forEach(
                                     fault -> {
-                                        all.add(Math.max(1, fault.from() + off));
-                                        all.add(Math.max(1, fault.until() + off));
+                                        all.add(Math.max(1, fault.start() + offset));
+                                        all.add(Math.max(1, fault.end() + offset));
                                     });
                             Collections.sort(all);
                             return new History(f, all, seed);
@@ -62,41 +60,42 @@
     }
 
     @Property(tries = 3000, seed = "41")
-    void eachChange_arrivesInTimeWhateverPollsFail(@ForAll("histories") History history) {
-        SimulatedDiscovery play =
+    void eachChange_arrivesInTimeDespiteFailedPolls(@ForAll("histories") History history) {
+        SimulatedDiscovery simulation =
                 new SimulatedDiscovery(history.faults(), history.changes(), history.seed());
-        play.run(LENGTH);
+        simulation.run(DURATION);
         for (long change : history.changes()) {
-            long due = play.reachable(change, TOLD) + TOLD;
-            if (due <= LENGTH) {
-                long had = play.hadAt(change);
+            long deadline =
+                    simulation.reachableSince(change, PROPAGATION_DEADLINE) + PROPAGATION_DEADLINE;
+            if (deadline <= DURATION) {
+                long received = simulation.receivedAt(change);
                 assertTrue(
-                        had <= due,
+                        received <= deadline,
                         "the change at "
                                 + change
-                                + " was in hand "
-                                + (had - due)
-                                + " us after it counted as told: "
-                                + play.log());
+                                + " reached the node "
+                                + (received - deadline)
+                                + " us after its deadline: "
+                                + simulation.log());
             }
         }
     }
 
     @Property(tries = 1000, seed = "42")
     void discovery_isNotPolledInABurst(@ForAll("histories") History history) {
-        SimulatedDiscovery play =
+        SimulatedDiscovery simulation =
                 new SimulatedDiscovery(history.faults(), List.of(), history.seed());
-        play.run(LENGTH);
-        List<Long> calls = play.calls();
-        for (int i = MOST_CALLS; i < calls.size(); i++) {
+        simulation.run(DURATION);
+        List<Long> polls = simulation.polls();
+        for (int i = MAX_POLLS; i < polls.size(); i++) {
             assertTrue(
-                    calls.get(i) - calls.get(i - MOST_CALLS) >= 4 * SECOND,
-                    "called "
-                            + MOST_CALLS
+                    polls.get(i) - polls.get(i - MAX_POLLS) >= 4 * SECOND,
+                    "polled "
+                            + MAX_POLLS
                             + " times from "
-                            + calls.get(i - MOST_CALLS)
+                            + polls.get(i - MAX_POLLS)
                             + ": "
-                            + play.log());
+                            + simulation.log());
         }
     }
 }
--- a/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
@@ -23,24 +23,23 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * A watch that falls silent, and one that can't be opened. What is missed counts as told six
- * seconds after discovery had it and could be reached, so by then the list has to be there,
- * whatever the other nodes ask.
+ * A watch that becomes silent, and one that can't be opened. A change must reach the node within
+ * six seconds after discovery has it and is reachable, however much the other nodes poll.
  */
 class DiscoveryWatchTest {
 
     private static final long SECOND = 1_000_000;
-    private static final long COUNTS_AS_TOLD = 6 * SECOND;
-    private static final EndpointList NOTHING = new EndpointList(41, false, List.of());
-    private static final EndpointList DRAINS = list(42, false, "terminating");
+    private static final long PROPAGATION_DEADLINE = 6 * SECOND;
+    private static final EndpointList NO_CHANGE = new EndpointList(41, false, List.of());
+    private static final EndpointList DRAINING_UPDATE = list(42, false, "terminating");
 
     private final List<Effect> effects = new ArrayList<>();
     private final DiscoveryWatch watch = new DiscoveryWatch(new TestConfig().build(), effects::add);
 
-    private static EndpointList list(long seq, boolean whole, String health) {
+    private static EndpointList list(long seq, boolean complete, String health) {
         try {
             return EndpointList.read(
-                    TestConfig.list(seq, whole, endpointJson("s-1", "10.0.0.1:80", health))
+                    TestConfig.list(seq, complete, endpointJson("s-1", "10.0.0.1:80", health))
                             .getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
@@ -57,93 +56,102 @@
     private PollDiscovery watching() {
         watch.begin(0);
         PollDiscovery first = expect(PollDiscovery.class);
-        assertTrue(first.maxWaitMicros() < SECOND, "the first answer says that the watch is alive");
+        assertTrue(first.maxWaitMicros() < SECOND, "the first answer shows that the watch is open");
         effects.clear();
-        watch.answerAccepted(SECOND, first.poll(), NOTHING);
+        watch.answerAccepted(SECOND, first.poll(), NO_CHANGE);
         return expect(PollDiscovery.class);
     }
 
     /**
-     * Guards against requests to servers that leave: noticed when it counted as told, it was too
-     * late.
+     * Guards against requests to draining servers: a silent watch that is noticed only at the
+     * propagation deadline is reopened too late.
      */
     @Test
-    void silentWatch_isReopenedAtOnceSoonAfterItsWait() {
+    void silentWatch_isReopenedSoonAfterItsWait() {
         PollDiscovery silent = watching();
         StartTimer timer = expect(StartTimer.class);
         assertTrue(
-                timer.delayMicros() <= COUNTS_AS_TOLD / 2, "noticed after " + timer.delayMicros());
+                timer.delayMicros() <= PROPAGATION_DEADLINE / 2,
+                "noticed after " + timer.delayMicros());
         watch.pollTimedOut(SECOND + timer.delayMicros(), silent.poll());
-        PollDiscovery again = expect(PollDiscovery.class);
-        assertEquals(41, again.afterVersion());
+        PollDiscovery reopening = expect(PollDiscovery.class);
+        assertEquals(41, reopening.afterVersion());
         assertTrue(
                 effects.stream().noneMatch(CancelPoll.class::isInstance),
-                "the old call is still read");
-        assertTrue(watch.accepts(again.poll(), DRAINS));
-        assertTrue(watch.answerAccepted(14 * SECOND, again.poll(), DRAINS).isPresent());
+                "the answer to the earlier poll is still accepted");
+        assertTrue(watch.accepts(reopening.poll(), DRAINING_UPDATE));
+        assertTrue(
+                watch.answerAccepted(14 * SECOND, reopening.poll(), DRAINING_UPDATE).isPresent());
         assertEquals(silent.poll(), expect(CancelPoll.class).poll());
     }
 
     /**
-     * Guards against an answer that counts as told and is dropped, since its call was given up
+     * Guards against dropping a change that is due because the poll it answers has timed out
      * meanwhile.
      */
     @Test
-    void lateAnswerOfASilentWatch_countsUntilTheNextAnswer() {
+    void lateAnswerOfASilentWatch_isAcceptedUntilTheNextAnswer() {
         PollDiscovery silent = watching();
         watch.pollTimedOut(12 * SECOND, silent.poll());
         effects.clear();
         PollDiscovery unused = new PollDiscovery(silent.poll() + 1, silent.address(), 41, 0);
-        assertTrue(watch.accepts(silent.poll(), DRAINS));
-        assertTrue(watch.answerAccepted(12 * SECOND, silent.poll(), DRAINS).isPresent());
-        assertTrue(effects.isEmpty(), "the watch goes on with the newer call alone: " + effects);
-        assertFalse(watch.accepts(silent.poll(), list(43, false, "in_service")), "answered twice");
-        // What the newer call brings was known before, or is newer still.
-        assertFalse(watch.accepts(unused.poll(), NOTHING), "an old word would undo a newer one");
-        assertTrue(watch.accepts(unused.poll(), DRAINS));
-        watch.answerAccepted(13 * SECOND, unused.poll(), DRAINS);
+        assertTrue(watch.accepts(silent.poll(), DRAINING_UPDATE));
+        assertTrue(watch.answerAccepted(12 * SECOND, silent.poll(), DRAINING_UPDATE).isPresent());
+        assertTrue(effects.isEmpty(), "the watch continues with the newer poll only: " + effects);
+        assertFalse(
+                watch.accepts(silent.poll(), list(43, false, "in_service")),
+                "the poll was answered twice");
+        // The answer to the newer poll has a version that is already known, or a newer one.
+        assertFalse(
+                watch.accepts(unused.poll(), NO_CHANGE), "an older answer would undo a newer one");
+        assertTrue(watch.accepts(unused.poll(), DRAINING_UPDATE));
+        watch.answerAccepted(13 * SECOND, unused.poll(), DRAINING_UPDATE);
         assertEquals(42, expect(PollDiscovery.class).afterVersion());
     }
 
     /**
-     * Guards against an answer that counts as told and is dropped: it may come to a call given up
-     * on.
+     * Guards against dropping a change that is due: it may be in the answer to a poll that has
+     * timed out.
      */
     @Test
-    void unansweredFirstPoll_isReadDuringTheBackoff() {
+    void answerToATimedOutFirstPoll_isAcceptedDuringTheBackoff() {
         watch.begin(0);
         PollDiscovery first = expect(PollDiscovery.class);
         watch.pollTimedOut(3 * SECOND, first.poll());
         assertTrue(
-                effects.stream().noneMatch(PollDiscovery.class::isInstance), "asked with no pause");
-        StartTimer pause =
+                effects.stream().noneMatch(PollDiscovery.class::isInstance),
+                "polled again without a delay");
+        StartTimer delay =
                 effects.stream()
                         .filter(StartTimer.class::isInstance)
                         .map(StartTimer.class::cast)
                         .filter(timer -> timer.timer() instanceof Timer.NextPoll)
                         .findFirst()
                         .orElseThrow();
-        assertTrue(pause.delayMicros() <= SECOND / 2, "paused for " + pause.delayMicros());
-        assertTrue(watch.accepts(first.poll(), DRAINS));
+        assertTrue(delay.delayMicros() <= SECOND / 2, "delayed by " + delay.delayMicros());
+        assertTrue(watch.accepts(first.poll(), DRAINING_UPDATE));
         watch.resume(4 * SECOND, first.poll());
         PollDiscovery second = expect(PollDiscovery.class);
         watch.pollTimedOut(7 * SECOND, second.poll());
-        assertEquals(first.poll(), expect(CancelPoll.class).poll(), "more calls are read than two");
+        assertEquals(
+                first.poll(),
+                expect(CancelPoll.class).poll(),
+                "answers to more than two polls are accepted");
     }
 
     @Test
-    void silentPollThatEndsLater_isNoFailureOfTheWatch() {
+    void silentPollThatFailsLater_isNoFailureOfTheWatch() {
         PollDiscovery silent = watching();
         watch.pollTimedOut(12 * SECOND, silent.poll());
-        PollDiscovery again = expect(PollDiscovery.class);
+        PollDiscovery reopening = expect(PollDiscovery.class);
         effects.clear();
         watch.pollFailed(12 * SECOND, silent.poll());
         assertTrue(effects.isEmpty());
-        watch.pollFailed(12 * SECOND, again.poll());
+        watch.pollFailed(12 * SECOND, reopening.poll());
         assertTrue(expect(StartTimer.class).timer() instanceof Timer.NextPoll);
     }
 
-    /** Guards against a pause in which nothing is heard where the watch was open until now. */
+    /** Guards against a delay without updates after an open watch breaks. */
     @Test
     void brokenWatch_isReopenedAtOnce() {
         PollDiscovery broken = watching();
@@ -152,128 +160,136 @@
     }
 
     /**
-     * Guards against a node that waits for news of versions which discovery, begun anew, never
-     * reaches.
+     * Guards against a node that waits for a version that discovery never reaches, since it has
+     * restarted its version numbers.
      */
     @Test
     void restartedVersions_arePolledForTheCompleteList() {
-        PollDiscovery call = watching();
+        PollDiscovery outstanding = watching();
         EndpointList lower = new EndpointList(3, false, List.of());
-        assertFalse(watch.accepts(call.poll(), lower));
+        assertFalse(watch.accepts(outstanding.poll(), lower));
         effects.clear();
-        watch.answerIgnored(2 * SECOND, call.poll(), lower);
-        PollDiscovery whole = expect(PollDiscovery.class);
-        assertEquals(-1, whole.afterVersion());
+        watch.answerIgnored(2 * SECOND, outstanding.poll(), lower);
+        PollDiscovery completePoll = expect(PollDiscovery.class);
+        assertEquals(-1, completePoll.afterVersion());
         assertFalse(
-                watch.accepts(whole.poll(), lower), "changes where the whole list was asked for");
-        assertTrue(watch.accepts(whole.poll(), list(3, true, "in_service")));
+                watch.accepts(completePoll.poll(), lower),
+                "an incremental answer to a poll for the complete list");
+        assertTrue(watch.accepts(completePoll.poll(), list(3, true, "in_service")));
     }
 
-    /** Guards against an older whole list that undoes what a call beside it has brought. */
+    /** Guards against an older complete list that undoes the answer to a concurrent poll. */
     @Test
-    void olderAnswer_isIgnoredAndTheWatchGoesOn() {
+    void olderAnswer_isIgnoredAndTheWatchContinues() {
         PollDiscovery silent = watching();
         watch.pollTimedOut(3 * SECOND, silent.poll());
-        PollDiscovery again = expect(PollDiscovery.class);
-        assertTrue(watch.accepts(silent.poll(), DRAINS));
-        watch.answerAccepted(3 * SECOND, silent.poll(), DRAINS);
+        PollDiscovery reopening = expect(PollDiscovery.class);
+        assertTrue(watch.accepts(silent.poll(), DRAINING_UPDATE));
+        watch.answerAccepted(3 * SECOND, silent.poll(), DRAINING_UPDATE);
         EndpointList old = list(41, true, "in_service");
-        assertFalse(watch.accepts(again.poll(), old));
+        assertFalse(watch.accepts(reopening.poll(), old));
         effects.clear();
-        watch.answerIgnored(4 * SECOND, again.poll(), old);
+        watch.answerIgnored(4 * SECOND, reopening.poll(), old);
         assertEquals(42, expect(PollDiscovery.class).afterVersion());
     }
 
     /**
-     * Guards against a list that can't be taken and is sent whole about once a second, for ever.
+     * Guards against a malformed list that discovery sends at its full size about once a second,
+     * without end.
      */
     @Test
-    void listThatIsAlwaysRejected_isPolledLessAndLessOften() {
+    void listThatIsAlwaysRejected_isPolledWithGrowingDelays() {
         watch.begin(0);
         long now = 0;
-        List<Long> pauses = new ArrayList<>();
+        List<Long> delays = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            PollDiscovery call = expect(PollDiscovery.class);
+            PollDiscovery outstanding = expect(PollDiscovery.class);
             effects.clear();
-            watch.listRejected(now, call.poll());
-            StartTimer pause = expect(StartTimer.class);
-            assertEquals(call.poll(), ((Timer.NextPoll) pause.timer()).afterPoll());
-            pauses.add(pause.delayMicros());
-            now += pause.delayMicros();
-            watch.resume(now, call.poll());
+            watch.listRejected(now, outstanding.poll());
+            StartTimer delay = expect(StartTimer.class);
+            assertEquals(outstanding.poll(), ((Timer.NextPoll) delay.timer()).afterPoll());
+            delays.add(delay.delayMicros());
+            now += delay.delayMicros();
+            watch.resume(now, outstanding.poll());
         }
         assertTrue(
-                pauses.subList(0, 3).stream().allMatch(pause -> pause < 2 * SECOND),
-                "spoilt by chance it is sound the next time: " + pauses);
-        assertTrue(pauses.get(3) >= 3 * SECOND, pauses.toString());
+                delays.subList(0, 3).stream().allMatch(delay -> delay < 2 * SECOND),
+                "an answer damaged in transit is intact at the next poll: " + delays);
+        assertTrue(delays.get(3) >= 3 * SECOND, delays.toString());
         assertTrue(
-                pauses.subList(10, 20).stream().allMatch(pause -> pause >= 100 * SECOND),
-                pauses.toString());
-        assertTrue(pauses.stream().allMatch(pause -> pause <= 400 * SECOND), pauses.toString());
-        assertFalse(watch.isStale(now), "the list before stays in force");
+                delays.subList(10, 20).stream().allMatch(delay -> delay >= 100 * SECOND),
+                delays.toString());
+        assertTrue(delays.stream().allMatch(delay -> delay <= 400 * SECOND), delays.toString());
+        assertFalse(watch.isStale(now), "the previous list stays effective");
     }
 
     @Test
     void acceptedList_resetsTheCountOfRejections() {
-        PollDiscovery call = watching();
+        PollDiscovery outstanding = watching();
         for (int i = 0; i < 6; i++) {
             effects.clear();
-            watch.listRejected(2 * SECOND, call.poll());
-            watch.resume(3 * SECOND, call.poll());
-            call = expect(PollDiscovery.class);
+            watch.listRejected(2 * SECOND, outstanding.poll());
+            watch.resume(3 * SECOND, outstanding.poll());
+            outstanding = expect(PollDiscovery.class);
         }
-        watch.answerAccepted(4 * SECOND, call.poll(), DRAINS);
+        watch.answerAccepted(4 * SECOND, outstanding.poll(), DRAINING_UPDATE);
         PollDiscovery next = expect(PollDiscovery.class);
         effects.clear();
         watch.listRejected(5 * SECOND, next.poll());
         assertEquals(
                 42,
                 expect(PollDiscovery.class).afterVersion(),
-                "a watch that breaks is opened anew at once");
+                "a watch that breaks is reopened at once");
     }
 
-    private record Asked(int node, long at, PollDiscovery call) {}
+    private record ScheduledPoll(int node, long at, PollDiscovery outstanding) {}
 
     /**
-     * All watches of a fleet fall silent at one moment, soon after the same change woke them all;
-     * discovery takes this long for one call of every node, one by one, and turns away who would
-     * wait for over 2 s.
+     * All watches of a fleet become silent at the same time, soon after the same change was sent to
+     * all of them. Discovery handles one poll at a time, takes {@code allPollsMs} for one poll of
+     * every node, and rejects a poll that would wait for more than 2 s.
      */
     @ParameterizedTest
     @CsvSource({"30, 5000", "100, 5000", "120, 5000"})
-    void nodesThatLoseTheirWatchesTogether_areAllNotifiedInTime(int nodes, long allCallsMs) {
-        long turn = allCallsMs * 1000 / nodes;
-        PriorityQueue<Asked> asked = new PriorityQueue<>(Comparator.comparingLong(Asked::at));
-        List<List<Effect>> told = new ArrayList<>();
+    void nodesThatLoseTheirWatchesTogether_areAllNotifiedInTime(int nodes, long allPollsMs) {
+        long serviceTime = allPollsMs * 1000 / nodes;
+        PriorityQueue<ScheduledPoll> scheduledPolls =
+                new PriorityQueue<>(Comparator.comparingLong(ScheduledPoll::at));
+        List<List<Effect>> effectsByNode = new ArrayList<>();
         List<DiscoveryWatch> watches = new ArrayList<>();
         for (int i = 0; i < nodes; i++) {
-            List<Effect> own = new ArrayList<>();
-            DiscoveryWatch each = new DiscoveryWatch(seeded(i), own::add);
+            List<Effect> nodeEffects = new ArrayList<>();
+            DiscoveryWatch each = new DiscoveryWatch(configWithSeed(i), nodeEffects::add);
             watches.add(each);
-            told.add(own);
+            effectsByNode.add(nodeEffects);
             each.begin(0);
-            each.answerAccepted(0, 1, NOTHING);
-            long noticed = lastTimer(own);
-            each.pollTimedOut(noticed, last(own).poll());
-            asked.add(new Asked(i, noticed, last(own)));
+            each.answerAccepted(0, 1, NO_CHANGE);
+            long timedOutAt = lastTimer(nodeEffects);
+            each.pollTimedOut(timedOutAt, last(nodeEffects).poll());
+            scheduledPolls.add(new ScheduledPoll(i, timedOutAt, last(nodeEffects)));
         }
-        long free = 0;
+        long idleAt = 0;
         int answered = 0;
-        while (!asked.isEmpty()) {
-            Asked next = asked.poll();
-            if (next.call == null) {
-                watches.get(next.node).resume(next.at, last(told.get(next.node)).poll());
-                asked.add(new Asked(next.node, next.at, last(told.get(next.node))));
-            } else if (free > next.at + 2 * SECOND - turn) {
-                watches.get(next.node).pollFailed(next.at, next.call.poll());
-                asked.add(new Asked(next.node, next.at + lastTimer(told.get(next.node)), null));
+        while (!scheduledPolls.isEmpty()) {
+            ScheduledPoll next = scheduledPolls.poll();
+            if (next.outstanding == null) {
+                watches.get(next.node).resume(next.at, last(effectsByNode.get(next.node)).poll());
+                scheduledPolls.add(
+                        new ScheduledPoll(next.node, next.at, last(effectsByNode.get(next.node))));
+            } else if (idleAt > next.at + 2 * SECOND - serviceTime) {
+                watches.get(next.node).pollFailed(next.at, next.outstanding.poll());
+                scheduledPolls.add(
+                        new ScheduledPoll(
+                                next.node,
+                                next.at + lastTimer(effectsByNode.get(next.node)),
+                                null));
             } else {
-                free = Math.max(free, next.at) + turn;
+                idleAt = Math.max(idleAt, next.at) + serviceTime;
                 answered++;
             }
         }
         assertEquals(nodes, answered);
-        assertTrue(free <= COUNTS_AS_TOLD, "the last one is told after " + free);
+        assertTrue(idleAt <= PROPAGATION_DEADLINE, "the last node is notified after " + idleAt);
     }
 
     private static long lastTimer(List<Effect> effects) {
@@ -293,7 +309,7 @@
                 .orElseThrow();
     }
 
-    private static NodeConfig seeded(int seed) {
+    private static NodeConfig configWithSeed(int seed) {
         try {
             return NodeConfig.read(
                     new TestConfig()
--- a/src/test/java/ottergauge/routing/RouterDriver.java
+++ b/src/test/java/ottergauge/routing/RouterDriver.java
@@ -28,16 +28,18 @@
 import ottergauge.routing.Event.ServerResponse;
 
 /**
- * Drives a router with no socket: gives it events, keeps its timers, and hands out its effects in
- * order.
+ * Drives a router without sockets: passes events to it, fires its timers in simulated time, and
+ * collects its effects in order.
  */
 final class RouterDriver {
 
-    private record Due(long at, long order, Timer timer) {}
+    private record ScheduledTimer(long at, long order, Timer timer) {}
 
     private final List<Effect> effects = new ArrayList<>();
-    private final PriorityQueue<Due> timers =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledTimer> timers =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(ScheduledTimer::at)
+                            .thenComparingLong(ScheduledTimer::order));
     private final Deque<Effect.ReadPendingInput> reads = new ArrayDeque<>();
     private final Router router;
     private boolean holdsPendingReads;
@@ -61,7 +63,7 @@
 
     private void collect(Effect effect) {
         if (effect instanceof StartTimer timer) {
-            timers.add(new Due(now + timer.delayMicros(), order++, timer.timer()));
+            timers.add(new ScheduledTimer(now + timer.delayMicros(), order++, timer.timer()));
         } else if (effect instanceof Effect.ReadPendingInput read) {
             reads.add(read);
         } else {
@@ -77,12 +79,15 @@
         }
     }
 
-    /** From now on nothing begins that was asked for: what comes meanwhile comes in between. */
+    /**
+     * Delays the confirmations of pending reads from now on, so that other events precede the first
+     * byte of an attempt.
+     */
     void holdPendingReads() {
         holdsPendingReads = true;
     }
 
-    /** All that has come is read: what was held back may begin. */
+    /** Confirms the delayed reads, so that the attempts may be sent. */
     void releasePendingReads() {
         holdsPendingReads = false;
         for (Effect.ReadPendingInput read = reads.poll(); read != null; read = reads.poll()) {
@@ -93,14 +98,14 @@
     void advanceMs(long ms) {
         long until = now + ms * 1000;
         while (!timers.isEmpty() && timers.peek().at() <= until) {
-            Due due = timers.poll();
-            now = due.at();
-            handle(new Event.TimerFired(due.timer()));
+            ScheduledTimer next = timers.poll();
+            now = next.at();
+            handle(new Event.TimerFired(next.timer()));
         }
         now = until;
     }
 
-    /** The node stands still: time goes by and no timer fires. */
+    /** Suspends the node: time advances but no timer fires. */
     void suspendMs(long ms) {
         now += ms * 1000;
     }
@@ -109,7 +114,7 @@
         return now / 1000;
     }
 
-    /** Takes out the first effect of a kind; there must be one. */
+    /** Removes and returns the first effect of a type; fails if there is none. */
     <E extends Effect> E expect(Class<E> kind) {
         for (Effect effect : effects) {
             if (kind.isInstance(effect)) {
@@ -149,9 +154,9 @@
                         0));
     }
 
-    /** A request as its class wants it. */
+    /** A valid request of a class. */
     static ClientRequest clientRequest(String requestClass, String traceId, long expiresInMs) {
-        boolean safe = "read".equals(requestClass);
+        boolean idempotent = "read".equals(requestClass);
         return new ClientRequest(
                 new RequestFields(
                         traceId,
@@ -159,24 +164,24 @@
                         expiresInMs,
                         false,
                         "pay".equals(requestClass) ? "key" : null),
-                safe ? "GET" : "POST",
+                idempotent ? "GET" : "POST",
                 "/api?x=1",
-                safe ? Content.NONE : text("ask"));
+                idempotent ? Content.NONE : text("ask"));
     }
 
-    /** Lets the next connection that was asked for come up and gives back what is written to it. */
+    /** Establishes the next requested connection and returns the request that is written to it. */
     Forward connectNext() {
         handle(new Event.UpstreamConnected(expect(ConnectUpstream.class).connection()));
         return expect(Forward.class);
     }
 
-    /** A new client's request, written to a connection that is opened for it. */
+    /** Sends a new client's request, and returns it as it is written to a new connection. */
     Forward forwardOnNewConnection(String requestClass) {
         request(requestClass);
         return connectNext();
     }
 
-    /** A new client's request, written to a connection that was kept. */
+    /** Sends a new client's request, and returns it as it is written to an idle connection. */
     Forward forwardOnIdleConnection(String requestClass) {
         request(requestClass);
         return expect(Forward.class);
@@ -206,7 +211,7 @@
         return new Content("text/plain", body.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Writes and answers a request. */
+    /** Completes the write of a request and answers it with 200. */
     void serve(Forward forward) {
         written(forward);
         answer(forward, 200, false);
@@ -219,24 +224,25 @@
         return respond.status();
     }
 
-    /** The node reads another configuration, as on SIGHUP. */
+    /** Makes the node read another configuration, as on SIGHUP. */
     void reconfigure(TestConfig config) {
         handle(new Event.Reconfigured(config.build()));
     }
 
     /**
-     * Another version of what all nodes share: a list as discovery tells it, and settings if there
-     * are.
+     * Applies another version of the state that all nodes share: an endpoint list in discovery's
+     * format, and settings if there are any.
      */
-    void state(long version, Optional<TestConfig> settings, boolean whole, String... entries) {
+    void changeState(
+            long version, Optional<TestConfig> settings, boolean complete, String... entries) {
         try {
-            EndpointList servers =
+            EndpointList endpoints =
                     EndpointList.read(
-                            TestConfig.list(version, whole, entries)
+                            TestConfig.list(version, complete, entries)
                                     .getBytes(StandardCharsets.UTF_8));
             handle(
                     new Event.StateChanged(
-                            servers,
+                            endpoints,
                             settings.map(config -> config.build().settings()),
                             new LogPosition("log", version)));
         } catch (ProtocolException e) {
@@ -252,8 +258,8 @@
         handle(new Event.DiscoveryPollFailed(lastPoll));
     }
 
-    /** Answers the call to discovery that is out; the first is made soon after the start. */
-    void list(long seq, boolean whole, String... entries) {
+    /** Answers the outstanding poll of discovery; the first one is sent soon after the start. */
+    void receiveList(long seq, boolean complete, String... entries) {
         if (lastPoll == 0) {
             advanceMs(200);
         }
@@ -262,7 +268,7 @@
                     new Event.EndpointListReceived(
                             lastPoll,
                             EndpointList.read(
-                                    TestConfig.list(seq, whole, entries)
+                                    TestConfig.list(seq, complete, entries)
                                             .getBytes(StandardCharsets.UTF_8))));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -64,11 +64,10 @@
                 Named.of("SIGHUP", RouterDriver::reconfigure),
                 Named.of(
                         "log of changes",
-                        (node, config) -> node.state(120, Optional.of(config), false)));
+                        (node, config) -> node.changeState(120, Optional.of(config), false)));
     }
 
-    // ---- Classes
-    // ------------------------------------------------------------------------------------
+    // ---- Classes ----
 
     @ParameterizedTest
     @MethodSource("ways")
@@ -98,7 +97,7 @@
         long late = node.request("grant");
         assertEquals(400, node.status(late));
         node.expectNo(Respond.class);
-        node.state(121, Optional.empty(), true, ONE);
+        node.changeState(121, Optional.empty(), true, ONE);
         node.serve(node.connectNext());
         assertEquals(200, node.status(waiting));
         assertEquals(0, figure(node, "pending"));
@@ -219,8 +218,7 @@
                 .sum();
     }
 
-    // ---- What is in force for servers and connections
-    // -----------------------------------------------
+    // ---- What is in force for servers and connections ----
 
     /**
      * Guards against an effect that happens in two zones: under the new numbers of zones the one's
@@ -235,7 +233,7 @@
         Forward forward = node.connectNext();
         node.written(forward);
         way.accept(node, new TestConfig().zones("b", "a"));
-        node.state(121, Optional.empty(), false, other);
+        node.changeState(121, Optional.empty(), false, other);
         node.handle(new Event.UpstreamClosed(forward.connection(), false));
         node.advanceMs(1000);
         // It may go to the one server of its zone again, and to no other.
@@ -284,20 +282,19 @@
     @Test
     void pollsOfDiscovery_waitByTheEffectiveInterval() {
         RouterDriver node = one();
-        node.list(42, true, ONE);
+        node.receiveList(42, true, ONE);
         node.reconfigure(new TestConfig().maxPollIntervalMs(1_000));
         while (node.has(PollDiscovery.class)) {
             node.expect(PollDiscovery.class);
         }
         for (long seq = 43; seq < 53; seq++) {
-            node.list(seq, true, ONE);
+            node.receiveList(seq, true, ONE);
             long waits = node.expect(PollDiscovery.class).maxWaitMicros();
             assertTrue(waits <= 500_000, "waits for " + waits + " us of one second");
         }
     }
 
-    // ---- State from the log of changes
-    // --------------------------------------------------------------
+    // ---- State from the log of changes ----
 
     /**
      * What is held goes where the new list has a server. It has one attempt: chosen by the new
@@ -314,7 +311,7 @@
                                         endpointStartedAt("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
         node.expectNo(ConnectUpstream.class);
-        node.state(120, Optional.of(new TestConfig().nodeCount(1)), false, ONE_GONE, TWO);
+        node.changeState(120, Optional.of(new TestConfig().nodeCount(1)), false, ONE_GONE, TWO);
         assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
         node.expectNo(Respond.class);
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
@@ -328,7 +325,7 @@
         RouterDriver node = one();
         node.request("grant");
         node.expect(ConnectUpstream.class);
-        node.state(120, Optional.of(classes(READ, AUDIT)), false, ONE_GONE, TWO);
+        node.changeState(120, Optional.of(classes(READ, AUDIT)), false, ONE_GONE, TWO);
         assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
         node.expectNo(ConnectUpstream.class);
     }
@@ -338,7 +335,7 @@
         RouterDriver node = one();
         assertEquals(Optional.empty(), node.version());
         assertFalse(figures(node).contains("state_version"));
-        node.state(120, Optional.empty(), false);
+        node.changeState(120, Optional.empty(), false);
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
         assertEquals(120, figure(node, "state_version"));
         node.serve(node.forwardOnNewConnection("read"));
@@ -351,9 +348,9 @@
         RouterDriver node = one();
         node.advanceMs(200);
         long call = node.expect(PollDiscovery.class).poll();
-        node.state(120, Optional.empty(), true, TWO);
+        node.changeState(120, Optional.empty(), true, TWO);
         assertEquals(call, node.expect(CancelPoll.class).poll());
-        node.list(42, true, ONE);
+        node.receiveList(42, true, ONE);
         node.pollFailed();
         node.reconfigure(new TestConfig().withAddresses("127.0.0.1:3000", "127.0.0.1:8501"));
         node.advanceMs(60_000);
@@ -384,7 +381,7 @@
                                 .probingNodes(1000, 0.08)
                                 .withEndpoints(servers));
         Set<String> before = used(node);
-        node.state(
+        node.changeState(
                 120,
                 Optional.of(new TestConfig().probingNodes(1000, 0.08).classes(READ, AUDIT)),
                 false);
@@ -414,7 +411,7 @@
     @Test
     void settingsOfTheFile_areIgnoredOnceTheChangeLogHasSome() {
         RouterDriver node = one();
-        node.state(120, Optional.of(classes(AUDIT)), false);
+        node.changeState(120, Optional.of(classes(AUDIT)), false);
         node.reconfigure(new TestConfig().sockets(512));
         long client = node.request("read");
         assertEquals(400, node.status(client));
--- a/src/test/java/ottergauge/routing/SimulatedDiscovery.java
+++ b/src/test/java/ottergauge/routing/SimulatedDiscovery.java
@@ -21,59 +21,63 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * One node's watch and a discovery that troubles befall, on made-up time. New watches stand in a
- * line for up to two seconds; one that goes on is answered as soon as there is something newer, or
- * its wait is over.
+ * Simulates discovery with faults for the watch of one node, in simulated time. A poll that opens a
+ * watch is queued for up to two seconds. A poll that continues a watch is answered as soon as there
+ * is a newer version, or when its wait is over.
  */
 final class SimulatedDiscovery {
 
     /**
-     * What may befall discovery: it is away, turns away, swallows new calls, or open calls fall
-     * silent.
+     * The faults of discovery: it is unreachable, rejects polls, ignores new polls, never answers
+     * the open polls, or moves to another address.
      */
-    enum Trouble {
-        AWAY,
-        TURNS_AWAY,
-        SWALLOWS,
-        SILENT,
-        MOVES
+    enum FaultKind {
+        UNREACHABLE,
+        REJECTS_POLLS,
+        IGNORES_NEW_POLLS,
+        DROPS_OPEN_POLLS,
+        MOVES_ADDRESS
     }
 
-    /** A trouble and its time; silence and moves happen at an instant. */
-    record Fault(Trouble what, long from, long length) {
-        long until() {
-            return what == Trouble.SILENT || what == Trouble.MOVES ? from : from + length;
+    /** A fault and its time. Open polls are dropped, and discovery moves, in an instant. */
+    record Fault(FaultKind kind, long start, long duration) {
+        long end() {
+            return kind == FaultKind.DROPS_OPEN_POLLS || kind == FaultKind.MOVES_ADDRESS
+                    ? start
+                    : start + duration;
         }
     }
 
-    private record Due(long at, long order, Runnable what) {}
+    private record ScheduledAction(long at, long order, Runnable action) {}
 
-    private record Had(long at, long address, long version) {}
+    private record ReceivedVersion(long at, long address, long version) {}
 
-    private static final long LINE = 2_000_000;
-    private static final long TRIP = 2_000;
-    private static final long GOES_ON = 200_000;
+    private static final long MAX_QUEUE_WAIT_MICROS = 2_000_000;
+    private static final long NETWORK_DELAY_MICROS = 2_000;
+    private static final long CONTINUATION_MICROS = 200_000;
 
     private final List<Fault> faults;
     private final List<Long> changes;
     private final SplittableRandom random;
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledAction> queue =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(ScheduledAction::at)
+                            .thenComparingLong(ScheduledAction::order));
     private final Map<Long, PollDiscovery> open = new HashMap<>();
-    private final List<Had> had = new ArrayList<>();
-    private final List<Long> calls = new ArrayList<>();
+    private final List<ReceivedVersion> receivedVersions = new ArrayList<>();
+    private final List<Long> polls = new ArrayList<>();
     private final StringBuilder log = new StringBuilder();
     private final DiscoveryWatch watch;
     private long now;
     private long order;
     private long address;
-    private long answeredAt = -GOES_ON;
+    private long answeredAt = -CONTINUATION_MICROS;
 
     SimulatedDiscovery(List<Fault> faults, List<Long> changes, long seed) {
         this.faults = faults;
         this.changes = changes;
         random = new SplittableRandom(seed);
-        watch = new DiscoveryWatch(config(seed), this::carryOut);
+        watch = new DiscoveryWatch(config(seed), this::perform);
     }
 
     private static NodeConfig config(long seed) {
@@ -90,50 +94,48 @@
 
     void run(long until) {
         for (Fault fault : faults) {
-            at(fault.from(), () -> begins(fault));
+            at(fault.start(), () -> startFault(fault));
         }
         for (long change : changes) {
-            at(change, this::tell);
+            at(change, this::publishChange);
         }
         watch.begin(0);
         while (!queue.isEmpty() && queue.peek().at() <= until) {
-            Due due = queue.poll();
-            now = due.at();
-            due.what().run();
+            ScheduledAction next = queue.poll();
+            now = next.at();
+            next.action().run();
         }
     }
 
-    private void at(long when, Runnable what) {
-        queue.add(new Due(when, order++, what));
+    private void at(long time, Runnable action) {
+        queue.add(new ScheduledAction(time, order++, action));
     }
 
-    private void note(String what) {
-        log.append(System.lineSeparator()).append(now).append(' ').append(what);
+    private void logEvent(String event) {
+        log.append(System.lineSeparator()).append(now).append(' ').append(event);
     }
 
-    // ---- Discovery
-    // ----------------------------------------------------------------------------------
+    // ---- Discovery ----
 
     private long changesBy(long instant) {
         return changes.stream().filter(change -> change <= instant).count();
     }
 
-    // Versions of one address need not be those of another.
+    // Each address numbers its versions differently.
     private long version(long instant) {
         return (address == 0 ? 41 : 3) + changesBy(instant);
     }
 
-    private boolean is(Trouble what) {
-        return faults.stream()
-                .anyMatch(f -> f.what() == what && f.from() <= now && now < f.until());
+    private boolean hasFault(FaultKind kind) {
+        return faults.stream().anyMatch(f -> f.kind() == kind && f.start() <= now && now < f.end());
     }
 
-    private void begins(Fault fault) {
-        note(fault.toString());
-        switch (fault.what()) {
-            case AWAY -> List.copyOf(open.values()).forEach(call -> fail(call, 0));
-            case SILENT -> open.clear();
-            case MOVES -> {
+    private void startFault(Fault fault) {
+        logEvent(fault.toString());
+        switch (fault.kind()) {
+            case UNREACHABLE -> List.copyOf(open.values()).forEach(call -> fail(call, 0));
+            case DROPS_OPEN_POLLS -> open.clear();
+            case MOVES_ADDRESS -> {
                 address++;
                 watch.move(now, new Address("127.0.0.1", 9000 + (int) address));
             }
@@ -141,20 +143,20 @@
         }
     }
 
-    private void carryOut(Effect effect) {
+    private void perform(Effect effect) {
         if (effect instanceof StartTimer timer) {
-            at(now + timer.delayMicros(), () -> fired(timer.timer()));
+            at(now + timer.delayMicros(), () -> timerFired(timer.timer()));
         } else if (effect instanceof CancelPoll call) {
             open.remove(call.poll());
         } else if (effect instanceof PollDiscovery call) {
-            note(call.toString());
-            calls.add(now);
+            logEvent(call.toString());
+            polls.add(now);
             open.put(call.poll(), call);
-            taken(call);
+            receivePoll(call);
         }
     }
 
-    private void fired(Timer timer) {
+    private void timerFired(Timer timer) {
         if (timer instanceof Timer.PollTimeout due) {
             watch.pollTimedOut(now, due.poll());
         } else if (timer instanceof Timer.NextPoll next) {
@@ -162,24 +164,27 @@
         }
     }
 
-    private void taken(PollDiscovery call) {
-        if (is(Trouble.AWAY) || is(Trouble.TURNS_AWAY)) {
-            fail(call, TRIP);
-        } else if (is(Trouble.SWALLOWS)) {
+    private void receivePoll(PollDiscovery call) {
+        if (hasFault(FaultKind.UNREACHABLE) || hasFault(FaultKind.REJECTS_POLLS)) {
+            fail(call, NETWORK_DELAY_MICROS);
+        } else if (hasFault(FaultKind.IGNORES_NEW_POLLS)) {
             open.remove(call.poll());
         } else {
-            long line = now - answeredAt <= GOES_ON ? 0 : random.nextLong(LINE);
+            long queueWait =
+                    now - answeredAt <= CONTINUATION_MICROS
+                            ? 0
+                            : random.nextLong(MAX_QUEUE_WAIT_MICROS);
             at(
-                    now + line + TRIP,
+                    now + queueWait + NETWORK_DELAY_MICROS,
                     () -> {
                         if (open.containsKey(call.poll())) {
-                            turn(call);
+                            handlePoll(call);
                         }
                     });
         }
     }
 
-    private void turn(PollDiscovery call) {
+    private void handlePoll(PollDiscovery call) {
         if (call.afterVersion() < 0 || version(now) > call.afterVersion()) {
             answer(call);
         } else {
@@ -187,9 +192,9 @@
         }
     }
 
-    // A change is there: all watches that wait for it are answered.
-    private void tell() {
-        note("change");
+    // Answers all watches that wait for a change that has just been made.
+    private void publishChange() {
+        logEvent("change");
         List.copyOf(open.values()).stream()
                 .filter(call -> call.afterVersion() >= 0 && call.afterVersion() < version(now))
                 .forEach(this::answer);
@@ -200,7 +205,7 @@
         at(
                 now + after,
                 () -> {
-                    note("failed " + call.poll());
+                    logEvent("failed " + call.poll());
                     watch.pollFailed(now, call.poll());
                 });
     }
@@ -209,15 +214,17 @@
         if (open.remove(call.poll()) == null) {
             return;
         }
-        boolean whole = call.afterVersion() < 0;
-        EndpointList list = list(version(now), whole, whole || version(now) > call.afterVersion());
-        long from = address;
+        boolean complete = call.afterVersion() < 0;
+        EndpointList list =
+                list(version(now), complete, complete || version(now) > call.afterVersion());
+        long polledAddress = address;
         at(
-                now + TRIP,
+                now + NETWORK_DELAY_MICROS,
                 () -> {
-                    note("answer " + call.poll() + " seq=" + list.version());
+                    logEvent("answer " + call.poll() + " seq=" + list.version());
                     if (watch.accepts(call.poll(), list)) {
-                        had.add(new Had(now, from, list.version()));
+                        receivedVersions.add(
+                                new ReceivedVersion(now, polledAddress, list.version()));
                         answeredAt = now;
                         watch.answerAccepted(now, call.poll(), list);
                     } else {
@@ -226,52 +233,51 @@
                 });
     }
 
-    private static EndpointList list(long seq, boolean whole, boolean news) {
+    private static EndpointList list(long seq, boolean complete, boolean changed) {
         try {
-            String[] hosts =
-                    news
+            String[] endpoints =
+                    changed
                             ? new String[] {endpointJson("s-1", "10.0.0.1:80", "terminating")}
                             : new String[0];
-            return EndpointList.read(TestConfig.list(seq, whole, hosts).getBytes(UTF_8));
+            return EndpointList.read(TestConfig.list(seq, complete, endpoints).getBytes(UTF_8));
         } catch (ProtocolException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    // ---- What came of it
-    // ----------------------------------------------------------------------------
+    // ---- Results ----
 
     /**
-     * From when on discovery could be reached by a node that is to know what was changed at this
-     * instant.
+     * The time since when discovery has been reachable for long enough that a change made at {@code
+     * change} must have reached the node.
      */
-    long reachable(long change, long within) {
-        long from = change;
-        boolean moved = true;
-        while (moved) {
-            moved = false;
+    long reachableSince(long change, long minDuration) {
+        long since = change;
+        boolean extended = true;
+        while (extended) {
+            extended = false;
             for (Fault fault : faults) {
-                if (fault.from() < from + within && fault.until() > from) {
-                    from = fault.until();
-                    moved = true;
+                if (fault.start() < since + minDuration && fault.end() > since) {
+                    since = fault.end();
+                    extended = true;
                 }
             }
         }
-        return from;
+        return since;
     }
 
-    /** When the node first had a list with this change. */
-    long hadAt(long change) {
+    /** When the node first received a list with this change. */
+    long receivedAt(long change) {
         long count = changesBy(change);
-        return had.stream()
+        return receivedVersions.stream()
                 .filter(h -> h.version() - (h.address() == 0 ? 41 : 3) >= count)
-                .mapToLong(Had::at)
+                .mapToLong(ReceivedVersion::at)
                 .findFirst()
                 .orElse(Long.MAX_VALUE);
     }
 
-    List<Long> calls() {
-        return calls;
+    List<Long> polls() {
+        return polls;
     }
 
     String log() {
--- a/src/test/java/ottergauge/routing/StreamingTest.java
+++ b/src/test/java/ottergauge/routing/StreamingTest.java
@@ -19,7 +19,7 @@
 import ottergauge.routing.Effect.Respond;
 import ottergauge.routing.Event.ServerResponse;
 
-/** Bodies that flow, with no socket. */
+/** Streamed request and response bodies, tested without sockets. */
 class StreamingTest {
 
     private final RouterDriver node =
@@ -30,7 +30,7 @@
                                     endpointJson("s-2", "10.1.0.2:3000", "in_service")));
     private int lastId;
 
-    private long flows(String requestClass, long expiresInMs) {
+    private long startStreamedRequest(String requestClass, long expiresInMs) {
         long client = node.client();
         node.handle(new Event.RequestHeadReceived(client));
         node.handle(
@@ -40,12 +40,12 @@
         return client;
     }
 
-    private ForwardStream connected() {
+    private ForwardStream establishConnection() {
         node.handle(new Event.UpstreamConnected(node.expect(ConnectUpstream.class).connection()));
         return node.expect(ForwardStream.class);
     }
 
-    private static Event answerFlows(long connection) {
+    private static Event streamedResponseStarted(long connection) {
         return new Event.StreamedResponseStarted(
                 connection,
                 new ServerResponse(200, false, LoadReport.NONE, Content.NONE, false),
@@ -53,17 +53,17 @@
     }
 
     /**
-     * Before its last byte is written nothing can have run, and there is nothing left to send
-     * again.
+     * A streamed request can't be sent again. If its connection breaks before the last byte is
+     * written, the server can't have run it and it is rejected; after that it fails.
      */
     @ParameterizedTest
     @CsvSource({"grant,false,503", "pay,false,503", "grant,true,502", "pay,true,502"})
-    void brokenStream_isJudgedByWhetherTheLastByteWasWritten(
-            String requestClass, boolean whole, int status) {
-        long client = flows(requestClass, 1000);
-        ForwardStream forward = connected();
+    void brokenStream_isRejectedBeforeItsLastByteIsWrittenAndFailsAfterwards(
+            String requestClass, boolean complete, int status) {
+        long client = startStreamedRequest(requestClass, 1000);
+        ForwardStream forward = establishConnection();
         assertEquals(client, forward.client());
-        if (whole) {
+        if (complete) {
             node.handle(new Event.StreamedRequestCompleted(client));
             node.handle(new Event.RequestWritten(forward.connection()));
         }
@@ -72,21 +72,22 @@
         node.expectNo(ConnectUpstream.class);
     }
 
-    /** Until a server has a byte of it, a request that flows goes elsewhere like any other. */
+    /** A streamed request is retried like any other until its first byte is written to a server. */
     @Test
-    void refusedConnection_losesNothing() {
-        flows("grant", 1000);
+    void refusedConnection_isFollowedByAnotherAttempt() {
+        startStreamedRequest("grant", 1000);
         node.refuseNext();
-        connected();
+        establishConnection();
     }
 
     /**
-     * Its time runs from its last byte: counted from the first, all that comes slowly is given up.
+     * The timeout of a streamed request starts at its last byte. If it started at the first byte,
+     * every slow upload would time out.
      */
     @Test
-    void timeout_runsFromTheLastByte() {
-        long client = flows("grant", 900);
-        ForwardStream forward = connected();
+    void timeout_startsAtTheLastByte() {
+        long client = startStreamedRequest("grant", 900);
+        ForwardStream forward = establishConnection();
         for (int i = 0; i < 50; i++) {
             node.handle(new Event.BodyProgress(client, 64_000));
             node.advanceMs(100);
@@ -101,12 +102,15 @@
         assertEquals(502, node.status(client));
     }
 
-    /** What trickles or stands still ends, and gives back the server's connection. */
+    /**
+     * A body that is too slow or stalls ends the request, and the node closes the connection to the
+     * server.
+     */
     @ParameterizedTest
     @CsvSource({"0,2900", "100,4000"})
     void stalledBody_isClosed(long bytes, long within) {
-        long client = flows("grant", 900);
-        ForwardStream forward = connected();
+        long client = startStreamedRequest("grant", 900);
+        ForwardStream forward = establishConnection();
         for (int passed = 0; passed < within; passed += 100) {
             if (bytes > 0) {
                 node.handle(new Event.BodyProgress(client, bytes));
@@ -120,26 +124,27 @@
     }
 
     /**
-     * Begun, an answer is its client's: no deadline cuts it, and the connection is kept after it.
+     * No deadline ends a response that is being relayed, and the connection to the server is reused
+     * after it.
      */
     @Test
-    void streamedResponse_isCutByNoDeadline() {
+    void streamedResponse_isNotEndedByADeadline() {
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
                                 .withEndpoints(endpointJson("s-1", "10.1.0.1:3000", "in_service")));
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
-        node.handle(answerFlows(forward.connection()));
-        RelayResponse passes = node.expect(RelayResponse.class);
+        node.handle(streamedResponseStarted(forward.connection()));
+        RelayResponse relay = node.expect(RelayResponse.class);
         for (int i = 0; i < 100; i++) {
-            node.handle(new Event.BodyProgress(passes.client(), 6_000));
+            node.handle(new Event.BodyProgress(relay.client(), 6_000));
             node.advanceMs(100);
         }
         node.expectNo(CloseClient.class);
         node.expectNo(CloseUpstream.class);
         node.handle(new Event.StreamedResponseCompleted(forward.connection(), true));
-        node.handle(new Event.ResponseWritten(passes.client()));
+        node.handle(new Event.ResponseWritten(relay.client()));
         node.forwardOnIdleConnection("grant");
     }
 
@@ -147,7 +152,7 @@
     void responseTruncatedByItsServer_isTruncatedForItsClient() {
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
-        node.handle(answerFlows(forward.connection()));
+        node.handle(streamedResponseStarted(forward.connection()));
         long client = node.expect(RelayResponse.class).client();
         node.handle(new Event.UpstreamClosed(forward.connection(), false));
         assertEquals(
@@ -156,10 +161,10 @@
     }
 
     @Test
-    void streamedResponseWhoseClientHasGone_isClosedAtTheServer() {
+    void streamedResponseOfADisconnectedClient_closesTheServersConnection() {
         Effect.Forward forward = node.forwardOnNewConnection("grant");
         node.written(forward);
-        node.handle(answerFlows(forward.connection()));
+        node.handle(streamedResponseStarted(forward.connection()));
         node.handle(new Event.ClientClosed(node.expect(RelayResponse.class).client()));
         assertEquals(
                 new CloseUpstream(forward.connection(), CloseReason.CLIENT_GONE),
@@ -167,8 +172,8 @@
     }
 
     /**
-     * An answer that does not tell its length flows before its time is up: its first bytes are in
-     * time.
+     * A response of unknown length is streamed before its timeout, so that its first bytes reach
+     * the client in time.
      */
     @Test
     void unsizedResponse_isStreamedBeforeItsTimeout() {
@@ -182,22 +187,21 @@
     }
 
     /**
-     * All flows together are bounded by the memory that there is; what is over that is refused at
-     * once.
+     * The memory limit bounds the number of streamed requests; further ones are rejected at once.
      */
     @Test
     void streamedRequests_areBounded() {
-        int taken = 0;
-        boolean refused = false;
-        while (!refused && taken < 10_000) {
-            long client = flows("grant", 900);
-            taken++;
-            refused = node.has(Respond.class);
-            if (!refused) {
-                connected();
+        int started = 0;
+        boolean rejected = false;
+        while (!rejected && started < 10_000) {
+            long client = startStreamedRequest("grant", 900);
+            started++;
+            rejected = node.has(Respond.class);
+            if (!rejected) {
+                establishConnection();
                 node.handle(new Event.BodyProgress(client, 64_000));
             }
         }
-        assertTrue(taken > 100 && taken <= 192 * 2, "taken: " + taken);
+        assertTrue(started > 100 && started <= 192 * 2, "started: " + started);
     }
 }
