--- a/src/test/java/ottergauge/ArchitectureTest.java
+++ b/src/test/java/ottergauge/ArchitectureTest.java
@@ -16,8 +16,8 @@
 import ottergauge.decision.DecisionEngine;
 
 /**
- * Holds the decision module to the JDK and its interface, and keeps clock, threads and I/O out of
- * it.
+ * Checks the dependencies of packages. The decision module depends on the JDK and its own interface
+ * only, and uses no clock, threads or I/O.
  */
 class ArchitectureTest {
 
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void dataStructuresStandOnTheJdkAlone() {
+    void dataStructuresDependOnTheJdkOnly() {
         for (String structure :
                 new String[] {"ottergauge.decision.ring", "ottergauge.decision.index"}) {
             classes()
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void limitsAreNumbersAndNothingElse() {
+    void limitsDependOnlyOnTheirInputsAndTheIndex() {
         classes()
                 .that(resideInAnyPackage("ottergauge.decision.limits"))
                 .should(
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void theModuleHasNoStaticsThatChange() {
+    void theModuleHasNoMutableStatics() {
         fields().that()
                 .areDeclaredInClassesThat(resideInAnyPackage(DECISION))
                 .and()
--- a/src/test/java/ottergauge/protocol/CodecsTest.java
+++ b/src/test/java/ottergauge/protocol/CodecsTest.java
@@ -38,13 +38,13 @@
         "204,false,ERROR",
         "302,true,ERROR"
     })
-    void ofResponse_only503And504WithTheMarkProveThatNothingRan(
+    void ofResponse_only503And504MarkedNeverRanAreRejections(
             int status, boolean neverRan, AttemptResult expected) {
         assertEquals(expected, AttemptResults.ofResponse(status, neverRan));
     }
 
     @Test
-    void loadReport_isReadUnderEitherSpellingOfItsFields() {
+    void loadReport_isReadWithEitherSetOfFieldNames() {
         LoadReport expected = new LoadReport(7, 2, 0.61, Double.NaN, Double.NaN);
         assertEquals(expected, LoadReportReader.read("TEXT inflight=7, queue=2, util=0.61"));
         assertEquals(
--- a/src/test/java/ottergauge/protocol/ControlPlaneConfigTest.java
+++ b/src/test/java/ottergauge/protocol/ControlPlaneConfigTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void section_isReadAsTheDocumentationHasIt() throws ProtocolException {
+    void section_isReadInTheDocumentedForm() throws ProtocolException {
         assertEquals(
                 new ControlPlaneConfig(
                         List.of(
--- a/src/test/java/ottergauge/protocol/NodeSettingsTest.java
+++ b/src/test/java/ottergauge/protocol/NodeSettingsTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Settings that a node does not take, by what is wrong with them. */
+/** Settings that a node rejects, and why. */
 class NodeSettingsTest {
 
     private static NodeSettings of(String... classes) throws ProtocolException {
@@ -25,7 +25,7 @@
         return assertThrows(ProtocolException.class, () -> of(classes)).getMessage();
     }
 
-    private static String[] many(int count) {
+    private static String[] classesOf(int count) {
         return IntStream.range(0, count)
                 .mapToObj(i -> requestClass("c" + i, "free", 1000))
                 .toArray(String[]::new);
@@ -33,8 +33,8 @@
 
     @Test
     void upTo1024Classes_areAccepted() throws ProtocolException {
-        assertEquals(1024, of(many(1024)).decisions().requestClasses().size());
-        assertTrue(fault(many(1025)).contains("1 to 1024, not 1025"), fault(many(1025)));
+        assertEquals(1024, of(classesOf(1024)).decisions().requestClasses().size());
+        assertTrue(fault(classesOf(1025)).contains("1 to 1024, not 1025"), fault(classesOf(1025)));
         assertTrue(fault().contains("no classes"), fault());
     }
 
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void forNode_changesTheNodeIndexAlone() throws ProtocolException {
+    void forNode_changesTheNodeIndexOnly() throws ProtocolException {
         NodeSettings shared = of(READ);
         NodeSettings own = shared.forNode(7);
         assertEquals(7, own.decisions().nodeIndex());
--- a/src/test/java/ottergauge/protocol/StoredFormsTest.java
+++ b/src/test/java/ottergauge/protocol/StoredFormsTest.java
@@ -20,7 +20,10 @@
 import ottergauge.decision.api.RequestLimits;
 import ottergauge.decision.api.ServiceRules;
 
-/** Files as deployments have them, and as earlier versions wrote them, are read as before. */
+/**
+ * Checks that configuration files of deployments, and files that earlier versions wrote, are still
+ * read in the same way.
+ */
 class StoredFormsTest {
 
     private static final EndpointList ENDPOINTS =
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds a node's configuration as the platform would write it. */
+/** Builds a node's configuration in the form in which the platform writes it. */
 public final class TestConfig {
 
-    /** The classes that settings name unless others are given. */
+    /** The request classes of the settings unless others are given. */
     public static final String READ = requestClass("read", "free", 1000);
 
     public static final String PAY =
@@ -16,12 +16,12 @@
                     .replace("}", ",\"group\":\"zone\",\"windowMs\":800.0}");
     public static final String GRANT = requestClass("grant", "single_shot", 1000);
 
-    private final List<String> hosts = new ArrayList<>();
+    private final List<String> endpoints = new ArrayList<>();
     private List<String> classes = List.of(READ, PAY, GRANT);
     private String zones = "\"a\",\"b\"";
     private String listen = "127.0.0.1:3000";
     private String discovery = "127.0.0.1:8500";
-    private String management;
+    private String adminAddress;
     private int sockets = 1024;
     private int maxAttempts = 5;
     private long serverIdleTimeoutMs = 10_000;
@@ -30,9 +30,9 @@
     private boolean cancel = true;
     private int nodes = 1;
     private int nodeIndex;
-    private double probePrice = 0.002;
+    private double probeCost = 0.002;
 
-    /** One entry of a list. */
+    /** One entry of an endpoint list. */
     public static String endpointJson(String name, String dial, String health) {
         return """
         {"host":"%s","dial":"%s","site":"a","class":"m2","block":3,"health":"%s",
@@ -41,7 +41,7 @@
                 .formatted(name, dial, health);
     }
 
-    /** A class whose clients wait for so long, as settings name it. */
+    /** A request class with this deadline, in the JSON form of settings. */
     public static String requestClass(String name, String semantics, long limitMs) {
         return """
         {"name":"%s","semantics":"%s","aimMs":800.0,"hardLimitMs":%d.0,"value":1.0}\
@@ -49,20 +49,22 @@
                 .formatted(name, semantics, limitMs);
     }
 
-    /** One entry of a list, of a server that started at this Unix time. */
+    /**
+     * One entry of an endpoint list, for a server that started at this Unix time in milliseconds.
+     */
     public static String endpointStartedAt(String name, String dial, long bornMs) {
         return endpointJson(name, dial, "in_service")
                 .replace("\"born_ms\":0", "\"born_ms\":" + bornMs);
     }
 
-    /** A list as discovery answers it. */
+    /** An endpoint list in the JSON form of discovery's answers. */
     public static String list(long seq, boolean whole, String... entries) {
         return "{\"seq\":%d,\"whole\":%b,\"hosts\":[%s]}"
                 .formatted(seq, whole, String.join(",", entries));
     }
 
     public TestConfig withEndpoints(String... entries) {
-        hosts.addAll(List.of(entries));
+        endpoints.addAll(List.of(entries));
         return this;
     }
 
@@ -73,11 +75,11 @@
     }
 
     public TestConfig withAdminListener(String address) {
-        management = address;
+        adminAddress = address;
         return this;
     }
 
-    /** These classes in place of the usual ones. */
+    /** Sets these classes instead of the default ones. */
     public TestConfig classes(String... entries) {
         classes = List.of(entries);
         return this;
@@ -88,17 +90,17 @@
         return this;
     }
 
-    public TestConfig sockets(int most) {
-        sockets = most;
+    public TestConfig sockets(int max) {
+        sockets = max;
         return this;
     }
 
-    public TestConfig withMaxAttempts(int most) {
-        maxAttempts = most;
+    public TestConfig withMaxAttempts(int max) {
+        maxAttempts = max;
         return this;
     }
 
-    /** What has begun can't be taken back. */
+    /** Makes settings that do not allow to cancel attempts. */
     public TestConfig withoutCancellation() {
         cancel = false;
         return this;
@@ -109,22 +111,25 @@
         return this;
     }
 
-    /** The node's number among all nodes. */
+    /** Sets the node's index among all nodes. */
     public TestConfig nodeIndex(int number) {
         nodeIndex = number;
         return this;
     }
 
-    /** One of so many nodes. */
+    /** Sets the number of nodes. */
     public TestConfig nodeCount(int nodeCount) {
         nodes = nodeCount;
         return this;
     }
 
-    /** One of so many nodes, where a probe costs this part of the result. */
-    public TestConfig probingNodes(int nodeCount, double price) {
+    /**
+     * Sets the number of nodes and the cost of a probe, as a part of a request's value, and turns
+     * probes on.
+     */
+    public TestConfig probingNodes(int nodeCount, double cost) {
         nodes = nodeCount;
-        probePrice = price;
+        probeCost = cost;
         return probes();
     }
 
@@ -157,9 +162,9 @@
                 .formatted(
                         listen,
                         discovery,
-                        management == null ? "" : "\"management\":\"" + management + "\",",
+                        management == null ? "" : "\"management\":\"" + adminAddress + "\",",
                         sockets,
-                        list(41, true, hosts.toArray(new String[0])),
+                        list(41, true, endpoints.toArray(new String[0])),
                         nodeIndex,
                         nodes,
                         zones,
@@ -169,7 +174,7 @@
                         maxAttempts,
                         serverIdleTimeoutMs,
                         maxPollIntervalMs,
-                        probePrice,
+                        probeCost,
                         String.join(",", classes));
     }
 
--- a/src/test/java/ottergauge/routing/AdminStateTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -23,7 +23,7 @@
 import ottergauge.routing.Effect.RespondToAdmin;
 import ottergauge.routing.Effect.StoreMaintenance;
 
-/** What operators ask at the door, with no socket. */
+/** Requests of operators on admin connections, tested without sockets. */
 class AdminStateTest {
 
     private static final String ONE = endpointJson("s-1", "10.1.0.1:3000", "in_service");
@@ -31,17 +31,17 @@
     private static final Address FIRST = new Address("10.1.0.1", 3000);
 
     private final RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
-    private long lastCaller;
+    private long lastConnection;
 
-    private RespondToAdmin ask(AdminRequest call) {
-        node.handle(new Event.AdminRequestReceived(++lastCaller, call));
-        RespondToAdmin told = node.expect(RespondToAdmin.class);
-        assertEquals(lastCaller, told.connection());
-        return told;
+    private RespondToAdmin send(AdminRequest adminRequest) {
+        node.handle(new Event.AdminRequestReceived(++lastConnection, adminRequest));
+        RespondToAdmin response = node.expect(RespondToAdmin.class);
+        assertEquals(lastConnection, response.connection());
+        return response;
     }
 
-    private long figure(String name) {
-        return ask(new AdminRequest.Stats())
+    private long metric(String name) {
+        return send(new AdminRequest.Stats())
                 .text()
                 .lines()
                 .filter(line -> line.startsWith("balancer." + name + "="))
@@ -49,56 +49,58 @@
                 .sum();
     }
 
-    private boolean uses(Address server, int requests) {
-        boolean any = false;
+    private boolean isUsed(Address server, int requests) {
+        boolean used = false;
         for (int i = 0; i < requests; i++) {
             node.request("read");
             ConnectUpstream connect = node.expect(ConnectUpstream.class);
-            any |= connect.address().equals(server);
+            used |= connect.address().equals(server);
             node.handle(new Event.UpstreamConnected(connect.connection()));
             Forward forward = node.expect(Forward.class);
             node.written(forward);
-            // Not kept, so that each request shows by its connection where it goes.
+            // The connection is not reusable, so that each request opens a connection that shows
+            // its server.
             node.answer(forward, 200, false, false);
         }
-        return any;
+        return used;
     }
 
     /**
-     * From the yes on it drains, whatever the list says of it; one call back undoes two calls out.
+     * After the successful response the server drains, whatever its state in the list. One end of
+     * maintenance undoes two starts.
      */
     @Test
-    void serverInMaintenance_getsNothingUntilItIsReenabled() {
-        assertTrue(uses(FIRST, 8));
-        assertEquals(200, ask(new AdminRequest.StartMaintenance("s-1")).status());
+    void serverInMaintenance_receivesNoRequestsUntilItIsReenabled() {
+        assertTrue(isUsed(FIRST, 8));
+        assertEquals(200, send(new AdminRequest.StartMaintenance("s-1")).status());
         assertEquals("s-1", node.expect(StoreMaintenance.class).server());
-        assertEquals(200, ask(new AdminRequest.StartMaintenance("s-1")).status());
-        assertEquals(false, uses(FIRST, 8));
+        assertEquals(200, send(new AdminRequest.StartMaintenance("s-1")).status());
+        assertEquals(false, isUsed(FIRST, 8));
         node.receiveList(42, true, ONE, TWO);
-        assertEquals(false, uses(FIRST, 8));
+        assertEquals(false, isUsed(FIRST, 8));
         node.receiveList(43, true, TWO);
-        assertEquals(1, figure("members"));
+        assertEquals(1, metric("members"));
         node.receiveList(44, true, ONE, TWO);
-        assertEquals(false, uses(FIRST, 8));
-        assertEquals(2, figure("members"));
-        assertEquals(1, figure("members_unavailable"));
-        assertEquals(200, ask(new AdminRequest.EndMaintenance("s-1")).status());
+        assertEquals(false, isUsed(FIRST, 8));
+        assertEquals(2, metric("members"));
+        assertEquals(1, metric("members_unavailable"));
+        assertEquals(200, send(new AdminRequest.EndMaintenance("s-1")).status());
         assertEquals("s-1", node.expect(ClearMaintenance.class).server());
         node.advanceMs(1000);
-        assertTrue(uses(FIRST, 8));
-        assertEquals(0, figure("members_unavailable"));
+        assertTrue(isUsed(FIRST, 8));
+        assertEquals(0, metric("members_unavailable"));
     }
 
     /**
-     * What waits for a connection to it goes elsewhere, and idle connections end: it is going to
-     * restart.
+     * An attempt that waits for a connection to the server is sent to another one, and idle
+     * connections are closed, since the server is about to restart.
      */
     @Test
     void attemptWaitingForAServerPutIntoMaintenance_isSentToAnother() {
         node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        String held = connect.address().equals(FIRST) ? "s-1" : "s-2";
-        assertEquals(200, ask(new AdminRequest.StartMaintenance(held)).status());
+        String drained = connect.address().equals(FIRST) ? "s-1" : "s-2";
+        assertEquals(200, send(new AdminRequest.StartMaintenance(drained)).status());
         assertTrue(!node.expect(ConnectUpstream.class).address().equals(connect.address()));
         node.handle(new Event.UpstreamConnected(connect.connection()));
         assertEquals(connect.connection(), node.expect(Effect.CloseUpstream.class).connection());
@@ -107,34 +109,39 @@
 
     @Test
     void maintenanceOfUnknownServer_isNotFound() {
-        assertEquals(404, ask(new AdminRequest.StartMaintenance("s-9")).status());
-        assertEquals(404, ask(new AdminRequest.EndMaintenance("../s-1")).status());
+        assertEquals(404, send(new AdminRequest.StartMaintenance("s-9")).status());
+        assertEquals(404, send(new AdminRequest.EndMaintenance("../s-1")).status());
         node.expectNo(StoreMaintenance.class);
     }
 
-    /** The other process of an upgrade may be the one that is called. */
+    /** During a hot restart the node's other process may have received the request. */
     @Test
     void maintenanceStoredByAnotherProcess_isApplied() {
         node.handle(new Event.MaintenanceLoaded(Map.of("s-1", 5L)));
-        assertEquals(false, uses(FIRST, 8));
+        assertEquals(false, isUsed(FIRST, 8));
         node.expectNo(StoreMaintenance.class);
         node.handle(new Event.MaintenanceLoaded(Map.of()));
         node.advanceMs(1000);
-        assertTrue(uses(FIRST, 8));
+        assertTrue(isUsed(FIRST, 8));
     }
 
-    /** A yes is the sign to stop the process before this one: it must not come too soon. */
+    /**
+     * A successful response is the signal to stop the previous process, so it must not be sent too
+     * early.
+     */
     @Test
     void health_isUnavailableBeforeServingAndAfterShutdown() {
         RouterDriver starting = new RouterDriver(new TestConfig(), false);
         starting.handle(new Event.AdminRequestReceived(1, new AdminRequest.Health()));
         assertEquals(503, starting.expect(RespondToAdmin.class).status());
-        assertEquals(200, ask(new AdminRequest.Health()).status());
+        assertEquals(200, send(new AdminRequest.Health()).status());
         node.handle(new Event.ShutdownRequested(true));
-        assertEquals(503, ask(new AdminRequest.Health()).status());
+        assertEquals(503, send(new AdminRequest.Health()).status());
     }
 
-    /** Its list is late: without the moment of its return a restarted server counted as warm. */
+    /**
+     * The list is late: without the time of re-enabling, a restarted server counted as warmed up.
+     */
     @Test
     void reenabledServer_countsAsStartedWhenItWasReenabled() {
         EndpointRegistry registry = new EndpointRegistry(9_000_000);
@@ -157,67 +164,73 @@
                                 "s-1", FIRST, "a", "m1", 0, EndpointState.UP, 1, bornMs)));
     }
 
-    /** Each request ends under one count, and what its client left under none. */
+    /** Each request is counted under one outcome, and under none if its client has disconnected. */
     @Test
     void metrics_countEachRequestOnce() {
         node.serve(node.forwardOnNewConnection("read"));
         Forward failing = node.forwardOnNewConnection("grant");
-        assertEquals(1, figure("pending"));
+        assertEquals(1, metric("pending"));
         node.written(failing);
         node.answer(failing, 500, false);
-        long leaver = node.request("pay");
-        node.handle(new Event.ClientClosed(leaver));
-        node.handle(new Event.ClientClosed(leaver));
-        assertEquals(0, figure("pending"));
-        assertEquals(1, figure("completed.read"));
-        assertEquals(1, figure("failed.grant"));
-        assertEquals(0, figure("failed.pay") + figure("rejected.pay") + figure("completed.pay"));
-        assertEquals(2, figure("upstream_requests"));
+        long disconnected = node.request("pay");
+        node.handle(new Event.ClientClosed(disconnected));
+        node.handle(new Event.ClientClosed(disconnected));
+        assertEquals(0, metric("pending"));
+        assertEquals(1, metric("completed.read"));
+        assertEquals(1, metric("failed.grant"));
+        assertEquals(0, metric("failed.pay") + metric("rejected.pay") + metric("completed.pay"));
+        assertEquals(2, metric("upstream_requests"));
     }
 
     /**
-     * With another process taking clients none is closed while it may ask; each ends with its
-     * answer.
+     * While another process accepts clients, no connection is closed on which a request may arrive.
+     * Each is closed after its response.
      */
     @Test
     void handover_answersWhatConnectedClientsStillSend() {
         long idle = node.client();
-        long asks = node.client();
-        node.request(asks, "read", 1000);
+        long active = node.client();
+        node.request(active, "read", 1000);
         node.serve(node.connectNext());
-        assertEquals(200, node.status(asks));
+        assertEquals(200, node.status(active));
         node.handle(new Event.ShutdownRequested(true));
         node.expect(Effect.StopAccepting.class);
         node.advanceMs(900);
         node.expectNo(Effect.CloseClient.class);
-        node.request(asks, "read", 1000);
+        node.request(active, "read", 1000);
         Forward forward = node.connectNext();
-        assertTrue(forward.timeoutMicros() <= 600_000, "it ends before the kill");
+        assertTrue(
+                forward.timeoutMicros() <= 600_000, "the deadline is before the process is killed");
         node.written(forward);
         node.answer(forward, 200, false);
         assertTrue(node.expect(Effect.Respond.class).closeAfter());
-        node.handle(new Event.ClientClosed(asks));
+        node.handle(new Event.ClientClosed(active));
         node.advanceMs(250);
         assertEquals(idle, node.expect(Effect.CloseClient.class).client());
         node.expect(Effect.Exit.class);
     }
 
-    /** Two processes have the node's descriptors together: what one uses the other does not. */
+    /**
+     * Two processes share the node's descriptors: the connections of one reduce the limit of the
+     * other.
+     */
     @Test
     void hotRestartPeer_reducesTheSocketBudget() {
-        int alone = node.expect(Effect.AcceptUpTo.class).connections();
-        assertTrue(beside(true, 0) < alone);
-        assertTrue(beside(true, 400) < beside(true, 100));
-        assertTrue(beside(true, 100_000) > alone / 3, "half is its own, whatever the other says");
-        assertEquals(alone, beside(false, 0));
+        int limitAlone = node.expect(Effect.AcceptUpTo.class).connections();
+        assertTrue(limitWithPeer(true, 0) < limitAlone);
+        assertTrue(limitWithPeer(true, 400) < limitWithPeer(true, 100));
+        assertTrue(
+                limitWithPeer(true, 100_000) > limitAlone / 3,
+                "at least half is available, however many the other process reports");
+        assertEquals(limitAlone, limitWithPeer(false, 0));
     }
 
-    private int beside(boolean accompanied, int connections) {
-        node.handle(new Event.HotRestartPeerSeen(accompanied, connections));
+    private int limitWithPeer(boolean peerPresent, int connections) {
+        node.handle(new Event.HotRestartPeerSeen(peerPresent, connections));
         return node.expect(Effect.AcceptUpTo.class).connections();
     }
 
-    /** The names are those of docs/operations.md, which operators' tools read. */
+    /** The names are those in docs/operations.md; operators' tools read them. */
     @ParameterizedTest
     @CsvSource({"ACTIVE,used", "DRAINING,draining", "EJECTED,barred", "UNRESPONSIVE,mute"})
     void servers_namesEachStatusAsTheOperationsPageDoes(EndpointStatus status, String expected) {
--- a/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
+++ b/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
@@ -18,7 +18,7 @@
 import ottergauge.routing.Effect.ProbeLoad;
 import ottergauge.routing.Effect.Respond;
 
-/** What an attempt's end proves, and what becomes of its request. */
+/** What the end of an attempt proves, and how its request continues. */
 class AttemptOutcomeTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
@@ -32,65 +32,67 @@
         return new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
     }
 
-    /** The rows of the protocol's table of outcomes that prove that an attempt never ran. */
+    /** The outcomes in the protocol's table that prove that an attempt never ran. */
     static Stream<Arguments> neverRan() {
         return Stream.of(
-                row(
-                        "503 marked",
-                        (node, f) -> {
-                            node.written(f);
-                            node.answer(f, 503, true);
+                named(
+                        "503 marked as never run",
+                        (node, forward) -> {
+                            node.written(forward);
+                            node.answer(forward, 503, true);
                         }),
-                row(
-                        "504 marked",
-                        (node, f) -> {
-                            node.written(f);
-                            node.answer(f, 504, true);
+                named(
+                        "504 marked as never run",
+                        (node, forward) -> {
+                            node.written(forward);
+                            node.answer(forward, 504, true);
                         }),
-                row(
-                        "broken before the last byte was written",
-                        (node, f) -> node.handle(new Event.UpstreamClosed(f.connection(), false))));
+                named(
+                        "connection broken before the last byte was written",
+                        (node, forward) ->
+                                node.handle(
+                                        new Event.UpstreamClosed(forward.connection(), false))));
     }
 
-    /** The rows after which it may have run. */
+    /** The outcomes after which an attempt may have run. */
     static Stream<Arguments> mayHaveRun() {
         return Stream.of(
-                row(
+                named(
                         "500",
-                        (node, f) -> {
-                            node.written(f);
-                            node.answer(f, 500, false);
+                        (node, forward) -> {
+                            node.written(forward);
+                            node.answer(forward, 500, false);
                         }),
-                row(
-                        "503 with no mark",
-                        (node, f) -> {
-                            node.written(f);
-                            node.answer(f, 503, false);
+                named(
+                        "503 without the mark",
+                        (node, forward) -> {
+                            node.written(forward);
+                            node.answer(forward, 503, false);
                         }),
-                row(
-                        "broken after the last byte was written",
-                        (node, f) -> {
-                            node.written(f);
-                            node.handle(new Event.UpstreamClosed(f.connection(), false));
+                named(
+                        "connection broken after the last byte was written",
+                        (node, forward) -> {
+                            node.written(forward);
+                            node.handle(new Event.UpstreamClosed(forward.connection(), false));
                         }),
-                row(
-                        "nothing",
-                        (node, f) -> {
-                            node.written(f);
+                named(
+                        "no response",
+                        (node, forward) -> {
+                            node.written(forward);
                             node.advanceMs(1000);
                         }));
     }
 
-    private static Arguments row(String name, BiConsumer<RouterDriver, Forward> what) {
-        return Arguments.of(Named.of(name, what));
+    private static Arguments named(String name, BiConsumer<RouterDriver, Forward> outcome) {
+        return Arguments.of(Named.of(name, outcome));
     }
 
     @ParameterizedTest
     @MethodSource("neverRan")
-    void nonIdempotentRequestThatNeverRan_isSentElsewhere(BiConsumer<RouterDriver, Forward> what) {
+    void nonIdempotentRequestThatNeverRan_isRetried(BiConsumer<RouterDriver, Forward> outcome) {
         RouterDriver node = two();
         long client = node.request("grant");
-        what.accept(node, node.connectNext());
+        outcome.accept(node, node.connectNext());
         node.expectNo(Respond.class);
         node.serve(node.connectNext());
         assertEquals(200, node.status(client));
@@ -99,10 +101,10 @@
     @ParameterizedTest
     @MethodSource("mayHaveRun")
     void nonIdempotentRequestThatMayHaveRun_isNotRetriedAndFails(
-            BiConsumer<RouterDriver, Forward> what) {
+            BiConsumer<RouterDriver, Forward> outcome) {
         RouterDriver node = two();
         long client = node.request("grant");
-        what.accept(node, node.connectNext());
+        outcome.accept(node, node.connectNext());
         node.expectNo(ConnectUpstream.class);
         node.expectNo(Forward.class);
         assertEquals(502, node.status(client));
@@ -111,13 +113,13 @@
     @ParameterizedTest
     @MethodSource("mayHaveRun")
     void nonIdempotentRequestThatMayHaveRun_onAReusedConnection_fails(
-            BiConsumer<RouterDriver, Forward> what) {
+            BiConsumer<RouterDriver, Forward> outcome) {
         RouterDriver node = one();
         node.request("grant");
         node.serve(node.connectNext());
         node.expect(Respond.class);
         long client = node.request("grant");
-        what.accept(node, node.expect(Forward.class));
+        outcome.accept(node, node.expect(Forward.class));
         assertEquals(502, node.status(client));
     }
 
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -14,9 +14,9 @@
 import ottergauge.routing.Effect.ProbeLoad;
 
 /**
- * What comes between the choice of a server and the first byte to it: a client that leaves, a list,
- * the end of the request's time, the end of the connection. None of them may be found out after
- * that byte.
+ * Events between the choice of a server and the first byte that is written to it: the client
+ * disconnects, an endpoint list arrives, the request's deadline expires, or the connection ends.
+ * The node must notice each of them before it writes that byte.
  */
 class AttemptStartTest {
 
@@ -27,8 +27,8 @@
         return new RouterDriver(new TestConfig().withEndpoints(ONE));
     }
 
-    // A node with one connection at rest to its only server.
-    private static RouterDriver rested(TestConfig config) {
+    // A node with one idle connection to its only server.
+    private static RouterDriver nodeWithIdleConnection(TestConfig config) {
         RouterDriver node = new RouterDriver(config);
         long client = node.request("read");
         node.serve(node.connectNext());
@@ -37,17 +37,17 @@
     }
 
     /**
-     * Guards against attempts for clients that have left: the FIN was read in the same round as the
-     * list.
+     * Guards against attempts for disconnected clients: the FIN was read in the same iteration of
+     * the event loop as the list.
      */
     @Test
-    void clientGoneBeforeFirstByte_isNotForwardedAndItsConnectionServesTheNext() {
+    void clientDisconnectedBeforeFirstByte_isNotForwardedAndTheConnectionServesTheNext() {
         RouterDriver node = one();
-        long gone = node.request("grant");
+        long disconnected = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.holdPendingReads();
         node.handle(new Event.UpstreamConnected(connect.connection()));
-        node.handle(new Event.ClientClosed(gone));
+        node.handle(new Event.ClientClosed(disconnected));
         node.releasePendingReads();
         node.expectNo(Forward.class);
         node.expectNo(CloseUpstream.class);
@@ -55,23 +55,26 @@
         assertEquals(connect.connection(), node.expect(Forward.class).connection());
     }
 
-    /** Guards against the same where the settings do not let an attempt be taken back. */
+    /** Guards against the same when the settings do not allow cancellation. */
     @Test
-    void clientGoneWhileConnecting_isNotForwardedEvenWithoutCancellation() {
+    void clientDisconnectedWhileConnecting_isNotForwardedEvenWithoutCancellation() {
         RouterDriver node =
                 new RouterDriver(new TestConfig().withoutCancellation().withEndpoints(ONE));
-        long gone = node.request("grant");
+        long disconnected = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.handle(new Event.ClientClosed(gone));
+        node.handle(new Event.ClientClosed(disconnected));
         node.handle(new Event.UpstreamConnected(connect.connection()));
         node.expectNo(Forward.class);
         node.request("grant");
         assertEquals(connect.connection(), node.expect(Forward.class).connection());
     }
 
-    /** Guards against a request to a server whose drain was read in the same round. */
+    /**
+     * Guards against a request to a server whose draining state was read in the same iteration of
+     * the event loop.
+     */
     @Test
-    void serverDrainingBeforeFirstByte_getsNothing() {
+    void serverDrainingBeforeFirstByte_receivesNoRequest() {
         RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
         node.advanceMs(200);
         node.request("grant");
@@ -89,12 +92,12 @@
         assertNotEquals(
                 chosen,
                 node.expect(ConnectUpstream.class).address().host(),
-                "it goes to the other server");
+                "the request is sent to the other server");
     }
 
     @Test
-    void deadlineBeforeFirstByte_isAnsweredAndNotSent() {
-        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
+    void deadlineBeforeFirstByte_isAnsweredWithoutForwarding() {
+        RouterDriver node = nodeWithIdleConnection(new TestConfig().withEndpoints(ONE));
         node.holdPendingReads();
         long client = node.request("grant");
         node.suspendMs(1000);
@@ -104,26 +107,28 @@
     }
 
     /**
-     * Guards against a connection's end being taken for its server's, with nothing written to it.
+     * Guards against treating the end of a connection to which nothing was written as a failure of
+     * its server.
      */
     @Test
-    void connectionClosedBeforeFirstByte_isReplacedAndSaysNothingOfItsServer() {
-        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
+    void connectionClosedBeforeFirstByte_isReplacedAndDoesNotCountAgainstItsServer() {
+        RouterDriver node = nodeWithIdleConnection(new TestConfig().withEndpoints(ONE));
         node.holdPendingReads();
         long client = node.request("grant");
-        long kept = 1;
-        node.handle(new Event.UpstreamClosed(kept, false));
+        long idleConnection = 1;
+        node.handle(new Event.UpstreamClosed(idleConnection, false));
         node.releasePendingReads();
         node.serve(node.connectNext());
         assertEquals(200, node.status(client));
     }
 
     /**
-     * Guards against requests by a list from before the node stood still: servers have left since.
+     * Guards against requests by a list from before the node was suspended: servers may have been
+     * removed since.
      */
     @Test
     void suspendedNode_sendsNothingBeforeItsListIsCurrent() {
-        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
+        RouterDriver node = nodeWithIdleConnection(new TestConfig().withEndpoints(ONE));
         node.receiveList(41, false);
         node.suspendMs(7_000);
         assertEquals(503, node.status(node.request("grant")));
@@ -133,19 +138,25 @@
         node.expect(Forward.class);
     }
 
-    /** While discovery is away the list in force is the best there is, however old. */
+    /**
+     * While discovery is unreachable, the effective list is the best one available, however old it
+     * is.
+     */
     @Test
     void unreachableDiscovery_leavesTheLastListEffective() {
-        RouterDriver node = rested(new TestConfig().withEndpoints(ONE));
+        RouterDriver node = nodeWithIdleConnection(new TestConfig().withEndpoints(ONE));
         node.pollFailed();
         node.suspendMs(60_000);
         node.request("grant");
         node.expect(Forward.class);
     }
 
-    /** Guards against a cold server getting what was chosen for the warm one that it was before. */
+    /**
+     * Guards against a server in slow start receiving attempts that were chosen for its previous
+     * process, which was warmed up.
+     */
     @Test
-    void restartedServer_getsNothingThatWaitedForTheProcessBefore() {
+    void restartedServer_receivesNoAttemptThatWaitedForItsPreviousProcess() {
         RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE));
         node.advanceMs(200);
         for (int i = 0; i < 20; i++) {
@@ -159,11 +170,11 @@
     }
 
     /**
-     * Guards against sends to a cold server that were counted in one span and come in another, at
-     * once.
+     * Guards against a burst at a server in slow start: attempts that were counted in one period
+     * and are all sent in a later one.
      */
     @Test
-    void serverInSlowStart_getsNothingThatHasWaitedForLong() {
+    void serverInSlowStart_receivesNoAttemptThatHasWaitedForLong() {
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
--- a/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
+++ b/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
@@ -13,57 +13,60 @@
 
 class ConnectTimeoutEstimatorTest {
 
-    private static final long MOST = 200_000;
+    private static final long MAX_TIMEOUT = 200_000;
 
-    private static ConnectTimeoutEstimator used(int connections, long took) {
-        ConnectTimeoutEstimator patience = new ConnectTimeoutEstimator(MOST);
+    private static ConnectTimeoutEstimator estimatorAfter(int connections, long elapsed) {
+        ConnectTimeoutEstimator estimator = new ConnectTimeoutEstimator(MAX_TIMEOUT);
         for (int i = 0; i < connections; i++) {
-            patience.connected(took);
+            estimator.connected(elapsed);
         }
-        return patience;
+        return estimator;
     }
 
     @Test
-    void timeout_beforeTheFirstConnection_isThatOfTheSettings() {
-        assertEquals(MOST, new ConnectTimeoutEstimator(MOST).timeout());
+    void timeout_beforeTheFirstConnection_isTheMaximumOfTheSettings() {
+        assertEquals(MAX_TIMEOUT, new ConnectTimeoutEstimator(MAX_TIMEOUT).timeout());
     }
 
-    /** At a machine that is cut off, a request lost 200 of its 140 ms waiting for a connection. */
+    /**
+     * Guards against requests that time out while connecting: a request with 140 ms waited 200 ms
+     * for a connection to a machine without network.
+     */
     @Test
     void timeout_followsWhatConnectionsTake() {
-        assertTrue(used(20, 1_000).timeout() <= MOST / 5);
-        assertTrue(used(20, 15_000).timeout() > 30_000);
+        assertTrue(estimatorAfter(20, 1_000).timeout() <= MAX_TIMEOUT / 5);
+        assertTrue(estimatorAfter(20, 15_000).timeout() > 30_000);
     }
 
     @Test
-    void timeout_neverExceedsThatOfTheSettings() {
-        assertEquals(MOST, used(20, 150_000).timeout());
+    void timeout_neverExceedsTheMaximumOfTheSettings() {
+        assertEquals(MAX_TIMEOUT, estimatorAfter(20, 150_000).timeout());
     }
 
-    /** Without it, connections that have become slow for good would all be given up. */
+    /** Otherwise all connections would time out once connections have become permanently slower. */
     @Test
     void timeout_growsWithFailuresInARow() {
-        ConnectTimeoutEstimator patience = used(20, 1_000);
-        long before = patience.timeout();
+        ConnectTimeoutEstimator estimator = estimatorAfter(20, 1_000);
+        long before = estimator.timeout();
         for (int i = 0; i < 8; i++) {
-            patience.failed(before);
+            estimator.failed(before);
         }
-        assertTrue(patience.timeout() >= 2 * before);
-        patience.connected(1_000);
-        assertEquals((double) before, (double) patience.timeout(), before / 4.0);
+        assertTrue(estimator.timeout() >= 2 * before);
+        estimator.connected(1_000);
+        assertEquals((double) before, (double) estimator.timeout(), before / 4.0);
     }
 
     @Test
     void timeout_ignoresConnectionsThatAreRefusedAtOnce() {
-        ConnectTimeoutEstimator patience = used(20, 1_000);
-        long before = patience.timeout();
+        ConnectTimeoutEstimator estimator = estimatorAfter(20, 1_000);
+        long before = estimator.timeout();
         for (int i = 0; i < 100; i++) {
-            patience.failed(500);
+            estimator.failed(500);
         }
-        assertEquals(before, patience.timeout());
+        assertEquals(before, estimator.timeout());
     }
 
-    private static RouterDriver usedToQuickConnections() {
+    private static RouterDriver nodeWithFastConnections() {
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
@@ -86,23 +89,23 @@
 
     @Test
     void request_doesNotWaitForAConnectionThatTakesFarLongerThanOthers() {
-        RouterDriver node = usedToQuickConnections();
+        RouterDriver node = nodeWithFastConnections();
         node.request("read");
         ConnectUpstream slow = node.expect(ConnectUpstream.class);
-        node.advanceMs(MOST / 1000 / 2);
+        node.advanceMs(MAX_TIMEOUT / 1000 / 2);
         assertNotEquals(
                 slow.address(),
                 node.expect(ConnectUpstream.class).address(),
-                "it goes to another server");
+                "the request is sent to another server");
     }
 
     /**
-     * Guards against handshakes for nothing: where a third of the connections came up late, each
-     * was closed as it came up, and the next request had to wait for another one.
+     * Guards against wasted handshakes: when a third of the connections were established late, each
+     * was closed at once, and the next request had to wait for another one.
      */
     @Test
     void overdueConnection_isKeptAndServesTheNextRequest() {
-        RouterDriver node = usedToQuickConnections();
+        RouterDriver node = nodeWithFastConnections();
         long client = node.request("grant");
         ConnectUpstream slow = node.expect(ConnectUpstream.class);
         while (!node.has(ConnectUpstream.class)) {
@@ -121,18 +124,18 @@
                     node.has(Effect.Forward.class)
                             && node.expect(Effect.Forward.class).connection() == slow.connection();
         }
-        assertTrue(used, "it stands idle while others are opened");
+        assertTrue(used, "the connection stays idle while others are opened");
     }
 
-    // Whether requests come to that server now; those that come to the other one are served.
-    private static boolean isTried(RouterDriver node, String host) {
-        boolean tried = false;
-        for (int i = 0; i < 6 && !tried; i++) {
+    // Whether requests are sent to this server; those sent to the other one are answered.
+    private static boolean receivesRequests(RouterDriver node, String host) {
+        boolean received = false;
+        for (int i = 0; i < 6 && !received; i++) {
             node.request("grant");
             if (node.has(ConnectUpstream.class)) {
                 ConnectUpstream connect = node.expect(ConnectUpstream.class);
-                tried = host.equals(connect.address().host());
-                if (!tried) {
+                received = host.equals(connect.address().host());
+                if (!received) {
                     node.handle(new Event.UpstreamConnected(connect.connection()));
                 }
             }
@@ -140,27 +143,30 @@
                 node.serve(node.expect(Effect.Forward.class));
             }
         }
-        return tried;
+        return received;
     }
 
     /**
-     * Guards against live servers barred in turn, each for one connection that had not come up yet.
+     * Guards against live servers that are ejected one after another, each for one connection that
+     * is not established yet.
      */
     @Test
     void oneOverdueConnection_ejectsNoServerAndTwoDo() {
-        RouterDriver node = usedToQuickConnections();
+        RouterDriver node = nodeWithFastConnections();
         node.request("grant");
         String host = node.expect(ConnectUpstream.class).address().host();
         while (!node.has(ConnectUpstream.class)) {
             node.advanceMs(1);
         }
         node.serve(node.connectNext());
-        assertTrue(isTried(node, host), "barred for one");
+        assertTrue(receivesRequests(node, host), "ejected for one overdue connection");
         while (!node.has(Effect.Forward.class)) {
             node.advanceMs(1);
         }
         node.serve(node.expect(Effect.Forward.class));
-        assertFalse(isTried(node, host), "used though several connections have not come up");
+        assertFalse(
+                receivesRequests(node, host),
+                "not ejected although several connections are overdue");
     }
 
     @Test
@@ -178,6 +184,6 @@
                             : 0;
             node.advanceMs(100);
         }
-        assertTrue(kept > 0 && kept <= 3, kept + " are kept on their way");
+        assertTrue(kept > 0 && kept <= 3, kept + " overdue connections are kept");
     }
 }
--- a/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
+++ b/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
@@ -12,7 +12,7 @@
 import ottergauge.routing.Effect.Forward;
 import ottergauge.routing.Effect.Respond;
 
-/** Idle timeouts, slow clients, and the budget of sockets. */
+/** Idle timeouts, slow clients, and the socket budget. */
 class ConnectionLimitsTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void idleClient_isKeptForAWhileAndASilentOneIsClosedWithinThreeSeconds() {
+    void idleClient_staysConnectedAndASilentOneIsClosedWithinThreeSeconds() {
         RouterDriver node = one();
         long client = node.request("read");
         node.serve(node.connectNext());
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void clients_neverTakeAllSocketsAndNoMoreAreAcceptedThanFit() {
+    void clients_neverUseAllSocketsAndAreAcceptedUpToALimit() {
         RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE).sockets(64 + 30));
         assertEquals(20 + 16, node.expect(Effect.AcceptUpTo.class).connections());
         for (int i = 0; i < 20; i++) {
--- a/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
@@ -24,7 +24,7 @@
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
     private static final String TWO = endpointJson("s-2", "10.0.0.2:80", "in_service");
 
-    private static final String TWO_DIAL = "10.0.0.2:80";
+    private static final String TWO_ADDRESS = "10.0.0.2:80";
 
     private static RouterDriver one() {
         return new RouterDriver(new TestConfig().withEndpoints(ONE));
@@ -35,8 +35,8 @@
     }
 
     @Test
-    void attemptWaitingForADrainingServer_isSentElsewhere() {
-        RouterDriver node = watching();
+    void attemptWaitingForADrainingServer_isSentToAnother() {
+        RouterDriver node = watchingNode();
         long client = node.request("grant");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
         node.receiveList(42, false, endpointJson("s-1", "10.0.0.1:80", "terminating"), TWO);
@@ -71,15 +71,15 @@
         assertEquals("10.0.0.9:80", node.expect(ConnectUpstream.class).address().toString());
     }
 
-    private static RouterDriver watching() {
+    private static RouterDriver watchingNode() {
         RouterDriver node = one();
         node.advanceMs(300);
         return node;
     }
 
     @Test
-    void watch_beginsAtTheKnownVersionAndGoesOnAtOnce() {
-        RouterDriver node = watching();
+    void watch_beginsAtTheKnownVersionAndContinuesAtOnce() {
+        RouterDriver node = watchingNode();
         PollDiscovery first = node.expect(PollDiscovery.class);
         assertEquals(41, first.afterVersion());
         node.advanceMs(1000);
@@ -95,7 +95,7 @@
     /** Guards against requests to a server that began to drain while the watch was silent. */
     @Test
     void silentWatch_isNoticedBeforeThePropagationDeadline() {
-        RouterDriver node = watching();
+        RouterDriver node = watchingNode();
         node.receiveList(41, false);
         node.expect(PollDiscovery.class);
         PollDiscovery silent = node.expect(PollDiscovery.class);
@@ -107,12 +107,12 @@
     }
 
     /**
-     * Guards against a list that names a server twice being read in two ways: what it says last
+     * Guards against inconsistent handling of a list that contains a server twice: the last entry
      * counts.
      */
     @Test
-    void endpointListedTwice_isWhatItIsListedAsLast() {
-        RouterDriver node = watching();
+    void endpointListedTwice_hasTheStateOfItsLastEntry() {
+        RouterDriver node = watchingNode();
         node.receiveList(
                 42,
                 true,
@@ -121,7 +121,7 @@
                 TWO);
         for (int i = 0; i < 3; i++) {
             node.request("read");
-            assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
+            assertEquals(TWO_ADDRESS, node.expect(ConnectUpstream.class).address().toString());
         }
         node.receiveList(
                 43,
@@ -134,8 +134,8 @@
     }
 
     @Test
-    void emptyAnswers_areNotPolledWithoutAPause() {
-        RouterDriver node = watching();
+    void emptyAnswers_areFollowedByADelay() {
+        RouterDriver node = watchingNode();
         node.expect(PollDiscovery.class);
         node.receiveList(41, false);
         node.expect(PollDiscovery.class);
@@ -147,7 +147,7 @@
 
     @Test
     void failedPoll_isFollowedByABackoff() {
-        RouterDriver node = watching();
+        RouterDriver node = watchingNode();
         node.expect(PollDiscovery.class);
         node.pollFailed();
         node.expectNo(PollDiscovery.class);
@@ -156,16 +156,16 @@
         node.expectNo(PollDiscovery.class);
     }
 
-    /** Guards against a bound on servers, nodes or what is out below a thousand of each. */
+    /** Guards against a limit below a thousand on servers, nodes or outstanding requests. */
     @Test
     void servers1024_areAllUsedAtOnce() {
-        int many = 1024;
+        int serverCount = 1024;
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
-                                .sockets(16 * many)
+                                .sockets(16 * serverCount)
                                 .withEndpoints(
-                                        IntStream.range(0, many)
+                                        IntStream.range(0, serverCount)
                                                 .mapToObj(
                                                         i ->
                                                                 endpointJson(
@@ -175,14 +175,14 @@
                                                                         "in_service"))
                                                 .toArray(String[]::new)));
         Set<String> used = new HashSet<>();
-        for (int i = 0; i < 2 * many; i++) {
+        for (int i = 0; i < 2 * serverCount; i++) {
             node.request("grant");
             ConnectUpstream connect = node.expect(ConnectUpstream.class);
             used.add(connect.address().toString());
             node.handle(new Event.UpstreamConnected(connect.connection()));
             node.written(node.expect(Forward.class));
         }
-        assertEquals(many, used.size());
+        assertEquals(serverCount, used.size());
     }
 
     private static NodeConfig discoveryAt(String address) {
@@ -191,15 +191,15 @@
 
     @Test
     void movedDiscovery_isPolledForTheCompleteListAtOnce() {
-        RouterDriver node = watching();
+        RouterDriver node = watchingNode();
         PollDiscovery old = node.expect(PollDiscovery.class);
         node.handle(new Event.Reconfigured(discoveryAt("127.0.0.1:8600")));
         PollDiscovery call = node.expect(PollDiscovery.class);
         assertEquals(8600, call.address().port());
         assertTrue(
                 call.afterVersion() < 0 && call.maxWaitMicros() == 0,
-                "waits where it was to ask at once: " + call);
-        // What the call that was given up still brings, or that it failed, changes nothing.
+                "the poll waits but must be answered at once: " + call);
+        // A late answer to the cancelled poll, or its failure, is ignored.
         node.handle(new Event.EndpointListReceived(old.poll(), EndpointList.EMPTY));
         node.handle(new Event.DiscoveryPollFailed(old.poll()));
         node.advanceMs(1900);
@@ -207,12 +207,12 @@
         node.receiveList(3, true, TWO);
         assertEquals(3, node.expect(PollDiscovery.class).afterVersion());
         node.request("read");
-        assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
+        assertEquals(TWO_ADDRESS, node.expect(ConnectUpstream.class).address().toString());
     }
 
     @Test
     void moveDuringAPoll_sendsOnePoll() {
-        RouterDriver node = watching();
+        RouterDriver node = watchingNode();
         node.expect(PollDiscovery.class);
         node.pollFailed();
         node.handle(new Event.Reconfigured(discoveryAt("127.0.0.1:8600")));
@@ -223,14 +223,14 @@
 
     @Test
     void unchangedAddressOfDiscovery_leavesTheWatchAlone() {
-        RouterDriver node = watching();
+        RouterDriver node = watchingNode();
         node.expect(PollDiscovery.class);
         node.handle(new Event.Reconfigured(discoveryAt("127.0.0.1:8500")));
         node.expectNo(PollDiscovery.class);
     }
 
     @Test
-    void changedLimitOfSockets_takesEffectAtOnce() {
+    void changedSocketLimit_takesEffectAtOnce() {
         RouterDriver node = one();
         node.handle(new Event.Reconfigured(new TestConfig().sockets(1).build()));
         assertEquals(503, node.status(node.request("grant")));
--- a/src/test/java/ottergauge/routing/RequestForwardingTest.java
+++ b/src/test/java/ottergauge/routing/RequestForwardingTest.java
@@ -18,7 +18,7 @@
 import ottergauge.routing.Effect.Forward;
 import ottergauge.routing.Effect.Respond;
 
-/** Requests and responses on their way through the node. */
+/** Requests and responses that the node forwards. */
 class RequestForwardingTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void idleConnection_isTakenByAnAttemptThatWaitsForANewOne() {
+    void idleConnection_isUsedByAnAttemptThatWaitsForANewOne() {
         RouterDriver node = one();
         node.request("read");
         Forward first = node.connectNext();
@@ -80,9 +80,9 @@
     @Test
     void connectionInProgress_servesTheNextAttemptThatWaits() {
         RouterDriver node = one();
-        long gone = node.request("read");
+        long disconnected = node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        node.handle(new Event.ClientClosed(gone));
+        node.handle(new Event.ClientClosed(disconnected));
         long client = node.request("read");
         node.expectNo(ConnectUpstream.class);
         node.handle(new Event.UpstreamConnected(connect.connection()));
@@ -93,11 +93,11 @@
     @Test
     void failedConnection_endsNoAttemptThatHasAnotherInProgress() {
         RouterDriver node = one();
-        long gone = node.request("grant");
+        long disconnected = node.request("grant");
         long client = node.request("grant");
         ConnectUpstream first = node.expect(ConnectUpstream.class);
         ConnectUpstream second = node.expect(ConnectUpstream.class);
-        node.handle(new Event.ClientClosed(gone));
+        node.handle(new Event.ClientClosed(disconnected));
         node.handle(new Event.UpstreamConnectFailed(first.connection()));
         node.expectNo(Respond.class);
         node.handle(new Event.UpstreamConnected(second.connection()));
@@ -106,13 +106,13 @@
     }
 
     @Test
-    void deadline_countsFromTheLastByteAndDefaultsToThatOfTheClass() {
+    void deadline_startsAtTheLastByteAndDefaultsToThatOfTheClass() {
         RouterDriver node = one();
         long client = node.client();
         node.handle(new Event.RequestHeadReceived(client));
         node.advanceMs(300);
         node.request(client, "read", -1);
-        assertEquals(1_000_000, (float) forwarded(node, 1_000_000), 300_000);
+        assertEquals(1_000_000, (float) forwardedTimeout(node, 1_000_000), 300_000);
         RouterDriver other = new RouterDriver(new TestConfig());
         long late = other.client();
         other.handle(new Event.RequestHeadReceived(late));
@@ -126,21 +126,21 @@
                                 "/api",
                                 Content.NONE),
                         0));
-        // It took longer to come than it waits: its time only begins now.
+        // The request took longer to arrive than its timeout, which starts only now.
         other.expectNo(Respond.class);
         other.advanceMs(200);
         assertEquals(503, other.status(late));
     }
 
-    /** Guards against a node that stood still taking what came meanwhile for new. */
+    /** Guards against a suspended node that treats requests which arrived meanwhile as new. */
     @Test
-    void requestThatIsReadLate_hasSoMuchLessTime() {
+    void requestThatIsReadLate_hasLessTimeLeft() {
         RouterDriver node = one();
-        long over = node.client();
+        long expired = node.client();
         node.handle(
                 new Event.RequestReceived(
-                        over, RouterDriver.clientRequest("grant", "over", 300), 400_000));
-        assertEquals(503, node.status(over));
+                        expired, RouterDriver.clientRequest("grant", "over", 300), 400_000));
+        assertEquals(503, node.status(expired));
         node.expectNo(ConnectUpstream.class);
         long late = node.client();
         node.handle(
@@ -151,9 +151,9 @@
         assertEquals(503, node.status(late));
     }
 
-    private static long forwarded(RouterDriver node, long most) {
+    private static long forwardedTimeout(RouterDriver node, long max) {
         Forward forward = node.connectNext();
-        assertTrue(forward.timeoutMicros() <= most, "waits " + forward.timeoutMicros());
+        assertTrue(forward.timeoutMicros() <= max, "waits " + forward.timeoutMicros());
         return forward.timeoutMicros();
     }
 }
--- a/src/test/java/ottergauge/routing/RequestHandlerTest.java
+++ b/src/test/java/ottergauge/routing/RequestHandlerTest.java
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void clientGone_hasItsAttemptClosedAndGetsNothing() {
+    void disconnectedClient_hasItsAttemptCancelledAndGetsNoResponse() {
         RouterDriver node = one();
         long client = node.request("read");
         Forward forward = node.connectNext();
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void clientGoneBeforeItsAttemptIsWritten_hasNothingWritten() {
+    void clientThatDisconnectsBeforeTheFirstByte_hasNoAttemptWritten() {
         RouterDriver node = one();
         long client = node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
@@ -107,9 +107,9 @@
         node.handle(
                 new Event.RequestReceived(
                         second, RouterDriver.clientRequest("pay", "same", 1000), 0));
-        Respond refused = node.expect(Respond.class);
-        assertEquals(409, refused.status());
-        assertEquals(second, refused.client());
+        Respond rejected = node.expect(Respond.class);
+        assertEquals(409, rejected.status());
+        assertEquals(second, rejected.client());
         node.expectNo(ConnectUpstream.class);
         node.serve(forward);
         assertEquals(200, node.status(first));
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void inputBehindAnInFlightRequest_endsItAndItsAttempt() {
+    void invalidInputAfterAnInFlightRequest_endsThatRequestAndItsAttempt() {
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
@@ -180,9 +180,9 @@
     void brokenReusedConnection_ejectsNoServerAndABrokenNewOneDoes() {
         RouterDriver node = one();
         node.serve(node.forwardOnNewConnection("grant"));
-        Forward kept = node.forwardOnIdleConnection("grant");
-        node.written(kept);
-        node.handle(new Event.UpstreamClosed(kept.connection(), false));
+        Forward reused = node.forwardOnIdleConnection("grant");
+        node.written(reused);
+        node.handle(new Event.UpstreamClosed(reused.connection(), false));
         Forward fresh = node.forwardOnNewConnection("grant");
         node.written(fresh);
         node.handle(new Event.UpstreamClosed(fresh.connection(), false));
@@ -191,14 +191,14 @@
     }
 
     @Test
-    void malformedResponse_isNotTakenForACrash() {
+    void malformedResponse_isNotTreatedAsACrash() {
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
         node.written(forward);
         node.handle(new Event.UpstreamClosed(forward.connection(), true));
         assertEquals(502, node.status(client));
-        // A server that died would be barred for a while.
+        // A server that had crashed would be ejected for a while.
         node.request("grant");
         node.expect(ConnectUpstream.class);
     }
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -34,17 +34,14 @@
 import ottergauge.routing.Effect.Respond;
 import ottergauge.routing.Effect.RespondToAdmin;
 
-/**
- * Settings and state that come in force while the node serves, on SIGHUP and from the log of
- * changes.
- */
+/** Settings and state that take effect while the node runs, on SIGHUP and from the change log. */
 class SettingsReloadTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
     private static final String TWO = endpointJson("s-2", "10.0.0.2:80", "in_service");
-    private static final String ONE_GONE = endpointJson("s-1", "10.0.0.1:80", "terminated");
+    private static final String ONE_REMOVED = endpointJson("s-1", "10.0.0.1:80", "terminated");
     private static final String AUDIT = requestClass("audit", "single_shot", 1000);
-    private static final String TWO_DIAL = "10.0.0.2:80";
+    private static final String TWO_ADDRESS = "10.0.0.2:80";
 
     private static RouterDriver one() {
         return new RouterDriver(new TestConfig().withEndpoints(ONE));
@@ -58,27 +55,27 @@
         return entry.replace("\"site\":\"a\"", "\"site\":\"" + zone + "\"");
     }
 
-    /** Both ways on which settings come. */
-    static Stream<Named<BiConsumer<RouterDriver, TestConfig>>> ways() {
+    /** The two sources of new settings. */
+    static Stream<Named<BiConsumer<RouterDriver, TestConfig>>> sources() {
         return Stream.of(
                 Named.of("SIGHUP", RouterDriver::reconfigure),
                 Named.of(
-                        "log of changes",
+                        "change log",
                         (node, config) -> node.changeState(120, Optional.of(config), false)));
     }
 
     // ---- Classes ----
 
     @ParameterizedTest
-    @MethodSource("ways")
-    void newClass_isServedAtOnceOverIdleConnections(BiConsumer<RouterDriver, TestConfig> way) {
+    @MethodSource("sources")
+    void newClass_isServedAtOnceOverIdleConnections(BiConsumer<RouterDriver, TestConfig> source) {
         RouterDriver node = one();
         Forward first = node.forwardOnNewConnection("read");
         node.serve(first);
         node.expect(Respond.class);
         long early = node.request("audit");
         assertEquals(400, node.status(early));
-        way.accept(node, classes(AUDIT, READ, PAY, GRANT));
+        source.accept(node, classes(AUDIT, READ, PAY, GRANT));
         node.expectNo(CloseUpstream.class);
         node.request("audit");
         Forward forward = node.expect(Forward.class);
@@ -88,42 +85,42 @@
     }
 
     @ParameterizedTest
-    @MethodSource("ways")
+    @MethodSource("sources")
     void removedClass_servesQueuedRequestsAndRejectsNewOnes(
-            BiConsumer<RouterDriver, TestConfig> way) {
+            BiConsumer<RouterDriver, TestConfig> source) {
         RouterDriver node = new RouterDriver(new TestConfig());
         long waiting = node.request("grant");
-        way.accept(node, classes(READ));
+        source.accept(node, classes(READ));
         long late = node.request("grant");
         assertEquals(400, node.status(late));
         node.expectNo(Respond.class);
         node.changeState(121, Optional.empty(), true, ONE);
         node.serve(node.connectNext());
         assertEquals(200, node.status(waiting));
-        assertEquals(0, figure(node, "pending"));
+        assertEquals(0, metric(node, "pending"));
     }
 
     /**
-     * Its semantics are those that it was taken with: what may have had an effect is not tried
-     * again.
+     * A request keeps the semantics that it was accepted with: it is not retried if it may have had
+     * an effect.
      */
     @ParameterizedTest
-    @MethodSource("ways")
+    @MethodSource("sources")
     void inFlightRequest_keepsTheClassThatItWasAcceptedWith(
-            BiConsumer<RouterDriver, TestConfig> way) {
+            BiConsumer<RouterDriver, TestConfig> source) {
         RouterDriver node = one();
         long client = node.request("grant");
         Forward forward = node.connectNext();
         node.written(forward);
-        way.accept(node, classes(requestClass("grant", "free", 1000)));
+        source.accept(node, classes(requestClass("grant", "free", 1000)));
         node.handle(new Event.UpstreamClosed(forward.connection(), false));
         assertEquals(502, node.status(client));
         node.expectNo(Forward.class);
     }
 
     @ParameterizedTest
-    @MethodSource("ways")
-    void pendingRetry_keepsItsDeadline(BiConsumer<RouterDriver, TestConfig> way) {
+    @MethodSource("sources")
+    void pendingRetry_keepsItsDeadline(BiConsumer<RouterDriver, TestConfig> source) {
         RouterDriver node = one();
         long client = node.client();
         node.handle(
@@ -136,7 +133,7 @@
                                 Content.NONE),
                         0));
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        way.accept(node, classes(requestClass("read", "free", 200)));
+        source.accept(node, classes(requestClass("read", "free", 200)));
         node.advanceMs(100);
         node.handle(new Event.UpstreamConnectFailed(connect.connection()));
         node.advanceMs(200);
@@ -148,14 +145,14 @@
     }
 
     /**
-     * Each name stands for its class wherever it is listed: what is no request of that is not
-     * taken.
+     * A class is identified by its name, whatever its position: a request that does not match its
+     * class is rejected.
      */
     @ParameterizedTest
-    @MethodSource("ways")
-    void reorderedClasses_keepTheirMeaning(BiConsumer<RouterDriver, TestConfig> way) {
+    @MethodSource("sources")
+    void reorderedClasses_keepTheirMeaning(BiConsumer<RouterDriver, TestConfig> source) {
         RouterDriver node = one();
-        way.accept(node, classes(GRANT, READ, PAY));
+        source.accept(node, classes(GRANT, READ, PAY));
         for (String name : new String[] {"read", "pay", "grant"}) {
             long client = node.request(name);
             Forward forward =
@@ -164,7 +161,7 @@
                             : node.expect(Forward.class);
             node.serve(forward);
             assertEquals(200, node.status(client), name);
-            assertEquals(1, figure(node, "completed." + name));
+            assertEquals(1, metric(node, "completed." + name));
         }
         long keyless = node.client();
         node.handle(
@@ -185,11 +182,11 @@
         node.serve(node.forwardOnNewConnection("read"));
         node.expect(Respond.class);
         node.reconfigure(classes(GRANT, READ));
-        assertEquals(1, figure(node, "completed.read"));
+        assertEquals(1, metric(node, "completed.read"));
         node.reconfigure(classes(GRANT));
-        assertFalse(figures(node).contains("completed.read"));
+        assertFalse(metrics(node).contains("completed.read"));
         node.reconfigure(classes(READ));
-        assertEquals(0, figure(node, "completed.read"));
+        assertEquals(0, metric(node, "completed.read"));
     }
 
     @Test
@@ -205,55 +202,55 @@
         assertEquals(200, node.status(next));
     }
 
-    private static String figures(RouterDriver node) {
+    private static String metrics(RouterDriver node) {
         node.handle(new Event.AdminRequestReceived(1, new AdminRequest.Stats()));
         return node.expect(RespondToAdmin.class).text();
     }
 
-    private static long figure(RouterDriver node, String name) {
-        return figures(node)
+    private static long metric(RouterDriver node, String name) {
+        return metrics(node)
                 .lines()
                 .filter(line -> line.startsWith("balancer." + name + "="))
                 .mapToLong(line -> Long.parseLong(line.substring(line.indexOf('=') + 1)))
                 .sum();
     }
 
-    // ---- What is in force for servers and connections ----
+    // ---- Settings of servers and connections ----
 
     /**
-     * Guards against an effect that happens in two zones: under the new numbers of zones the one's
-     * was the other's.
+     * Guards against an effect in two zones: in the new order of zones, the index of one zone had
+     * been that of the other.
      */
     @ParameterizedTest
-    @MethodSource("ways")
-    void reorderedZones_stayApart(BiConsumer<RouterDriver, TestConfig> way) {
+    @MethodSource("sources")
+    void reorderedZones_stayApart(BiConsumer<RouterDriver, TestConfig> source) {
         String other = inZone(TWO, "b");
         RouterDriver node = new RouterDriver(new TestConfig().withEndpoints(ONE));
         long client = node.request("pay");
         Forward forward = node.connectNext();
         node.written(forward);
-        way.accept(node, new TestConfig().zones("b", "a"));
+        source.accept(node, new TestConfig().zones("b", "a"));
         node.changeState(121, Optional.empty(), false, other);
         node.handle(new Event.UpstreamClosed(forward.connection(), false));
         node.advanceMs(1000);
-        // It may go to the one server of its zone again, and to no other.
+        // It may be retried at the only server of its zone, and at no other server.
         while (node.has(ConnectUpstream.class)) {
-            assertNotEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
+            assertNotEquals(TWO_ADDRESS, node.expect(ConnectUpstream.class).address().toString());
         }
         assertEquals(502, node.status(client));
     }
 
     /**
-     * Zones that no settings name are taken for one; from the change on that names them they are
+     * Zones that the settings do not name count as one zone. A change that names them makes them
      * two.
      */
     @ParameterizedTest
-    @MethodSource("ways")
-    void addedZones_applyToServersThatAreListed(BiConsumer<RouterDriver, TestConfig> way) {
+    @MethodSource("sources")
+    void addedZones_applyToListedServers(BiConsumer<RouterDriver, TestConfig> source) {
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig().withEndpoints(inZone(ONE, "c"), inZone(TWO, "d")));
-        way.accept(node, new TestConfig().zones("a", "b", "c", "d"));
+        source.accept(node, new TestConfig().zones("a", "b", "c", "d"));
         long client = node.request("pay");
         ConnectUpstream first = node.expect(ConnectUpstream.class);
         node.handle(new Event.UpstreamConnected(first.connection()));
@@ -268,19 +265,20 @@
     }
 
     @ParameterizedTest
-    @MethodSource("ways")
-    void idleConnections_endByTheEffectiveTimeout(BiConsumer<RouterDriver, TestConfig> way) {
+    @MethodSource("sources")
+    void idleConnections_areClosedAfterTheEffectiveTimeout(
+            BiConsumer<RouterDriver, TestConfig> source) {
         RouterDriver node = one();
         node.serve(node.forwardOnNewConnection("read"));
         node.advanceMs(3_000);
         node.expectNo(CloseUpstream.class);
-        way.accept(node, new TestConfig().serverIdleTimeoutMs(2_000));
+        source.accept(node, new TestConfig().serverIdleTimeoutMs(2_000));
         node.advanceMs(500);
         assertEquals(CloseReason.IDLE, node.expect(CloseUpstream.class).reason());
     }
 
     @Test
-    void pollsOfDiscovery_waitByTheEffectiveInterval() {
+    void discoveryPolls_waitNoLongerThanTheEffectiveInterval() {
         RouterDriver node = one();
         node.receiveList(42, true, ONE);
         node.reconfigure(new TestConfig().maxPollIntervalMs(1_000));
@@ -290,18 +288,19 @@
         for (long seq = 43; seq < 53; seq++) {
             node.receiveList(seq, true, ONE);
             long waits = node.expect(PollDiscovery.class).maxWaitMicros();
-            assertTrue(waits <= 500_000, "waits for " + waits + " us of one second");
+            assertTrue(
+                    waits <= 500_000, "waits for " + waits + " us with an interval of one second");
         }
     }
 
-    // ---- State from the log of changes ----
+    // ---- State from the change log ----
 
     /**
-     * What is held goes where the new list has a server. It has one attempt: chosen by the new
-     * settings out of the old list, it would be lost at the server that goes.
+     * A queued request is sent to a server of the new list. It has only one attempt, which would be
+     * lost at the removed server if the new settings were applied with the old list.
      */
     @Test
-    void endpointsAndSettings_takeEffectAtOneInstant() {
+    void endpointsAndSettings_takeEffectAtTheSameTime() {
         RouterDriver node =
                 new RouterDriver(
                         new TestConfig()
@@ -311,22 +310,23 @@
                                         endpointStartedAt("s-1", "10.0.0.1:80", 1_000_000_000)));
         node.request("grant");
         node.expectNo(ConnectUpstream.class);
-        node.changeState(120, Optional.of(new TestConfig().nodeCount(1)), false, ONE_GONE, TWO);
-        assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
+        node.changeState(120, Optional.of(new TestConfig().nodeCount(1)), false, ONE_REMOVED, TWO);
+        assertEquals(TWO_ADDRESS, node.expect(ConnectUpstream.class).address().toString());
         node.expectNo(Respond.class);
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
     }
 
     /**
-     * What waited for a connection to a server that goes with the change is taken to another one.
+     * An attempt that waits for a connection to a removed server is replaced by one to another
+     * server.
      */
     @Test
     void attemptWaitingForARemovedServer_isSentToAnother() {
         RouterDriver node = one();
         node.request("grant");
         node.expect(ConnectUpstream.class);
-        node.changeState(120, Optional.of(classes(READ, AUDIT)), false, ONE_GONE, TWO);
-        assertEquals(TWO_DIAL, node.expect(ConnectUpstream.class).address().toString());
+        node.changeState(120, Optional.of(classes(READ, AUDIT)), false, ONE_REMOVED, TWO);
+        assertEquals(TWO_ADDRESS, node.expect(ConnectUpstream.class).address().toString());
         node.expectNo(ConnectUpstream.class);
     }
 
@@ -334,15 +334,15 @@
     void changeOutsideTheSubscription_stillAdvancesTheVersion() {
         RouterDriver node = one();
         assertEquals(Optional.empty(), node.version());
-        assertFalse(figures(node).contains("state_version"));
+        assertFalse(metrics(node).contains("state_version"));
         node.changeState(120, Optional.empty(), false);
         assertEquals(Optional.of(new LogPosition("log", 120)), node.version());
-        assertEquals(120, figure(node, "state_version"));
+        assertEquals(120, metric(node, "state_version"));
         node.serve(node.forwardOnNewConnection("read"));
         assertEquals(200, node.expect(Respond.class).status());
     }
 
-    /** Two sources of one list would undo each other's changes. */
+    /** Two sources of the endpoint list would undo each other's changes. */
     @Test
     void discovery_isNotPolledOnceEndpointsComeFromTheChangeLog() {
         RouterDriver node = one();
@@ -355,18 +355,19 @@
         node.reconfigure(new TestConfig().withAddresses("127.0.0.1:3000", "127.0.0.1:8501"));
         node.advanceMs(60_000);
         node.expectNo(PollDiscovery.class);
-        // What it has counts for as long as nothing newer comes: the log's other end may be away.
+        // The node keeps using its last list until a newer one arrives: the control process may be
+        // unreachable.
         node.request("read");
         ConnectUpstream connect = node.expect(ConnectUpstream.class);
-        assertEquals(TWO_DIAL, connect.address().toString());
+        assertEquals(TWO_ADDRESS, connect.address().toString());
         node.handle(new Event.UpstreamConnected(connect.connection()));
         node.serve(node.expect(Forward.class));
         assertEquals(200, node.expect(Respond.class).status());
     }
 
     /**
-     * Guards against nodes that all take the place of one: settings that they share can't number
-     * them.
+     * Guards against all nodes using the same index: settings that nodes share can't contain the
+     * index of each.
      */
     @Test
     void node_keepsItsIndexUnderSharedSettings() {
@@ -397,7 +398,8 @@
             node.handle(new Event.UpstreamConnected(connect.connection()));
             Forward forward = node.expect(Forward.class);
             node.written(forward);
-            // Not kept, so that each request shows by its connection where it goes.
+            // The connection is not reusable, so that each request opens a connection that shows
+            // its server.
             node.answer(forward, 200, false, false);
             node.expect(Respond.class);
             node.advanceMs(20);
@@ -405,11 +407,9 @@
         return used;
     }
 
-    /**
-     * A hang-up for another reason must not bring back the settings that the node was started with.
-     */
+    /** A SIGHUP for another reason must not restore the settings of the configuration file. */
     @Test
-    void settingsOfTheFile_areIgnoredOnceTheChangeLogHasSome() {
+    void settingsOfTheFile_areIgnoredOnceTheChangeLogHasSettings() {
         RouterDriver node = one();
         node.changeState(120, Optional.of(classes(AUDIT)), false);
         node.reconfigure(new TestConfig().sockets(512));
--- a/src/test/java/ottergauge/routing/ShutdownTest.java
+++ b/src/test/java/ottergauge/routing/ShutdownTest.java
@@ -25,14 +25,14 @@
     void shutdown_acceptsAndAnswersAllRequestsAndExits() {
         RouterDriver node = one();
         long idle = node.client();
-        long taken = node.request("read");
+        long inFlight = node.request("read");
         Forward forward = node.connectNext();
         node.written(forward);
         node.handle(new Event.ShutdownRequested(false));
-        long asking = node.client();
-        node.handle(new Event.HealthRequested(asking, true));
-        assertEquals(503, node.status(asking));
-        node.handle(new Event.ClientClosed(asking));
+        long healthCheck = node.client();
+        node.handle(new Event.HealthRequested(healthCheck, true));
+        assertEquals(503, node.status(healthCheck));
+        node.handle(new Event.ClientClosed(healthCheck));
         node.advanceMs(400);
         long late = node.request("read");
         node.serve(node.connectNext());
@@ -46,9 +46,9 @@
         assertEquals(new CloseClient(idle, CloseReason.STOPPING), node.expect(CloseClient.class));
         node.expectNo(Exit.class);
         node.answer(forward, 200, false);
-        assertEquals(200, node.status(taken));
+        assertEquals(200, node.status(inFlight));
         node.expectNo(Exit.class);
-        node.handle(new Event.ClientClosed(taken));
+        node.handle(new Event.ClientClosed(inFlight));
         node.expect(Exit.class);
     }
 
--- a/src/test/java/ottergauge/routing/SimulatedDiscovery.java
+++ b/src/test/java/ottergauge/routing/SimulatedDiscovery.java
@@ -63,7 +63,7 @@
             new PriorityQueue<>(
                     Comparator.comparingLong(ScheduledAction::at)
                             .thenComparingLong(ScheduledAction::order));
-    private final Map<Long, PollDiscovery> open = new HashMap<>();
+    private final Map<Long, PollDiscovery> openPolls = new HashMap<>();
     private final List<ReceivedVersion> receivedVersions = new ArrayList<>();
     private final List<Long> polls = new ArrayList<>();
     private final StringBuilder log = new StringBuilder();
@@ -133,8 +133,8 @@
     private void startFault(Fault fault) {
         logEvent(fault.toString());
         switch (fault.kind()) {
-            case UNREACHABLE -> List.copyOf(open.values()).forEach(call -> fail(call, 0));
-            case DROPS_OPEN_POLLS -> open.clear();
+            case UNREACHABLE -> List.copyOf(openPolls.values()).forEach(call -> fail(call, 0));
+            case DROPS_OPEN_POLLS -> openPolls.clear();
             case MOVES_ADDRESS -> {
                 address++;
                 watch.move(now, new Address("127.0.0.1", 9000 + (int) address));
@@ -147,11 +147,11 @@
         if (effect instanceof StartTimer timer) {
             at(now + timer.delayMicros(), () -> timerFired(timer.timer()));
         } else if (effect instanceof CancelPoll call) {
-            open.remove(call.poll());
+            openPolls.remove(call.poll());
         } else if (effect instanceof PollDiscovery call) {
             logEvent(call.toString());
             polls.add(now);
-            open.put(call.poll(), call);
+            openPolls.put(call.poll(), call);
             receivePoll(call);
         }
     }
@@ -168,7 +168,7 @@
         if (hasFault(FaultKind.UNREACHABLE) || hasFault(FaultKind.REJECTS_POLLS)) {
             fail(call, NETWORK_DELAY_MICROS);
         } else if (hasFault(FaultKind.IGNORES_NEW_POLLS)) {
-            open.remove(call.poll());
+            openPolls.remove(call.poll());
         } else {
             long queueWait =
                     now - answeredAt <= CONTINUATION_MICROS
@@ -177,7 +177,7 @@
             at(
                     now + queueWait + NETWORK_DELAY_MICROS,
                     () -> {
-                        if (open.containsKey(call.poll())) {
+                        if (openPolls.containsKey(call.poll())) {
                             handlePoll(call);
                         }
                     });
@@ -195,13 +195,13 @@
     // Answers all watches that wait for a change that has just been made.
     private void publishChange() {
         logEvent("change");
-        List.copyOf(open.values()).stream()
+        List.copyOf(openPolls.values()).stream()
                 .filter(call -> call.afterVersion() >= 0 && call.afterVersion() < version(now))
                 .forEach(this::answer);
     }
 
     private void fail(PollDiscovery call, long after) {
-        open.remove(call.poll());
+        openPolls.remove(call.poll());
         at(
                 now + after,
                 () -> {
@@ -211,7 +211,7 @@
     }
 
     private void answer(PollDiscovery call) {
-        if (open.remove(call.poll()) == null) {
+        if (openPolls.remove(call.poll()) == null) {
             return;
         }
         boolean complete = call.afterVersion() < 0;
@@ -248,8 +248,8 @@
     // ---- Results ----
 
     /**
-     * The time since when discovery has been reachable for long enough that a change made at {@code
-     * change} must have reached the node.
+     * The start of the first period, at or after this change, in which discovery is reachable for
+     * at least {@code minDuration}.
      */
     long reachableSince(long change, long minDuration) {
         long since = change;
