--- a/src/test/java/ottergauge/protocol/ControlPlaneConfigTest.java
+++ b/src/test/java/ottergauge/protocol/ControlPlaneConfigTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void section_needsTheAddressesAlone() throws ProtocolException {
+    void section_requiresTheAddressesOnly() throws ProtocolException {
         assertEquals(
                 new ControlPlaneConfig(
                         List.of(new Endpoint(new Address("127.0.0.1", 9001), "")),
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -124,7 +124,7 @@
     }
 
     /**
-     * Sets the number of nodes and the cost of a probe, as a part of a request's value, and turns
+     * Sets the number of nodes and the cost of a probe, as a fraction of the result, and turns
      * probes on.
      */
     public TestConfig probingNodes(int nodeCount, double cost) {
@@ -162,7 +162,7 @@
                 .formatted(
                         listen,
                         discovery,
-                        management == null ? "" : "\"management\":\"" + adminAddress + "\",",
+                        adminAddress == null ? "" : "\"management\":\"" + adminAddress + "\",",
                         sockets,
                         list(41, true, endpoints.toArray(new String[0])),
                         nodeIndex,
