--- a/src/test/java/ottergauge/decision/RoomTest.java
+++ b/src/test/java/ottergauge/decision/CapacityFromReportsTest.java
@@ -20,9 +20,9 @@
  * Servers whose requests mostly wait on others, and that answer with their rate and their busy
  * part.
  */
-class RoomTest {
+class CapacityFromReportsTest {
 
-    private static final long MS = Node.MS;
+    private static final long MS = TestNode.MS;
     private static final long SERVICE = 500 * MS;
     private static final long WORK = 40 * MS;
 
@@ -33,20 +33,20 @@
         return new LoadReport(held, Double.NaN, busy, latency, perSecond);
     }
 
-    private static List<SendAttempt> burst(Node node, String prefix, int requests) {
+    private static List<SendAttempt> burst(TestNode node, String prefix, int requests) {
         List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
-            sends.addAll(Node.those(SendAttempt.class, node.arrive(prefix + i)));
+            sends.addAll(TestNode.those(SendAttempt.class, node.arrive(prefix + i)));
         }
         return sends;
     }
 
     private static List<SendAttempt> answered(
-            Node node, List<SendAttempt> sends, LoadReport report) {
+            TestNode node, List<SendAttempt> sends, LoadReport report) {
         List<SendAttempt> next = new ArrayList<>();
         for (SendAttempt send : sends) {
             next.addAll(
-                    Node.those(
+                    TestNode.those(
                             SendAttempt.class,
                             node.on(
                                     new AttemptEnded(
@@ -62,8 +62,8 @@
     }
 
     /** A node that has heard from each server that it holds so many; each has a room of 40. */
-    private static Node told(int nodes, int servers, double held) {
-        Node node = new Node(TestSettings.hearing(nodes).build());
+    private static TestNode told(int nodes, int servers, double held) {
+        TestNode node = new TestNode(TestSettings.hearing(nodes).build());
         node.servers(servers);
         List<SendAttempt> sends = burst(node, "t", 3 * servers);
         node.now += SERVICE;
@@ -89,7 +89,7 @@
     /** All cores busy at a third of the rate: a server that has become slow holds a third. */
     @Test
     void aServerThatBecomesSlowHoldsLess() {
-        Node node = told(1, 1, 20);
+        TestNode node = told(1, 1, 20);
         List<SendAttempt> sends = burst(node, "q", 8);
         node.now += SERVICE;
         answered(node, sends, report(20, 27, 1, 3 * WORK));
@@ -101,7 +101,7 @@
      */
     @Test
     void reportedTimesDecideTheWeights() {
-        Node node = new Node(TestSettings.hearing(1).build());
+        TestNode node = new TestNode(TestSettings.hearing(1).build());
         node.servers(2);
         Map<Long, Integer> turns = new HashMap<>();
         for (int i = 0; i < 300; i++) {
@@ -127,7 +127,7 @@
      */
     @Test
     void whatRunsOutOfTimeTellsThatItsServerIsFull() {
-        Node node = told(1, 2, 5);
+        TestNode node = told(1, 2, 5);
         // One each: two that are out for long would show that it is silent, which is another
         // guard's.
         List<SendAttempt> sends = burst(node, "q", 2);
@@ -174,7 +174,7 @@
      */
     @Test
     void aFullFleetIsTriedOnceInTheTimeOfARequest() {
-        Node node = told(1, 6, 60);
+        TestNode node = told(1, 6, 60);
         Map<String, Integer> attempts = new HashMap<>();
         int sent = 0;
         List<SendAttempt> sends = burst(node, "q", 5);
@@ -183,7 +183,7 @@
             List<SendAttempt> next = new ArrayList<>();
             for (SendAttempt send : sends) {
                 next.addAll(
-                        Node.those(
+                        TestNode.those(
                                 SendAttempt.class,
                                 node.on(
                                         new AttemptEnded(
@@ -196,7 +196,7 @@
                                                 LoadReport.NONE))));
             }
             node.now += 10 * MS;
-            next.addAll(Node.those(SendAttempt.class, node.after(0)));
+            next.addAll(TestNode.those(SendAttempt.class, node.after(0)));
             sends = next;
         }
         assertTrue(sent <= 3, "sent " + sent + " to a fleet that is full");
@@ -208,7 +208,7 @@
      */
     @Test
     void manyOutAtRoomyServersNeedNoMoreServers() {
-        Node node = told(60, 30, 2);
+        TestNode node = told(60, 30, 2);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 10; i++) {
             List<SendAttempt> sends = burst(node, i + "-", 40);
--- a/src/test/java/ottergauge/decision/DeparturesTest.java
+++ b/src/test/java/ottergauge/decision/DecisionEngineTest.java
@@ -33,12 +33,12 @@
 import ottergauge.decision.api.RequestClass;
 
 /** Each departure from the design, and each failure that was found, by example. */
-class DeparturesTest {
-    private static final long MS = Node.MS;
+class DecisionEngineTest {
+    private static final long MS = TestNode.MS;
 
     /** Serves requests one by one until rooms and means have settled. */
-    private static Node warm(TestSettings settings, int servers, int requests, long elapsed) {
-        Node node = new Node(settings.build());
+    private static TestNode warm(TestSettings settings, int servers, int requests, long elapsed) {
+        TestNode node = new TestNode(settings.build());
         node.servers(servers);
         for (int i = 0; i < requests; i++) {
             if (settings.probes) {
@@ -50,12 +50,12 @@
         return node;
     }
 
-    private static long probedServe(Node node, String id, long elapsed) {
+    private static long probedServe(TestNode node, String id, long elapsed) {
         List<DecisionAction> actions = node.arrive(id);
-        while (Node.those(SendAttempt.class, actions).isEmpty()) {
-            actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
+        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
         }
-        SendAttempt send = Node.only(SendAttempt.class, actions);
+        SendAttempt send = TestNode.only(SendAttempt.class, actions);
         node.now += elapsed;
         node.on(
                 new AttemptEnded(
@@ -69,10 +69,10 @@
         return send.server();
     }
 
-    private static List<SendAttempt> burst(Node node, String prefix, int requests) {
+    private static List<SendAttempt> burst(TestNode node, String prefix, int requests) {
         List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
-            sends.addAll(Node.those(SendAttempt.class, node.arrive(prefix + i)));
+            sends.addAll(TestNode.those(SendAttempt.class, node.arrive(prefix + i)));
         }
         return sends;
     }
@@ -88,9 +88,9 @@
 
     @Test
     void aClassIsNotLockedOutByASpellOfTimeOuts() {
-        Node node = warm(new TestSettings(), 2, 20, 50 * MS);
+        TestNode node = warm(new TestSettings(), 2, 20, 50 * MS);
         for (int i = 0; i < 60; i++) {
-            List<SendAttempt> sends = Node.those(SendAttempt.class, node.arrive("t" + i));
+            List<SendAttempt> sends = TestNode.those(SendAttempt.class, node.arrive("t" + i));
             node.now += 998 * MS;
             for (SendAttempt s : sends) {
                 node.ended(s.id(), 0, s.server(), AttemptResult.TIMED_OUT, 998 * MS);
@@ -98,20 +98,20 @@
             node.after(4_000 * MS);
         }
         List<DecisionAction> actions = node.arrive("fresh");
-        assertEquals(0, Node.those(RejectRequest.class, actions).size(), "refused on arrival");
+        assertEquals(0, TestNode.those(RejectRequest.class, actions).size(), "refused on arrival");
     }
 
     @Test
     void whatCanNoLongerBeInTimeIsAnsweredAtOnce() {
-        Node node = warm(probing(), 1, 30, 200 * MS);
+        TestNode node = warm(probing(), 1, 30, 200 * MS);
         node.now += 1_000 * MS;
         long start = node.now;
         List<DecisionAction> actions = node.arrive("a");
-        while (Node.those(RejectRequest.class, actions).isEmpty()
+        while (TestNode.those(RejectRequest.class, actions).isEmpty()
                 && node.now < start + 2_000 * MS) {
             node.now += MS;
             actions =
-                    Node.those(SendProbe.class, actions).isEmpty()
+                    TestNode.those(SendProbe.class, actions).isEmpty()
                             ? node.after(0)
                             : node.probed(1, 5);
         }
@@ -121,19 +121,20 @@
 
     @Test
     void whatTheBacklogCannotReachInTimeIsRefusedOnArrival() {
-        Node node = new Node(TestSettings.hearing(1).build());
+        TestNode node = new TestNode(TestSettings.hearing(1).build());
         node.servers(1);
-        List<SendAttempt> out = new ArrayList<>(Node.those(SendAttempt.class, node.arrive("w")));
+        List<SendAttempt> out =
+                new ArrayList<>(TestNode.those(SendAttempt.class, node.arrive("w")));
         for (int i = 0; i < 40; i++) {
             SendAttempt next = out.remove(0);
             node.now += 100 * MS;
-            out.addAll(Node.those(SendAttempt.class, node.answered(next.id(), 1, 100 * MS, 0)));
-            out.addAll(Node.those(SendAttempt.class, node.arrive("a" + i)));
-            out.addAll(Node.those(SendAttempt.class, node.arrive("b" + i)));
+            out.addAll(TestNode.those(SendAttempt.class, node.answered(next.id(), 1, 100 * MS, 0)));
+            out.addAll(TestNode.those(SendAttempt.class, node.arrive("a" + i)));
+            out.addAll(TestNode.those(SendAttempt.class, node.arrive("b" + i)));
         }
         int refused = 0;
         for (int i = 0; i < 40; i++) {
-            refused += Node.those(RejectRequest.class, node.arrive("c" + i)).size();
+            refused += TestNode.those(RejectRequest.class, node.arrive("c" + i)).size();
         }
         // At a send each 100 ms about nine of those that come now can be reached within their
         // second.
@@ -142,14 +143,17 @@
 
     @Test
     void aRepeatIsJudgedByTheAimOfItsFirstTry() {
-        Node node = warm(new TestSettings(), 2, 10, 50 * MS);
+        TestNode node = warm(new TestSettings(), 2, 10, 50 * MS);
         // 900 ms of the 2 s are left: the first try began 1.1 s ago, past its aim of 1 s.
         RejectRequest refuse =
-                Node.only(RejectRequest.class, node.arrive("late", 0, node.now + 900 * MS, true));
+                TestNode.only(
+                        RejectRequest.class, node.arrive("late", 0, node.now + 900 * MS, true));
         assertEquals(600 * MS, refuse.retryAfter());
         assertEquals(
                 1,
-                Node.those(SendAttempt.class, node.arrive("soon", 0, node.now + 1_900 * MS, true))
+                TestNode.those(
+                                SendAttempt.class,
+                                node.arrive("soon", 0, node.now + 1_900 * MS, true))
                         .size());
     }
 
@@ -157,12 +161,12 @@
     void anUnmarkedRepeatShowsByItsShorterTime() {
         TestSettings settings = new TestSettings();
         settings.repeatsMarked = false;
-        Node node = warm(settings, 2, 10, 50 * MS);
+        TestNode node = warm(settings, 2, 10, 50 * MS);
         // Nothing was given up on: these are first tries of clients that will not wait for long.
         for (int i = 0; i < 2; i++) {
             assertEquals(
                     1,
-                    Node.those(
+                    TestNode.those(
                                     SendAttempt.class,
                                     node.arrive("short" + i, 0, node.now + 900 * MS, false))
                             .size());
@@ -171,7 +175,9 @@
         // Two were: one that comes with less time left has most likely been here before.
         assertEquals(
                 1,
-                Node.those(RejectRequest.class, node.arrive("late", 0, node.now + 900 * MS, false))
+                TestNode.those(
+                                RejectRequest.class,
+                                node.arrive("late", 0, node.now + 900 * MS, false))
                         .size());
     }
 
@@ -184,16 +190,16 @@
                                 "cheap", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
                         TestSettings.type(
                                 "dear", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 10));
-        Node node = warm(settings, 1, 30, 100 * MS);
+        TestNode node = warm(settings, 1, 30, 100 * MS);
         node.now += 1_000 * MS;
         node.arrive("cheap");
         node.probed(1, 4);
         node.arrive("dear", 1, node.now + 2_000 * MS, false);
         List<DecisionAction> actions = List.of();
-        while (Node.those(SendProbe.class, actions).isEmpty()) {
+        while (TestNode.those(SendProbe.class, actions).isEmpty()) {
             actions = node.after(10 * MS);
         }
-        assertEquals("dear", Node.those(SendAttempt.class, node.probed(1, 0)).get(0).id());
+        assertEquals("dear", TestNode.those(SendAttempt.class, node.probed(1, 0)).get(0).id());
     }
 
     // ---- Another shape of deployment
@@ -226,11 +232,11 @@
         for (int i = 0; i < 2; i++) {
             TestSettings settings = probing();
             settings.round = i == 0 ? MS : 5 * MS;
-            Node node = warm(settings, 4, 30, 50 * MS);
+            TestNode node = warm(settings, 4, 30, 50 * MS);
             node.now += 1_000 * MS;
             probes[i] =
-                    Node.those(SendProbe.class, node.arrive("q")).size()
-                            + Node.those(SendProbe.class, node.after(5 * MS)).size();
+                    TestNode.those(SendProbe.class, node.arrive("q")).size()
+                            + TestNode.those(SendProbe.class, node.after(5 * MS)).size();
         }
         assertEquals(2, probes[0], "rounds of 1 ms: the next one is sounded");
         assertEquals(1, probes[1], "rounds of 5 ms: the answer is not due yet");
@@ -239,22 +245,23 @@
     /** One mean of near and far trips made every far server mute. */
     @Test
     void eachZoneHasATripOfItsOwn() {
-        Node node = new Node(probing().build());
+        TestNode node = new TestNode(probing().build());
         node.servers(2);
         Set<Long> mute = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             List<DecisionAction> actions = node.arrive("q" + i);
-            while (Node.those(SendAttempt.class, actions).isEmpty()) {
-                long server = Node.only(SendProbe.class, actions).server();
+            while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
+                long server = TestNode.only(SendProbe.class, actions).server();
                 long trip = server == 1 ? 20 * MS : MS;
                 node.now += trip - MS / 2;
-                if (i >= 20 && !Node.those(SendProbe.class, node.after(0)).isEmpty()) {
+                if (i >= 20 && !TestNode.those(SendProbe.class, node.after(0)).isEmpty()) {
                     mute.add(server);
                 }
                 node.now += MS / 2;
-                actions = node.on(new ProbeEnded(server, AttemptResult.SERVED, trip, Node.IDLE));
+                actions =
+                        node.on(new ProbeEnded(server, AttemptResult.SERVED, trip, TestNode.IDLE));
             }
-            SendAttempt send = Node.only(SendAttempt.class, actions);
+            SendAttempt send = TestNode.only(SendAttempt.class, actions);
             node.now += 50 * MS;
             node.ended("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
             node.now += 500 * MS;
@@ -267,15 +274,15 @@
      */
     @Test
     void aFirstTryIsRefusedWhenItsAimIsLostAndNotWhenItsClientLeaves() {
-        Node node = warm(late(0.5), 1, 30, 200 * MS);
+        TestNode node = warm(late(0.5), 1, 30, 200 * MS);
         node.now += 1_000 * MS;
         long start = node.now;
         List<DecisionAction> actions = node.arrive("a");
-        while (Node.those(RejectRequest.class, actions).isEmpty()
+        while (TestNode.those(RejectRequest.class, actions).isEmpty()
                 && node.now < start + 2_000 * MS) {
             node.now += MS;
             actions =
-                    Node.those(SendProbe.class, actions).isEmpty()
+                    TestNode.those(SendProbe.class, actions).isEmpty()
                             ? node.after(0)
                             : node.probed(1, 5);
         }
@@ -289,19 +296,20 @@
     @Test
     void whatWasTriedInVainGoesOnPastItsAimAtAFreeCoreOnly() {
         for (int held : new int[] {0, 1}) {
-            Node node = warm(late(0.5), 2, 30, 100 * MS);
+            TestNode node = warm(late(0.5), 2, 30, 100 * MS);
             List<DecisionAction> actions = node.arrive("a");
-            while (Node.those(SendAttempt.class, actions).isEmpty()) {
-                actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
+            while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
+                actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
             }
-            long first = Node.only(SendAttempt.class, actions).server();
+            long first = TestNode.only(SendAttempt.class, actions).server();
             node.now += 1_100 * MS;
             actions = node.ended("a", 0, first, AttemptResult.ERROR, 1_100 * MS);
-            assertEquals(0, Node.those(RejectRequest.class, actions).size(), "late worth is left");
-            actions = node.probed(Node.only(SendProbe.class, actions).server(), held);
+            assertEquals(
+                    0, TestNode.those(RejectRequest.class, actions).size(), "late worth is left");
+            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), held);
             assertEquals(
                     held == 0 ? 1 : 0,
-                    Node.those(SendAttempt.class, actions).size(),
+                    TestNode.those(SendAttempt.class, actions).size(),
                     "held " + held);
         }
     }
@@ -310,7 +318,7 @@
     @Test
     void aServersCoresAreLearntFromItsReports() {
         for (boolean queues : new boolean[] {false, true}) {
-            Node node = new Node(probing().build());
+            TestNode node = new TestNode(probing().build());
             node.servers(1);
             LoadReport busy =
                     queues
@@ -326,10 +334,10 @@
             node.now += 1_000 * MS;
             for (int i = 0; i < 30; i++) {
                 List<DecisionAction> actions = node.arrive("w" + i);
-                if (!Node.those(SendProbe.class, actions).isEmpty()) {
+                if (!TestNode.those(SendProbe.class, actions).isEmpty()) {
                     actions = node.probed(1, 2);
                 }
-                for (SendAttempt send : Node.those(SendAttempt.class, actions)) {
+                for (SendAttempt send : TestNode.those(SendAttempt.class, actions)) {
                     sent++;
                     node.now += 100 * MS;
                     node.ended(send.id(), 0, 1, AttemptResult.SERVED, 100 * MS);
@@ -345,17 +353,17 @@
      */
     @Test
     void whereReportsDryUpTheRotationGoesOnByItself() {
-        Node node = warm(probing(), 3, 30, 50 * MS);
+        TestNode node = warm(probing(), 3, 30, 50 * MS);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 12; i++) {
             node.now += 1_000 * MS;
             List<DecisionAction> actions = node.arrive("q" + i);
-            for (int k = 0; k < 5 && Node.those(SendAttempt.class, actions).isEmpty(); k++) {
-                long server = Node.only(SendProbe.class, actions).server();
+            for (int k = 0; k < 5 && TestNode.those(SendAttempt.class, actions).isEmpty(); k++) {
+                long server = TestNode.only(SendProbe.class, actions).server();
                 actions =
                         node.on(new ProbeEnded(server, AttemptResult.SERVED, MS, LoadReport.NONE));
             }
-            SendAttempt send = Node.only(SendAttempt.class, actions);
+            SendAttempt send = TestNode.only(SendAttempt.class, actions);
             used.add(send.server());
             node.now += 50 * MS;
             node.ended("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
@@ -367,12 +375,12 @@
     @Test
     void nothingIsSentBehindMoreThanOneAndAHalfTurns() {
         for (int held : new int[] {1, 2}) {
-            Node node = warm(probing(), 1, 30, 10 * MS);
+            TestNode node = warm(probing(), 1, 30, 10 * MS);
             node.now += 1_000 * MS;
             node.arrive("q");
             assertEquals(
                     held == 1 ? 1 : 0,
-                    Node.those(SendAttempt.class, node.probed(1, held)).size(),
+                    TestNode.those(SendAttempt.class, node.probed(1, held)).size(),
                     "held " + held);
         }
     }
@@ -383,11 +391,11 @@
      */
     @Test
     void aFreeCoreIsNotTakenForWhatWouldEndLate() {
-        Node node = warm(late(0.5), 3, 60, 900 * MS);
+        TestNode node = warm(late(0.5), 3, 60, 900 * MS);
         node.now += 1_000 * MS;
         List<DecisionAction> actions = node.arrive("trial");
-        while (Node.those(SendAttempt.class, actions).isEmpty()) {
-            actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
+        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
         }
         int sent = 0;
         for (int i = 0; i < 40; i++) {
@@ -395,8 +403,8 @@
                     i == 0
                             ? node.arrive("q", 0, node.now + 2_000 * MS, false)
                             : node.after(10 * MS);
-            for (SendProbe probe : Node.those(SendProbe.class, actions)) {
-                sent += Node.those(SendAttempt.class, node.probed(probe.server(), 0)).size();
+            for (SendProbe probe : TestNode.those(SendProbe.class, actions)) {
+                sent += TestNode.those(SendAttempt.class, node.probed(probe.server(), 0)).size();
             }
         }
         assertTrue(sent <= 1, "sent " + sent);
@@ -411,7 +419,7 @@
         for (boolean warm : new boolean[] {true, false}) {
             TestSettings settings = new TestSettings();
             settings.warmKeys = warm;
-            Node node = new Node(settings.build());
+            TestNode node = new TestNode(settings.build());
             node.servers(4);
             int[][] sent = new int[9][5];
             SplittableRandom keys = new SplittableRandom(1);
@@ -441,15 +449,15 @@
      */
     @Test
     void behindABusyFleetOnlyTheHeadOfTheLineSounds() {
-        Node node = warm(probing(), 2, 30, 100 * MS);
+        TestNode node = warm(probing(), 2, 30, 100 * MS);
         node.now += 1_000 * MS;
-        for (SendProbe probe : Node.those(SendProbe.class, node.arrive("head"))) {
-            Node.those(SendProbe.class, node.probed(probe.server(), 5))
+        for (SendProbe probe : TestNode.those(SendProbe.class, node.arrive("head"))) {
+            TestNode.those(SendProbe.class, node.probed(probe.server(), 5))
                     .forEach(p -> node.probed(p.server(), 5));
         }
         int probes = 0;
         for (int i = 0; i < 20; i++) {
-            probes += Node.those(SendProbe.class, node.arrive("q" + i)).size();
+            probes += TestNode.those(SendProbe.class, node.arrive("q" + i)).size();
         }
         assertEquals(0, probes, "every server is known to be busy");
     }
@@ -460,12 +468,12 @@
     @Test
     void aRequestThatHasLookedForLongSettlesForAServerThatItFitsAt() {
         for (boolean longAgo : new boolean[] {false, true}) {
-            Node node = warm(probing(), 3, 30, 50 * MS);
+            TestNode node = warm(probing(), 3, 30, 50 * MS);
             node.now += 1_000 * MS;
-            SendProbe first = Node.only(SendProbe.class, node.arrive("q"));
+            SendProbe first = TestNode.only(SendProbe.class, node.arrive("q"));
             node.now += longAgo ? 101 * MS : MS;
             List<DecisionAction> actions = node.probed(first.server(), 1);
-            int sent = Node.those(SendAttempt.class, actions).size();
+            int sent = TestNode.those(SendAttempt.class, actions).size();
             assertEquals(longAgo ? 1 : 0, sent, "after a tenth of its aim: " + longAgo);
         }
     }
@@ -473,7 +481,7 @@
     /** What servers report busy lags: three cores were taken for thirty while a fleet woke. */
     @Test
     void coresAreNotLearntWhileTheFleetWakes() {
-        Node node = new Node(probing().build());
+        TestNode node = new TestNode(probing().build());
         node.servers(1);
         for (int i = 0; i < 40; i++) {
             node.on(
@@ -486,34 +494,34 @@
         node.now += 1_000 * MS;
         node.arrive("q");
         assertEquals(
-                0, Node.those(SendAttempt.class, node.probed(1, 4)).size(), "sent behind four");
+                0, TestNode.those(SendAttempt.class, node.probed(1, 4)).size(), "sent behind four");
     }
 
     /** An eighth of the answers lost for good made every server too slow for any request. */
     @Test
     void lostAnswersDoNotMakeTheFleetSlow() {
-        Node node = warm(probing(), 2, 60, 100 * MS);
+        TestNode node = warm(probing(), 2, 60, 100 * MS);
         for (int i = 0; i < 3; i++) {
             List<DecisionAction> actions = node.arrive("lost" + i);
-            while (Node.those(SendAttempt.class, actions).isEmpty()) {
-                actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
+            while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
+                actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
             }
             node.now += 1_990 * MS;
             node.ended(
                     "lost" + i,
                     0,
-                    Node.only(SendAttempt.class, actions).server(),
+                    TestNode.only(SendAttempt.class, actions).server(),
                     AttemptResult.TIMED_OUT,
                     1_990 * MS);
         }
         node.now += 1_000 * MS;
         List<DecisionAction> actions = node.arrive("q", 0, node.now + 2_000 * MS, false);
-        for (int i = 0; i < 2 && Node.those(SendAttempt.class, actions).isEmpty(); i++) {
-            actions = node.probed(Node.only(SendProbe.class, actions).server(), 1);
+        for (int i = 0; i < 2 && TestNode.those(SendAttempt.class, actions).isEmpty(); i++) {
+            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 1);
         }
         assertEquals(
                 1,
-                Node.those(SendAttempt.class, actions).size(),
+                TestNode.those(SendAttempt.class, actions).size(),
                 "behind one there is time enough");
     }
 
@@ -524,9 +532,9 @@
     @Test
     void whileAnswersAreLostAnOverdueAttemptIsTriedAnew() {
         for (boolean losing : new boolean[] {true, false}) {
-            Node node = warm(new TestSettings(), 8, 60, 50 * MS);
+            TestNode node = warm(new TestSettings(), 8, 60, 50 * MS);
             for (int i = 0; losing && i < 4; i++) {
-                SendAttempt send = Node.only(SendAttempt.class, node.arrive("lost" + i));
+                SendAttempt send = TestNode.only(SendAttempt.class, node.arrive("lost" + i));
                 node.ended("lost" + i, 0, send.server(), AttemptResult.TIMED_OUT, 60 * MS);
                 node.on(new ClientDisconnected("lost" + i));
             }
@@ -535,7 +543,7 @@
             for (int i = 0; i < 20; i++) {
                 cancels +=
                         (int)
-                                Node.those(CancelAttempt.class, node.after(25 * MS)).stream()
+                                TestNode.those(CancelAttempt.class, node.after(25 * MS)).stream()
                                         .filter(c -> "q".equals(c.id()))
                                         .count();
             }
@@ -554,7 +562,7 @@
                     List.of(
                             TestSettings.type(
                                     Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
-            Node node = warm(settings, 1, 30, 50 * MS);
+            TestNode node = warm(settings, 1, 30, 50 * MS);
             for (int i = 0; i < breaks; i++) {
                 assertEquals(1, probedSend(node, "broken" + i));
                 node.now += 10 * MS;
@@ -562,8 +570,8 @@
             }
             List<DecisionAction> next = node.arrive("q");
             boolean used =
-                    !Node.those(SendProbe.class, next).isEmpty()
-                            || !Node.those(SendAttempt.class, next).isEmpty();
+                    !TestNode.those(SendProbe.class, next).isEmpty()
+                            || !TestNode.those(SendAttempt.class, next).isEmpty();
             assertEquals(breaks == 1, used, "after " + breaks);
         }
     }
@@ -575,7 +583,7 @@
      */
     @Test
     void connectionsThatFailEverywhereSpendNoBudgetAndMakeNoServerCold() {
-        Node node = warm(new TestSettings(), 8, 30, 50 * MS);
+        TestNode node = warm(new TestSettings(), 8, 30, 50 * MS);
         int late = 0;
         for (int i = 0; i < 300; i++) {
             node.now += 60 * MS;
@@ -602,7 +610,7 @@
             }
         }
         assertTrue(
-                Node.those(RejectRequest.class, node.all).isEmpty(),
+                TestNode.those(RejectRequest.class, node.all).isEmpty(),
                 "refused for want of a budget");
         assertTrue(late < 10, late + " of 300 were held back");
     }
@@ -614,7 +622,7 @@
      */
     @Test
     void twoFailuresInARowMakeNoServerColdWhereManyFail() {
-        Node node = warm(new TestSettings(), 8, 30, 50 * MS);
+        TestNode node = warm(new TestSettings(), 8, 30, 50 * MS);
         for (int i = 0; i < 210; i++) {
             node.now += 60 * MS;
             SendAttempt send = first(node.arrive("r" + i));
@@ -658,7 +666,7 @@
     /** Guards against a dead server that is not known as cold when it is back. */
     @Test
     void aServerThatAloneCannotBeReachedIsColdWhenItIsBack() {
-        Node node = warm(new TestSettings(), 8, 30, 50 * MS);
+        TestNode node = warm(new TestSettings(), 8, 30, 50 * MS);
         SendAttempt lost = first(node.arrive("a"));
         node.ended("a", 0, lost.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
         int sends = 0;
@@ -675,16 +683,16 @@
     }
 
     private static SendAttempt first(List<DecisionAction> actions) {
-        return Node.those(SendAttempt.class, actions).stream().findFirst().orElse(null);
+        return TestNode.those(SendAttempt.class, actions).stream().findFirst().orElse(null);
     }
 
     /** Sends a request, its server idle by its probe, and returns the server without an answer. */
-    private static long probedSend(Node node, String id) {
+    private static long probedSend(TestNode node, String id) {
         List<DecisionAction> actions = node.arrive(id);
-        while (Node.those(SendAttempt.class, actions).isEmpty()) {
-            actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
+        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
         }
-        return Node.only(SendAttempt.class, actions).server();
+        return TestNode.only(SendAttempt.class, actions).server();
     }
 
     // ---- Silence
@@ -692,18 +700,18 @@
 
     @Test
     void oneCostlyRequestDoesNotMakeAServerSilent() {
-        Node node = warm(new TestSettings(), 2, 30, 50 * MS);
+        TestNode node = warm(new TestSettings(), 2, 30, 50 * MS);
         node.arrive("costly");
         int cancels = 0;
         for (int i = 0; i < 30; i++) {
-            cancels += Node.those(CancelAttempt.class, node.after(25 * MS)).size();
+            cancels += TestNode.those(CancelAttempt.class, node.after(25 * MS)).size();
         }
         assertEquals(0, cancels);
     }
 
     @Test
     void whatIsOutAtASilentServerIsTriedElsewhere() {
-        Node node = warm(new TestSettings(), 3, 60, 50 * MS);
+        TestNode node = warm(new TestSettings(), 3, 60, 50 * MS);
         long silent = 2;
         List<SendAttempt> stuck = new ArrayList<>();
         for (SendAttempt s : burst(node, "q", 6)) {
@@ -716,7 +724,7 @@
         assertTrue(stuck.size() >= 2, "out at the silent server: " + stuck);
         Set<String> cancelled = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            Node.those(CancelAttempt.class, node.after(25 * MS))
+            TestNode.those(CancelAttempt.class, node.after(25 * MS))
                     .forEach(c -> cancelled.add(c.id()));
         }
         assertTrue(
@@ -724,7 +732,7 @@
                 "cancelled " + cancelled);
         for (SendAttempt s : stuck) {
             SendAttempt again =
-                    Node.only(
+                    TestNode.only(
                             SendAttempt.class,
                             node.ended(s.id(), 0, silent, AttemptResult.CANCELLED, 500 * MS));
             assertNotEquals(silent, again.server());
@@ -736,14 +744,14 @@
         for (boolean probes : new boolean[] {false, true}) {
             TestSettings settings = new TestSettings();
             settings.probes = probes;
-            Node node = warm(settings, 4, 40, 50 * MS);
+            TestNode node = warm(settings, 4, 40, 50 * MS);
             int onFailing = 0;
             for (int i = 0; i < 400; i++) {
                 List<DecisionAction> actions = node.arrive("e" + i);
                 for (int attempt = 0; !actions.isEmpty(); ) {
-                    List<SendAttempt> sends = Node.those(SendAttempt.class, actions);
+                    List<SendAttempt> sends = TestNode.those(SendAttempt.class, actions);
                     if (sends.isEmpty()) {
-                        List<SendProbe> asked = Node.those(SendProbe.class, actions);
+                        List<SendProbe> asked = TestNode.those(SendProbe.class, actions);
                         actions =
                                 asked.isEmpty() ? List.of() : node.probed(asked.get(0).server(), 0);
                     } else if (sends.get(0).server() == 1) {
@@ -772,54 +780,54 @@
 
     @Test
     void aServerReportedBusyIsSkippedAndAnIdleOneTaken() {
-        Node node = warm(probing(), 3, 30, 50 * MS);
+        TestNode node = warm(probing(), 3, 30, 50 * MS);
         node.now += 1_000 * MS;
-        SendProbe first = Node.only(SendProbe.class, node.arrive("q"));
-        SendProbe second = Node.only(SendProbe.class, node.probed(first.server(), 2));
+        SendProbe first = TestNode.only(SendProbe.class, node.arrive("q"));
+        SendProbe second = TestNode.only(SendProbe.class, node.probed(first.server(), 2));
         assertNotEquals(first.server(), second.server());
-        SendAttempt send = Node.only(SendAttempt.class, node.probed(second.server(), 0));
+        SendAttempt send = TestNode.only(SendAttempt.class, node.probed(second.server(), 0));
         assertEquals(second.server(), send.server());
     }
 
     @Test
     void aServerThatDoesNotAnswerAProbeIsPassedOver() {
-        Node node = warm(probing(), 3, 30, 50 * MS);
+        TestNode node = warm(probing(), 3, 30, 50 * MS);
         node.now += 1_000 * MS;
-        SendProbe first = Node.only(SendProbe.class, node.arrive("q"));
-        SendProbe second = Node.only(SendProbe.class, node.after(20 * MS));
+        SendProbe first = TestNode.only(SendProbe.class, node.arrive("q"));
+        SendProbe second = TestNode.only(SendProbe.class, node.after(20 * MS));
         assertNotEquals(first.server(), second.server());
         node.on(
                 new ProbeEnded(
                         first.server(), AttemptResult.CONNECT_FAILED, 20 * MS, LoadReport.NONE));
         assertEquals(
                 second.server(),
-                Node.only(SendAttempt.class, node.probed(second.server(), 0)).server());
+                TestNode.only(SendAttempt.class, node.probed(second.server(), 0)).server());
     }
 
     @Test
     void oneProbeThatFailedBarsNoServerAndTwoDo() {
-        Node node = warm(probing(), 1, 30, 50 * MS);
+        TestNode node = warm(probing(), 1, 30, 50 * MS);
         node.now += 1_000 * MS;
-        long server = Node.only(SendProbe.class, node.arrive("q")).server();
+        long server = TestNode.only(SendProbe.class, node.arrive("q")).server();
         ProbeEnded failed = new ProbeEnded(server, AttemptResult.ERROR, MS, LoadReport.NONE);
-        assertEquals(server, Node.only(SendProbe.class, node.on(failed)).server());
-        assertEquals(List.of(), Node.those(SendProbe.class, node.on(failed)));
+        assertEquals(server, TestNode.only(SendProbe.class, node.on(failed)).server());
+        assertEquals(List.of(), TestNode.those(SendProbe.class, node.on(failed)));
     }
 
     @Test
     void aCommonSlowSpellStopsQueueingBehindOthers() {
-        Node node = warm(probing(), 2, 40, 100 * MS);
+        TestNode node = warm(probing(), 2, 40, 100 * MS);
         for (int i = 0; i < 20; i++) {
             probedServe(node, "slow" + i, 700 * MS);
         }
         node.now += 1_000 * MS;
         List<DecisionAction> actions = node.arrive("q");
         for (int i = 0; i < 2; i++) {
-            actions = node.probed(Node.only(SendProbe.class, actions).server(), 1);
+            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 1);
         }
         assertEquals(
                 0,
-                Node.those(SendAttempt.class, actions).size(),
+                TestNode.those(SendAttempt.class, actions).size(),
                 "700 ms behind 700 ms do not fit in 1 s");
     }
 
@@ -831,16 +839,16 @@
         TestSettings settings = new TestSettings();
         settings.classes =
                 List.of(TestSettings.type(Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
-        Node node = warm(settings, 3, 10, 50 * MS);
-        SendAttempt first = Node.only(SendAttempt.class, node.arrive("a"));
+        TestNode node = warm(settings, 3, 10, 50 * MS);
+        SendAttempt first = TestNode.only(SendAttempt.class, node.arrive("a"));
         SendAttempt again =
-                Node.only(
+                TestNode.only(
                         SendAttempt.class,
                         node.ended("a", 0, first.server(), AttemptResult.REJECTED, MS));
         assertNotEquals(first.server(), again.server());
         assertEquals(
                 1,
-                Node.those(
+                TestNode.those(
                                 FailRequest.class,
                                 node.ended("a", 1, again.server(), AttemptResult.RESET, MS))
                         .size());
@@ -850,17 +858,17 @@
     void aKeyedRequestStaysInItsZoneAndItsWindow() {
         TestSettings settings = new TestSettings();
         settings.classes = List.of(TestSettings.type(Idempotency.KEYED, DeduplicationScope.ZONE));
-        Node node = warm(settings, 4, 10, 50 * MS);
-        SendAttempt first = Node.only(SendAttempt.class, node.arrive("a"));
+        TestNode node = warm(settings, 4, 10, 50 * MS);
+        SendAttempt first = TestNode.only(SendAttempt.class, node.arrive("a"));
         SendAttempt again =
-                Node.only(
+                TestNode.only(
                         SendAttempt.class,
                         node.ended("a", 0, first.server(), AttemptResult.ERROR, MS));
         assertEquals(first.server() % 2, again.server() % 2);
         node.now += 800 * MS;
         assertEquals(
                 1,
-                Node.those(
+                TestNode.those(
                                 FailRequest.class,
                                 node.ended("a", 1, again.server(), AttemptResult.ERROR, MS))
                         .size());
@@ -868,7 +876,7 @@
 
     @Test
     void nothingGoesToAServerThatDrainsOrIsGone() {
-        Node node = warm(new TestSettings(), 3, 10, 50 * MS);
+        TestNode node = warm(new TestSettings(), 3, 10, 50 * MS);
         node.change(1, EndpointState.DRAINING, 0);
         node.change(2, EndpointState.REMOVED, 0);
         for (int i = 0; i < 10; i++) {
@@ -880,7 +888,7 @@
     void aRestartedServerIsSentItsPartOfTheColdBudget() {
         TestSettings settings = probing();
         settings.nodes = 3;
-        Node node = warm(settings, 2, 40, 100 * MS);
+        TestNode node = warm(settings, 2, 40, 100 * MS);
         node.change(1, EndpointState.UP, node.now);
         int sent = 0;
         long end = node.now + 1_000 * MS;
@@ -895,7 +903,7 @@
     void aColdServersOwnAnswersTellItsSpeed() {
         int[] sent = new int[2];
         for (int quick = 0; quick < 2; quick++) {
-            Node node = warm(probing(), 2, 60, 100 * MS);
+            TestNode node = warm(probing(), 2, 60, 100 * MS);
             node.now += 2_000 * MS;
             node.change(1, EndpointState.UP, node.now);
             // By age alone the server can do a fifth to two fifths of a warm one's work.
@@ -912,16 +920,16 @@
     /**
      * Serves a request with the other server busy and little time left; returns the server, or 0.
      */
-    private static long coldServe(Node node, String id, long elapsed) {
+    private static long coldServe(TestNode node, String id, long elapsed) {
         List<DecisionAction> actions = node.arrive(id, 0, node.now + 1_500 * MS, true);
-        while (Node.those(SendAttempt.class, actions).isEmpty()) {
-            List<SendProbe> probes = Node.those(SendProbe.class, actions);
+        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
+            List<SendProbe> probes = TestNode.those(SendProbe.class, actions);
             if (probes.isEmpty()) {
                 return 0;
             }
             actions = node.probed(probes.get(0).server(), probes.get(0).server() == 2 ? 3 : 0);
         }
-        SendAttempt send = Node.only(SendAttempt.class, actions);
+        SendAttempt send = TestNode.only(SendAttempt.class, actions);
         node.now += elapsed;
         node.on(
                 new AttemptEnded(
@@ -937,40 +945,40 @@
 
     @Test
     void nothingIsSentAfterTheClientHasGone() {
-        Node node = warm(new TestSettings(), 3, 10, 50 * MS);
-        SendAttempt send = Node.only(SendAttempt.class, node.arrive("a"));
+        TestNode node = warm(new TestSettings(), 3, 10, 50 * MS);
+        SendAttempt send = TestNode.only(SendAttempt.class, node.arrive("a"));
         node.on(new ClientDisconnected("a"));
         List<DecisionAction> later =
                 node.ended("a", 0, send.server(), AttemptResult.RESET, 50 * MS);
         assertEquals(
                 0,
-                Node.those(SendAttempt.class, later).size()
-                        + Node.those(RejectRequest.class, later).size());
+                TestNode.those(SendAttempt.class, later).size()
+                        + TestNode.those(RejectRequest.class, later).size());
     }
 
     @Test
     void noMoreAttemptsAreMadeThanTheSiteAllows() {
         TestSettings settings = new TestSettings();
         settings.maxAttempts = 2;
-        Node node = warm(settings, 4, 10, 50 * MS);
-        SendAttempt first = Node.only(SendAttempt.class, node.arrive("a"));
+        TestNode node = warm(settings, 4, 10, 50 * MS);
+        SendAttempt first = TestNode.only(SendAttempt.class, node.arrive("a"));
         SendAttempt second =
-                Node.only(
+                TestNode.only(
                         SendAttempt.class,
                         node.ended("a", 0, first.server(), AttemptResult.REJECTED, MS));
         List<DecisionAction> last = node.ended("a", 1, second.server(), AttemptResult.REJECTED, MS);
-        assertEquals(1, Node.those(RejectRequest.class, last).size());
+        assertEquals(1, TestNode.those(RejectRequest.class, last).size());
     }
 
     @Test
     void theTimerIsSetForTheEndOfAHeldRequest() {
-        Node node = new Node(new TestSettings().build());
+        TestNode node = new TestNode(new TestSettings().build());
         node.servers(0);
         node.now += 7 * MS;
         long giveUpAt = node.now + 601 * MS;
         List<DecisionAction> actions = node.arrive("a", 0, giveUpAt, false);
-        while (Node.those(RejectRequest.class, actions).isEmpty()) {
-            List<SetTimer> timers = Node.those(SetTimer.class, node.all);
+        while (TestNode.those(RejectRequest.class, actions).isEmpty()) {
+            List<SetTimer> timers = TestNode.those(SetTimer.class, node.all);
             actions = node.after(timers.get(timers.size() - 1).delay());
         }
         assertTrue(
@@ -985,14 +993,14 @@
     void aFailedListCallIsRepeatedAfterAGrowingWait() {
         TestSettings settings = new TestSettings();
         settings.discovery = DiscoveryMode.POLL;
-        Node node = new Node(settings.build());
+        TestNode node = new TestNode(settings.build());
         node.servers(1);
         List<Long> waits = new ArrayList<>();
         for (int call = 0; call < 4; call++) {
             long from = node.now;
             boolean asked = false;
             while (!asked) {
-                asked = !Node.those(WatchEndpoints.class, node.after(10 * MS)).isEmpty();
+                asked = !TestNode.those(WatchEndpoints.class, node.after(10 * MS)).isEmpty();
             }
             waits.add(node.now - from);
             node.on(new DiscoveryFailed());
@@ -1003,10 +1011,10 @@
 
     @Test
     void withoutServersEveryRequestStillGetsItsAnswer() {
-        Node node = new Node(new TestSettings().build());
+        TestNode node = new TestNode(new TestSettings().build());
         node.servers(0);
         node.arrive("a");
         node.after(999 * MS);
-        assertEquals(1, Node.those(RejectRequest.class, node.all).size());
+        assertEquals(1, TestNode.those(RejectRequest.class, node.all).size());
     }
 }
--- a/src/test/java/ottergauge/decision/BarredServersTest.java
+++ b/src/test/java/ottergauge/decision/EjectedServersTest.java
@@ -16,16 +16,16 @@
 /**
  * Errors bar a server only while the barred ones of the list are under half of the node's servers.
  */
-class BarredServersTest {
+class EjectedServersTest {
 
-    private static final long MS = Node.MS;
+    private static final long MS = TestNode.MS;
     private static final int SERVERS = 8;
     private static final int HALF = SERVERS / 2;
 
-    private final Node node = new Node(new TestSettings().build());
+    private final TestNode node = new TestNode(new TestSettings().build());
     private int lastRequest;
 
-    BarredServersTest() {
+    EjectedServersTest() {
         node.servers(SERVERS);
     }
 
@@ -34,8 +34,10 @@
         for (int i = 0; i < requests; i++) {
             String id = "r" + ++lastRequest;
             List<DecisionAction> actions = node.arrive(id);
-            for (int attempt = 0; !Node.those(SendAttempt.class, actions).isEmpty(); attempt++) {
-                long server = Node.only(SendAttempt.class, actions).server();
+            for (int attempt = 0;
+                    !TestNode.those(SendAttempt.class, actions).isEmpty();
+                    attempt++) {
+                long server = TestNode.only(SendAttempt.class, actions).server();
                 node.now += MS;
                 actions = node.ended(id, attempt, server, AttemptResult.ERROR, MS);
             }
@@ -79,7 +81,7 @@
     @Test
     void aServerThatFailsAfterItHasLeftDoesNotCount() {
         for (int i = 0; i < HALF; i++) {
-            SendAttempt send = Node.only(SendAttempt.class, node.arrive("left-" + i));
+            SendAttempt send = TestNode.only(SendAttempt.class, node.arrive("left-" + i));
             node.change(send.server(), EndpointState.REMOVED, 0);
             node.now += MS;
             node.ended(send.id(), 0, send.server(), AttemptResult.CONNECT_FAILED, MS);
--- a/src/test/java/ottergauge/decision/ListCostTest.java
+++ b/src/test/java/ottergauge/decision/EndpointListCostTest.java
@@ -18,9 +18,9 @@
  * What happens once costs by what happened and not by the list: the number of servers looked at, as
  * a count. Eight times as many servers are three more halvings of them.
  */
-class ListCostTest {
+class EndpointListCostTest {
 
-    private static final long MS = Node.MS;
+    private static final long MS = TestNode.MS;
     private static final int SMALL = 1_000;
     private static final int LARGE = 8_000;
     private static final int TIMES = 100;
@@ -29,18 +29,18 @@
     // The logarithm of 8,000 is 1.3 times that of 1,000; the rest is how the trees happen to lie.
     private static final double MOST_GROWTH = 1.6;
 
-    private static Node node(int servers) {
+    private static TestNode node(int servers) {
         TestSettings settings = new TestSettings();
         settings.nodes = NODES;
         settings.node = 17;
-        Node node = new Node(settings.build());
+        TestNode node = new TestNode(settings.build());
         node.servers(servers);
         return node;
     }
 
     /** The mean number of servers looked at by what is done at a node that has so many. */
-    private static double visits(int servers, ObjIntConsumer<Node> done) {
-        Node node = node(servers);
+    private static double visits(int servers, ObjIntConsumer<TestNode> done) {
+        TestNode node = node(servers);
         long before = node.decide.serverVisits();
         for (int i = 0; i < TIMES; i++) {
             done.accept(node, i);
@@ -48,7 +48,7 @@
         return (node.decide.serverVisits() - before) / (double) TIMES;
     }
 
-    private static void hardlyGrows(ObjIntConsumer<Node> done) {
+    private static void hardlyGrows(ObjIntConsumer<TestNode> done) {
         double small = visits(SMALL, done);
         double large = visits(LARGE, done);
         assertTrue(
@@ -62,7 +62,7 @@
      */
     @Test
     void theCountSeesAWalkOverAllServers() {
-        Node node = node(LARGE);
+        TestNode node = node(LARGE);
         long before = node.decide.serverVisits();
         node.servers(LARGE);
         assertTrue(node.decide.serverVisits() - before >= LARGE, "not counted");
@@ -83,7 +83,7 @@
                 (node, i) -> {
                     List<Endpoint> lost = new ArrayList<>();
                     for (int k = 0; k < 5; k++) {
-                        lost.add(Node.server(1 + 5 * i + k, EndpointState.REMOVED, 0));
+                        lost.add(TestNode.server(1 + 5 * i + k, EndpointState.REMOVED, 0));
                     }
                     node.on(new EndpointUpdate(UpdateScope.INCREMENTAL, lost));
                 });
@@ -97,9 +97,9 @@
         hardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.CONNECT_FAILED));
     }
 
-    private static void fail(Node node, String id, AttemptResult result) {
+    private static void fail(TestNode node, String id, AttemptResult result) {
         node.now += 500 * MS;
-        for (SendAttempt send : Node.those(SendAttempt.class, node.arrive(id))) {
+        for (SendAttempt send : TestNode.those(SendAttempt.class, node.arrive(id))) {
             node.ended(id, 0, send.server(), result, MS);
         }
     }
--- a/src/test/java/ottergauge/decision/ColdFleetTest.java
+++ b/src/test/java/ottergauge/decision/FleetSlowStartTest.java
@@ -37,8 +37,8 @@
  * to thirty modules on made-up time before servers of one core, some of which start anew while the
  * fleet is busy.
  */
-class ColdFleetTest {
-    private static final long MS = Node.MS;
+class FleetSlowStartTest {
+    private static final long MS = TestNode.MS;
     private static final long SECOND = 1000 * MS;
     private static final int SERVERS = 12;
     private static final int COLD = 3;
@@ -57,7 +57,7 @@
 
     private final PriorityQueue<Due> queue =
             new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<TestNode> nodes = new ArrayList<>();
     private final Map<Long, Server> servers = new HashMap<>();
     private SplittableRandom random;
     private ServiceRules rules;
@@ -72,7 +72,7 @@
         queue.add(new Due(when, order++, what));
     }
 
-    private void tell(Node node, DecisionEvent event) {
+    private void tell(TestNode node, DecisionEvent event) {
         node.now = now;
         for (DecisionAction action : node.on(event)) {
             if (action instanceof SendAttempt send) {
@@ -105,7 +105,7 @@
         return rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * age;
     }
 
-    private void send(Node node, SendAttempt send) {
+    private void send(TestNode node, SendAttempt send) {
         Server s = servers.get(send.server());
         count(s);
         long began = now;
@@ -194,7 +194,7 @@
             TestSettings settings = settings(loads);
             settings.nodes = count;
             settings.node = i;
-            nodes.add(new Node(settings.build(), seed * 1000 + i));
+            nodes.add(new TestNode(settings.build(), seed * 1000 + i));
         }
         rules = nodes.get(0).settings.rules();
         for (long id = 1; id <= SERVERS; id++) {
@@ -241,10 +241,10 @@
                                 node,
                                 new EndpointUpdate(
                                         UpdateScope.INCREMENTAL,
-                                        List.of(Node.server(id, EndpointState.UP, now)))));
+                                        List.of(TestNode.server(id, EndpointState.UP, now)))));
     }
 
-    private void arrive(Node node, String prefix, int number, double share) {
+    private void arrive(TestNode node, String prefix, int number, double share) {
         long gap = (long) (-Math.log(1 - random.nextDouble()) / share);
         at(
                 now + gap,
--- a/src/test/java/ottergauge/decision/History.java
+++ b/src/test/java/ottergauge/decision/History.java
@@ -82,7 +82,7 @@
         }
     }
 
-    final Node node;
+    final TestNode node;
     int sends;
     int finals;
     int again;
@@ -117,7 +117,7 @@
         settings = with.build();
         this.others = others;
         random = new SplittableRandom(seed);
-        node = new Node(settings, seed);
+        node = new TestNode(settings, seed);
     }
 
     void run(int arrivals) {
@@ -175,7 +175,7 @@
                         ? at - random.nextLong(3_000_000)
                         : 0;
         return new EndpointUpdate(
-                UpdateScope.INCREMENTAL, List.of(Node.server(id, state, started)));
+                UpdateScope.INCREMENTAL, List.of(TestNode.server(id, state, started)));
     }
 
     private void plan(long at, DecisionEvent event, Attempt attempt) {
--- a/src/test/java/ottergauge/decision/ScaleTest.java
+++ b/src/test/java/ottergauge/decision/ManyNodesTest.java
@@ -20,21 +20,21 @@
 import ottergauge.decision.api.LoadReport;
 
 /** What many nodes do in the sum: each sees next to nothing, and all act at once. */
-class ScaleTest {
-    private static final long MS = Node.MS;
+class ManyNodesTest {
+    private static final long MS = TestNode.MS;
     private static final int NODES = 300;
     private static final int SERVERS = 50;
 
-    private static List<Node> fleet(TestSettings settings) {
+    private static List<TestNode> fleet(TestSettings settings) {
         return fleet(settings, SERVERS);
     }
 
-    private static List<Node> fleet(TestSettings settings, int servers) {
-        List<Node> nodes = new ArrayList<>();
+    private static List<TestNode> fleet(TestSettings settings, int servers) {
+        List<TestNode> nodes = new ArrayList<>();
         settings.nodes = NODES;
         for (int i = 0; i < NODES; i++) {
             settings.node = i;
-            Node node = new Node(settings.build(), 1000 + i);
+            TestNode node = new TestNode(settings.build(), 1000 + i);
             node.servers(servers);
             nodes.add(node);
         }
@@ -51,31 +51,31 @@
      * Sends a request, waiting for the node's own pauses, lets it be served, and returns its
      * server.
      */
-    private static long serve(Node node, String id, long elapsed) {
+    private static long serve(TestNode node, String id, long elapsed) {
         SendAttempt send = sendOf(node, node.arrive(id));
         answer(node, id, send.server(), elapsed);
         return send.server();
     }
 
-    private static SendAttempt sendOf(Node node, List<DecisionAction> actions) {
-        for (int i = 0; i < 40 && Node.those(SendAttempt.class, actions).isEmpty(); i++) {
+    private static SendAttempt sendOf(TestNode node, List<DecisionAction> actions) {
+        for (int i = 0; i < 40 && TestNode.those(SendAttempt.class, actions).isEmpty(); i++) {
             actions = node.after(25 * MS);
         }
-        return Node.only(SendAttempt.class, actions);
+        return TestNode.only(SendAttempt.class, actions);
     }
 
     /**
      * The server that the node's next request ends up at; probed servers answer that they are idle.
      */
-    private static long sentTo(Node node, String id) {
+    private static long sentTo(TestNode node, String id) {
         List<DecisionAction> actions = node.arrive(id);
-        while (Node.those(SendAttempt.class, actions).isEmpty()) {
-            actions = node.probed(Node.only(SendProbe.class, actions).server(), 0);
+        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
         }
-        return Node.only(SendAttempt.class, actions).server();
+        return TestNode.only(SendAttempt.class, actions).server();
     }
 
-    private static void answer(Node node, String id, long server, long elapsed) {
+    private static void answer(TestNode node, String id, long server, long elapsed) {
         node.now += elapsed;
         node.on(
                 new AttemptEnded(
@@ -88,7 +88,7 @@
     @Test
     void whereConnectionsCostEachNodeUsesFewServersAndAllNodesUseAll() {
         Map<Long, Integer> users = new HashMap<>();
-        for (Node node : fleet(pricedConnections())) {
+        for (TestNode node : fleet(pricedConnections())) {
             Set<Long> used = new HashSet<>();
             for (int i = 0; i < 20; i++) {
                 used.add(serve(node, "a" + i, 50 * MS));
@@ -106,7 +106,7 @@
     void aBarredServersPlaceIsTakenByTheNextOne() {
         TestSettings settings = pricedConnections();
         settings.nodes = NODES;
-        Node node = new Node(settings.build());
+        TestNode node = new TestNode(settings.build());
         node.servers(SERVERS);
         Set<Long> before = new HashSet<>();
         for (int i = 0; i < 20; i++) {
@@ -120,7 +120,7 @@
             if (down) {
                 List<DecisionAction> next =
                         node.ended("b" + i, 0, send.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
-                Node.those(SendAttempt.class, next)
+                TestNode.those(SendAttempt.class, next)
                         .forEach(
                                 s -> {
                                     after.add(s.server());
@@ -142,7 +142,7 @@
         Map<Long, Integer> first = new HashMap<>();
         TestSettings settings = new TestSettings();
         settings.probes = true;
-        for (Node node : fleet(settings, 30)) {
+        for (TestNode node : fleet(settings, 30)) {
             first.merge(sentTo(node, "a"), 1, Integer::sum);
         }
         int most = first.values().stream().max(Integer::compare).orElseThrow();
@@ -159,7 +159,7 @@
         settings.nodes = 60;
         for (int i = 0; i < settings.nodes; i++) {
             settings.node = i;
-            Node node = new Node(settings.build(), 1000 + i);
+            TestNode node = new TestNode(settings.build(), 1000 + i);
             node.servers(SERVERS);
             Set<Long> used = new HashSet<>();
             for (int k = 0; k < 60; k++) {
@@ -181,15 +181,15 @@
     void aColdServerGetsItsBudgetFromAllNodesInTheSum() {
         TestSettings settings = new TestSettings();
         settings.probes = true;
-        List<Node> nodes = fleet(settings);
+        List<TestNode> nodes = fleet(settings);
         int cold = 0;
         long start = nodes.get(0).now;
-        for (Node node : nodes) {
+        for (TestNode node : nodes) {
             answer(node, "warm", sentTo(node, "warm"), 100 * MS);
             node.change(1, EndpointState.UP, node.now);
         }
         for (int round = 0; round < 10; round++) {
-            for (Node node : nodes) {
+            for (TestNode node : nodes) {
                 node.now = start + 100 * MS + (round + 1) * 100L * MS;
                 String id = "r" + round;
                 long server = sentTo(node, id);
@@ -209,21 +209,24 @@
         TestSettings settings = new TestSettings();
         settings.probes = true;
         settings.nodes = NODES;
-        Node node = new Node(settings.build());
+        TestNode node = new TestNode(settings.build());
         node.servers(SERVERS);
         answer(node, "first", sentTo(node, "first"), 500 * MS);
         node.after(1_000 * MS);
-        int before = Node.those(SendProbe.class, node.all).size();
+        int before = TestNode.those(SendProbe.class, node.all).size();
         List<DecisionAction> actions = node.arrive("held");
         long end = node.now + 1_000 * MS;
         while (node.now < end) {
-            for (SendProbe probe : Node.those(SendProbe.class, actions)) {
+            for (SendProbe probe : TestNode.those(SendProbe.class, actions)) {
                 node.now += MS;
                 actions = node.probed(probe.server(), 4);
             }
-            actions = Node.those(SendProbe.class, actions).isEmpty() ? node.after(5 * MS) : actions;
+            actions =
+                    TestNode.those(SendProbe.class, actions).isEmpty()
+                            ? node.after(5 * MS)
+                            : actions;
         }
-        int probes = Node.those(SendProbe.class, node.all).size() - before;
+        int probes = TestNode.those(SendProbe.class, node.all).size() - before;
         // 0.06 of the result at 0.002 a probe.
         assertTrue(probes >= 3 && probes <= 30, "probes of one request: " + probes);
     }
--- a/src/test/java/ottergauge/decision/OverloadTest.java
+++ b/src/test/java/ottergauge/decision/OverloadTest.java
@@ -22,10 +22,10 @@
  */
 class OverloadTest {
 
-    private static final long MS = Node.MS;
+    private static final long MS = TestNode.MS;
 
-    private static Node blind(int servers) {
-        Node node = new Node(new TestSettings().build());
+    private static TestNode blind(int servers) {
+        TestNode node = new TestNode(new TestSettings().build());
         node.servers(servers);
         for (int i = 0; i < 40; i++) {
             node.serve("warm" + i, 50 * MS);
@@ -39,14 +39,14 @@
      */
     @Test
     void whenAllIsTurnedAwayFurtherTriesAreAPartOfFirstOnes() {
-        Node node = blind(12);
+        TestNode node = blind(12);
         int requests = 400;
         int sends = 0;
         Deque<SendAttempt> out = new ArrayDeque<>();
         for (int i = 0; i < requests; i++) {
             // Long enough for every bar and pace to let a server be tried again.
             node.now += 400 * MS;
-            out.addAll(Node.those(SendAttempt.class, node.arrive("r" + i)));
+            out.addAll(TestNode.those(SendAttempt.class, node.arrive("r" + i)));
             while (!out.isEmpty()) {
                 SendAttempt send = out.poll();
                 sends++;
@@ -60,7 +60,7 @@
                                                 .count()
                                 - 1;
                 out.addAll(
-                        Node.those(
+                        TestNode.those(
                                 SendAttempt.class,
                                 node.ended(
                                         send.id(),
@@ -79,10 +79,10 @@
      */
     @Test
     void aServerThatTurnsAwayIsOfferedLessAtOnceAndMoreSlowly() {
-        Node node = blind(1);
+        TestNode node = blind(1);
         List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            sends.addAll(Node.those(SendAttempt.class, node.arrive("a" + i)));
+            sends.addAll(TestNode.those(SendAttempt.class, node.arrive("a" + i)));
         }
         assertEquals(8, sends.size());
         node.ended("a7", 0, sends.get(7).server(), AttemptResult.REJECTED, MS);
@@ -93,14 +93,14 @@
         }
         assertEquals(
                 List.of(),
-                Node.those(SendAttempt.class, more),
+                TestNode.those(SendAttempt.class, more),
                 "seven are out, and 0.7 of eight may be");
         for (int i = 0; i < 4; i++) {
             more.addAll(
                     node.ended("a" + i, 0, sends.get(i).server(), AttemptResult.SERVED, 28 * MS));
         }
         assertEquals(
-                4, Node.those(SendAttempt.class, more).size(), "up to the limit and its steps");
+                4, TestNode.those(SendAttempt.class, more).size(), "up to the limit and its steps");
     }
 
     /**
@@ -111,7 +111,7 @@
     void loadsThatStayAsTheyAreAreNotAskedForAnyMore() {
         TestSettings settings = new TestSettings();
         settings.probes = true;
-        Node node = new Node(settings.build());
+        TestNode node = new TestNode(settings.build());
         node.servers(2);
         LoadReport old = new LoadReport(3, Double.NaN, 0.5, Double.NaN, 17.25);
         int probes = 0;
--- a/src/test/java/ottergauge/decision/HearsayTest.java
+++ b/src/test/java/ottergauge/decision/PassiveLoadReportsTest.java
@@ -21,19 +21,19 @@
 import ottergauge.decision.api.EndpointStatus;
 
 /** Loads that come with answers, where probes cost more than they are worth. */
-class HearsayTest {
-    private static final long MS = Node.MS;
+class PassiveLoadReportsTest {
+    private static final long MS = TestNode.MS;
     private static final long SERVICE = 100 * MS;
 
     /**
      * Sends to each server once; the answers come in the same order and say what each still holds.
      */
-    private static Node told(int... left) {
-        Node node = new Node(TestSettings.hearing(2).build());
+    private static TestNode told(int... left) {
+        TestNode node = new TestNode(TestSettings.hearing(2).build());
         node.servers(left.length);
         List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < left.length; i++) {
-            sends.add(Node.only(SendAttempt.class, node.arrive("t" + i)));
+            sends.add(TestNode.only(SendAttempt.class, node.arrive("t" + i)));
         }
         node.now += SERVICE;
         for (SendAttempt send : sends) {
@@ -51,16 +51,17 @@
         for (int idle = 0; idle < 4; idle++) {
             int[] left = {2, 2, 2, 2};
             left[idle] = 0;
-            assertEquals(idle + 1, Node.only(SendAttempt.class, told(left).arrive("a")).server());
+            assertEquals(
+                    idle + 1, TestNode.only(SendAttempt.class, told(left).arrive("a")).server());
         }
     }
 
     @Test
     void itsOwnAttemptCountsAgainstTheServer() {
-        Node node = told(0, 0, 2, 2);
-        long first = Node.only(SendAttempt.class, node.arrive("a")).server();
+        TestNode node = told(0, 0, 2, 2);
+        long first = TestNode.only(SendAttempt.class, node.arrive("a")).server();
         assertTrue(first <= 2, "sent to " + first);
-        assertEquals(3 - first, Node.only(SendAttempt.class, node.arrive("b")).server());
+        assertEquals(3 - first, TestNode.only(SendAttempt.class, node.arrive("b")).server());
     }
 
     /**
@@ -68,11 +69,11 @@
      */
     @Test
     void whatWasHeardLongAgoCountsNoMore() {
-        Node node = told(2, 0, 0, 0);
+        TestNode node = told(2, 0, 0, 0);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 8; i++) {
             node.now += 200 * SERVICE;
-            SendAttempt send = Node.only(SendAttempt.class, node.arrive("a" + i));
+            SendAttempt send = TestNode.only(SendAttempt.class, node.arrive("a" + i));
             used.add(send.server());
             node.now += SERVICE;
             node.answered("a" + i, send.server(), SERVICE, 0);
@@ -86,14 +87,17 @@
      */
     @Test
     void serversThatReportRoomNeedNoRest() {
-        Node node = new Node(TestSettings.hearing(14).build());
+        TestNode node = new TestNode(TestSettings.hearing(14).build());
         node.servers(4);
         node.answered(
-                "first", Node.only(SendAttempt.class, node.arrive("first")).server(), SERVICE, 0);
+                "first",
+                TestNode.only(SendAttempt.class, node.arrive("first")).server(),
+                SERVICE,
+                0);
         for (int round = 0; round < 10; round++) {
             List<SendAttempt> sends = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                sends.addAll(Node.those(SendAttempt.class, node.arrive(round + "-" + i)));
+                sends.addAll(TestNode.those(SendAttempt.class, node.arrive(round + "-" + i)));
             }
             assertEquals(4, sends.size(), "round " + round);
             node.now += SERVICE;
@@ -107,22 +111,22 @@
      */
     @Test
     void aFullFleetGetsNoMoreThanItTakesToHearOfIt() {
-        Node node = told(9, 9, 9, 9);
+        TestNode node = told(9, 9, 9, 9);
         int sent = 0;
         for (int i = 0; i < 6; i++) {
-            sent += Node.those(SendAttempt.class, node.arrive("a" + i)).size();
+            sent += TestNode.those(SendAttempt.class, node.arrive("a" + i)).size();
         }
         assertEquals(1, sent);
     }
 
     @Test
     void noProbeIsSpent() {
-        Node node = told(0, 1, 2, 3);
+        TestNode node = told(0, 1, 2, 3);
         for (int i = 0; i < 20; i++) {
             node.arrive("a" + i);
             node.after(10 * MS);
         }
-        assertTrue(Node.those(SendProbe.class, node.all).isEmpty());
+        assertTrue(TestNode.those(SendProbe.class, node.all).isEmpty());
     }
 
     /**
@@ -132,10 +136,10 @@
      */
     @Test
     void oneErrorKeepsAServerOutForItsTurn() {
-        Node node = told(0, 0, 0, 0);
+        TestNode node = told(0, 0, 0, 0);
         serveFor(node, 12_000 * MS, 500 * MS);
-        long failing = Node.only(SendAttempt.class, node.arrive("bad")).server();
-        node.on(new AttemptEnded("bad", 0, failing, AttemptResult.ERROR, MS, true, Node.IDLE));
+        long failing = TestNode.only(SendAttempt.class, node.arrive("bad")).server();
+        node.on(new AttemptEnded("bad", 0, failing, AttemptResult.ERROR, MS, true, TestNode.IDLE));
         List<Long> used = serveFor(node, 900 * MS, 30 * MS);
         assertFalse(used.contains(failing), "used " + used);
         assertTrue(serveFor(node, 10_000 * MS, 100 * MS).contains(failing), "and is used again");
@@ -149,10 +153,10 @@
     @ParameterizedTest
     @ValueSource(ints = {8, 100})
     void aBarDoesNotGrowWithWhatIsRefused(int requests) {
-        Node node = told(0, 0, 0, 0);
+        TestNode node = told(0, 0, 0, 0);
         // Ten requests a second, in the first window or for two: the clients of nearly all leave.
         for (int i = 0; i < requests; i++) {
-            SendAttempt send = Node.only(SendAttempt.class, node.arrive("g" + i));
+            SendAttempt send = TestNode.only(SendAttempt.class, node.arrive("g" + i));
             if (i % 20 == 19) {
                 node.answered("g" + i, send.server(), SERVICE, 0);
             } else {
@@ -161,7 +165,7 @@
             }
             node.now += 100 * MS;
         }
-        SendAttempt last = Node.only(SendAttempt.class, node.arrive("last"));
+        SendAttempt last = TestNode.only(SendAttempt.class, node.arrive("last"));
         node.on(
                 new AttemptEnded(
                         "last",
@@ -170,7 +174,7 @@
                         AttemptResult.CONNECT_FAILED,
                         MS,
                         true,
-                        Node.IDLE));
+                        TestNode.IDLE));
         long barred = node.now;
         // A server's turn comes each 0.4 s: a bar is 1.5 times that at the most.
         while (node.decide.endpointStatus(node.now, last.server()) == EndpointStatus.EJECTED) {
@@ -181,18 +185,21 @@
 
     @Test
     void theEmptyQueueOfAServerThatFailsIsNotBelieved() {
-        Node node = told(2, 2, 2, 2);
-        SendAttempt bad = Node.only(SendAttempt.class, node.arrive("bad"));
-        node.on(new AttemptEnded("bad", 0, bad.server(), AttemptResult.ERROR, MS, true, Node.IDLE));
+        TestNode node = told(2, 2, 2, 2);
+        SendAttempt bad = TestNode.only(SendAttempt.class, node.arrive("bad"));
+        node.on(
+                new AttemptEnded(
+                        "bad", 0, bad.server(), AttemptResult.ERROR, MS, true, TestNode.IDLE));
         node.now += 4_000 * MS / 10;
-        assertNotEquals(bad.server(), Node.only(SendAttempt.class, node.arrive("next")).server());
+        assertNotEquals(
+                bad.server(), TestNode.only(SendAttempt.class, node.arrive("next")).server());
     }
 
-    private static List<Long> serveFor(Node node, long span, long gap) {
+    private static List<Long> serveFor(TestNode node, long span, long gap) {
         List<Long> used = new ArrayList<>();
         for (long end = node.now + span; node.now < end; node.now += gap) {
             String id = "s" + node.now;
-            SendAttempt send = Node.only(SendAttempt.class, node.arrive(id));
+            SendAttempt send = TestNode.only(SendAttempt.class, node.arrive(id));
             used.add(send.server());
             node.now += MS;
             node.answered(id, send.server(), SERVICE, 0);
--- a/src/test/java/ottergauge/decision/SubsetTest.java
+++ b/src/test/java/ottergauge/decision/ServerSubsetTest.java
@@ -29,7 +29,7 @@
  * order of the ring, the node's points on it, one server after the other. What the subset is shows
  * by where requests go.
  */
-class SubsetTest {
+class ServerSubsetTest {
 
     private static final double GOLDEN = 0.6180339887498949;
     private static final int FREE_SUBSET = 32;
@@ -77,11 +77,11 @@
         return (1 + id % 7) / 4.0;
     }
 
-    private static Node node(History history) {
+    private static TestNode node(History history) {
         TestSettings settings = new TestSettings();
         settings.node = history.node();
         settings.nodes = history.nodes();
-        return new Node(settings.build());
+        return new TestNode(settings.build());
     }
 
     /** What is listed after all that was told, named by name. */
@@ -120,7 +120,7 @@
         return subset;
     }
 
-    private static void tell(Node node, Told told) {
+    private static void tell(TestNode node, Told told) {
         node.on(new EndpointUpdate(told.scope(), told.servers()));
     }
 
@@ -128,7 +128,7 @@
      * The servers that requests go to, one at a time: in two rounds of the rotation all of the
      * subset.
      */
-    private static Set<Long> used(Node node, int subset) {
+    private static Set<Long> used(TestNode node, int subset) {
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 2 * subset; i++) {
             used.add(node.serve("r" + i, 1));
@@ -138,7 +138,7 @@
 
     @Property(tries = 300, seed = "71")
     void theSubsetIsWhatThePlainComputationGives(@ForAll("histories") History history) {
-        Node node = node(history);
+        TestNode node = node(history);
         history.told().forEach(told -> tell(node, told));
         Set<Long> expected = plainSubset(history);
         assertEquals(expected, used(node, expected.size()));
@@ -147,9 +147,9 @@
     @Property(tries = 300, seed = "72")
     void aChainOfChangesGivesTheSameSubsetAsTheWholeListAtOnce(
             @ForAll("histories") History history) {
-        Node chain = node(history);
+        TestNode chain = node(history);
         history.told().forEach(told -> tell(chain, told));
-        Node whole = node(history);
+        TestNode whole = node(history);
         tell(whole, new Told(UpdateScope.FULL, List.copyOf(listed(history).values())));
         int size = plainSubset(history).size();
         assertEquals(used(whole, size), used(chain, size));
--- a/src/test/java/ottergauge/decision/SettingsChangeTest.java
+++ b/src/test/java/ottergauge/decision/SettingsReplacementTest.java
@@ -40,9 +40,9 @@
  * DecisionSettings that come in force while requests are held, are out, or are about to be sent
  * again.
  */
-class SettingsChangeTest {
+class SettingsReplacementTest {
 
-    private static final long MS = Node.MS;
+    private static final long MS = TestNode.MS;
     private static final RequestClass READ =
             TestSettings.type("read", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1);
     private static final RequestClass GRANT =
@@ -53,9 +53,9 @@
     private final TestSettings settings = new TestSettings();
     private int lastRequest;
 
-    private Node node(RequestClass... classes) {
+    private TestNode node(RequestClass... classes) {
         settings.classes = List.of(classes);
-        return new Node(settings.build());
+        return new TestNode(settings.build());
     }
 
     private DecisionSettings with(RequestClass... classes) {
@@ -68,7 +68,7 @@
                 name, repeat, DeduplicationScope.FLEET, aim, deadline, 800_000, 1, 0, false);
     }
 
-    private static List<DecisionAction> arrive(Node node, String id, int requestClass) {
+    private static List<DecisionAction> arrive(TestNode node, String id, int requestClass) {
         return node.arrive(
                 id,
                 requestClass,
@@ -77,7 +77,7 @@
     }
 
     private static SendAttempt sent(List<DecisionAction> actions) {
-        return Node.only(SendAttempt.class, actions);
+        return TestNode.only(SendAttempt.class, actions);
     }
 
     // ---- What was taken before
@@ -89,7 +89,7 @@
      */
     @Test
     void aRequestThatIsOutIsTriedAgainAsOftenAsWhenItWasTaken() {
-        Node node = node(READ);
+        TestNode node = node(READ);
         node.servers(3);
         SendAttempt before = sent(arrive(node, "before", 0));
         settings.maxAttempts = 1;
@@ -97,7 +97,7 @@
         SendAttempt after = sent(arrive(node, "after", 0));
         node.now += MS;
         sent(node.ended("before", 0, before.server(), AttemptResult.CONNECT_FAILED, MS));
-        Node.only(
+        TestNode.only(
                 RejectRequest.class,
                 node.ended("after", 0, after.server(), AttemptResult.CONNECT_FAILED, MS));
     }
@@ -108,7 +108,7 @@
      */
     @Test
     void aRequestKeepsItsClassThoughTheNameNowStandsForAnother() {
-        Node node = node(GRANT);
+        TestNode node = node(GRANT);
         node.servers(3);
         SendAttempt before = sent(arrive(node, "before", 0));
         node.takeOver(
@@ -117,7 +117,7 @@
                                 "grant", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1)));
         SendAttempt after = sent(arrive(node, "after", 0));
         node.now += MS;
-        Node.only(
+        TestNode.only(
                 FailRequest.class,
                 node.ended("before", 0, before.server(), AttemptResult.RESET, MS));
         sent(node.ended("after", 0, after.server(), AttemptResult.RESET, MS));
@@ -125,17 +125,17 @@
 
     @Test
     void aHeldRequestEndsByTheAimThatItWasTakenWith() {
-        Node node = node(type("read", Idempotency.IDEMPOTENT, 1_000_000, 2_000_000));
+        TestNode node = node(type("read", Idempotency.IDEMPOTENT, 1_000_000, 2_000_000));
         arrive(node, "before", 0);
         node.takeOver(with(type("read", Idempotency.IDEMPOTENT, 200_000, 2_000_000)));
         arrive(node, "after", 0);
-        assertEquals("after", Node.only(RejectRequest.class, node.after(250 * MS)).id());
-        assertEquals("before", Node.only(RejectRequest.class, node.after(800 * MS)).id());
+        assertEquals("after", TestNode.only(RejectRequest.class, node.after(250 * MS)).id());
+        assertEquals("before", TestNode.only(RejectRequest.class, node.after(800 * MS)).id());
     }
 
     @Test
     void aRefusalGivesTheAdviceOfTheLimitsThatTheRequestWasTakenWith() {
-        Node node = node(READ);
+        TestNode node = node(READ);
         arrive(node, "before", 0);
         DecisionSettings build = with(READ);
         node.takeOver(
@@ -153,7 +153,7 @@
                         build.costs(),
                         build.requestClasses()));
         arrive(node, "after", 0);
-        List<RejectRequest> refused = Node.those(RejectRequest.class, node.after(1_500 * MS));
+        List<RejectRequest> refused = TestNode.those(RejectRequest.class, node.after(1_500 * MS));
         assertEquals(List.of("before", "after"), refused.stream().map(RejectRequest::id).toList());
         assertEquals(
                 List.of(600_000L, 900_000L),
@@ -163,7 +163,7 @@
     /** Where it may no longer be cancelled a request that was taken when it might still is. */
     @Test
     void whetherAnAttemptIsCancelledGoesByTheLimitsThatItsRequestWasTakenWith() {
-        Node node = node(READ);
+        TestNode node = node(READ);
         node.servers(3);
         sent(arrive(node, "before", 0));
         DecisionSettings build = with(READ);
@@ -184,10 +184,10 @@
         sent(arrive(node, "after", 0));
         assertEquals(
                 "before",
-                Node.only(CancelAttempt.class, node.on(new ClientDisconnected("before"))).id());
+                TestNode.only(CancelAttempt.class, node.on(new ClientDisconnected("before"))).id());
         assertEquals(
                 List.of(),
-                Node.those(CancelAttempt.class, node.on(new ClientDisconnected("after"))));
+                TestNode.those(CancelAttempt.class, node.on(new ClientDisconnected("after"))));
     }
 
     // ---- Classes that come, go and move
@@ -195,7 +195,7 @@
 
     @Test
     void whatWaitsOfAClassThatIsRemovedIsServedAllTheSame() {
-        Node node = node(READ, GRANT);
+        TestNode node = node(READ, GRANT);
         arrive(node, "held", 1);
         node.takeOver(with(READ));
         SendAttempt send = sent(node.servers(2));
@@ -208,7 +208,7 @@
 
     @Test
     void whatIsOutOfAClassThatIsRemovedIsTriedAgain() {
-        Node node = node(READ, PAY);
+        TestNode node = node(READ, PAY);
         node.servers(3);
         SendAttempt send = sent(arrive(node, "out", 1));
         node.takeOver(with(READ));
@@ -217,17 +217,17 @@
         node.takeOver(with(GRANT));
         node.now += MS;
         node.ended("out", 1, again.server(), AttemptResult.SERVED, MS);
-        assertEquals(2, Node.those(SendAttempt.class, node.all).size());
+        assertEquals(2, TestNode.those(SendAttempt.class, node.all).size());
     }
 
     @Test
     void aClassIsUsedInTheTurnInWhichItIsAdded() {
-        Node node = node(READ);
+        TestNode node = node(READ);
         node.servers(2);
         node.takeOver(with(GRANT, READ));
         SendAttempt send = sent(arrive(node, "first", 0));
         node.now += MS;
-        Node.only(
+        TestNode.only(
                 FailRequest.class, node.ended("first", 0, send.server(), AttemptResult.RESET, MS));
     }
 
@@ -235,9 +235,9 @@
     @Test
     void settingsAndServersComeInForceAtOneInstant() {
         settings.nodes = 50_000;
-        Node node = node(READ);
+        TestNode node = node(READ);
         node.change(1, EndpointState.UP, node.now);
-        assertEquals(List.of(), Node.those(SendAttempt.class, arrive(node, "held", 0)));
+        assertEquals(List.of(), TestNode.those(SendAttempt.class, arrive(node, "held", 0)));
         DecisionSettings cold = with(READ, GRANT);
         DecisionSettings warm =
                 new DecisionSettings(
@@ -260,8 +260,8 @@
                                 new EndpointUpdate(
                                         UpdateScope.INCREMENTAL,
                                         List.of(
-                                                Node.server(1, EndpointState.REMOVED, 0),
-                                                Node.server(2, EndpointState.UP, 0)))));
+                                                TestNode.server(1, EndpointState.REMOVED, 0),
+                                                TestNode.server(2, EndpointState.UP, 0)))));
         assertEquals(2, sent(actions).server());
     }
 
@@ -269,7 +269,7 @@
      * Serves requests of one class, quickly at one server, slowly at the other; how many the first
      * got.
      */
-    private int turns(Node node, int requestClass, long quickAt, int requests) {
+    private int turns(TestNode node, int requestClass, long quickAt, int requests) {
         int quick = 0;
         for (int i = 0; i < requests; i++) {
             String id = "t" + ++lastRequest;
@@ -287,7 +287,7 @@
      */
     @Test
     void aClassKeepsItsWeightsWhereverItStandsAmongTheOthers() {
-        Node node = node(READ, GRANT);
+        TestNode node = node(READ, GRANT);
         node.servers(2);
         for (int i = 0; i < 200; i++) {
             turns(node, 0, 1, 1);
@@ -303,7 +303,7 @@
     /** One that comes again under the name of one that was removed has learnt nothing yet. */
     @Test
     void aClassThatComesAgainBeginsAnew() {
-        Node node = node(READ, GRANT);
+        TestNode node = node(READ, GRANT);
         node.servers(2);
         for (int i = 0; i < 200; i++) {
             turns(node, 0, 1, 1);
@@ -318,14 +318,14 @@
     /**
      * Lets a class spend all that its budget of further attempts has; true once it has none left.
      */
-    private boolean spent(Node node, int requestClass) {
+    private boolean spent(TestNode node, int requestClass) {
         String id = "s" + ++lastRequest;
         long server = sent(arrive(node, id, requestClass)).server();
         List<DecisionAction> actions = node.ended(id, 0, server, AttemptResult.REJECTED, 0);
         node.now += 200 * MS;
         boolean again =
-                !Node.those(SendAttempt.class, actions).isEmpty()
-                        || !Node.those(SendAttempt.class, node.after(0)).isEmpty();
+                !TestNode.those(SendAttempt.class, actions).isEmpty()
+                        || !TestNode.those(SendAttempt.class, node.after(0)).isEmpty();
         node.on(new ClientDisconnected(id));
         node.on(new AttemptEnded(id, 1, server, AttemptResult.CANCELLED, 0, true, LoadReport.NONE));
         return !again;
@@ -335,7 +335,7 @@
      * One class spends what it may have, while another one sees to it that all together have
      * enough.
      */
-    private void spend(Node node, int requestClass, int other) {
+    private void spend(TestNode node, int requestClass, int other) {
         node.servers(8);
         while (!spent(node, requestClass)) {
             turns(node, other, 1, 20);
@@ -344,7 +344,7 @@
 
     @Test
     void aClassKeepsItsBudgetOfFurtherAttemptsWhereverItStands() {
-        Node node = node(READ, PAY);
+        TestNode node = node(READ, PAY);
         spend(node, 0, 1);
         node.takeOver(with(PAY, GRANT, READ));
         assertTrue(spent(node, 2), "it is used up in another place, too");
@@ -353,7 +353,7 @@
 
     @Test
     void aClassThatComesAgainHasAWholeBudget() {
-        Node node = node(READ, PAY);
+        TestNode node = node(READ, PAY);
         spend(node, 0, 1);
         node.takeOver(with(PAY));
         node.takeOver(with(READ, PAY));
@@ -373,25 +373,25 @@
                                                 DeduplicationScope.FLEET,
                                                 1))
                         .toArray(RequestClass[]::new);
-        Node node = node(READ);
+        TestNode node = node(READ);
         node.servers(4);
         arrive(node, "read", 0);
         node.takeOver(with(many));
         for (int i : new int[] {0, 63, 64, 1023}) {
-            assertEquals(1, Node.those(SendAttempt.class, arrive(node, "m" + i, i)).size());
+            assertEquals(1, TestNode.those(SendAttempt.class, arrive(node, "m" + i, i)).size());
         }
         node.takeOver(with(many[1023], READ, many[64], GRANT));
-        for (SendAttempt send : Node.those(SendAttempt.class, new ArrayList<>(node.all))) {
+        for (SendAttempt send : TestNode.those(SendAttempt.class, new ArrayList<>(node.all))) {
             node.now += MS;
             node.ended(send.id(), 0, send.server(), AttemptResult.SERVED, MS);
         }
-        assertEquals(1, Node.those(SendAttempt.class, arrive(node, "last", 0)).size());
+        assertEquals(1, TestNode.those(SendAttempt.class, arrive(node, "last", 0)).size());
     }
 
     // ---- What is in force for servers
     // ---------------------------------------------------------------
 
-    private static Set<Long> used(Node node, int requests) {
+    private static Set<Long> used(TestNode node, int requests) {
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < requests; i++) {
             used.add(node.serve("u" + node.now + "-" + i, MS));
@@ -403,7 +403,7 @@
     void theSubsetFollowsTheNumberOfNodes() {
         settings.nodes = 1000;
         settings.node = 7;
-        Node node = node(READ);
+        TestNode node = node(READ);
         node.servers(200);
         Set<Long> few = used(node, 100);
         settings.nodes = 1;
@@ -428,8 +428,8 @@
     void theColdBudgetFollowsTheNumberOfNodes() {
         settings.probes = true;
         settings.nodes = 1;
-        Node alone = node(READ);
-        Node among = node(READ);
+        TestNode alone = node(READ);
+        TestNode among = node(READ);
         long sentAlone = toTheColdServer(alone, 1);
         settings.nodes = 50;
         long sentAmong = toTheColdServer(among, 50);
@@ -438,12 +438,15 @@
                 "alone " + sentAlone + ", among fifty " + sentAmong);
     }
 
-    private long toTheColdServer(Node node, int nodes) {
+    private long toTheColdServer(TestNode node, int nodes) {
         node.servers(1);
         for (int i = 0; i < 30; i++) {
             String id = "w" + ++lastRequest;
             List<DecisionAction> actions = arrive(node, id, 0);
-            actions = Node.those(SendProbe.class, actions).isEmpty() ? actions : node.probed(1, 0);
+            actions =
+                    TestNode.those(SendProbe.class, actions).isEmpty()
+                            ? actions
+                            : node.probed(1, 0);
             SendAttempt send = sent(actions);
             node.now += 100 * MS;
             node.ended(id, 0, send.server(), AttemptResult.SERVED, 100 * MS);
@@ -451,21 +454,21 @@
         settings.nodes = nodes;
         node.takeOver(with(READ));
         node.change(1, EndpointState.UP, node.now);
-        int before = Node.those(SendAttempt.class, node.all).size();
+        int before = TestNode.those(SendAttempt.class, node.all).size();
         for (int i = 0; i < 8; i++) {
             String id = "c" + ++lastRequest;
-            if (!Node.those(SendProbe.class, arrive(node, id, 0)).isEmpty()) {
+            if (!TestNode.those(SendProbe.class, arrive(node, id, 0)).isEmpty()) {
                 node.probed(1, 0);
             }
             node.now += 100 * MS;
             node.ended(id, 0, 1, AttemptResult.SERVED, 100 * MS);
         }
-        return (long) Node.those(SendAttempt.class, node.all).size() - before;
+        return (long) TestNode.those(SendAttempt.class, node.all).size() - before;
     }
 
     @Test
     void probesBeginAndEndWithTheSettingsThatAllowThem() {
-        Node node = node(READ);
+        TestNode node = node(READ);
         node.servers(2);
         long server = sent(arrive(node, "a", 0)).server();
         node.now += MS;
@@ -473,15 +476,15 @@
         settings.probes = true;
         node.takeOver(with(READ));
         node.now += 100 * MS;
-        long probed = Node.only(SendProbe.class, arrive(node, "b", 0)).server();
+        long probed = TestNode.only(SendProbe.class, arrive(node, "b", 0)).server();
         settings.probes = false;
         // What waits for the probe goes at once, and what the probe brings is taken as it comes.
         assertEquals("b", sent(node.takeOver(with(READ))).id());
         node.probed(probed, 3);
-        assertEquals(0, Node.those(SendProbe.class, arrive(node, "c", 0)).size());
+        assertEquals(0, TestNode.those(SendProbe.class, arrive(node, "c", 0)).size());
     }
 
-    private static void listOnly(Node node, long id, int zone) {
+    private static void listOnly(TestNode node, long id, int zone) {
         node.on(
                 new EndpointUpdate(
                         UpdateScope.FULL,
@@ -489,12 +492,12 @@
     }
 
     /** A request has the one server probed, whose answer takes so long; it is served. */
-    private void probe(Node node, long trip) {
+    private void probe(TestNode node, long trip) {
         node.now += 1_000 * MS;
         String id = "p" + ++lastRequest;
-        long server = Node.only(SendProbe.class, arrive(node, id, 0)).server();
+        long server = TestNode.only(SendProbe.class, arrive(node, id, 0)).server();
         node.now += trip;
-        node.on(new ProbeEnded(server, AttemptResult.SERVED, trip, Node.IDLE));
+        node.on(new ProbeEnded(server, AttemptResult.SERVED, trip, TestNode.IDLE));
         node.now += MS;
         node.ended(id, 0, server, AttemptResult.SERVED, MS);
     }
@@ -506,7 +509,7 @@
     @Test
     void tripsAreLearntAnewWhereZonesAreNumberedAnew() {
         settings.probes = true;
-        Node node = node(READ);
+        TestNode node = node(READ);
         listOnly(node, 2, 0);
         probe(node, MS);
         listOnly(node, 1, 1);
@@ -514,7 +517,7 @@
         listOnly(node, 1, 0);
         probe(node, 30 * MS);
         node.now += 1_000 * MS;
-        Node.only(SendProbe.class, arrive(node, "last", 0));
+        TestNode.only(SendProbe.class, arrive(node, "last", 0));
         assertEquals(EndpointStatus.ACTIVE, node.decide.endpointStatus(node.now + 20 * MS, 1));
         node.after(20 * MS);
         assertEquals(EndpointStatus.ACTIVE, node.decide.endpointStatus(node.now, 1));
@@ -529,8 +532,8 @@
         second.classes = List.of(GRANT, READ, PAY);
         second.maxAttempts = 1;
         second.repeatsMarked = false;
-        Node changed = new Node(first.build());
-        Node plain = new Node(first.build());
+        TestNode changed = new TestNode(first.build());
+        TestNode plain = new TestNode(first.build());
         changed.servers(5);
         plain.servers(5);
         for (int i = 0; i < 300; i++) {
@@ -542,13 +545,13 @@
         }
     }
 
-    private static List<DecisionAction> step(Node node, int i) {
+    private static List<DecisionAction> step(TestNode node, int i) {
         List<DecisionAction> actions = new ArrayList<>(arrive(node, "q" + i, i % 3));
         AttemptResult result =
                 i % 11 == 0
                         ? AttemptResult.REJECTED
                         : i % 13 == 0 ? AttemptResult.ERROR : AttemptResult.SERVED;
-        for (SendAttempt send : Node.those(SendAttempt.class, actions)) {
+        for (SendAttempt send : TestNode.those(SendAttempt.class, actions)) {
             node.now += (20 + send.server() * 10) * MS;
             actions.addAll(
                     node.ended(
--- a/src/test/java/ottergauge/decision/Node.java
+++ b/src/test/java/ottergauge/decision/TestNode.java
@@ -20,7 +20,7 @@
 import ottergauge.decision.api.UpdateScope;
 
 /** Drives one decision module with events; the clock is {@link #now}, in microseconds. */
-final class Node {
+final class TestNode {
     static final long MS = 1000;
     static final LoadReport IDLE = new LoadReport(0, 0, 0, Double.NaN, Double.NaN);
 
@@ -30,11 +30,11 @@
     long now = 1_000_000;
     long key;
 
-    Node(DecisionSettings settings) {
+    TestNode(DecisionSettings settings) {
         this(settings, 1);
     }
 
-    Node(DecisionSettings settings, long seed) {
+    TestNode(DecisionSettings settings, long seed) {
         this.settings = settings;
         decide = new DecisionEngine(settings, seed);
     }
--- a/src/test/java/ottergauge/decision/RotationTest.java
+++ b/src/test/java/ottergauge/decision/WeightedRoundRobinTest.java
@@ -18,16 +18,16 @@
 import ottergauge.decision.api.Idempotency;
 
 /** The design's mechanism by worked example. */
-class RotationTest {
-    private static final long MS = Node.MS;
+class WeightedRoundRobinTest {
+    private static final long MS = TestNode.MS;
 
-    private final Node node = new Node(new TestSettings().build());
+    private final TestNode node = new TestNode(new TestSettings().build());
 
-    private Map<Long, Integer> shares(Node on, int requests, long fast, long slow) {
+    private Map<Long, Integer> shares(TestNode on, int requests, long fast, long slow) {
         Map<Long, Integer> shares = new HashMap<>();
         for (int i = 0; i < requests; i++) {
             String id = "r" + on.now + "-" + i;
-            SendAttempt send = Node.only(SendAttempt.class, on.arrive(id));
+            SendAttempt send = TestNode.only(SendAttempt.class, on.arrive(id));
             long elapsed = send.server() == 1 ? fast : slow;
             on.now += elapsed;
             on.ended(id, 0, send.server(), AttemptResult.SERVED, elapsed);
@@ -57,9 +57,9 @@
     void theStartIsDrawnFromTheSeed() {
         Set<Long> first = new HashSet<>();
         for (long seed = 0; seed < 20; seed++) {
-            Node other = new Node(new TestSettings().build(), seed);
+            TestNode other = new TestNode(new TestSettings().build(), seed);
             other.servers(4);
-            first.add(Node.only(SendAttempt.class, other.arrive("r")).server());
+            first.add(TestNode.only(SendAttempt.class, other.arrive("r")).server());
         }
         assertTrue(first.size() > 2, "starts at " + first);
     }
@@ -101,7 +101,7 @@
                         TestSettings.type("a", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
                         TestSettings.type(
                                 "b", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1));
-        Node two = new Node(settings.build());
+        TestNode two = new TestNode(settings.build());
         two.servers(2);
         shares(two, 100, 20 * MS, 60 * MS);
         two.after(5_000 * MS);
@@ -109,7 +109,8 @@
         for (int i = 0; i < 40; i++) {
             String id = "b" + i;
             SendAttempt send =
-                    Node.only(SendAttempt.class, two.arrive(id, 1, two.now + 2_000 * MS, false));
+                    TestNode.only(
+                            SendAttempt.class, two.arrive(id, 1, two.now + 2_000 * MS, false));
             onFast += send.server() == 1 ? 1 : 0;
             // In class b it is server 2 that is fast.
             long elapsed = send.server() == 1 ? 6 * MS : 2 * MS;
@@ -122,7 +123,8 @@
         for (int i = 0; i < 40; i++) {
             String id = "c" + i;
             SendAttempt send =
-                    Node.only(SendAttempt.class, two.arrive(id, 1, two.now + 2_000 * MS, false));
+                    TestNode.only(
+                            SendAttempt.class, two.arrive(id, 1, two.now + 2_000 * MS, false));
             later += send.server() == 1 ? 1 : 0;
             two.now += MS;
             two.ended(id, 0, send.server(), AttemptResult.SERVED, MS);
@@ -146,11 +148,11 @@
             node.all.clear();
         }
         // Every server answers at once but the one that keeps everything.
-        long stuck = Node.only(SendAttempt.class, node.arrive("stuck0")).server();
+        long stuck = TestNode.only(SendAttempt.class, node.arrive("stuck0")).server();
         int onStuck = 1;
         for (int i = 0; i < 40; i++) {
             String id = "next" + i;
-            SendAttempt send = Node.only(SendAttempt.class, node.arrive(id));
+            SendAttempt send = TestNode.only(SendAttempt.class, node.arrive(id));
             if (send.server() == stuck) {
                 onStuck++;
             } else {
