--- a/src/test/java/ottergauge/decision/CapacityFromReportsTest.java
+++ b/src/test/java/ottergauge/decision/CapacityFromReportsTest.java
@@ -17,8 +17,8 @@
 import ottergauge.decision.api.LoadReport;
 
 /**
- * Servers whose requests mostly wait on others, and that answer with their rate and their busy
- * part.
+ * Tests the capacity estimate of servers whose requests mostly wait for other systems, and whose
+ * load reports contain the request rate and the utilization.
  */
 class CapacityFromReportsTest {
 
@@ -27,7 +27,8 @@
     private static final long WORK = 40 * MS;
 
     /**
-     * A server that holds {@code held} and serves {@code perSecond} with this part of its cores.
+     * Returns the report of a server that holds {@code held} requests and serves {@code perSecond}
+     * with this fraction of its cores.
      */
     private static LoadReport report(double held, double perSecond, double busy, double latency) {
         return new LoadReport(held, Double.NaN, busy, latency, perSecond);
@@ -36,19 +37,19 @@
     private static List<SendAttempt> burst(TestNode node, String prefix, int requests) {
         List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
-            sends.addAll(TestNode.those(SendAttempt.class, node.arrive(prefix + i)));
+            sends.addAll(TestNode.ofType(SendAttempt.class, node.arrive(prefix + i)));
         }
         return sends;
     }
 
-    private static List<SendAttempt> answered(
+    private static List<SendAttempt> respondWithLoad(
             TestNode node, List<SendAttempt> sends, LoadReport report) {
         List<SendAttempt> next = new ArrayList<>();
         for (SendAttempt send : sends) {
             next.addAll(
-                    TestNode.those(
+                    TestNode.ofType(
                             SendAttempt.class,
-                            node.on(
+                            node.deliver(
                                     new AttemptEnded(
                                             send.id(),
                                             0,
@@ -61,54 +62,58 @@
         return next;
     }
 
-    /** A node that has heard from each server that it holds so many; each has a room of 40. */
-    private static TestNode told(int nodes, int servers, double held) {
-        TestNode node = new TestNode(TestSettings.hearing(nodes).build());
+    /**
+     * Returns a node with a load report from each server that it holds this number of requests.
+     * Each server has a capacity of 40 requests.
+     */
+    private static TestNode nodeWithReports(int nodes, int servers, double held) {
+        TestNode node = new TestNode(TestSettings.withPassiveReports(nodes).build());
         node.servers(servers);
         List<SendAttempt> sends = burst(node, "t", 3 * servers);
         node.now += SERVICE;
-        answered(node, sends, report(held, 40, 0.5, WORK));
+        respondWithLoad(node, sends, report(held, 40, 0.5, WORK));
         return node;
     }
 
     /**
-     * Taken for a core each, a server was full with two requests, and a quiet day refused nine in
-     * ten.
+     * With an assumed capacity of one core per server, a server counted as full with two requests,
+     * and nine in ten requests were rejected under low load.
      */
     @Test
-    void aServerHoldsWhatPassesThroughItInTheTimeOfARequest() {
-        assertEquals(15, burst(told(1, 1, 20), "q", 15).size());
+    void theCapacityIsTheReportedRateTimesTheServiceTime() {
+        assertEquals(15, burst(nodeWithReports(1, 1, 20), "q", 15).size());
     }
 
     @Test
-    void noMoreIsSentThanTheRoomAndALittle() {
-        int sent = burst(told(1, 1, 20), "q", 60).size();
-        assertTrue(sent > 15 && sent <= 26, "20 of 40 are held, and sent are " + sent);
+    void theRequestsSentDoNotExceedTheCapacityByMuch() {
+        int sent = burst(nodeWithReports(1, 1, 20), "q", 60).size();
+        assertTrue(sent > 15 && sent <= 26, "20 of 40 are held, requests sent: " + sent);
     }
 
-    /** All cores busy at a third of the rate: a server that has become slow holds a third. */
+    /** If all cores are busy at a third of the rate, the server's capacity is a third as well. */
     @Test
-    void aServerThatBecomesSlowHoldsLess() {
-        TestNode node = told(1, 1, 20);
+    void aServerThatBecomesSlowHasLessCapacity() {
+        TestNode node = nodeWithReports(1, 1, 20);
         List<SendAttempt> sends = burst(node, "q", 8);
         node.now += SERVICE;
-        answered(node, sends, report(20, 27, 1, 3 * WORK));
-        assertTrue(burst(node, "r", 5).size() <= 1, "and one to hear of it");
+        respondWithLoad(node, sends, report(20, 27, 1, 3 * WORK));
+        assertTrue(burst(node, "r", 5).size() <= 1, "more than one request to get a load report");
     }
 
     /**
-     * Weights by the node's own timings were level where most of a time is spent waiting on others.
+     * The latencies that the node measures hardly differ between servers if requests mostly wait
+     * for other systems. The weights must therefore follow the latencies that the servers report.
      */
     @Test
-    void reportedTimesDecideTheWeights() {
-        TestNode node = new TestNode(TestSettings.hearing(1).build());
+    void reportedLatenciesDetermineTheWeights() {
+        TestNode node = new TestNode(TestSettings.withPassiveReports(1).build());
         node.servers(2);
         Map<Long, Integer> turns = new HashMap<>();
         for (int i = 0; i < 300; i++) {
             List<SendAttempt> sends = burst(node, "q" + i + "-", 1);
             node.now += 50 * MS;
             for (SendAttempt send : sends) {
-                answered(
+                respondWithLoad(
                         node,
                         sends,
                         report(2, 40, 0.1, (double) (send.server() == 1 ? WORK : 4 * WORK)));
@@ -118,21 +123,21 @@
         double part = turns.get(1L) / (double) (turns.get(1L) + turns.get(2L));
         assertTrue(
                 part > 0.75 && part < 0.85,
-                "four times as fast has four of five turns, not " + part);
+                "a server four times as fast should get four of five requests, not " + part);
     }
 
     /**
-     * No answer came from an overrun server, so it stood at the mean of all and drew as many as
-     * before.
+     * An overloaded server sent no responses and so no load reports. Its load was estimated as the
+     * mean of all servers, and it got as many requests as before.
      */
     @Test
-    void whatRunsOutOfTimeTellsThatItsServerIsFull() {
-        TestNode node = told(1, 2, 5);
-        // One each: two that are out for long would show that it is silent, which is another
-        // guard's.
+    void aTimeoutShowsThatTheServerIsFull() {
+        TestNode node = nodeWithReports(1, 2, 5);
+        // One request for each server. Two attempts without a response would trigger the silence
+        // detector, which is not tested here.
         List<SendAttempt> sends = burst(node, "q", 2);
         node.now += SERVICE;
-        answered(
+        respondWithLoad(
                 node,
                 sends.stream().filter(send -> send.server() == 2).toList(),
                 report(5, 40, 0.5, WORK));
@@ -141,7 +146,7 @@
                 .filter(send -> send.server() == 1)
                 .forEach(
                         send ->
-                                node.on(
+                                node.deliver(
                                         new AttemptEnded(
                                                 send.id(),
                                                 0,
@@ -156,25 +161,27 @@
     }
 
     /**
-     * Each of twenty filled the free part of the one server that had some, and together they
-     * overran it.
+     * Each of twenty nodes filled the free capacity of the only server that had some, and together
+     * they overloaded it.
      */
     @Test
-    void manyNodesTogetherDoNotOverrunTheOneServerThatHasRoom() {
+    void manyNodesTogetherDoNotOverloadTheOnlyServerWithFreeCapacity() {
         int sent = 0;
         for (int i = 0; i < 20; i++) {
-            sent += burst(told(20, 1, 35), "q", 12).size();
+            sent += burst(nodeWithReports(20, 1, 35), "q", 12).size();
         }
-        assertTrue(sent >= 20 && sent <= 60, "five are free, and twenty nodes send " + sent);
+        assertTrue(
+                sent >= 20 && sent <= 60,
+                "the server has capacity for five more requests, twenty nodes sent " + sent);
     }
 
     /**
-     * A full server turns requests away at once: with nothing out the next trial followed in the
-     * instant.
+     * A full server rejects requests immediately. Without any outstanding attempts the node sent
+     * the next attempt at the same instant.
      */
     @Test
-    void aFullFleetIsTriedOnceInTheTimeOfARequest() {
-        TestNode node = told(1, 6, 60);
+    void aFullFleetGetsAtMostOneTrialPerServiceTime() {
+        TestNode node = nodeWithReports(1, 6, 60);
         Map<String, Integer> attempts = new HashMap<>();
         int sent = 0;
         List<SendAttempt> sends = burst(node, "q", 5);
@@ -183,9 +190,9 @@
             List<SendAttempt> next = new ArrayList<>();
             for (SendAttempt send : sends) {
                 next.addAll(
-                        TestNode.those(
+                        TestNode.ofType(
                                 SendAttempt.class,
-                                node.on(
+                                node.deliver(
                                         new AttemptEnded(
                                                 send.id(),
                                                 attempts.merge(send.id(), 1, Integer::sum) - 1,
@@ -196,29 +203,30 @@
                                                 LoadReport.NONE))));
             }
             node.now += 10 * MS;
-            next.addAll(TestNode.those(SendAttempt.class, node.after(0)));
+            next.addAll(TestNode.ofType(SendAttempt.class, node.after(0)));
             sends = next;
         }
-        assertTrue(sent <= 3, "sent " + sent + " to a fleet that is full");
+        assertTrue(sent <= 3, "sent " + sent + " requests to a full fleet");
     }
 
     /**
-     * With dozens out for each server a node spread them over the fleet, and heard of each too
-     * seldom.
+     * With dozens of outstanding attempts per server, a node spread them over the fleet and got
+     * load reports of each server too seldom.
      */
     @Test
-    void manyOutAtRoomyServersNeedNoMoreServers() {
-        TestNode node = told(60, 30, 2);
+    void manyAttemptsAtServersOfLargeCapacityDoNotEnlargeTheSubset() {
+        TestNode node = nodeWithReports(60, 30, 2);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 10; i++) {
             List<SendAttempt> sends = burst(node, i + "-", 40);
             if (i >= 4) {
-                // By now a window has ended.
+                // A measurement window has ended.
                 sends.forEach(send -> used.add(send.server()));
             }
             node.now += SERVICE;
-            answered(node, sends, report(2, 40, 0.5, WORK));
+            respondWithLoad(node, sends, report(2, 40, 0.5, WORK));
         }
-        assertTrue(used.size() <= 14, "a dozen of thirty servers, used " + used.size());
+        assertTrue(
+                used.size() <= 14, "expected about twelve of thirty servers, used " + used.size());
     }
 }
--- a/src/test/java/ottergauge/decision/DecisionEngineTest.java
+++ b/src/test/java/ottergauge/decision/DecisionEngineTest.java
@@ -52,12 +52,12 @@
 
     private static long probedServe(TestNode node, String id, long elapsed) {
         List<DecisionAction> actions = node.arrive(id);
-        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
-            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
+        while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
         }
-        SendAttempt send = TestNode.only(SendAttempt.class, actions);
+        SendAttempt send = TestNode.onlyOfType(SendAttempt.class, actions);
         node.now += elapsed;
-        node.on(
+        node.deliver(
                 new AttemptEnded(
                         id,
                         0,
@@ -72,7 +72,7 @@
     private static List<SendAttempt> burst(TestNode node, String prefix, int requests) {
         List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < requests; i++) {
-            sends.addAll(TestNode.those(SendAttempt.class, node.arrive(prefix + i)));
+            sends.addAll(TestNode.ofType(SendAttempt.class, node.arrive(prefix + i)));
         }
         return sends;
     }
@@ -90,15 +90,15 @@
     void aClassIsNotLockedOutByASpellOfTimeOuts() {
         TestNode node = warm(new TestSettings(), 2, 20, 50 * MS);
         for (int i = 0; i < 60; i++) {
-            List<SendAttempt> sends = TestNode.those(SendAttempt.class, node.arrive("t" + i));
+            List<SendAttempt> sends = TestNode.ofType(SendAttempt.class, node.arrive("t" + i));
             node.now += 998 * MS;
             for (SendAttempt s : sends) {
-                node.ended(s.id(), 0, s.server(), AttemptResult.TIMED_OUT, 998 * MS);
+                node.endAttempt(s.id(), 0, s.server(), AttemptResult.TIMED_OUT, 998 * MS);
             }
             node.after(4_000 * MS);
         }
         List<DecisionAction> actions = node.arrive("fresh");
-        assertEquals(0, TestNode.those(RejectRequest.class, actions).size(), "refused on arrival");
+        assertEquals(0, TestNode.ofType(RejectRequest.class, actions).size(), "refused on arrival");
     }
 
     @Test
@@ -107,11 +107,11 @@
         node.now += 1_000 * MS;
         long start = node.now;
         List<DecisionAction> actions = node.arrive("a");
-        while (TestNode.those(RejectRequest.class, actions).isEmpty()
+        while (TestNode.ofType(RejectRequest.class, actions).isEmpty()
                 && node.now < start + 2_000 * MS) {
             node.now += MS;
             actions =
-                    TestNode.those(SendProbe.class, actions).isEmpty()
+                    TestNode.ofType(SendProbe.class, actions).isEmpty()
                             ? node.after(0)
                             : node.probed(1, 5);
         }
@@ -121,20 +121,22 @@
 
     @Test
     void whatTheBacklogCannotReachInTimeIsRefusedOnArrival() {
-        TestNode node = new TestNode(TestSettings.hearing(1).build());
+        TestNode node = new TestNode(TestSettings.withPassiveReports(1).build());
         node.servers(1);
         List<SendAttempt> out =
-                new ArrayList<>(TestNode.those(SendAttempt.class, node.arrive("w")));
+                new ArrayList<>(TestNode.ofType(SendAttempt.class, node.arrive("w")));
         for (int i = 0; i < 40; i++) {
             SendAttempt next = out.remove(0);
             node.now += 100 * MS;
-            out.addAll(TestNode.those(SendAttempt.class, node.answered(next.id(), 1, 100 * MS, 0)));
-            out.addAll(TestNode.those(SendAttempt.class, node.arrive("a" + i)));
-            out.addAll(TestNode.those(SendAttempt.class, node.arrive("b" + i)));
+            out.addAll(
+                    TestNode.ofType(
+                            SendAttempt.class, node.respondWithLoad(next.id(), 1, 100 * MS, 0)));
+            out.addAll(TestNode.ofType(SendAttempt.class, node.arrive("a" + i)));
+            out.addAll(TestNode.ofType(SendAttempt.class, node.arrive("b" + i)));
         }
         int refused = 0;
         for (int i = 0; i < 40; i++) {
-            refused += TestNode.those(RejectRequest.class, node.arrive("c" + i)).size();
+            refused += TestNode.ofType(RejectRequest.class, node.arrive("c" + i)).size();
         }
         // At a send each 100 ms about nine of those that come now can be reached within their
         // second.
@@ -146,12 +148,12 @@
         TestNode node = warm(new TestSettings(), 2, 10, 50 * MS);
         // 900 ms of the 2 s are left: the first try began 1.1 s ago, past its aim of 1 s.
         RejectRequest refuse =
-                TestNode.only(
+                TestNode.onlyOfType(
                         RejectRequest.class, node.arrive("late", 0, node.now + 900 * MS, true));
         assertEquals(600 * MS, refuse.retryAfter());
         assertEquals(
                 1,
-                TestNode.those(
+                TestNode.ofType(
                                 SendAttempt.class,
                                 node.arrive("soon", 0, node.now + 1_900 * MS, true))
                         .size());
@@ -160,22 +162,22 @@
     @Test
     void anUnmarkedRepeatShowsByItsShorterTime() {
         TestSettings settings = new TestSettings();
-        settings.repeatsMarked = false;
+        settings.retriesMarked = false;
         TestNode node = warm(settings, 2, 10, 50 * MS);
         // Nothing was given up on: these are first tries of clients that will not wait for long.
         for (int i = 0; i < 2; i++) {
             assertEquals(
                     1,
-                    TestNode.those(
+                    TestNode.ofType(
                                     SendAttempt.class,
                                     node.arrive("short" + i, 0, node.now + 900 * MS, false))
                             .size());
-            node.on(new ClientDisconnected("short" + i));
+            node.deliver(new ClientDisconnected("short" + i));
         }
         // Two were: one that comes with less time left has most likely been here before.
         assertEquals(
                 1,
-                TestNode.those(
+                TestNode.ofType(
                                 RejectRequest.class,
                                 node.arrive("late", 0, node.now + 900 * MS, false))
                         .size());
@@ -186,9 +188,9 @@
         TestSettings settings = probing();
         settings.classes =
                 List.of(
-                        TestSettings.type(
+                        TestSettings.newRequestClass(
                                 "cheap", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
-                        TestSettings.type(
+                        TestSettings.newRequestClass(
                                 "dear", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 10));
         TestNode node = warm(settings, 1, 30, 100 * MS);
         node.now += 1_000 * MS;
@@ -196,10 +198,10 @@
         node.probed(1, 4);
         node.arrive("dear", 1, node.now + 2_000 * MS, false);
         List<DecisionAction> actions = List.of();
-        while (TestNode.those(SendProbe.class, actions).isEmpty()) {
+        while (TestNode.ofType(SendProbe.class, actions).isEmpty()) {
             actions = node.after(10 * MS);
         }
-        assertEquals("dear", TestNode.those(SendAttempt.class, node.probed(1, 0)).get(0).id());
+        assertEquals("dear", TestNode.ofType(SendAttempt.class, node.probed(1, 0)).get(0).id());
     }
 
     // ---- Another shape of deployment
@@ -231,12 +233,12 @@
         int[] probes = new int[2];
         for (int i = 0; i < 2; i++) {
             TestSettings settings = probing();
-            settings.round = i == 0 ? MS : 5 * MS;
+            settings.eventInterval = i == 0 ? MS : 5 * MS;
             TestNode node = warm(settings, 4, 30, 50 * MS);
             node.now += 1_000 * MS;
             probes[i] =
-                    TestNode.those(SendProbe.class, node.arrive("q")).size()
-                            + TestNode.those(SendProbe.class, node.after(5 * MS)).size();
+                    TestNode.ofType(SendProbe.class, node.arrive("q")).size()
+                            + TestNode.ofType(SendProbe.class, node.after(5 * MS)).size();
         }
         assertEquals(2, probes[0], "rounds of 1 ms: the next one is sounded");
         assertEquals(1, probes[1], "rounds of 5 ms: the answer is not due yet");
@@ -250,20 +252,21 @@
         Set<Long> mute = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             List<DecisionAction> actions = node.arrive("q" + i);
-            while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
-                long server = TestNode.only(SendProbe.class, actions).server();
+            while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
+                long server = TestNode.onlyOfType(SendProbe.class, actions).server();
                 long trip = server == 1 ? 20 * MS : MS;
                 node.now += trip - MS / 2;
-                if (i >= 20 && !TestNode.those(SendProbe.class, node.after(0)).isEmpty()) {
+                if (i >= 20 && !TestNode.ofType(SendProbe.class, node.after(0)).isEmpty()) {
                     mute.add(server);
                 }
                 node.now += MS / 2;
                 actions =
-                        node.on(new ProbeEnded(server, AttemptResult.SERVED, trip, TestNode.IDLE));
+                        node.deliver(
+                                new ProbeEnded(server, AttemptResult.SERVED, trip, TestNode.IDLE));
             }
-            SendAttempt send = TestNode.only(SendAttempt.class, actions);
+            SendAttempt send = TestNode.onlyOfType(SendAttempt.class, actions);
             node.now += 50 * MS;
-            node.ended("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
+            node.endAttempt("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
             node.now += 500 * MS;
         }
         assertEquals(Set.of(), mute);
@@ -278,11 +281,11 @@
         node.now += 1_000 * MS;
         long start = node.now;
         List<DecisionAction> actions = node.arrive("a");
-        while (TestNode.those(RejectRequest.class, actions).isEmpty()
+        while (TestNode.ofType(RejectRequest.class, actions).isEmpty()
                 && node.now < start + 2_000 * MS) {
             node.now += MS;
             actions =
-                    TestNode.those(SendProbe.class, actions).isEmpty()
+                    TestNode.ofType(SendProbe.class, actions).isEmpty()
                             ? node.after(0)
                             : node.probed(1, 5);
         }
@@ -298,18 +301,18 @@
         for (int held : new int[] {0, 1}) {
             TestNode node = warm(late(0.5), 2, 30, 100 * MS);
             List<DecisionAction> actions = node.arrive("a");
-            while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
-                actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
+            while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
+                actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
             }
-            long first = TestNode.only(SendAttempt.class, actions).server();
+            long first = TestNode.onlyOfType(SendAttempt.class, actions).server();
             node.now += 1_100 * MS;
-            actions = node.ended("a", 0, first, AttemptResult.ERROR, 1_100 * MS);
+            actions = node.endAttempt("a", 0, first, AttemptResult.ERROR, 1_100 * MS);
             assertEquals(
-                    0, TestNode.those(RejectRequest.class, actions).size(), "late worth is left");
-            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), held);
+                    0, TestNode.ofType(RejectRequest.class, actions).size(), "late worth is left");
+            actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), held);
             assertEquals(
                     held == 0 ? 1 : 0,
-                    TestNode.those(SendAttempt.class, actions).size(),
+                    TestNode.ofType(SendAttempt.class, actions).size(),
                     "held " + held);
         }
     }
@@ -328,19 +331,19 @@
             // rest.
             node.now += 2_000 * MS;
             for (int i = 0; i < 40; i++) {
-                node.on(new ProbeEnded(1, AttemptResult.SERVED, MS, busy));
+                node.deliver(new ProbeEnded(1, AttemptResult.SERVED, MS, busy));
             }
             int sent = 0;
             node.now += 1_000 * MS;
             for (int i = 0; i < 30; i++) {
                 List<DecisionAction> actions = node.arrive("w" + i);
-                if (!TestNode.those(SendProbe.class, actions).isEmpty()) {
+                if (!TestNode.ofType(SendProbe.class, actions).isEmpty()) {
                     actions = node.probed(1, 2);
                 }
-                for (SendAttempt send : TestNode.those(SendAttempt.class, actions)) {
+                for (SendAttempt send : TestNode.ofType(SendAttempt.class, actions)) {
                     sent++;
                     node.now += 100 * MS;
-                    node.ended(send.id(), 0, 1, AttemptResult.SERVED, 100 * MS);
+                    node.endAttempt(send.id(), 0, 1, AttemptResult.SERVED, 100 * MS);
                 }
                 node.now += 1_000 * MS;
             }
@@ -358,15 +361,16 @@
         for (int i = 0; i < 12; i++) {
             node.now += 1_000 * MS;
             List<DecisionAction> actions = node.arrive("q" + i);
-            for (int k = 0; k < 5 && TestNode.those(SendAttempt.class, actions).isEmpty(); k++) {
-                long server = TestNode.only(SendProbe.class, actions).server();
+            for (int k = 0; k < 5 && TestNode.ofType(SendAttempt.class, actions).isEmpty(); k++) {
+                long server = TestNode.onlyOfType(SendProbe.class, actions).server();
                 actions =
-                        node.on(new ProbeEnded(server, AttemptResult.SERVED, MS, LoadReport.NONE));
+                        node.deliver(
+                                new ProbeEnded(server, AttemptResult.SERVED, MS, LoadReport.NONE));
             }
-            SendAttempt send = TestNode.only(SendAttempt.class, actions);
+            SendAttempt send = TestNode.onlyOfType(SendAttempt.class, actions);
             used.add(send.server());
             node.now += 50 * MS;
-            node.ended("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
+            node.endAttempt("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
         }
         assertEquals(Set.of(1L, 2L, 3L), used);
     }
@@ -380,7 +384,7 @@
             node.arrive("q");
             assertEquals(
                     held == 1 ? 1 : 0,
-                    TestNode.those(SendAttempt.class, node.probed(1, held)).size(),
+                    TestNode.ofType(SendAttempt.class, node.probed(1, held)).size(),
                     "held " + held);
         }
     }
@@ -394,8 +398,8 @@
         TestNode node = warm(late(0.5), 3, 60, 900 * MS);
         node.now += 1_000 * MS;
         List<DecisionAction> actions = node.arrive("trial");
-        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
-            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
+        while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
         }
         int sent = 0;
         for (int i = 0; i < 40; i++) {
@@ -403,8 +407,8 @@
                     i == 0
                             ? node.arrive("q", 0, node.now + 2_000 * MS, false)
                             : node.after(10 * MS);
-            for (SendProbe probe : TestNode.those(SendProbe.class, actions)) {
-                sent += TestNode.those(SendAttempt.class, node.probed(probe.server(), 0)).size();
+            for (SendProbe probe : TestNode.ofType(SendProbe.class, actions)) {
+                sent += TestNode.ofType(SendAttempt.class, node.probed(probe.server(), 0)).size();
             }
         }
         assertTrue(sent <= 1, "sent " + sent);
@@ -418,14 +422,14 @@
     void aKeyComesToOneServerAndAllServersKeepTheirTurns() {
         for (boolean warm : new boolean[] {true, false}) {
             TestSettings settings = new TestSettings();
-            settings.warmKeys = warm;
+            settings.cacheAffinity = warm;
             TestNode node = new TestNode(settings.build());
             node.servers(4);
             int[][] sent = new int[9][5];
             SplittableRandom keys = new SplittableRandom(1);
             for (int i = 0; i < 400; i++) {
-                node.key = keys.nextInt(1, 9);
-                sent[(int) node.key][(int) node.serve("q" + i, 50 * MS)]++;
+                node.affinityKey = keys.nextInt(1, 9);
+                sent[(int) node.affinityKey][(int) node.serve("q" + i, 50 * MS)]++;
             }
             int[] turns = new int[5];
             int together = 0;
@@ -451,13 +455,13 @@
     void behindABusyFleetOnlyTheHeadOfTheLineSounds() {
         TestNode node = warm(probing(), 2, 30, 100 * MS);
         node.now += 1_000 * MS;
-        for (SendProbe probe : TestNode.those(SendProbe.class, node.arrive("head"))) {
-            TestNode.those(SendProbe.class, node.probed(probe.server(), 5))
+        for (SendProbe probe : TestNode.ofType(SendProbe.class, node.arrive("head"))) {
+            TestNode.ofType(SendProbe.class, node.probed(probe.server(), 5))
                     .forEach(p -> node.probed(p.server(), 5));
         }
         int probes = 0;
         for (int i = 0; i < 20; i++) {
-            probes += TestNode.those(SendProbe.class, node.arrive("q" + i)).size();
+            probes += TestNode.ofType(SendProbe.class, node.arrive("q" + i)).size();
         }
         assertEquals(0, probes, "every server is known to be busy");
     }
@@ -470,10 +474,10 @@
         for (boolean longAgo : new boolean[] {false, true}) {
             TestNode node = warm(probing(), 3, 30, 50 * MS);
             node.now += 1_000 * MS;
-            SendProbe first = TestNode.only(SendProbe.class, node.arrive("q"));
+            SendProbe first = TestNode.onlyOfType(SendProbe.class, node.arrive("q"));
             node.now += longAgo ? 101 * MS : MS;
             List<DecisionAction> actions = node.probed(first.server(), 1);
-            int sent = TestNode.those(SendAttempt.class, actions).size();
+            int sent = TestNode.ofType(SendAttempt.class, actions).size();
             assertEquals(longAgo ? 1 : 0, sent, "after a tenth of its aim: " + longAgo);
         }
     }
@@ -484,7 +488,7 @@
         TestNode node = new TestNode(probing().build());
         node.servers(1);
         for (int i = 0; i < 40; i++) {
-            node.on(
+            node.deliver(
                     new ProbeEnded(
                             1, AttemptResult.SERVED, MS, new LoadReport(9, Double.NaN, 0.3, 0, 0)));
         }
@@ -494,7 +498,9 @@
         node.now += 1_000 * MS;
         node.arrive("q");
         assertEquals(
-                0, TestNode.those(SendAttempt.class, node.probed(1, 4)).size(), "sent behind four");
+                0,
+                TestNode.ofType(SendAttempt.class, node.probed(1, 4)).size(),
+                "sent behind four");
     }
 
     /** An eighth of the answers lost for good made every server too slow for any request. */
@@ -503,25 +509,25 @@
         TestNode node = warm(probing(), 2, 60, 100 * MS);
         for (int i = 0; i < 3; i++) {
             List<DecisionAction> actions = node.arrive("lost" + i);
-            while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
-                actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
+            while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
+                actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
             }
             node.now += 1_990 * MS;
-            node.ended(
+            node.endAttempt(
                     "lost" + i,
                     0,
-                    TestNode.only(SendAttempt.class, actions).server(),
+                    TestNode.onlyOfType(SendAttempt.class, actions).server(),
                     AttemptResult.TIMED_OUT,
                     1_990 * MS);
         }
         node.now += 1_000 * MS;
         List<DecisionAction> actions = node.arrive("q", 0, node.now + 2_000 * MS, false);
-        for (int i = 0; i < 2 && TestNode.those(SendAttempt.class, actions).isEmpty(); i++) {
-            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 1);
+        for (int i = 0; i < 2 && TestNode.ofType(SendAttempt.class, actions).isEmpty(); i++) {
+            actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 1);
         }
         assertEquals(
                 1,
-                TestNode.those(SendAttempt.class, actions).size(),
+                TestNode.ofType(SendAttempt.class, actions).size(),
                 "behind one there is time enough");
     }
 
@@ -534,16 +540,16 @@
         for (boolean losing : new boolean[] {true, false}) {
             TestNode node = warm(new TestSettings(), 8, 60, 50 * MS);
             for (int i = 0; losing && i < 4; i++) {
-                SendAttempt send = TestNode.only(SendAttempt.class, node.arrive("lost" + i));
-                node.ended("lost" + i, 0, send.server(), AttemptResult.TIMED_OUT, 60 * MS);
-                node.on(new ClientDisconnected("lost" + i));
+                SendAttempt send = TestNode.onlyOfType(SendAttempt.class, node.arrive("lost" + i));
+                node.endAttempt("lost" + i, 0, send.server(), AttemptResult.TIMED_OUT, 60 * MS);
+                node.deliver(new ClientDisconnected("lost" + i));
             }
             node.arrive("q");
             int cancels = 0;
             for (int i = 0; i < 20; i++) {
                 cancels +=
                         (int)
-                                TestNode.those(CancelAttempt.class, node.after(25 * MS)).stream()
+                                TestNode.ofType(CancelAttempt.class, node.after(25 * MS)).stream()
                                         .filter(c -> "q".equals(c.id()))
                                         .count();
             }
@@ -560,18 +566,18 @@
             TestSettings settings = probing();
             settings.classes =
                     List.of(
-                            TestSettings.type(
+                            TestSettings.newRequestClass(
                                     Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
             TestNode node = warm(settings, 1, 30, 50 * MS);
             for (int i = 0; i < breaks; i++) {
                 assertEquals(1, probedSend(node, "broken" + i));
                 node.now += 10 * MS;
-                node.ended("broken" + i, 0, 1, AttemptResult.RESET, 10 * MS);
+                node.endAttempt("broken" + i, 0, 1, AttemptResult.RESET, 10 * MS);
             }
             List<DecisionAction> next = node.arrive("q");
             boolean used =
-                    !TestNode.those(SendProbe.class, next).isEmpty()
-                            || !TestNode.those(SendAttempt.class, next).isEmpty();
+                    !TestNode.ofType(SendProbe.class, next).isEmpty()
+                            || !TestNode.ofType(SendAttempt.class, next).isEmpty();
             assertEquals(breaks == 1, used, "after " + breaks);
         }
     }
@@ -594,7 +600,7 @@
                 node.now += 5 * MS;
                 send =
                         first(
-                                node.ended(
+                                node.endAttempt(
                                         id,
                                         attempt,
                                         send.server(),
@@ -606,11 +612,11 @@
                 node.after(node.settings.requestClasses().get(0).deadline());
             } else {
                 node.now += 50 * MS;
-                node.ended(id, attempt, send.server(), AttemptResult.SERVED, 50 * MS);
+                node.endAttempt(id, attempt, send.server(), AttemptResult.SERVED, 50 * MS);
             }
         }
         assertTrue(
-                TestNode.those(RejectRequest.class, node.all).isEmpty(),
+                TestNode.ofType(RejectRequest.class, node.allActions).isEmpty(),
                 "refused for want of a budget");
         assertTrue(late < 10, late + " of 300 were held back");
     }
@@ -630,7 +636,7 @@
                 node.now += 5 * MS;
                 send =
                         first(
-                                node.ended(
+                                node.endAttempt(
                                         "r" + i,
                                         0,
                                         send.server(),
@@ -638,10 +644,11 @@
                                         5 * MS));
             }
             node.now += 50 * MS;
-            node.ended("r" + i, i % 7 == 0 ? 1 : 0, send.server(), AttemptResult.SERVED, 50 * MS);
+            node.endAttempt(
+                    "r" + i, i % 7 == 0 ? 1 : 0, send.server(), AttemptResult.SERVED, 50 * MS);
         }
         SendAttempt twice = first(node.arrive("a"));
-        node.ended("a", 0, twice.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
+        node.endAttempt("a", 0, twice.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
         node.now += 200 * MS;
         int failed = 1;
         int sends = 0;
@@ -652,7 +659,7 @@
             if (send != null) {
                 sends += send.server() == twice.server() ? 1 : 0;
                 node.now += 5 * MS;
-                node.ended(
+                node.endAttempt(
                         "b" + i,
                         0,
                         send.server(),
@@ -668,7 +675,7 @@
     void aServerThatAloneCannotBeReachedIsColdWhenItIsBack() {
         TestNode node = warm(new TestSettings(), 8, 30, 50 * MS);
         SendAttempt lost = first(node.arrive("a"));
-        node.ended("a", 0, lost.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
+        node.endAttempt("a", 0, lost.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
         int sends = 0;
         for (int i = 0; i < 400; i++) {
             node.now += 10 * MS;
@@ -676,23 +683,23 @@
             if (send != null) {
                 sends += send.server() == lost.server() ? 1 : 0;
                 node.now += 5 * MS;
-                node.ended("b" + i, 0, send.server(), AttemptResult.SERVED, 5 * MS);
+                node.endAttempt("b" + i, 0, send.server(), AttemptResult.SERVED, 5 * MS);
             }
         }
         assertTrue(sends < 40, sends + " of 400, an eighth is 50");
     }
 
     private static SendAttempt first(List<DecisionAction> actions) {
-        return TestNode.those(SendAttempt.class, actions).stream().findFirst().orElse(null);
+        return TestNode.ofType(SendAttempt.class, actions).stream().findFirst().orElse(null);
     }
 
     /** Sends a request, its server idle by its probe, and returns the server without an answer. */
     private static long probedSend(TestNode node, String id) {
         List<DecisionAction> actions = node.arrive(id);
-        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
-            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
+        while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
         }
-        return TestNode.only(SendAttempt.class, actions).server();
+        return TestNode.onlyOfType(SendAttempt.class, actions).server();
     }
 
     // ---- Silence
@@ -704,7 +711,7 @@
         node.arrive("costly");
         int cancels = 0;
         for (int i = 0; i < 30; i++) {
-            cancels += TestNode.those(CancelAttempt.class, node.after(25 * MS)).size();
+            cancels += TestNode.ofType(CancelAttempt.class, node.after(25 * MS)).size();
         }
         assertEquals(0, cancels);
     }
@@ -718,13 +725,13 @@
             if (s.server() == silent) {
                 stuck.add(s);
             } else {
-                node.ended(s.id(), 0, s.server(), AttemptResult.SERVED, 50 * MS);
+                node.endAttempt(s.id(), 0, s.server(), AttemptResult.SERVED, 50 * MS);
             }
         }
         assertTrue(stuck.size() >= 2, "out at the silent server: " + stuck);
         Set<String> cancelled = new HashSet<>();
         for (int i = 0; i < 20; i++) {
-            TestNode.those(CancelAttempt.class, node.after(25 * MS))
+            TestNode.ofType(CancelAttempt.class, node.after(25 * MS))
                     .forEach(c -> cancelled.add(c.id()));
         }
         assertTrue(
@@ -732,9 +739,9 @@
                 "cancelled " + cancelled);
         for (SendAttempt s : stuck) {
             SendAttempt again =
-                    TestNode.only(
+                    TestNode.onlyOfType(
                             SendAttempt.class,
-                            node.ended(s.id(), 0, silent, AttemptResult.CANCELLED, 500 * MS));
+                            node.endAttempt(s.id(), 0, silent, AttemptResult.CANCELLED, 500 * MS));
             assertNotEquals(silent, again.server());
         }
     }
@@ -749,18 +756,19 @@
             for (int i = 0; i < 400; i++) {
                 List<DecisionAction> actions = node.arrive("e" + i);
                 for (int attempt = 0; !actions.isEmpty(); ) {
-                    List<SendAttempt> sends = TestNode.those(SendAttempt.class, actions);
+                    List<SendAttempt> sends = TestNode.ofType(SendAttempt.class, actions);
                     if (sends.isEmpty()) {
-                        List<SendProbe> asked = TestNode.those(SendProbe.class, actions);
+                        List<SendProbe> asked = TestNode.ofType(SendProbe.class, actions);
                         actions =
                                 asked.isEmpty() ? List.of() : node.probed(asked.get(0).server(), 0);
                     } else if (sends.get(0).server() == 1) {
                         onFailing++;
                         node.now += 2 * MS;
-                        actions = node.ended("e" + i, attempt++, 1, AttemptResult.ERROR, 2 * MS);
+                        actions =
+                                node.endAttempt("e" + i, attempt++, 1, AttemptResult.ERROR, 2 * MS);
                     } else {
                         node.now += 50 * MS;
-                        node.ended(
+                        node.endAttempt(
                                 "e" + i,
                                 attempt,
                                 sends.get(0).server(),
@@ -782,10 +790,10 @@
     void aServerReportedBusyIsSkippedAndAnIdleOneTaken() {
         TestNode node = warm(probing(), 3, 30, 50 * MS);
         node.now += 1_000 * MS;
-        SendProbe first = TestNode.only(SendProbe.class, node.arrive("q"));
-        SendProbe second = TestNode.only(SendProbe.class, node.probed(first.server(), 2));
+        SendProbe first = TestNode.onlyOfType(SendProbe.class, node.arrive("q"));
+        SendProbe second = TestNode.onlyOfType(SendProbe.class, node.probed(first.server(), 2));
         assertNotEquals(first.server(), second.server());
-        SendAttempt send = TestNode.only(SendAttempt.class, node.probed(second.server(), 0));
+        SendAttempt send = TestNode.onlyOfType(SendAttempt.class, node.probed(second.server(), 0));
         assertEquals(second.server(), send.server());
     }
 
@@ -793,25 +801,25 @@
     void aServerThatDoesNotAnswerAProbeIsPassedOver() {
         TestNode node = warm(probing(), 3, 30, 50 * MS);
         node.now += 1_000 * MS;
-        SendProbe first = TestNode.only(SendProbe.class, node.arrive("q"));
-        SendProbe second = TestNode.only(SendProbe.class, node.after(20 * MS));
+        SendProbe first = TestNode.onlyOfType(SendProbe.class, node.arrive("q"));
+        SendProbe second = TestNode.onlyOfType(SendProbe.class, node.after(20 * MS));
         assertNotEquals(first.server(), second.server());
-        node.on(
+        node.deliver(
                 new ProbeEnded(
                         first.server(), AttemptResult.CONNECT_FAILED, 20 * MS, LoadReport.NONE));
         assertEquals(
                 second.server(),
-                TestNode.only(SendAttempt.class, node.probed(second.server(), 0)).server());
+                TestNode.onlyOfType(SendAttempt.class, node.probed(second.server(), 0)).server());
     }
 
     @Test
     void oneProbeThatFailedBarsNoServerAndTwoDo() {
         TestNode node = warm(probing(), 1, 30, 50 * MS);
         node.now += 1_000 * MS;
-        long server = TestNode.only(SendProbe.class, node.arrive("q")).server();
+        long server = TestNode.onlyOfType(SendProbe.class, node.arrive("q")).server();
         ProbeEnded failed = new ProbeEnded(server, AttemptResult.ERROR, MS, LoadReport.NONE);
-        assertEquals(server, TestNode.only(SendProbe.class, node.on(failed)).server());
-        assertEquals(List.of(), TestNode.those(SendProbe.class, node.on(failed)));
+        assertEquals(server, TestNode.onlyOfType(SendProbe.class, node.deliver(failed)).server());
+        assertEquals(List.of(), TestNode.ofType(SendProbe.class, node.deliver(failed)));
     }
 
     @Test
@@ -823,11 +831,11 @@
         node.now += 1_000 * MS;
         List<DecisionAction> actions = node.arrive("q");
         for (int i = 0; i < 2; i++) {
-            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 1);
+            actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 1);
         }
         assertEquals(
                 0,
-                TestNode.those(SendAttempt.class, actions).size(),
+                TestNode.ofType(SendAttempt.class, actions).size(),
                 "700 ms behind 700 ms do not fit in 1 s");
     }
 
@@ -838,47 +846,50 @@
     void anUnsafeRequestThatMayHaveRunFailsAndOneThatNeverRanIsSentAgain() {
         TestSettings settings = new TestSettings();
         settings.classes =
-                List.of(TestSettings.type(Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
+                List.of(
+                        TestSettings.newRequestClass(
+                                Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
         TestNode node = warm(settings, 3, 10, 50 * MS);
-        SendAttempt first = TestNode.only(SendAttempt.class, node.arrive("a"));
+        SendAttempt first = TestNode.onlyOfType(SendAttempt.class, node.arrive("a"));
         SendAttempt again =
-                TestNode.only(
+                TestNode.onlyOfType(
                         SendAttempt.class,
-                        node.ended("a", 0, first.server(), AttemptResult.REJECTED, MS));
+                        node.endAttempt("a", 0, first.server(), AttemptResult.REJECTED, MS));
         assertNotEquals(first.server(), again.server());
         assertEquals(
                 1,
-                TestNode.those(
+                TestNode.ofType(
                                 FailRequest.class,
-                                node.ended("a", 1, again.server(), AttemptResult.RESET, MS))
+                                node.endAttempt("a", 1, again.server(), AttemptResult.RESET, MS))
                         .size());
     }
 
     @Test
     void aKeyedRequestStaysInItsZoneAndItsWindow() {
         TestSettings settings = new TestSettings();
-        settings.classes = List.of(TestSettings.type(Idempotency.KEYED, DeduplicationScope.ZONE));
+        settings.classes =
+                List.of(TestSettings.newRequestClass(Idempotency.KEYED, DeduplicationScope.ZONE));
         TestNode node = warm(settings, 4, 10, 50 * MS);
-        SendAttempt first = TestNode.only(SendAttempt.class, node.arrive("a"));
+        SendAttempt first = TestNode.onlyOfType(SendAttempt.class, node.arrive("a"));
         SendAttempt again =
-                TestNode.only(
+                TestNode.onlyOfType(
                         SendAttempt.class,
-                        node.ended("a", 0, first.server(), AttemptResult.ERROR, MS));
+                        node.endAttempt("a", 0, first.server(), AttemptResult.ERROR, MS));
         assertEquals(first.server() % 2, again.server() % 2);
         node.now += 800 * MS;
         assertEquals(
                 1,
-                TestNode.those(
+                TestNode.ofType(
                                 FailRequest.class,
-                                node.ended("a", 1, again.server(), AttemptResult.ERROR, MS))
+                                node.endAttempt("a", 1, again.server(), AttemptResult.ERROR, MS))
                         .size());
     }
 
     @Test
     void nothingGoesToAServerThatDrainsOrIsGone() {
         TestNode node = warm(new TestSettings(), 3, 10, 50 * MS);
-        node.change(1, EndpointState.DRAINING, 0);
-        node.change(2, EndpointState.REMOVED, 0);
+        node.updateServer(1, EndpointState.DRAINING, 0);
+        node.updateServer(2, EndpointState.REMOVED, 0);
         for (int i = 0; i < 10; i++) {
             assertEquals(3, node.serve("q" + i, 10 * MS));
         }
@@ -889,7 +900,7 @@
         TestSettings settings = probing();
         settings.nodes = 3;
         TestNode node = warm(settings, 2, 40, 100 * MS);
-        node.change(1, EndpointState.UP, node.now);
+        node.updateServer(1, EndpointState.UP, node.now);
         int sent = 0;
         long end = node.now + 1_000 * MS;
         for (int i = 0; node.now < end; i++) {
@@ -905,7 +916,7 @@
         for (int quick = 0; quick < 2; quick++) {
             TestNode node = warm(probing(), 2, 60, 100 * MS);
             node.now += 2_000 * MS;
-            node.change(1, EndpointState.UP, node.now);
+            node.updateServer(1, EndpointState.UP, node.now);
             // By age alone the server can do a fifth to two fifths of a warm one's work.
             node.now += 3_000 * MS;
             for (int i = 0; i < 40; i++) {
@@ -922,16 +933,16 @@
      */
     private static long coldServe(TestNode node, String id, long elapsed) {
         List<DecisionAction> actions = node.arrive(id, 0, node.now + 1_500 * MS, true);
-        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
-            List<SendProbe> probes = TestNode.those(SendProbe.class, actions);
+        while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
+            List<SendProbe> probes = TestNode.ofType(SendProbe.class, actions);
             if (probes.isEmpty()) {
                 return 0;
             }
             actions = node.probed(probes.get(0).server(), probes.get(0).server() == 2 ? 3 : 0);
         }
-        SendAttempt send = TestNode.only(SendAttempt.class, actions);
+        SendAttempt send = TestNode.onlyOfType(SendAttempt.class, actions);
         node.now += elapsed;
-        node.on(
+        node.deliver(
                 new AttemptEnded(
                         id,
                         0,
@@ -946,14 +957,14 @@
     @Test
     void nothingIsSentAfterTheClientHasGone() {
         TestNode node = warm(new TestSettings(), 3, 10, 50 * MS);
-        SendAttempt send = TestNode.only(SendAttempt.class, node.arrive("a"));
-        node.on(new ClientDisconnected("a"));
+        SendAttempt send = TestNode.onlyOfType(SendAttempt.class, node.arrive("a"));
+        node.deliver(new ClientDisconnected("a"));
         List<DecisionAction> later =
-                node.ended("a", 0, send.server(), AttemptResult.RESET, 50 * MS);
+                node.endAttempt("a", 0, send.server(), AttemptResult.RESET, 50 * MS);
         assertEquals(
                 0,
-                TestNode.those(SendAttempt.class, later).size()
-                        + TestNode.those(RejectRequest.class, later).size());
+                TestNode.ofType(SendAttempt.class, later).size()
+                        + TestNode.ofType(RejectRequest.class, later).size());
     }
 
     @Test
@@ -961,13 +972,14 @@
         TestSettings settings = new TestSettings();
         settings.maxAttempts = 2;
         TestNode node = warm(settings, 4, 10, 50 * MS);
-        SendAttempt first = TestNode.only(SendAttempt.class, node.arrive("a"));
+        SendAttempt first = TestNode.onlyOfType(SendAttempt.class, node.arrive("a"));
         SendAttempt second =
-                TestNode.only(
+                TestNode.onlyOfType(
                         SendAttempt.class,
-                        node.ended("a", 0, first.server(), AttemptResult.REJECTED, MS));
-        List<DecisionAction> last = node.ended("a", 1, second.server(), AttemptResult.REJECTED, MS);
-        assertEquals(1, TestNode.those(RejectRequest.class, last).size());
+                        node.endAttempt("a", 0, first.server(), AttemptResult.REJECTED, MS));
+        List<DecisionAction> last =
+                node.endAttempt("a", 1, second.server(), AttemptResult.REJECTED, MS);
+        assertEquals(1, TestNode.ofType(RejectRequest.class, last).size());
     }
 
     @Test
@@ -977,8 +989,8 @@
         node.now += 7 * MS;
         long giveUpAt = node.now + 601 * MS;
         List<DecisionAction> actions = node.arrive("a", 0, giveUpAt, false);
-        while (TestNode.those(RejectRequest.class, actions).isEmpty()) {
-            List<SetTimer> timers = TestNode.those(SetTimer.class, node.all);
+        while (TestNode.ofType(RejectRequest.class, actions).isEmpty()) {
+            List<SetTimer> timers = TestNode.ofType(SetTimer.class, node.allActions);
             actions = node.after(timers.get(timers.size() - 1).delay());
         }
         assertTrue(
@@ -992,7 +1004,7 @@
     @Test
     void aFailedListCallIsRepeatedAfterAGrowingWait() {
         TestSettings settings = new TestSettings();
-        settings.discovery = DiscoveryMode.POLL;
+        settings.discoveryMode = DiscoveryMode.POLL;
         TestNode node = new TestNode(settings.build());
         node.servers(1);
         List<Long> waits = new ArrayList<>();
@@ -1000,10 +1012,10 @@
             long from = node.now;
             boolean asked = false;
             while (!asked) {
-                asked = !TestNode.those(WatchEndpoints.class, node.after(10 * MS)).isEmpty();
+                asked = !TestNode.ofType(WatchEndpoints.class, node.after(10 * MS)).isEmpty();
             }
             waits.add(node.now - from);
-            node.on(new DiscoveryFailed());
+            node.deliver(new DiscoveryFailed());
         }
         assertTrue(waits.get(0) <= 210 * MS, "first asked after " + waits);
         assertTrue(waits.get(1) >= 250 * MS && waits.get(3) > waits.get(1), "waits " + waits);
@@ -1015,6 +1027,6 @@
         node.servers(0);
         node.arrive("a");
         node.after(999 * MS);
-        assertEquals(1, TestNode.those(RejectRequest.class, node.all).size());
+        assertEquals(1, TestNode.ofType(RejectRequest.class, node.allActions).size());
     }
 }
--- a/src/test/java/ottergauge/decision/EjectedServersTest.java
+++ b/src/test/java/ottergauge/decision/EjectedServersTest.java
@@ -14,7 +14,8 @@
 import ottergauge.decision.api.EndpointStatus;
 
 /**
- * Errors bar a server only while the barred ones of the list are under half of the node's servers.
+ * Errors eject a server only while fewer than half of the node's servers are ejected. Only listed
+ * servers count.
  */
 class EjectedServersTest {
 
@@ -29,75 +30,75 @@
         node.servers(SERVERS);
     }
 
-    /** All that is sent for so many requests fails. */
+    /** Sends requests whose attempts all fail with an error. */
     private void fail(int requests) {
         for (int i = 0; i < requests; i++) {
             String id = "r" + ++lastRequest;
             List<DecisionAction> actions = node.arrive(id);
             for (int attempt = 0;
-                    !TestNode.those(SendAttempt.class, actions).isEmpty();
+                    !TestNode.ofType(SendAttempt.class, actions).isEmpty();
                     attempt++) {
-                long server = TestNode.only(SendAttempt.class, actions).server();
+                long server = TestNode.onlyOfType(SendAttempt.class, actions).server();
                 node.now += MS;
-                actions = node.ended(id, attempt, server, AttemptResult.ERROR, MS);
+                actions = node.endAttempt(id, attempt, server, AttemptResult.ERROR, MS);
             }
         }
     }
 
-    private List<Long> barred() {
+    private List<Long> ejected() {
         return LongStream.rangeClosed(1, SERVERS)
                 .boxed()
-                .filter(id -> node.decide.endpointStatus(node.now, id) == EndpointStatus.EJECTED)
+                .filter(id -> node.engine.endpointStatus(node.now, id) == EndpointStatus.EJECTED)
                 .toList();
     }
 
     @Test
-    void noMoreThanHalfOfThemAreBarredForErrors() {
+    void errorsEjectAtMostHalfOfTheServers() {
         fail(20);
-        assertEquals(HALF, barred().size());
+        assertEquals(HALF, ejected().size());
         fail(20);
-        assertEquals(HALF, barred().size());
+        assertEquals(HALF, ejected().size());
     }
 
     @Test
-    void aServerWhoseBarIsOverCountsNoMore() {
+    void aServerWhoseEjectionHasEndedIsNotCounted() {
         fail(20);
         node.now += 10_000 * MS;
-        assertEquals(0, barred().size());
+        assertEquals(0, ejected().size());
         fail(20);
-        assertEquals(HALF, barred().size());
+        assertEquals(HALF, ejected().size());
     }
 
     @Test
-    void aBarredServerThatLeavesTheListCountsNoMore() {
+    void anEjectedServerThatIsRemovedFromTheListIsNotCounted() {
         fail(20);
-        barred().forEach(id -> node.change(id, EndpointState.REMOVED, 0));
-        assertEquals(0, barred().size());
+        ejected().forEach(id -> node.updateServer(id, EndpointState.REMOVED, 0));
+        assertEquals(0, ejected().size());
         fail(20);
-        assertEquals(HALF / 2, barred().size(), "of those that are left");
+        assertEquals(HALF / 2, ejected().size(), "of those that are left");
     }
 
-    /** What was out at a server when it left may fail after that. */
+    /** An attempt that was outstanding when its server was removed may fail afterwards. */
     @Test
-    void aServerThatFailsAfterItHasLeftDoesNotCount() {
+    void aServerThatFailsAfterItsRemovalIsNotCounted() {
         for (int i = 0; i < HALF; i++) {
-            SendAttempt send = TestNode.only(SendAttempt.class, node.arrive("left-" + i));
-            node.change(send.server(), EndpointState.REMOVED, 0);
+            SendAttempt send = TestNode.onlyOfType(SendAttempt.class, node.arrive("left-" + i));
+            node.updateServer(send.server(), EndpointState.REMOVED, 0);
             node.now += MS;
-            node.ended(send.id(), 0, send.server(), AttemptResult.CONNECT_FAILED, MS);
-            node.on(new ClientDisconnected(send.id()));
+            node.endAttempt(send.id(), 0, send.server(), AttemptResult.CONNECT_FAILED, MS);
+            node.deliver(new ClientDisconnected(send.id()));
         }
         fail(20);
-        assertEquals(HALF / 2, barred().size(), "of those that are left");
+        assertEquals(HALF / 2, ejected().size(), "of those that are left");
     }
 
-    /** Its bar ends with its restart: the next one may be barred for that. */
+    /** A restart ends the ejection, so that another server may be ejected. */
     @Test
-    void aBarredServerThatRestartsCountsNoMore() {
+    void anEjectedServerThatRestartsIsNotCounted() {
         fail(20);
-        barred().stream().skip(1).forEach(id -> node.change(id, EndpointState.UP, node.now));
-        assertEquals(1, barred().size());
+        ejected().stream().skip(1).forEach(id -> node.updateServer(id, EndpointState.UP, node.now));
+        assertEquals(1, ejected().size());
         fail(20);
-        assertEquals(HALF, barred().size());
+        assertEquals(HALF, ejected().size());
     }
 }
--- a/src/test/java/ottergauge/decision/EndpointListCostTest.java
+++ b/src/test/java/ottergauge/decision/EndpointListCostTest.java
@@ -15,8 +15,9 @@
 import ottergauge.decision.api.UpdateScope;
 
 /**
- * What happens once costs by what happened and not by the list: the number of servers looked at, as
- * a count. Eight times as many servers are three more halvings of them.
+ * Checks that the cost of an event depends on the event and not on the length of the endpoint list.
+ * The cost is measured as the number of servers visited. Eight times as many servers add three
+ * levels to a balanced binary tree.
  */
 class EndpointListCostTest {
 
@@ -24,10 +25,12 @@
     private static final int SMALL = 1_000;
     private static final int LARGE = 8_000;
     private static final int TIMES = 100;
-    // So few that the subset is as large as it gets, whatever the list.
+    // With this small number of nodes the subset has its maximum size for both lists.
     private static final int NODES = 50;
-    // The logarithm of 8,000 is 1.3 times that of 1,000; the rest is how the trees happen to lie.
-    private static final double MOST_GROWTH = 1.6;
+    // The logarithm of 8,000 is 1.3 times that of 1,000. The rest allows for the random shape of
+    // the
+    // trees.
+    private static final double MAX_GROWTH = 1.6;
 
     private static TestNode node(int servers) {
         TestSettings settings = new TestSettings();
@@ -38,85 +41,82 @@
         return node;
     }
 
-    /** The mean number of servers looked at by what is done at a node that has so many. */
-    private static double visits(int servers, ObjIntConsumer<TestNode> done) {
+    /** Returns the mean number of servers that an operation visits at a node with such a list. */
+    private static double visits(int servers, ObjIntConsumer<TestNode> operation) {
         TestNode node = node(servers);
-        long before = node.decide.serverVisits();
+        long before = node.engine.serverVisits();
         for (int i = 0; i < TIMES; i++) {
-            done.accept(node, i);
+            operation.accept(node, i);
         }
-        return (node.decide.serverVisits() - before) / (double) TIMES;
+        return (node.engine.serverVisits() - before) / (double) TIMES;
     }
 
-    private static void hardlyGrows(ObjIntConsumer<TestNode> done) {
-        double small = visits(SMALL, done);
-        double large = visits(LARGE, done);
+    private static void assertHardlyGrows(ObjIntConsumer<TestNode> operation) {
+        double small = visits(SMALL, operation);
+        double large = visits(LARGE, operation);
         assertTrue(
-                large <= MOST_GROWTH * small + 1,
-                "looked at " + small + " of " + SMALL + ", at " + large + " of " + LARGE);
+                large <= MAX_GROWTH * small + 1,
+                "visited " + small + " of " + SMALL + " servers, and " + large + " of " + LARGE);
     }
 
-    /**
-     * Guards against counts that miss what a list is held in: a whole list does look at all of
-     * them.
-     */
+    /** Guards against a count that misses visits: a full endpoint update does visit all servers. */
     @Test
-    void theCountSeesAWalkOverAllServers() {
+    void theCountIncludesAVisitOfAllServers() {
         TestNode node = node(LARGE);
-        long before = node.decide.serverVisits();
+        long before = node.engine.serverVisits();
         node.servers(LARGE);
-        assertTrue(node.decide.serverVisits() - before >= LARGE, "not counted");
+        assertTrue(node.engine.serverVisits() - before >= LARGE, "the visits weren't counted");
     }
 
     @Test
-    void oneChangeOfTheList() {
-        hardlyGrows((node, i) -> node.change(1 + 7 * i, EndpointState.DRAINING, 0));
-        hardlyGrows((node, i) -> node.change(1 + 7 * i, EndpointState.REMOVED, 0));
-        hardlyGrows((node, i) -> node.change(1 + 7 * i, EndpointState.UP, node.now));
-        hardlyGrows((node, i) -> node.change(100_000 + i, EndpointState.UP, node.now));
+    void anIncrementalUpdateOfOneServer() {
+        assertHardlyGrows((node, i) -> node.updateServer(1 + 7 * i, EndpointState.DRAINING, 0));
+        assertHardlyGrows((node, i) -> node.updateServer(1 + 7 * i, EndpointState.REMOVED, 0));
+        assertHardlyGrows((node, i) -> node.updateServer(1 + 7 * i, EndpointState.UP, node.now));
+        assertHardlyGrows((node, i) -> node.updateServer(100_000 + i, EndpointState.UP, node.now));
     }
 
-    /** A lost zone: what it costs goes by how many are named, wherever the others are. */
+    /** When a zone is lost, the cost depends only on the number of servers in the update. */
     @Test
-    void aChangeOfManyServersAtOnce() {
-        hardlyGrows(
+    void anIncrementalUpdateOfManyServers() {
+        assertHardlyGrows(
                 (node, i) -> {
                     List<Endpoint> lost = new ArrayList<>();
                     for (int k = 0; k < 5; k++) {
                         lost.add(TestNode.server(1 + 5 * i + k, EndpointState.REMOVED, 0));
                     }
-                    node.on(new EndpointUpdate(UpdateScope.INCREMENTAL, lost));
+                    node.deliver(new EndpointUpdate(UpdateScope.INCREMENTAL, lost));
                 });
     }
 
     @Test
-    void aRequestItsAnswerAndItsFailures() {
-        hardlyGrows((node, i) -> node.serve("r" + i, MS));
-        hardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.ERROR));
-        hardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.REJECTED));
-        hardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.CONNECT_FAILED));
+    void aRequestItsResponseAndItsFailures() {
+        assertHardlyGrows((node, i) -> node.serve("r" + i, MS));
+        assertHardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.ERROR));
+        assertHardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.REJECTED));
+        assertHardlyGrows((node, i) -> fail(node, "r" + i, AttemptResult.CONNECT_FAILED));
     }
 
     private static void fail(TestNode node, String id, AttemptResult result) {
         node.now += 500 * MS;
-        for (SendAttempt send : TestNode.those(SendAttempt.class, node.arrive(id))) {
-            node.ended(id, 0, send.server(), result, MS);
+        for (SendAttempt send : TestNode.ofType(SendAttempt.class, node.arrive(id))) {
+            node.endAttempt(id, 0, send.server(), result, MS);
         }
     }
 
     @Test
-    void theEndOfAWindow() {
-        hardlyGrows(
+    void theEndOfAMeasurementWindow() {
+        assertHardlyGrows(
                 (node, i) -> {
                     node.serve("r" + i, MS);
                     node.after(5_000 * MS);
                 });
     }
 
-    /** Attempts that stay unanswered make the node look for silent servers. */
+    /** Attempts without a response trigger the silence detector. */
     @Test
-    void silence() {
-        hardlyGrows(
+    void theDetectionOfSilentServers() {
+        assertHardlyGrows(
                 (node, i) -> {
                     node.arrive("r" + i);
                     node.after(300 * MS);
--- a/src/test/java/ottergauge/decision/FleetSlowStartTest.java
+++ b/src/test/java/ottergauge/decision/FleetSlowStartTest.java
@@ -33,48 +33,50 @@
 import ottergauge.decision.api.UpdateScope;
 
 /**
- * Cold servers under the sum of what all nodes send, each of which knows only its own sends: twenty
- * to thirty modules on made-up time before servers of one core, some of which start anew while the
- * fleet is busy.
+ * Tests the slow start of servers under the requests of all nodes together, where each node knows
+ * only its own attempts. Twenty to thirty decision engines run on simulated time against servers
+ * with one core each, and some of the servers restart while the fleet is busy.
  */
 class FleetSlowStartTest {
     private static final long MS = TestNode.MS;
     private static final long SECOND = 1000 * MS;
     private static final int SERVERS = 12;
-    private static final int COLD = 3;
-    private static final long STARTS = 8 * SECOND;
-    private static final long LENGTH = 20 * SECOND;
+    private static final int RESTARTED_SERVERS = 3;
+    private static final long RESTART_TIME = 8 * SECOND;
+    private static final long DURATION = 20 * SECOND;
 
-    private record Due(long at, long order, Runnable what) {}
+    private record ScheduledTask(long at, long order, Runnable task) {}
 
     private static final class Server {
         long freeAt;
-        int holds;
-        long startedAt = -LENGTH;
+        int inFlight;
+        long startedAt = -DURATION;
         final Deque<Long> sends = new ArrayDeque<>();
-        String over;
+        String violation;
     }
 
-    private final PriorityQueue<Due> queue =
-            new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::order));
+    private final PriorityQueue<ScheduledTask> tasks =
+            new PriorityQueue<>(
+                    Comparator.comparingLong(ScheduledTask::at)
+                            .thenComparingLong(ScheduledTask::order));
     private final List<TestNode> nodes = new ArrayList<>();
     private final Map<Long, Server> servers = new HashMap<>();
     private SplittableRandom random;
     private ServiceRules rules;
     private long service;
-    private long from;
+    private long origin;
     private long now;
     private long order;
     private int served;
-    private int asked;
+    private int requests;
 
-    private void at(long when, Runnable what) {
-        queue.add(new Due(when, order++, what));
+    private void at(long when, Runnable task) {
+        tasks.add(new ScheduledTask(when, order++, task));
     }
 
-    private void tell(TestNode node, DecisionEvent event) {
+    private void process(TestNode node, DecisionEvent event) {
         node.now = now;
-        for (DecisionAction action : node.on(event)) {
+        for (DecisionAction action : node.deliver(event)) {
             if (action instanceof SendAttempt send) {
                 send(node, send);
             } else if (action instanceof SendProbe probe) {
@@ -82,7 +84,7 @@
                 at(
                         now + MS,
                         () ->
-                                tell(
+                                process(
                                         node,
                                         new ProbeEnded(
                                                 probe.server(),
@@ -90,17 +92,21 @@
                                                 MS,
                                                 load(s))));
             } else if (action instanceof SetTimer timer) {
-                at(now + timer.delay(), () -> tell(node, new TimerFired(timer.token())));
+                at(now + timer.delay(), () -> process(node, new TimerFired(timer.token())));
             }
         }
     }
 
     private static LoadReport load(Server s) {
         return new LoadReport(
-                s.holds, Math.max(0, s.holds - 1), s.holds > 0 ? 0.8 : 0.1, Double.NaN, Double.NaN);
+                s.inFlight,
+                Math.max(0, s.inFlight - 1),
+                s.inFlight > 0 ? 0.8 : 0.1,
+                Double.NaN,
+                Double.NaN);
     }
 
-    private double warmth(Server s) {
+    private double capacityRatio(Server s) {
         double age = Math.min(1, (now - s.startedAt) / (double) rules.slowStartDuration());
         return rules.initialCapacityRatio() + (1 - rules.initialCapacityRatio()) * age;
     }
@@ -108,37 +114,39 @@
     private void send(TestNode node, SendAttempt send) {
         Server s = servers.get(send.server());
         count(s);
-        long began = now;
-        s.holds++;
-        long begins = Math.max(now, s.freeAt);
-        long ends =
-                begins
+        long sentAt = now;
+        s.inFlight++;
+        long serviceStart = Math.max(now, s.freeAt);
+        long serviceEnd =
+                serviceStart
                         + (long)
                                 ((service / 2 + random.nextLong(service))
-                                        / Math.min(1, 1.2 * warmth(s)));
-        boolean late = ends > now + send.timeout();
-        // What is overdue before it begins is no work.
-        s.freeAt = begins > now + send.timeout() ? s.freeAt : ends;
+                                        / Math.min(1, 1.2 * capacityRatio(s)));
+        boolean timedOut = serviceEnd > now + send.timeout();
+        // A request that times out before its execution starts uses no service time.
+        s.freeAt = serviceStart > now + send.timeout() ? s.freeAt : serviceEnd;
         at(
-                Math.min(ends, now + send.timeout()),
+                Math.min(serviceEnd, now + send.timeout()),
                 () -> {
-                    s.holds--;
-                    AttemptResult result = late ? AttemptResult.TIMED_OUT : AttemptResult.SERVED;
-                    served += late ? 0 : 1;
-                    tell(
+                    s.inFlight--;
+                    AttemptResult result =
+                            timedOut ? AttemptResult.TIMED_OUT : AttemptResult.SERVED;
+                    served += timedOut ? 0 : 1;
+                    process(
                             node,
                             new AttemptEnded(
                                     send.id(),
                                     0,
                                     send.server(),
                                     result,
-                                    now - began,
-                                    !late,
-                                    late ? LoadReport.NONE : load(s)));
+                                    now - sentAt,
+                                    !timedOut,
+                                    timedOut ? LoadReport.NONE : load(s)));
                 });
     }
 
-    // The strict rule: beyond what is allowed only two roots of it and two are put down to chance.
+    // The allowed number may only be exceeded by twice its square root plus two, for random
+    // variation.
     private void count(Server s) {
         if (now - s.startedAt >= rules.slowStartDuration()) {
             return;
@@ -147,9 +155,10 @@
         while (s.sends.peekFirst() <= now - rules.overloadWindow()) {
             s.sends.removeFirst();
         }
-        double allowed = rules.overloadMultiple() * warmth(s) * rules.overloadWindow() / service;
+        double allowed =
+                rules.overloadMultiple() * capacityRatio(s) * rules.overloadWindow() / service;
         if (s.sends.size() > allowed + 2 * Math.sqrt(allowed) + 2) {
-            s.over =
+            s.violation =
                     s.sends.size()
                             + " requests in "
                             + rules.overloadWindow() / MS
@@ -163,19 +172,19 @@
 
     private static TestSettings settings(String loads) {
         TestSettings settings =
-                "heard".equals(loads) ? TestSettings.hearing(1) : new TestSettings();
+                "reported".equals(loads) ? TestSettings.withPassiveReports(1) : new TestSettings();
         settings.probes |= "probed".equals(loads);
         return settings;
     }
 
     static Stream<Arguments> fleets() {
         List<Arguments> all = new ArrayList<>();
-        for (String loads : List.of("none", "probed", "heard")) {
+        for (String loads : List.of("none", "probed", "reported")) {
             for (int count : List.of(20, 30)) {
                 for (double load : List.of(0.4, 0.7, 1.2)) {
-                    for (long each : List.of(100 * MS, 400 * MS)) {
+                    for (long serviceTime : List.of(100 * MS, 400 * MS)) {
                         for (long seed = 1; seed <= 3; seed++) {
-                            all.add(Arguments.of(loads, count, load, each, seed));
+                            all.add(Arguments.of(loads, count, load, serviceTime, seed));
                         }
                     }
                 }
@@ -186,9 +195,9 @@
 
     @ParameterizedTest
     @MethodSource("fleets")
-    void aColdServerGetsNoMoreThanItMayFromAllNodesTogether(
-            String loads, int count, double load, long time, long seed) {
-        service = time;
+    void allNodesTogetherDoNotOverloadAServerInSlowStart(
+            String loads, int count, double load, long serviceTimeMicros, long seed) {
+        service = serviceTimeMicros;
         random = new SplittableRandom(seed);
         for (int i = 0; i < count; i++) {
             TestSettings settings = settings(loads);
@@ -200,8 +209,8 @@
         for (long id = 1; id <= SERVERS; id++) {
             servers.put(id, new Server());
         }
-        from = nodes.get(0).now;
-        now = from;
+        origin = nodes.get(0).now;
+        now = origin;
         nodes.forEach(
                 node -> {
                     node.now = now;
@@ -209,35 +218,35 @@
                 });
         double perNode = load * SERVERS / service / count;
         for (int i = 0; i < count; i++) {
-            // Uneven: some nodes have several times as much as others.
+            // Some nodes get several times as many requests as others.
             double share = perNode * (i % 4 == 0 ? 2.2 : 0.6);
             arrive(nodes.get(i), "n" + i + "-", 0, share);
         }
-        for (long id = 1; id <= COLD; id++) {
-            long cold = id;
-            at(from + STARTS + id * 100 * MS, () -> starts(cold));
+        for (long id = 1; id <= RESTARTED_SERVERS; id++) {
+            long serverId = id;
+            at(origin + RESTART_TIME + id * 100 * MS, () -> restart(serverId));
         }
-        while (!queue.isEmpty() && queue.peek().at() < from + LENGTH) {
-            Due due = queue.poll();
-            now = due.at();
-            due.what().run();
+        while (!tasks.isEmpty() && tasks.peek().at() < origin + DURATION) {
+            ScheduledTask scheduledTask = tasks.poll();
+            now = scheduledTask.at();
+            scheduledTask.task().run();
         }
-        for (long id = 1; id <= COLD; id++) {
-            assertTrue(servers.get(id).over == null, servers.get(id).over);
-            assertTrue(!servers.get(id).sends.isEmpty(), "it was used at all");
+        for (long id = 1; id <= RESTARTED_SERVERS; id++) {
+            assertTrue(servers.get(id).violation == null, servers.get(id).violation);
+            assertTrue(!servers.get(id).sends.isEmpty(), "the restarted server got no request");
         }
         assertTrue(
-                served > 0.25 * Math.min(1, 1 / load) * asked,
-                served + " of " + asked + " were served");
+                served > 0.25 * Math.min(1, 1 / load) * requests,
+                served + " of " + requests + " were served");
     }
 
-    private void starts(long id) {
+    private void restart(long id) {
         Server s = servers.get(id);
         s.startedAt = now;
         s.freeAt = now;
         nodes.forEach(
                 node ->
-                        tell(
+                        process(
                                 node,
                                 new EndpointUpdate(
                                         UpdateScope.INCREMENTAL,
@@ -249,8 +258,8 @@
         at(
                 now + gap,
                 () -> {
-                    asked++;
-                    tell(
+                    requests++;
+                    process(
                             node,
                             new RequestArrived(
                                     prefix + number,
--- a/src/test/java/ottergauge/decision/History.java
+++ b/src/test/java/ottergauge/decision/History.java
@@ -37,7 +37,9 @@
 import ottergauge.decision.api.UpdateScope;
 
 /**
- * A random but legal history of events for one module, which checks the four rules at every action.
+ * Generates a random but valid sequence of events for one decision engine, and checks the four
+ * rules at every action. The rules are about final responses, repeated attempts, draining servers
+ * and servers in slow start.
  */
 final class History {
     private static final int SERVERS = 8;
@@ -45,7 +47,7 @@
     private static final EndpointUpdate NO_CHANGE =
             new EndpointUpdate(UpdateScope.INCREMENTAL, List.of());
 
-    private record Planned(long at, long number, DecisionEvent event, Attempt attempt) {}
+    private record ScheduledEvent(long at, long number, DecisionEvent event, Attempt attempt) {}
 
     private static final class Attempt {
         final Request request;
@@ -61,104 +63,110 @@
             this.sentAt = sentAt;
         }
 
-        boolean mayHaveRun() {
+        boolean mayHaveBeenExecuted() {
             return ended == null || !ended.neverRan();
         }
     }
 
     private static final class Request {
-        /** The settings that it was taken with; they hold for it to its end. */
-        final DecisionSettings taken;
+        /** The settings that applied at the arrival. They apply until the request is complete. */
+        final DecisionSettings settingsAtArrival;
 
         final RequestClass type;
         final long giveUpAt;
         final List<Attempt> attempts = new ArrayList<>();
-        boolean over;
+        boolean complete;
 
-        Request(DecisionSettings taken, RequestArrived event) {
-            this.taken = taken;
-            type = taken.requestClasses().get(event.requestClass());
+        Request(DecisionSettings settingsAtArrival, RequestArrived event) {
+            this.settingsAtArrival = settingsAtArrival;
+            type = settingsAtArrival.requestClasses().get(event.requestClass());
             giveUpAt = event.giveUpAt();
         }
     }
 
     final TestNode node;
     int sends;
-    int finals;
-    int again;
+    int finalResponses;
+    int retries;
     int settingsChanges;
 
-    /** The longest time from one arrival to the next. */
-    int mostGap = 60_000;
+    /** Maximum time between two successive arrivals, in microseconds. */
+    int maxArrivalGap = 60_000;
 
     private DecisionSettings settings;
-    private final List<DecisionSettings> others;
+    private final List<DecisionSettings> otherSettings;
     private final SplittableRandom random;
-    private final PriorityQueue<Planned> plan =
+    private final PriorityQueue<ScheduledEvent> schedule =
             new PriorityQueue<>(
-                    Comparator.comparingLong(Planned::at).thenComparingLong(Planned::number));
+                    Comparator.comparingLong(ScheduledEvent::at)
+                            .thenComparingLong(ScheduledEvent::number));
     private final Map<String, Request> requests = new HashMap<>();
-    private final Map<Long, Long> toldToStop = new HashMap<>();
+    private final Map<Long, Long> drainingSince = new HashMap<>();
     private final Map<Long, Long> startedAt = new HashMap<>();
-    private final Map<Long, List<Long>> coldSends = new HashMap<>();
+    private final Map<Long, List<Long>> slowStartSends = new HashMap<>();
     private final Map<Long, Long> freeAt = new HashMap<>();
-    private long planned;
+    private long scheduledCount;
     private long nextServer = SERVERS + 1;
 
-    History(TestSettings with, long seed) {
-        this(with, seed, List.of());
+    History(TestSettings initial, long seed) {
+        this(initial, seed, List.of());
     }
 
     /**
-     * At random instants one of the other settings comes in force, alone or with a change of the
-     * list.
+     * Creates a history in which one of the other settings is applied at random instants, alone or
+     * together with a change of the endpoint list.
      */
-    History(TestSettings with, long seed, List<DecisionSettings> others) {
-        settings = with.build();
-        this.others = others;
+    History(TestSettings initial, long seed, List<DecisionSettings> otherSettings) {
+        settings = initial.build();
+        this.otherSettings = otherSettings;
         random = new SplittableRandom(seed);
         node = new TestNode(settings, seed);
     }
 
     void run(int arrivals) {
-        take(node.servers(SERVERS));
+        process(node.servers(SERVERS));
         long at = node.now;
         for (int i = 0; i < arrivals; i++) {
-            at += random.nextLong(mostGap);
+            at += random.nextLong(maxArrivalGap);
             int type = random.nextInt(settings.requestClasses().size());
-            long left =
+            long timeLeft =
                     settings.requestClasses().get(type).deadline()
                             * (random.nextInt(4) == 0 ? 1 : 2)
                             / 2;
-            plan(
+            schedule(
                     at,
                     new RequestArrived(
-                            "q" + i, type, at + left, random.nextInt(10) == 0, random.nextInt(5)),
+                            "q" + i,
+                            type,
+                            at + timeLeft,
+                            random.nextInt(10) == 0,
+                            random.nextInt(5)),
                     null);
             if (random.nextInt(20) == 0) {
-                plan(at + random.nextLong(left), new ClientDisconnected("q" + i), null);
+                schedule(at + random.nextLong(timeLeft), new ClientDisconnected("q" + i), null);
             }
             if (random.nextInt(60) == 0) {
-                plan(at, change(at), null);
+                schedule(at, randomUpdate(at), null);
             }
-            if (!others.isEmpty() && random.nextInt(40) == 0) {
-                DecisionSettings other = others.get(random.nextInt(others.size()));
-                plan(
+            if (!otherSettings.isEmpty() && random.nextInt(40) == 0) {
+                DecisionSettings other = otherSettings.get(random.nextInt(otherSettings.size()));
+                schedule(
                         at,
-                        new SettingsChanged(other, random.nextBoolean() ? change(at) : NO_CHANGE),
+                        new SettingsChanged(
+                                other, random.nextBoolean() ? randomUpdate(at) : NO_CHANGE),
                         null);
             }
             if (settings.discoveryMode() == DiscoveryMode.POLL && random.nextInt(300) == 0) {
-                plan(at, new DiscoveryFailed(), null);
+                schedule(at, new DiscoveryFailed(), null);
             }
         }
-        while (!plan.isEmpty()) {
-            step(plan.poll());
+        while (!schedule.isEmpty()) {
+            step(schedule.poll());
         }
-        requests.forEach((id, q) -> check(q.over, id + " got no final answer"));
+        requests.forEach((id, q) -> check(q.complete, id + " got no final response"));
     }
 
-    private EndpointUpdate change(long at) {
+    private EndpointUpdate randomUpdate(long at) {
         long id = 1 + random.nextLong(nextServer - 1);
         EndpointState state =
                 switch (random.nextInt(6)) {
@@ -178,18 +186,21 @@
                 UpdateScope.INCREMENTAL, List.of(TestNode.server(id, state, started)));
     }
 
-    private void plan(long at, DecisionEvent event, Attempt attempt) {
-        plan.add(new Planned(at, planned++, event, attempt));
+    private void schedule(long at, DecisionEvent event, Attempt attempt) {
+        schedule.add(new ScheduledEvent(at, scheduledCount++, event, attempt));
     }
 
-    private void step(Planned next) {
+    private void step(ScheduledEvent next) {
         node.now = next.at;
         requests.forEach(
                 (id, q) ->
                         check(
-                                q.over
+                                q.complete
                                         || node.now
-                                                <= q.giveUpAt + q.taken.rules().responseTolerance(),
+                                                <= q.giveUpAt
+                                                        + q.settingsAtArrival
+                                                                .rules()
+                                                                .responseTolerance(),
                                 id + " is overdue"));
         DecisionEvent event = next.event;
         if (event instanceof AttemptEnded e) {
@@ -198,8 +209,8 @@
             }
             next.attempt.ended = e.result();
             Request q = next.attempt.request;
-            boolean over = q.over || e.result() == AttemptResult.SERVED;
-            q.over = over;
+            boolean complete = q.complete || e.result() == AttemptResult.SERVED;
+            q.complete = complete;
             event =
                     new AttemptEnded(
                             e.id(),
@@ -207,13 +218,14 @@
                             e.server(),
                             e.result(),
                             node.now - next.attempt.sentAt,
-                            over,
+                            complete,
                             e.loadReport());
         } else if (event instanceof ClientDisconnected e && requests.containsKey(e.id())) {
-            requests.get(e.id()).over = true;
+            requests.get(e.id()).complete = true;
         } else if (event instanceof RequestArrived e) {
-            // Planned by the number of a class of the first settings: it is one of those that are
-            // in force.
+            // The class index was drawn for the first settings. The modulo maps it to a class of
+            // the
+            // current settings.
             RequestArrived arrives =
                     new RequestArrived(
                             e.id(),
@@ -224,43 +236,43 @@
             requests.put(e.id(), new Request(settings, arrives));
             event = arrives;
         } else if (event instanceof EndpointUpdate e) {
-            e.endpoints().forEach(this::told);
+            e.endpoints().forEach(this::applyEndpoint);
         } else if (event instanceof SettingsChanged e) {
             settings = e.settings();
             settingsChanges++;
-            e.endpoints().endpoints().forEach(this::told);
+            e.endpoints().endpoints().forEach(this::applyEndpoint);
         }
-        take(node.on(event));
+        process(node.deliver(event));
     }
 
-    private void told(Endpoint s) {
+    private void applyEndpoint(Endpoint s) {
         if (s.state() == EndpointState.UP) {
-            toldToStop.remove(s.id());
+            drainingSince.remove(s.id());
         } else {
-            toldToStop.putIfAbsent(s.id(), node.now);
+            drainingSince.putIfAbsent(s.id(), node.now);
         }
         if (s.startedAt() > startedAt.getOrDefault(s.id(), 0L)) {
             startedAt.put(s.id(), s.startedAt());
-            coldSends.put(s.id(), new ArrayList<>());
+            slowStartSends.put(s.id(), new ArrayList<>());
         }
     }
 
-    private void take(List<DecisionAction> actions) {
+    private void process(List<DecisionAction> actions) {
         for (DecisionAction action : actions) {
             if (action instanceof SendAttempt a) {
                 sent(a);
             } else if (action instanceof RejectRequest a) {
                 Request q = requests.get(a.id());
-                check(mayRefuse(q), a.id() + " was refused though it may have run");
+                check(mayReject(q), a.id() + " was rejected although it may have been executed");
                 ended(a.id(), q);
             } else if (action instanceof FailRequest a) {
                 ended(a.id(), requests.get(a.id()));
             } else if (action instanceof CancelAttempt a) {
                 check(
-                        requests.get(a.id()).taken.limits().cancellationAllowed(),
-                        a.id() + " may not be cancelled");
+                        requests.get(a.id()).settingsAtArrival.limits().cancellationAllowed(),
+                        a.id() + " was cancelled although that is not allowed");
                 Attempt attempt = requests.get(a.id()).attempts.get(a.attempt());
-                plan(
+                schedule(
                         node.now + random.nextLong(2_000),
                         outcome(
                                 a.id(),
@@ -269,20 +281,24 @@
                                 node.now - attempt.sentAt),
                         attempt);
             } else if (action instanceof SendProbe a) {
-                check(settings.limits().probesAllowed(), "probes are not allowed");
+                check(
+                        settings.limits().probesAllowed(),
+                        "a probe was sent although probes are not allowed");
                 AttemptResult result =
                         random.nextInt(10) == 0
                                 ? AttemptResult.CONNECT_FAILED
                                 : AttemptResult.SERVED;
                 long wait = random.nextInt(10) == 0 ? 40_000 : 500;
-                plan(node.now + wait, new ProbeEnded(a.server(), result, wait, report()), null);
+                schedule(node.now + wait, new ProbeEnded(a.server(), result, wait, report()), null);
             } else if (action instanceof SetTimer a) {
-                check(a.delay() > 0, "a timer in the past");
-                if (!requests.values().stream().allMatch(q -> q.over) || !plan.isEmpty()) {
-                    plan(node.now + a.delay(), new TimerFired(a.token()), null);
+                check(a.delay() > 0, "a timer was set in the past");
+                if (!requests.values().stream().allMatch(q -> q.complete) || !schedule.isEmpty()) {
+                    schedule(node.now + a.delay(), new TimerFired(a.token()), null);
                 }
             } else if (action instanceof WatchEndpoints) {
-                check(settings.discoveryMode() == DiscoveryMode.POLL, "nobody is to be asked");
+                check(
+                        settings.discoveryMode() == DiscoveryMode.POLL,
+                        "discovery was polled although updates are pushed");
             }
         }
     }
@@ -292,65 +308,64 @@
     }
 
     private void ended(String id, Request q) {
-        check(!q.over, id + " got a second final answer");
+        check(!q.complete, id + " got a second final response");
         check(
-                node.now <= q.giveUpAt + q.taken.rules().responseTolerance(),
-                id + " was answered late");
-        q.over = true;
-        finals++;
+                node.now <= q.giveUpAt + q.settingsAtArrival.rules().responseTolerance(),
+                id + " got its response too late");
+        q.complete = true;
+        finalResponses++;
     }
 
-    private static boolean mayRefuse(Request q) {
+    private static boolean mayReject(Request q) {
         return q.type.idempotency() == Idempotency.IDEMPOTENT
-                || q.attempts.stream().noneMatch(Attempt::mayHaveRun)
+                || q.attempts.stream().noneMatch(Attempt::mayHaveBeenExecuted)
                 || (q.type.idempotency() == Idempotency.KEYED
                         && q.type.deduplicationScope() == DeduplicationScope.FLEET);
     }
 
     private void sent(SendAttempt send) {
         Request q = requests.get(send.id());
-        check(!q.over, send.id() + " was sent after its end");
+        check(!q.complete, send.id() + " was sent after it was complete");
         check(
-                q.attempts.size() < q.taken.limits().maxAttempts(),
-                send.id() + " was sent too often");
+                q.attempts.size() < q.settingsAtArrival.limits().maxAttempts(),
+                send.id() + " was sent more often than allowed");
         check(
                 q.attempts.stream().noneMatch(a -> a.ended == null),
-                send.id() + " has two attempts out");
+                send.id() + " has two outstanding attempts");
         for (Attempt earlier : q.attempts) {
-            if (!earlier.mayHaveRun()) {
+            if (!earlier.mayHaveBeenExecuted()) {
                 continue;
             }
             check(
                     q.type.idempotency() != Idempotency.NON_IDEMPOTENT,
-                    send.id() + " may have run and was sent again");
+                    send.id() + " may have been executed and was sent again");
             if (q.type.idempotency() == Idempotency.KEYED) {
                 check(
                         q.type.deduplicationScope() == DeduplicationScope.FLEET
                                 || earlier.server % 2 == send.server() % 2,
-                        send.id() + " was sent again outside its group");
+                        send.id() + " was sent again outside its deduplication scope");
                 check(
                         node.now <= earlier.sentAt + q.type.deduplicationWindow(),
-                        send.id() + " was sent again past its window");
+                        send.id() + " was sent again after its deduplication window");
             }
         }
-        Long told = toldToStop.get(send.server());
+        Long drainStart = drainingSince.get(send.server());
         check(
-                told == null || node.now <= told + settings.rules().drainGracePeriod(),
-                "sent to a server that drains");
-        cold(send);
-        again += q.attempts.isEmpty() ? 0 : 1;
+                drainStart == null || node.now <= drainStart + settings.rules().drainGracePeriod(),
+                "a request was sent to a draining server");
+        checkSlowStartBudget(send);
+        retries += q.attempts.isEmpty() ? 0 : 1;
         sends++;
         Attempt attempt = new Attempt(q, q.attempts.size(), send.server(), node.now);
         q.attempts.add(attempt);
-        long left = q.giveUpAt - node.now;
-        long limit = send.timeout() == 0 ? left : Math.min(send.timeout(), left);
+        long timeLeft = q.giveUpAt - node.now;
+        long limit = send.timeout() == 0 ? timeLeft : Math.min(send.timeout(), timeLeft);
         AttemptResult result = AttemptResult.SERVED;
-        // One after the other, as a server of one core does: what a cold one can do is reckoned
-        // from that.
-        // Served side by side all took as long as one, and the module's time for a request was too
-        // short.
-        long begins = Math.max(node.now, freeAt.getOrDefault(send.server(), 0L));
-        long wait = begins - node.now + SERVICE / 2 + random.nextLong(SERVICE);
+        // Servers execute one request after another, as with one core. The slow-start budget is
+        // computed from that. When requests were executed concurrently, each took as long as a
+        // single one, and the engine's estimate of the service time was too short.
+        long serviceStart = Math.max(node.now, freeAt.getOrDefault(send.server(), 0L));
+        long wait = serviceStart - node.now + SERVICE / 2 + random.nextLong(SERVICE);
         freeAt.put(send.server(), node.now + wait);
         switch (random.nextInt(40)) {
             case 0 -> result = AttemptResult.ERROR;
@@ -364,7 +379,7 @@
             result = AttemptResult.TIMED_OUT;
             wait = Math.max(0, limit);
         }
-        plan(node.now + wait, outcome(send.id(), attempt, result, wait), attempt);
+        schedule(node.now + wait, outcome(send.id(), attempt, result, wait), attempt);
     }
 
     private DecisionEvent outcome(String id, Attempt attempt, AttemptResult result, long elapsed) {
@@ -373,33 +388,35 @@
     }
 
     /**
-     * Rule 4, as a budget for this node: its part of what tips a server over; one send is always
-     * allowed.
+     * Checks rule 4 as a budget of this node: its share of the requests that overload a server in
+     * slow start. One send is always allowed.
      */
-    private void cold(SendAttempt send) {
+    private void checkSlowStartBudget(SendAttempt send) {
         long started = startedAt.getOrDefault(send.server(), 0L);
         long age = node.now - started;
         if (started == 0 || age >= settings.rules().slowStartDuration()) {
             return;
         }
-        List<Long> sent = coldSends.get(send.server());
+        List<Long> sent = slowStartSends.get(send.server());
         sent.add(node.now);
-        long inSpan =
+        long sendsInWindow =
                 sent.stream()
                         .filter(at -> at > node.now - settings.rules().overloadWindow())
                         .count();
-        double warmth =
+        double capacityRatio =
                 settings.rules().initialCapacityRatio()
                         + (1 - settings.rules().initialCapacityRatio())
                                 * age
                                 / settings.rules().slowStartDuration();
         double budget =
                 settings.rules().overloadMultiple()
-                        * warmth
+                        * capacityRatio
                         * settings.rules().overloadWindow()
                         / SERVICE
                         / settings.nodeCount();
-        check(inSpan <= Math.max(1, budget), "a cold server was sent " + inSpan + " of " + budget);
+        check(
+                sendsInWindow <= Math.max(1, budget),
+                "a server in slow start got " + sendsInWindow + " of " + budget);
     }
 
     private static void check(boolean holds, String message) {
--- a/src/test/java/ottergauge/decision/HistoryTest.java
+++ b/src/test/java/ottergauge/decision/HistoryTest.java
@@ -13,23 +13,24 @@
 import ottergauge.decision.api.Idempotency;
 
 /**
- * The four rules as invariants over seeded random histories; {@link History} checks every action.
+ * Checks the four rules as invariants over random histories with fixed seeds. {@link History}
+ * checks every action.
  */
 class HistoryTest {
 
-    private static TestSettings mixed() {
+    private static TestSettings allIdempotencyKinds() {
         TestSettings settings = new TestSettings();
         settings.classes =
                 List.of(
-                        TestSettings.type(
+                        TestSettings.newRequestClass(
                                 "safe", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
-                        TestSettings.type(
+                        TestSettings.newRequestClass(
                                 "keyed-all", Idempotency.KEYED, DeduplicationScope.FLEET, 2),
-                        TestSettings.type(
+                        TestSettings.newRequestClass(
                                 "keyed-zone", Idempotency.KEYED, DeduplicationScope.ZONE, 3),
-                        TestSettings.type(
+                        TestSettings.newRequestClass(
                                 "keyed-cell", Idempotency.KEYED, DeduplicationScope.CELL, 4),
-                        TestSettings.type(
+                        TestSettings.newRequestClass(
                                 "unsafe", Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET, 5));
         settings.nodes = 3;
         return settings;
@@ -38,48 +39,48 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void theRulesHoldWithoutProbes(long seed) {
-        TestSettings settings = mixed();
-        // Made-up servers serve all that comes: what this node had served is what a server does for
-        // it.
+        TestSettings settings = allIdempotencyKinds();
+        // The simulated servers serve only this node. The rate at which they serve its requests is
+        // therefore their capacity, and the budget of rule 4 must not be divided among more nodes.
         settings.nodes = 1;
         History history = new History(settings, seed);
         history.run(1500);
         assertTrue(history.sends > 500, "sends " + history.sends);
-        assertTrue(history.finals > 50, "finals " + history.finals);
+        assertTrue(history.finalResponses > 50, "final responses " + history.finalResponses);
     }
 
     @ParameterizedTest
     @ValueSource(longs = {11, 12, 13, 14, 15, 16, 17, 18})
-    void theRulesHoldWithProbesAndUnmarkedRepeats(long seed) {
-        TestSettings settings = mixed();
+    void theRulesHoldWithProbesAndUnmarkedClientRetries(long seed) {
+        TestSettings settings = allIdempotencyKinds();
         settings.probes = true;
-        settings.repeatsMarked = false;
-        settings.discovery = DiscoveryMode.POLL;
+        settings.retriesMarked = false;
+        settings.discoveryMode = DiscoveryMode.POLL;
         History history = new History(settings, seed);
         history.run(1500);
         assertTrue(history.sends > 500, "sends " + history.sends);
-        assertTrue(history.again > 0, "no further attempt was made");
+        assertTrue(history.retries > 0, "no request was retried");
     }
 
     @ParameterizedTest
     @ValueSource(longs = {21, 22, 23, 24, 25, 26, 27, 28})
-    void theRulesHoldWhereLoadsAreHeard(long seed) {
-        TestSettings settings = mixed();
+    void theRulesHoldWithPassiveLoadReports(long seed) {
+        TestSettings settings = allIdempotencyKinds();
         settings.probes = true;
-        settings.probePrice = 0.08;
-        settings.repeatsMarked = false;
+        settings.probeCost = 0.08;
+        settings.retriesMarked = false;
         History history = new History(settings, seed);
         history.run(1500);
         assertTrue(history.sends > 500, "sends " + history.sends);
-        assertTrue(history.finals > 50, "finals " + history.finals);
+        assertTrue(history.finalResponses > 50, "final responses " + history.finalResponses);
     }
 
     @Test
     void theSameEventsGiveTheSameActions() {
-        History one = new History(mixed(), 5);
-        History two = new History(mixed(), 5);
+        History one = new History(allIdempotencyKinds(), 5);
+        History two = new History(allIdempotencyKinds(), 5);
         one.run(500);
         two.run(500);
-        assertEquals(one.node.all, two.node.all);
+        assertEquals(one.node.allActions, two.node.allActions);
     }
 }
--- a/src/test/java/ottergauge/decision/ManyNodesTest.java
+++ b/src/test/java/ottergauge/decision/ManyNodesTest.java
@@ -19,7 +19,10 @@
 import ottergauge.decision.api.EndpointState;
 import ottergauge.decision.api.LoadReport;
 
-/** What many nodes do in the sum: each sees next to nothing, and all act at once. */
+/**
+ * Tests the combined effect of many nodes, each of which sees only a small fraction of the
+ * requests.
+ */
 class ManyNodesTest {
     private static final long MS = TestNode.MS;
     private static final int NODES = 300;
@@ -41,14 +44,14 @@
         return nodes;
     }
 
-    private static TestSettings pricedConnections() {
+    private static TestSettings withConnectionCost() {
         TestSettings settings = new TestSettings();
-        settings.connectionPrice = 0.03;
+        settings.connectionCost = 0.03;
         return settings;
     }
 
     /**
-     * Sends a request, waiting for the node's own pauses, lets it be served, and returns its
+     * Sends a request, after any pause of the node itself, ends it successfully and returns its
      * server.
      */
     private static long serve(TestNode node, String id, long elapsed) {
@@ -58,26 +61,27 @@
     }
 
     private static SendAttempt sendOf(TestNode node, List<DecisionAction> actions) {
-        for (int i = 0; i < 40 && TestNode.those(SendAttempt.class, actions).isEmpty(); i++) {
+        for (int i = 0; i < 40 && TestNode.ofType(SendAttempt.class, actions).isEmpty(); i++) {
             actions = node.after(25 * MS);
         }
-        return TestNode.only(SendAttempt.class, actions);
+        return TestNode.onlyOfType(SendAttempt.class, actions);
     }
 
     /**
-     * The server that the node's next request ends up at; probed servers answer that they are idle.
+     * Returns the server that the node's next request is sent to. Probed servers report that they
+     * are idle.
      */
     private static long sentTo(TestNode node, String id) {
         List<DecisionAction> actions = node.arrive(id);
-        while (TestNode.those(SendAttempt.class, actions).isEmpty()) {
-            actions = node.probed(TestNode.only(SendProbe.class, actions).server(), 0);
+        while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
+            actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
         }
-        return TestNode.only(SendAttempt.class, actions).server();
+        return TestNode.onlyOfType(SendAttempt.class, actions).server();
     }
 
     private static void answer(TestNode node, String id, long server, long elapsed) {
         node.now += elapsed;
-        node.on(
+        node.deliver(
                 new AttemptEnded(
                         id, 0, server, AttemptResult.SERVED, elapsed, true, LoadReport.NONE));
     }
@@ -86,9 +90,9 @@
     // ---------------------------------------------------------------------------------
 
     @Test
-    void whereConnectionsCostEachNodeUsesFewServersAndAllNodesUseAll() {
+    void withConnectionCostsEachNodeUsesFewServersAndAllNodesTogetherUseAll() {
         Map<Long, Integer> users = new HashMap<>();
-        for (TestNode node : fleet(pricedConnections())) {
+        for (TestNode node : fleet(withConnectionCost())) {
             Set<Long> used = new HashSet<>();
             for (int i = 0; i < 20; i++) {
                 used.add(serve(node, "a" + i, 50 * MS));
@@ -98,13 +102,13 @@
         }
         assertEquals(SERVERS, users.size(), "servers in use");
         int most = users.values().stream().max(Integer::compare).orElseThrow();
-        // 24 at the mean; drawn by chance, one of fifty would have about 36.
+        // The mean is 24. With random subsets one of fifty servers would have about 36.
         assertTrue(most <= 30, "nodes at one server: " + most);
     }
 
     @Test
-    void aBarredServersPlaceIsTakenByTheNextOne() {
-        TestSettings settings = pricedConnections();
+    void anEjectedServerIsReplacedInTheSubset() {
+        TestSettings settings = withConnectionCost();
         settings.nodes = NODES;
         TestNode node = new TestNode(settings.build());
         node.servers(SERVERS);
@@ -119,26 +123,27 @@
             node.now += 5 * MS;
             if (down) {
                 List<DecisionAction> next =
-                        node.ended("b" + i, 0, send.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
-                TestNode.those(SendAttempt.class, next)
+                        node.endAttempt(
+                                "b" + i, 0, send.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
+                TestNode.ofType(SendAttempt.class, next)
                         .forEach(
                                 s -> {
                                     after.add(s.server());
                                     node.now += 50 * MS;
-                                    node.ended(
+                                    node.endAttempt(
                                             s.id(), 1, s.server(), AttemptResult.SERVED, 50 * MS);
                                 });
             } else {
                 after.add(send.server());
-                node.ended("b" + i, 0, send.server(), AttemptResult.SERVED, 5 * MS);
+                node.endAttempt("b" + i, 0, send.server(), AttemptResult.SERVED, 5 * MS);
             }
         }
         after.removeAll(before);
-        assertTrue(after.size() >= 3, "servers that took the place: " + after);
+        assertTrue(after.size() >= 3, "servers that replaced ejected ones: " + after);
     }
 
     @Test
-    void firstTurnsOfManyNodesSpreadOverTheServers() {
+    void firstRequestsOfManyNodesSpreadOverTheServers() {
         Map<Long, Integer> first = new HashMap<>();
         TestSettings settings = new TestSettings();
         settings.probes = true;
@@ -146,14 +151,17 @@
             first.merge(sentTo(node, "a"), 1, Integer::sum);
         }
         int most = first.values().stream().max(Integer::compare).orElseThrow();
-        // Every node has all thirty. Ten a server at the mean; by chance alone one has about
-        // seventeen.
+        // Every node's subset contains all thirty servers. The mean is ten nodes per server; with a
+        // random choice one server has about seventeen.
         assertTrue(first.size() >= 28 && most <= 22, first.size() + " servers, most " + most);
     }
 
-    /** Half of all nodes at each server saw the same free core and took it all at once. */
+    /**
+     * When half of all nodes had the same server in their subsets, they saw the same free core and
+     * all used it at once.
+     */
     @Test
-    void eachServerIsInTheSubsetsOfAFewNodesWhereEveryClientHasItsOwn() {
+    void eachServerIsInTheSubsetsOfFewNodes() {
         Map<Long, Integer> users = new HashMap<>();
         TestSettings settings = new TestSettings();
         settings.nodes = 60;
@@ -174,38 +182,40 @@
         assertTrue(most <= 18, "nodes at one server: " + most);
     }
 
-    // ---- Cold servers
+    // ---- Slow start
     // -------------------------------------------------------------------------------
 
     @Test
-    void aColdServerGetsItsBudgetFromAllNodesInTheSum() {
+    void allNodesTogetherKeepTheSlowStartBudgetOfAServer() {
         TestSettings settings = new TestSettings();
         settings.probes = true;
         List<TestNode> nodes = fleet(settings);
-        int cold = 0;
+        int slowStartSends = 0;
         long start = nodes.get(0).now;
         for (TestNode node : nodes) {
             answer(node, "warm", sentTo(node, "warm"), 100 * MS);
-            node.change(1, EndpointState.UP, node.now);
+            node.updateServer(1, EndpointState.UP, node.now);
         }
         for (int round = 0; round < 10; round++) {
             for (TestNode node : nodes) {
                 node.now = start + 100 * MS + (round + 1) * 100L * MS;
                 String id = "r" + round;
                 long server = sentTo(node, id);
-                cold += server == 1 ? 1 : 0;
+                slowStartSends += server == 1 ? 1 : 0;
                 answer(node, id, server, 100 * MS);
             }
         }
-        // The rule's budget in this first second: 3 times 0.2 to 0.28 of ten requests a second.
-        assertTrue(cold >= 1 && cold <= 9, "sent to the cold server: " + cold);
+        // The budget in the first second is 3 times 0.2 to 0.28 of ten requests per second.
+        assertTrue(
+                slowStartSends >= 1 && slowStartSends <= 9,
+                "sent to the server in slow start: " + slowStartSends);
     }
 
     // ---- Probes
     // -------------------------------------------------------------------------------------
 
     @Test
-    void aRequestSoundsABoundedPartOfABusyFleet() {
+    void aRequestProbesALimitedPartOfABusyFleet() {
         TestSettings settings = new TestSettings();
         settings.probes = true;
         settings.nodes = NODES;
@@ -213,21 +223,21 @@
         node.servers(SERVERS);
         answer(node, "first", sentTo(node, "first"), 500 * MS);
         node.after(1_000 * MS);
-        int before = TestNode.those(SendProbe.class, node.all).size();
+        int before = TestNode.ofType(SendProbe.class, node.allActions).size();
         List<DecisionAction> actions = node.arrive("held");
         long end = node.now + 1_000 * MS;
         while (node.now < end) {
-            for (SendProbe probe : TestNode.those(SendProbe.class, actions)) {
+            for (SendProbe probe : TestNode.ofType(SendProbe.class, actions)) {
                 node.now += MS;
                 actions = node.probed(probe.server(), 4);
             }
             actions =
-                    TestNode.those(SendProbe.class, actions).isEmpty()
+                    TestNode.ofType(SendProbe.class, actions).isEmpty()
                             ? node.after(5 * MS)
                             : actions;
         }
-        int probes = TestNode.those(SendProbe.class, node.all).size() - before;
-        // 0.06 of the result at 0.002 a probe.
+        int probes = TestNode.ofType(SendProbe.class, node.allActions).size() - before;
+        // Probes may cost 0.06 of the result, and one probe costs 0.002.
         assertTrue(probes >= 3 && probes <= 30, "probes of one request: " + probes);
     }
 }
--- a/src/test/java/ottergauge/decision/OverloadTest.java
+++ b/src/test/java/ottergauge/decision/OverloadTest.java
@@ -17,14 +17,14 @@
 import ottergauge.decision.api.LoadReport;
 
 /**
- * What the limits of overload change in the module's decisions: each test fails with its guard
- * taken out.
+ * Tests how the overload limits change the decisions. Each test fails if the limit that it covers
+ * is removed.
  */
 class OverloadTest {
 
     private static final long MS = TestNode.MS;
 
-    private static TestNode blind(int servers) {
+    private static TestNode nodeWithoutLoadInformation(int servers) {
         TestNode node = new TestNode(new TestSettings().build());
         node.servers(servers);
         for (int i = 0; i < 40; i++) {
@@ -38,21 +38,21 @@
      * were.
      */
     @Test
-    void whenAllIsTurnedAwayFurtherTriesAreAPartOfFirstOnes() {
-        TestNode node = blind(12);
+    void whenAllAttemptsAreRejectedRetriesAreAFractionOfFirstAttempts() {
+        TestNode node = nodeWithoutLoadInformation(12);
         int requests = 400;
         int sends = 0;
         Deque<SendAttempt> out = new ArrayDeque<>();
         for (int i = 0; i < requests; i++) {
-            // Long enough for every bar and pace to let a server be tried again.
+            // Long enough for ejections and concurrency limits to permit another attempt.
             node.now += 400 * MS;
-            out.addAll(TestNode.those(SendAttempt.class, node.arrive("r" + i)));
+            out.addAll(TestNode.ofType(SendAttempt.class, node.arrive("r" + i)));
             while (!out.isEmpty()) {
                 SendAttempt send = out.poll();
                 sends++;
                 int attempt =
                         (int)
-                                        node.all.stream()
+                                        node.allActions.stream()
                                                 .filter(
                                                         a ->
                                                                 a instanceof SendAttempt s
@@ -60,9 +60,9 @@
                                                 .count()
                                 - 1;
                 out.addAll(
-                        TestNode.those(
+                        TestNode.ofType(
                                 SendAttempt.class,
-                                node.ended(
+                                node.endAttempt(
                                         send.id(),
                                         attempt,
                                         send.server(),
@@ -74,18 +74,18 @@
     }
 
     /**
-     * Guards against servers that are kept full: what waits there is late, and nothing can overtake
-     * it.
+     * Guards against servers that are kept full. Requests that wait at a server are late, and no
+     * other request can overtake them.
      */
     @Test
-    void aServerThatTurnsAwayIsOfferedLessAtOnceAndMoreSlowly() {
-        TestNode node = blind(1);
+    void aRejectionDecreasesTheConcurrencyLimitOfTheServer() {
+        TestNode node = nodeWithoutLoadInformation(1);
         List<SendAttempt> sends = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            sends.addAll(TestNode.those(SendAttempt.class, node.arrive("a" + i)));
+            sends.addAll(TestNode.ofType(SendAttempt.class, node.arrive("a" + i)));
         }
         assertEquals(8, sends.size());
-        node.ended("a7", 0, sends.get(7).server(), AttemptResult.REJECTED, MS);
+        node.endAttempt("a7", 0, sends.get(7).server(), AttemptResult.REJECTED, MS);
         node.now += 28 * MS;
         List<DecisionAction> more = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
@@ -93,22 +93,25 @@
         }
         assertEquals(
                 List.of(),
-                TestNode.those(SendAttempt.class, more),
-                "seven are out, and 0.7 of eight may be");
+                TestNode.ofType(SendAttempt.class, more),
+                "seven are outstanding, and the limit is 0.7 of eight");
         for (int i = 0; i < 4; i++) {
             more.addAll(
-                    node.ended("a" + i, 0, sends.get(i).server(), AttemptResult.SERVED, 28 * MS));
+                    node.endAttempt(
+                            "a" + i, 0, sends.get(i).server(), AttemptResult.SERVED, 28 * MS));
         }
         assertEquals(
-                4, TestNode.those(SendAttempt.class, more).size(), "up to the limit and its steps");
+                4,
+                TestNode.ofType(SendAttempt.class, more).size(),
+                "up to the limit and its increases");
     }
 
     /**
-     * Guards against loads that are renewed once in several service times: all nodes chased the
-     * same server.
+     * Guards against load reports that servers update only once in several service times. All nodes
+     * sent their requests to the same server.
      */
     @Test
-    void loadsThatStayAsTheyAreAreNotAskedForAnyMore() {
+    void staleLoadReportsStopTheProbes() {
         TestSettings settings = new TestSettings();
         settings.probes = true;
         TestNode node = new TestNode(settings.build());
@@ -120,18 +123,20 @@
         for (int i = 0; i < 300; i++) {
             actions.addAll(node.arrive("r" + i));
             actions.addAll(node.after(20 * MS));
-            // Each takes ten rounds.
+            // Each request takes ten iterations.
             if (i >= 10 && !out.isEmpty()) {
                 SendAttempt send = out.poll();
                 actions.addAll(
-                        node.ended(send.id(), 0, send.server(), AttemptResult.SERVED, 200 * MS));
+                        node.endAttempt(
+                                send.id(), 0, send.server(), AttemptResult.SERVED, 200 * MS));
             }
             while (!actions.isEmpty()) {
                 DecisionAction action = actions.poll();
                 if (action instanceof SendProbe probe) {
                     probes += i >= 280 ? 1 : 0;
                     actions.addAll(
-                            node.on(new ProbeEnded(probe.server(), AttemptResult.SERVED, MS, old)));
+                            node.deliver(
+                                    new ProbeEnded(probe.server(), AttemptResult.SERVED, MS, old)));
                 } else if (action instanceof SendAttempt send) {
                     out.add(send);
                 }
--- a/src/test/java/ottergauge/decision/ServerSubsetTest.java
+++ b/src/test/java/ottergauge/decision/ServerSubsetTest.java
@@ -25,21 +25,21 @@
 import ottergauge.decision.ring.ReferenceRing;
 
 /**
- * The subset that a node serves from, held to the plain computation: all listed servers in the
- * order of the ring, the node's points on it, one server after the other. What the subset is shows
- * by where requests go.
+ * Compares the subset of a node with a simple reference computation that sorts all listed servers
+ * in the order of the ring and looks up the node's points one by one. The subset is observed by the
+ * servers that requests are sent to.
  */
 class ServerSubsetTest {
 
-    private static final double GOLDEN = 0.6180339887498949;
-    private static final int FREE_SUBSET = 32;
-    private static final int DOZEN = 12;
-    private static final int TRIES = 4;
+    private static final double GOLDEN_RATIO = 0.6180339887498949;
+    private static final int MAX_FREE_SIZE = 32;
+    private static final int NODES_PER_SERVER = 12;
+    private static final int MAX_POINTS_PER_SERVER = 4;
 
-    /** One entry of a list, and whether it comes alone, as one of a change, or in a whole list. */
-    record Told(UpdateScope scope, List<Endpoint> servers) {}
+    /** An endpoint update, either incremental or full. */
+    record Update(UpdateScope scope, List<Endpoint> servers) {}
 
-    record History(int node, int nodes, List<Told> told) {}
+    record History(int node, int nodes, List<Update> updates) {}
 
     @Provide
     Arbitrary<History> histories() {
@@ -52,24 +52,28 @@
                                         EndpointState.UP,
                                         EndpointState.DRAINING,
                                         EndpointState.REMOVED))
-                        // The size is the server's own: lists do not change it.
+                        // The size of a server doesn't change between updates.
                         .as((id, state) -> new Endpoint(id, 0, 0, 0, state, size(id), 0));
-        Arbitrary<Told> changes =
-                servers.list().ofMaxSize(6).map(s -> new Told(UpdateScope.INCREMENTAL, s));
-        Arbitrary<Told> wholes =
-                servers.list().ofMinSize(1).ofMaxSize(120).map(s -> new Told(UpdateScope.FULL, s));
-        Arbitrary<Told> all = Arbitraries.frequencyOf(Tuple.of(6, changes), Tuple.of(1, wholes));
+        Arbitrary<Update> incrementalUpdates =
+                servers.list().ofMaxSize(6).map(s -> new Update(UpdateScope.INCREMENTAL, s));
+        Arbitrary<Update> fullUpdates =
+                servers.list()
+                        .ofMinSize(1)
+                        .ofMaxSize(120)
+                        .map(s -> new Update(UpdateScope.FULL, s));
+        Arbitrary<Update> all =
+                Arbitraries.frequencyOf(Tuple.of(6, incrementalUpdates), Tuple.of(1, fullUpdates));
         return Combinators.combine(
                         Arbitraries.integers().between(0, 299),
                         Arbitraries.integers().between(1, 300),
-                        wholes,
+                        fullUpdates,
                         all.list().ofMaxSize(25))
                 .as(
                         (node, nodes, first, then) -> {
-                            List<Told> told = new ArrayList<>();
-                            told.add(first);
-                            told.addAll(then);
-                            return new History(node % nodes, nodes, told);
+                            List<Update> updates = new ArrayList<>();
+                            updates.add(first);
+                            updates.addAll(then);
+                            return new History(node % nodes, nodes, updates);
                         });
     }
 
@@ -84,20 +88,20 @@
         return new TestNode(settings.build());
     }
 
-    /** What is listed after all that was told, named by name. */
+    /** Returns the listed servers by id after all updates. */
     private static Map<Long, Endpoint> listed(History history) {
         Map<Long, Endpoint> listed = new LinkedHashMap<>();
-        for (Told told : history.told()) {
-            if (told.scope() == UpdateScope.FULL) {
+        for (Update update : history.updates()) {
+            if (update.scope() == UpdateScope.FULL) {
                 listed.clear();
             }
-            told.servers().forEach(s -> listed.put(s.id(), s));
+            update.servers().forEach(s -> listed.put(s.id(), s));
             listed.values().removeIf(s -> s.state() == EndpointState.REMOVED);
         }
         return listed;
     }
 
-    private static Set<Long> plainSubset(History history) {
+    private static Set<Long> referenceSubset(History history) {
         Map<Long, Endpoint> listed = listed(history);
         if (listed.isEmpty()) {
             return Set.of();
@@ -107,11 +111,16 @@
         ReferenceRing ring = new ReferenceRing(sizes);
         int count = listed.size();
         int size =
-                (int) Math.min(FREE_SUBSET, DOZEN * Math.max(1, count / (double) history.nodes()));
+                (int)
+                        Math.min(
+                                MAX_FREE_SIZE,
+                                NODES_PER_SERVER * Math.max(1, count / (double) history.nodes()));
         boolean all = size >= count;
         Set<Long> subset = new HashSet<>();
-        for (int k = 0; subset.size() < size && k < (all ? count : TRIES * size); k++) {
-            double point = ((history.node() + 0.5) / history.nodes() + k * GOLDEN) % 1;
+        for (int k = 0;
+                subset.size() < size && k < (all ? count : MAX_POINTS_PER_SERVER * size);
+                k++) {
+            double point = ((history.node() + 0.5) / history.nodes() + k * GOLDEN_RATIO) % 1;
             long id = all ? ring.ids().get(k) : ring.at(point);
             if (listed.get(id).state() == EndpointState.UP) {
                 subset.add(id);
@@ -120,13 +129,13 @@
         return subset;
     }
 
-    private static void tell(TestNode node, Told told) {
-        node.on(new EndpointUpdate(told.scope(), told.servers()));
+    private static void applyUpdate(TestNode node, Update update) {
+        node.deliver(new EndpointUpdate(update.scope(), update.servers()));
     }
 
     /**
-     * The servers that requests go to, one at a time: in two rounds of the rotation all of the
-     * subset.
+     * Returns the servers that sequential requests are sent to. Two rounds of the round-robin reach
+     * every server of the subset.
      */
     private static Set<Long> used(TestNode node, int subset) {
         Set<Long> used = new HashSet<>();
@@ -137,30 +146,30 @@
     }
 
     @Property(tries = 300, seed = "71")
-    void theSubsetIsWhatThePlainComputationGives(@ForAll("histories") History history) {
+    void theSubsetEqualsTheReferenceComputation(@ForAll("histories") History history) {
         TestNode node = node(history);
-        history.told().forEach(told -> tell(node, told));
-        Set<Long> expected = plainSubset(history);
+        history.updates().forEach(update -> applyUpdate(node, update));
+        Set<Long> expected = referenceSubset(history);
         assertEquals(expected, used(node, expected.size()));
     }
 
     @Property(tries = 300, seed = "72")
-    void aChainOfChangesGivesTheSameSubsetAsTheWholeListAtOnce(
-            @ForAll("histories") History history) {
+    void aSequenceOfUpdatesGivesTheSameSubsetAsOneFullUpdate(@ForAll("histories") History history) {
         TestNode chain = node(history);
-        history.told().forEach(told -> tell(chain, told));
-        TestNode whole = node(history);
-        tell(whole, new Told(UpdateScope.FULL, List.copyOf(listed(history).values())));
-        int size = plainSubset(history).size();
-        assertEquals(used(whole, size), used(chain, size));
+        history.updates().forEach(update -> applyUpdate(chain, update));
+        TestNode singleUpdate = node(history);
+        applyUpdate(
+                singleUpdate, new Update(UpdateScope.FULL, List.copyOf(listed(history).values())));
+        int size = referenceSubset(history).size();
+        assertEquals(used(singleUpdate, size), used(chain, size));
     }
 
-    /** Guards against properties above that hold because hardly anything is ever listed. */
+    /** Guards against the properties above passing only because the generated lists are short. */
     @Property(tries = 300, seed = "71")
-    void mostHistoriesEndWithServersBesideTheSubset(@ForAll("histories") History history) {
-        Statistics.label("servers beside the subset")
-                .collect(listed(history).size() > plainSubset(history).size())
+    void mostHistoriesEndWithServersOutsideTheSubset(@ForAll("histories") History history) {
+        Statistics.label("servers outside the subset")
+                .collect(listed(history).size() > referenceSubset(history).size())
                 .coverage(checker -> checker.check(true).percentage(p -> p >= 50));
-        assertTrue(history.told().size() >= 1);
+        assertTrue(history.updates().size() >= 1);
     }
 }
--- a/src/test/java/ottergauge/decision/SettingsHistoryTest.java
+++ b/src/test/java/ottergauge/decision/SettingsHistoryTest.java
@@ -19,16 +19,16 @@
 import ottergauge.decision.api.ServiceRules;
 
 /**
- * The four rules over random histories in which settings change at random instants: each request by
- * the class and the limits that it was taken with, servers by the rules in force. Not varied are
- * how long a server is cold and the span of its budget: after a change of these its sends count
- * from then on.
+ * Checks the four rules over random histories in which the settings change at random instants.
+ * Requests are checked against the class and the limits that applied at their arrival, servers
+ * against the current rules. The duration of the slow start and the overload window are not varied,
+ * because after a change of these only later sends count.
  */
 class SettingsHistoryTest {
 
     private static final int ARRIVALS = 400;
-    private static final int OTHERS = 6;
-    private static final int MOST_GAP = 60_000;
+    private static final int OTHER_SETTINGS = 6;
+    private static final int MAX_ARRIVAL_GAP = 60_000;
 
     private static TestSettings first() {
         TestSettings settings = new TestSettings();
@@ -37,23 +37,24 @@
     }
 
     /**
-     * Some classes out of nine names, in any order; what a name may do differs from settings to
-     * settings.
+     * Returns some classes with names from a set of nine, in random order. A class of the same name
+     * has other properties in other settings.
      */
-    @SuppressWarnings("EnumOrdinal") // Any of the values, drawn by chance.
+    @SuppressWarnings("EnumOrdinal") // Selects a random value of each enum.
     private static List<RequestClass> classes(SplittableRandom random) {
         List<String> names = new ArrayList<>(List.of("a", "b", "c", "d", "e", "f", "g", "h", "i"));
         Collections.shuffle(names, new Random(random.nextLong()));
         List<RequestClass> classes = new ArrayList<>();
         for (String name : names.subList(0, 1 + random.nextInt(names.size()))) {
-            Idempotency repeat = Idempotency.values()[random.nextInt(Idempotency.values().length)];
-            DeduplicationScope group =
+            Idempotency idempotency =
+                    Idempotency.values()[random.nextInt(Idempotency.values().length)];
+            DeduplicationScope scope =
                     DeduplicationScope.values()[random.nextInt(DeduplicationScope.values().length)];
             classes.add(
                     new RequestClass(
                             name,
-                            repeat,
-                            group,
+                            idempotency,
+                            scope,
                             400_000 + random.nextLong(800_000),
                             1_000_000 + random.nextLong(2_000_000),
                             400_000 + random.nextLong(800_000),
@@ -64,7 +65,7 @@
         return classes;
     }
 
-    private static DecisionSettings other(
+    private static DecisionSettings randomSettings(
             DecisionSettings from, SplittableRandom random, boolean nodes, boolean reports) {
         RequestLimits limits =
                 new RequestLimits(
@@ -81,7 +82,7 @@
                         from.rules().slowStartDuration(),
                         1 + 3 * random.nextDouble(),
                         from.rules().overloadWindow());
-        Costs prices =
+        Costs newCosts =
                 new Costs(
                         reports && random.nextBoolean() ? 0.08 : from.costs().probe(),
                         random.nextBoolean() ? 0.03 : 0);
@@ -97,21 +98,21 @@
                 random.nextBoolean(),
                 limits,
                 rules,
-                prices,
+                newCosts,
                 classes(random));
     }
 
-    private static void play(
-            TestSettings first, long seed, int mostGap, boolean nodes, boolean reports) {
+    private static void runHistory(
+            TestSettings first, long seed, int maxArrivalGap, boolean nodes, boolean reports) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<DecisionSettings> others = new ArrayList<>();
-        for (int i = 0; i < OTHERS; i++) {
-            others.add(other(first.build(), random, nodes, reports));
+        List<DecisionSettings> otherSettings = new ArrayList<>();
+        for (int i = 0; i < OTHER_SETTINGS; i++) {
+            otherSettings.add(randomSettings(first.build(), random, nodes, reports));
         }
-        // Its like comes again, so that a change is also taken back.
-        others.add(first.build());
-        History history = new History(first, seed, others);
-        history.mostGap = mostGap;
+        // The initial settings are included, so that changes are also reverted.
+        otherSettings.add(first.build());
+        History history = new History(first, seed, otherSettings);
+        history.maxArrivalGap = maxArrivalGap;
         history.run(ARRIVALS);
         assertTrue(
                 history.settingsChanges > 0 && history.sends > ARRIVALS / 10,
@@ -119,28 +120,28 @@
     }
 
     @Property(tries = 150, seed = "81")
-    void theRulesHoldWhereNothingIsHeardOfServers(@ForAll long seed) {
-        play(first(), seed, MOST_GAP, false, false);
+    void theRulesHoldWithoutLoadInformation(@ForAll long seed) {
+        runHistory(first(), seed, MAX_ARRIVAL_GAP, false, false);
     }
 
     /**
-     * So few requests that hardly one waits for another. With more of them the module takes what
-     * waited for quicker than it was, by up to a half, and its part of a cold budget for larger: by
-     * that alone one of seventy histories of several nodes goes past the budget, with no change of
-     * settings at all.
+     * Requests arrive so rarely that they hardly ever wait for one another. With more requests the
+     * engine underestimates the service time of requests that waited, by up to a half, and so
+     * overestimates its share of a slow-start budget. For that reason alone one of seventy
+     * histories with several nodes exceeds the budget, without any change of settings.
      */
     @Property(tries = 150, seed = "82")
-    void theRulesHoldWhereServersAreProbedAndTheNumberOfNodesChanges(@ForAll long seed) {
+    void theRulesHoldWithProbesWhileTheNumberOfNodesChanges(@ForAll long seed) {
         TestSettings first = first();
         first.probes = true;
         first.nodes = 3;
-        play(first, seed, 4 * MOST_GAP, true, false);
+        runHistory(first, seed, 4 * MAX_ARRIVAL_GAP, true, false);
     }
 
     @Property(tries = 150, seed = "83")
-    void theRulesHoldWhereReportsAndProbesComeAndGo(@ForAll long seed) {
+    void theRulesHoldWhileReportsAndProbesAreSwitchedOnAndOff(@ForAll long seed) {
         TestSettings first = first();
         first.probes = true;
-        play(first, seed, MOST_GAP, false, true);
+        runHistory(first, seed, MAX_ARRIVAL_GAP, false, true);
     }
 }
--- a/src/test/java/ottergauge/decision/SettingsReplacementTest.java
+++ b/src/test/java/ottergauge/decision/SettingsReplacementTest.java
@@ -44,11 +44,13 @@
 
     private static final long MS = TestNode.MS;
     private static final RequestClass READ =
-            TestSettings.type("read", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1);
+            TestSettings.newRequestClass(
+                    "read", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1);
     private static final RequestClass GRANT =
-            TestSettings.type("grant", Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET, 1);
+            TestSettings.newRequestClass(
+                    "grant", Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET, 1);
     private static final RequestClass PAY =
-            TestSettings.type("pay", Idempotency.KEYED, DeduplicationScope.FLEET, 1);
+            TestSettings.newRequestClass("pay", Idempotency.KEYED, DeduplicationScope.FLEET, 1);
 
     private final TestSettings settings = new TestSettings();
     private int lastRequest;
@@ -63,7 +65,8 @@
         return settings.build();
     }
 
-    private static RequestClass type(String name, Idempotency repeat, long aim, long deadline) {
+    private static RequestClass newRequestClass(
+            String name, Idempotency repeat, long aim, long deadline) {
         return new RequestClass(
                 name, repeat, DeduplicationScope.FLEET, aim, deadline, 800_000, 1, 0, false);
     }
@@ -77,7 +80,7 @@
     }
 
     private static SendAttempt sent(List<DecisionAction> actions) {
-        return TestNode.only(SendAttempt.class, actions);
+        return TestNode.onlyOfType(SendAttempt.class, actions);
     }
 
     // ---- What was taken before
@@ -93,13 +96,13 @@
         node.servers(3);
         SendAttempt before = sent(arrive(node, "before", 0));
         settings.maxAttempts = 1;
-        node.takeOver(with(READ));
+        node.applySettings(with(READ));
         SendAttempt after = sent(arrive(node, "after", 0));
         node.now += MS;
-        sent(node.ended("before", 0, before.server(), AttemptResult.CONNECT_FAILED, MS));
-        TestNode.only(
+        sent(node.endAttempt("before", 0, before.server(), AttemptResult.CONNECT_FAILED, MS));
+        TestNode.onlyOfType(
                 RejectRequest.class,
-                node.ended("after", 0, after.server(), AttemptResult.CONNECT_FAILED, MS));
+                node.endAttempt("after", 0, after.server(), AttemptResult.CONNECT_FAILED, MS));
     }
 
     /**
@@ -111,26 +114,27 @@
         TestNode node = node(GRANT);
         node.servers(3);
         SendAttempt before = sent(arrive(node, "before", 0));
-        node.takeOver(
+        node.applySettings(
                 with(
-                        TestSettings.type(
+                        TestSettings.newRequestClass(
                                 "grant", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1)));
         SendAttempt after = sent(arrive(node, "after", 0));
         node.now += MS;
-        TestNode.only(
+        TestNode.onlyOfType(
                 FailRequest.class,
-                node.ended("before", 0, before.server(), AttemptResult.RESET, MS));
-        sent(node.ended("after", 0, after.server(), AttemptResult.RESET, MS));
+                node.endAttempt("before", 0, before.server(), AttemptResult.RESET, MS));
+        sent(node.endAttempt("after", 0, after.server(), AttemptResult.RESET, MS));
     }
 
     @Test
     void aHeldRequestEndsByTheAimThatItWasTakenWith() {
-        TestNode node = node(type("read", Idempotency.IDEMPOTENT, 1_000_000, 2_000_000));
+        TestNode node = node(newRequestClass("read", Idempotency.IDEMPOTENT, 1_000_000, 2_000_000));
         arrive(node, "before", 0);
-        node.takeOver(with(type("read", Idempotency.IDEMPOTENT, 200_000, 2_000_000)));
+        node.applySettings(
+                with(newRequestClass("read", Idempotency.IDEMPOTENT, 200_000, 2_000_000)));
         arrive(node, "after", 0);
-        assertEquals("after", TestNode.only(RejectRequest.class, node.after(250 * MS)).id());
-        assertEquals("before", TestNode.only(RejectRequest.class, node.after(800 * MS)).id());
+        assertEquals("after", TestNode.onlyOfType(RejectRequest.class, node.after(250 * MS)).id());
+        assertEquals("before", TestNode.onlyOfType(RejectRequest.class, node.after(800 * MS)).id());
     }
 
     @Test
@@ -138,7 +142,7 @@
         TestNode node = node(READ);
         arrive(node, "before", 0);
         DecisionSettings build = with(READ);
-        node.takeOver(
+        node.applySettings(
                 new DecisionSettings(
                         build.nodeIndex(),
                         build.nodeCount(),
@@ -153,7 +157,7 @@
                         build.costs(),
                         build.requestClasses()));
         arrive(node, "after", 0);
-        List<RejectRequest> refused = TestNode.those(RejectRequest.class, node.after(1_500 * MS));
+        List<RejectRequest> refused = TestNode.ofType(RejectRequest.class, node.after(1_500 * MS));
         assertEquals(List.of("before", "after"), refused.stream().map(RejectRequest::id).toList());
         assertEquals(
                 List.of(600_000L, 900_000L),
@@ -167,7 +171,7 @@
         node.servers(3);
         sent(arrive(node, "before", 0));
         DecisionSettings build = with(READ);
-        node.takeOver(
+        node.applySettings(
                 new DecisionSettings(
                         build.nodeIndex(),
                         build.nodeCount(),
@@ -184,10 +188,13 @@
         sent(arrive(node, "after", 0));
         assertEquals(
                 "before",
-                TestNode.only(CancelAttempt.class, node.on(new ClientDisconnected("before"))).id());
+                TestNode.onlyOfType(
+                                CancelAttempt.class, node.deliver(new ClientDisconnected("before")))
+                        .id());
         assertEquals(
                 List.of(),
-                TestNode.those(CancelAttempt.class, node.on(new ClientDisconnected("after"))));
+                TestNode.ofType(
+                        CancelAttempt.class, node.deliver(new ClientDisconnected("after"))));
     }
 
     // ---- Classes that come, go and move
@@ -197,12 +204,12 @@
     void whatWaitsOfAClassThatIsRemovedIsServedAllTheSame() {
         TestNode node = node(READ, GRANT);
         arrive(node, "held", 1);
-        node.takeOver(with(READ));
+        node.applySettings(with(READ));
         SendAttempt send = sent(node.servers(2));
         assertEquals("held", send.id());
         node.now += MS;
         // What its answer took goes into the shared row, and its failures go by the shared budget.
-        node.ended("held", 0, send.server(), AttemptResult.SERVED, MS);
+        node.endAttempt("held", 0, send.server(), AttemptResult.SERVED, MS);
         arrive(node, "next", 0);
     }
 
@@ -211,24 +218,25 @@
         TestNode node = node(READ, PAY);
         node.servers(3);
         SendAttempt send = sent(arrive(node, "out", 1));
-        node.takeOver(with(READ));
+        node.applySettings(with(READ));
         node.now += MS;
-        SendAttempt again = sent(node.ended("out", 0, send.server(), AttemptResult.RESET, MS));
-        node.takeOver(with(GRANT));
+        SendAttempt again = sent(node.endAttempt("out", 0, send.server(), AttemptResult.RESET, MS));
+        node.applySettings(with(GRANT));
         node.now += MS;
-        node.ended("out", 1, again.server(), AttemptResult.SERVED, MS);
-        assertEquals(2, TestNode.those(SendAttempt.class, node.all).size());
+        node.endAttempt("out", 1, again.server(), AttemptResult.SERVED, MS);
+        assertEquals(2, TestNode.ofType(SendAttempt.class, node.allActions).size());
     }
 
     @Test
     void aClassIsUsedInTheTurnInWhichItIsAdded() {
         TestNode node = node(READ);
         node.servers(2);
-        node.takeOver(with(GRANT, READ));
+        node.applySettings(with(GRANT, READ));
         SendAttempt send = sent(arrive(node, "first", 0));
         node.now += MS;
-        TestNode.only(
-                FailRequest.class, node.ended("first", 0, send.server(), AttemptResult.RESET, MS));
+        TestNode.onlyOfType(
+                FailRequest.class,
+                node.endAttempt("first", 0, send.server(), AttemptResult.RESET, MS));
     }
 
     /** By the new settings the server that goes would be warm; it has gone by then. */
@@ -236,8 +244,8 @@
     void settingsAndServersComeInForceAtOneInstant() {
         settings.nodes = 50_000;
         TestNode node = node(READ);
-        node.change(1, EndpointState.UP, node.now);
-        assertEquals(List.of(), TestNode.those(SendAttempt.class, arrive(node, "held", 0)));
+        node.updateServer(1, EndpointState.UP, node.now);
+        assertEquals(List.of(), TestNode.ofType(SendAttempt.class, arrive(node, "held", 0)));
         DecisionSettings cold = with(READ, GRANT);
         DecisionSettings warm =
                 new DecisionSettings(
@@ -254,7 +262,7 @@
                         cold.costs(),
                         cold.requestClasses());
         List<DecisionAction> actions =
-                node.on(
+                node.deliver(
                         new SettingsChanged(
                                 warm,
                                 new EndpointUpdate(
@@ -276,7 +284,7 @@
             long server = sent(arrive(node, id, requestClass)).server();
             long elapsed = server == quickAt ? 10 * MS : 90 * MS;
             node.now += elapsed;
-            node.ended(id, 0, server, AttemptResult.SERVED, elapsed);
+            node.endAttempt(id, 0, server, AttemptResult.SERVED, elapsed);
             quick += server == quickAt ? 1 : 0;
         }
         return quick;
@@ -293,7 +301,7 @@
             turns(node, 0, 1, 1);
             turns(node, 1, 2, 1);
         }
-        node.takeOver(with(PAY, GRANT, READ));
+        node.applySettings(with(PAY, GRANT, READ));
         int reads = turns(node, 2, 1, 20);
         assertTrue(reads >= 15, "reads at the first server: " + reads);
         int grants = turns(node, 1, 2, 20);
@@ -309,8 +317,8 @@
             turns(node, 0, 1, 1);
             turns(node, 1, 2, 1);
         }
-        node.takeOver(with(READ));
-        node.takeOver(with(READ, GRANT));
+        node.applySettings(with(READ));
+        node.applySettings(with(READ, GRANT));
         int quick = turns(node, 1, 2, 10);
         assertTrue(quick <= 7, "by the shared row: " + quick);
     }
@@ -321,13 +329,14 @@
     private boolean spent(TestNode node, int requestClass) {
         String id = "s" + ++lastRequest;
         long server = sent(arrive(node, id, requestClass)).server();
-        List<DecisionAction> actions = node.ended(id, 0, server, AttemptResult.REJECTED, 0);
+        List<DecisionAction> actions = node.endAttempt(id, 0, server, AttemptResult.REJECTED, 0);
         node.now += 200 * MS;
         boolean again =
-                !TestNode.those(SendAttempt.class, actions).isEmpty()
-                        || !TestNode.those(SendAttempt.class, node.after(0)).isEmpty();
-        node.on(new ClientDisconnected(id));
-        node.on(new AttemptEnded(id, 1, server, AttemptResult.CANCELLED, 0, true, LoadReport.NONE));
+                !TestNode.ofType(SendAttempt.class, actions).isEmpty()
+                        || !TestNode.ofType(SendAttempt.class, node.after(0)).isEmpty();
+        node.deliver(new ClientDisconnected(id));
+        node.deliver(
+                new AttemptEnded(id, 1, server, AttemptResult.CANCELLED, 0, true, LoadReport.NONE));
         return !again;
     }
 
@@ -346,7 +355,7 @@
     void aClassKeepsItsBudgetOfFurtherAttemptsWhereverItStands() {
         TestNode node = node(READ, PAY);
         spend(node, 0, 1);
-        node.takeOver(with(PAY, GRANT, READ));
+        node.applySettings(with(PAY, GRANT, READ));
         assertTrue(spent(node, 2), "it is used up in another place, too");
         assertTrue(!spent(node, 0), "the budget of all is not");
     }
@@ -355,8 +364,8 @@
     void aClassThatComesAgainHasAWholeBudget() {
         TestNode node = node(READ, PAY);
         spend(node, 0, 1);
-        node.takeOver(with(PAY));
-        node.takeOver(with(READ, PAY));
+        node.applySettings(with(PAY));
+        node.applySettings(with(READ, PAY));
         assertTrue(!spent(node, 0), "it begins anew");
     }
 
@@ -367,7 +376,7 @@
                 IntStream.range(0, 1024)
                         .mapToObj(
                                 i ->
-                                        TestSettings.type(
+                                        TestSettings.newRequestClass(
                                                 "c" + i,
                                                 Idempotency.IDEMPOTENT,
                                                 DeduplicationScope.FLEET,
@@ -376,16 +385,17 @@
         TestNode node = node(READ);
         node.servers(4);
         arrive(node, "read", 0);
-        node.takeOver(with(many));
+        node.applySettings(with(many));
         for (int i : new int[] {0, 63, 64, 1023}) {
-            assertEquals(1, TestNode.those(SendAttempt.class, arrive(node, "m" + i, i)).size());
+            assertEquals(1, TestNode.ofType(SendAttempt.class, arrive(node, "m" + i, i)).size());
         }
-        node.takeOver(with(many[1023], READ, many[64], GRANT));
-        for (SendAttempt send : TestNode.those(SendAttempt.class, new ArrayList<>(node.all))) {
+        node.applySettings(with(many[1023], READ, many[64], GRANT));
+        for (SendAttempt send :
+                TestNode.ofType(SendAttempt.class, new ArrayList<>(node.allActions))) {
             node.now += MS;
-            node.ended(send.id(), 0, send.server(), AttemptResult.SERVED, MS);
+            node.endAttempt(send.id(), 0, send.server(), AttemptResult.SERVED, MS);
         }
-        assertEquals(1, TestNode.those(SendAttempt.class, arrive(node, "last", 0)).size());
+        assertEquals(1, TestNode.ofType(SendAttempt.class, arrive(node, "last", 0)).size());
     }
 
     // ---- What is in force for servers
@@ -408,16 +418,16 @@
         Set<Long> few = used(node, 100);
         settings.nodes = 1;
         settings.node = 0;
-        node.takeOver(with(READ));
+        node.applySettings(with(READ));
         Set<Long> many = used(node, 100);
         settings.nodes = 1000;
         settings.node = 7;
-        node.takeOver(with(READ));
+        node.applySettings(with(READ));
         assertEquals(12, few.size());
         assertEquals(32, many.size());
         assertEquals(few, used(node, 100));
         settings.node = 503;
-        node.takeOver(with(READ));
+        node.applySettings(with(READ));
         assertNotEquals(few, used(node, 100));
     }
 
@@ -444,26 +454,26 @@
             String id = "w" + ++lastRequest;
             List<DecisionAction> actions = arrive(node, id, 0);
             actions =
-                    TestNode.those(SendProbe.class, actions).isEmpty()
+                    TestNode.ofType(SendProbe.class, actions).isEmpty()
                             ? actions
                             : node.probed(1, 0);
             SendAttempt send = sent(actions);
             node.now += 100 * MS;
-            node.ended(id, 0, send.server(), AttemptResult.SERVED, 100 * MS);
+            node.endAttempt(id, 0, send.server(), AttemptResult.SERVED, 100 * MS);
         }
         settings.nodes = nodes;
-        node.takeOver(with(READ));
-        node.change(1, EndpointState.UP, node.now);
-        int before = TestNode.those(SendAttempt.class, node.all).size();
+        node.applySettings(with(READ));
+        node.updateServer(1, EndpointState.UP, node.now);
+        int before = TestNode.ofType(SendAttempt.class, node.allActions).size();
         for (int i = 0; i < 8; i++) {
             String id = "c" + ++lastRequest;
-            if (!TestNode.those(SendProbe.class, arrive(node, id, 0)).isEmpty()) {
+            if (!TestNode.ofType(SendProbe.class, arrive(node, id, 0)).isEmpty()) {
                 node.probed(1, 0);
             }
             node.now += 100 * MS;
-            node.ended(id, 0, 1, AttemptResult.SERVED, 100 * MS);
+            node.endAttempt(id, 0, 1, AttemptResult.SERVED, 100 * MS);
         }
-        return (long) TestNode.those(SendAttempt.class, node.all).size() - before;
+        return (long) TestNode.ofType(SendAttempt.class, node.allActions).size() - before;
     }
 
     @Test
@@ -472,20 +482,20 @@
         node.servers(2);
         long server = sent(arrive(node, "a", 0)).server();
         node.now += MS;
-        node.ended("a", 0, server, AttemptResult.SERVED, MS);
+        node.endAttempt("a", 0, server, AttemptResult.SERVED, MS);
         settings.probes = true;
-        node.takeOver(with(READ));
+        node.applySettings(with(READ));
         node.now += 100 * MS;
-        long probed = TestNode.only(SendProbe.class, arrive(node, "b", 0)).server();
+        long probed = TestNode.onlyOfType(SendProbe.class, arrive(node, "b", 0)).server();
         settings.probes = false;
         // What waits for the probe goes at once, and what the probe brings is taken as it comes.
-        assertEquals("b", sent(node.takeOver(with(READ))).id());
+        assertEquals("b", sent(node.applySettings(with(READ))).id());
         node.probed(probed, 3);
-        assertEquals(0, TestNode.those(SendProbe.class, arrive(node, "c", 0)).size());
+        assertEquals(0, TestNode.ofType(SendProbe.class, arrive(node, "c", 0)).size());
     }
 
     private static void listOnly(TestNode node, long id, int zone) {
-        node.on(
+        node.deliver(
                 new EndpointUpdate(
                         UpdateScope.FULL,
                         List.of(new Endpoint(id, zone, 0, 0, EndpointState.UP, 1, 0))));
@@ -495,11 +505,11 @@
     private void probe(TestNode node, long trip) {
         node.now += 1_000 * MS;
         String id = "p" + ++lastRequest;
-        long server = TestNode.only(SendProbe.class, arrive(node, id, 0)).server();
+        long server = TestNode.onlyOfType(SendProbe.class, arrive(node, id, 0)).server();
         node.now += trip;
-        node.on(new ProbeEnded(server, AttemptResult.SERVED, trip, TestNode.IDLE));
+        node.deliver(new ProbeEnded(server, AttemptResult.SERVED, trip, TestNode.IDLE));
         node.now += MS;
-        node.ended(id, 0, server, AttemptResult.SERVED, MS);
+        node.endAttempt(id, 0, server, AttemptResult.SERVED, MS);
     }
 
     /**
@@ -517,10 +527,10 @@
         listOnly(node, 1, 0);
         probe(node, 30 * MS);
         node.now += 1_000 * MS;
-        TestNode.only(SendProbe.class, arrive(node, "last", 0));
-        assertEquals(EndpointStatus.ACTIVE, node.decide.endpointStatus(node.now + 20 * MS, 1));
+        TestNode.onlyOfType(SendProbe.class, arrive(node, "last", 0));
+        assertEquals(EndpointStatus.ACTIVE, node.engine.endpointStatus(node.now + 20 * MS, 1));
         node.after(20 * MS);
-        assertEquals(EndpointStatus.ACTIVE, node.decide.endpointStatus(node.now, 1));
+        assertEquals(EndpointStatus.ACTIVE, node.engine.endpointStatus(node.now, 1));
     }
 
     /** A change that is taken back leaves no trace: the same as if there had been none. */
@@ -531,15 +541,15 @@
         TestSettings second = new TestSettings();
         second.classes = List.of(GRANT, READ, PAY);
         second.maxAttempts = 1;
-        second.repeatsMarked = false;
+        second.retriesMarked = false;
         TestNode changed = new TestNode(first.build());
         TestNode plain = new TestNode(first.build());
         changed.servers(5);
         plain.servers(5);
         for (int i = 0; i < 300; i++) {
             if (i % 7 == 0) {
-                changed.takeOver(second.build());
-                changed.takeOver(first.build());
+                changed.applySettings(second.build());
+                changed.applySettings(first.build());
             }
             assertEquals(step(plain, i), step(changed, i), "request " + i);
         }
@@ -551,10 +561,10 @@
                 i % 11 == 0
                         ? AttemptResult.REJECTED
                         : i % 13 == 0 ? AttemptResult.ERROR : AttemptResult.SERVED;
-        for (SendAttempt send : TestNode.those(SendAttempt.class, actions)) {
+        for (SendAttempt send : TestNode.ofType(SendAttempt.class, actions)) {
             node.now += (20 + send.server() * 10) * MS;
             actions.addAll(
-                    node.ended(
+                    node.endAttempt(
                             send.id(), 0, send.server(), result, (20 + send.server() * 10) * MS));
         }
         // Timers are set anew at each event: what matters is what is sent and answered.
--- a/src/test/java/ottergauge/decision/TestNode.java
+++ b/src/test/java/ottergauge/decision/TestNode.java
@@ -19,16 +19,19 @@
 import ottergauge.decision.api.LoadReport;
 import ottergauge.decision.api.UpdateScope;
 
-/** Drives one decision module with events; the clock is {@link #now}, in microseconds. */
+/**
+ * Passes events to the decision engine of one node and collects its actions. The clock is {@link
+ * #now}, in microseconds.
+ */
 final class TestNode {
     static final long MS = 1000;
     static final LoadReport IDLE = new LoadReport(0, 0, 0, Double.NaN, Double.NaN);
 
     DecisionSettings settings;
-    final DecisionEngine decide;
-    final List<DecisionAction> all = new ArrayList<>();
+    final DecisionEngine engine;
+    final List<DecisionAction> allActions = new ArrayList<>();
     long now = 1_000_000;
-    long key;
+    long affinityKey;
 
     TestNode(DecisionSettings settings) {
         this(settings, 1);
@@ -36,43 +39,46 @@
 
     TestNode(DecisionSettings settings, long seed) {
         this.settings = settings;
-        decide = new DecisionEngine(settings, seed);
+        engine = new DecisionEngine(settings, seed);
     }
 
-    /** Hands over an event now and returns the actions it drew. */
-    List<DecisionAction> on(DecisionEvent event) {
+    /** Passes an event to the engine at the current time and returns the resulting actions. */
+    List<DecisionAction> deliver(DecisionEvent event) {
         List<DecisionAction> actions = new ArrayList<>();
-        decide.handle(now, event, actions::add);
-        all.addAll(actions);
+        engine.handle(now, event, actions::add);
+        allActions.addAll(actions);
         return actions;
     }
 
+    /** Advances the clock by this time span and fires the timer. */
     List<DecisionAction> after(long span) {
         now += span;
-        return on(new TimerFired("tick"));
+        return deliver(new TimerFired("tick"));
     }
 
+    /** Replaces the endpoint list with this number of servers, whose ids start at 1. */
     List<DecisionAction> servers(int count) {
         List<Endpoint> servers = new ArrayList<>();
         for (int i = 1; i <= count; i++) {
             servers.add(server(i, EndpointState.UP, 0));
         }
-        return on(new EndpointUpdate(UpdateScope.FULL, servers));
+        return deliver(new EndpointUpdate(UpdateScope.FULL, servers));
     }
 
-    /** Other settings come in force, with the list as it is. */
-    List<DecisionAction> takeOver(DecisionSettings next) {
+    /** Applies new settings without changing the endpoint list. */
+    List<DecisionAction> applySettings(DecisionSettings next) {
         settings = next;
-        return on(
+        return deliver(
                 new SettingsChanged(next, new EndpointUpdate(UpdateScope.INCREMENTAL, List.of())));
     }
 
-    List<DecisionAction> change(long id, EndpointState state, long startedAt) {
-        return on(
+    /** Passes an incremental endpoint update for one server. */
+    List<DecisionAction> updateServer(long id, EndpointState state, long startedAt) {
+        return deliver(
                 new EndpointUpdate(UpdateScope.INCREMENTAL, List.of(server(id, state, startedAt))));
     }
 
-    /** Server {@code id} stands in zone and cell {@code id % 2}. */
+    /** Returns an endpoint whose zone and cell are both {@code id % 2}. */
     static Endpoint server(long id, EndpointState state, long startedAt) {
         return new Endpoint(id, (int) (id % 2), 0, (int) (id % 2), state, 1, startedAt);
     }
@@ -81,38 +87,42 @@
         return arrive(id, 0, now + settings.requestClasses().get(0).deadline(), false);
     }
 
-    List<DecisionAction> arrive(String id, int requestClass, long giveUpAt, boolean repeat) {
-        return on(new RequestArrived(id, requestClass, giveUpAt, repeat, key));
+    List<DecisionAction> arrive(String id, int requestClass, long giveUpAt, boolean clientRetry) {
+        return deliver(new RequestArrived(id, requestClass, giveUpAt, clientRetry, affinityKey));
     }
 
-    List<DecisionAction> ended(
+    List<DecisionAction> endAttempt(
             String id, int attempt, long server, AttemptResult result, long elapsed) {
-        boolean over = result == AttemptResult.SERVED;
-        return on(new AttemptEnded(id, attempt, server, result, elapsed, over, LoadReport.NONE));
+        boolean requestComplete = result == AttemptResult.SERVED;
+        return deliver(
+                new AttemptEnded(
+                        id, attempt, server, result, elapsed, requestComplete, LoadReport.NONE));
     }
 
+    /** Ends a load probe successfully. The server reports this number of requests in flight. */
     List<DecisionAction> probed(long server, double inFlight) {
-        return on(
+        return deliver(
                 new ProbeEnded(
                         server, AttemptResult.SERVED, MS, new LoadReport(inFlight, 0, 0, 0, 0)));
     }
 
     /**
-     * Sends a request, lets it be served after {@code elapsed}, and returns the server that served
-     * it.
+     * Sends a request that succeeds after {@code elapsed}, and returns the server that received it.
      */
     long serve(String id, long elapsed) {
-        SendAttempt send = only(SendAttempt.class, arrive(id));
+        SendAttempt send = onlyOfType(SendAttempt.class, arrive(id));
         now += elapsed;
-        ended(id, 0, send.server(), AttemptResult.SERVED, elapsed);
+        endAttempt(id, 0, send.server(), AttemptResult.SERVED, elapsed);
         return send.server();
     }
 
     /**
-     * Ends an attempt as served; the answer says how many requests its server still holds besides.
+     * Ends an attempt successfully.
+     *
+     * @param left number of other requests that the server still holds, by its load report
      */
-    List<DecisionAction> answered(String id, long server, long elapsed, int left) {
-        return on(
+    List<DecisionAction> respondWithLoad(String id, long server, long elapsed, int left) {
+        return deliver(
                 new AttemptEnded(
                         id,
                         0,
@@ -123,12 +133,12 @@
                         new LoadReport(left + 1, left, 0.5, Double.NaN, Double.NaN)));
     }
 
-    static <T extends DecisionAction> List<T> those(Class<T> type, List<DecisionAction> actions) {
+    static <T extends DecisionAction> List<T> ofType(Class<T> type, List<DecisionAction> actions) {
         return actions.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    static <T extends DecisionAction> T only(Class<T> type, List<DecisionAction> actions) {
-        List<T> found = those(type, actions);
+    static <T extends DecisionAction> T onlyOfType(Class<T> type, List<DecisionAction> actions) {
+        List<T> found = ofType(type, actions);
         if (found.size() != 1) {
             throw new AssertionError("one " + type.getSimpleName() + " expected in " + actions);
         }
--- a/src/test/java/ottergauge/decision/TestSettings.java
+++ b/src/test/java/ottergauge/decision/TestSettings.java
@@ -11,37 +11,41 @@
 import ottergauge.decision.api.RequestLimits;
 import ottergauge.decision.api.ServiceRules;
 
-/** Builds settings; the defaults are a site without probes or reports and with one safe class. */
+/**
+ * Builds settings. The defaults are a deployment without load probes or load reports and with one
+ * idempotent request class.
+ */
 final class TestSettings {
     boolean probes;
-    double probePrice = 0.002;
-    boolean repeatsMarked = true;
-    boolean warmKeys;
+    double probeCost = 0.002;
+    boolean retriesMarked = true;
+    boolean cacheAffinity;
     int node;
     int nodes = 1;
-    long round = 1_000;
-    double connectionPrice;
+    long eventInterval = 1_000;
+    double connectionCost;
     int maxAttempts = 5;
-    List<RequestClass> classes = List.of(type(Idempotency.IDEMPOTENT, DeduplicationScope.FLEET));
-    DiscoveryMode discovery = DiscoveryMode.PUSH;
+    List<RequestClass> classes =
+            List.of(newRequestClass(Idempotency.IDEMPOTENT, DeduplicationScope.FLEET));
+    DiscoveryMode discoveryMode = DiscoveryMode.PUSH;
 
-    /** Answers tell loads, and a probe costs more than it is worth. */
-    static TestSettings hearing(int nodes) {
+    /** Responses carry load reports, and load probes are too expensive to be used. */
+    static TestSettings withPassiveReports(int nodes) {
         TestSettings settings = new TestSettings();
         settings.probes = true;
-        settings.probePrice = 0.08;
+        settings.probeCost = 0.08;
         settings.nodes = nodes;
         return settings;
     }
 
-    static RequestClass type(Idempotency repeat, DeduplicationScope group) {
-        return type("work", repeat, group, 1);
+    static RequestClass newRequestClass(Idempotency idempotency, DeduplicationScope scope) {
+        return newRequestClass("work", idempotency, scope, 1);
     }
 
-    static RequestClass type(
-            String name, Idempotency repeat, DeduplicationScope group, double worth) {
+    static RequestClass newRequestClass(
+            String name, Idempotency idempotency, DeduplicationScope scope, double priorityWeight) {
         return new RequestClass(
-                name, repeat, group, 1_000_000, 2_000_000, 800_000, worth, 0, false);
+                name, idempotency, scope, 1_000_000, 2_000_000, 800_000, priorityWeight, 0, false);
     }
 
     DecisionSettings build() {
@@ -49,14 +53,14 @@
                 node,
                 nodes,
                 0,
-                round,
-                discovery,
+                eventInterval,
+                discoveryMode,
                 probes,
-                repeatsMarked,
-                warmKeys,
+                retriesMarked,
+                cacheAffinity,
                 new RequestLimits(probes, true, true, maxAttempts, 600_000),
                 new ServiceRules(5_000, 500_000, 0.2, 10_000_000, 3, 1_000_000),
-                new Costs(probePrice, connectionPrice),
+                new Costs(probeCost, connectionCost),
                 classes);
     }
 }
--- a/src/test/java/ottergauge/decision/index/ClassIndexTest.java
+++ b/src/test/java/ottergauge/decision/index/ClassIndexTest.java
@@ -17,10 +17,10 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Names keep what belongs to their rows for as long as they stay, wherever the rows stand. */
+/** Names keep the values of their rows as long as they remain, even if the row numbers change. */
 class ClassIndexTest {
 
-    private static final int MOST_OWN = 5;
+    private static final int MAX_OWN_ROWS = 5;
     private static final String SHARED = "shared";
 
     @Provide
@@ -33,43 +33,50 @@
     }
 
     @Property(tries = 500, seed = "91")
-    void whatBelongsToANameStaysWithIt(@ForAll("renamings") List<List<String>> renamings) {
-        ClassIndex table = new ClassIndex(MOST_OWN);
-        // What belongs to a row: whose it is, and a number that no other one had.
-        List<String> belongs = table.remap(List.of(), () -> SHARED);
-        Map<String, String> owned = new HashMap<>();
-        int[] made = {0};
+    void aNameKeepsTheValueOfItsRow(@ForAll("renamings") List<List<String>> renamings) {
+        ClassIndex index = new ClassIndex(MAX_OWN_ROWS);
+        // The value of each row is a unique string.
+        List<String> rowValues = index.remap(List.of(), () -> SHARED);
+        Map<String, String> valueByName = new HashMap<>();
+        int[] created = {0};
         for (List<String> names : renamings) {
-            table.rename(names);
-            belongs = table.remap(belongs, () -> "fresh " + made[0]++);
-            assertEquals(SHARED, belongs.get(table.shared()));
+            index.rename(names);
+            rowValues = index.remap(rowValues, () -> "fresh " + created[0]++);
+            assertEquals(SHARED, rowValues.get(index.shared()));
             Set<String> distinct = new LinkedHashSet<>(names);
-            owned.keySet().retainAll(distinct);
+            valueByName.keySet().retainAll(distinct);
             for (String name : distinct) {
-                int row = table.of(name);
-                if (row != table.shared()) {
+                int row = index.of(name);
+                if (row != index.shared()) {
                     assertEquals(
-                            owned.getOrDefault(name, belongs.get(row)), belongs.get(row), name);
-                    owned.put(name, belongs.get(row));
+                            valueByName.getOrDefault(name, rowValues.get(row)),
+                            rowValues.get(row),
+                            name);
+                    valueByName.put(name, rowValues.get(row));
                 } else {
-                    assertTrue(!owned.containsKey(name), name + " has lost its row");
+                    assertTrue(!valueByName.containsKey(name), name + " has lost its row");
                 }
             }
-            assertEquals(Math.min(MOST_OWN, distinct.size()), owned.size(), "rows of their own");
             assertEquals(
-                    owned.size(), new HashSet<>(owned.values()).size(), "one row for two names");
-            assertEquals(owned.size() + 1, belongs.size());
+                    Math.min(MAX_OWN_ROWS, distinct.size()),
+                    valueByName.size(),
+                    "rows of their own");
+            assertEquals(
+                    valueByName.size(),
+                    new HashSet<>(valueByName.values()).size(),
+                    "one row for two names");
+            assertEquals(valueByName.size() + 1, rowValues.size());
         }
     }
 
     @Test
-    void theFirstNamesHaveRowsAndAnUnknownOneSharesTheLast() {
-        ClassIndex table = new ClassIndex(2);
-        table.rename(List.of("a", "b", "c"));
+    void theFirstNamesGetRowsAndUnknownNamesShareTheLast() {
+        ClassIndex index = new ClassIndex(2);
+        index.rename(List.of("a", "b", "c"));
         assertEquals(
                 List.of(0, 1, 2, 2),
-                List.of(table.of("a"), table.of("b"), table.of("c"), table.of("unknown")));
-        table.rename(List.of("c", "d", "b"));
-        assertEquals(List.of(0, 2, 1), List.of(table.of("c"), table.of("d"), table.of("b")));
+                List.of(index.of("a"), index.of("b"), index.of("c"), index.of("unknown")));
+        index.rename(List.of("c", "d", "b"));
+        assertEquals(List.of(0, 2, 1), List.of(index.of("c"), index.of("d"), index.of("b")));
     }
 }
--- a/src/test/java/ottergauge/decision/limits/LimitsTest.java
+++ b/src/test/java/ottergauge/decision/limits/LimitsTest.java
@@ -18,120 +18,128 @@
     private static final double SERVICE = 100_000;
 
     @Test
-    void aPaceBindsOnlyAfterCongestionAndIsCutOnceInAServiceTime() {
-        ConcurrencyLimit pace = new ConcurrencyLimit();
-        assertTrue(pace.permits(0, 1_000, SERVICE));
-        pace.recordCongestion(1_000_000, 10, SERVICE, 4);
-        pace.recordCongestion(1_050_000, 10, SERVICE, 4);
-        assertEquals(7, pace.limit(), 1e-9);
-        assertFalse(pace.permits(1_060_000, 7, SERVICE));
-        pace.recordCongestion(1_100_000, 10, SERVICE, 4);
-        assertEquals(4.9, pace.limit(), 1e-9);
+    void aLimitIsSetByCongestionAndDecreasesOncePerServiceTime() {
+        ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
+        assertTrue(concurrencyLimit.permits(0, 1_000, SERVICE));
+        concurrencyLimit.recordCongestion(1_000_000, 10, SERVICE, 4);
+        concurrencyLimit.recordCongestion(1_050_000, 10, SERVICE, 4);
+        assertEquals(7, concurrencyLimit.limit(), 1e-9);
+        assertFalse(concurrencyLimit.permits(1_060_000, 7, SERVICE));
+        concurrencyLimit.recordCongestion(1_100_000, 10, SERVICE, 4);
+        assertEquals(4.9, concurrencyLimit.limit(), 1e-9);
     }
 
     @Test
-    void aPaceGrowsWhileItIsUsedAndIsForgottenWhenItIsNot() {
-        ConcurrencyLimit pace = new ConcurrencyLimit();
-        pace.recordCongestion(1_000_000, 4, SERVICE, 2);
-        pace.recordSuccess(0, 2);
-        assertEquals(2.8, pace.limit(), 1e-9);
-        pace.recordSuccess(2, 2);
-        assertEquals(2.8 + 1 / (2 * 2.8), pace.limit(), 1e-9);
+    void aLimitIncreasesWhileItIsReachedAndIsDroppedOtherwise() {
+        ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
+        concurrencyLimit.recordCongestion(1_000_000, 4, SERVICE, 2);
+        concurrencyLimit.recordSuccess(0, 2);
+        assertEquals(2.8, concurrencyLimit.limit(), 1e-9);
+        concurrencyLimit.recordSuccess(2, 2);
+        assertEquals(2.8 + 1 / (2 * 2.8), concurrencyLimit.limit(), 1e-9);
         for (int i = 0; i < 100; i++) {
-            pace.recordSuccess((int) pace.limit(), 1);
+            concurrencyLimit.recordSuccess((int) concurrencyLimit.limit(), 1);
         }
-        pace.recordSuccess(0, 1);
-        assertFalse(pace.isBinding());
+        concurrencyLimit.recordSuccess(0, 1);
+        assertFalse(concurrencyLimit.isBinding());
     }
 
     @Test
-    void aLimitUnderOneIsAPace() {
-        ConcurrencyLimit pace = new ConcurrencyLimit();
+    void aLimitUnderOneIsARate() {
+        ConcurrencyLimit concurrencyLimit = new ConcurrencyLimit();
         for (int i = 1; i <= 4; i++) {
-            pace.recordCongestion(i * 1_000_000L, 1, SERVICE, 50);
+            concurrencyLimit.recordCongestion(i * 1_000_000L, 1, SERVICE, 50);
         }
-        double limit = pace.limit();
+        double limit = concurrencyLimit.limit();
         assertTrue(limit > 0.2 && limit < 0.3, "limit " + limit);
-        pace.recordSend(10_000_000);
-        assertFalse(pace.permits(10_000_000 + (long) (SERVICE / limit) - 1_000, 0, SERVICE));
-        assertTrue(pace.permits(10_000_000 + (long) (SERVICE / limit) + 1_000, 0, SERVICE));
-        assertFalse(pace.permits(20_000_000, 1, SERVICE));
+        concurrencyLimit.recordSend(10_000_000);
+        assertFalse(
+                concurrencyLimit.permits(
+                        10_000_000 + (long) (SERVICE / limit) - 1_000, 0, SERVICE));
+        assertTrue(
+                concurrencyLimit.permits(
+                        10_000_000 + (long) (SERVICE / limit) + 1_000, 0, SERVICE));
+        assertFalse(concurrencyLimit.permits(20_000_000, 1, SERVICE));
     }
 
     /**
-     * The sum over nodes: what is let out at one server must not grow with the number of those who
-     * share it.
+     * The number of attempts that all nodes together send to one server must not grow with the
+     * number of nodes that share it.
      */
     @ParameterizedTest
     @ValueSource(ints = {4, 16, 64, 256})
-    void theSumOfAllPacesSettlesNearWhatTheServerTakes(int nodes) {
-        ConcurrencyLimit[] paces = new ConcurrencyLimit[nodes];
-        int[] out = new int[nodes];
-        long[] barred = new long[nodes];
+    void theSumOfAllLimitsConvergesNearTheCapacityOfTheServer(int nodes) {
+        ConcurrencyLimit[] concurrencyLimits = new ConcurrencyLimit[nodes];
+        int[] outstanding = new int[nodes];
+        long[] ejectedUntil = new long[nodes];
         for (int n = 0; n < nodes; n++) {
-            paces[n] = new ConcurrencyLimit();
+            concurrencyLimits[n] = new ConcurrencyLimit();
         }
         SplittableRandom random = new SplittableRandom(nodes);
-        int holds = 8;
+        int capacity = 8;
         int inFlight = 0;
         long offered = 0;
-        long away = 0;
+        long rejected = 0;
         Deque<long[]> running = new ArrayDeque<>();
         for (long now = 0; now < 60_000_000; now += 1_000) {
             while (!running.isEmpty() && running.peek()[0] <= now) {
                 int n = (int) running.poll()[1];
                 inFlight--;
-                out[n]--;
-                paces[n].recordSuccess(out[n], nodes);
+                outstanding[n]--;
+                concurrencyLimits[n].recordSuccess(outstanding[n], nodes);
             }
             int n = random.nextInt(nodes);
-            if (now >= barred[n] && paces[n].permits(now, out[n], SERVICE)) {
-                paces[n].recordSend(now);
+            if (now >= ejectedUntil[n]
+                    && concurrencyLimits[n].permits(now, outstanding[n], SERVICE)) {
+                concurrencyLimits[n].recordSend(now);
                 boolean counts = now > 20_000_000;
                 offered += counts ? 1 : 0;
-                if (inFlight < holds) {
+                if (inFlight < capacity) {
                     inFlight++;
-                    out[n]++;
+                    outstanding[n]++;
                     running.add(new long[] {now + (long) SERVICE, n});
                 } else {
-                    away += counts ? 1 : 0;
-                    // As the module does with what turned something away.
-                    barred[n] = now + (long) SERVICE / 2;
-                    paces[n].recordCongestion(now, out[n] + 1, SERVICE, nodes);
+                    rejected += counts ? 1 : 0;
+                    // The decision engine ejects a server that rejected an attempt in the same way.
+                    ejectedUntil[n] = now + (long) SERVICE / 2;
+                    concurrencyLimits[n].recordCongestion(now, outstanding[n] + 1, SERVICE, nodes);
                 }
             }
         }
-        double served = (offered - away) / 40.0;
+        double served = (offered - rejected) / 40.0;
+        assertTrue(
+                rejected < 0.35 * offered,
+                nodes + " nodes: " + rejected + " of " + offered + " rejected");
         assertTrue(
-                away < 0.35 * offered,
-                nodes + " nodes: " + away + " of " + offered + " turned away");
-        assertTrue(served > 0.7 * holds * 10, nodes + " nodes: " + served + " a second of 80");
+                served > 0.7 * capacity * 10,
+                nodes + " nodes: " + served + " served per second of 80");
     }
 
     @Test
-    void theBudgetIsAPartOfFirstTriesAndRunsDryWhenAllFail() {
+    void theBudgetIsAFractionOfFirstAttemptsAndIsUsedUpWhenAllFail() {
         RetryBudget budget = new RetryBudget(2);
-        int again = 0;
+        int retries = 0;
         for (int i = 0; i < 1_000; i++) {
             budget.recordFirstAttempt(0);
             if (budget.permitsRetry(0)) {
                 budget.recordRetry(0);
-                again++;
+                retries++;
             }
         }
-        assertTrue(again >= 100 && again <= 111, "further tries " + again);
+        assertTrue(retries >= 100 && retries <= 111, "retries " + retries);
         assertFalse(budget.permitsRetry(0));
         budget.recordFirstAttempt(1);
-        assertFalse(budget.permitsRetry(1), "what one class has used up is gone for all");
+        assertFalse(
+                budget.permitsRetry(1), "one class has used up the budget that all classes share");
     }
 
     @Test
-    void oneFailingServerOfTwelveNeverEmptiesTheBudget() {
+    void oneFailingServerOfTwelveDoesNotUseUpTheBudget() {
         RetryBudget budget = new RetryBudget(1);
         for (int i = 0; i < 10_000; i++) {
             budget.recordFirstAttempt(0);
             if (i % 12 == 0) {
-                assertTrue(budget.permitsRetry(0), "empty after " + i);
+                assertTrue(budget.permitsRetry(0), "budget used up at request " + i);
                 budget.recordRetry(0);
             }
         }
@@ -142,7 +150,7 @@
     }
 
     @Test
-    void reportsThatStayAsTheyAreWhenAskedAgainAreStale() {
+    void reportsThatDoNotChangeBetweenProbesAreStale() {
         ReportFreshness renewed = new ReportFreshness();
         ReportFreshness old = new ReportFreshness();
         for (int i = 0; i < 20; i++) {
@@ -155,11 +163,11 @@
     }
 
     /**
-     * Guards against a server that nodes keep full, or leave idle, being taken for one that tells
-     * old loads.
+     * Guards against false positives: the reports of a server that nodes keep full or leave idle
+     * are equal but not stale.
      */
     @Test
-    void aServerThatStandsStillProvesNothing() {
+    void equalReportsOfAFullOrIdleServerAreNotStale() {
         ReportFreshness freshness = new ReportFreshness();
         for (int i = 0; i < 50; i++) {
             freshness.recordPair(
--- a/src/test/java/ottergauge/decision/ring/ConsistentHashRingTest.java
+++ b/src/test/java/ottergauge/decision/ring/ConsistentHashRingTest.java
@@ -23,19 +23,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A ring gives what the plain computation gives, whatever was inserted and removed before, at less
- * cost.
+ * Compares the ring with a simple reference computation after any sequence of insertions and
+ * removals, and checks that its operations visit few elements.
  */
 class ConsistentHashRingTest {
 
     private static final int POINTS = 64;
     private static final int CHANGES = 200;
 
-    /** An element is put with a size, or removed (size 0). */
+    /** Puts an element with a size, or removes it (size 0). */
     record Step(long id, double size) {}
 
     /**
-     * Sizes that add up exactly in any order, so that the very beginning of an arc is told apart.
+     * Sizes whose sums are exact in any order, so that even the exact start of an arc can be
+     * compared.
      */
     @Provide
     Arbitrary<List<Step>> exactSteps() {
@@ -55,7 +56,7 @@
                 .ofMaxSize(120);
     }
 
-    private static void take(ConsistentHashRing<Long> ring, Map<Long, Double> sizes, Step step) {
+    private static void apply(ConsistentHashRing<Long> ring, Map<Long, Double> sizes, Step step) {
         if (step.size() > 0) {
             ring.put(step.id(), step.size(), step.id());
             sizes.put(step.id(), step.size());
@@ -66,58 +67,64 @@
     }
 
     @Property(tries = 400, seed = "61")
-    void afterEachChangeItGivesWhatThePlainComputationGives(
+    void afterEachChangeTheRingEqualsTheReferenceComputation(
             @ForAll("exactSteps") List<Step> steps) {
         ConsistentHashRing<Long> ring = new ConsistentHashRing<>();
         Map<Long, Double> sizes = new LinkedHashMap<>();
         for (Step step : steps) {
-            take(ring, sizes, step);
-            ReferenceRing plain = new ReferenceRing(sizes);
-            assertEquals(plain.ids(), ring.first(ring.count()));
-            assertEquals(plain.ids().subList(0, Math.min(3, plain.ids().size())), ring.first(3));
+            apply(ring, sizes, step);
+            ReferenceRing reference = new ReferenceRing(sizes);
+            assertEquals(reference.ids(), ring.first(ring.count()));
+            assertEquals(
+                    reference.ids().subList(0, Math.min(3, reference.ids().size())), ring.first(3));
             assertEquals(sizes.containsKey(step.id()) ? step.id() : null, ring.get(step.id()));
             for (int i = 0; i < POINTS && !sizes.isEmpty(); i++) {
-                assertEquals(plain.at(i / (double) POINTS), ring.at(i / (double) POINTS));
+                assertEquals(reference.at(i / (double) POINTS), ring.at(i / (double) POINTS));
             }
-            for (double point : plain.beginnings()) {
-                assertEquals(plain.at(point), ring.at(point));
+            for (double point : reference.arcStarts()) {
+                assertEquals(reference.at(point), ring.at(point));
             }
         }
     }
 
     @Property(tries = 400, seed = "62")
-    void aPointLiesInTheArcThatIsFoundWhateverTheSizes(@ForAll("anySteps") List<Step> steps) {
+    void lookupByPointFindsTheArcThatContainsIt(@ForAll("anySteps") List<Step> steps) {
         ConsistentHashRing<Long> ring = new ConsistentHashRing<>();
         Map<Long, Double> sizes = new LinkedHashMap<>();
-        steps.forEach(step -> take(ring, sizes, step));
-        ReferenceRing plain = new ReferenceRing(sizes);
+        steps.forEach(step -> apply(ring, sizes, step));
+        ReferenceRing reference = new ReferenceRing(sizes);
         for (int i = 0; i < POINTS && !sizes.isEmpty(); i++) {
             double point = i / (double) POINTS;
-            assertTrue(plain.distance(point, ring.at(point)) < 1e-12, "the arc at " + point);
+            assertTrue(reference.distance(point, ring.at(point)) < 1e-12, "the arc at " + point);
         }
     }
 
-    /** Guards against nodes whose rings differ by what each has gone through: to the last bit. */
+    /**
+     * Guards against rings of different nodes that differ, even in the last bit, because of
+     * different earlier changes.
+     */
     @Property(tries = 400, seed = "63")
-    void aChainOfChangesGivesTheSameAsAllAtOnceInAnyOrder(
+    void theRingDoesNotDependOnEarlierChangesOrTheOrderOfInsertion(
             @ForAll("anySteps") List<Step> steps, @ForAll long shuffle) {
         ConsistentHashRing<Long> chain = new ConsistentHashRing<>();
         Map<Long, Double> sizes = new LinkedHashMap<>();
-        steps.forEach(step -> take(chain, sizes, step));
-        ConsistentHashRing<Long> whole = new ConsistentHashRing<>();
+        steps.forEach(step -> apply(chain, sizes, step));
+        ConsistentHashRing<Long> single = new ConsistentHashRing<>();
         List<Long> ids = new ArrayList<>(sizes.keySet());
         Collections.shuffle(ids, new Random(shuffle));
-        ids.forEach(id -> whole.put(id, sizes.get(id), id));
-        assertEquals(whole.first(ids.size()), chain.first(chain.count()));
-        // Where arcs begin is found by halving, so that the last bit of a sum shows.
+        ids.forEach(id -> single.put(id, sizes.get(id), id));
+        assertEquals(single.first(ids.size()), chain.first(chain.count()));
+        // The start of each arc is found by bisection, so that a difference in the last bit of a
+        // sum
+        // is detected.
         for (double point = 0.5; point > 1e-15 && !ids.isEmpty(); point /= 2) {
-            assertEquals(boundary(whole, point), boundary(chain, point));
+            assertEquals(boundary(single, point), boundary(chain, point));
         }
     }
 
     /**
-     * The first point from a half of this one on, to the last bit, at which this one's element is
-     * found.
+     * Returns, to the last bit, the first point between half of this point and this point at which
+     * the ring returns the same element as here.
      */
     private static double boundary(ConsistentHashRing<Long> ring, double point) {
         double outside = point / 2;
@@ -136,7 +143,7 @@
     }
 
     @Test
-    void anEmptyRingHasNothingAnywhere() {
+    void anEmptyRingHasNoElements() {
         ConsistentHashRing<Long> ring = new ConsistentHashRing<>();
         assertNull(ring.at(0.3));
         assertNull(ring.get(1));
@@ -145,7 +152,7 @@
         assertEquals(0, ring.count());
     }
 
-    /** The mean number of elements that one change, or one lookup, visits among so many. */
+    /** Returns the mean number of elements that an operation visits in a ring of this size. */
     private static double cost(int elements, BiConsumer<ConsistentHashRing<Long>, Long> use) {
         ConsistentHashRing<Long> ring = new ConsistentHashRing<>();
         LongStream.range(0, elements).forEach(id -> ring.put(id, 1, id));
@@ -157,20 +164,20 @@
         return (ring.visits() - before) / (double) CHANGES;
     }
 
-    /** Eight times as many elements are three more halvings, of some twenty. */
-    private static void growsByTheLogarithm(BiConsumer<ConsistentHashRing<Long>, Long> use) {
+    /** Eight times as many elements add three levels to the tree, to about twenty. */
+    private static void assertGrowsLogarithmically(BiConsumer<ConsistentHashRing<Long>, Long> use) {
         double small = cost(1_000, use);
         double large = cost(8_000, use);
         assertTrue(large <= 1.6 * small, "visits " + small + " of 1,000, " + large + " of 8,000");
     }
 
     @Test
-    void whatAChangeOrALookupVisitsHardlyGrowsWithTheElements() {
-        growsByTheLogarithm((ring, id) -> ring.get(id));
-        growsByTheLogarithm((ring, id) -> ring.at(id / (double) ring.count()));
-        growsByTheLogarithm((ring, id) -> ring.first(12));
-        growsByTheLogarithm((ring, id) -> ring.put(id, 2, id));
-        growsByTheLogarithm(
+    void theNumberOfVisitedElementsGrowsLogarithmically() {
+        assertGrowsLogarithmically((ring, id) -> ring.get(id));
+        assertGrowsLogarithmically((ring, id) -> ring.at(id / (double) ring.count()));
+        assertGrowsLogarithmically((ring, id) -> ring.first(12));
+        assertGrowsLogarithmically((ring, id) -> ring.put(id, 2, id));
+        assertGrowsLogarithmically(
                 (ring, id) -> {
                     ring.remove(id);
                     ring.put(id + ring.count() + 1, 1, id);
--- a/src/test/java/ottergauge/decision/ring/ReferenceRing.java
+++ b/src/test/java/ottergauge/decision/ring/ReferenceRing.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 
 /**
- * The plain way to lay out a ring, as a reference: all ids are sorted and all arcs added up each
+ * A simple reference implementation of the ring, which sorts all ids and adds up all arcs each
  * time.
  */
 public final class ReferenceRing {
@@ -18,7 +18,7 @@
     private final TreeMap<Double, Long> arcs = new TreeMap<>();
     private double length;
 
-    /** A ring of these sizes by id. */
+    /** Creates a ring from the sizes by id. */
     public ReferenceRing(Map<Long, Double> sizes) {
         ids = new ArrayList<>(sizes.keySet());
         ids.sort(Comparator.comparingDouble(ReferenceRing::order).thenComparingLong(id -> id));
@@ -40,12 +40,15 @@
         return arcs.floorEntry(point * length).getValue();
     }
 
-    /** The points at which an arc begins. */
-    public List<Double> beginnings() {
+    /** Returns the points at which the arcs start. */
+    public List<Double> arcStarts() {
         return arcs.keySet().stream().map(from -> from / length).toList();
     }
 
-    /** How far outside of an element's arc a point lies, as a part of the whole; 0 inside of it. */
+    /**
+     * Returns the distance of a point from an element's arc, as a fraction of the ring's length, or
+     * 0 if the point lies in the arc.
+     */
     public double distance(double point, long id) {
         double at = point * length;
         for (Map.Entry<Double, Long> arc : arcs.entrySet()) {
