--- a/src/test/java/ottergauge/decision/DecisionEngineTest.java
+++ b/src/test/java/ottergauge/decision/DecisionEngineTest.java
@@ -32,17 +32,20 @@
 import ottergauge.decision.api.LoadReport;
 import ottergauge.decision.api.RequestClass;
 
-/** Each departure from the design, and each failure that was found, by example. */
+/**
+ * Tests the decision engine by examples: each departure from the basic algorithm and each failure
+ * that was found.
+ */
 class DecisionEngineTest {
     private static final long MS = TestNode.MS;
 
-    /** Serves requests one by one until rooms and means have settled. */
+    /** Serves requests one by one until the capacity estimates and means have settled. */
     private static TestNode warm(TestSettings settings, int servers, int requests, long elapsed) {
         TestNode node = new TestNode(settings.build());
         node.servers(servers);
         for (int i = 0; i < requests; i++) {
             if (settings.probes) {
-                probedServe(node, "w" + i, elapsed);
+                serveWithProbe(node, "w" + i, elapsed);
             } else {
                 node.serve("w" + i, elapsed);
             }
@@ -50,7 +53,7 @@
         return node;
     }
 
-    private static long probedServe(TestNode node, String id, long elapsed) {
+    private static long serveWithProbe(TestNode node, String id, long elapsed) {
         List<DecisionAction> actions = node.arrive(id);
         while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
             actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
@@ -77,17 +80,17 @@
         return sends;
     }
 
-    private static TestSettings probing() {
+    private static TestSettings withProbes() {
         TestSettings settings = new TestSettings();
         settings.probes = true;
         return settings;
     }
 
-    // ---- Giving up
+    // ---- Deadlines and client retries
     // ----------------------------------------------------------------------------------
 
     @Test
-    void aClassIsNotLockedOutByASpellOfTimeOuts() {
+    void aClassIsNotRejectedForeverAfterASeriesOfTimeouts() {
         TestNode node = warm(new TestSettings(), 2, 20, 50 * MS);
         for (int i = 0; i < 60; i++) {
             List<SendAttempt> sends = TestNode.ofType(SendAttempt.class, node.arrive("t" + i));
@@ -98,12 +101,13 @@
             node.after(4_000 * MS);
         }
         List<DecisionAction> actions = node.arrive("fresh");
-        assertEquals(0, TestNode.ofType(RejectRequest.class, actions).size(), "refused on arrival");
+        assertEquals(
+                0, TestNode.ofType(RejectRequest.class, actions).size(), "rejected on arrival");
     }
 
     @Test
-    void whatCanNoLongerBeInTimeIsAnsweredAtOnce() {
-        TestNode node = warm(probing(), 1, 30, 200 * MS);
+    void aRequestThatCannotMeetItsDeadlineIsRejectedAtOnce() {
+        TestNode node = warm(withProbes(), 1, 30, 200 * MS);
         node.now += 1_000 * MS;
         long start = node.now;
         List<DecisionAction> actions = node.arrive("a");
@@ -115,12 +119,12 @@
                             ? node.after(0)
                             : node.probed(1, 5);
         }
-        assertTrue(node.now < start + 998 * MS, "given up after " + (node.now - start));
-        assertTrue(node.now > start + 500 * MS, "given up after " + (node.now - start));
+        assertTrue(node.now < start + 998 * MS, "rejected after " + (node.now - start));
+        assertTrue(node.now > start + 500 * MS, "rejected after " + (node.now - start));
     }
 
     @Test
-    void whatTheBacklogCannotReachInTimeIsRefusedOnArrival() {
+    void aRequestBehindALongQueueIsRejectedOnArrival() {
         TestNode node = new TestNode(TestSettings.withPassiveReports(1).build());
         node.servers(1);
         List<SendAttempt> out =
@@ -134,19 +138,21 @@
             out.addAll(TestNode.ofType(SendAttempt.class, node.arrive("a" + i)));
             out.addAll(TestNode.ofType(SendAttempt.class, node.arrive("b" + i)));
         }
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 40; i++) {
-            refused += TestNode.ofType(RejectRequest.class, node.arrive("c" + i)).size();
+            rejected += TestNode.ofType(RejectRequest.class, node.arrive("c" + i)).size();
         }
-        // At a send each 100 ms about nine of those that come now can be reached within their
-        // second.
-        assertTrue(refused >= 25, "refused on arrival: " + refused);
+        // With one request sent every 100 ms, about nine of those that arrive now can be sent
+        // within
+        // their second.
+        assertTrue(rejected >= 25, "rejected on arrival: " + rejected);
     }
 
     @Test
-    void aRepeatIsJudgedByTheAimOfItsFirstTry() {
+    void aClientRetryIsBoundByTheLatencyObjectiveOfItsFirstAttempt() {
         TestNode node = warm(new TestSettings(), 2, 10, 50 * MS);
-        // 900 ms of the 2 s are left: the first try began 1.1 s ago, past its aim of 1 s.
+        // 900 ms of the 2 s are left. The client's first attempt started 1.1 s ago, so its latency
+        // objective of 1 s has passed.
         RejectRequest refuse =
                 TestNode.onlyOfType(
                         RejectRequest.class, node.arrive("late", 0, node.now + 900 * MS, true));
@@ -160,11 +166,12 @@
     }
 
     @Test
-    void anUnmarkedRepeatShowsByItsShorterTime() {
+    void anUnmarkedClientRetryIsDetectedByItsShorterTimeout() {
         TestSettings settings = new TestSettings();
         settings.retriesMarked = false;
         TestNode node = warm(settings, 2, 10, 50 * MS);
-        // Nothing was given up on: these are first tries of clients that will not wait for long.
+        // Fewer than two requests have got no response, so these count as first attempts of clients
+        // with a short timeout.
         for (int i = 0; i < 2; i++) {
             assertEquals(
                     1,
@@ -174,7 +181,8 @@
                             .size());
             node.deliver(new ClientDisconnected("short" + i));
         }
-        // Two were: one that comes with less time left has most likely been here before.
+        // Two requests have now got no response, so a request with less time left is most likely a
+        // retry.
         assertEquals(
                 1,
                 TestNode.ofType(
@@ -184,8 +192,8 @@
     }
 
     @Test
-    void heldRequestsGoByWorth() {
-        TestSettings settings = probing();
+    void pendingRequestsAreSentByPriority() {
+        TestSettings settings = withProbes();
         settings.classes =
                 List.of(
                         TestSettings.newRequestClass(
@@ -204,11 +212,11 @@
         assertEquals("dear", TestNode.ofType(SendAttempt.class, node.probed(1, 0)).get(0).id());
     }
 
-    // ---- Another shape of deployment
+    // ---- Other kinds of deployments
     // ------------------------------------------------------------------
 
-    private static TestSettings late(double lateWorth) {
-        TestSettings settings = probing();
+    private static TestSettings lateResponses(double lateValueRatio) {
+        TestSettings settings = withProbes();
         settings.classes =
                 List.of(
                         new RequestClass(
@@ -219,20 +227,20 @@
                                 2_000_000,
                                 0,
                                 1,
-                                lateWorth,
+                                lateValueRatio,
                                 false));
         return settings;
     }
 
     /**
-     * With rounds of 5 ms every server was mute before its answer could be heard, and all were
-     * sounded.
+     * With an event interval of 5 ms every probe timed out before its response could be processed,
+     * and all servers were probed.
      */
     @Test
-    void aServerIsNotMuteBeforeItsAnswerCanBeHeard() {
+    void aProbeDoesNotTimeOutBeforeItsResponseCanBeProcessed() {
         int[] probes = new int[2];
         for (int i = 0; i < 2; i++) {
-            TestSettings settings = probing();
+            TestSettings settings = withProbes();
             settings.eventInterval = i == 0 ? MS : 5 * MS;
             TestNode node = warm(settings, 4, 30, 50 * MS);
             node.now += 1_000 * MS;
@@ -240,44 +248,49 @@
                     TestNode.ofType(SendProbe.class, node.arrive("q")).size()
                             + TestNode.ofType(SendProbe.class, node.after(5 * MS)).size();
         }
-        assertEquals(2, probes[0], "rounds of 1 ms: the next one is sounded");
-        assertEquals(1, probes[1], "rounds of 5 ms: the answer is not due yet");
+        assertEquals(2, probes[0], "event interval of 1 ms: the next server is probed");
+        assertEquals(1, probes[1], "event interval of 5 ms: the probe hasn't timed out yet");
     }
 
-    /** One mean of near and far trips made every far server mute. */
+    /**
+     * With one mean round-roundTrip time of near and far zones, every probe of a far server timed
+     * out.
+     */
     @Test
-    void eachZoneHasATripOfItsOwn() {
-        TestNode node = new TestNode(probing().build());
+    void eachZoneHasItsOwnRoundTripTime() {
+        TestNode node = new TestNode(withProbes().build());
         node.servers(2);
-        Set<Long> mute = new HashSet<>();
+        Set<Long> timedOutServers = new HashSet<>();
         for (int i = 0; i < 60; i++) {
             List<DecisionAction> actions = node.arrive("q" + i);
             while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
                 long server = TestNode.onlyOfType(SendProbe.class, actions).server();
-                long trip = server == 1 ? 20 * MS : MS;
-                node.now += trip - MS / 2;
+                long roundTrip = server == 1 ? 20 * MS : MS;
+                node.now += roundTrip - MS / 2;
                 if (i >= 20 && !TestNode.ofType(SendProbe.class, node.after(0)).isEmpty()) {
-                    mute.add(server);
+                    timedOutServers.add(server);
                 }
                 node.now += MS / 2;
                 actions =
                         node.deliver(
-                                new ProbeEnded(server, AttemptResult.SERVED, trip, TestNode.IDLE));
+                                new ProbeEnded(
+                                        server, AttemptResult.SERVED, roundTrip, TestNode.IDLE));
             }
             SendAttempt send = TestNode.onlyOfType(SendAttempt.class, actions);
             node.now += 50 * MS;
             node.endAttempt("q" + i, 0, send.server(), AttemptResult.SERVED, 50 * MS);
             node.now += 500 * MS;
         }
-        assertEquals(Set.of(), mute);
+        assertEquals(Set.of(), timedOutServers);
     }
 
     /**
-     * With late worth requests queued for as long as clients waited, and three quarters came late.
+     * If late responses had value, requests queued for as long as their clients waited, and three
+     * quarters of the responses came late.
      */
     @Test
-    void aFirstTryIsRefusedWhenItsAimIsLostAndNotWhenItsClientLeaves() {
-        TestNode node = warm(late(0.5), 1, 30, 200 * MS);
+    void aFirstAttemptIsRejectedAtItsLatencyObjectiveAndNotAtTheClientTimeout() {
+        TestNode node = warm(lateResponses(0.5), 1, 30, 200 * MS);
         node.now += 1_000 * MS;
         long start = node.now;
         List<DecisionAction> actions = node.arrive("a");
@@ -289,17 +302,17 @@
                             ? node.after(0)
                             : node.probed(1, 5);
         }
-        assertTrue(node.now < start + 1_000 * MS, "refused after " + (node.now - start));
+        assertTrue(node.now < start + 1_000 * MS, "rejected after " + (node.now - start));
     }
 
     /**
-     * What was tried in vain is tried on for its late worth, but only where it takes nobody's
-     * place.
+     * A request whose attempt failed is retried past its latency objective for the value of a late
+     * response, but only where it doesn't displace other requests.
      */
     @Test
-    void whatWasTriedInVainGoesOnPastItsAimAtAFreeCoreOnly() {
+    void aFailedRequestIsRetriedPastItsObjectiveOnlyAtAnIdleServer() {
         for (int held : new int[] {0, 1}) {
-            TestNode node = warm(late(0.5), 2, 30, 100 * MS);
+            TestNode node = warm(lateResponses(0.5), 2, 30, 100 * MS);
             List<DecisionAction> actions = node.arrive("a");
             while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
                 actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
@@ -308,7 +321,9 @@
             node.now += 1_100 * MS;
             actions = node.endAttempt("a", 0, first, AttemptResult.ERROR, 1_100 * MS);
             assertEquals(
-                    0, TestNode.ofType(RejectRequest.class, actions).size(), "late worth is left");
+                    0,
+                    TestNode.ofType(RejectRequest.class, actions).size(),
+                    "a late response still has value");
             actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), held);
             assertEquals(
                     held == 0 ? 1 : 0,
@@ -317,18 +332,18 @@
         }
     }
 
-    /** Taken for one core, a server of three counted as full with one request. */
+    /** Without an estimate, a server with three cores counted as full with one request. */
     @Test
-    void aServersCoresAreLearntFromItsReports() {
+    void theCapacityOfAServerIsEstimatedFromItsReports() {
         for (boolean queues : new boolean[] {false, true}) {
-            TestNode node = new TestNode(probing().build());
+            TestNode node = new TestNode(withProbes().build());
             node.servers(1);
             LoadReport busy =
                     queues
                             ? new LoadReport(5, 2, 1, Double.NaN, Double.NaN)
                             : new LoadReport(1.5, Double.NaN, 0.5, Double.NaN, Double.NaN);
-            // Sooner the part that is busy is not believed: it lags behind a burst on a fleet at
-            // rest.
+            // The utilization isn't used before that, because it lags behind a burst at an idle
+            // fleet.
             node.now += 2_000 * MS;
             for (int i = 0; i < 40; i++) {
                 node.deliver(new ProbeEnded(1, AttemptResult.SERVED, MS, busy));
@@ -347,16 +362,17 @@
                 }
                 node.now += 1_000 * MS;
             }
-            assertTrue(sent >= 30, "two held on three cores leave one free: sent " + sent);
+            assertTrue(sent >= 30, "two requests on three cores leave one free: sent " + sent);
         }
     }
 
     /**
-     * Without loads in the probes' answers no server was known; all was refused beside idle ones.
+     * When probe responses contained no load report, the load of every server was unknown, and all
+     * requests were rejected although servers were idle.
      */
     @Test
-    void whereReportsDryUpTheRotationGoesOnByItself() {
-        TestNode node = warm(probing(), 3, 30, 50 * MS);
+    void withoutLoadReportsTheRoundRobinContinues() {
+        TestNode node = warm(withProbes(), 3, 30, 50 * MS);
         Set<Long> used = new HashSet<>();
         for (int i = 0; i < 12; i++) {
             node.now += 1_000 * MS;
@@ -375,11 +391,14 @@
         assertEquals(Set.of(1L, 2L, 3L), used);
     }
 
-    /** Queues that still fitted the aim grew until every server of a fleet choked. */
+    /**
+     * Queues that still allowed requests to meet their latency objective grew until every server of
+     * the fleet was overloaded.
+     */
     @Test
-    void nothingIsSentBehindMoreThanOneAndAHalfTurns() {
+    void nothingIsSentToAServerWithMoreThanOneAndAHalfTimesItsCapacity() {
         for (int held : new int[] {1, 2}) {
-            TestNode node = warm(probing(), 1, 30, 10 * MS);
+            TestNode node = warm(withProbes(), 1, 30, 10 * MS);
             node.now += 1_000 * MS;
             node.arrive("q");
             assertEquals(
@@ -390,12 +409,12 @@
     }
 
     /**
-     * A free core is no reason where the attempt would run on past its aim, unless nothing else is
-     * out.
+     * A free core isn't used for an attempt that would end after its latency objective, unless no
+     * other attempt is outstanding.
      */
     @Test
-    void aFreeCoreIsNotTakenForWhatWouldEndLate() {
-        TestNode node = warm(late(0.5), 3, 60, 900 * MS);
+    void aFreeCoreIsNotUsedForARequestThatWouldEndLate() {
+        TestNode node = warm(lateResponses(0.5), 3, 60, 900 * MS);
         node.now += 1_000 * MS;
         List<DecisionAction> actions = node.arrive("trial");
         while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
@@ -415,11 +434,11 @@
     }
 
     /**
-     * Requests of a key at many servers had all of its work at each; and the rotation must stay
-     * even.
+     * When requests with the same affinity key went to many servers, each server had to do all of
+     * the work for the key. The round-robin must still distribute requests evenly.
      */
     @Test
-    void aKeyComesToOneServerAndAllServersKeepTheirTurns() {
+    void requestsOfAnAffinityKeyGoToOneServerAndAllServersKeepTheirShares() {
         for (boolean warm : new boolean[] {true, false}) {
             TestSettings settings = new TestSettings();
             settings.cacheAffinity = warm;
@@ -431,29 +450,33 @@
                 node.affinityKey = keys.nextInt(1, 9);
                 sent[(int) node.affinityKey][(int) node.serve("q" + i, 50 * MS)]++;
             }
-            int[] turns = new int[5];
-            int together = 0;
+            int[] shares = new int[5];
+            int atTopServers = 0;
             for (int[] of : sent) {
-                together += Arrays.stream(of).max().orElse(0);
+                atTopServers += Arrays.stream(of).max().orElse(0);
                 for (int server = 1; server <= 4; server++) {
-                    turns[server] += of[server];
+                    shares[server] += of[server];
                 }
             }
-            // A key's most used server: a third of its requests by chance.
+            // Without affinity the most used server of a key gets a third of its requests.
             assertTrue(
-                    warm ? together > 180 : together < 160, "at their keys' servers: " + together);
+                    warm ? atTopServers > 180 : atTopServers < 160,
+                    "requests at the most used servers of their keys: " + atTopServers);
             for (int s = 1; s <= 4; s++) {
-                assertTrue(turns[s] >= 80 && turns[s] <= 120, "turns of " + s + ": " + turns[s]);
+                assertTrue(
+                        shares[s] >= 80 && shares[s] <= 120,
+                        "requests at server " + s + ": " + shares[s]);
             }
         }
     }
 
     /**
-     * With a backlog each held request had the subset walked twice at each event: 15 us a request.
+     * With many pending requests, each of them caused two passes over the subset at each event,
+     * which took 15 us per request.
      */
     @Test
-    void behindABusyFleetOnlyTheHeadOfTheLineSounds() {
-        TestNode node = warm(probing(), 2, 30, 100 * MS);
+    void whenTheFleetIsBusyOnlyTheFirstPendingRequestSendsProbes() {
+        TestNode node = warm(withProbes(), 2, 30, 100 * MS);
         node.now += 1_000 * MS;
         for (SendProbe probe : TestNode.ofType(SendProbe.class, node.arrive("head"))) {
             TestNode.ofType(SendProbe.class, node.probed(probe.server(), 5))
@@ -467,25 +490,30 @@
     }
 
     /**
-     * Looking on for an emptier server used up the time in which a request still fitted anywhere.
+     * The search for a server with a shorter queue used up the time in which a server could still
+     * have completed the request.
      */
     @Test
-    void aRequestThatHasLookedForLongSettlesForAServerThatItFitsAt() {
+    void aRequestThatHasSearchedForLongIsSentToAServerOfKnownLoad() {
         for (boolean longAgo : new boolean[] {false, true}) {
-            TestNode node = warm(probing(), 3, 30, 50 * MS);
+            TestNode node = warm(withProbes(), 3, 30, 50 * MS);
             node.now += 1_000 * MS;
             SendProbe first = TestNode.onlyOfType(SendProbe.class, node.arrive("q"));
             node.now += longAgo ? 101 * MS : MS;
             List<DecisionAction> actions = node.probed(first.server(), 1);
             int sent = TestNode.ofType(SendAttempt.class, actions).size();
-            assertEquals(longAgo ? 1 : 0, sent, "after a tenth of its aim: " + longAgo);
+            assertEquals(
+                    longAgo ? 1 : 0, sent, "after a tenth of its latency objective: " + longAgo);
         }
     }
 
-    /** What servers report busy lags: three cores were taken for thirty while a fleet woke. */
+    /**
+     * The reported utilization lags. While an idle fleet got its first requests, the capacity of
+     * three cores was estimated as thirty.
+     */
     @Test
-    void coresAreNotLearntWhileTheFleetWakes() {
-        TestNode node = new TestNode(probing().build());
+    void theCapacityIsNotEstimatedWhileTheFleetGetsItsFirstRequests() {
+        TestNode node = new TestNode(withProbes().build());
         node.servers(1);
         for (int i = 0; i < 40; i++) {
             node.deliver(
@@ -493,20 +521,20 @@
                             1, AttemptResult.SERVED, MS, new LoadReport(9, Double.NaN, 0.3, 0, 0)));
         }
         for (int i = 0; i < 4; i++) {
-            probedServe(node, "w" + i, 10 * MS);
+            serveWithProbe(node, "w" + i, 10 * MS);
         }
         node.now += 1_000 * MS;
         node.arrive("q");
         assertEquals(
                 0,
                 TestNode.ofType(SendAttempt.class, node.probed(1, 4)).size(),
-                "sent behind four");
+                "sent to a server that holds four requests");
     }
 
-    /** An eighth of the answers lost for good made every server too slow for any request. */
+    /** When an eighth of the responses were lost, every server seemed too slow for any request. */
     @Test
-    void lostAnswersDoNotMakeTheFleetSlow() {
-        TestNode node = warm(probing(), 2, 60, 100 * MS);
+    void lostResponsesDoNotRaiseTheServiceTimeOfTheFleet() {
+        TestNode node = warm(withProbes(), 2, 60, 100 * MS);
         for (int i = 0; i < 3; i++) {
             List<DecisionAction> actions = node.arrive("lost" + i);
             while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
@@ -528,15 +556,15 @@
         assertEquals(
                 1,
                 TestNode.ofType(SendAttempt.class, actions).size(),
-                "behind one there is time enough");
+                "there is enough time behind one request");
     }
 
     /**
-     * A quiet node has one attempt at a server: while answers are lost it waited for each until the
-     * end.
+     * A node with little traffic has only one attempt at a server. While responses were lost, it
+     * waited for each of them until the timeout.
      */
     @Test
-    void whileAnswersAreLostAnOverdueAttemptIsTriedAnew() {
+    void whileResponsesAreLostAnOverdueAttemptIsReplaced() {
         for (boolean losing : new boolean[] {true, false}) {
             TestNode node = warm(new TestSettings(), 8, 60, 50 * MS);
             for (int i = 0; losing && i < 4; i++) {
@@ -558,19 +586,20 @@
     }
 
     /**
-     * Connections broken at random had every server barred and then held to a cold one's budget.
+     * When connections were reset at random, every server was ejected and then limited to a
+     * slow-start budget.
      */
     @Test
-    void oneBreakIsChanceAndTwoInARowAreADeadServer() {
-        for (int breaks = 1; breaks <= 2; breaks++) {
-            TestSettings settings = probing();
+    void oneResetDoesNotEjectAServerAndTwoConsecutiveResetsDo() {
+        for (int resets = 1; resets <= 2; resets++) {
+            TestSettings settings = withProbes();
             settings.classes =
                     List.of(
                             TestSettings.newRequestClass(
                                     Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
             TestNode node = warm(settings, 1, 30, 50 * MS);
-            for (int i = 0; i < breaks; i++) {
-                assertEquals(1, probedSend(node, "broken" + i));
+            for (int i = 0; i < resets; i++) {
+                assertEquals(1, sendWithProbe(node, "broken" + i));
                 node.now += 10 * MS;
                 node.endAttempt("broken" + i, 0, 1, AttemptResult.RESET, 10 * MS);
             }
@@ -578,19 +607,19 @@
             boolean used =
                     !TestNode.ofType(SendProbe.class, next).isEmpty()
                             || !TestNode.ofType(SendAttempt.class, next).isEmpty();
-            assertEquals(breaks == 1, used, "after " + breaks);
+            assertEquals(resets == 1, used, "after resets: " + resets);
         }
     }
 
     /**
-     * Guards against a fleet refused to death: where a third of all connections failed, their
-     * further tries used up the budget, and each server was taken for one that died and came back
-     * cold.
+     * Guards against the rejection of nearly all requests. When a third of all connections failed,
+     * the retries used up the retry budget, and each server was considered restarted and limited to
+     * a slow-start budget.
      */
     @Test
-    void connectionsThatFailEverywhereSpendNoBudgetAndMakeNoServerCold() {
+    void failedConnectionsAtAllServersUseNoRetryBudgetAndStartNoSlowStart() {
         TestNode node = warm(new TestSettings(), 8, 30, 50 * MS);
-        int late = 0;
+        int lateResponses = 0;
         for (int i = 0; i < 300; i++) {
             node.now += 60 * MS;
             String id = "r" + i;
@@ -608,7 +637,7 @@
                                         5 * MS));
             }
             if (send == null) {
-                late++;
+                lateResponses++;
                 node.after(node.settings.requestClasses().get(0).deadline());
             } else {
                 node.now += 50 * MS;
@@ -617,17 +646,17 @@
         }
         assertTrue(
                 TestNode.ofType(RejectRequest.class, node.allActions).isEmpty(),
-                "refused for want of a budget");
-        assertTrue(late < 10, late + " of 300 were held back");
+                "rejected because the retry budget was used up");
+        assertTrue(lateResponses < 10, lateResponses + " of 300 got no further attempt in time");
     }
 
     /**
-     * Guards against a fleet that stands as cold by chance: where one attempt in seven fails, two
-     * in a row come at each server every few seconds, and each was held to a cold one's budget in
-     * turn.
+     * Guards against an entire fleet in slow start. When one attempt in seven fails, each server
+     * has two consecutive failures every few seconds, and one server after another was limited to a
+     * slow-start budget.
      */
     @Test
-    void twoFailuresInARowMakeNoServerColdWhereManyFail() {
+    void twoConsecutiveFailuresStartNoSlowStartWhereManyFail() {
         TestNode node = warm(new TestSettings(), 8, 30, 50 * MS);
         for (int i = 0; i < 210; i++) {
             node.now += 60 * MS;
@@ -667,12 +696,12 @@
                         5 * MS);
             }
         }
-        assertTrue(sends >= 40, sends + " of 400, an eighth is 50: held to a cold one's budget");
+        assertTrue(sends >= 40, sends + " of 400, an eighth is 50: limited to a slow-start budget");
     }
 
-    /** Guards against a dead server that is not known as cold when it is back. */
+    /** Guards against a restarted server that gets its full share of requests at once. */
     @Test
-    void aServerThatAloneCannotBeReachedIsColdWhenItIsBack() {
+    void aServerThatAloneWasUnreachableIsInSlowStartAfterwards() {
         TestNode node = warm(new TestSettings(), 8, 30, 50 * MS);
         SendAttempt lost = first(node.arrive("a"));
         node.endAttempt("a", 0, lost.server(), AttemptResult.CONNECT_FAILED, 5 * MS);
@@ -693,8 +722,8 @@
         return TestNode.ofType(SendAttempt.class, actions).stream().findFirst().orElse(null);
     }
 
-    /** Sends a request, its server idle by its probe, and returns the server without an answer. */
-    private static long probedSend(TestNode node, String id) {
+    /** Sends a request to a server that a probe reports as idle, and returns that server. */
+    private static long sendWithProbe(TestNode node, String id) {
         List<DecisionAction> actions = node.arrive(id);
         while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
             actions = node.probed(TestNode.onlyOfType(SendProbe.class, actions).server(), 0);
@@ -702,11 +731,11 @@
         return TestNode.onlyOfType(SendAttempt.class, actions).server();
     }
 
-    // ---- Silence
+    // ---- Silent servers
     // ------------------------------------------------------------------------------------
 
     @Test
-    void oneCostlyRequestDoesNotMakeAServerSilent() {
+    void oneLongRequestDoesNotMakeAServerCountAsSilent() {
         TestNode node = warm(new TestSettings(), 2, 30, 50 * MS);
         node.arrive("costly");
         int cancels = 0;
@@ -717,7 +746,7 @@
     }
 
     @Test
-    void whatIsOutAtASilentServerIsTriedElsewhere() {
+    void attemptsAtASilentServerAreReplacedAtOtherServers() {
         TestNode node = warm(new TestSettings(), 3, 60, 50 * MS);
         long silent = 2;
         List<SendAttempt> stuck = new ArrayList<>();
@@ -728,7 +757,7 @@
                 node.endAttempt(s.id(), 0, s.server(), AttemptResult.SERVED, 50 * MS);
             }
         }
-        assertTrue(stuck.size() >= 2, "out at the silent server: " + stuck);
+        assertTrue(stuck.size() >= 2, "outstanding at the silent server: " + stuck);
         Set<String> cancelled = new HashSet<>();
         for (int i = 0; i < 20; i++) {
             TestNode.ofType(CancelAttempt.class, node.after(25 * MS))
@@ -738,16 +767,16 @@
                 cancelled.containsAll(stuck.stream().map(SendAttempt::id).toList()),
                 "cancelled " + cancelled);
         for (SendAttempt s : stuck) {
-            SendAttempt again =
+            SendAttempt retry =
                     TestNode.onlyOfType(
                             SendAttempt.class,
                             node.endAttempt(s.id(), 0, silent, AttemptResult.CANCELLED, 500 * MS));
-            assertNotEquals(silent, again.server());
+            assertNotEquals(silent, retry.server());
         }
     }
 
     @Test
-    void aServerThatOnlyAnswersErrorsDrawsFewSends() {
+    void aServerThatOnlyRespondsWithErrorsGetsFewRequests() {
         for (boolean probes : new boolean[] {false, true}) {
             TestSettings settings = new TestSettings();
             settings.probes = probes;
@@ -783,12 +812,12 @@
         }
     }
 
-    // ---- Reported loads
+    // ---- Load reports
     // -----------------------------------------------------------------------------
 
     @Test
-    void aServerReportedBusyIsSkippedAndAnIdleOneTaken() {
-        TestNode node = warm(probing(), 3, 30, 50 * MS);
+    void aServerReportedBusyIsSkippedAndAnIdleOneSelected() {
+        TestNode node = warm(withProbes(), 3, 30, 50 * MS);
         node.now += 1_000 * MS;
         SendProbe first = TestNode.onlyOfType(SendProbe.class, node.arrive("q"));
         SendProbe second = TestNode.onlyOfType(SendProbe.class, node.probed(first.server(), 2));
@@ -798,8 +827,8 @@
     }
 
     @Test
-    void aServerThatDoesNotAnswerAProbeIsPassedOver() {
-        TestNode node = warm(probing(), 3, 30, 50 * MS);
+    void aServerThatDoesNotRespondToAProbeIsSkipped() {
+        TestNode node = warm(withProbes(), 3, 30, 50 * MS);
         node.now += 1_000 * MS;
         SendProbe first = TestNode.onlyOfType(SendProbe.class, node.arrive("q"));
         SendProbe second = TestNode.onlyOfType(SendProbe.class, node.after(20 * MS));
@@ -813,8 +842,8 @@
     }
 
     @Test
-    void oneProbeThatFailedBarsNoServerAndTwoDo() {
-        TestNode node = warm(probing(), 1, 30, 50 * MS);
+    void oneFailedProbeDoesNotEjectAServerAndTwoDo() {
+        TestNode node = warm(withProbes(), 1, 30, 50 * MS);
         node.now += 1_000 * MS;
         long server = TestNode.onlyOfType(SendProbe.class, node.arrive("q")).server();
         ProbeEnded failed = new ProbeEnded(server, AttemptResult.ERROR, MS, LoadReport.NONE);
@@ -823,10 +852,10 @@
     }
 
     @Test
-    void aCommonSlowSpellStopsQueueingBehindOthers() {
-        TestNode node = warm(probing(), 2, 40, 100 * MS);
+    void whenAllServersBecomeSlowNothingQueuesBehindOtherRequests() {
+        TestNode node = warm(withProbes(), 2, 40, 100 * MS);
         for (int i = 0; i < 20; i++) {
-            probedServe(node, "slow" + i, 700 * MS);
+            serveWithProbe(node, "slow" + i, 700 * MS);
         }
         node.now += 1_000 * MS;
         List<DecisionAction> actions = node.arrive("q");
@@ -836,14 +865,14 @@
         assertEquals(
                 0,
                 TestNode.ofType(SendAttempt.class, actions).size(),
-                "700 ms behind 700 ms do not fit in 1 s");
+                "700 ms after a wait of 700 ms don't fit in 1 s");
     }
 
-    // ---- The rules by example
+    // ---- Rules on repeated attempts, draining and slow start
     // -----------------------------------------------------------------------
 
     @Test
-    void anUnsafeRequestThatMayHaveRunFailsAndOneThatNeverRanIsSentAgain() {
+    void aNonIdempotentRequestIsRetriedOnlyIfItWasNeverExecuted() {
         TestSettings settings = new TestSettings();
         settings.classes =
                 List.of(
@@ -851,42 +880,42 @@
                                 Idempotency.NON_IDEMPOTENT, DeduplicationScope.FLEET));
         TestNode node = warm(settings, 3, 10, 50 * MS);
         SendAttempt first = TestNode.onlyOfType(SendAttempt.class, node.arrive("a"));
-        SendAttempt again =
+        SendAttempt retry =
                 TestNode.onlyOfType(
                         SendAttempt.class,
                         node.endAttempt("a", 0, first.server(), AttemptResult.REJECTED, MS));
-        assertNotEquals(first.server(), again.server());
+        assertNotEquals(first.server(), retry.server());
         assertEquals(
                 1,
                 TestNode.ofType(
                                 FailRequest.class,
-                                node.endAttempt("a", 1, again.server(), AttemptResult.RESET, MS))
+                                node.endAttempt("a", 1, retry.server(), AttemptResult.RESET, MS))
                         .size());
     }
 
     @Test
-    void aKeyedRequestStaysInItsZoneAndItsWindow() {
+    void aKeyedRequestIsRetriedOnlyInItsZoneAndItsDeduplicationWindow() {
         TestSettings settings = new TestSettings();
         settings.classes =
                 List.of(TestSettings.newRequestClass(Idempotency.KEYED, DeduplicationScope.ZONE));
         TestNode node = warm(settings, 4, 10, 50 * MS);
         SendAttempt first = TestNode.onlyOfType(SendAttempt.class, node.arrive("a"));
-        SendAttempt again =
+        SendAttempt retry =
                 TestNode.onlyOfType(
                         SendAttempt.class,
                         node.endAttempt("a", 0, first.server(), AttemptResult.ERROR, MS));
-        assertEquals(first.server() % 2, again.server() % 2);
+        assertEquals(first.server() % 2, retry.server() % 2);
         node.now += 800 * MS;
         assertEquals(
                 1,
                 TestNode.ofType(
                                 FailRequest.class,
-                                node.endAttempt("a", 1, again.server(), AttemptResult.ERROR, MS))
+                                node.endAttempt("a", 1, retry.server(), AttemptResult.ERROR, MS))
                         .size());
     }
 
     @Test
-    void nothingGoesToAServerThatDrainsOrIsGone() {
+    void nothingIsSentToADrainingOrRemovedServer() {
         TestNode node = warm(new TestSettings(), 3, 10, 50 * MS);
         node.updateServer(1, EndpointState.DRAINING, 0);
         node.updateServer(2, EndpointState.REMOVED, 0);
@@ -896,42 +925,48 @@
     }
 
     @Test
-    void aRestartedServerIsSentItsPartOfTheColdBudget() {
-        TestSettings settings = probing();
+    void aRestartedServerGetsOnlyThisNodesShareOfTheSlowStartBudget() {
+        TestSettings settings = withProbes();
         settings.nodes = 3;
         TestNode node = warm(settings, 2, 40, 100 * MS);
         node.updateServer(1, EndpointState.UP, node.now);
         int sent = 0;
         long end = node.now + 1_000 * MS;
         for (int i = 0; node.now < end; i++) {
-            sent += probedServe(node, "q" + i, 100 * MS) == 1 ? 1 : 0;
+            sent += serveWithProbe(node, "q" + i, 100 * MS) == 1 ? 1 : 0;
         }
-        // 3 x 0.2 to 0.3 of 10 a second, in three parts, is under one: one send is always allowed.
-        assertTrue(sent <= 1, "sent to the cold server: " + sent);
+        // 3 x 0.2 to 0.3 of 10 requests per second, divided among three nodes, is under one per
+        // second. One send is always allowed.
+        assertTrue(sent <= 1, "sent to the server in slow start: " + sent);
     }
 
     @Test
-    void aColdServersOwnAnswersTellItsSpeed() {
+    void responsesOfAServerInSlowStartDetermineItsServiceTime() {
         int[] sent = new int[2];
         for (int quick = 0; quick < 2; quick++) {
-            TestNode node = warm(probing(), 2, 60, 100 * MS);
+            TestNode node = warm(withProbes(), 2, 60, 100 * MS);
             node.now += 2_000 * MS;
             node.updateServer(1, EndpointState.UP, node.now);
-            // By age alone the server can do a fifth to two fifths of a warm one's work.
+            // By its age alone the server has a fifth to two fifths of its full capacity.
             node.now += 3_000 * MS;
             for (int i = 0; i < 40; i++) {
                 sent[quick] +=
-                        coldServe(node, "q" + i, quick == 1 ? 100 * MS : 450 * MS) == 1 ? 1 : 0;
+                        serveDuringSlowStart(node, "q" + i, quick == 1 ? 100 * MS : 450 * MS) == 1
+                                ? 1
+                                : 0;
                 node.now += 100 * MS;
             }
         }
-        assertTrue(sent[1] > sent[0], "slow when cold " + sent[0] + ", quick " + sent[1]);
+        assertTrue(
+                sent[1] > sent[0],
+                "sent to a slow server " + sent[0] + ", to a fast one " + sent[1]);
     }
 
     /**
-     * Serves a request with the other server busy and little time left; returns the server, or 0.
+     * Serves a request while the other server is busy and little time is left. Returns the server,
+     * or 0 if the request was not sent.
      */
-    private static long coldServe(TestNode node, String id, long elapsed) {
+    private static long serveDuringSlowStart(TestNode node, String id, long elapsed) {
         List<DecisionAction> actions = node.arrive(id, 0, node.now + 1_500 * MS, true);
         while (TestNode.ofType(SendAttempt.class, actions).isEmpty()) {
             List<SendProbe> probes = TestNode.ofType(SendProbe.class, actions);
@@ -955,7 +990,7 @@
     }
 
     @Test
-    void nothingIsSentAfterTheClientHasGone() {
+    void nothingIsSentAfterTheClientDisconnected() {
         TestNode node = warm(new TestSettings(), 3, 10, 50 * MS);
         SendAttempt send = TestNode.onlyOfType(SendAttempt.class, node.arrive("a"));
         node.deliver(new ClientDisconnected("a"));
@@ -968,7 +1003,7 @@
     }
 
     @Test
-    void noMoreAttemptsAreMadeThanTheSiteAllows() {
+    void noMoreAttemptsAreMadeThanTheSettingsAllow() {
         TestSettings settings = new TestSettings();
         settings.maxAttempts = 2;
         TestNode node = warm(settings, 4, 10, 50 * MS);
@@ -983,7 +1018,7 @@
     }
 
     @Test
-    void theTimerIsSetForTheEndOfAHeldRequest() {
+    void theTimerIsSetForTheDeadlineOfAPendingRequest() {
         TestNode node = new TestNode(new TestSettings().build());
         node.servers(0);
         node.now += 7 * MS;
@@ -995,14 +1030,14 @@
         }
         assertTrue(
                 node.now <= giveUpAt + 5 * MS,
-                "answered " + (node.now - giveUpAt) + " after the end");
+                "rejected " + (node.now - giveUpAt) + " after the client's timeout");
     }
 
-    // ---- The server list
+    // ---- The endpoint list
     // ----------------------------------------------------------------------------
 
     @Test
-    void aFailedListCallIsRepeatedAfterAGrowingWait() {
+    void aFailedPollIsRepeatedWithBackoff() {
         TestSettings settings = new TestSettings();
         settings.discoveryMode = DiscoveryMode.POLL;
         TestNode node = new TestNode(settings.build());
@@ -1017,12 +1052,12 @@
             waits.add(node.now - from);
             node.deliver(new DiscoveryFailed());
         }
-        assertTrue(waits.get(0) <= 210 * MS, "first asked after " + waits);
+        assertTrue(waits.get(0) <= 210 * MS, "first polled after " + waits);
         assertTrue(waits.get(1) >= 250 * MS && waits.get(3) > waits.get(1), "waits " + waits);
     }
 
     @Test
-    void withoutServersEveryRequestStillGetsItsAnswer() {
+    void withoutServersEveryRequestStillGetsAResponse() {
         TestNode node = new TestNode(new TestSettings().build());
         node.servers(0);
         node.arrive("a");
--- a/src/test/java/ottergauge/decision/SettingsReplacementTest.java
+++ b/src/test/java/ottergauge/decision/SettingsReplacementTest.java
@@ -37,8 +37,8 @@
 import ottergauge.decision.api.UpdateScope;
 
 /**
- * DecisionSettings that come in force while requests are held, are out, or are about to be sent
- * again.
+ * Tests that the settings can be replaced while requests are pending, are outstanding, or are about
+ * to be retried.
  */
 class SettingsReplacementTest {
 
@@ -66,9 +66,17 @@
     }
 
     private static RequestClass newRequestClass(
-            String name, Idempotency repeat, long aim, long deadline) {
+            String name, Idempotency idempotency, long latencyObjective, long deadline) {
         return new RequestClass(
-                name, repeat, DeduplicationScope.FLEET, aim, deadline, 800_000, 1, 0, false);
+                name,
+                idempotency,
+                DeduplicationScope.FLEET,
+                latencyObjective,
+                deadline,
+                800_000,
+                1,
+                0,
+                false);
     }
 
     private static List<DecisionAction> arrive(TestNode node, String id, int requestClass) {
@@ -83,15 +91,15 @@
         return TestNode.onlyOfType(SendAttempt.class, actions);
     }
 
-    // ---- What was taken before
+    // ---- Requests that arrived before
     // ----------------------------------------------------------------------
 
     /**
-     * With two attempts allowed when it was taken it has a second one, though now there would be
-     * none.
+     * The request arrived when several attempts were allowed. It is retried although the new
+     * settings allow only one attempt.
      */
     @Test
-    void aRequestThatIsOutIsTriedAgainAsOftenAsWhenItWasTaken() {
+    void anOutstandingRequestKeepsTheMaximumNumberOfAttemptsOfItsArrival() {
         TestNode node = node(READ);
         node.servers(3);
         SendAttempt before = sent(arrive(node, "before", 0));
@@ -106,11 +114,11 @@
     }
 
     /**
-     * Guards against an effect that happens twice: the class that it was taken with says that it
-     * may not.
+     * Guards against an effect that happens twice. The class that applied at the request's arrival
+     * forbids a retry.
      */
     @Test
-    void aRequestKeepsItsClassThoughTheNameNowStandsForAnother() {
+    void aRequestKeepsItsClassAlthoughTheNameNowBelongsToAnotherOne() {
         TestNode node = node(GRANT);
         node.servers(3);
         SendAttempt before = sent(arrive(node, "before", 0));
@@ -127,7 +135,7 @@
     }
 
     @Test
-    void aHeldRequestEndsByTheAimThatItWasTakenWith() {
+    void aPendingRequestKeepsTheLatencyObjectiveOfItsArrival() {
         TestNode node = node(newRequestClass("read", Idempotency.IDEMPOTENT, 1_000_000, 2_000_000));
         arrive(node, "before", 0);
         node.applySettings(
@@ -138,7 +146,7 @@
     }
 
     @Test
-    void aRefusalGivesTheAdviceOfTheLimitsThatTheRequestWasTakenWith() {
+    void aRejectionAdvisesTheRetryDelayOfTheLimitsAtArrival() {
         TestNode node = node(READ);
         arrive(node, "before", 0);
         DecisionSettings build = with(READ);
@@ -157,16 +165,16 @@
                         build.costs(),
                         build.requestClasses()));
         arrive(node, "after", 0);
-        List<RejectRequest> refused = TestNode.ofType(RejectRequest.class, node.after(1_500 * MS));
-        assertEquals(List.of("before", "after"), refused.stream().map(RejectRequest::id).toList());
+        List<RejectRequest> rejected = TestNode.ofType(RejectRequest.class, node.after(1_500 * MS));
+        assertEquals(List.of("before", "after"), rejected.stream().map(RejectRequest::id).toList());
         assertEquals(
                 List.of(600_000L, 900_000L),
-                refused.stream().map(RejectRequest::retryAfter).toList());
+                rejected.stream().map(RejectRequest::retryAfter).toList());
     }
 
-    /** Where it may no longer be cancelled a request that was taken when it might still is. */
+    /** The request arrived when cancellation was allowed, so its attempt may still be cancelled. */
     @Test
-    void whetherAnAttemptIsCancelledGoesByTheLimitsThatItsRequestWasTakenWith() {
+    void anAttemptIsCancelledByTheLimitsAtTheArrivalOfItsRequest() {
         TestNode node = node(READ);
         node.servers(3);
         sent(arrive(node, "before", 0));
@@ -197,38 +205,39 @@
                         CancelAttempt.class, node.deliver(new ClientDisconnected("after"))));
     }
 
-    // ---- Classes that come, go and move
+    // ---- Classes that are added, removed or reordered
     // -------------------------------------------------------------
 
     @Test
-    void whatWaitsOfAClassThatIsRemovedIsServedAllTheSame() {
+    void aPendingRequestOfARemovedClassIsStillServed() {
         TestNode node = node(READ, GRANT);
         arrive(node, "held", 1);
         node.applySettings(with(READ));
         SendAttempt send = sent(node.servers(2));
         assertEquals("held", send.id());
         node.now += MS;
-        // What its answer took goes into the shared row, and its failures go by the shared budget.
+        // The latency of its response is recorded in the shared row, and its failures count in the
+        // shared retry budget.
         node.endAttempt("held", 0, send.server(), AttemptResult.SERVED, MS);
         arrive(node, "next", 0);
     }
 
     @Test
-    void whatIsOutOfAClassThatIsRemovedIsTriedAgain() {
+    void anOutstandingRequestOfARemovedClassIsRetried() {
         TestNode node = node(READ, PAY);
         node.servers(3);
         SendAttempt send = sent(arrive(node, "out", 1));
         node.applySettings(with(READ));
         node.now += MS;
-        SendAttempt again = sent(node.endAttempt("out", 0, send.server(), AttemptResult.RESET, MS));
+        SendAttempt retry = sent(node.endAttempt("out", 0, send.server(), AttemptResult.RESET, MS));
         node.applySettings(with(GRANT));
         node.now += MS;
-        node.endAttempt("out", 1, again.server(), AttemptResult.SERVED, MS);
+        node.endAttempt("out", 1, retry.server(), AttemptResult.SERVED, MS);
         assertEquals(2, TestNode.ofType(SendAttempt.class, node.allActions).size());
     }
 
     @Test
-    void aClassIsUsedInTheTurnInWhichItIsAdded() {
+    void anAddedClassIsUsedImmediately() {
         TestNode node = node(READ);
         node.servers(2);
         node.applySettings(with(GRANT, READ));
@@ -239,32 +248,35 @@
                 node.endAttempt("first", 0, send.server(), AttemptResult.RESET, MS));
     }
 
-    /** By the new settings the server that goes would be warm; it has gone by then. */
+    /**
+     * With the new settings the removed server would have its full capacity, but it is removed at
+     * the same instant.
+     */
     @Test
-    void settingsAndServersComeInForceAtOneInstant() {
+    void settingsAndServersTakeEffectTogether() {
         settings.nodes = 50_000;
         TestNode node = node(READ);
         node.updateServer(1, EndpointState.UP, node.now);
         assertEquals(List.of(), TestNode.ofType(SendAttempt.class, arrive(node, "held", 0)));
-        DecisionSettings cold = with(READ, GRANT);
-        DecisionSettings warm =
+        DecisionSettings slowStartOn = with(READ, GRANT);
+        DecisionSettings slowStartOff =
                 new DecisionSettings(
-                        cold.nodeIndex(),
-                        cold.nodeCount(),
-                        cold.zone(),
-                        cold.eventInterval(),
-                        cold.discoveryMode(),
-                        cold.reportsLoad(),
-                        cold.clientRetriesMarked(),
-                        cold.cacheAffinity(),
-                        cold.limits(),
+                        slowStartOn.nodeIndex(),
+                        slowStartOn.nodeCount(),
+                        slowStartOn.zone(),
+                        slowStartOn.eventInterval(),
+                        slowStartOn.discoveryMode(),
+                        slowStartOn.reportsLoad(),
+                        slowStartOn.clientRetriesMarked(),
+                        slowStartOn.cacheAffinity(),
+                        slowStartOn.limits(),
                         new ServiceRules(5_000, 500_000, 0.2, 0, 3, 1_000_000),
-                        cold.costs(),
-                        cold.requestClasses());
+                        slowStartOn.costs(),
+                        slowStartOn.requestClasses());
         List<DecisionAction> actions =
                 node.deliver(
                         new SettingsChanged(
-                                warm,
+                                slowStartOff,
                                 new EndpointUpdate(
                                         UpdateScope.INCREMENTAL,
                                         List.of(
@@ -274,104 +286,109 @@
     }
 
     /**
-     * Serves requests of one class, quickly at one server, slowly at the other; how many the first
-     * got.
+     * Serves requests of one class, quickly at one server and slowly at the other, and returns how
+     * many the first one got.
      */
-    private int turns(TestNode node, int requestClass, long quickAt, int requests) {
-        int quick = 0;
+    private int serveAndCount(TestNode node, int requestClass, long fastServer, int requests) {
+        int fastCount = 0;
         for (int i = 0; i < requests; i++) {
             String id = "t" + ++lastRequest;
             long server = sent(arrive(node, id, requestClass)).server();
-            long elapsed = server == quickAt ? 10 * MS : 90 * MS;
+            long elapsed = server == fastServer ? 10 * MS : 90 * MS;
             node.now += elapsed;
             node.endAttempt(id, 0, server, AttemptResult.SERVED, elapsed);
-            quick += server == quickAt ? 1 : 0;
+            fastCount += server == fastServer ? 1 : 0;
         }
-        return quick;
+        return fastCount;
     }
 
     /**
-     * The rows are kept by name: each class goes on to have most of its turns where it is quick.
+     * Rows are kept by name, so each class continues to use mostly the server that is fast for it.
      */
     @Test
-    void aClassKeepsItsWeightsWhereverItStandsAmongTheOthers() {
+    void aClassKeepsItsWeightsWhenItsIndexChanges() {
         TestNode node = node(READ, GRANT);
         node.servers(2);
         for (int i = 0; i < 200; i++) {
-            turns(node, 0, 1, 1);
-            turns(node, 1, 2, 1);
+            serveAndCount(node, 0, 1, 1);
+            serveAndCount(node, 1, 2, 1);
         }
         node.applySettings(with(PAY, GRANT, READ));
-        int reads = turns(node, 2, 1, 20);
+        int reads = serveAndCount(node, 2, 1, 20);
         assertTrue(reads >= 15, "reads at the first server: " + reads);
-        int grants = turns(node, 1, 2, 20);
+        int grants = serveAndCount(node, 1, 2, 20);
         assertTrue(grants >= 15, "grants at the second server: " + grants);
     }
 
-    /** One that comes again under the name of one that was removed has learnt nothing yet. */
+    /** A class that is added under the name of a removed class has no statistics yet. */
     @Test
-    void aClassThatComesAgainBeginsAnew() {
+    void aClassThatIsAddedAgainStartsWithoutStatistics() {
         TestNode node = node(READ, GRANT);
         node.servers(2);
         for (int i = 0; i < 200; i++) {
-            turns(node, 0, 1, 1);
-            turns(node, 1, 2, 1);
+            serveAndCount(node, 0, 1, 1);
+            serveAndCount(node, 1, 2, 1);
         }
         node.applySettings(with(READ));
         node.applySettings(with(READ, GRANT));
-        int quick = turns(node, 1, 2, 10);
-        assertTrue(quick <= 7, "by the shared row: " + quick);
+        int fastCount = serveAndCount(node, 1, 2, 10);
+        assertTrue(
+                fastCount <= 7, "requests at the fast server, with the shared row: " + fastCount);
     }
 
     /**
-     * Lets a class spend all that its budget of further attempts has; true once it has none left.
+     * Uses one retry from the retry budget of a class if there is one left. Returns true if the
+     * budget was used up.
      */
-    private boolean spent(TestNode node, int requestClass) {
+    private boolean isRetryBudgetUsedUp(TestNode node, int requestClass) {
         String id = "s" + ++lastRequest;
         long server = sent(arrive(node, id, requestClass)).server();
         List<DecisionAction> actions = node.endAttempt(id, 0, server, AttemptResult.REJECTED, 0);
         node.now += 200 * MS;
-        boolean again =
+        boolean retry =
                 !TestNode.ofType(SendAttempt.class, actions).isEmpty()
                         || !TestNode.ofType(SendAttempt.class, node.after(0)).isEmpty();
         node.deliver(new ClientDisconnected(id));
         node.deliver(
                 new AttemptEnded(id, 1, server, AttemptResult.CANCELLED, 0, true, LoadReport.NONE));
-        return !again;
+        return !retry;
     }
 
     /**
-     * One class spends what it may have, while another one sees to it that all together have
-     * enough.
+     * Uses up the retry budget of one class, while requests of another class keep the budget of all
+     * classes together from being used up.
      */
-    private void spend(TestNode node, int requestClass, int other) {
+    private void useUpRetryBudget(TestNode node, int requestClass, int other) {
         node.servers(8);
-        while (!spent(node, requestClass)) {
-            turns(node, other, 1, 20);
+        while (!isRetryBudgetUsedUp(node, requestClass)) {
+            serveAndCount(node, other, 1, 20);
         }
     }
 
     @Test
-    void aClassKeepsItsBudgetOfFurtherAttemptsWhereverItStands() {
+    void aClassKeepsItsRetryBudgetWhenItsIndexChanges() {
         TestNode node = node(READ, PAY);
-        spend(node, 0, 1);
+        useUpRetryBudget(node, 0, 1);
         node.applySettings(with(PAY, GRANT, READ));
-        assertTrue(spent(node, 2), "it is used up in another place, too");
-        assertTrue(!spent(node, 0), "the budget of all is not");
+        assertTrue(isRetryBudgetUsedUp(node, 2), "the budget of the class is still used up");
+        assertTrue(
+                !isRetryBudgetUsedUp(node, 0), "the budget of all classes together is not used up");
     }
 
     @Test
-    void aClassThatComesAgainHasAWholeBudget() {
+    void aClassThatIsAddedAgainHasAFullRetryBudget() {
         TestNode node = node(READ, PAY);
-        spend(node, 0, 1);
+        useUpRetryBudget(node, 0, 1);
         node.applySettings(with(PAY));
         node.applySettings(with(READ, PAY));
-        assertTrue(!spent(node, 0), "it begins anew");
+        assertTrue(!isRetryBudgetUsedUp(node, 0), "the budget should be full again");
     }
 
-    /** Guards against tables that end: 64 classes have rows of their own, the others share one. */
+    /**
+     * Guards against an index out of bounds: 64 classes have their own rows, the others share one.
+     */
     @Test
-    void moreClassesThanThereAreRowsComeAndGo() {
+    void moreClassesThanRowsCanBeAddedAndRemoved() {
         RequestClass[] many =
                 IntStream.range(0, 1024)
                         .mapToObj(
@@ -398,7 +415,7 @@
         assertEquals(1, TestNode.ofType(SendAttempt.class, arrive(node, "last", 0)).size());
     }
 
-    // ---- What is in force for servers
+    // ---- Settings that apply to servers
     // ---------------------------------------------------------------
 
     private static Set<Long> used(TestNode node, int requests) {
@@ -432,23 +449,23 @@
     }
 
     /**
-     * What one of so many nodes may send to a cold server: its part follows their number at once.
+     * A node's share of the slow-start budget of a server follows the number of nodes immediately.
      */
     @Test
-    void theColdBudgetFollowsTheNumberOfNodes() {
+    void theSlowStartBudgetFollowsTheNumberOfNodes() {
         settings.probes = true;
         settings.nodes = 1;
         TestNode alone = node(READ);
         TestNode among = node(READ);
-        long sentAlone = toTheColdServer(alone, 1);
+        long sentAlone = sendsDuringSlowStart(alone, 1);
         settings.nodes = 50;
-        long sentAmong = toTheColdServer(among, 50);
+        long sentAmong = sendsDuringSlowStart(among, 50);
         assertTrue(
                 sentAlone >= 3 && sentAmong <= 1,
                 "alone " + sentAlone + ", among fifty " + sentAmong);
     }
 
-    private long toTheColdServer(TestNode node, int nodes) {
+    private long sendsDuringSlowStart(TestNode node, int nodes) {
         node.servers(1);
         for (int i = 0; i < 30; i++) {
             String id = "w" + ++lastRequest;
@@ -477,7 +494,7 @@
     }
 
     @Test
-    void probesBeginAndEndWithTheSettingsThatAllowThem() {
+    void probesStartAndStopWithTheSettings() {
         TestNode node = node(READ);
         node.servers(2);
         long server = sent(arrive(node, "a", 0)).server();
@@ -488,7 +505,9 @@
         node.now += 100 * MS;
         long probed = TestNode.onlyOfType(SendProbe.class, arrive(node, "b", 0)).server();
         settings.probes = false;
-        // What waits for the probe goes at once, and what the probe brings is taken as it comes.
+        // The request that waits for the probe is sent immediately. The result of the probe is
+        // still
+        // processed.
         assertEquals("b", sent(node.applySettings(with(READ))).id());
         node.probed(probed, 3);
         assertEquals(0, TestNode.ofType(SendProbe.class, arrive(node, "c", 0)).size());
@@ -501,23 +520,20 @@
                         List.of(new Endpoint(id, zone, 0, 0, EndpointState.UP, 1, 0))));
     }
 
-    /** A request has the one server probed, whose answer takes so long; it is served. */
-    private void probe(TestNode node, long trip) {
+    /** Serves a request after a probe of the only server with this round-trip time. */
+    private void probe(TestNode node, long roundTrip) {
         node.now += 1_000 * MS;
         String id = "p" + ++lastRequest;
         long server = TestNode.onlyOfType(SendProbe.class, arrive(node, id, 0)).server();
-        node.now += trip;
-        node.deliver(new ProbeEnded(server, AttemptResult.SERVED, trip, TestNode.IDLE));
+        node.now += roundTrip;
+        node.deliver(new ProbeEnded(server, AttemptResult.SERVED, roundTrip, TestNode.IDLE));
         node.now += MS;
         node.endAttempt(id, 0, server, AttemptResult.SERVED, MS);
     }
 
-    /**
-     * Guards against a far zone whose servers are taken for mute since a near one had its number
-     * before.
-     */
+    /** Guards against probe timeouts in a far zone that has the number of a former near zone. */
     @Test
-    void tripsAreLearntAnewWhereZonesAreNumberedAnew() {
+    void roundTripTimesAreMeasuredAgainWhenZonesAreRenumbered() {
         settings.probes = true;
         TestNode node = node(READ);
         listOnly(node, 2, 0);
@@ -533,9 +549,9 @@
         assertEquals(EndpointStatus.ACTIVE, node.engine.endpointStatus(node.now, 1));
     }
 
-    /** A change that is taken back leaves no trace: the same as if there had been none. */
+    /** A change that is reverted immediately has no effect on later actions. */
     @Test
-    void aChangeAndItsReverseChangeNothing() {
+    void aChangeThatIsRevertedChangesNothing() {
         TestSettings first = new TestSettings();
         first.classes = List.of(READ, PAY, GRANT);
         TestSettings second = new TestSettings();
@@ -567,7 +583,7 @@
                     node.endAttempt(
                             send.id(), 0, send.server(), result, (20 + send.server() * 10) * MS));
         }
-        // Timers are set anew at each event: what matters is what is sent and answered.
+        // Timers are set again at each event, so only the other actions are compared.
         actions.removeIf(SetTimer.class::isInstance);
         return actions;
     }
