--- a/src/test/java/ottergauge/decision/DecisionEngineTest.java
+++ b/src/test/java/ottergauge/decision/DecisionEngineTest.java
@@ -143,8 +143,7 @@
             rejected += TestNode.ofType(RejectRequest.class, node.arrive("c" + i)).size();
         }
         // With one request sent every 100 ms, about nine of those that arrive now can be sent
-        // within
-        // their second.
+        // within their second.
         assertTrue(rejected >= 25, "rejected on arrival: " + rejected);
     }
 
--- a/src/test/java/ottergauge/decision/EndpointListCostTest.java
+++ b/src/test/java/ottergauge/decision/EndpointListCostTest.java
@@ -28,8 +28,7 @@
     // With this small number of nodes the subset has its maximum size for both lists.
     private static final int NODES = 50;
     // The logarithm of 8,000 is 1.3 times that of 1,000. The rest allows for the random shape of
-    // the
-    // trees.
+    // the trees.
     private static final double MAX_GROWTH = 1.6;
 
     private static TestNode node(int servers) {
--- a/src/test/java/ottergauge/decision/History.java
+++ b/src/test/java/ottergauge/decision/History.java
@@ -224,8 +224,7 @@
             requests.get(e.id()).complete = true;
         } else if (event instanceof RequestArrived e) {
             // The class index was drawn for the first settings. The modulo maps it to a class of
-            // the
-            // current settings.
+            // the current settings.
             RequestArrived arrives =
                     new RequestArrived(
                             e.id(),
--- a/src/test/java/ottergauge/decision/SettingsReplacementTest.java
+++ b/src/test/java/ottergauge/decision/SettingsReplacementTest.java
@@ -506,8 +506,7 @@
         long probed = TestNode.onlyOfType(SendProbe.class, arrive(node, "b", 0)).server();
         settings.probes = false;
         // The request that waits for the probe is sent immediately. The result of the probe is
-        // still
-        // processed.
+        // still processed.
         assertEquals("b", sent(node.applySettings(with(READ))).id());
         node.probed(probed, 3);
         assertEquals(0, TestNode.ofType(SendProbe.class, arrive(node, "c", 0)).size());
--- a/src/test/java/ottergauge/decision/WeightedRoundRobinTest.java
+++ b/src/test/java/ottergauge/decision/WeightedRoundRobinTest.java
@@ -70,8 +70,7 @@
         shares(node, 100, 20 * MS, 60 * MS);
         node.after(5_000 * MS);
         // The means are 20 and 60 ms. The ratio of the weights is 3 to 1, and of a total of 1000
-        // they
-        // get 750 and 250.
+        // they get 750 and 250.
         Map<Long, Integer> shares = shares(node, 40, 20 * MS, 60 * MS);
         assertEquals(Map.of(1L, 30, 2L, 10), shares);
     }
--- a/src/test/java/ottergauge/decision/ring/ConsistentHashRingTest.java
+++ b/src/test/java/ottergauge/decision/ring/ConsistentHashRingTest.java
@@ -115,8 +115,7 @@
         ids.forEach(id -> single.put(id, sizes.get(id), id));
         assertEquals(single.first(ids.size()), chain.first(chain.count()));
         // The start of each arc is found by bisection, so that a difference in the last bit of a
-        // sum
-        // is detected.
+        // sum is detected.
         for (double point = 0.5; point > 1e-15 && !ids.isEmpty(); point /= 2) {
             assertEquals(boundary(single, point), boundary(chain, point));
         }
