--- a/control/src/main/java/ottergauge/control/client/BoundedHttpClient.java
+++ b/control/src/main/java/ottergauge/control/client/BoundedHttpClient.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeoutException;
 import ottergauge.protocol.Address;
 
-/** A blocking HTTP client whose calls are bounded in time and in the size of the response. */
+/** A blocking HTTP client that limits the duration of each call and the size of its response. */
 public final class BoundedHttpClient {
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
@@ -29,8 +29,8 @@
      * Sends a GET request.
      *
      * @param path the path with its query
-     * @param timeout until the response is complete
-     * @param maxBytes bytes of the response's body
+     * @param timeout the maximum time until the response is complete
+     * @param maxBytes the maximum bytes of the response body
      * @throws IOException if there is no complete response within the bounds
      */
     public RawResponse get(Address address, String path, Duration timeout, long maxBytes)
@@ -39,7 +39,7 @@
     }
 
     /**
-     * Sends a POST request; otherwise as {@link #get}.
+     * Sends a POST request with the same limits as {@link #get}.
      *
      * @throws IOException if there is no complete response within the bounds
      */
--- a/control/src/main/java/ottergauge/control/client/ControlCallException.java
+++ b/control/src/main/java/ottergauge/control/client/ControlCallException.java
@@ -1,7 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.client;
 
-/** No control process responded as expected; the message names the last failure in one line. */
+/**
+ * Thrown if no control process responded as expected. The one-line message names the last failure.
+ */
 public final class ControlCallException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/control/src/main/java/ottergauge/control/client/ControlClient.java
+++ b/control/src/main/java/ottergauge/control/client/ControlClient.java
@@ -18,8 +18,8 @@
 import ottergauge.resources.SnapshotPage;
 
 /**
- * Calls control processes: the one that responded last first, then the others in the order of the
- * list. Blocking; not thread-safe.
+ * Calls control processes. Each call first tries the process that responded to the previous call,
+ * then the others in the order of the list. Calls block. Not thread-safe.
  */
 public final class ControlClient {
 
@@ -35,7 +35,10 @@
 
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(5);
 
-    /** Longer than that of other calls, since snapshot pages are paced. */
+    /**
+     * Longer than the timeout of other calls, because control processes limit the rate of snapshot
+     * pages.
+     */
     private static final Duration SNAPSHOT_TIMEOUT = Duration.ofSeconds(60);
 
     private static final long MAX_STATUS_BYTES = 8 << 20;
@@ -45,7 +48,7 @@
     private final BoundedHttpClient http = new BoundedHttpClient();
     private final List<Address> addresses;
 
-    /** Index of the address that responded last. */
+    /** The index of the address that most recently responded. */
     private int preferred;
 
     /** Creates a client of the control processes at these addresses. */
@@ -53,12 +56,12 @@
         this.addresses = List.copyOf(addresses);
     }
 
-    /** The result of offering a submission to each process once. */
+    /** The result of sending a submission to each process at most once. */
     private record Round(Optional<PublishResult> result, String failure) {}
 
     /**
-     * Publishes an encoded submission and retries it with backoff, under its id, until its outcome
-     * is known or the timeout is over.
+     * Publishes an encoded submission. Retries it with its id and with backoff until its outcome is
+     * known or the timeout is over.
      */
     public PublishResult publish(byte[] submission, Duration timeout) throws InterruptedException {
         long deadlineNanos = System.nanoTime() + timeout.toNanos();
@@ -96,13 +99,13 @@
         return new Round(Optional.empty(), failure);
     }
 
-    // Between half and all of the backoff, so that clients that failed together don't retry
-    // together.
+    // Sleeps for a random time between half of the backoff and the full backoff, so that clients
+    // whose calls failed at the same time don't retry at the same time.
     private static void sleepWithJitter(long backoffMs) throws InterruptedException {
         Thread.sleep(backoffMs / 2 + ThreadLocalRandom.current().nextLong(backoffMs / 2 + 1));
     }
 
-    // Empty if the process can't accept submissions now.
+    // Returns empty if the process can't accept submissions now.
     private Optional<PublishResult> publishTo(Address address, byte[] submission)
             throws IOException, ProtocolException, InterruptedException {
         RawResponse response =
@@ -146,7 +149,7 @@
     /**
      * Reads the status of one process.
      *
-     * @throws IOException if it doesn't respond, or with another status than 200
+     * @throws IOException if the process doesn't respond, or responds with a status other than 200
      */
     public ProcessStatus status(Address address) throws IOException, InterruptedException {
         RawResponse response = http.get(address, STATUS_PATH, CALL_TIMEOUT, MAX_STATUS_BYTES);
@@ -158,7 +161,7 @@
 
     /**
      * Reads a snapshot page of one service with its servers and routes, and of the resources that
-     * belong to no service.
+     * don't belong to a service.
      *
      * @param first the position of the first page; empty if this is the first page
      * @param from the first key of the page; empty for the first page
@@ -184,8 +187,8 @@
     }
 
     /**
-     * Reads the changes of one service after a position, without waiting for any; empty if a
-     * snapshot has to be taken.
+     * Reads the changes of one service after a position, without waiting for new changes. Returns
+     * empty if a snapshot has to be fetched.
      *
      * @throws ControlCallException if no process responds with a page
      */
@@ -206,7 +209,7 @@
         }
     }
 
-    // The response of the first process that is available.
+    // Returns the response of the first process that is available.
     private RawResponse getFromAny(String path, Duration timeout)
             throws ControlCallException, InterruptedException {
         String failure = "";
--- a/control/src/main/java/ottergauge/control/client/LimitedBodySubscriber.java
+++ b/control/src/main/java/ottergauge/control/client/LimitedBodySubscriber.java
@@ -22,7 +22,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** A handler that fails responses of more than this many bytes. */
+    /** Returns a handler that fails if a response body exceeds {@code maxBytes}. */
     static BodyHandler<byte[]> ofAtMost(long maxBytes) {
         return responseInfo -> new LimitedBodySubscriber(maxBytes);
     }
--- a/control/src/main/java/ottergauge/control/client/ProcessStatus.java
+++ b/control/src/main/java/ottergauge/control/client/ProcessStatus.java
@@ -15,8 +15,8 @@
     /**
      * A node's latest report.
      *
-     * @param effectivePosition the position that is in effect at the node
-     * @param rejectedVersion the version that it rejected last; 0 for none
+     * @param effectivePosition the position that is effective at the node
+     * @param rejectedVersion the version that the node most recently rejected; 0 for none
      * @param reportAgeMs milliseconds since the report
      */
     public record NodeStatus(
--- a/control/src/main/java/ottergauge/control/client/PublishResult.java
+++ b/control/src/main/java/ottergauge/control/client/PublishResult.java
@@ -8,15 +8,15 @@
 /** The result of publishing a submission. */
 public sealed interface PublishResult {
 
-    /** The submission is committed as the change of this position. */
+    /** The submission was committed as the change with this position. */
     record Accepted(LogPosition position) implements PublishResult {}
 
-    /** The submission is invalid and was not applied; retrying it is of no use. */
+    /** The submission is invalid and was not applied. A retry would be rejected again. */
     record Rejected(List<FieldError> errors) implements PublishResult {}
 
     /**
-     * The submission was not committed in time, or is not known to be; it may be retried under the
-     * same id.
+     * The submission was not committed in time, or it is not known whether it was committed. It may
+     * be retried with the same id.
      *
      * @param reason the last failure, in one line
      */
--- a/control/src/main/java/ottergauge/control/client/RawResponse.java
+++ b/control/src/main/java/ottergauge/control/client/RawResponse.java
@@ -17,7 +17,7 @@
         return status;
     }
 
-    /** The body; not copied, callers must not modify it. */
+    /** The body. The array is not copied, so callers must not modify it. */
     public byte[] body() {
         return body;
     }
--- a/control/src/main/java/ottergauge/control/config/ConfigException.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigException.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 import ottergauge.resources.FieldError;
 
-/** An invalid configuration, with everything that is wrong with it. */
+/** Thrown for an invalid configuration; contains all its errors. */
 public final class ConfigException extends Exception {
 
     private static final long serialVersionUID = 1L;
@@ -17,7 +17,7 @@
         this.errors = List.copyOf(errors);
     }
 
-    /** Everything that is wrong with the configuration. */
+    /** All errors of the configuration. */
     public List<FieldError> errors() {
         return errors;
     }
--- a/control/src/main/java/ottergauge/control/config/ConfigObjectReader.java
+++ b/control/src/main/java/ottergauge/control/config/ConfigObjectReader.java
@@ -10,9 +10,7 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.ResourceValidator;
 
-/**
- * Reads the keys of a configuration object and collects what is wrong, unknownKeys keys included.
- */
+/** Reads the keys of a configuration object and collects all errors, unknown keys included. */
 final class ConfigObjectReader {
 
     private final Map<?, ?> fields;
@@ -34,13 +32,13 @@
         return "";
     }
 
-    /** Reads an address; null, after an error was added, if there is no valid one. */
+    /** Reads an address. If it is missing or invalid, adds an error and returns null. */
     Address address(String key) {
         if (value(key) instanceof String text) {
             try {
                 return Address.parse(text);
             } catch (ProtocolException e) {
-                // Reported below.
+                // The error is reported below.
             }
         }
         addError(key, "a numeric host, : and a port from 1 to 65535");
--- a/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
+++ b/control/src/main/java/ottergauge/control/config/ControlProcessConfig.java
@@ -15,9 +15,9 @@
  *
  * @param name the process' name in its group
  * @param listen the address of the HTTP server
- * @param retention the changes that are retained for subscribers
+ * @param retention limits of the changes that are retained for subscribers
  * @param serverLimits limits of the HTTP server
- * @param publishTimeoutMs the longest time in milliseconds until a submission is committed
+ * @param publishTimeoutMs the maximum time in milliseconds until a submission is committed
  */
 public record ControlProcessConfig(
         String name,
@@ -38,7 +38,7 @@
     /**
      * Reads the content of a configuration file.
      *
-     * @throws ConfigException with everything that is wrong, unknown keys included
+     * @throws ConfigException with all errors, unknown keys included
      */
     public static ControlProcessConfig read(byte[] content) throws ConfigException {
         Map<String, Object> tree;
--- a/control/src/main/java/ottergauge/control/config/ServerLimits.java
+++ b/control/src/main/java/ottergauge/control/config/ServerLimits.java
@@ -4,13 +4,13 @@
 /**
  * Limits of the HTTP server.
  *
- * @param maxConnections open connections
- * @param maxPendingPolls pending long polls
+ * @param maxConnections the maximum number of open connections
+ * @param maxPendingPolls the maximum number of pending long polls
  * @param snapshotBytesPerSecond the rate at which snapshot pages are written to all nodes together,
- *     in bytes a second
- * @param slowReaderTimeoutMs the longest time in milliseconds for a client to read a response
- * @param idleTimeoutMs the longest time in milliseconds that a connection may be without a complete
- *     request
+ *     in bytes per second
+ * @param slowReaderTimeoutMs the maximum time in milliseconds for a client to read a response
+ * @param idleTimeoutMs the maximum time in milliseconds that a connection may stay open without a
+ *     complete request
  */
 public record ServerLimits(
         int maxConnections,
@@ -19,7 +19,7 @@
         long slowReaderTimeoutMs,
         long idleTimeoutMs) {
 
-    /** Limits unless the configuration says otherwise. */
+    /** The default limits. */
     public static final ServerLimits DEFAULT =
             new ServerLimits(8_192, 4_096, 20_000_000, 10_000, 60_000);
 }
--- a/control/src/main/java/ottergauge/control/config/package-info.java
+++ b/control/src/main/java/ottergauge/control/config/package-info.java
@@ -4,6 +4,6 @@
  * The configuration file of a control process. {@link
  * ottergauge.control.config.ControlProcessConfig} is the validated configuration, {@code
  * ConfigObjectReader} reads and validates the keys of a JSON object, and {@link
- * ottergauge.control.config.ConfigException} carries everything that is wrong.
+ * ottergauge.control.config.ConfigException} contains all errors.
  */
 package ottergauge.control.config;
--- a/control/src/main/java/ottergauge/control/consensus/Consensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/Consensus.java
@@ -7,14 +7,15 @@
 import ottergauge.resources.Submission;
 
 /**
- * Orders submissions and applies them to the {@link SharedLog}, in the same order at each process.
+ * Orders submissions and applies them to the {@link SharedLog} in the same order in each process.
  */
 public interface Consensus extends AutoCloseable {
 
     /**
-     * Proposes a submission. The future completes within a bounded time: with the outcome once it
-     * is durable, or exceptionally with {@link NoQuorumException} if it is not committed or not
-     * known to be. It may complete on any thread.
+     * Proposes a submission. The future completes within a bounded time and on any thread. It
+     * completes with the outcome once that is durable. It completes exceptionally with {@link
+     * NoQuorumException} if the submission was not committed, or if it is not known whether it was
+     * committed.
      */
     CompletableFuture<SubmissionOutcome> propose(Submission submission);
 
--- a/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
+++ b/control/src/main/java/ottergauge/control/consensus/InMemoryConsensus.java
@@ -10,8 +10,8 @@
 import ottergauge.resources.Submission;
 
 /**
- * The consensus of a single process that stores nothing: each start begins a new log. For trials,
- * and where all state can be published again.
+ * The consensus of a single process that stores nothing, so that each start creates a new log.
+ * Intended for tests, and for deployments in which all state can be published again.
  */
 public final class InMemoryConsensus implements Consensus {
 
@@ -19,7 +19,7 @@
     private final SharedLog log;
 
     /**
-     * Begins a new log with a random identifier.
+     * Creates a new log with a random identifier.
      *
      * @param name the process' name
      */
@@ -46,6 +46,6 @@
 
     @Override
     public void close() {
-        // There is nothing stored and nothing pending.
+        // Nothing to do: no state is stored and no proposal is pending.
     }
 }
--- a/control/src/main/java/ottergauge/control/consensus/Role.java
+++ b/control/src/main/java/ottergauge/control/consensus/Role.java
@@ -5,15 +5,15 @@
 
 /** The role of a control process in its group. */
 public enum Role {
-    /** Orders all submissions. */
+    /** The process orders all submissions. */
     LEADER,
-    /** Votes, and forwards submissions to the leader. */
+    /** The process votes, and forwards submissions to the leader. */
     FOLLOWER,
-    /** A voter that knows no leader. */
+    /** The process votes, and knows no leader. */
     CANDIDATE,
-    /** Replicates the log without a vote. */
+    /** The process replicates the log but doesn't vote. */
     LISTENER,
-    /** Has not joined the group yet. */
+    /** The process has not joined the group yet. */
     STARTING;
 
     /** The name of the role in the JSON of the status call. */
--- a/control/src/main/java/ottergauge/control/consensus/SharedLog.java
+++ b/control/src/main/java/ottergauge/control/consensus/SharedLog.java
@@ -13,21 +13,23 @@
 import ottergauge.resources.Subscription;
 
 /**
- * The log of this process, guarded between the thread that applies changes and the one that serves
- * requests. There is none before the group has begun one; it is replaced when a newer snapshot is
- * installed. The listener is called without the lock.
+ * The log of this process, guarded by a lock, since one thread applies changes and another one
+ * serves requests. There is no log until the group has created one. The log is replaced when a
+ * newer snapshot is installed. The listener is called without holding the lock.
  */
 public final class SharedLog {
 
     private ChangeLog log;
     private Runnable listener = () -> {};
 
-    /** Sets the listener that is called after each change, on the thread that made it. */
+    /**
+     * Sets the listener that is called after each change, on the thread that applied the change.
+     */
     public synchronized void onChange(Runnable changeListener) {
         listener = changeListener;
     }
 
-    /** Installs a first log, or replaces the current one. */
+    /** Installs the first log, or replaces the current one. */
     public void replace(ChangeLog replacement) {
         Runnable toNotify;
         synchronized (this) {
@@ -37,7 +39,7 @@
         toNotify.run();
     }
 
-    /** Applies a submission to the log, which has to be installed. */
+    /** Applies a submission to the log. A log has to be installed. */
     public SubmissionOutcome apply(Submission submission) {
         SubmissionOutcome outcome;
         Runnable toNotify;
@@ -54,7 +56,7 @@
         return Optional.ofNullable(log).map(ChangeLog::position);
     }
 
-    /** The oldest retained version of the log, which has to be installed. */
+    /** The oldest retained version of the log. A log has to be installed. */
     public synchronized long oldest() {
         return log.oldest();
     }
--- a/control/src/main/java/ottergauge/control/consensus/package-info.java
+++ b/control/src/main/java/ottergauge/control/consensus/package-info.java
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * How a submission becomes a durable change, in the same order at each process of a group.
+ * Turns submissions into durable changes, in the same order in each process of a group.
  *
- * <p>A tour: {@link ottergauge.control.consensus.Consensus} orders submissions, {@link
- * ottergauge.control.consensus.InMemoryConsensus} for a single process that stores nothing; {@link
- * ottergauge.control.consensus.SharedLog} owns the process' log and guards it between the thread
- * that applies changes and the one that serves requests; {@link
- * ottergauge.control.consensus.NoQuorumException} is the failure after which a submission may be
- * retried under the same id.
+ * <p>{@link ottergauge.control.consensus.Consensus} orders submissions; {@link
+ * ottergauge.control.consensus.InMemoryConsensus} is its implementation for a single process that
+ * stores nothing. {@link ottergauge.control.consensus.SharedLog} owns the log of the process and
+ * guards it with a lock, since one thread applies changes and another one serves requests. After an
+ * {@link ottergauge.control.consensus.NoQuorumException}, a submission may be retried with the same
+ * id.
  */
 package ottergauge.control.consensus;
--- a/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
+++ b/control/src/main/java/ottergauge/control/discovery/DiscoveryClient.java
@@ -11,8 +11,8 @@
 import ottergauge.protocol.ProtocolException;
 
 /**
- * Watches discovery's endpoint list by long polls: the full list first, then its changes. Blocking;
- * not thread-safe.
+ * Watches discovery's endpoint list with long polls. Reads the full list first, then its changes.
+ * Calls block. Not thread-safe.
  */
 public final class DiscoveryClient {
 
@@ -33,11 +33,11 @@
     }
 
     /**
-     * Reads the full list, or the changes since the last call, for which it waits up to five
-     * seconds; the list of changes may be empty.
+     * Reads the full list, or the changes since the last call. Waits up to five seconds for
+     * changes; the list of changes may be empty.
      *
-     * @throws IOException if there is no response of status 200
-     * @throws ProtocolException if the response is malformed, or discovery's versions went back
+     * @throws IOException if there is no response with status 200
+     * @throws ProtocolException if the response is malformed, or if discovery's version decreased
      */
     public EndpointList next() throws IOException, ProtocolException, InterruptedException {
         String query = version < 0 ? "" : "?after=" + version + "&wait_ms=" + WAIT_MS;
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -25,18 +25,21 @@
 import ottergauge.resources.Submission;
 
 /**
- * Compares the servers of one service as discovery lists them with those that the log has, and
- * builds the submissions that make the log equal to discovery. Does no I/O. The cost is
- * proportional to the changes of either side, not to the number of servers. Not thread-safe.
+ * Compares the servers of one service in discovery's list with those in the log, and builds the
+ * submissions that make the log match discovery. Does no I/O. The cost is proportional to the
+ * number of changes in the list and the log, not to the number of servers. Not thread-safe.
  */
 public final class ServiceReconciler {
 
-    /** Entries of a submission; below the limit of one. */
+    /** The maximum number of entries of a submission; lower than the limit that the log accepts. */
     private static final int MAX_SUBMISSION_ENTRIES = 500;
 
     private static final int MAX_SUBMISSION_BYTES = 192 * 1024;
 
-    /** Upper bound of the bytes of a server's entry beside its value: kind and name. */
+    /**
+     * Upper bound of the bytes of a server's entry without its value, that is, of its kind and
+     * name.
+     */
     private static final int ENTRY_OVERHEAD = 200;
 
     private static final Pattern ENTRY_OF_ERROR = Pattern.compile("(put|delete)\\[(\\d+)\\].*");
@@ -45,18 +48,21 @@
     private final Map<String, DiscoveredEndpoint> discovered = new HashMap<>();
     private final Map<String, DiscoveredEndpoint> published = new HashMap<>();
 
-    /** Values that the log rejected: not published again until they change. */
+    /** The values that the log rejected. They are not published again until they change. */
     private final Map<String, DiscoveredEndpoint> rejected = new HashMap<>();
 
-    /** The names for which the two sides may differ. */
+    /** The names of the servers that may differ between discovery and the log. */
     private final Set<String> dirtyNames = new LinkedHashSet<>();
 
     private boolean serviceExists;
 
-    /** Whether discovery's full list was applied; before that, a missing name means nothing. */
+    /**
+     * Whether discovery's full list was applied. Before that, a name that is missing in {@code
+     * discovered} doesn't mean that the server was removed.
+     */
     private boolean hasFullList;
 
-    /** Creates a reconciler that has neither a list nor a snapshot. */
+    /** Creates a reconciler without a discovery list and without a snapshot of the log. */
     public ServiceReconciler(String service) {
         this.service = service;
     }
@@ -78,7 +84,7 @@
         }
     }
 
-    /** Replaces what the log has by the resources of a snapshot. */
+    /** Replaces the known content of the log with the resources of a snapshot. */
     public void resetPublished(List<Resource> resources) {
         published.clear();
         rejected.clear();
@@ -90,7 +96,7 @@
         dirtyNames.addAll(discovered.keySet());
     }
 
-    /** Applies a change of the log, whoever published it. */
+    /** Applies a change of the log, which any client may have published. */
     public void applyChange(Change change) {
         for (Change.Delete delete : change.deletes()) {
             applyDelete(delete.key());
@@ -126,7 +132,7 @@
      * Builds the next submission.
      *
      * @param id the submission's id
-     * @return empty if the two sides are equal, or discovery's full list was not applied yet
+     * @return empty if the log matches discovery, or if discovery's full list was not applied yet
      */
     public Optional<Submission> nextSubmission(String id) {
         if (!hasFullList) {
@@ -144,7 +150,7 @@
         return Optional.of(new Submission(id, puts, deletes));
     }
 
-    // Names stay dirty until the outcome of the submission is known.
+    // Names that differ stay in dirtyNames until the outcome of the submission is known.
     private void collectDifferences(List<Change.Put> puts, List<ResourceKey> deletes) {
         int bytes = 0;
         Iterator<String> names = dirtyNames.iterator();
@@ -174,9 +180,10 @@
     }
 
     /**
-     * Validates the entries of a submission and skips the malformed ones from now on.
+     * Validates the entries of a submission. The malformed ones are left out of later submissions
+     * until they change.
      *
-     * @return what is wrong with them; empty if the submission may be published
+     * @return the errors of the entries; empty if the submission may be published
      */
     public List<FieldError> rejectMalformed(Submission submission) {
         List<FieldError> errors = new ArrayList<>();
@@ -191,7 +198,10 @@
         return errors;
     }
 
-    /** The log rejected a submission: the entries that its errors name are skipped from now on. */
+    /**
+     * Records that the log rejected a submission. The entries that the errors name are left out of
+     * later submissions until they change.
+     */
     public void markRejected(Submission submission, List<FieldError> errors) {
         boolean entryFound = false;
         for (FieldError error : errors) {
@@ -222,7 +232,7 @@
         }
     }
 
-    /** The log accepted a submission. */
+    /** Records that the log accepted a submission. */
     public void markAccepted(Submission submission) {
         applyChange(
                 new Change(
--- a/control/src/main/java/ottergauge/control/log/ChangeLog.java
+++ b/control/src/main/java/ottergauge/control/log/ChangeLog.java
@@ -16,9 +16,10 @@
 import ottergauge.resources.Subscription;
 
 /**
- * A log of changes with the state that they make: applies submissions and serves subscribers. The
- * cost of an operation is proportional to the change, to the changes that a subscriber lags, or to
- * the page, never to the whole state. Not thread-safe.
+ * A log of changes and the state that results from them. Applies submissions and serves
+ * subscribers. The cost of an operation is proportional to the size of the change, to the number of
+ * changes by which a subscriber lags, or to the size of the page, but never to the size of the
+ * state. Not thread-safe.
  */
 public final class ChangeLog {
 
@@ -37,7 +38,7 @@
      * Creates an empty log.
      *
      * @param log the log's identifier
-     * @throws IllegalArgumentException if the identifier is no valid name
+     * @throws IllegalArgumentException if the identifier is not a valid name
      */
     public ChangeLog(String log, LogRetention retention) {
         this(log, retention, NO_VERSION, NO_VERSION);
@@ -53,12 +54,12 @@
         changes = new RecentChanges(retention, changesAfter);
     }
 
-    /** The version of the newest change. */
+    /** The position of the newest change. */
     public LogPosition position() {
         return new LogPosition(log, version);
     }
 
-    /** The oldest version that is retained; the one after the newest if none is. */
+    /** The oldest retained version; the version after the newest one if no change is retained. */
     public long oldest() {
         return changes.oldest();
     }
@@ -70,7 +71,8 @@
 
     /**
      * Validates a submission and, if it is valid, appends it as the newest change. A submission
-     * whose id was applied recently changes nothing and has the outcome of the first one.
+     * whose id was used recently changes nothing and returns the outcome of the first submission
+     * with that id.
      */
     public SubmissionOutcome apply(Submission submission) {
         Optional<SubmissionOutcome> cached = outcomes.get(submission.id());
@@ -119,10 +121,11 @@
     }
 
     /**
-     * The changes after a position that a subscription follows, in order: as many as fit into
-     * {@code maxBytes}, but at least one. The page's end position may be past its last change.
+     * Returns the changes after a position that match a subscription, in order: as many as fit into
+     * {@code maxBytes}, but at least one if there are any. The end position of the page may be
+     * after its last change.
      *
-     * @param maxBytes bytes of JSON
+     * @param maxBytes the maximum size in bytes of JSON
      */
     public PollResponse changesAfter(LogPosition after, Subscription subscription, int maxBytes) {
         if (!after.log().equals(log) || after.version() < changes.oldest() - 1) {
@@ -134,14 +137,14 @@
         List<StoredChange> page = new ArrayList<>();
         int bytes = 0;
         for (long next = after.version() + 1; next <= version; next++) {
-            StoredChange followed = changes.get(next).followedBy(subscription);
-            int size = followed.isEmpty() ? 0 : JsonPageBuilder.sizeOf(followed);
+            StoredChange filtered = changes.get(next).filteredBy(subscription);
+            int size = filtered.isEmpty() ? 0 : JsonPageBuilder.sizeOf(filtered);
             if (!page.isEmpty() && bytes + size > maxBytes) {
                 return new PollResponse.Changes(
                         new EncodedChanges(new LogPosition(log, next - 1), page));
             }
-            if (!followed.isEmpty()) {
-                page.add(followed);
+            if (!filtered.isEmpty()) {
+                page.add(filtered);
                 bytes += size;
             }
         }
@@ -149,11 +152,11 @@
     }
 
     /**
-     * A page of the resources that a subscription follows, in the order of their keys: as many as
-     * fit into {@code maxBytes}, but at least one if there are any.
+     * Returns a page of the resources that match a subscription, in the order of their keys: as
+     * many as fit into {@code maxBytes}, but at least one if there are any.
      *
      * @param from the first key of the page; empty for the first page
-     * @param maxBytes bytes of JSON
+     * @param maxBytes the maximum size in bytes of JSON
      */
     public EncodedSnapshot snapshot(
             Optional<ResourceKey> from, Subscription subscription, int maxBytes) {
@@ -173,16 +176,16 @@
         return new EncodedSnapshot(position(), page, Optional.empty());
     }
 
-    /** Everything that the log holds now; may be encoded later by another thread. */
+    /** Captures the current content of the log. Another thread may encode the result later. */
     public LogSnapshot capture() {
         return new LogSnapshot(position(), List.copyOf(state.all()), changes.all(), outcomes.all());
     }
 
     /**
-     * Restores a log from a snapshot's stored form; of its changes, the newest that the retention
-     * allows are kept.
+     * Restores a log from the stored form of a snapshot. Retains as many of its newest changes as
+     * {@code retention} allows.
      *
-     * @throws ProtocolException if the bytes are no valid log snapshot
+     * @throws ProtocolException if the bytes are not a valid log snapshot
      */
     public static ChangeLog restore(byte[] storedSnapshot, LogRetention retention)
             throws ProtocolException {
--- a/control/src/main/java/ottergauge/control/log/EncodedChanges.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedChanges.java
@@ -7,8 +7,8 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * A page of changes, as a value and as JSON. The JSON is assembled from encoded values that all
- * responses share.
+ * A page of changes that is available as an object and as JSON. The JSON is assembled from encoded
+ * values that all responses share.
  */
 public final class EncodedChanges {
 
@@ -20,17 +20,17 @@
         this.changes = List.copyOf(changes);
     }
 
-    /** The position up to which the log was searched: where the next poll continues. */
+    /** The position up to which the log was searched. The next poll continues from there. */
     public LogPosition upTo() {
         return upTo;
     }
 
-    /** Whether the page has no change. */
+    /** Whether the page contains no changes. */
     public boolean isEmpty() {
         return changes.isEmpty();
     }
 
-    /** The page as a value. */
+    /** The page as an object. */
     public ChangePage page() {
         return new ChangePage(upTo, changes.stream().map(StoredChange::change).toList());
     }
--- a/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
+++ b/control/src/main/java/ottergauge/control/log/EncodedSnapshot.java
@@ -8,8 +8,8 @@
 import ottergauge.resources.SnapshotPage;
 
 /**
- * A page of the state, as a value and as JSON. The JSON is assembled from encoded values that all
- * responses share.
+ * A page of the state that is available as an object and as JSON. The JSON is assembled from
+ * encoded values that all responses share.
  */
 public final class EncodedSnapshot {
 
@@ -33,7 +33,7 @@
         return next;
     }
 
-    /** The page as a value. */
+    /** The page as an object. */
     public SnapshotPage page() {
         return new SnapshotPage(
                 at, resources.stream().map(StoredResource::resource).toList(), next);
--- a/control/src/main/java/ottergauge/control/log/IdempotencyCache.java
+++ b/control/src/main/java/ottergauge/control/log/IdempotencyCache.java
@@ -8,13 +8,14 @@
 import java.util.Optional;
 
 /**
- * The outcomes of the latest submissions by idempotency key (the submission's id). Accepted and
- * rejected ones are bounded separately, so that a caller that repeats bad submissions can't evict
- * the accepted ones.
+ * Caches the outcomes of the latest submissions by idempotency key (the submission's id). Accepted
+ * and rejected outcomes have separate limits, so that a client that repeatedly sends invalid
+ * submissions can't evict the accepted ones.
  */
 final class IdempotencyCache {
 
-    // Equal in all processes of a group, since they decide whether a retry is a new change.
+    // Have to be the same in all processes of a group, because they decide whether a retry becomes
+    // a new change.
     static final int MAX_ACCEPTED = 10_000;
     static final int MAX_REJECTED = 200;
 
@@ -34,7 +35,10 @@
         (isAccepted ? accepted : rejected).put(id, outcome);
     }
 
-    /** All entries, each group oldest first: put in this order, they give an equal cache. */
+    /**
+     * All entries: the accepted ones, then the rejected ones, each oldest first. Inserting them in
+     * this order into an empty cache reproduces this cache.
+     */
     List<CachedOutcome> all() {
         List<CachedOutcome> all = new ArrayList<>(accepted.size() + rejected.size());
         accepted.forEach((id, outcome) -> all.add(new CachedOutcome(id, outcome)));
@@ -42,7 +46,7 @@
         return all;
     }
 
-    /** Evicts the entry that was inserted first once there are more than the maximum. */
+    /** A map that evicts its oldest entry when it exceeds the maximum number of entries. */
     private static final class BoundedMap extends LinkedHashMap<String, SubmissionOutcome> {
 
         private static final long serialVersionUID = 1L;
--- a/control/src/main/java/ottergauge/control/log/JsonPageBuilder.java
+++ b/control/src/main/java/ottergauge/control/log/JsonPageBuilder.java
@@ -9,14 +9,14 @@
 
 /**
  * Assembles pages of JSON from values that were encoded once. Names and log identifiers are written
- * unescaped: validation admits only characters that JSON doesn't escape.
+ * without escaping, because validation only allows characters that JSON doesn't escape.
  */
 final class JsonPageBuilder {
 
-    /** Upper bound of the bytes of an entry beside its name, service and value. */
+    /** Upper bound of the bytes of an entry, excluding its name, service and value. */
     static final int ENTRY_OVERHEAD = 80;
 
-    /** Upper bound of the bytes of a page or a change beside its entries. */
+    /** Upper bound of the bytes of a page or a change, excluding its entries. */
     static final int FRAME_OVERHEAD = 80;
 
     private final ByteArrayOutputStream bytes;
--- a/control/src/main/java/ottergauge/control/log/LogRetention.java
+++ b/control/src/main/java/ottergauge/control/log/LogRetention.java
@@ -2,15 +2,16 @@
 package ottergauge.control.log;
 
 /**
- * How many of the newest changes are retained for subscribers that resume. The newest change is
- * always retained. Processes of one group may differ in it, since it decides no outcome.
+ * Limits how many of the newest changes are retained for subscribers that resume. The newest change
+ * is always retained. The processes of a group may use different limits, because the limits don't
+ * affect the outcome of a submission.
  *
- * @param maxChanges number of changes, at least 1
- * @param maxBytes bytes of their JSON, at least 1
+ * @param maxChanges the maximum number of changes, at least 1
+ * @param maxBytes the maximum bytes of their JSON, at least 1
  */
 public record LogRetention(int maxChanges, long maxBytes) {
 
-    /** Retention unless the configuration says otherwise. */
+    /** The default retention. */
     public static final LogRetention DEFAULT = new LogRetention(50_000, 32L << 20);
 
     /**
--- a/control/src/main/java/ottergauge/control/log/LogSnapshot.java
+++ b/control/src/main/java/ottergauge/control/log/LogSnapshot.java
@@ -7,8 +7,8 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * Everything that a {@link ChangeLog} holds at one instant. Immutable, so that it may be encoded by
- * another thread than the log's.
+ * The complete content of a {@link ChangeLog} at one instant. Immutable, so that a thread other
+ * than the log's may encode it.
  */
 public final class LogSnapshot {
 
@@ -31,8 +31,8 @@
     /**
      * Decodes the stored form.
      *
-     * @throws ProtocolException if the bytes are truncated, have trailing bytes, are of an unknown
-     *     format version or contradict themselves
+     * @throws ProtocolException if the bytes are truncated, have trailing bytes, have an unknown
+     *     format version or are inconsistent
      */
     public static LogSnapshot decode(byte[] bytes) throws ProtocolException {
         return LogSnapshotDecoder.decode(bytes);
@@ -43,7 +43,7 @@
         return LogSnapshotEncoder.encode(this);
     }
 
-    /** The version of the newest change. */
+    /** The position of the newest change. */
     public LogPosition position() {
         return position;
     }
@@ -58,7 +58,7 @@
         return changes;
     }
 
-    /** The cached outcomes, each group oldest first. */
+    /** The cached outcomes: the accepted ones, then the rejected ones, each oldest first. */
     List<CachedOutcome> outcomes() {
         return outcomes;
     }
--- a/control/src/main/java/ottergauge/control/log/LogSnapshotEncoder.java
+++ b/control/src/main/java/ottergauge/control/log/LogSnapshotEncoder.java
@@ -13,16 +13,17 @@
 import ottergauge.resources.FieldError;
 
 /**
- * Writes the stored form of a {@link LogSnapshot}, all numbers big-endian: the magic number, the
- * position, the resources and the changes as counted pages in the JSON of the protocol, then the
- * cached outcomes.
+ * Writes the stored form of a {@link LogSnapshot}. All numbers are big-endian. The form contains,
+ * in this order, the magic number, the position, the resources, the changes and the cached
+ * outcomes. Resources and changes are each written as a total count, followed by length-prefixed
+ * pages in the JSON of the protocol.
  */
 final class LogSnapshotEncoder {
 
     /** "OGL" followed by the version of the format. */
     static final int MAGIC = 0x4f474c01;
 
-    // Both below the limits of ResourceCodec, which reads the pages.
+    // Both are below the limits of ResourceCodec, which reads the pages.
     private static final int MAX_PAGE_ENTRIES = 1_000;
     private static final int MAX_PAGE_BYTES = 512 << 10;
 
--- a/control/src/main/java/ottergauge/control/log/PollResponse.java
+++ b/control/src/main/java/ottergauge/control/log/PollResponse.java
@@ -6,22 +6,22 @@
 /** The response to a subscriber that polls for changes. */
 public sealed interface PollResponse {
 
-    /** The changes that the subscription follows; the page may be empty. */
+    /** The changes that match the subscription; the page may be empty. */
     record Changes(EncodedChanges page) implements PollResponse {}
 
     /**
-     * The subscriber has to take a snapshot: it follows another log, or the changes after its
-     * version are no longer retained.
+     * The subscriber has to fetch a snapshot, because it follows another log or because the changes
+     * after its version are no longer retained.
      *
      * @param newest the newest position of this log
-     * @param oldest the oldest version that is retained
+     * @param oldest the oldest retained version
      */
     record VersionUnavailable(LogPosition newest, long oldest) implements PollResponse {}
 
     /**
-     * The subscriber has a version of this log that this replica hasn't reached yet.
+     * The subscriber has a version of this log that this control process has not reached yet.
      *
-     * @param newest the newest position of this replica
+     * @param newest the newest position of this control process
      */
     record Ahead(LogPosition newest) implements PollResponse {}
 }
--- a/control/src/main/java/ottergauge/control/log/RecentChanges.java
+++ b/control/src/main/java/ottergauge/control/log/RecentChanges.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The newest changes with consecutive versions, bounded by {@link LogRetention}: the oldest are
- * evicted first.
+ * The newest changes, with consecutive versions. When they exceed {@link LogRetention}, the oldest
+ * changes are evicted first.
  */
 final class RecentChanges {
 
@@ -21,7 +21,10 @@
     private int count;
     private long bytes;
 
-    /** No changes yet; the first one to be added has the version after this one. */
+    /**
+     * Creates an empty buffer. The first change added to it has to have the version after {@code
+     * version}.
+     */
     RecentChanges(LogRetention retention, long version) {
         this.retention = retention;
         newest = version;
@@ -44,12 +47,12 @@
         }
     }
 
-    /** The oldest version that is retained; the one after the newest if none is. */
+    /** The oldest retained version; the version after the newest one if no change is retained. */
     long oldest() {
         return newest - count + 1;
     }
 
-    /** The change of a version that is retained. */
+    /** The change with this version, which has to be retained. */
     StoredChange get(long version) {
         if (version < oldest() || version > newest) {
             throw new IllegalArgumentException("version " + version + " is not retained");
--- a/control/src/main/java/ottergauge/control/log/ResourceState.java
+++ b/control/src/main/java/ottergauge/control/log/ResourceState.java
@@ -12,18 +12,21 @@
 import ottergauge.resources.ResourceKey;
 import ottergauge.resources.ResourceKind;
 
-/** The newest value of each resource, in the order of keys. */
+/** The newest value of each resource, in the order of the keys. */
 final class ResourceState {
 
     private final NavigableMap<ResourceKey, StoredResource> resources = new TreeMap<>();
 
-    /** Number of servers and routes that refer to a service; absent if there are none. */
+    /**
+     * The number of servers and routes that refer to each service; services without references are
+     * absent.
+     */
     private final Map<String, Integer> referencesByService = new HashMap<>();
 
     /** Upper bound of the bytes of JSON of all resources. */
     private long bytes;
 
-    /** The resource of this key. */
+    /** The resource with this key. */
     Optional<StoredResource> find(ResourceKey key) {
         return Optional.ofNullable(resources.get(key));
     }
@@ -47,7 +50,7 @@
         return bytes;
     }
 
-    /** How many servers and routes refer to a service. */
+    /** The number of servers and routes that refer to a service. */
     int referencesTo(String service) {
         return referencesByService.getOrDefault(service, 0);
     }
--- a/control/src/main/java/ottergauge/control/log/StateLimits.java
+++ b/control/src/main/java/ottergauge/control/log/StateLimits.java
@@ -2,18 +2,18 @@
 package ottergauge.control.log;
 
 /**
- * Limits of the state that a log accepts. They decide outcomes, which have to be the same in all
- * processes of a group: therefore constants rather than settings.
+ * Limits of the state that a log accepts. They affect the outcomes of submissions, which have to be
+ * the same in all processes of a group. They are therefore constants and not settings.
  */
 public final class StateLimits {
 
-    /** Resources in total. */
+    /** The maximum number of resources. */
     public static final int MAX_RESOURCES = 200_000;
 
-    /** Bytes of JSON of all resources in total. */
+    /** The maximum bytes of JSON of all resources together. */
     public static final long MAX_STATE_BYTES = 64L << 20;
 
-    /** Bytes of JSON of one change. */
+    /** The maximum bytes of JSON of one change. */
     public static final int MAX_CHANGE_BYTES = 256 << 10;
 
     private StateLimits() {}
--- a/control/src/main/java/ottergauge/control/log/StoredChange.java
+++ b/control/src/main/java/ottergauge/control/log/StoredChange.java
@@ -6,7 +6,10 @@
 import ottergauge.resources.Resource;
 import ottergauge.resources.Subscription;
 
-/** A change of the log with encoded values, or the part of one that a subscription follows. */
+/**
+ * A change of the log with encoded values, or the part of such a change that matches a
+ * subscription.
+ */
 record StoredChange(long version, List<StoredResource> puts, List<Change.Delete> deletes) {
 
     static StoredChange of(Change change) {
@@ -18,19 +21,21 @@
         return new StoredChange(change.version(), puts, change.deletes());
     }
 
-    /** The part that the subscription follows; this instance if that is all of it. */
-    StoredChange followedBy(Subscription subscription) {
-        List<StoredResource> followedPuts =
+    /**
+     * Returns the part that matches the subscription; this instance if the complete change matches.
+     */
+    StoredChange filteredBy(Subscription subscription) {
+        List<StoredResource> matchingPuts =
                 puts.stream()
                         .filter(put -> subscription.matches(put.key(), put.service()))
                         .toList();
-        List<Change.Delete> followedDeletes =
+        List<Change.Delete> matchingDeletes =
                 deletes.stream()
                         .filter(delete -> subscription.matches(delete.key(), delete.service()))
                         .toList();
-        boolean followsAll =
-                followedPuts.size() == puts.size() && followedDeletes.size() == deletes.size();
-        return followsAll ? this : new StoredChange(version, followedPuts, followedDeletes);
+        boolean matchesAll =
+                matchingPuts.size() == puts.size() && matchingDeletes.size() == deletes.size();
+        return matchesAll ? this : new StoredChange(version, matchingPuts, matchingDeletes);
     }
 
     boolean isEmpty() {
--- a/control/src/main/java/ottergauge/control/log/StoredResource.java
+++ b/control/src/main/java/ottergauge/control/log/StoredResource.java
@@ -7,8 +7,8 @@
 import ottergauge.resources.ResourceValue;
 
 /**
- * A resource with its value encoded once: all responses and log snapshots share these bytes, which
- * are never modified. Compared by identity.
+ * A resource whose value is encoded once. All responses and log snapshots share these bytes, which
+ * are never modified. Instances are compared by identity.
  */
 final class StoredResource {
 
@@ -46,7 +46,7 @@
         return value.service();
     }
 
-    /** The encoded value, shared: callers must not modify it. */
+    /** The encoded value. The array is shared, so callers must not modify it. */
     byte[] valueJson() {
         return valueJson;
     }
--- a/control/src/main/java/ottergauge/control/log/SubmissionOutcome.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionOutcome.java
@@ -5,20 +5,20 @@
 import ottergauge.resources.FieldError;
 import ottergauge.resources.LogPosition;
 
-/** The outcome of a submission: the same at each process that applies the log. */
+/** The outcome of a submission. It is the same in each process that applies the log. */
 public sealed interface SubmissionOutcome {
 
     /**
      * The submission became a change.
      *
-     * @param position the version of that change
+     * @param position the position of that change
      */
     record Accepted(LogPosition position) implements SubmissionOutcome {}
 
     /**
-     * The submission is invalid and nothing of it was applied.
+     * The submission is invalid and was not applied.
      *
-     * @param errors what is wrong with it, at least one and at most 100
+     * @param errors the errors of the submission, at least 1 and at most 100
      */
     record Rejected(List<FieldError> errors) implements SubmissionOutcome {}
 }
--- a/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
+++ b/control/src/main/java/ottergauge/control/log/SubmissionValidator.java
@@ -15,8 +15,8 @@
 import ottergauge.resources.Submission;
 
 /**
- * Validates a well-formed submission against the state that it would make: a change may therefore
- * put a service together with its servers, or delete both.
+ * Validates a well-formed submission against the state that would result from it. One change may
+ * therefore put a service together with its servers, or delete both.
  */
 final class SubmissionValidator {
 
@@ -28,7 +28,7 @@
     private final Set<ResourceKey> deleted;
     private final Set<String> putServices = new HashSet<>();
 
-    /** By service, how many servers and routes that refer to it are deleted. */
+    /** For each service, the number of deleted servers and routes that refer to it. */
     private final Map<String, Integer> deletedReferences = new HashMap<>();
 
     private SubmissionValidator(ResourceState state, Submission submission) {
@@ -37,7 +37,10 @@
         deleted = new HashSet<>(submission.deletes());
     }
 
-    /** What is invalid, at most {@link #MAX_ERRORS}; empty if the submission may be applied. */
+    /**
+     * Returns the errors of the submission, at most {@link #MAX_ERRORS}; empty if the submission
+     * may be applied.
+     */
     static List<FieldError> errors(
             ResourceState state, Submission submission, List<StoredResource> puts) {
         SubmissionValidator validator = new SubmissionValidator(state, submission);
--- a/control/src/main/java/ottergauge/control/program/AddressConverter.java
+++ b/control/src/main/java/ottergauge/control/program/AddressConverter.java
@@ -14,7 +14,8 @@
         try {
             return Address.parse(value);
         } catch (ProtocolException e) {
-            throw new TypeConversionException("'" + value + "' is no numeric host, : and a port");
+            throw new TypeConversionException(
+                    "'" + value + "' is not a numeric host, : and a port");
         }
     }
 }
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -35,13 +35,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Keeps a service's servers in the log equal to discovery's list, until SIGTERM. */
+/** Keeps the servers of a service in the log equal to discovery's list, until SIGTERM. */
 @Command(
         name = "import",
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         description =
-                "Follow discovery's list and publish what changes in it, until SIGTERM. One at a"
+                "Watch discovery's list and publish its changes, until SIGTERM. Run only one at a"
                         + " time for a service: servers that discovery doesn't list are deleted.")
 final class ImportCommand implements Callable<Integer> {
 
@@ -58,7 +58,7 @@
             names = "--service",
             paramLabel = "NAME",
             required = true,
-            description = "The service that discovery's servers belong to; made if there is none.")
+            description = "The service that discovery's servers belong to; created if missing.")
     private String service;
 
     @Option(
@@ -80,7 +80,7 @@
     private DiscoveryClient discovery;
     private ServiceReconciler reconciler;
 
-    /** Up to where the log was read; empty if a snapshot has to be taken. */
+    /** The position up to which the log was read; empty if a snapshot has to be fetched. */
     private Optional<LogPosition> readUpTo = Optional.empty();
 
     @Override
@@ -107,7 +107,7 @@
         }
     }
 
-    // Reads the changes of all publishers, or a snapshot if the log was replaced.
+    // Reads the changes that any client has published, or a snapshot if changes are not available.
     private void followLog() throws ControlCallException, InterruptedException {
         while (readUpTo.isPresent()) {
             Optional<ChangePage> page = control.changes(service, readUpTo.get());
@@ -125,7 +125,7 @@
         takeSnapshot();
     }
 
-    // Changes that came while the pages were read follow with the next call for changes.
+    // The next call for changes returns those that were committed while the pages were read.
     private void takeSnapshot() throws ControlCallException, InterruptedException {
         List<Resource> resources = new ArrayList<>();
         Optional<LogPosition> first = Optional.empty();
--- a/control/src/main/java/ottergauge/control/program/Main.java
+++ b/control/src/main/java/ottergauge/control/program/Main.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** The command line: runs a control process, or calls running ones. */
+/** The command line, which runs a control process or calls running ones. */
 @Command(
         name = "ottergauge-control",
         mixinStandardHelpOptions = true,
@@ -32,7 +32,7 @@
 
     @Override
     public void run() {
-        throw new ParameterException(spec.commandLine(), "a command is needed");
+        throw new ParameterException(spec.commandLine(), "a command is required");
     }
 
     /** Reads the version from the jar's manifest. */
--- a/control/src/main/java/ottergauge/control/program/PublishCommand.java
+++ b/control/src/main/java/ottergauge/control/program/PublishCommand.java
@@ -24,8 +24,8 @@
         mixinStandardHelpOptions = true,
         versionProvider = Main.Version.class,
         description =
-                "Publish a change: the file is a submission as docs/control.md has it, with or"
-                        + " without id.",
+                "Publish a change: the file is a submission as in docs/control.md, with or"
+                        + " without an id.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             " 0:committed",
@@ -42,7 +42,7 @@
             names = "--within-ms",
             paramLabel = "MS",
             defaultValue = "30000",
-            description = "How long to try; ${DEFAULT-VALUE} unless given.")
+            description = "The time limit for retries; ${DEFAULT-VALUE} unless given.")
     private long timeoutMs;
 
     @Option(
@@ -50,7 +50,7 @@
             description = "Publish a file that is too large for one change as several.")
     private boolean split;
 
-    @Parameters(paramLabel = "FILE", description = "What is to be changed, as JSON.")
+    @Parameters(paramLabel = "FILE", description = "The submission, as JSON.")
     private Path file;
 
     @Override
@@ -82,11 +82,11 @@
             return true;
         }
         if (result instanceof PublishResult.Rejected rejected) {
-            rejected.errors().forEach(error -> err.println(batch.id() + " is refused: " + error));
+            rejected.errors().forEach(error -> err.println(batch.id() + " is rejected: " + error));
         } else if (result instanceof PublishResult.Unknown unknown) {
             err.println(
                     batch.id()
-                            + " is not known to be accepted, publish it again under this id: "
+                            + " is not known to be accepted, publish it again with the same id: "
                             + unknown.reason());
         }
         return false;
--- a/control/src/main/java/ottergauge/control/program/ReplicationLagTable.java
+++ b/control/src/main/java/ottergauge/control/program/ReplicationLagTable.java
@@ -13,12 +13,12 @@
 import ottergauge.resources.LogPosition;
 
 /**
- * The effective version of each control process and node, and its replication lag in versions
- * behind the newest position of any process.
+ * The effective version of each control process and node, and its replication lag: the number of
+ * versions by which it is behind the newest position of any process.
  */
 final class ReplicationLagTable {
 
-    /** The lag of one that follows another log, or none. */
+    /** The lag of a process or node that follows another log or no log. */
     private static final long OTHER_LOG = Long.MAX_VALUE;
 
     private static final String FORMAT = "%-24s %-12s %-10s %12s %10s %10s %10s%n";
@@ -41,7 +41,9 @@
         this.rows = rows;
     }
 
-    /** Builds the table; of several reports of a node, the youngest counts. */
+    /**
+     * Builds the table. If several processes have a report of a node, the newest report is used.
+     */
     static ReplicationLagTable of(List<ProcessStatus> processes) {
         List<Row> rows = new ArrayList<>();
         Map<String, NodeStatus> nodes = new TreeMap<>();
@@ -74,8 +76,8 @@
         return ageMs < MILLIS_PER_SECOND ? ageMs + " ms" : ageMs / MILLIS_PER_SECOND + " s";
     }
 
-    // Processes that follow several logs are a fault that the table has to show: the log of most
-    // processes is the reference, then the larger version.
+    // If processes follow different logs, the table has to show that fault. The reference is the
+    // log that most processes follow; the higher version decides a tie.
     private static LogPosition newest(List<ProcessStatus> processes) {
         Map<String, Long> processesByLog = new HashMap<>();
         processes.forEach(process -> processesByLog.merge(process.position().log(), 1L, Long::sum));
@@ -96,12 +98,14 @@
                 : OTHER_LOG;
     }
 
-    /** The largest lag in versions; {@code Long.MAX_VALUE} if one follows another log. */
+    /**
+     * The largest lag in versions; {@code Long.MAX_VALUE} if a process or node follows another log.
+     */
     long maxLagVersions() {
         return rows.stream().mapToLong(this::lag).max().orElse(0);
     }
 
-    /** Prints the table as the status command shows it. */
+    /** Prints the table in the format of the status command. */
     void print(PrintWriter out) {
         out.printf(FORMAT, "name", "region", "process", "in force", "behind", "refused", "heard");
         for (Row row : rows) {
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -25,7 +25,7 @@
         versionProvider = Main.Version.class,
         description = "Run one control process, until SIGTERM.",
         exitCodeListHeading = "%nExit codes:%n",
-        exitCodeList = {" 1:bad configuration, or the address is taken", " 2:wrong usage"})
+        exitCodeList = {" 1:invalid configuration, or the address is in use", " 2:wrong usage"})
 final class ServeCommand implements Callable<Integer> {
 
     private static final Logger LOG = LoggerFactory.getLogger(ServeCommand.class);
@@ -73,7 +73,7 @@
         return 1;
     }
 
-    // The shutdown hook: the JVM exits when it returns, after pending requests were responded to.
+    // The shutdown hook. Waits for the responses to all pending requests; the JVM exits afterwards.
     private static void stop(
             ControlProcessConfig config, ControlServer server, Consensus consensus) {
         CountDownLatch ended = new CountDownLatch(1);
--- a/control/src/main/java/ottergauge/control/program/StatusCommand.java
+++ b/control/src/main/java/ottergauge/control/program/StatusCommand.java
@@ -23,8 +23,8 @@
         description = "Show the effective version of each control process and node.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            " 0:nobody lags by more than is allowed",
-            " 1:somebody does, or no process could be reached",
+            " 0:no process or node lags by more than the limit",
+            " 1:one lags by more, or no process could be reached",
             " 2:wrong usage"
         })
 final class StatusCommand implements Callable<Integer> {
@@ -38,7 +38,7 @@
             paramLabel = "VERSIONS",
             defaultValue = "0",
             description =
-                    "By how many versions a node or a process may lag; ${DEFAULT-VALUE} unless"
+                    "How many versions a node or a process may lag at most; ${DEFAULT-VALUE} unless"
                             + " given.")
     private long maxLagVersions;
 
@@ -51,11 +51,11 @@
             try {
                 processes.add(client.status(address));
             } catch (IOException e) {
-                out.println(address + " is not reached: " + e.getMessage());
+                out.println(address + " can't be reached: " + e.getMessage());
             }
         }
         if (processes.isEmpty()) {
-            spec.commandLine().getErr().println("no control process is reached");
+            spec.commandLine().getErr().println("no control process can be reached");
             return 1;
         }
         ReplicationLagTable table = ReplicationLagTable.of(processes);
--- a/control/src/main/java/ottergauge/control/program/SubmissionFile.java
+++ b/control/src/main/java/ottergauge/control/program/SubmissionFile.java
@@ -15,15 +15,15 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * A file with a submission in its JSON form. Without an id it gets a random one. It may be split
- * into batches, each of which is a submission, and so a change, of its own.
+ * A file that contains a submission as JSON. A submission without an id gets a random one. It may
+ * be split into batches, each of which is a separate submission and becomes a separate change.
  */
 final class SubmissionFile {
 
-    /** Entries of a batch; below the limit of a submission. */
+    /** The maximum number of entries of a batch; lower than the limit of a submission. */
     static final int MAX_BATCH_ENTRIES = 500;
 
-    /** Bytes of the JSON of a batch's entries; below the limit of a submission. */
+    /** The maximum bytes of JSON of a batch's entries; lower than the limit of a submission. */
     static final int MAX_BATCH_BYTES = 192 * 1024;
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -45,7 +45,7 @@
             return id;
         }
 
-        /** The submission's JSON; not copied, callers must not modify it. */
+        /** The submission's JSON. The array is not copied, so callers must not modify it. */
         byte[] body() {
             return body;
         }
@@ -64,7 +64,7 @@
     /**
      * Reads a file.
      *
-     * @throws IOException if it can't be read or is no submission
+     * @throws IOException if the file can't be read or is not a submission
      */
     static SubmissionFile read(Path file) throws IOException {
         Map<String, Object> tree = JsonTree.read(Files.readAllBytes(file));
@@ -81,15 +81,15 @@
         throw new IOException(key + " is a list, not " + entries);
     }
 
-    /** The content as one submission, whatever its size. */
+    /** The content as one submission, regardless of its size. */
     Batch asOneSubmission() throws IOException {
         return batch(id, puts, deletes);
     }
 
     /**
-     * The content as batches: services are put before the resources that refer to them and deleted
-     * after them. The batches' ids derive from the file's, so that a retry of the same file is
-     * idempotent.
+     * The content as batches. Services are put before the resources that refer to them and deleted
+     * after them. The ids of the batches are derived from the file's id, so that a retry of the
+     * same file is idempotent.
      */
     List<Batch> split() throws IOException {
         List<Batch> batches = new ArrayList<>();
--- a/control/src/main/java/ottergauge/control/program/package-info.java
+++ b/control/src/main/java/ottergauge/control/program/package-info.java
@@ -3,7 +3,7 @@
 /**
  * The command line of the control role. {@link ottergauge.control.program.Main} has four commands:
  * {@code ServeCommand} runs a control process, {@code PublishCommand} publishes a {@code
- * SubmissionFile}, {@code StatusCommand} prints the {@code ReplicationLagTable}, {@code
- * ImportCommand} follows discovery.
+ * SubmissionFile}, {@code StatusCommand} prints the {@code ReplicationLagTable}, and {@code
+ * ImportCommand} imports servers from discovery.
  */
 package ottergauge.control.program;
--- a/control/src/main/java/ottergauge/control/server/ChangesRequest.java
+++ b/control/src/main/java/ottergauge/control/server/ChangesRequest.java
@@ -6,12 +6,13 @@
 import ottergauge.resources.Subscription;
 
 /**
- * A long poll for changes: responded to once there are any, and after {@code waitMs} in any case.
+ * A long poll for changes. The server responds as soon as there are changes, and at the latest
+ * after {@code waitMs}.
  *
- * @param after the position that the client has
- * @param waitMs the longest wait in milliseconds; 0 for none
- * @param maxBytes bytes of JSON of the page
- * @param report the node's report, if a node polls
+ * @param after the position that the client has reached
+ * @param waitMs the maximum wait in milliseconds; 0 for an immediate response
+ * @param maxBytes the maximum size of the page, in bytes of JSON
+ * @param report the node's report, if the client is a node
  */
 record ChangesRequest(
         LogPosition after,
--- a/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
+++ b/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
@@ -9,12 +9,12 @@
 import java.util.Map;
 
 /**
- * The open connections: limited in number, and closed when they are idle or their client reads too
- * slowly. Used on the event loop alone.
+ * Tracks the open connections. Limits their number, and closes connections that are idle or whose
+ * client reads too slowly. Used only on the event loop.
  */
 final class ConnectionTracker {
 
-    /** What a connection waits for. */
+    /** The event that a connection is waiting for. */
     private enum Phase {
         REQUEST,
         RESPONSE,
@@ -34,7 +34,7 @@
         this.slowReaderTimeoutMs = slowReaderTimeoutMs;
     }
 
-    /** A connection was opened; it is closed at once if it exceeds the limit. */
+    /** Records an opened connection. Closes it at once if there are too many connections. */
     void opened(HttpConnection connection, long nowMs) {
         if (open.size() >= maxConnections) {
             close(connection);
@@ -44,17 +44,17 @@
         connection.closeHandler(closed -> open.remove(connection));
     }
 
-    /** A complete request was received; its response has no timeout here. */
+    /** Records a complete request. This class applies no timeout until the response is started. */
     void requestReceived(HttpConnection connection, long nowMs) {
         enter(connection, Phase.RESPONSE, nowMs);
     }
 
-    /** The response is being written, which the client has to read. */
+    /** Records that the response is being written. The client has to read it before a timeout. */
     void responseStarted(HttpConnection connection, long nowMs) {
         enter(connection, Phase.CLIENT_READ, nowMs);
     }
 
-    /** The response is written; the next request is awaited. */
+    /** Records that the response was written. The connection now waits for the next request. */
     void responseWritten(HttpConnection connection, long nowMs) {
         enter(connection, Phase.REQUEST, nowMs);
     }
@@ -75,8 +75,9 @@
         overdue.forEach(ConnectionTracker::close);
     }
 
-    // HttpConnection.close() waits until the client has read all that was written, which it may
-    // never do. The channel's close can't fail in a way that leaves anything to be done.
+    // HttpConnection.close() waits until the client has read all written data, but the client may
+    // never read it. The result of the channel's close() can be ignored, since a failure would need
+    // no further action.
     @SuppressWarnings("FutureReturnValueIgnored")
     private static void close(HttpConnection connection) {
         ((ConnectionBase) connection).channelHandlerContext().close();
--- a/control/src/main/java/ottergauge/control/server/ControlServer.java
+++ b/control/src/main/java/ottergauge/control/server/ControlServer.java
@@ -19,8 +19,8 @@
 import ottergauge.control.consensus.SharedLog;
 
 /**
- * The HTTP server of a control process. One event loop owns all of its state; the consensus' thread
- * applies changes and notifies the event loop, which completes the pending polls.
+ * The HTTP server of a control process. One event loop owns all of its state. The consensus thread
+ * applies changes and notifies the event loop, which then responds to the pending polls.
  */
 public final class ControlServer {
 
@@ -30,7 +30,9 @@
     private static final int MAX_HEADER_BYTES = 16 * 1024;
     private static final int ACCEPT_BACKLOG = 1_024;
 
-    /** Per connection: the responses that the kernel buffers for a slow reader. */
+    /**
+     * Per connection, the response bytes that the kernel buffers for a client that reads slowly.
+     */
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
     private static final long SWEEP_INTERVAL_MS = 1_000;
@@ -79,7 +81,7 @@
     }
 
     private static Vertx newVertx() {
-        // Addresses are numeric and no files are served.
+        // Addresses are numeric, and the server serves no files.
         System.setProperty("vertx.disableDnsResolver", "true");
         return Vertx.vertx(
                 new VertxOptions()
@@ -100,7 +102,7 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    /** Starts to listen; the future fails if the address can't be bound. */
+    /** Starts listening. The future fails if the address can't be bound. */
     public Future<Void> start() {
         Promise<Void> started = Promise.promise();
         context.runOnContext(run -> listen(started));
@@ -137,7 +139,8 @@
         return options;
     }
 
-    // Called on the thread that applied a change; a burst of changes notifies the event loop once.
+    // Called on the thread that applied a change. A burst of changes notifies the event loop only
+    // once.
     private void notifyPolls() {
         if (notificationPending.compareAndSet(false, true)) {
             context.runOnContext(
@@ -148,7 +151,7 @@
         }
     }
 
-    /** Responds to all pending requests and stops, within a bounded time. */
+    /** Responds to all pending requests and stops the server within a bounded time. */
     public Future<Void> stop() {
         Promise<Void> stopped = Promise.promise();
         context.runOnContext(
--- a/control/src/main/java/ottergauge/control/server/ErrorJson.java
+++ b/control/src/main/java/ottergauge/control/server/ErrorJson.java
@@ -7,13 +7,13 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** The response body that names an error. */
+/** Builds the response body that contains an error code or message. */
 final class ErrorJson {
 
-    /** A submission is not committed, or not known to be. */
+    /** A submission was not committed, or it is not known whether it was committed. */
     static final String NO_QUORUM = "no_quorum";
 
-    /** This replica lags behind the version that the client has. */
+    /** This control process has not reached the version that the client has. */
     static final String BEHIND = "behind";
 
     /** This process has no log yet. */
--- a/control/src/main/java/ottergauge/control/server/HttpException.java
+++ b/control/src/main/java/ottergauge/control/server/HttpException.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.control.server;
 
-/** A request that is rejected with an HTTP status; the message is one line for the client. */
+/**
+ * Thrown to reject a request with an HTTP status. The message is one line and is sent to the
+ * client.
+ */
 final class HttpException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/control/src/main/java/ottergauge/control/server/HttpExchange.java
+++ b/control/src/main/java/ottergauge/control/server/HttpExchange.java
@@ -7,7 +7,7 @@
 import io.vertx.core.http.HttpServerResponse;
 import java.util.function.LongSupplier;
 
-/** An HTTP request and its response; used on the event loop alone. */
+/** An HTTP request and its response. Used only on the event loop. */
 final class HttpExchange implements Responder {
 
     private static final String JSON = "application/json";
--- a/control/src/main/java/ottergauge/control/server/NodeStatusTable.java
+++ b/control/src/main/java/ottergauge/control/server/NodeStatusTable.java
@@ -7,18 +7,18 @@
 import java.util.Map;
 
 /**
- * The latest report of each node: expired after ten minutes and bounded in number, with the least
- * recently reported node evicted first.
+ * The latest report of each node. Reports expire after ten minutes. The number of nodes is limited;
+ * the node that has not reported for the longest time is evicted first.
  */
 final class NodeStatusTable {
 
     static final int MAX_NODES = 4_096;
     static final long NODE_EXPIRY_MS = 600_000;
 
-    /** A node's latest report and when it was received. */
+    /** A node's latest report and the time at which it was received. */
     record NodeStatus(NodeReport report, long receivedAtMs) {}
 
-    /** By node name, least recently reported first. */
+    /** Keyed by node name, with the least recent report first. */
     private final Map<String, NodeStatus> nodes = new LinkedHashMap<>();
 
     void record(NodeReport report, long nowMs) {
@@ -29,7 +29,7 @@
         }
     }
 
-    /** All nodes that are not expired, least recently reported first. */
+    /** The nodes whose reports have not expired, the least recent report first. */
     List<NodeStatus> current(long nowMs) {
         nodes.values().removeIf(node -> nowMs - node.receivedAtMs() > NODE_EXPIRY_MS);
         return new ArrayList<>(nodes.values());
--- a/control/src/main/java/ottergauge/control/server/PendingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -12,20 +12,23 @@
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * The pending long polls for changes: each is responded to once the log has a change that its
- * subscription follows, or when its wait is over. Each change is matched once against each pending
- * poll. Used on the event loop alone.
+ * The pending long polls for changes. The server responds to a poll once the log has a change that
+ * matches the poll's subscription, or when the poll's wait is over. Each change is matched at most
+ * once against each pending poll. Used only on the event loop.
  */
 final class PendingPolls {
 
-    /** How long a client that is ahead of this replica waits for it to catch up. */
+    /**
+     * The maximum time for which a poll is held if its client is ahead of this control process, so
+     * that the process can catch up.
+     */
     private static final long MAX_CATCH_UP_WAIT_MS = 1_000;
 
     private final SharedLog log;
     private final Timers timers;
     private final int maxPending;
 
-    /** In the order of arrival. */
+    /** The pending polls, in the order of arrival. */
     private final Set<Poll> pending = new LinkedHashSet<>();
 
     private boolean stopping;
@@ -36,7 +39,7 @@
         this.maxPending = maxPending;
     }
 
-    /** A poll; {@code scannedUpTo} advances past changes that its subscription doesn't follow. */
+    /** A poll. {@code scannedUpTo} advances past changes that don't match its subscription. */
     private static final class Poll {
 
         private final Responder responder;
@@ -57,7 +60,7 @@
         return pending.size();
     }
 
-    /** Responds to a poll, at once or later. */
+    /** Responds to a poll immediately or later. */
     void handle(Responder responder, ChangesRequest request) {
         Poll poll = new Poll(responder, request);
         if (respondIfReady(poll)) {
@@ -89,7 +92,7 @@
                 });
     }
 
-    /** The log has changed: responds to the polls for which it has changes. */
+    /** Called when the log has changed. Responds to the polls for which there are changes. */
     void logChanged() {
         Iterator<Poll> polls = pending.iterator();
         while (polls.hasNext()) {
@@ -101,7 +104,7 @@
         }
     }
 
-    /** Responds to all pending polls, and to new ones at once from now on. */
+    /** Responds to all pending polls. From now on, new polls get an immediate response. */
     void stop() {
         stopping = true;
         List<Poll> all = List.copyOf(pending);
@@ -113,7 +116,7 @@
         }
     }
 
-    // Responds if there are changes, or if the client has to take a snapshot.
+    // Responds if there are changes, or if the client has to fetch a snapshot.
     private boolean respondIfReady(Poll poll) {
         PollResponse response = scan(poll);
         poll.clientIsAhead = response instanceof PollResponse.Ahead;
@@ -131,7 +134,8 @@
         return false;
     }
 
-    // The wait is over: the response may have no change, just the position that was scanned up to.
+    // Called when the wait is over. The response may contain no changes, but only the position up
+    // to which the log was scanned.
     private void respondNow(Poll poll) {
         if (poll.clientIsAhead) {
             poll.responder.respondUnavailable(ErrorJson.BEHIND);
--- a/control/src/main/java/ottergauge/control/server/QueryParameters.java
+++ b/control/src/main/java/ottergauge/control/server/QueryParameters.java
@@ -19,12 +19,15 @@
     static final long MAX_WAIT_MS = 10_000;
     static final int DEFAULT_PAGE_BYTES = 65_536;
 
-    /** A page may exceed it by one change, and still stays below what a node reads. */
+    /**
+     * A page may exceed this limit by one change. It is still smaller than the largest page that a
+     * node accepts.
+     */
     static final int MAX_PAGE_BYTES = 512 * 1024;
 
     static final int MAX_SERVICES = 1_000;
 
-    // The largest integer that a JSON number represents exactly.
+    // The largest integer up to which JSON numbers (doubles) are exact.
     private static final long MAX_VERSION = 1L << 53;
     private static final String DEFAULT_SETTINGS = "default";
 
@@ -145,7 +148,7 @@
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Reported below.
+            // The error is reported below.
         }
         throw invalid(key, value, "a whole number from " + min + " to " + max);
     }
--- a/control/src/main/java/ottergauge/control/server/RateLimitedLogger.java
+++ b/control/src/main/java/ottergauge/control/server/RateLimitedLogger.java
@@ -4,7 +4,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 
-/** Limits warnings to 20 lines a second, so that a client can't fill a disk with them. */
+/** Limits warnings to 20 lines per second, so that a client can't fill the disk with log lines. */
 final class RateLimitedLogger {
 
     private static final int MAX_LINES_PER_SECOND = 20;
--- a/control/src/main/java/ottergauge/control/server/RequestBody.java
+++ b/control/src/main/java/ottergauge/control/server/RequestBody.java
@@ -31,10 +31,10 @@
     }
 
     /**
-     * Reads a body asynchronously and calls one of the handlers once.
+     * Reads a body asynchronously and calls exactly one of the handlers once.
      *
      * @param onBody receives the complete body
-     * @param onTooLarge receives the error, with status 413, if the body grows too large
+     * @param onTooLarge receives the error with status 413 if the received body exceeds the limit
      * @throws HttpException with status 413 if the declared length is too large
      */
     static void read(
@@ -52,7 +52,7 @@
     }
 
     private static void checkDeclaredLength(String length) throws HttpException {
-        // The decoder has already rejected a length that is no number.
+        // The HTTP decoder has already rejected a length that is not a number.
         if (length != null && Long.parseLong(length.trim()) > MAX_BYTES) {
             throw tooLarge();
         }
--- a/control/src/main/java/ottergauge/control/server/RequestDispatcher.java
+++ b/control/src/main/java/ottergauge/control/server/RequestDispatcher.java
@@ -13,8 +13,8 @@
 import ottergauge.control.consensus.SharedLog;
 
 /**
- * Dispatches requests to the handlers of their calls and rejects those that are no valid call. Used
- * on the event loop alone.
+ * Dispatches requests to the handlers of their calls and rejects requests that are not a valid
+ * call. Used only on the event loop.
  */
 final class RequestDispatcher {
 
@@ -54,14 +54,17 @@
         this.clockMs = clockMs;
     }
 
-    /** Responds to all pending polls and snapshot requests; rejects submissions from now on. */
+    /**
+     * Responds to all pending polls and rejects all queued snapshot requests. From now on, rejects
+     * submissions.
+     */
     void stop() {
         stopping = true;
         handlers.polls().stop();
         handlers.snapshots().stop();
     }
 
-    /** Handles a request whose head was parsed. */
+    /** Handles a request whose request line and headers have been parsed. */
     void handle(HttpServerRequest request) {
         HttpExchange exchange = exchange(request);
         try {
@@ -160,7 +163,7 @@
         }
     }
 
-    // Responds if this process has no log yet.
+    // If this process has no log yet, responds with an error and returns false.
     private boolean requireLog(HttpExchange exchange) {
         if (log.position().isEmpty()) {
             exchange.respondUnavailable(ErrorJson.STARTING);
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -10,16 +10,16 @@
 import ottergauge.resources.VersionUnavailable;
 
 /**
- * Writes pages of snapshots, first come, first served, at a rate for all clients together. A page
- * is read from the log when it is written. A connection has one request at a time, so that the
- * limit of connections bounds the queue. Used on the event loop alone.
+ * Queues requests for snapshot pages and responds in FIFO order, at a limited rate for all clients
+ * together. A page is read from the log when it is written. A connection has at most one request at
+ * a time, so the connection limit also limits the queue length. Used only on the event loop.
  */
 final class SnapshotQueue {
 
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** Up to this much lateness of timers is made up for. */
+    /** If a timer fires late, the queue catches up on at most this much time. */
     private static final long MAX_CATCH_UP_MICROS = 20_000;
 
     private record QueuedRequest(Responder responder, SnapshotRequest request) {}
@@ -32,7 +32,7 @@
     private boolean timerRuns;
     private boolean stopping;
 
-    /** When the next page may be written. */
+    /** The time at which the next page may be written. */
     private long nextWriteMicros;
 
     SnapshotQueue(SharedLog log, Timers timers, LongSupplier clockMicros, long bytesPerSecond) {
@@ -48,7 +48,7 @@
         return queue.size();
     }
 
-    /** Responds to a request when its turn comes. */
+    /** Queues a request; the response follows when the rate limit allows it. */
     void handle(Responder responder, SnapshotRequest request) {
         if (stopping) {
             responder.respondUnavailable(ErrorJson.STOPPING);
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Rejects all queued requests, and new ones from now on. */
+    /** Rejects all queued requests. From now on, rejects new requests. */
     void stop() {
         stopping = true;
         queue.forEach(
@@ -91,7 +91,7 @@
         writeDuePages();
     }
 
-    // Returns the bytes that count against the rate.
+    // Returns the number of bytes that count against the rate limit.
     private long write(QueuedRequest queued) {
         SnapshotRequest request = queued.request();
         LogPosition position = log.position().orElseThrow();
--- a/control/src/main/java/ottergauge/control/server/SnapshotRequest.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotRequest.java
@@ -8,9 +8,9 @@
 /**
  * A request for a page of the state.
  *
- * @param log the log that the previous pages are of; empty for the first page
+ * @param log the log of the previous pages; empty for the first page
  * @param from the first key of the page; empty for the first page
- * @param maxBytes bytes of JSON of the page
+ * @param maxBytes the maximum size of the page, in bytes of JSON
  */
 record SnapshotRequest(
         Optional<String> log,
--- a/control/src/main/java/ottergauge/control/server/StatusJson.java
+++ b/control/src/main/java/ottergauge/control/server/StatusJson.java
@@ -11,7 +11,7 @@
 import ottergauge.control.consensus.Role;
 import ottergauge.resources.LogPosition;
 
-/** The response body of the status call. */
+/** Builds the response body of the status call. */
 final class StatusJson {
 
     private static final JsonFactory JSON = new JsonFactory();
--- a/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
+++ b/control/src/main/java/ottergauge/control/server/SubmissionHandler.java
@@ -12,8 +12,8 @@
 import ottergauge.resources.Submission;
 
 /**
- * Proposes submissions to the consensus and responds with their outcomes; limits the number of
- * pending ones. Used on the event loop alone.
+ * Proposes submissions to the consensus and responds with their outcomes. Limits the number of
+ * pending submissions. Used only on the event loop.
  */
 final class SubmissionHandler {
 
@@ -30,7 +30,7 @@
         this.warnings = warnings;
     }
 
-    /** How many submissions have no outcome yet. */
+    /** The number of submissions that have no outcome yet. */
     int pending() {
         return pending;
     }
@@ -53,7 +53,7 @@
             return;
         }
         pending++;
-        // completed() handles failures, too: nothing is left in the returned future.
+        // completed() also handles failures, so the returned future can be ignored.
         var unused =
                 consensus
                         .propose(submission)
--- a/control/src/main/java/ottergauge/control/server/Timers.java
+++ b/control/src/main/java/ottergauge/control/server/Timers.java
@@ -7,11 +7,11 @@
     /**
      * Runs a task once after a delay.
      *
-     * @param delayMs milliseconds; at least 1 is waited
+     * @param delayMs the delay in milliseconds; a value below 1 counts as 1
      * @return the timer's id for {@link #cancel}
      */
     long start(long delayMs, Runnable task);
 
-    /** Cancels a timer; one that has fired is ignored. */
+    /** Cancels a timer. Does nothing if the timer has already fired. */
     void cancel(long timerId);
 }
--- a/control/src/main/java/ottergauge/control/server/VertxTimers.java
+++ b/control/src/main/java/ottergauge/control/server/VertxTimers.java
@@ -3,7 +3,7 @@
 
 import io.vertx.core.Vertx;
 
-/** Timers of Vert.x. */
+/** Timers that run on Vert.x. */
 final class VertxTimers implements Timers {
 
     private final Vertx vertx;
--- a/control/src/test/java/ottergauge/control/log/ChangePollTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangePollTest.java
@@ -40,7 +40,7 @@
     void fullyFollowedChange_isNotCopied() {
         accepted(SubmissionBuilder.of("a").tenant("gold", 1));
         StoredChange change = log.capture().changes().get(0);
-        assertSame(change, change.followedBy(EVERYTHING));
+        assertSame(change, change.filteredBy(EVERYTHING));
     }
 
     @Test
