--- a/lab/src/main/java/ottergauge/lab/client/LoadGenerator.java
+++ b/lab/src/main/java/ottergauge/lab/client/LoadGenerator.java
@@ -146,19 +146,19 @@
             return;
         }
         int node = frontEnd.chooseNode();
-        ClientAttempt each =
+        ClientAttempt attempt =
                 new ClientAttempt(
                         request,
                         String.format("%08x%08x", scenario.seed() & 0xffffffffL, ++lastId),
                         node,
                         timeout / MS * MS);
-        request.clientAttempts.add(each);
-        eventLog.clientAttempts.put(each.id, each);
+        request.clientAttempts.add(attempt);
+        eventLog.clientAttempts.put(attempt.id, attempt);
         if (node == 0) {
-            finished(each, planned, retryNumber, EventLog.NO_CONNECTION);
+            finished(attempt, planned, retryNumber, EventLog.NO_CONNECTION);
             return;
         }
-        Call call = new Call(each, planned, retryNumber);
+        Call call = new Call(attempt, planned, retryNumber);
         Connection pooled = idleConnections.get(node).pollLast();
         if (pooled != null) {
             pooled.send(call);
@@ -177,23 +177,23 @@
     private void abandon(Call call) {
         if (!call.settled && call.usedConnection != null && call.usedConnection.call == call) {
             call.settled = true;
-            call.each.clientClosedAt = loop.now();
+            call.attempt.clientClosedAt = loop.now();
             call.usedConnection.channel.close();
         }
     }
 
     private void connect(Call call) {
-        Connection connection = new Connection(call.each.node);
+        Connection connection = new Connection(call.attempt.node);
         connection.call = call;
-        call.each.firstOnConnection = true;
+        call.attempt.firstOnConnection = true;
         connector
-                .connect(call.each.node, connection)
+                .connect(call.attempt.node, connection)
                 .addListener(
                         done -> {
                             if (!done.isSuccess()) {
                                 connection.call = null;
                                 finished(
-                                        call.each,
+                                        call.attempt,
                                         call.planned,
                                         call.retryNumber,
                                         EventLog.NO_CONNECTION);
@@ -204,20 +204,20 @@
     // One attempt in progress. Its request is sent again on a new connection if the pooled
     // connection turns out to have been closed by the node.
     private final class Call {
-        private final ClientAttempt each;
+        private final ClientAttempt attempt;
         private final Workload.Request planned;
         private final int retryNumber;
         private boolean settled;
         private Connection usedConnection;
 
-        Call(ClientAttempt each, Workload.Request planned, int retryNumber) {
-            this.each = each;
+        Call(ClientAttempt attempt, Workload.Request planned, int retryNumber) {
+            this.attempt = attempt;
             this.planned = planned;
             this.retryNumber = retryNumber;
         }
 
         FullHttpRequest message() {
-            RequestClass type = scenario.classes().get(each.request.requestClass);
+            RequestClass type = scenario.classes().get(attempt.request.requestClass);
             boolean safe = type.effect() == Effect.SAFE;
             FullHttpRequest message =
                     new DefaultFullHttpRequest(
@@ -229,9 +229,9 @@
                                     : Unpooled.copiedBuffer("asks", StandardCharsets.UTF_8));
             message.headers()
                     .set(HttpHeaderNames.HOST, "lab")
-                    .set("X-Trace-Id", each.id)
+                    .set("X-Trace-Id", attempt.id)
                     .set("X-Qos", type.name())
-                    .set("X-Expires-In-Ms", each.timeout / MS);
+                    .set("X-Expires-In-Ms", attempt.timeout / MS);
             if (!safe) {
                 HttpUtil.setContentLength(message, message.content().readableBytes());
             }
@@ -239,14 +239,15 @@
                 message.headers()
                         .set(
                                 "Idempotency-Key",
-                                String.format("%016x%016x", scenario.seed(), each.request.number));
+                                String.format(
+                                        "%016x%016x", scenario.seed(), attempt.request.number));
             }
             if (retryNumber > 0 && scenario.clients().marksRetry()) {
                 message.headers().set("X-Second-Try", "1");
             }
-            if (each.request.tenant >= 0) {
+            if (attempt.request.tenant >= 0) {
                 message.headers()
-                        .set("X-Tenant", scenario.tenants().get(each.request.tenant).name());
+                        .set("X-Tenant", scenario.tenants().get(attempt.request.tenant).name());
             }
             return message;
         }
@@ -255,9 +256,9 @@
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void onTimeout(Call call) {
-        if (call.each.answeredAt < 0) {
-            call.each.timedOutAt = loop.now();
-            finished(call.each, call.planned, call.retryNumber, EventLog.PENDING);
+        if (call.attempt.answeredAt < 0) {
+            call.attempt.timedOutAt = loop.now();
+            finished(call.attempt, call.planned, call.retryNumber, EventLog.PENDING);
             call.settled = true;
             loop.after(
                     LATE_RESPONSE_WINDOW,
@@ -271,15 +272,15 @@
 
     // Records the result of an attempt and schedules a retry if its client retries.
     private void finished(
-            ClientAttempt each, Workload.Request planned, int retryNumber, int status) {
+            ClientAttempt attempt, Workload.Request planned, int retryNumber, int status) {
         if (status != EventLog.PENDING) {
-            each.status = status;
-            each.answeredAt = loop.now();
+            attempt.status = status;
+            attempt.answeredAt = loop.now();
         }
         if (status == 200 || retryNumber >= scenario.clients().maxRetries() || finished) {
             return;
         }
-        RequestClass type = scenario.classes().get(each.request.requestClass);
+        RequestClass type = scenario.classes().get(attempt.request.requestClass);
         boolean notExecuted =
                 status == UNAVAILABLE
                         || status == TOO_MANY_REQUESTS
@@ -288,13 +289,13 @@
             return;
         }
         long wait =
-                planned.followsRetryAfter() && each.retryAfter >= 0
-                        ? Math.min(each.retryAfter, scenario.platform().maxRetryAfter())
+                planned.followsRetryAfter() && attempt.retryAfter >= 0
+                        ? Math.min(attempt.retryAfter, scenario.platform().maxRetryAfter())
                         : scenario.clients().retryPause();
         // Random jitter: real clients do not retry in step.
         loop.after(
                 wait + random.nextLong(wait / 10 + 2_000),
-                () -> startAttempt(each.request, planned, retryNumber + 1));
+                () -> startAttempt(attempt.request, planned, retryNumber + 1));
     }
 
     // A connection to a node; it carries one request at a time.
@@ -320,7 +321,7 @@
         void send(Call next) {
             call = next;
             next.usedConnection = this;
-            next.each.sentAt = loop.now();
+            next.attempt.sentAt = loop.now();
             channel.writeAndFlush(next.message());
         }
 
@@ -334,25 +335,25 @@
                 return;
             }
             call = null;
-            ClientAttempt each = completed.each;
-            each.responses++;
+            ClientAttempt attempt = completed.attempt;
+            attempt.responses++;
             int status = response.status().code();
             String after = response.headers().get(HttpHeaderNames.RETRY_AFTER);
             if (after != null) {
-                each.retryAfter = Math.round(Double.parseDouble(after) * 1e6);
+                attempt.retryAfter = Math.round(Double.parseDouble(after) * 1e6);
             }
-            each.bodyMatches =
+            attempt.bodyMatches =
                     status != 200
                             || response.content()
                                     .toString(StandardCharsets.UTF_8)
-                                    .equals("made for " + each.id);
+                                    .equals("made for " + attempt.id);
             boolean keepAlive = HttpUtil.isKeepAlive(response);
             if (completed.settled) {
-                each.status = status;
-                each.answeredAt = loop.now();
+                attempt.status = status;
+                attempt.answeredAt = loop.now();
             } else {
                 completed.settled = true;
-                finished(each, completed.planned, completed.retryNumber, status);
+                finished(attempt, completed.planned, completed.retryNumber, status);
             }
             if (keepAlive && !finished) {
                 idleConnections.get(node).add(this);
@@ -369,7 +370,7 @@
             if (interrupted == null) {
                 return;
             }
-            if (!interrupted.each.firstOnConnection
+            if (!interrupted.attempt.firstOnConnection
                     && !interrupted.settled
                     && !nodeDown[node]
                     && !finished) {
@@ -377,13 +378,13 @@
                 // sent again on a new connection.
                 connect(interrupted);
             } else if (interrupted.settled) {
-                if (interrupted.each.answeredAt < 0) {
-                    interrupted.each.status = EventLog.CONNECTION_LOST;
+                if (interrupted.attempt.answeredAt < 0) {
+                    interrupted.attempt.status = EventLog.CONNECTION_LOST;
                 }
             } else {
                 interrupted.settled = true;
                 finished(
-                        interrupted.each,
+                        interrupted.attempt,
                         interrupted.planned,
                         interrupted.retryNumber,
                         EventLog.CONNECTION_LOST);
--- a/lab/src/main/java/ottergauge/lab/discovery/DiscoveryStandIn.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/DiscoveryStandIn.java
@@ -97,6 +97,7 @@
         callsPerSecond = scenario.registry().callsPerSecond();
     }
 
+    /** Starts listening on the address that a node uses. */
     public void listen(int node, InetSocketAddress address, Link link) throws IOException {
         links.add(link);
         listeners.put(
@@ -156,8 +157,8 @@
             handle(ctx, node, after, wait);
             return;
         }
-        long turn = Math.max(freeAt, now) + (long) (1e6 / callsPerSecond);
-        if (turn - now > scenario.registry().maxQueueTime()) {
+        long handleAt = Math.max(freeAt, now) + (long) (1e6 / callsPerSecond);
+        if (handleAt - now > scenario.registry().maxQueueTime()) {
             eventLog.addCost(now, Cost.LIST_CALL_FAILED, node, TARGET);
             loop.after(
                     scenario.registry().maxQueueTime(),
@@ -165,16 +166,16 @@
             return;
         }
         eventLog.addCost(now, Cost.LIST_CALL, node, TARGET);
-        freeAt = turn;
-        loop.at(turn, () -> handle(ctx, node, after, wait));
+        freeAt = handleAt;
+        loop.at(handleAt, () -> handle(ctx, node, after, wait));
     }
 
-    private static long number(QueryStringDecoder call, String name, long absent) {
+    private static long number(QueryStringDecoder call, String name, long defaultValue) {
         List<String> values = call.parameters().get(name);
         try {
-            return values == null ? absent : Long.parseLong(values.get(0));
+            return values == null ? defaultValue : Long.parseLong(values.get(0));
         } catch (NumberFormatException e) {
-            return absent;
+            return defaultValue;
         }
     }
 
--- a/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
@@ -85,14 +85,14 @@
     public RunStatistics(Scenario scenario, EventLog eventLog) {
         this.scenario = scenario;
         this.eventLog = eventLog;
-        eventLog.requests.forEach(request -> outcomes.put(request, end(request)));
+        eventLog.requests.forEach(request -> outcomes.put(request, outcome(request)));
     }
 
     private RequestClass type(ClientRequest request) {
         return scenario.classes().get(request.requestClass);
     }
 
-    private Outcome end(ClientRequest request) {
+    private Outcome outcome(ClientRequest request) {
         long served = request.servedAt();
         RequestClass type = type(request);
         if (served >= 0 && served <= request.intendedAt + type.deadline()) {
@@ -160,8 +160,8 @@
                 busiestProbes(from, to));
     }
 
-    private double share(List<ClientRequest> requests, Outcome end) {
-        return requests.stream().filter(request -> outcomes.get(request) == end).count()
+    private double share(List<ClientRequest> requests, Outcome outcome) {
+        return requests.stream().filter(request -> outcomes.get(request) == outcome).count()
                 / (double) Math.max(1, requests.size());
     }
 
@@ -273,19 +273,19 @@
 
     /** The statistics of each load step. */
     public List<IntervalStats> steps() {
-        List<IntervalStats> spans = new ArrayList<>();
+        List<IntervalStats> intervals = new ArrayList<>();
         List<LoadStep> steps = scenario.load();
         for (int i = 0; i < steps.size(); i++) {
-            spans.add(
+            intervals.add(
                     interval(
                             steps.get(i).from(),
                             i + 1 < steps.size() ? steps.get(i + 1).from() : scenario.length()));
         }
-        return spans;
+        return intervals;
     }
 
     /** Returns the counts of each second of the run. */
-    @SuppressWarnings("EnumOrdinal") // Columns 1 to 4 stand in the order of End.
+    @SuppressWarnings("EnumOrdinal") // Columns 1 to 4 stand in the order of Outcome.
     public List<Second> seconds() {
         int count = (int) ((scenario.length() + SECOND - 1) / SECOND);
         int[][] n = new int[count][11];
--- a/lab/src/main/java/ottergauge/lab/net/Link.java
+++ b/lab/src/main/java/ottergauge/lab/net/Link.java
@@ -67,8 +67,8 @@
     }
 
     /** Simulates that the machine at the accepting side is gone or back. */
-    public void setSilent(boolean loseAll) {
-        acceptMode(loseAll ? AcceptMode.SILENT : AcceptMode.OPEN);
+    public void setSilent(boolean silent) {
+        acceptMode(silent ? AcceptMode.SILENT : AcceptMode.OPEN);
     }
 
     private void acceptMode(AcceptMode next) {
@@ -106,16 +106,15 @@
             case LINK_REORDER -> each(fault.direction(), oneWay -> oneWay.reorder(fault.amount()));
             case LINK_RATE -> each(fault.direction(), oneWay -> oneWay.rate(fault.amount()));
             case LINK_CUT -> each(fault.direction(), oneWay -> oneWay.cut((long) fault.amount()));
-            default ->
-                    throw new IllegalArgumentException("no fault of a link: " + fault.faultKind());
+            default -> throw new IllegalArgumentException("not a link fault: " + fault.faultKind());
         }
     }
 
     /** Ends all faults of this link. */
-    public void heal() {
+    public void clearFaults() {
         resetNew = false;
-        forward.heal();
-        backward.heal();
+        forward.clearFaults();
+        backward.clearFaults();
         if (acceptMode != AcceptMode.OPEN) {
             acceptMode(AcceptMode.OPEN);
         }
--- a/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
+++ b/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
@@ -52,7 +52,7 @@
             while (!waiting && !queue.isEmpty()) {
                 if (oneWay.isHeld()) {
                     waiting = true;
-                    oneWay.onHeal(this::resume);
+                    oneWay.onFaultsCleared(this::resume);
                 } else if (queue.peek().dueAt() > loop.now()) {
                     waiting = true;
                     loop.at(queue.peek().dueAt(), this::resume);
@@ -67,26 +67,26 @@
             deliverDue();
         }
 
-        private void deliver(Chunk piece) {
-            int length = piece.bytes().readableBytes();
+        private void deliver(Chunk chunk) {
+            int length = chunk.bytes().readableBytes();
             long remaining =
                     oneWay.cutAfter() < 0 ? Long.MAX_VALUE : oneWay.cutAfter() - passedBytes;
             if (length > remaining) {
-                piece.deliver()
-                        .accept(piece.bytes().readRetainedSlice((int) Math.max(0, remaining)));
-                piece.bytes().release();
+                chunk.deliver()
+                        .accept(chunk.bytes().readRetainedSlice((int) Math.max(0, remaining)));
+                chunk.bytes().release();
                 discard();
                 context.flush();
                 Link.reset(context.channel());
                 return;
             }
             passedBytes += length;
-            piece.deliver().accept(piece.bytes());
+            chunk.deliver().accept(chunk.bytes());
         }
 
         void discard() {
             discards = true;
-            queue.forEach(piece -> piece.bytes().release());
+            queue.forEach(chunk -> chunk.bytes().release());
             queue.clear();
         }
     }
--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -20,8 +20,8 @@
 import java.util.function.Consumer;
 
 /**
- * A listening address of a stand-in, reached over one link. In mode ACCEPT it accepts connections.
- * In mode REFUSE no socket listens. In mode SILENT a socket listens but accepts nothing, and the
+ * A listening address of a stand-in, reached over one link. In mode OPEN it accepts connections. In
+ * mode REFUSE no socket listens. In mode SILENT a socket listens but accepts nothing, and the
  * laboratory itself fills its short backlog. The operating system then responds to no further
  * connection attempt, as if the machine were gone.
  */
@@ -41,7 +41,7 @@
     private final List<SocketChannel> backlogFillers = new ArrayList<>();
     private Channel channel;
     private ServerSocket silentSocket;
-    private boolean setRunning = true;
+    private boolean processRunning = true;
     private long rebindCount;
     private boolean closed;
 
@@ -73,8 +73,8 @@
 
     /** Simulates that the process that listens here is gone or back. */
     public void setRunning(boolean running) {
-        if (setRunning != running) {
-            setRunning = running;
+        if (processRunning != running) {
+            processRunning = running;
             rebind();
         }
     }
@@ -98,7 +98,7 @@
                 closeQuietly(silentSocket);
                 retry.run();
             }
-        } else if (setRunning && link.acceptMode() == Link.AcceptMode.OPEN) {
+        } else if (processRunning && link.acceptMode() == Link.AcceptMode.OPEN) {
             open().addListener(
                             bound -> {
                                 if (!bound.isSuccess()) {
--- a/lab/src/main/java/ottergauge/lab/net/OneWayLink.java
+++ b/lab/src/main/java/ottergauge/lab/net/OneWayLink.java
@@ -70,7 +70,7 @@
         loseAll = all;
     }
 
-    void heal() {
+    void clearFaults() {
         held = false;
         delay = 0;
         jitter = 0;
@@ -89,7 +89,7 @@
     }
 
     /** Runs a task when the faults end. */
-    void onHeal(Runnable task) {
+    void onFaultsCleared(Runnable task) {
         waiting.add(task);
     }
 
--- a/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
+++ b/lab/src/main/java/ottergauge/lab/run/FaultSchedule.java
@@ -124,38 +124,38 @@
         }
     }
 
-    private void registry(Fault fault, Runnable begins, Runnable ends) {
-        begins.run();
-        end(fault, ends);
+    private void registry(Fault fault, Runnable onStart, Runnable onEnd) {
+        onStart.run();
+        end(fault, onEnd);
     }
 
-    private void nodes(Fault fault, Consumer<Integer> begins, Consumer<Integer> ends) {
+    private void nodes(Fault fault, Consumer<Integer> onStart, Consumer<Integer> onEnd) {
         List<Integer> affected =
                 choose(
                         fault,
                         numbers(fault.targets(), "n", scenario.nodes().count()),
                         scenario.nodes().count());
-        affected.forEach(begins);
-        if (ends != null) {
-            end(fault, () -> affected.forEach(ends));
+        affected.forEach(onStart);
+        if (onEnd != null) {
+            end(fault, () -> affected.forEach(onEnd));
         }
     }
 
     private void servers(
-            Fault fault, Consumer<ServerStandIn> begins, Consumer<ServerStandIn> ends) {
+            Fault fault, Consumer<ServerStandIn> onStart, Consumer<ServerStandIn> onEnd) {
         int count = servers.all().size();
         List<ServerStandIn> affected =
                 choose(fault, numbers(fault.targets(), "s", count), count).stream()
                         .map(servers::server)
                         .toList();
-        affected.forEach(begins);
-        end(fault, () -> affected.forEach(ends));
+        affected.forEach(onStart);
+        end(fault, () -> affected.forEach(onEnd));
     }
 
     private void links(Fault fault) {
         List<Link> affected = links.between(names(fault.targets()), names(fault.peers()));
         affected.forEach(link -> link.apply(fault));
-        end(fault, () -> affected.forEach(Link::heal));
+        end(fault, () -> affected.forEach(Link::clearFaults));
     }
 
     private List<Integer> choose(Fault fault, List<Integer> named, int count) {
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
@@ -141,7 +141,7 @@
         double rate = rate(e, what, compressed, state);
         List<String> apart = what == What.APART ? apart(e, regions) : List.of();
         String who = what == What.KILL || what == What.STALL ? who(e, what, nodes) : "";
-        double part = what == What.ZONE_LOST ? e.number("part", Range.PART) : 0;
+        double part = what == What.ZONE_LOST ? e.number("part", Range.FRACTION) : 0;
         long away = what == What.KILL || what == What.STALL ? e.span("away") : 0;
         long length = e.span("for");
         if (away >= length) {
--- a/lab/src/main/java/ottergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/Scenario.java
@@ -5,8 +5,8 @@
 
 /**
  * A scenario: nodes, servers, their load and a schedule of faults. Durations and times are
- * microseconds; times count from the start of the load. Names in the scenario file are in {@link
- * ScenarioReader}.
+ * microseconds; times count from the start of the load. {@link ScenarioReader} has the key of each
+ * component in the scenario file.
  */
 public record Scenario(
         String name,
@@ -39,7 +39,8 @@
 
     /**
      * A kind of servers: how many there are and how fast they work, what they accept, how they warm
-     * up, and what connections and probes cost.
+     * up, and what connections and probes cost. {@code earlyFull} is the backlog in microseconds
+     * above which a server rejects requests although its queue is not full; 0 for none.
      */
     public record ServerKind(
             String name,
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
@@ -105,16 +105,16 @@
                             e.count("count"),
                             cores,
                             e.number("speed", Range.POSITIVE, 1),
-                            e.number("spread", Range.PART, 0),
+                            e.number("spread", Range.FRACTION, 0),
                             e.count("slots", cores),
                             (int) e.number("queue", Range.ANY, 8.0 * cores),
                             e.span("early_full", 0),
-                            e.number("cold_from", Range.PART, 0.3),
+                            e.number("cold_from", Range.FRACTION, 0.3),
                             e.span("cold_for", 6 * S),
                             e.count("connections", 600),
                             e.span("handshake", 100),
                             e.span("probe", 40),
-                            e.number("errors", Range.PART, 0),
+                            e.number("errors", Range.FRACTION, 0),
                             e.flag("reports", true)));
             e.rejectUnknownKeys();
             servers += kinds.get(kinds.size() - 1).count();
@@ -143,7 +143,7 @@
                             e.span("aim"),
                             e.span("deadline"),
                             e.number("worth", Range.POSITIVE, 1),
-                            e.number("late_worth", Range.PART, 0),
+                            e.number("late_worth", Range.FRACTION, 0),
                             effect,
                             e.oneOf("group", Group.class, Group.ALL),
                             effect == Effect.KEYED ? e.span("window") : e.span("window", 0),
@@ -182,11 +182,11 @@
                 new Clients(
                         (int) e.number("repeats", Range.ANY, 0),
                         e.span("pause", 50 * MS),
-                        e.number("obey", Range.PART, 0.3),
-                        e.number("try_part", Range.PART, 0.55),
+                        e.number("obey", Range.FRACTION, 0.3),
+                        e.number("try_part", Range.FRACTION, 0.55),
                         e.flag("marks_retry", false),
                         e.span("notice", 2 * S),
-                        e.number("leave", Range.PART, 0));
+                        e.number("leave", Range.FRACTION, 0));
         e.rejectUnknownKeys();
         return clients;
     }
@@ -235,7 +235,7 @@
                         e.span("most_retry_after", 600 * MS),
                         e.count("most_attempts", 5),
                         e.flag("reports", true),
-                        e.number("probe_price", Range.PART, 0.002),
+                        e.number("probe_price", Range.FRACTION, 0.002),
                         e.span("drain_grace", 250 * MS),
                         e.number("tip_multiple", Range.POSITIVE, 3),
                         e.span("fall_after", S),
@@ -257,8 +257,8 @@
             List<String> targets = e.texts("who");
             double fraction =
                     targets.isEmpty() && !faultKind.name().startsWith("REGISTRY")
-                            ? e.number("part", Range.PART)
-                            : e.number("part", Range.PART, 0);
+                            ? e.number("part", Range.FRACTION)
+                            : e.number("part", Range.FRACTION, 0);
             faults.add(
                     new Fault(
                             at,
--- a/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
@@ -25,8 +25,8 @@
 public final class YamlMapping {
 
     /** The range of allowed numbers, and its description for error messages. */
-    public record Range(double min, double max, String words) {
-        public static final Range PART = new Range(0, 1, "a fraction from 0 to 1");
+    public record Range(double min, double max, String description) {
+        public static final Range FRACTION = new Range(0, 1, "a fraction from 0 to 1");
         public static final Range POSITIVE = new Range(1e-9, 1e9, "a number greater than 0");
         public static final Range ANY = new Range(0, 1e9, "a number of 0 or more");
         public static final Range COUNT = new Range(1, 100_000, "a whole number of 1 or more");
@@ -69,18 +69,18 @@
         if (!(node instanceof MappingNode mapping)) {
             throw new ScenarioException(file + ":" + line + ": expected a mapping");
         }
-        YamlMapping entry = new YamlMapping(file, line);
+        YamlMapping result = new YamlMapping(file, line);
         for (NodeTuple tuple : mapping.getValue()) {
             if (!(tuple.getKeyNode() instanceof ScalarNode key)) {
                 throw new ScenarioException(
                         file + ":" + line(tuple.getKeyNode()) + ": a key must be a word");
             }
-            if (entry.values.put(key.getValue(), tuple.getValueNode()) != null) {
+            if (result.values.put(key.getValue(), tuple.getValueNode()) != null) {
                 throw new ScenarioException(
                         file + ":" + line(key) + ": " + key.getValue() + ": given twice");
             }
         }
-        return entry;
+        return result;
     }
 
     private static int line(Node node) {
@@ -153,14 +153,14 @@
     /** Returns a required number within the range. */
     public double number(String key, Range range) throws ScenarioException {
         try {
-            double value = Double.parseDouble(scalar(key, range.words()));
+            double value = Double.parseDouble(scalar(key, range.description()));
             if (value >= range.min() && value <= range.max()) {
                 return value;
             }
         } catch (NumberFormatException e) {
             // Reported below, like a number outside the range.
         }
-        throw fault(key, range.words());
+        throw fault(key, range.description());
     }
 
     public double number(String key, Range range, double defaultValue) throws ScenarioException {
@@ -171,7 +171,7 @@
     public int count(String key) throws ScenarioException {
         double value = number(key, Range.COUNT);
         if (value != Math.rint(value)) {
-            throw fault(key, Range.COUNT.words());
+            throw fault(key, Range.COUNT.description());
         }
         return (int) value;
     }
--- a/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
@@ -27,7 +27,7 @@
     private static final String NEVER_RAN = "X-Never-Ran";
     private static final long MS = 1_000;
 
-    private final ServerStandIn host;
+    private final ServerStandIn server;
     private final int node;
     private final FirstByteRecorder firstByte;
     private final boolean overConnectionLimit;
@@ -36,11 +36,11 @@
     private ServerAttempt currentAttempt;
 
     ServerConnection(
-            ServerStandIn host,
+            ServerStandIn server,
             int node,
             FirstByteRecorder firstByte,
             boolean overConnectionLimit) {
-        this.host = host;
+        this.server = server;
         this.node = node;
         this.firstByte = firstByte;
         this.overConnectionLimit = overConnectionLimit;
@@ -51,34 +51,35 @@
         long firstByteAt = firstByte.takeTime();
         String path = httpRequest.uri();
         if (path.equals("/stats") || path.equals("/health/live")) {
-            host.runUnlessStalled(() -> probe(ctx, path));
+            server.runUnlessStalled(() -> probe(ctx, path));
             return;
         }
         ClientAttempt clientAttempt =
-                host.eventLog()
+                server.eventLog()
                         .clientAttempts
                         .get(String.valueOf(httpRequest.headers().get("X-Trace-Id")));
         if (clientAttempt == null) {
-            host.eventLog()
+            server.eventLog()
                     .unknownRequests
                     .add(
                             new ottergauge.lab.eventlog.EventLog.Event(
-                                    host.loop().now(),
-                                    host.id(),
+                                    server.loop().now(),
+                                    server.id(),
                                     "a request that no client sent: " + path));
             respond(ctx, HttpResponseStatus.BAD_REQUEST, "", false, false);
             return;
         }
         ServerAttempt serverAttempt =
-                new ServerAttempt(clientAttempt, node, host.id(), firstByteAt, host.loop().now());
+                new ServerAttempt(
+                        clientAttempt, node, server.id(), firstByteAt, server.loop().now());
         clientAttempt.serverAttempts.add(serverAttempt);
-        host.eventLog().serverAttempts.add(serverAttempt);
+        server.eventLog().serverAttempts.add(serverAttempt);
         currentAttempt = serverAttempt;
         String key = httpRequest.headers().get("Idempotency-Key");
         long waitTime = number(httpRequest.headers().get("X-Expires-In-Ms")) * MS;
         boolean firstOnConnection = firstRequest;
         firstRequest = false;
-        host.runUnlessStalled(
+        server.runUnlessStalled(
                 () ->
                         startRequest(
                                 ctx,
@@ -97,23 +98,23 @@
     }
 
     private void probe(ChannelHandlerContext ctx, String path) {
-        host.eventLog().addCost(host.loop().now(), Cost.PROBE, node, host.id());
-        if (!host.scenario().platform().probes()) {
+        server.eventLog().addCost(server.loop().now(), Cost.PROBE, node, server.id());
+        if (!server.scenario().platform().probes()) {
             respond(ctx, HttpResponseStatus.NOT_FOUND, "", false, false);
             return;
         }
-        host.loop()
+        server.loop()
                 .after(
-                        host.kind().probeWork(),
+                        server.kind().probeWork(),
                         () ->
-                                host.runUnlessStalled(
+                                server.runUnlessStalled(
                                         () ->
                                                 respond(
                                                         ctx,
                                                         HttpResponseStatus.OK,
                                                         path.equals("/stats")
-                                                                        && host.kind().reports()
-                                                                ? host.loadReport()
+                                                                        && server.kind().reports()
+                                                                ? server.loadReport()
                                                                 : "",
                                                         false,
                                                         false)));
@@ -127,11 +128,11 @@
             boolean firstOnConnection) {
         if (!ctx.channel().isActive()) {
             serverAttempt.end = "given up unbegun";
-        } else if (overConnectionLimit || host.isFull()) {
+        } else if (overConnectionLimit || server.isFull()) {
             reject(ctx, serverAttempt, overConnectionLimit ? "table full" : "full");
-        } else if (host.failsRequest()) {
+        } else if (server.failsRequest()) {
             serverAttempt.end = "error";
-            serverAttempt.endedAt = host.loop().now();
+            serverAttempt.endedAt = server.loop().now();
             respond(ctx, HttpResponseStatus.INTERNAL_SERVER_ERROR, "", false, true);
         } else {
             work(
@@ -139,7 +140,7 @@
                     serverAttempt,
                     key,
                     deadline,
-                    firstOnConnection ? host.kind().handshakeWork() : 0);
+                    firstOnConnection ? server.kind().handshakeWork() : 0);
         }
     }
 
@@ -150,29 +151,29 @@
             long deadline,
             long handshake) {
         RequestClass type =
-                host.scenario().classes().get(serverAttempt.clientAttempt.request.requestClass);
+                server.scenario().classes().get(serverAttempt.clientAttempt.request.requestClass);
         Job[] ownJob = new Job[1];
         ownJob[0] =
                 new Job(
                         serverAttempt.clientAttempt.request.work + handshake,
                         type.waitTime(),
                         deadline,
-                        () -> serverAttempt.beganAt = host.loop().now(),
+                        () -> serverAttempt.beganAt = server.loop().now(),
                         () -> done(ctx, serverAttempt, ownJob[0], type, key));
         currentJob = ownJob[0];
-        Admission offer = host.model().offer(host.loop().now(), ownJob[0]);
+        Admission offer = server.model().offer(server.loop().now(), ownJob[0]);
         if (offer == Admission.FULL) {
             reject(ctx, serverAttempt, "full");
         } else if (offer == Admission.COLLAPSED) {
             serverAttempt.end = "fallen";
-            host.collapse();
+            server.collapse();
         }
     }
 
     private void reject(ChannelHandlerContext ctx, ServerAttempt serverAttempt, String reason) {
         serverAttempt.end = reason;
-        serverAttempt.endedAt = host.loop().now();
-        host.eventLog().addCost(host.loop().now(), Cost.TURNED_AWAY, node, host.id());
+        serverAttempt.endedAt = server.loop().now();
+        server.eventLog().addCost(server.loop().now(), Cost.TURNED_AWAY, node, server.id());
         respond(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, "", true, true);
     }
 
@@ -184,37 +185,37 @@
             String key) {
         boolean abandoned = serverAttempt.endedAt >= 0;
         if (!abandoned) {
-            serverAttempt.endedAt = host.loop().now();
+            serverAttempt.endedAt = server.loop().now();
         }
         if (ownJob.cancelled) {
             serverAttempt.end = "out of time unbegun";
-            host.runUnlessStalled(
+            server.runUnlessStalled(
                     () -> respond(ctx, HttpResponseStatus.GATEWAY_TIMEOUT, "", true, true));
             return;
         }
         String effectKey =
                 type.effect() == Scenario.Effect.KEYED ? key : serverAttempt.clientAttempt.id;
         if (type.effect() != Scenario.Effect.KEYED
-                || host.deduplicationCache()
+                || server.deduplicationCache()
                         .isFirst(serverAttempt.beganAt, effectKey, type.window())) {
-            host.eventLog()
+            server.eventLog()
                     .effects
                     .add(
                             new Effect(
                                     serverAttempt.beganAt,
                                     effectKey,
-                                    type.group() == Scenario.Group.ALL ? "all" : host.zone(),
-                                    host.id(),
+                                    type.group() == Scenario.Group.ALL ? "all" : server.zone(),
+                                    server.id(),
                                     serverAttempt));
         }
         serverAttempt.end = abandoned ? "given up, ran on" : "served";
         if (abandoned) {
             return;
         }
-        if (host.losesResponse()) {
+        if (server.losesResponse()) {
             serverAttempt.end = "answer lost";
         } else {
-            host.runUnlessStalled(
+            server.runUnlessStalled(
                     () ->
                             respond(
                                     ctx,
@@ -247,8 +248,8 @@
         if (neverRan) {
             response.headers().set(NEVER_RAN, "1");
         }
-        if (loadReport && host.kind().reports() && host.scenario().platform().reports()) {
-            response.headers().set("Endpoint-Load-Metrics", host.loadReport());
+        if (loadReport && server.kind().reports() && server.scenario().platform().reports()) {
+            response.headers().set("Endpoint-Load-Metrics", server.loadReport());
         }
         if (overConnectionLimit) {
             response.headers().set(HttpHeaderNames.CONNECTION, "close");
@@ -261,11 +262,11 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         if (currentJob != null) {
-            host.model().cancel(currentJob);
+            server.model().cancel(currentJob);
         }
         if (currentAttempt != null && currentAttempt.endedAt < 0) {
             currentAttempt.end = "given up";
-            currentAttempt.endedAt = host.loop().now();
+            currentAttempt.endedAt = server.loop().now();
         }
     }
 
--- a/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
+++ b/lab/src/test/java/ottergauge/lab/eventlog/RuleCheckerTest.java
@@ -177,7 +177,10 @@
             each.clientClosedAt = 1_050 * MS;
             attempt(each, "s1", 1_100 * MS, 1_200 * MS, "served");
         }
-        assertEquals(List.of(), violations(), "within the time that an end takes to be seen");
+        assertEquals(
+                List.of(),
+                violations(),
+                "within the time in which a node notices the end of a connection");
         for (int i = 0; i < 2; i++) {
             ClientAttempt each = sent(0);
             each.clientClosedAt = 1_050 * MS;
--- a/lab/src/test/java/ottergauge/lab/net/LinkTest.java
+++ b/lab/src/test/java/ottergauge/lab/net/LinkTest.java
@@ -91,8 +91,8 @@
                 .get();
     }
 
-    private void heal() throws Exception {
-        loop.netty().submit(link::heal).get();
+    private void clearFaults() throws Exception {
+        loop.netty().submit(link::clearFaults).get();
     }
 
     private Socket connect() throws IOException {
@@ -161,7 +161,7 @@
     void aRefusingLinkAcceptsNoConnectionUntilTheFaultEnds() throws Exception {
         fault(FaultKind.LINK_REFUSE, Direction.BOTH, 1, 0);
         awaitConnectFailure(ConnectException.class);
-        heal();
+        clearFaults();
         try (Socket socket = connectWhenAccepted()) {
             assertEquals("again", echo(socket, "again"));
         }
@@ -199,7 +199,7 @@
             fault(FaultKind.LINK_DROP, Direction.BACK, 1, 0);
             assertThrows(
                     SocketTimeoutException.class, () -> echo(socket, "held", SHORT_TIMEOUT_MS));
-            heal();
+            clearFaults();
             socket.setSoTimeout(RESPONSE_TIMEOUT_MS);
             assertEquals("held", new String(socket.getInputStream().readNBytes(4), UTF_8));
         }
@@ -209,7 +209,7 @@
     void aDropInBothDirectionsLetsNoConnectionBeEstablished() throws Exception {
         fault(FaultKind.LINK_DROP, Direction.BOTH, 1, 0);
         awaitConnectFailure(SocketTimeoutException.class);
-        heal();
+        clearFaults();
         try (Socket socket = connectWhenAccepted()) {
             assertEquals("back", echo(socket, "back"));
         }
@@ -221,7 +221,7 @@
         try (Socket socket = connect()) {
             long from = System.nanoTime();
             assertEquals("one", echo(socket, "one"));
-            assertTrue(System.nanoTime() - from >= 60_000_000, "both ways take their time");
+            assertTrue(System.nanoTime() - from >= 60_000_000, "both directions are delayed");
             assertEquals("two", echo(socket, "two"));
         }
     }
@@ -232,7 +232,7 @@
         try (Socket socket = connect()) {
             assertThrows(
                     SocketTimeoutException.class, () -> echo(socket, "lost", SHORT_TIMEOUT_MS));
-            heal();
+            clearFaults();
             assertThrows(
                     SocketTimeoutException.class,
                     () -> echo(socket, "behind it", SHORT_TIMEOUT_MS));
@@ -261,7 +261,7 @@
         try (Socket socket = connect()) {
             long from = System.nanoTime();
             assertEquals("0123456789", echo(socket, "0123456789"));
-            assertTrue(System.nanoTime() - from >= 100_000_000, "ten bytes at a hundred a second");
+            assertTrue(System.nanoTime() - from >= 100_000_000, "10 bytes at 100 bytes per second");
         }
     }
 
