--- a/src/test/java/ottergauge/program/AdminListenerIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -51,7 +51,9 @@
         return closing(
                 RunningNode.ready(
                         folder,
-                        new TestConfig().withAdminListener("127.0.0.1:" + adminPort).withEndpoints(hosts),
+                        new TestConfig()
+                                .withAdminListener("127.0.0.1:" + adminPort)
+                                .withEndpoints(hosts),
                         UNREACHABLE,
                         port));
     }
@@ -139,7 +141,9 @@
                 closing(
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().sockets(160).withAdminListener("127.0.0.1:" + adminPort),
+                                new TestConfig()
+                                        .sockets(160)
+                                        .withAdminListener("127.0.0.1:" + adminPort),
                                 UNREACHABLE,
                                 port));
         for (int i = 0; i < 300; i++) {
--- a/src/test/java/ottergauge/program/HollowCommandIT.java
+++ b/src/test/java/ottergauge/program/HollowCommandIT.java
@@ -140,7 +140,9 @@
                                 connection,
                                 bytes,
                                 TestConfig.list(
-                                        42, false, endpointJson("s-2", "127.0.0.1:2", "terminating")));
+                                        42,
+                                        false,
+                                        endpointJson("s-2", "127.0.0.1:2", "terminating")));
                     } else if (respondsToAll) {
                         send(connection, bytes, TestConfig.list(42, false));
                     }
--- a/src/test/java/ottergauge/program/ManyServersIT.java
+++ b/src/test/java/ottergauge/program/ManyServersIT.java
@@ -83,7 +83,9 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().probingNodes(SERVER_COUNT, 0.002).withEndpoints(all(UNREACHABLE)),
+                                new TestConfig()
+                                        .probingNodes(SERVER_COUNT, 0.002)
+                                        .withEndpoints(all(UNREACHABLE)),
                                 discovery.address());
                 Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
@@ -133,7 +135,8 @@
                                 folder,
                                 new TestConfig()
                                         .probingNodes(780, 0.002)
-                                        .withEndpoints(endpointJson("s-1", UNREACHABLE, "in_service")),
+                                        .withEndpoints(
+                                                endpointJson("s-1", UNREACHABLE, "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertTrue(discovery.requests.take().target().contains("after=41"));
@@ -168,7 +171,10 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             node.awaitLog(
--- a/src/test/java/ottergauge/program/MigrateCommandTest.java
+++ b/src/test/java/ottergauge/program/MigrateCommandTest.java
@@ -77,7 +77,10 @@
     @Test
     void leftoversArePrintedAndReportedByTheExitCode() throws Exception {
         assertEquals(
-                3, migrate(new TestConfig().withAddresses("127.0.0.1:3000", "127.0.0.1:8500").json(), SHAPE));
+                3,
+                migrate(
+                        new TestConfig().withAddresses("127.0.0.1:3000", "127.0.0.1:8500").json(),
+                        SHAPE));
         assertTrue(out.toString().contains("left over: known"), out.toString());
     }
 
--- a/src/test/java/ottergauge/program/NodeIT.java
+++ b/src/test/java/ottergauge/program/NodeIT.java
@@ -120,7 +120,11 @@
                         RunningNode.ready(
                                 folder,
                                 new TestConfig()
-                                        .withEndpoints(endpointJson("s-1", "127.0.0.1:" + nobody, "in_service")),
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1",
+                                                        "127.0.0.1:" + nobody,
+                                                        "in_service")),
                                 UNREACHABLE);
                 Client client = node.client()) {
             HttpMessage reply = client.exchange(Client.request("grant", "ok", ""));
@@ -322,7 +326,9 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 UNREACHABLE)) {
             for (int i = 0; i < 300; i++) {
                 silent.add(node.client());
@@ -391,7 +397,9 @@
                             RunningNode.ready(
                                     folder,
                                     new TestConfig()
-                                            .withEndpoints(endpointJson("s-1", first.address(), "in_service")),
+                                            .withEndpoints(
+                                                    endpointJson(
+                                                            "s-1", first.address(), "in_service")),
                                     discovery.address());
                     Client client = node.client()) {
                 assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
@@ -421,7 +429,9 @@
         try (StubServer discovery = new StubServer((request, connection) -> true);
                 RunningNode node =
                         RunningNode.ready(
-                                folder, new TestConfig().maxPollIntervalMs(200), discovery.address())) {
+                                folder,
+                                new TestConfig().maxPollIntervalMs(200),
+                                discovery.address())) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.endedConnections.poll(10, TimeUnit.SECONDS));
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -445,7 +455,10 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 discovery.address());
                 Client client = node.client()) {
             assertNotNull(discovery.requests.poll(10, TimeUnit.SECONDS));
@@ -482,7 +495,9 @@
                 RunningNode node =
                         RunningNode.ready(
                                 folder,
-                                new TestConfig().withEndpoints(endpointJson("s-1", first.address(), "in_service")),
+                                new TestConfig()
+                                        .withEndpoints(
+                                                endpointJson("s-1", first.address(), "in_service")),
                                 before.address());
                 Client client = node.client()) {
             assertNotNull(before.requests.poll(10, TimeUnit.SECONDS));
@@ -515,7 +530,8 @@
             one = endpointJson("s-1", server.address(), "in_service");
             assertEquals(200, client.exchange(Client.request("read", "ok", "")).status());
             assertEquals(400, other.exchange(Client.request("audit", "ok", "x")).status());
-            TestConfig next = new TestConfig().withEndpoints(one).withAddresses(node.address(), UNREACHABLE);
+            TestConfig next =
+                    new TestConfig().withEndpoints(one).withAddresses(node.address(), UNREACHABLE);
             node.reload(
                     next.classes(
                                     TestConfig.requestClass("audit", "single_shot", 1000),
--- a/src/test/java/ottergauge/program/RaceConditionIT.java
+++ b/src/test/java/ottergauge/program/RaceConditionIT.java
@@ -131,7 +131,10 @@
                                 folder,
                                 new TestConfig()
                                         .withEndpoints(
-                                                endpointJson("s-1", drainingServer.address(), "in_service"),
+                                                endpointJson(
+                                                        "s-1",
+                                                        drainingServer.address(),
+                                                        "in_service"),
                                                 endpointJson(
                                                         "s-2",
                                                         remainingServer.address(),
@@ -340,7 +343,9 @@
                                 folder,
                                 new TestConfig()
                                         .sockets(100)
-                                        .withEndpoints(endpointJson("s-1", server.address(), "in_service")),
+                                        .withEndpoints(
+                                                endpointJson(
+                                                        "s-1", server.address(), "in_service")),
                                 "127.0.0.1:" + discoveryPort)) {
             for (int i = 0; i < 200; i++) {
                 Client each = node.client();
