--- a/src/main/java/ottergauge/decision/ResultFeedback.java
+++ b/src/main/java/ottergauge/decision/ResultFeedback.java
@@ -139,8 +139,8 @@
 
     private void recordServiceTime(Attempt attempt, long elapsed) {
         Server server = attempt.server();
-        double turns = loads.serviceTimesToEnd(server, attempt.loadBefore());
-        serviceTimes.record(server, elapsed / turns);
+        double expectedServiceTimes = loads.serviceTimesToEnd(server, attempt.loadBefore());
+        serviceTimes.record(server, elapsed / expectedServiceTimes);
     }
 
     /**
--- a/src/main/java/ottergauge/decision/balancing/ServerSubset.java
+++ b/src/main/java/ottergauge/decision/balancing/ServerSubset.java
@@ -140,16 +140,16 @@
     /** Returns the target size of the subset. */
     public int targetSize() {
         double connectionsPerServer = settings.nodeCount() / (100.0 * Math.max(1, ring.count()));
-        double price = settings.costs().connection() * connectionsPerServer;
-        double affordable =
-                price > 0
-                        ? Math.min(MAX_FREE_SIZE, MAX_CONNECTION_COST_RATIO / price)
+        double connectionCost = settings.costs().connection() * connectionsPerServer;
+        double affordableSize =
+                connectionCost > 0
+                        ? Math.min(MAX_FREE_SIZE, MAX_CONNECTION_COST_RATIO / connectionCost)
                         : MAX_FREE_SIZE;
         double serversPerNode = ring.count() / (double) settings.nodeCount();
-        affordable = Math.min(affordable, NODES_PER_SERVER * Math.max(1, serversPerNode));
+        affordableSize = Math.min(affordableSize, NODES_PER_SERVER * Math.max(1, serversPerNode));
         double attempts =
                 Math.max(outstanding.count(), SERVERS_PER_ATTEMPT * outstanding.meanOfLastWindow());
-        double wanted = attempts / serverCapacity.getAsDouble();
-        return (int) Math.max(MIN_SIZE, Math.max(affordable, wanted));
+        double wantedSize = attempts / serverCapacity.getAsDouble();
+        return (int) Math.max(MIN_SIZE, Math.max(affordableSize, wantedSize));
     }
 }
--- a/src/main/java/ottergauge/decision/endpoints/EndpointUpdater.java
+++ b/src/main/java/ottergauge/decision/endpoints/EndpointUpdater.java
@@ -43,16 +43,16 @@
     /** Applies an update and recomputes the subset. */
     public void apply(EndpointUpdate update, long now) {
         boolean complete = update.scope() != UpdateScope.INCREMENTAL;
-        List<Server> named = complete ? ring.first(ring.count()) : new ArrayList<>();
-        for (Server server : named) {
+        List<Server> affected = complete ? ring.first(ring.count()) : new ArrayList<>();
+        for (Server server : affected) {
             server.markRemoved();
         }
         for (Endpoint endpoint : update.endpoints()) {
-            named.add(apply(endpoint));
+            affected.add(apply(endpoint));
         }
         // Servers are removed only after all endpoints have been applied, because the last one
         // counts if the update contains several endpoints with the same id.
-        for (Server server : named) {
+        for (Server server : affected) {
             if (server.state() == EndpointState.REMOVED) {
                 ring.remove(server.id());
                 outliers.remove(server);
--- a/src/main/java/ottergauge/decision/health/OutlierDetector.java
+++ b/src/main/java/ottergauge/decision/health/OutlierDetector.java
@@ -54,8 +54,8 @@
     }
 
     /**
-     * Returns whether at least half of the subset is ejected. So many failures have a common cause,
-     * and the remaining servers couldn't carry the load.
+     * Returns whether at least half of the subset is ejected. In that case no single server is at
+     * fault, and the remaining servers couldn't carry the load.
      */
     public boolean isHalfEjected(long now) {
         while (!ejected.isEmpty() && !ejected.first().health().isEjected(now)) {
--- a/src/main/java/ottergauge/decision/index/ClassIndex.java
+++ b/src/main/java/ottergauge/decision/index/ClassIndex.java
@@ -72,12 +72,12 @@
      *
      * @param previous the value of each row before the last change of the names, or an empty list
      *     to create new values for all rows
-     * @param fresh creates the value of a new row
+     * @param newValue creates the value of a new row
      */
-    public <T> List<T> remap(List<T> previous, Supplier<T> fresh) {
+    public <T> List<T> remap(List<T> previous, Supplier<T> newValue) {
         List<T> remapped = new ArrayList<>(previousRows.size());
         for (int row : previousRows) {
-            remapped.add(row == NEW || previous.isEmpty() ? fresh.get() : previous.get(row));
+            remapped.add(row == NEW || previous.isEmpty() ? newValue.get() : previous.get(row));
         }
         return remapped;
     }
--- a/src/main/java/ottergauge/decision/load/LoadEstimates.java
+++ b/src/main/java/ottergauge/decision/load/LoadEstimates.java
@@ -162,7 +162,7 @@
      * reports is outdated, so there the measure is relative to a server that random arrivals fill
      * up to its capacity less the square root of its capacity.
      */
-    public double queueing(Server server, long now) {
+    public double queueScore(Server server, long now) {
         double capacity = capacities.of(server);
         return loadSource.usesReports()
                 ? inFlight(server, now) / capacity - 1 + 1 / Math.sqrt(capacity)
--- a/src/main/java/ottergauge/decision/load/ProbeBudget.java
+++ b/src/main/java/ottergauge/decision/load/ProbeBudget.java
@@ -23,9 +23,12 @@
 
     /** Applies new costs. */
     public void applySettings(Costs costs) {
-        double price = costs.probe();
+        double probeCost = costs.probe();
         maxProbes =
-                (int) Math.min(MAX_PROBES, price > 0 ? MAX_PROBE_COST_RATIO / price : MAX_PROBES);
+                (int)
+                        Math.min(
+                                MAX_PROBES,
+                                probeCost > 0 ? MAX_PROBE_COST_RATIO / probeCost : MAX_PROBES);
     }
 
     /**
--- a/src/main/java/ottergauge/decision/model/RequestTimes.java
+++ b/src/main/java/ottergauge/decision/model/RequestTimes.java
@@ -25,12 +25,12 @@
      */
     public static RequestTimes of(
             RequestClass requestClass, long now, long giveUpAt, boolean clientRetry) {
-        long begunAt = clientRetry ? Math.min(now, giveUpAt - requestClass.deadline()) : now;
+        long startedAt = clientRetry ? Math.min(now, giveUpAt - requestClass.deadline()) : now;
         long objectiveAt =
-                begunAt + requestClass.latencyObjective() - CLIENT_RESPONSE_MARGIN_MICROS;
-        long lastValue =
+                startedAt + requestClass.latencyObjective() - CLIENT_RESPONSE_MARGIN_MICROS;
+        long lastValueAt =
                 requestClass.lateValueRatio() > 0 ? giveUpAt : Math.min(objectiveAt, giveUpAt);
-        long valuableUntil = Math.max(now, lastValue);
+        long valuableUntil = Math.max(now, lastValueAt);
         return new RequestTimes(
                 now, Math.min(Math.max(now, objectiveAt), valuableUntil), valuableUntil);
     }
--- a/src/main/java/ottergauge/decision/request/AdmissionControl.java
+++ b/src/main/java/ottergauge/decision/request/AdmissionControl.java
@@ -36,14 +36,14 @@
      */
     public boolean admits(Request request, long now) {
         return loadSource.usesProbes()
-                || !queue.knowsWait()
+                || !queue.hasWaitEstimate()
                 || queue.isEmpty()
-                || queue.expectedWait(request) <= request.deadline() - minTime(request) - now;
+                || queue.expectedWait(request) <= request.deadline() - minTimeNeeded(request) - now;
     }
 
     /** Returns whether a request can't meet its deadline even if it is sent now. */
     public boolean cannotMeetDeadline(Request request, long now) {
-        return now + minTime(request) >= request.deadline();
+        return now + minTimeNeeded(request) >= request.deadline();
     }
 
     /**
@@ -55,7 +55,7 @@
     public boolean extendDeadline(Request request, long now) {
         long valuableUntil = request.times().valuableUntil();
         boolean extended =
-                request.deadline() < valuableUntil && now + minTime(request) < valuableUntil;
+                request.deadline() < valuableUntil && now + minTimeNeeded(request) < valuableUntil;
         if (extended) {
             queue.remove(request);
             request.extendToLateResponse();
@@ -63,7 +63,7 @@
         return extended;
     }
 
-    private double minTime(Request request) {
+    private double minTimeNeeded(Request request) {
         return Math.min(
                 MIN_SERVICE_TIME_RATIO * serviceTimes.mean(),
                 request.requestClass().latencyObjective() * MAX_OBJECTIVE_RATIO);
--- a/src/main/java/ottergauge/decision/request/PendingQueue.java
+++ b/src/main/java/ottergauge/decision/request/PendingQueue.java
@@ -68,7 +68,7 @@
     }
 
     /** Returns whether the send rate of a non-empty queue has been measured. */
-    public boolean knowsWait() {
+    public boolean hasWaitEstimate() {
         return dequeueInterval > 0;
     }
 
--- a/src/main/java/ottergauge/decision/ring/ConsistentHashRing.java
+++ b/src/main/java/ottergauge/decision/ring/ConsistentHashRing.java
@@ -103,16 +103,16 @@
      */
     public E at(double point) {
         Node<E> node = root;
-        double rest = point * lengthOf(root);
+        double remaining = point * lengthOf(root);
         while (node != null) {
             visits++;
             double before = lengthOf(node.left);
-            if (rest < before) {
+            if (remaining < before) {
                 node = node.left;
-            } else if (rest < before + node.size || node.right == null) {
+            } else if (remaining < before + node.size || node.right == null) {
                 return node.element;
             } else {
-                rest -= before + node.size;
+                remaining -= before + node.size;
                 node = node.right;
             }
         }
@@ -143,20 +143,20 @@
         }
     }
 
-    private Node<E> insert(Node<E> node, Node<E> fresh) {
+    private Node<E> insert(Node<E> node, Node<E> inserted) {
         visits++;
         if (node == null) {
-            return fresh;
+            return inserted;
         }
-        if (fresh.outranks(node)) {
-            split(node, fresh);
-            fresh.updateLength();
-            return fresh;
+        if (inserted.outranks(node)) {
+            split(node, inserted);
+            inserted.updateLength();
+            return inserted;
         }
-        if (fresh.precedes(node)) {
-            node.left = insert(node.left, fresh);
+        if (inserted.precedes(node)) {
+            node.left = insert(node.left, inserted);
         } else {
-            node.right = insert(node.right, fresh);
+            node.right = insert(node.right, inserted);
         }
         node.updateLength();
         return node;
--- a/src/main/java/ottergauge/decision/selection/ServerSelector.java
+++ b/src/main/java/ottergauge/decision/selection/ServerSelector.java
@@ -129,7 +129,7 @@
                             && (!onlyFresh || loads.isFresh(server, now));
             server.rotation().setCandidate(candidate);
             if (candidate) {
-                leastQueue = Math.min(leastQueue, Math.max(0, loads.queueing(server, now)));
+                leastQueue = Math.min(leastQueue, Math.max(0, loads.queueScore(server, now)));
             }
         }
         return leastQueue;
@@ -145,7 +145,8 @@
             if (!server.rotation().isCandidate()) {
                 continue;
             }
-            if (loadSource.knowsLoad() && !(loads.queueing(server, now) < leastQueue + tolerance)) {
+            if (loadSource.knowsLoad()
+                    && !(loads.queueScore(server, now) < leastQueue + tolerance)) {
                 server.rotation().setCandidate(false);
                 continue;
             }
