--- a/src/main/java/ottergauge/decision/balancing/ServerSubset.java
+++ b/src/main/java/ottergauge/decision/balancing/ServerSubset.java
@@ -26,9 +26,9 @@
     // Maximum size if connections cost nothing. The best of this number of servers is hardly worse
     // than the best of the fleet.
     private static final int MAX_FREE_SIZE = 32;
-    // Maximum number of nodes that have the same server in their subsets. With more of them all
-    // nodes would select the same idle server, and each node would get load reports of a server too
-    // seldom.
+    // Maximum number of nodes that have the same server in their subsets on average. With more of
+    // them all nodes would select the same idle server, and each node would get load reports of a
+    // server too seldom.
     private static final int NODES_PER_SERVER = 12;
     // Servers per outstanding attempt, so that most attempts find an idle connection.
     private static final int SERVERS_PER_ATTEMPT = 2;
--- a/src/main/java/ottergauge/decision/selection/ServerSelector.java
+++ b/src/main/java/ottergauge/decision/selection/ServerSelector.java
@@ -171,7 +171,7 @@
         return statistics.nextRank() + (preferred ? ClassWeights.TOTAL_WEIGHT : 0);
     }
 
-    /** Advances the round-robin after the request is sent to the server selected for it. */
+    /** Advances the round-robin when the request is sent to the server last selected for it. */
     public void commit(Request request, Server server) {
         weights.commitPick(subset.servers(), server, weights.weightsRow(request));
     }
