--- a/src/test/java/ottergauge/decision/CapacityFromReportsTest.java
+++ b/src/test/java/ottergauge/decision/CapacityFromReportsTest.java
@@ -108,7 +108,7 @@
     void reportedLatenciesDetermineTheWeights() {
         TestNode node = new TestNode(TestSettings.withPassiveReports(1).build());
         node.servers(2);
-        Map<Long, Integer> turns = new HashMap<>();
+        Map<Long, Integer> requestsByServer = new HashMap<>();
         for (int i = 0; i < 300; i++) {
             List<SendAttempt> sends = burst(node, "q" + i + "-", 1);
             node.now += 50 * MS;
@@ -117,10 +117,12 @@
                         node,
                         sends,
                         report(2, 40, 0.1, (double) (send.server() == 1 ? WORK : 4 * WORK)));
-                turns.merge(send.server(), node.now > 7_000 * MS ? 1 : 0, Integer::sum);
+                requestsByServer.merge(send.server(), node.now > 7_000 * MS ? 1 : 0, Integer::sum);
             }
         }
-        double part = turns.get(1L) / (double) (turns.get(1L) + turns.get(2L));
+        double part =
+                requestsByServer.get(1L)
+                        / (double) (requestsByServer.get(1L) + requestsByServer.get(2L));
         assertTrue(
                 part > 0.75 && part < 0.85,
                 "a server four times as fast should get four of five requests, not " + part);
--- a/src/test/java/ottergauge/decision/DecisionEngineTest.java
+++ b/src/test/java/ottergauge/decision/DecisionEngineTest.java
@@ -196,19 +196,19 @@
         settings.classes =
                 List.of(
                         TestSettings.newRequestClass(
-                                "cheap", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
+                                "low", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 1),
                         TestSettings.newRequestClass(
-                                "dear", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 10));
+                                "high", Idempotency.IDEMPOTENT, DeduplicationScope.FLEET, 10));
         TestNode node = warm(settings, 1, 30, 100 * MS);
         node.now += 1_000 * MS;
-        node.arrive("cheap");
+        node.arrive("low");
         node.probed(1, 4);
-        node.arrive("dear", 1, node.now + 2_000 * MS, false);
+        node.arrive("high", 1, node.now + 2_000 * MS, false);
         List<DecisionAction> actions = List.of();
         while (TestNode.ofType(SendProbe.class, actions).isEmpty()) {
             actions = node.after(10 * MS);
         }
-        assertEquals("dear", TestNode.ofType(SendAttempt.class, node.probed(1, 0)).get(0).id());
+        assertEquals("high", TestNode.ofType(SendAttempt.class, node.probed(1, 0)).get(0).id());
     }
 
     // ---- Other kinds of deployments
