--- a/src/test/java/ottergauge/decision/SettingsReplacementTest.java
+++ b/src/test/java/ottergauge/decision/SettingsReplacementTest.java
@@ -237,7 +237,7 @@
     }
 
     @Test
-    void anAddedClassIsUsedImmediately() {
+    void theClassIndexOfARequestRefersToTheNewSettings() {
         TestNode node = node(READ);
         node.servers(2);
         node.applySettings(with(GRANT, READ));
