--- a/src/main/java/ottergauge/decision/balancing/ServerSubset.java
+++ b/src/main/java/ottergauge/decision/balancing/ServerSubset.java
@@ -26,9 +26,9 @@
     // Maximum size if connections cost nothing. The best of this number of servers is hardly worse
     // than the best of the fleet.
     private static final int MAX_FREE_SIZE = 32;
-    // Maximum number of nodes that have the same server in their subsets. With more of them all
-    // nodes would select the same idle server, and each node would get load reports of a server too
-    // seldom.
+    // Maximum number of nodes that have the same server in their subsets on average. With more of
+    // them all nodes would select the same idle server, and each node would get load reports of a
+    // server too seldom.
     private static final int NODES_PER_SERVER = 12;
     // Servers per outstanding attempt, so that most attempts find an idle connection.
     private static final int SERVERS_PER_ATTEMPT = 2;
@@ -140,16 +140,16 @@
     /** Returns the target size of the subset. */
     public int targetSize() {
         double connectionsPerServer = settings.nodeCount() / (100.0 * Math.max(1, ring.count()));
-        double price = settings.costs().connection() * connectionsPerServer;
-        double affordable =
-                price > 0
-                        ? Math.min(MAX_FREE_SIZE, MAX_CONNECTION_COST_RATIO / price)
+        double connectionCost = settings.costs().connection() * connectionsPerServer;
+        double affordableSize =
+                connectionCost > 0
+                        ? Math.min(MAX_FREE_SIZE, MAX_CONNECTION_COST_RATIO / connectionCost)
                         : MAX_FREE_SIZE;
         double serversPerNode = ring.count() / (double) settings.nodeCount();
-        affordable = Math.min(affordable, NODES_PER_SERVER * Math.max(1, serversPerNode));
+        affordableSize = Math.min(affordableSize, NODES_PER_SERVER * Math.max(1, serversPerNode));
         double attempts =
                 Math.max(outstanding.count(), SERVERS_PER_ATTEMPT * outstanding.meanOfLastWindow());
-        double wanted = attempts / serverCapacity.getAsDouble();
-        return (int) Math.max(MIN_SIZE, Math.max(affordable, wanted));
+        double wantedSize = attempts / serverCapacity.getAsDouble();
+        return (int) Math.max(MIN_SIZE, Math.max(affordableSize, wantedSize));
     }
 }
