--- a/src/main/java/ottergauge/protocol/EndpointListReader.java
+++ b/src/main/java/ottergauge/protocol/EndpointListReader.java
@@ -11,8 +11,8 @@
 import ottergauge.settings.JsonTree;
 
 /**
- * Reads an endpoint list entry by entry, so that no tree of the whole message is in memory besides
- * its bytes and its endpoints.
+ * Reads an endpoint list entry by entry, so that memory holds only the message's bytes and its
+ * endpoints, and no tree of the message.
  */
 final class EndpointListReader {
 
--- a/src/main/java/ottergauge/routing/EffectiveSettings.java
+++ b/src/main/java/ottergauge/routing/EffectiveSettings.java
@@ -72,7 +72,7 @@
         current = next;
         classes = new RequestClasses(next.decisions().requestClasses());
         metrics.setClasses(next.decisions().requestClasses());
-        upstreams.limit(next.connectTimeout(), next.serverIdleTimeout());
+        upstreams.setTimeouts(next.connectTimeout(), next.serverIdleTimeout());
         return next;
     }
 }
--- a/src/main/java/ottergauge/routing/Router.java
+++ b/src/main/java/ottergauge/routing/Router.java
@@ -116,7 +116,7 @@
         now = at;
         endpoints.start(now, config.knownEndpoints());
         effects.accept(new StartTimer(SWEEP_INTERVAL_MICROS, new Timer.Sweep()));
-        sockets.limit(config.maxDescriptors());
+        sockets.setMaxDescriptors(config.maxDescriptors());
         runDecisions();
     }
 
@@ -218,7 +218,7 @@
         } else if (event instanceof Event.StateChanged e) {
             settings.changeState(now, e);
         } else if (event instanceof Event.Reconfigured e) {
-            sockets.limit(e.config().maxDescriptors());
+            sockets.setMaxDescriptors(e.config().maxDescriptors());
             endpoints.watch().move(now, e.config().discovery());
             settings.reconfigure(now, e.config().settings());
         } else {
@@ -233,7 +233,7 @@
         } else if (event instanceof Event.MaintenanceLoaded e) {
             admin.maintenanceLoaded(now, e.sinceByServer());
         } else if (event instanceof Event.HotRestartPeerSeen e) {
-            sockets.share(e.present(), e.connections());
+            sockets.setPeer(e.present(), e.connections());
         } else if (event instanceof Event.ServingStarted) {
             serving = true;
         } else if (event instanceof Event.ShutdownRequested e) {
--- a/src/main/java/ottergauge/routing/SocketBudget.java
+++ b/src/main/java/ottergauge/routing/SocketBudget.java
@@ -44,7 +44,7 @@
     }
 
     /** Sets the number of descriptors that the node may use. */
-    void limit(int descriptors) {
+    void setMaxDescriptors(int descriptors) {
         maxDescriptors = descriptors;
         int available = descriptors - reserved;
         int availableWithPeer =
@@ -58,10 +58,10 @@
     /**
      * Sets whether another process of this node is running, and how many connections it has open.
      */
-    void share(boolean peerPresent, int connections) {
+    void setPeer(boolean peerPresent, int connections) {
         shared = peerPresent;
         peerConnections = connections;
-        limit(maxDescriptors);
+        setMaxDescriptors(maxDescriptors);
     }
 
     /** Whether another process of this node uses its descriptors too. */
--- a/src/main/java/ottergauge/routing/UpstreamPool.java
+++ b/src/main/java/ottergauge/routing/UpstreamPool.java
@@ -52,18 +52,18 @@
     private long idleTimeout;
     private long lastNumber;
 
-    /** Creates a pool without servers; for the parameters see {@link #limit}. */
+    /** Creates a pool without servers; for the parameters see {@link #setTimeouts}. */
     UpstreamPool(long connectTimeout, long serverIdleTimeout, Consumer<Effect> effects) {
         connectTimeoutEstimator = new ConnectTimeoutEstimator(connectTimeout);
         this.effects = effects;
-        limit(connectTimeout, serverIdleTimeout);
+        setTimeouts(connectTimeout, serverIdleTimeout);
     }
 
     /**
      * Sets how long a connection may take to be established and how long servers keep an idle one
      * open, in microseconds.
      */
-    void limit(long connectTimeout, long serverIdleTimeout) {
+    void setTimeouts(long connectTimeout, long serverIdleTimeout) {
         maxConnectTimeout = connectTimeout;
         idleTimeout = (long) (serverIdleTimeout * IDLE_TIMEOUT_RATIO);
         connectTimeoutEstimator.setMax(connectTimeout);
