--- a/src/test/java/ottergauge/replica/EffectiveStateChecker.java
+++ b/src/test/java/ottergauge/replica/EffectiveStateChecker.java
@@ -55,10 +55,10 @@
     /** Applies a change, and checks that the resulting state is one of the states of the log. */
     void apply(StateChange change) {
         if (change.full()) {
-            assertEquals(null, state, "a full state comes first and never again");
+            assertEquals(null, state, "a full state after the first state");
             state = new TreeMap<>();
         }
-        assertNotNull(state, "a difference to no state");
+        assertNotNull(state, "a difference before the first state");
         assertFalse(
                 !change.full() && change.puts().isEmpty() && change.deletes().isEmpty(),
                 "an empty change");
@@ -69,7 +69,7 @@
                     resource.value(), before == null ? null : before.value(), "no difference");
         }
         for (Change.Delete delete : change.deletes()) {
-            assertNotNull(state.remove(delete.key()), "deletes what is not there");
+            assertNotNull(state.remove(delete.key()), "deletes a resource that does not exist");
         }
         position = change.position();
         if (exact && !(change.full() && restoresOther)) {
@@ -89,7 +89,7 @@
     private void assertVersionDoesNotDecrease(LogPosition next) {
         assertTrue(logs.containsKey(next.log()) || restoresOther, "unknown log");
         if (position != null && position.log().equals(next.log())) {
-            assertTrue(next.version() >= position.version(), "goes back to " + next);
+            assertTrue(next.version() >= position.version(), "version decreases to " + next);
         }
     }
 
--- a/src/test/java/ottergauge/replica/ReplicaFailoverTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaFailoverTest.java
@@ -39,23 +39,23 @@
         assertEquals(new LogPosition(LOG, 10), node.replica.metrics(node.now).position());
         node.fire(ReplicaTimer.DelayElapsed.class);
         assertEquals(10, node.query().after().version());
-        assertEquals(1, node.all(FetchSnapshotPage.class).size(), "the one at the start");
+        assertEquals(1, node.all(FetchSnapshotPage.class).size(), "only the snapshot at the start");
     }
 
     @Test
     void otherLog_isFetchedOnceNoProcessHasTheCurrentLog() {
         ReplicaDriver node = ReplicaDriver.following("a");
         node.versionUnavailable("new", 1, 3);
-        assertEquals(LOG, node.query().after().log(), "another process may have it");
+        assertEquals(LOG, node.query().after().log(), "another process may still have the log");
         node.versionUnavailable("new", 1, 3);
         node.failed();
-        assertEquals(LOG, node.query().after().log(), "the first one again");
+        assertEquals(LOG, node.query().after().log(), "the first process again");
         node.versionUnavailable("new", 1, 3);
         assertEquals(Optional.empty(), node.snapshotQuery().log());
         node.snapshotPageReceived("new", 3, null, resource("a", 2, 9));
         assertEquals("{a=9.0}", node.effectiveTenants().toString());
         assertEquals(new LogPosition("new", 3), node.replica.metrics(node.now).position());
-        assertFalse(node.last(ApplyState.class).change().full(), "only what differs");
+        assertFalse(node.last(ApplyState.class).change().full(), "only the differences");
     }
 
     @Test
@@ -66,7 +66,9 @@
         node.fire(ReplicaTimer.CallTimeout.class);
         assertEquals(call, node.last(CancelCall.class).call());
         assertNotEquals(first, node.calledAddress());
-        assertTrue(node.query().waitMicros() < 200_000, "the first call there hardly waits");
+        assertTrue(
+                node.query().waitMicros() < 200_000,
+                "the first call to a process has a short wait");
         assertEquals(
                 "call to " + first + " timed out", node.reports().get(node.reports().size() - 1));
     }
@@ -105,7 +107,7 @@
         node.fire(ReplicaTimer.FailBackDue.class);
         assertEquals(first, node.calledAddress());
         node.failed();
-        assertEquals(second, node.calledAddress(), "back to the one that answered");
+        assertEquals(second, node.calledAddress(), "back to the process that responded");
         node.changesReceived(10);
         node.fire(ReplicaTimer.FailBackDue.class);
         assertEquals(first, node.calledAddress());
@@ -133,7 +135,7 @@
         node.now += 10_000_000;
         node.handle(
                 new ReplicaEvent.TimerFired(node.timer(ReplicaTimer.CallTimeout.class).timer()));
-        assertTrue(node.all(CancelCall.class).isEmpty(), "cancelled unread");
+        assertTrue(node.all(CancelCall.class).isEmpty(), "cancelled before the response was read");
         node.changesReceived(11, change(11, put("a", 2)));
         node.assertEffective(11, "{a=2.0}");
         assertEquals(first, node.calledAddress());
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -335,7 +335,12 @@
                                 && at
                                         <= recoveredAt
                                                 + ReplicaSimulation.PROPAGATION_DEADLINE_MICROS),
-                "healed at " + recoveredAt + ", effective at " + at + ": " + simulation.eventLog);
+                "recovered at "
+                        + recoveredAt
+                        + ", effective at "
+                        + at
+                        + ": "
+                        + simulation.eventLog);
     }
 
     @Property(tries = 1000, seed = "66")
--- a/src/test/java/ottergauge/replica/ReplicaSnapshotTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaSnapshotTest.java
@@ -88,7 +88,7 @@
             assertEquals(
                     Optional.of(LOG),
                     node.snapshotQuery().log(),
-                    "all processes are called for the rest first");
+                    "all processes are first queried for the remaining pages");
             node.snapshotPageReceived("new", 2, null, resource("b", 1, 7));
         }
         assertEquals(Optional.empty(), node.snapshotQuery().log());
@@ -117,8 +117,7 @@
         node.fire(ReplicaTimer.DelayElapsed.class);
         node.snapshotPageReceived(10, "c", resource("c", 5, 1));
         node.snapshotPageReceived(10, null, resource("b", 5, 1));
-        assertTrue(
-                node.all(ApplyState.class).isEmpty(), "pages that begin before what was asked for");
+        assertTrue(node.all(ApplyState.class).isEmpty(), "pages that begin before the queried key");
     }
 
     @Test
--- a/src/test/java/ottergauge/replica/ReplicaStoredStateTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaStoredStateTest.java
@@ -36,7 +36,7 @@
         node.fire(ReplicaTimer.StoreStateDue.class);
         assertEquals(new LogPosition(LOG, 11), node.last(StoreState.class).state().position());
         node.handle(new ReplicaEvent.Stopped());
-        assertEquals(1, node.all(StoreState.class).size(), "nothing has changed since");
+        assertEquals(1, node.all(StoreState.class).size(), "no change since the last stored state");
         assertEquals(node.callNumber(), node.last(CancelCall.class).call());
 
         ReplicaDriver other = ReplicaDriver.following("a");
@@ -46,7 +46,7 @@
         int effects = other.effects.size();
         other.fire(ReplicaTimer.StoreStateDue.class);
         other.fire(ReplicaTimer.CallTimeout.class);
-        assertEquals(effects, other.effects.size(), "nothing comes after the end");
+        assertEquals(effects, other.effects.size(), "effects after the replica stopped");
     }
 
     @Test
