--- a/control/src/test/java/ottergauge/control/ArchitectureTest.java
+++ b/control/src/test/java/ottergauge/control/ArchitectureTest.java
@@ -13,8 +13,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds the packages to their layers and libraries, and keeps clock, threads and I/O out of the
- * log.
+ * Checks the layers of the packages and the libraries that they use, and that the log package uses
+ * no clock, threads or I/O.
  */
 class ArchitectureTest {
 
@@ -24,7 +24,7 @@
                     .importPackages("ottergauge.control");
 
     @Test
-    void layers_dependOneWay() {
+    void layers_dependInOneDirection() {
         layeredArchitecture()
                 .consideringOnlyDependenciesInAnyPackage("ottergauge.control..")
                 .layer("log")
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void node_isUsedForValuesOnly() {
+    void control_dependsOnNoNodeLogic() {
         noClasses()
                 .should()
                 .dependOnClassesThat()
--- a/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
+++ b/control/src/test/java/ottergauge/control/discovery/ServiceReconcilerTest.java
@@ -34,7 +34,7 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
-/** What is published so that the log has the servers that discovery lists. */
+/** Tests which submissions the reconciler publishes so that the log matches discovery's list. */
 class ServiceReconcilerTest {
 
     private static final String SERVICE = "checkout";
@@ -52,8 +52,8 @@
         return host(name, EndpointState.UP, 1);
     }
 
-    private void list(boolean whole, DiscoveredEndpoint... hosts) {
-        reconciler.applyDiscoveryList(new EndpointList(1, whole, List.of(hosts)));
+    private void list(boolean complete, DiscoveredEndpoint... hosts) {
+        reconciler.applyDiscoveryList(new EndpointList(1, complete, List.of(hosts)));
     }
 
     private static List<Resource> state(ChangeLog log) {
@@ -76,7 +76,7 @@
         return reconciler.nextSubmission("id-" + ids);
     }
 
-    /** Publishes until nothing is left to be published; gives the number of changes. */
+    /** Publishes submissions until none is left. Returns the number of accepted changes. */
     private int publishAll() {
         int changes = 0;
         Optional<Submission> next = next();
@@ -92,7 +92,7 @@
                 changes++;
             }
             next = next();
-            assertTrue(ids < 1_000, "no end of submissions");
+            assertTrue(ids < 1_000, "submissions do not end");
         }
         return changes;
     }
@@ -142,7 +142,7 @@
     }
 
     @Test
-    void foreignChanges_areReverted() {
+    void changesByOtherClients_areReverted() {
         reconciler.resetPublished(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
@@ -166,7 +166,7 @@
     }
 
     @Test
-    void emptyLog_getsEverythingAgain() {
+    void emptyLog_receivesEverythingAgain() {
         reconciler.resetPublished(state(log));
         list(true, up("s-1"), up("s-2"));
         publishAll();
@@ -176,7 +176,7 @@
     }
 
     @Test
-    void longList_isPublishedInSeveralSubmissions() {
+    void largeList_isPublishedInSeveralSubmissions() {
         reconciler.resetPublished(state(log));
         list(
                 true,
@@ -211,7 +211,10 @@
         assertEquals(Map.of("s-1", up("s-1")), servers(log));
     }
 
-    /** What happens to the two lists. */
+    /**
+     * One step of a random history. The kind selects an event at discovery, at the log or at the
+     * reconciler.
+     */
     private record Step(int kind, int name, int share) {}
 
     @Provide
@@ -227,27 +230,28 @@
 
     @Property(tries = 300, seed = "61")
     void log_convergesToDiscovery(@ForAll("histories") List<Step> history) {
-        ServiceReconcilerTest play = new ServiceReconcilerTest();
-        play.reconciler.resetPublished(List.of());
+        ServiceReconcilerTest simulation = new ServiceReconcilerTest();
+        simulation.reconciler.resetPublished(List.of());
         Map<String, DiscoveredEndpoint> listed = new HashMap<>();
         for (Step step : history) {
             DiscoveredEndpoint host = host("s-" + step.name(), EndpointState.UP, step.share());
             switch (step.kind()) {
-                case 0 -> play.tell(listed, host);
-                case 1 -> play.tell(listed, host(host.name(), EndpointState.REMOVED, 1));
-                case 2 -> play.list(true, listed.values().toArray(DiscoveredEndpoint[]::new));
-                case 3 -> play.publishAll();
-                case 4 -> play.meddle(host);
-                default -> play.reconciler.resetPublished(state(play.log));
+                case 0 -> simulation.applyUpdate(listed, host);
+                case 1 ->
+                        simulation.applyUpdate(listed, host(host.name(), EndpointState.REMOVED, 1));
+                case 2 -> simulation.list(true, listed.values().toArray(DiscoveredEndpoint[]::new));
+                case 3 -> simulation.publishAll();
+                case 4 -> simulation.publishByAnotherClient(host);
+                default -> simulation.reconciler.resetPublished(state(simulation.log));
             }
         }
-        play.list(true, listed.values().toArray(DiscoveredEndpoint[]::new));
-        play.publishAll();
-        assertEquals(listed, servers(play.log));
-        assertFalse(play.next().isPresent());
+        simulation.list(true, listed.values().toArray(DiscoveredEndpoint[]::new));
+        simulation.publishAll();
+        assertEquals(listed, servers(simulation.log));
+        assertFalse(simulation.next().isPresent());
     }
 
-    private void tell(Map<String, DiscoveredEndpoint> listed, DiscoveredEndpoint host) {
+    private void applyUpdate(Map<String, DiscoveredEndpoint> listed, DiscoveredEndpoint host) {
         if (host.state() == EndpointState.REMOVED) {
             listed.remove(host.name());
         } else {
@@ -256,8 +260,8 @@
         list(false, host);
     }
 
-    // Somebody else puts a server of this service, and the reconciler hears of it.
-    private void meddle(DiscoveredEndpoint host) {
+    // Another client puts a server of this service, and the reconciler receives that change.
+    private void publishByAnotherClient(DiscoveredEndpoint host) {
         Submission other =
                 SubmissionBuilder.of("meddled-" + ids++)
                         .service(SERVICE)
--- a/control/src/test/java/ottergauge/control/log/ChangeLogFixture.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogFixture.java
@@ -12,7 +12,7 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.Subscription;
 
-/** A log with what its tests assert of it. */
+/** A change log, with helper methods and assertions for its tests. */
 abstract class ChangeLogFixture {
 
     static final String LOG = "9f3c";
@@ -40,9 +40,9 @@
     }
 
     ChangePage changesAfter(long version, Subscription subscription) {
-        PollResponse answer =
+        PollResponse response =
                 log.changesAfter(new LogPosition(LOG, version), subscription, ALL_BYTES);
-        return assertInstanceOf(PollResponse.Changes.class, answer).page().page();
+        return assertInstanceOf(PollResponse.Changes.class, response).page().page();
     }
 
     static List<Long> versions(ChangePage page) {
--- a/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogHistoryTest.java
@@ -38,18 +38,27 @@
 import ottergauge.resources.Submission;
 import ottergauge.resources.Subscription;
 
-/** Random histories: the log against a plain model, and subscribers against the log. */
+/**
+ * Tests with random histories: compares the log with a simple model, and the state of subscribers
+ * with that of the log.
+ */
 class ChangeLogHistoryTest {
 
     private static final String LOG = "a1";
-    private static final LogRetention MANY = new LogRetention(10_000, 1 << 24);
+    private static final LogRetention LARGE_RETENTION = new LogRetention(10_000, 1 << 24);
 
-    /** Of histories that have enough in them to show anything, in percent. */
-    private static final double MANY_OUTCOMES = 10;
+    /**
+     * The minimum percentage of generated histories that have to be large enough for a meaningful
+     * test.
+     */
+    private static final double MIN_LARGE_HISTORIES_PERCENT = 10;
 
     private static final List<String> SERVICES = List.of("checkout", "search", "mail");
 
-    /** One entry of a submission: few names, so that entries meet. */
+    /**
+     * One entry of a submission. There are only a few names, so that several entries concern the
+     * same resource.
+     */
     private record Entry(ResourceKind kind, int name, int service, boolean delete, int number) {}
 
     @Provide
@@ -62,7 +71,7 @@
                                 Arbitraries.integers().between(0, 9).map(each -> each < 3),
                                 Arbitraries.integers().between(-1, 20))
                         .as(Entry::new);
-        // Some ids are drawn again.
+        // Some ids occur more than once.
         Arbitrary<String> ids = Arbitraries.integers().between(0, 400).map(id -> "id-" + id);
         Arbitrary<Submission> submissions =
                 Combinators.combine(ids, entries.list().ofMinSize(1).ofMaxSize(3))
@@ -71,15 +80,16 @@
                 .list()
                 .ofMaxSize(120)
                 .withSizeDistribution(RandomDistribution.uniform())
-                .map(ChangeLogHistoryTest::afterServices);
+                .map(ChangeLogHistoryTest::withServicesFirst);
     }
 
-    // Most entries name a service: with none to begin with, most submissions would be rejected.
-    private static List<Submission> afterServices(List<Submission> drawn) {
+    // Puts the services first: most entries refer to a service, so most submissions would otherwise
+    // be rejected.
+    private static List<Submission> withServicesFirst(List<Submission> randomSubmissions) {
         SubmissionBuilder first = SubmissionBuilder.of("services");
         SERVICES.forEach(first::service);
         List<Submission> history = new ArrayList<>(List.of(first.build()));
-        history.addAll(drawn);
+        history.addAll(randomSubmissions);
         return history;
     }
 
@@ -141,8 +151,8 @@
     }
 
     /**
-     * The rules of docs/control.md, written the plain way: tries a change on a copy of all
-     * resources.
+     * A simple implementation of the rules in docs/control.md, which tries each change on a copy of
+     * all resources.
      */
     private static final class Model {
 
@@ -156,7 +166,7 @@
                     || rejectedIds.contains(submission.id())) {
                 return Optional.ofNullable(versionsById.get(submission.id()));
             }
-            if (!fits(submission)) {
+            if (!isValid(submission)) {
                 rejectedIds.add(submission.id());
                 return Optional.empty();
             }
@@ -173,7 +183,7 @@
             return Optional.of(version);
         }
 
-        private boolean fits(Submission submission) {
+        private boolean isValid(Submission submission) {
             long keys =
                     Stream.concat(
                                     submission.puts().stream().map(Change.Put::key),
@@ -182,7 +192,7 @@
                             .count();
             if (keys < submission.puts().size() + submission.deletes().size()
                     || !resources.keySet().containsAll(submission.deletes())
-                    || submission.puts().stream().anyMatch(this::isOutOfRange)) {
+                    || submission.puts().stream().anyMatch(this::hasValueOutOfRange)) {
                 return false;
             }
             Map<ResourceKey, Resource> after = new TreeMap<>(resources);
@@ -202,7 +212,7 @@
                                             new ResourceKey(ResourceKind.SERVICE, service)));
         }
 
-        private boolean isOutOfRange(Change.Put put) {
+        private boolean hasValueOutOfRange(Change.Put put) {
             return (put.value() instanceof Tenant tenant && tenant.requestsPerSecond() < 0)
                     || (put.value() instanceof Server server && server.endpoint().weight() < 0);
         }
@@ -221,8 +231,8 @@
     }
 
     @Property(tries = 300, seed = "51")
-    void state_equalsAPlainModels(@ForAll("histories") List<Submission> history) {
-        ChangeLog log = new ChangeLog(LOG, MANY);
+    void state_equalsThatOfTheModel(@ForAll("histories") List<Submission> history) {
+        ChangeLog log = new ChangeLog(LOG, LARGE_RETENTION);
         Model model = new Model();
         for (Submission submission : history) {
             Optional<Long> expected = model.apply(submission);
@@ -245,18 +255,19 @@
                 .collect(many ? "many" : "few")
                 .coverage(
                         coverage ->
-                                coverage.check("many").percentage(share -> share > MANY_OUTCOMES));
+                                coverage.check("many")
+                                        .percentage(share -> share > MIN_LARGE_HISTORIES_PERCENT));
     }
 
     @Property(tries = 300, seed = "52")
-    void pagesTakenDuringChangesPlusChanges_giveTheState(
+    void pagesReadDuringChangesPlusChanges_yieldTheState(
             @ForAll("histories") List<Submission> history,
             @ForAll("subscriptions") Subscription subscription,
             @ForAll @IntRange(min = 1, max = 500) int bytes,
-            @ForAll @IntRange(max = 60) int begin,
-            @ForAll @IntRange(min = 1, max = 9) int changesAPage) {
-        ChangeLog log = new ChangeLog(LOG, MANY);
-        int next = Math.min(begin, history.size());
+            @ForAll @IntRange(max = 60) int initialSubmissions,
+            @ForAll @IntRange(min = 1, max = 9) int changesPerPage) {
+        ChangeLog log = new ChangeLog(LOG, LARGE_RETENTION);
+        int next = Math.min(initialSubmissions, history.size());
         history.subList(0, next).forEach(log::apply);
         Map<ResourceKey, Resource> copy = new TreeMap<>();
         long first = -1;
@@ -266,20 +277,22 @@
             first = first < 0 ? page.at().version() : first;
             page.resources().forEach(each -> copy.put(each.key(), each));
             from = page.next();
-            for (int i = 0; i < changesAPage && next < history.size(); i++) {
+            for (int i = 0; i < changesPerPage && next < history.size(); i++) {
                 log.apply(history.get(next++));
             }
         } while (from.isPresent());
         follow(log, subscription, bytes, first, copy);
-        assertEquals(followed(log, subscription), copy);
+        assertEquals(matchingResources(log, subscription), copy);
         Statistics.label("changes meanwhile")
                 .collect(log.position().version() - first > 5 ? "many" : "few")
                 .coverage(
                         coverage ->
-                                coverage.check("many").percentage(share -> share > MANY_OUTCOMES));
+                                coverage.check("many")
+                                        .percentage(share -> share > MIN_LARGE_HISTORIES_PERCENT));
     }
 
-    // As a node does: a change counts for a resource only if it is newer than that.
+    // Applies changes as a node does: a change modifies a resource only if the change is newer than
+    // the resource.
     private static void follow(
             ChangeLog log,
             Subscription subscription,
@@ -288,8 +301,8 @@
             Map<ResourceKey, Resource> copy) {
         LogPosition at = new LogPosition(LOG, after);
         while (at.version() < log.position().version()) {
-            PollResponse answer = log.changesAfter(at, subscription, bytes);
-            ChangePage page = assertInstanceOf(PollResponse.Changes.class, answer).page().page();
+            PollResponse response = log.changesAfter(at, subscription, bytes);
+            ChangePage page = assertInstanceOf(PollResponse.Changes.class, response).page().page();
             for (Change change : page.changes()) {
                 for (Change.Delete delete : change.deletes()) {
                     Resource before = copy.get(delete.key());
@@ -309,23 +322,24 @@
         }
     }
 
-    private static Map<ResourceKey, Resource> followed(ChangeLog log, Subscription subscription) {
-        Map<ResourceKey, Resource> followed = new TreeMap<>();
+    private static Map<ResourceKey, Resource> matchingResources(
+            ChangeLog log, Subscription subscription) {
+        Map<ResourceKey, Resource> matchingResources = new TreeMap<>();
         log.capture().resources().stream()
                 .filter(each -> subscription.matches(each.key(), each.service()))
-                .forEach(each -> followed.put(each.key(), each.resource()));
-        return followed;
+                .forEach(each -> matchingResources.put(each.key(), each.resource()));
+        return matchingResources;
     }
 
     @Property(tries = 200, seed = "53")
     void restoredLog_behavesLikeTheOriginal(
             @ForAll("histories") List<Submission> history,
-            @ForAll @IntRange(max = 60) int cut,
-            @ForAll @IntRange(min = 1, max = 40) int keptChanges)
+            @ForAll @IntRange(max = 60) int splitAt,
+            @ForAll @IntRange(min = 1, max = 40) int retainedChanges)
             throws ProtocolException {
-        LogRetention limits = new LogRetention(keptChanges, 1 << 20);
+        LogRetention limits = new LogRetention(retainedChanges, 1 << 20);
         ChangeLog log = new ChangeLog(LOG, limits);
-        int before = Math.min(cut, history.size());
+        int before = Math.min(splitAt, history.size());
         history.subList(0, before).forEach(log::apply);
         ChangeLog restored = ChangeLog.restore(log.capture().encode(), limits);
         assertEquals(log.position(), restored.position());
@@ -341,7 +355,7 @@
 
     @Property(tries = 200, seed = "54")
     void repeatedSubmissions_changeNothing(@ForAll("histories") List<Submission> history) {
-        ChangeLog log = new ChangeLog(LOG, MANY);
+        ChangeLog log = new ChangeLog(LOG, LARGE_RETENTION);
         List<SubmissionOutcome> outcomes = history.stream().map(log::apply).toList();
         byte[] stored = log.capture().encode();
         assertEquals(outcomes, history.stream().map(log::apply).toList());
--- a/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangeLogTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import ottergauge.resources.LogPosition;
 
-/** Applying submissions. */
+/** Tests applying submissions. */
 class ChangeLogTest extends ChangeLogFixture {
 
     @Test
--- a/control/src/test/java/ottergauge/control/log/ChangePollTest.java
+++ b/control/src/test/java/ottergauge/control/log/ChangePollTest.java
@@ -15,11 +15,11 @@
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.Subscription;
 
-/** What a subscriber receives that polls for changes. */
+/** Tests the responses to subscribers that poll for changes. */
 class ChangePollTest extends ChangeLogFixture {
 
     @Test
-    void poll_returnsOnlyFollowedServices() {
+    void poll_returnsOnlySubscribedServices() {
         accepted(SubmissionBuilder.of("a").service("checkout").service("search"));
         accepted(SubmissionBuilder.of("b").server("s-1", "checkout").server("s-2", "search"));
         accepted(SubmissionBuilder.of("c").server("s-3", "search"));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void fullyFollowedChange_isNotCopied() {
+    void fullyMatchingChange_isNotCopied() {
         accepted(SubmissionBuilder.of("a").tenant("gold", 1));
         StoredChange change = log.capture().changes().get(0);
         assertSame(change, change.filteredBy(EVERYTHING));
@@ -49,18 +49,18 @@
             accepted(SubmissionBuilder.of("id-" + i).tenant("t-" + i, i));
         }
         LogPosition at = new LogPosition(LOG, 0);
-        List<Long> seen = new ArrayList<>();
+        List<Long> receivedVersions = new ArrayList<>();
         int pages = 0;
         while (at.version() < 10) {
-            PollResponse answer = log.changesAfter(at, EVERYTHING, 600);
-            EncodedChanges page = assertInstanceOf(PollResponse.Changes.class, answer).page();
+            PollResponse response = log.changesAfter(at, EVERYTHING, 600);
+            EncodedChanges page = assertInstanceOf(PollResponse.Changes.class, response).page();
             assertTrue(page.json().length <= 600, "bytes: " + page.json().length);
-            seen.addAll(versions(page.page()));
+            receivedVersions.addAll(versions(page.page()));
             assertTrue(page.upTo().version() > at.version(), "no progress from " + at);
             at = page.upTo();
             pages++;
         }
-        assertEquals(List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L, 9L, 10L), seen);
+        assertEquals(List.of(1L, 2L, 3L, 4L, 5L, 6L, 7L, 8L, 9L, 10L), receivedVersions);
         assertTrue(pages > 2 && pages < 10, "pages: " + pages);
     }
 
@@ -68,44 +68,44 @@
     void pageOfChanges_hasAtLeastOneChange() {
         accepted(SubmissionBuilder.of("a").tenant("gold", 1));
         accepted(SubmissionBuilder.of("b").tenant("gold", 2));
-        PollResponse answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, 1);
+        PollResponse response = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, 1);
         assertEquals(
                 List.of(1L),
-                versions(assertInstanceOf(PollResponse.Changes.class, answer).page().page()));
+                versions(assertInstanceOf(PollResponse.Changes.class, response).page().page()));
     }
 
     @Test
     void pollBeforeOldestRetainedChange_isTooOld() {
-        ChangeLog small = new ChangeLog(LOG, new LogRetention(3, 1 << 20));
+        ChangeLog shortLog = new ChangeLog(LOG, new LogRetention(3, 1 << 20));
         for (int i = 1; i <= 10; i++) {
-            small.apply(SubmissionBuilder.of("id-" + i).tenant("t", i).build());
+            shortLog.apply(SubmissionBuilder.of("id-" + i).tenant("t", i).build());
         }
         LogPosition newest = new LogPosition(LOG, 10);
         assertEquals(
                 new PollResponse.VersionUnavailable(newest, 8),
-                small.changesAfter(new LogPosition(LOG, 6), EVERYTHING, ALL_BYTES));
+                shortLog.changesAfter(new LogPosition(LOG, 6), EVERYTHING, ALL_BYTES));
         assertInstanceOf(
                 PollResponse.Changes.class,
-                small.changesAfter(new LogPosition(LOG, 7), EVERYTHING, ALL_BYTES));
+                shortLog.changesAfter(new LogPosition(LOG, 7), EVERYTHING, ALL_BYTES));
         assertEquals(
                 new PollResponse.VersionUnavailable(newest, 8),
-                small.changesAfter(new LogPosition("other", 9), EVERYTHING, ALL_BYTES));
+                shortLog.changesAfter(new LogPosition("other", 9), EVERYTHING, ALL_BYTES));
         assertEquals(
                 new PollResponse.Ahead(newest),
-                small.changesAfter(new LogPosition(LOG, 11), EVERYTHING, ALL_BYTES));
+                shortLog.changesAfter(new LogPosition(LOG, 11), EVERYTHING, ALL_BYTES));
     }
 
     @Test
     void retainedChanges_areLimitedInBytes() {
-        ChangeLog small = new ChangeLog(LOG, new LogRetention(1_000, 2_000));
+        ChangeLog shortLog = new ChangeLog(LOG, new LogRetention(1_000, 2_000));
         for (int i = 1; i <= 100; i++) {
-            small.apply(SubmissionBuilder.of("id-" + i).tenant("t", i).build());
+            shortLog.apply(SubmissionBuilder.of("id-" + i).tenant("t", i).build());
         }
-        long kept = 100 - small.oldest() + 1;
-        assertTrue(kept >= 5 && kept <= 20, "kept: " + kept);
-        StoredChange change = small.capture().changes().get(0);
+        long retained = 100 - shortLog.oldest() + 1;
+        assertTrue(retained >= 5 && retained <= 20, "retained: " + retained);
+        StoredChange change = shortLog.capture().changes().get(0);
         assertTrue(
-                kept * JsonPageBuilder.sizeOf(change) <= 2_100,
-                "bytes: " + kept * JsonPageBuilder.sizeOf(change));
+                retained * JsonPageBuilder.sizeOf(change) <= 2_100,
+                "bytes: " + retained * JsonPageBuilder.sizeOf(change));
     }
 }
--- a/control/src/test/java/ottergauge/control/log/IdempotencyCacheTest.java
+++ b/control/src/test/java/ottergauge/control/log/IdempotencyCacheTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import ottergauge.resources.FieldError;
 
-/** Retries of submissions under the same id. */
+/** Tests retries of submissions with the same id. */
 class IdempotencyCacheTest extends ChangeLogFixture {
 
     @Test
--- a/control/src/test/java/ottergauge/control/log/LogSnapshotCompatibilityTest.java
+++ b/control/src/test/java/ottergauge/control/log/LogSnapshotCompatibilityTest.java
@@ -20,8 +20,8 @@
 import ottergauge.resources.Subscription;
 
 /**
- * Holds the stored log and the pages on the wire to samples that were written by an earlier
- * version: version 1 of the stored form is read, and written back byte by byte.
+ * Checks that the stored log and the JSON pages match samples that an earlier version wrote.
+ * Version 1 of the stored form is read and then written back with identical bytes.
  */
 class LogSnapshotCompatibilityTest {
 
@@ -117,12 +117,13 @@
 
     @Test
     void changesPage_keepsItsJson() throws IOException, ProtocolException {
-        PollResponse answer =
+        PollResponse response =
                 sampleLog().changesAfter(new LogPosition("9f3c", 2), EVERYTHING, PAGE_BYTES);
         assertEquals(
                 new String(sample("changes.json"), UTF_8),
                 new String(
-                        assertInstanceOf(PollResponse.Changes.class, answer).page().json(), UTF_8));
+                        assertInstanceOf(PollResponse.Changes.class, response).page().json(),
+                        UTF_8));
     }
 
     @Test
--- a/control/src/test/java/ottergauge/control/log/LogSnapshotTest.java
+++ b/control/src/test/java/ottergauge/control/log/LogSnapshotTest.java
@@ -8,7 +8,7 @@
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ResourceKind;
 
-/** The stored form of a log. */
+/** Tests the stored form of a log. */
 class LogSnapshotTest extends ChangeLogFixture {
 
     @Test
@@ -18,15 +18,18 @@
         rejected(SubmissionBuilder.of("c").server("s-1", "none"));
         byte[] stored = log.capture().encode();
         for (int length = 0; length < stored.length; length++) {
-            byte[] cut = Arrays.copyOf(stored, length);
+            byte[] truncated = Arrays.copyOf(stored, length);
             assertThrows(
-                    ProtocolException.class, () -> ChangeLog.restore(cut, LogRetention.DEFAULT));
+                    ProtocolException.class,
+                    () -> ChangeLog.restore(truncated, LogRetention.DEFAULT));
         }
         byte[] longer = Arrays.copyOf(stored, stored.length + 1);
         assertThrows(
                 ProtocolException.class, () -> ChangeLog.restore(longer, LogRetention.DEFAULT));
-        byte[] later = stored.clone();
-        later[3]++;
-        assertThrows(ProtocolException.class, () -> ChangeLog.restore(later, LogRetention.DEFAULT));
+        byte[] laterFormat = stored.clone();
+        laterFormat[3]++;
+        assertThrows(
+                ProtocolException.class,
+                () -> ChangeLog.restore(laterFormat, LogRetention.DEFAULT));
     }
 }
--- a/control/src/test/java/ottergauge/control/log/PageJsonTest.java
+++ b/control/src/test/java/ottergauge/control/log/PageJsonTest.java
@@ -20,7 +20,7 @@
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.Subscription;
 
-/** Pages of changes and of the state: their JSON, order and size. */
+/** Tests the JSON, order and size of pages of changes and of the state. */
 class PageJsonTest extends ChangeLogFixture {
 
     @Test
@@ -33,8 +33,8 @@
                         .tenant("a/b.c_d", 1.5)
                         .settings("default", 20));
         accepted(SubmissionBuilder.of("b").delete(ResourceKind.SERVER, "s-1").service("checkout"));
-        PollResponse answer = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, ALL_BYTES);
-        EncodedChanges changes = assertInstanceOf(PollResponse.Changes.class, answer).page();
+        PollResponse response = log.changesAfter(new LogPosition(LOG, 0), EVERYTHING, ALL_BYTES);
+        EncodedChanges changes = assertInstanceOf(PollResponse.Changes.class, response).page();
         assertEquals(
                 new String(ResourceCodec.write(changes.page()), UTF_8),
                 new String(changes.json(), UTF_8));
@@ -57,9 +57,9 @@
         accepted(SubmissionBuilder.of("b").delete(ResourceKind.SERVER, "s".repeat(128)));
         for (StoredChange change : log.capture().changes()) {
             int bytes = new EncodedChanges(log.position(), List.of(change)).json().length;
-            int frame = new EncodedChanges(log.position(), List.of()).json().length;
+            int emptyPage = new EncodedChanges(log.position(), List.of()).json().length;
             assertTrue(
-                    JsonPageBuilder.sizeOf(change) >= bytes - frame,
+                    JsonPageBuilder.sizeOf(change) >= bytes - emptyPage,
                     change.version() + ": " + bytes);
         }
     }
--- a/control/src/test/java/ottergauge/control/log/SubmissionValidatorTest.java
+++ b/control/src/test/java/ottergauge/control/log/SubmissionValidatorTest.java
@@ -14,7 +14,7 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
-/** Which submissions the state admits. */
+/** Tests which submissions are valid for the current state. */
 class SubmissionValidatorTest extends ChangeLogFixture {
 
     @Test
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void faults_areLimitedToOneHundred() {
+    void errors_areLimitedToOneHundred() {
         SubmissionBuilder many = SubmissionBuilder.of("a");
         for (int i = 0; i < 150; i++) {
             many.server("s-" + i, "checkout");
@@ -117,12 +117,12 @@
 
     @Test
     void oversizedChange_isRejected() {
-        SubmissionBuilder long1 = SubmissionBuilder.of("a");
+        SubmissionBuilder oversized = SubmissionBuilder.of("a");
         String name = "t".repeat(120);
         for (int i = 0; i < 1_000; i++) {
-            long1.tenant(name + i, 1);
+            oversized.tenant(name + i, 1);
         }
-        assertEquals("262144 bytes of the change at most", rejected(long1).get(0).allowed());
+        assertEquals("262144 bytes of the change at most", rejected(oversized).get(0).allowed());
     }
 
     @Test
@@ -157,7 +157,7 @@
             changes++;
         }
         long bytes = 230L * (changes + 1) * (1_000 + JsonPageBuilder.ENTRY_OVERHEAD);
-        assertTrue(bytes > StateLimits.MAX_STATE_BYTES * 9 / 10, "refused after " + bytes);
+        assertTrue(bytes > StateLimits.MAX_STATE_BYTES * 9 / 10, "rejected after " + bytes);
         assertInstanceOf(
                 SubmissionOutcome.Accepted.class,
                 log.apply(services("shorter", 0, new ResourceValue.Service(""))));
--- a/control/src/test/java/ottergauge/control/program/ControlIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlIT.java
@@ -26,7 +26,7 @@
 import ottergauge.resources.SnapshotPage;
 import ottergauge.resources.VersionUnavailable;
 
-/** Polls, snapshots and submissions of the running jar, over loopback sockets. */
+/** Tests polls, snapshots and submissions against the packaged jar, over loopback sockets. */
 class ControlIT extends ControlITFixture {
 
     @Test
@@ -38,22 +38,22 @@
                                     .service("checkout")
                                     .service("search")
                                     .build());
-            long asked = System.nanoTime();
+            long startedNanos = System.nanoTime();
             CompletableFuture<HttpResponse<String>> waiting =
                     control.getLater(changes(begin, "&wait_ms=10000&services=checkout"));
             control.publish(SubmissionBuilder.of("b").server("s-1", "search").build());
             LogPosition second =
                     control.publish(SubmissionBuilder.of("c").server("s-2", "checkout").build());
             ChangePage page = page(waiting.get());
-            long tookMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - asked);
+            long elapsedMs = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startedNanos);
             assertEquals(List.of(second.version()), versions(page));
-            assertTrue(tookMs < 9_000, "answered when its time was over: " + tookMs);
+            assertTrue(elapsedMs < 9_000, "response only at the end of the wait: " + elapsedMs);
             assertEquals(List.of(), versions(page(control.get(changes(second, "")))));
         }
     }
 
     @Test
-    void subscriber_resumesByVersionOrStartsOver() throws Exception {
+    void subscriber_resumesByVersionOrHasToFetchASnapshot() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"kept_changes\":3")) {
             List<LogPosition> positions = new ArrayList<>();
             for (int i = 0; i < 6; i++) {
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void restart_beginsANewLog() throws Exception {
+    void restart_createsANewLog() throws Exception {
         int port = RunningControl.freePort();
         LogPosition before;
         try (RunningControl control = RunningControl.serving(folder, port, "")) {
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void pagesTakenDuringChangesPlusChanges_giveTheState() throws Exception {
+    void pagesReadDuringChangesPlusChanges_yieldTheState() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             SubmissionBuilder first = SubmissionBuilder.of("first").service("checkout");
             for (int i = 0; i < 300; i++) {
@@ -138,18 +138,18 @@
                                                 new Resource(
                                                         put.key(), change.version(), put.value())));
             }
-            SnapshotPage whole =
+            SnapshotPage complete =
                     ResourceCodec.readSnapshotPage(
                             control.get("/control/v1/snapshot?max_bytes=524288")
                                     .body()
                                     .getBytes(UTF_8));
-            assertEquals(Optional.empty(), whole.next());
-            assertEquals(whole.resources(), List.copyOf(copy.values()));
+            assertEquals(Optional.empty(), complete.next());
+            assertEquals(complete.resources(), List.copyOf(copy.values()));
         }
     }
 
     @Test
-    void submission_isAcceptedOnceAndAnInvalidOneNamesItsErrors() throws Exception {
+    void submission_isAcceptedOnceAndInvalidSubmissionNamesItsErrors() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             String tenant =
                     "{\"id\":\"x\",\"put\":[{\"kind\":\"tenant\",\"name\":\"gold\",\"value\":"
@@ -164,7 +164,7 @@
             FieldError error = ResourceCodec.readErrors(bad.body().getBytes(UTF_8)).get(0);
             assertEquals("put[0].value.requests_per_second", error.key());
             assertEquals("-3", error.value());
-            HttpResponse<String> unfit =
+            HttpResponse<String> unknownService =
                     control.post(
                             new String(
                                     ResourceCodec.write(
@@ -172,10 +172,10 @@
                                                     .server("s-1", "none")
                                                     .build()),
                                     UTF_8));
-            assertEquals(400, unfit.statusCode());
+            assertEquals(400, unknownService.statusCode());
             assertEquals(
                     "put[0].value.service",
-                    ResourceCodec.readErrors(unfit.body().getBytes(UTF_8)).get(0).key());
+                    ResourceCodec.readErrors(unknownService.body().getBytes(UTF_8)).get(0).key());
             assertEquals(1, control.position().version());
         }
     }
--- a/control/src/test/java/ottergauge/control/program/ControlITFixture.java
+++ b/control/src/test/java/ottergauge/control/program/ControlITFixture.java
@@ -20,7 +20,7 @@
 import ottergauge.resources.LogPosition;
 import ottergauge.resources.ResourceCodec;
 
-/** Paths, requests and assertions that the tests of the running jar share. */
+/** Paths, requests and assertions that the tests of the packaged jar share. */
 abstract class ControlITFixture {
 
     static final String CHANGES = "/control/v1/changes";
@@ -31,19 +31,19 @@
         return CHANGES + "?log=" + after.log() + "&after=" + after.version() + more;
     }
 
-    static ChangePage page(HttpResponse<String> answer) throws ProtocolException {
-        assertEquals(200, answer.statusCode(), answer.body());
-        return ResourceCodec.readChangePage(answer.body().getBytes(StandardCharsets.UTF_8));
+    static ChangePage page(HttpResponse<String> response) throws ProtocolException {
+        assertEquals(200, response.statusCode(), response.body());
+        return ResourceCodec.readChangePage(response.body().getBytes(StandardCharsets.UTF_8));
     }
 
     static List<Long> versions(ChangePage page) {
         return page.changes().stream().map(Change::version).toList();
     }
 
-    static void assertRejected(int status, String says, HttpResponse<String> answer) {
-        assertEquals(status, answer.statusCode(), answer.body());
-        assertTrue(answer.body().contains(says), answer.body());
-        assertFalse(answer.body().contains("\n"), answer.body());
+    static void assertRejected(int status, String expectedText, HttpResponse<String> response) {
+        assertEquals(status, response.statusCode(), response.body());
+        assertTrue(response.body().contains(expectedText), response.body());
+        assertFalse(response.body().contains("\n"), response.body());
     }
 
     static String raw(RunningControl control, String request) throws IOException {
@@ -58,7 +58,7 @@
         try {
             socket.getInputStream().transferTo(read);
         } catch (SocketException e) {
-            // A connection that is closed with something unread ends as a reset.
+            // A peer that closes a connection with unread data resets it.
         }
         return read.toString(StandardCharsets.ISO_8859_1);
     }
--- a/control/src/test/java/ottergauge/control/program/ControlLimitsIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlLimitsIT.java
@@ -19,7 +19,7 @@
 import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.resources.LogPosition;
 
-/** The limits of the running jar: polls, connections, idle and slow clients. */
+/** Tests the limits of the packaged jar: polls, connections, idle clients and slow clients. */
 class ControlLimitsIT extends ControlITFixture {
 
     @Test
@@ -85,16 +85,16 @@
                     raw(control, "GET /control/v1/status HTTP/1.1\r\n\r\n")
                             .startsWith("HTTP/1.1 200"));
             LogPosition at = control.position();
-            long asked = System.nanoTime();
+            long startedNanos = System.nanoTime();
             page(control.get(changes(at, "&wait_ms=2500")));
-            assertTrue(System.nanoTime() - asked >= TimeUnit.MILLISECONDS.toNanos(2_500));
+            assertTrue(System.nanoTime() - startedNanos >= TimeUnit.MILLISECONDS.toNanos(2_500));
         }
     }
 
     @Test
     void slowReader_isDisconnected() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"slow_reader_ms\":300")) {
-            publishMuch(control);
+            publishLargeState(control);
             try (Socket slow = new Socket()) {
                 slow.setReceiveBufferSize(4_096);
                 slow.connect(
@@ -107,7 +107,7 @@
                         "closed",
                         () -> {
                             try {
-                                // Writing to a connection that the other side has closed fails.
+                                // Writing to a connection fails after the other side has closed it.
                                 slow.getOutputStream().write("\r\n".getBytes(UTF_8));
                                 return false;
                             } catch (IOException e) {
@@ -122,23 +122,23 @@
     @Test
     void pipeliningWithoutReading_isBackpressured() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, ",\"slow_reader_ms\":60000")) {
-            publishMuch(control);
+            publishLargeState(control);
             String call = "GET /control/v1/snapshot?max_bytes=524288 HTTP/1.1\r\n\r\n";
             byte[] calls = call.repeat(1_000).getBytes(UTF_8);
-            long most = 64 << 20;
-            try (Socket flood = control.connect()) {
-                Thread writer = new Thread(() -> writeUpTo(flood, calls, most));
+            long maxBytes = 64 << 20;
+            try (Socket pipeliningClient = control.connect()) {
+                Thread writer = new Thread(() -> writeUpTo(pipeliningClient, calls, maxBytes));
                 writer.start();
-                // What is not read any more holds the writer up: this much doesn't fit into
-                // buffers.
+                // The writer blocks once the server stops reading, because this amount of data
+                // doesn't fit into the socket buffers.
                 writer.join(TimeUnit.SECONDS.toMillis(3));
-                assertTrue(writer.isAlive(), "all was read");
+                assertTrue(writer.isAlive(), "the server read everything");
                 assertEquals(200, control.get("/control/v1/status").statusCode());
             }
         }
     }
 
-    private static void publishMuch(RunningControl control) throws Exception {
+    private static void publishLargeState(RunningControl control) throws Exception {
         for (int change = 0; change < 8; change++) {
             SubmissionBuilder tenants = SubmissionBuilder.of("much-" + change);
             for (int i = 0; i < 500; i++) {
@@ -148,14 +148,14 @@
         }
     }
 
-    private static void writeUpTo(Socket socket, byte[] part, long most) {
+    private static void writeUpTo(Socket socket, byte[] part, long maxBytes) {
         try {
             OutputStream out = socket.getOutputStream();
-            for (long written = 0; written < most; written += part.length) {
+            for (long written = 0; written < maxBytes; written += part.length) {
                 out.write(part);
             }
         } catch (IOException e) {
-            // Closed at the end of the test.
+            // The test closes the socket when it ends.
         }
     }
 }
--- a/control/src/test/java/ottergauge/control/program/ControlProcessIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlProcessIT.java
@@ -14,7 +14,7 @@
 import ottergauge.control.log.SubmissionBuilder;
 import ottergauge.resources.LogPosition;
 
-/** Start, configuration and termination of the process. */
+/** Tests start, configuration and termination of the process. */
 class ControlProcessIT extends ControlITFixture {
 
     @Test
@@ -24,7 +24,7 @@
             CompletableFuture<HttpResponse<String>> waiting =
                     control.getLater(changes(at, "&wait_ms=10000&services=checkout&node=n1"));
             control.await(
-                    "heard",
+                    "reported by the node",
                     () -> {
                         try {
                             return control.get("/control/v1/status").body().contains("\"n1\"");
--- a/control/src/test/java/ottergauge/control/program/ControlRequestValidationIT.java
+++ b/control/src/test/java/ottergauge/control/program/ControlRequestValidationIT.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Invalid and malformed requests to the running jar. */
+/** Tests invalid and malformed requests to the packaged jar. */
 class ControlRequestValidationIT extends ControlITFixture {
 
     private static final String CRLF = "\r\n";
@@ -57,7 +57,7 @@
         assertTrue(response.contains(text), response);
     }
 
-    /** A request whose head has these lines, each ended by CR and LF. */
+    /** A request with this request line and these headers, each followed by CR and LF. */
     private static String request(String body, String... headLines) {
         return String.join(CRLF, headLines) + CRLF + CRLF + body;
     }
--- a/control/src/test/java/ottergauge/control/program/RunningControl.java
+++ b/control/src/test/java/ottergauge/control/program/RunningControl.java
@@ -31,7 +31,7 @@
 import ottergauge.resources.Submission;
 import ottergauge.settings.JsonTree;
 
-/** A process of the jar, with its output kept in a file. */
+/** A process that runs the packaged jar and writes its output to a file. */
 final class RunningControl implements AutoCloseable {
 
     private static final long TIMEOUT_S = 60;
@@ -51,7 +51,7 @@
         this.port = port;
     }
 
-    /** A port that is free at this moment. */
+    /** Returns a port that is currently free. */
     static int freePort() throws IOException {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return probe.getLocalPort();
@@ -59,7 +59,8 @@
     }
 
     /**
-     * Starts a control process that has these keys in its configuration beside name and address.
+     * Starts a control process and waits until it listens. Its configuration has these keys in
+     * addition to its name and address.
      */
     static RunningControl serving(Path folder, String moreKeys) throws Exception {
         return serving(folder, freePort(), moreKeys);
@@ -71,7 +72,7 @@
         return control;
     }
 
-    /** The same, without waiting until it listens. */
+    /** Starts a control process without waiting until it listens. */
     static RunningControl starting(Path folder, int port, String moreKeys) throws IOException {
         String config = "{\"name\":\"c1\",\"listen\":\"127.0.0.1:" + port + "\"" + moreKeys + "}";
         Path file =
@@ -80,7 +81,7 @@
         return start(folder, port, "serve", "--config", file.toString());
     }
 
-    /** Runs the program with these arguments. */
+    /** Starts the program with these arguments. */
     static RunningControl start(Path folder, int port, String... arguments) throws IOException {
         Path output = folder.resolve("output-" + START.incrementAndGet());
         List<String> command =
@@ -95,7 +96,7 @@
         return new RunningControl(process, output, port);
     }
 
-    /** Runs a tool to its end. */
+    /** Runs a tool and waits until it exits. */
     static RunningControl run(Path folder, String... arguments) throws Exception {
         RunningControl tool = start(folder, 0, arguments);
         tool.exitCode();
@@ -152,7 +153,7 @@
         return HTTP.send(request(path).GET().build(), BodyHandlers.ofString());
     }
 
-    /** A call that is answered later. */
+    /** Sends a request without waiting for the response. */
     CompletableFuture<HttpResponse<String>> getLater(String path) {
         return HTTP.sendAsync(request(path).GET().build(), BodyHandlers.ofString());
     }
@@ -168,12 +169,12 @@
                 .timeout(Duration.ofSeconds(TIMEOUT_S));
     }
 
-    /** Publishes and expects that it is accepted. */
+    /** Publishes a submission, which has to be accepted. */
     LogPosition publish(Submission submission)
             throws IOException, InterruptedException, ProtocolException {
-        HttpResponse<String> answer = post(new String(ResourceCodec.write(submission), UTF_8));
-        assertEquals(200, answer.statusCode(), answer.body());
-        return ResourceCodec.readPosition(answer.body().getBytes(UTF_8));
+        HttpResponse<String> response = post(new String(ResourceCodec.write(submission), UTF_8));
+        assertEquals(200, response.statusCode(), response.body());
+        return ResourceCodec.readPosition(response.body().getBytes(UTF_8));
     }
 
     LogPosition position() throws IOException, InterruptedException {
--- a/control/src/test/java/ottergauge/control/program/StubDiscovery.java
+++ b/control/src/test/java/ottergauge/control/program/StubDiscovery.java
@@ -20,7 +20,8 @@
 import ottergauge.protocol.EndpointList;
 
 /**
- * Stands in for discovery: tells its list whole, or what has changed after a version, once it has.
+ * A stub of discovery. Responds with the full list, or with the changes after a version as soon as
+ * there are any.
  */
 final class StubDiscovery implements AutoCloseable {
 
@@ -30,12 +31,12 @@
     private final ExecutorService threads = Executors.newCachedThreadPool();
     private final Map<String, DiscoveredEndpoint> hosts = new LinkedHashMap<>();
     private final Map<String, Long> versions = new LinkedHashMap<>();
-    private final List<DiscoveredEndpoint> gone = new ArrayList<>();
+    private final List<DiscoveredEndpoint> removed = new ArrayList<>();
     private long version = 100;
 
     StubDiscovery() throws IOException {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-        server.createContext("/registry/instances", this::answer);
+        server.createContext("/registry/instances", this::respond);
         server.setExecutor(threads);
         server.start();
     }
@@ -45,7 +46,7 @@
                 name, new Address("127.0.0.1", 4000), "zone-a", "std", 0, EndpointState.UP, 1, 0);
     }
 
-    static DiscoveredEndpoint gone(String name) {
+    static DiscoveredEndpoint removed(String name) {
         return new DiscoveredEndpoint(
                 name,
                 new Address("127.0.0.1", 4000),
@@ -61,13 +62,13 @@
         return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    synchronized void tell(DiscoveredEndpoint... changed) {
+    synchronized void update(DiscoveredEndpoint... changed) {
         version++;
         for (DiscoveredEndpoint host : changed) {
             versions.put(host.name(), version);
             if (host.state() == EndpointState.REMOVED) {
                 hosts.remove(host.name());
-                gone.add(host);
+                removed.add(host);
             } else {
                 hosts.put(host.name(), host);
             }
@@ -75,27 +76,27 @@
         notifyAll();
     }
 
-    /** Another discovery in its place, which counts from 1. */
-    synchronized void beginAnew(DiscoveredEndpoint... all) {
+    /** Simulates that another discovery process takes over, whose versions start at 1. */
+    synchronized void restart(DiscoveredEndpoint... all) {
         hosts.clear();
         versions.clear();
-        gone.clear();
+        removed.clear();
         version = 0;
-        tell(all);
+        update(all);
     }
 
-    private void answer(HttpExchange call) throws IOException {
+    private void respond(HttpExchange call) throws IOException {
         Matcher watch = AFTER.matcher(String.valueOf(call.getRequestURI().getQuery()));
         byte[] body =
                 watch.find()
                         ? changes(Long.parseLong(watch.group(1)), Long.parseLong(watch.group(2)))
-                        : whole();
+                        : fullList();
         call.sendResponseHeaders(200, body.length);
         call.getResponseBody().write(body);
         call.close();
     }
 
-    private synchronized byte[] whole() {
+    private synchronized byte[] fullList() {
         return new EndpointList(version, true, List.copyOf(hosts.values())).json();
     }
 
@@ -110,7 +111,7 @@
             }
         }
         List<DiscoveredEndpoint> changed = new ArrayList<>();
-        gone.stream().filter(host -> versions.get(host.name()) > after).forEach(changed::add);
+        removed.stream().filter(host -> versions.get(host.name()) > after).forEach(changed::add);
         hosts.values().stream()
                 .filter(host -> versions.get(host.name()) > after)
                 .forEach(changed::add);
--- a/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
+++ b/control/src/test/java/ottergauge/control/program/SubmissionFileTest.java
@@ -23,7 +23,7 @@
 import ottergauge.resources.ResourceValue;
 import ottergauge.resources.Submission;
 
-/** Files that are published, as one submission or in batches. */
+/** Tests files that are published as one submission or in batches. */
 class SubmissionFileTest {
 
     @TempDir private Path folder;
--- a/control/src/test/java/ottergauge/control/program/ToolsIT.java
+++ b/control/src/test/java/ottergauge/control/program/ToolsIT.java
@@ -18,7 +18,7 @@
 import ottergauge.resources.ResourceKind;
 import ottergauge.resources.Submission;
 
-/** The tools of the jar against a control process, over loopback sockets. */
+/** Tests the command-line tools against a control process, over loopback sockets. */
 class ToolsIT {
 
     @TempDir private Path folder;
@@ -29,14 +29,18 @@
     }
 
     @Test
-    void publishedTwice_isOneChange() throws Exception {
+    void filePublishedTwice_isOneChange() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            String nobody = "127.0.0.1:" + RunningControl.freePort();
+            String unreachable = "127.0.0.1:" + RunningControl.freePort();
             String file = file(SubmissionBuilder.of("a").service("checkout").build());
             for (int i = 0; i < 2; i++) {
                 RunningControl tool =
                         RunningControl.run(
-                                folder, "publish", "--to", nobody + "," + control.address(), file);
+                                folder,
+                                "publish",
+                                "--to",
+                                unreachable + "," + control.address(),
+                                file);
                 assertEquals(0, tool.exitCode(), tool.output());
                 assertTrue(tool.output().startsWith("a: version 1 of log "), tool.output());
             }
@@ -47,18 +51,18 @@
     @Test
     void invalidFile_isRejectedWithItsErrors() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
-            RunningControl refused =
+            RunningControl rejected =
                     RunningControl.run(
                             folder,
                             "publish",
                             "--to",
                             control.address(),
                             file(SubmissionBuilder.of("a").server("s-1", "none").build()));
-            assertEquals(1, refused.exitCode());
+            assertEquals(1, rejected.exitCode());
             assertTrue(
-                    refused.output()
+                    rejected.output()
                             .contains("put[0].value.service is a service that exists, not none"),
-                    refused.output());
+                    rejected.output());
         }
         RunningControl unknown =
                 RunningControl.run(
@@ -78,17 +82,17 @@
     }
 
     @Test
-    void longFile_isSplit() throws Exception {
+    void largeFile_isSplit() throws Exception {
         try (RunningControl control = RunningControl.serving(folder, "")) {
             SubmissionBuilder many = SubmissionBuilder.of("many").service("checkout");
             for (int i = 0; i < 1_200; i++) {
                 many.tenant("t-" + i, i);
             }
             String file = file(many.build());
-            RunningControl whole =
+            RunningControl complete =
                     RunningControl.run(folder, "publish", "--to", control.address(), file);
-            assertEquals(1, whole.exitCode());
-            assertTrue(whole.output().contains("1000 entries at most"), whole.output());
+            assertEquals(1, complete.exitCode());
+            assertTrue(complete.output().contains("1000 entries at most"), complete.output());
             RunningControl split =
                     RunningControl.run(
                             folder, "publish", "--split", "--to", control.address(), file);
@@ -149,7 +153,7 @@
                 }
             }
         } catch (Exception e) {
-            // Not reached now: asked again.
+            // The process can't be reached now; the caller tries again.
             return Set.of("none");
         }
         return names;
@@ -160,7 +164,7 @@
         int port = RunningControl.freePort();
         RunningControl first = RunningControl.serving(folder, port, "");
         try (StubDiscovery discovery = new StubDiscovery()) {
-            discovery.tell(
+            discovery.update(
                     StubDiscovery.up("s-1"), StubDiscovery.up("s-2"), StubDiscovery.up("bad name"));
             RunningControl tool =
                     RunningControl.start(
@@ -175,13 +179,15 @@
             try (tool) {
                 tool.await("imported", () -> servers(first).equals(Set.of("s-1", "s-2")));
                 tool.awaitOutput("skipped: name is");
-                discovery.tell(StubDiscovery.up("s-3"), StubDiscovery.gone("s-1"));
-                tool.await("followed", () -> servers(first).equals(Set.of("s-2", "s-3")));
-                discovery.beginAnew(StubDiscovery.up("s-3"), StubDiscovery.up("s-4"));
-                tool.await("followed anew", () -> servers(first).equals(Set.of("s-3", "s-4")));
+                discovery.update(StubDiscovery.up("s-3"), StubDiscovery.removed("s-1"));
+                tool.await("updated", () -> servers(first).equals(Set.of("s-2", "s-3")));
+                discovery.restart(StubDiscovery.up("s-3"), StubDiscovery.up("s-4"));
+                tool.await(
+                        "updated after the restart of discovery",
+                        () -> servers(first).equals(Set.of("s-3", "s-4")));
                 first.publish(
                         SubmissionBuilder.of("by-hand").delete(ResourceKind.SERVER, "s-4").build());
-                tool.await("put right", () -> servers(first).equals(Set.of("s-3", "s-4")));
+                tool.await("restored", () -> servers(first).equals(Set.of("s-3", "s-4")));
                 first.kill();
                 try (RunningControl second = RunningControl.serving(folder, port, "")) {
                     tool.await(
--- a/control/src/test/java/ottergauge/control/server/ErrorJsonTest.java
+++ b/control/src/test/java/ottergauge/control/server/ErrorJsonTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The JSON of errors, byte by byte. */
+/** Tests the exact JSON of errors. */
 class ErrorJsonTest {
 
     @Test
--- a/control/src/test/java/ottergauge/control/server/FakeTimers.java
+++ b/control/src/test/java/ottergauge/control/server/FakeTimers.java
@@ -6,25 +6,25 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Timers on a clock that a test advances. */
+/** Timers that run on a clock that the test advances. */
 final class FakeTimers implements Timers {
 
-    private record Due(long timer, long atMs, Runnable task) {}
+    private record PendingTimer(long timer, long atMs, Runnable task) {}
 
-    private final Map<Long, Due> running = new HashMap<>();
+    private final Map<Long, PendingTimer> pendingTimers = new HashMap<>();
     private long nowMs = 1_000;
     private long last;
 
     @Override
     public long start(long delayMs, Runnable task) {
         last++;
-        running.put(last, new Due(last, nowMs + Math.max(1, delayMs), task));
+        pendingTimers.put(last, new PendingTimer(last, nowMs + Math.max(1, delayMs), task));
         return last;
     }
 
     @Override
     public void cancel(long timer) {
-        running.remove(timer);
+        pendingTimers.remove(timer);
     }
 
     long nowMs() {
@@ -36,15 +36,15 @@
     }
 
     int count() {
-        return running.size();
+        return pendingTimers.size();
     }
 
-    /** Advances the clock and runs the due timers in order. */
+    /** Advances the clock and runs the timers that become due, in order. */
     void advance(long ms) {
         long until = nowMs + ms;
-        Optional<Due> next = next(until);
+        Optional<PendingTimer> next = next(until);
         while (next.isPresent()) {
-            running.remove(next.get().timer());
+            pendingTimers.remove(next.get().timer());
             nowMs = Math.max(nowMs, next.get().atMs());
             next.get().task().run();
             next = next(until);
@@ -52,9 +52,9 @@
         nowMs = until;
     }
 
-    private Optional<Due> next(long untilMs) {
-        return running.values().stream()
-                .filter(due -> due.atMs() <= untilMs)
-                .min(Comparator.comparing(Due::atMs).thenComparing(Due::timer));
+    private Optional<PendingTimer> next(long untilMs) {
+        return pendingTimers.values().stream()
+                .filter(pendingTimer -> pendingTimer.atMs() <= untilMs)
+                .min(Comparator.comparing(PendingTimer::atMs).thenComparing(PendingTimer::timer));
     }
 }
--- a/control/src/test/java/ottergauge/control/server/PendingPollsTest.java
+++ b/control/src/test/java/ottergauge/control/server/PendingPollsTest.java
@@ -21,7 +21,7 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
-/** Long polls for changes, on a fake clock. */
+/** Tests long polls for changes with a fake clock. */
 class PendingPollsTest {
 
     private static final String LOG = "a1";
@@ -77,12 +77,12 @@
     }
 
     @Test
-    void change_completesThePollsThatFollowIt() throws ProtocolException {
+    void change_completesThePollsThatMatchIt() throws ProtocolException {
         RecordingResponder checkout = poll(1, 10_000, "checkout");
         RecordingResponder search = poll(1, 10_000, "search");
         RecordingResponder all = poll(1, 10_000);
         log.apply(SubmissionBuilder.of("a").server("s-1", "search").build());
-        assertFalse(checkout.isAnswered());
+        assertFalse(checkout.hasResponse());
         assertEquals(List.of(2L), versions(search));
         assertEquals(List.of(2L), versions(all));
         log.apply(SubmissionBuilder.of("b").tenant("gold", 1).build());
@@ -96,7 +96,7 @@
         RecordingResponder checkout = poll(1, 5_000, "checkout");
         log.apply(SubmissionBuilder.of("a").server("s-1", "search").build());
         timers.advance(4_999);
-        assertFalse(checkout.isAnswered());
+        assertFalse(checkout.hasResponse());
         timers.advance(1);
         assertEquals(List.of(), versions(checkout));
         assertEquals(2, page(checkout).upTo().version());
@@ -104,12 +104,12 @@
     }
 
     @Test
-    void pendingPoll_skipsChangesThatItDoesNotFollow() throws ProtocolException {
+    void pendingPoll_skipsChangesThatDoNotMatch() throws ProtocolException {
         RecordingResponder checkout = poll(1, 10_000, "checkout");
         for (int i = 0; i < 20; i++) {
             log.apply(SubmissionBuilder.of("id-" + i).server("s-1", "search", i).build());
         }
-        assertFalse(checkout.isAnswered());
+        assertFalse(checkout.hasResponse());
         log.apply(SubmissionBuilder.of("last").server("s-2", "checkout").build());
         assertEquals(List.of(22L), versions(checkout));
     }
@@ -121,20 +121,20 @@
         RecordingResponder tooMany = poll(1, 10_000);
         assertEquals(HttpStatus.UNAVAILABLE, tooMany.status);
         assertEquals("{\"error\":\"busy\"}", tooMany.text());
-        waiting.get(0).leave();
-        assertFalse(poll(1, 10_000).isAnswered());
+        waiting.get(0).disconnect();
+        assertFalse(poll(1, 10_000).hasResponse());
         assertEquals(List.of(1L), versions(poll(0, 10_000)));
         assertEquals(MAX_PENDING, polls.count());
     }
 
     @Test
     void disconnectedClient_isRemoved() {
-        RecordingResponder gone = poll(1, 10_000);
-        gone.leave();
+        RecordingResponder disconnected = poll(1, 10_000);
+        disconnected.disconnect();
         assertEquals(0, polls.count());
         assertEquals(0, timers.count());
         log.apply(SubmissionBuilder.of("a").tenant("gold", 1).build());
-        assertFalse(gone.isAnswered());
+        assertFalse(disconnected.hasResponse());
     }
 
     @Test
@@ -154,11 +154,11 @@
     }
 
     @Test
-    void clientAhead_waitsForTheReplicaToCatchUp() throws ProtocolException {
+    void clientAhead_waitsForTheProcessToCatchUp() throws ProtocolException {
         RecordingResponder ahead = poll(3, 10_000);
         log.apply(SubmissionBuilder.of("a").tenant("gold", 1).build());
         log.apply(SubmissionBuilder.of("b").tenant("gold", 2).build());
-        assertFalse(ahead.isAnswered());
+        assertFalse(ahead.hasResponse());
         log.apply(SubmissionBuilder.of("c").tenant("gold", 3).build());
         assertEquals(List.of(4L), versions(ahead));
     }
@@ -167,7 +167,7 @@
     void clientThatStaysAhead_isRejectedAsBehind() {
         RecordingResponder ahead = poll(3, 10_000);
         timers.advance(999);
-        assertFalse(ahead.isAnswered());
+        assertFalse(ahead.hasResponse());
         timers.advance(1);
         assertEquals(HttpStatus.UNAVAILABLE, ahead.status);
         assertEquals("{\"error\":\"behind\"}", ahead.text());
@@ -189,7 +189,7 @@
         polls.stop();
         assertEquals(List.of(), versions(waiting));
         assertTrue(waiting.closesConnection);
-        assertTrue(poll(1, 10_000).isAnswered());
+        assertTrue(poll(1, 10_000).hasResponse());
         assertEquals(0, timers.count());
     }
 }
--- a/control/src/test/java/ottergauge/control/server/RateLimitedLoggerTest.java
+++ b/control/src/test/java/ottergauge/control/server/RateLimitedLoggerTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Warnings are bounded by the second. */
+/** Tests the limit of warnings per second. */
 class RateLimitedLoggerTest {
 
     @Test
--- a/control/src/test/java/ottergauge/control/server/RecordingResponder.java
+++ b/control/src/test/java/ottergauge/control/server/RecordingResponder.java
@@ -5,18 +5,18 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Records the response. */
+/** A responder that records the response. */
 final class RecordingResponder implements Responder {
 
     int status;
     byte[] body;
     boolean closesConnection;
-    private Runnable gone = () -> {};
+    private Runnable disconnected = () -> {};
 
     @Override
-    public void respond(int answered, byte[] json) {
-        assertEquals(0, status, "answered twice");
-        status = answered;
+    public void respond(int responseStatus, byte[] json) {
+        assertEquals(0, status, "more than one response");
+        status = responseStatus;
         body = json;
     }
 
@@ -28,15 +28,15 @@
 
     @Override
     public void onDisconnect(Runnable handler) {
-        gone = handler;
+        disconnected = handler;
     }
 
-    /** The client closes its connection. */
-    void leave() {
-        gone.run();
+    /** Simulates that the client closes its connection. */
+    void disconnect() {
+        disconnected.run();
     }
 
-    boolean isAnswered() {
+    boolean hasResponse() {
         return status != 0;
     }
 
--- a/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
+++ b/control/src/test/java/ottergauge/control/server/SnapshotQueueTest.java
@@ -19,7 +19,7 @@
 import ottergauge.resources.Subscription;
 import ottergauge.resources.VersionUnavailable;
 
-/** Pages of snapshots at a paced rate, on a fake clock. */
+/** Tests the rate limit of snapshot pages with a fake clock. */
 class SnapshotQueueTest {
 
     private static final int PAGE_BYTES = 10_000;
@@ -51,7 +51,7 @@
         return responder;
     }
 
-    private List<RecordingResponder> requestOften(int calls) {
+    private List<RecordingResponder> requestRepeatedly(int calls) {
         List<RecordingResponder> responders = new ArrayList<>();
         for (int i = 0; i < calls; i++) {
             responders.add(request(Optional.empty()));
@@ -59,8 +59,8 @@
         return responders;
     }
 
-    private static long answered(List<RecordingResponder> responders) {
-        return responders.stream().filter(RecordingResponder::isAnswered).count();
+    private static long respondedCount(List<RecordingResponder> responders) {
+        return responders.stream().filter(RecordingResponder::hasResponse).count();
     }
 
     @Test
@@ -72,31 +72,35 @@
 
     @Test
     void pages_stayWithinTheRate() {
-        List<RecordingResponder> responders = requestOften(100);
-        long begun = timers.nowMs();
-        while (answered(responders) < 100) {
+        List<RecordingResponder> responders = requestRepeatedly(100);
+        long startedAtMs = timers.nowMs();
+        while (respondedCount(responders) < 100) {
             timers.advance(7);
             long bytes =
                     responders.stream()
-                            .filter(RecordingResponder::isAnswered)
+                            .filter(RecordingResponder::hasResponse)
                             .mapToLong(each -> each.body.length)
                             .sum();
-            long allowed = (timers.nowMs() - begun) * BYTES_PER_SECOND / 1_000 + 4 * PAGE_BYTES;
+            long allowed =
+                    (timers.nowMs() - startedAtMs) * BYTES_PER_SECOND / 1_000 + 4 * PAGE_BYTES;
             assertTrue(bytes <= allowed, bytes + " bytes of " + allowed);
         }
-        long tookMs = timers.nowMs() - begun;
+        long elapsedMs = timers.nowMs() - startedAtMs;
         long bytes = responders.stream().mapToLong(each -> each.body.length).sum();
-        long neededMs = bytes * 1_000 / BYTES_PER_SECOND;
-        assertTrue(Math.abs(tookMs - neededMs) < 300, "took " + tookMs + " instead of " + neededMs);
+        long expectedMs = bytes * 1_000 / BYTES_PER_SECOND;
+        assertTrue(
+                Math.abs(elapsedMs - expectedMs) < 300,
+                "took " + elapsedMs + " instead of " + expectedMs);
     }
 
     @Test
     void requests_areServedInOrder() {
-        List<RecordingResponder> responders = requestOften(20);
-        while (answered(responders) < 20) {
+        List<RecordingResponder> responders = requestRepeatedly(20);
+        while (respondedCount(responders) < 20) {
             timers.advance(1);
-            long answered = answered(responders);
-            assertEquals(answered, answered(responders.subList(0, (int) answered)));
+            long respondedCount = respondedCount(responders);
+            assertEquals(
+                    respondedCount, respondedCount(responders.subList(0, (int) respondedCount)));
         }
         assertEquals(0, queue.length());
     }
@@ -104,12 +108,12 @@
     @Test
     void idleTime_isNotAccumulated() {
         timers.advance(60_000);
-        assertTrue(answered(requestOften(50)) <= 3);
+        assertTrue(respondedCount(requestRepeatedly(50)) <= 3);
     }
 
     @Test
     void page_isReadWhenItIsWritten() throws ProtocolException {
-        List<RecordingResponder> responders = requestOften(10);
+        List<RecordingResponder> responders = requestRepeatedly(10);
         log.apply(SubmissionBuilder.of("later").tenant("t-0", 7).build());
         timers.advance(5_000);
         assertEquals(1, ResourceCodec.readSnapshotPage(responders.get(0).body).at().version());
@@ -118,11 +122,11 @@
 
     @Test
     void disconnectedClient_isRemovedFromTheQueue() {
-        List<RecordingResponder> responders = requestOften(100);
-        responders.subList(5, 99).forEach(RecordingResponder::leave);
+        List<RecordingResponder> responders = requestRepeatedly(100);
+        responders.subList(5, 99).forEach(RecordingResponder::disconnect);
         timers.advance(1_000);
-        assertTrue(responders.get(99).isAnswered());
-        assertFalse(responders.get(50).isAnswered());
+        assertTrue(responders.get(99).hasResponse());
+        assertFalse(responders.get(50).hasResponse());
     }
 
     @Test
@@ -136,11 +140,11 @@
 
     @Test
     void stop_rejectsQueuedRequests() {
-        List<RecordingResponder> responders = requestOften(10);
-        long before = answered(responders);
+        List<RecordingResponder> responders = requestRepeatedly(10);
+        long before = respondedCount(responders);
         queue.stop();
         assertTrue(before < 10);
-        assertEquals(10, answered(responders));
+        assertEquals(10, respondedCount(responders));
         assertEquals("{\"error\":\"stopping\"}", responders.get(9).text());
         assertTrue(responders.get(9).closesConnection);
         assertEquals(HttpStatus.UNAVAILABLE, request(Optional.empty()).status);
--- a/control/src/test/java/ottergauge/control/server/StatusJsonTest.java
+++ b/control/src/test/java/ottergauge/control/server/StatusJsonTest.java
@@ -10,7 +10,7 @@
 import ottergauge.control.consensus.Role;
 import ottergauge.resources.LogPosition;
 
-/** The JSON of the status call, byte by byte. */
+/** Tests the exact JSON of the status call. */
 class StatusJsonTest {
 
     private static final long NOW_MS = 10_000;
