--- a/src/test/java/ottergauge/replica/EffectiveStateChecker.java
+++ b/src/test/java/ottergauge/replica/EffectiveStateChecker.java
@@ -33,7 +33,7 @@
      * @param exact whether each state has to equal the state of the log, because no change is
      *     rejected
      * @param restoresOther whether the stored state has another subscription or an unknown log
-     * @param journal the events so far, for failure messages
+     * @param eventLog the events so far, for failure messages
      */
     EffectiveStateChecker(
             Map<String, ModelLog> logs,
--- a/src/test/java/ottergauge/replica/ModelControlProcess.java
+++ b/src/test/java/ottergauge/replica/ModelControlProcess.java
@@ -68,9 +68,9 @@
         return log;
     }
 
-    void receiveChanges(ModelLog of, long version) {
-        if (of != log) {
-            log = of;
+    void receiveChanges(ModelLog newestLog, long version) {
+        if (newestLog != log) {
+            log = newestLog;
             reached = 0;
         }
         reached = Math.max(reached, version);
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -92,7 +92,7 @@
                 .as(
                         (windows,
                                 at,
-                                drawnStalls,
+                                stallList,
                                 newLog,
                                 clockSetBack,
                                 subscription,
@@ -102,7 +102,7 @@
                                         windows,
                                         at.get(0),
                                         at.get(1),
-                                        drawnStalls,
+                                        stallList,
                                         newLog,
                                         clockSetBack,
                                         subscription,
--- a/src/test/java/ottergauge/replica/ReplicaSimulation.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -115,7 +115,8 @@
     /**
      * Runs the simulation.
      *
-     * @param goodFrom the time from which the network no longer loses and duplicates messages
+     * @param networkReliableFrom the time from which the network no longer loses and duplicates
+     *     messages
      * @param stored the state from which the node starts
      */
     void run(long length, long networkReliableFrom, Optional<StoredState> stored) {
--- a/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
@@ -18,8 +18,8 @@
 import ottergauge.settings.SettingsReader;
 
 /**
- * Written messages are read back unchanged. Invalid bytes are either read or rejected with a {@link
- * ProtocolException}.
+ * Written messages are read back unchanged. Arbitrary or corrupted bytes are either read or
+ * rejected with a {@link ProtocolException}.
  */
 class ResourceCodecPropertyTest {
 
@@ -130,7 +130,7 @@
     }
 
     @Provide
-    Arbitrary<byte[]> invalidBytes() {
+    Arbitrary<byte[]> arbitraryBytes() {
         Arbitrary<byte[]> bytes = Arbitraries.bytes().array(byte[].class).ofMaxSize(400);
         Arbitrary<String> pieces =
                 Arbitraries.of(
@@ -171,7 +171,7 @@
     }
 
     @Property(tries = 5000, seed = "57")
-    void invalidBytes_areReadOrRejected(@ForAll("invalidBytes") byte[] body) {
+    void arbitraryBytes_areReadOrRejected(@ForAll("arbitraryBytes") byte[] body) {
         assertReadOrRejected(body, ResourceCodec::readChangePage);
         assertReadOrRejected(body, ResourceCodec::readSnapshotPage);
         assertReadOrRejected(body, ResourceCodec::readSubmission);
