--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -92,7 +92,7 @@
                 .as(
                         (windows,
                                 at,
-                                drawnStalls,
+                                stallList,
                                 newLog,
                                 clockSetBack,
                                 subscription,
@@ -102,7 +102,7 @@
                                         windows,
                                         at.get(0),
                                         at.get(1),
-                                        drawnStalls,
+                                        stallList,
                                         newLog,
                                         clockSetBack,
                                         subscription,
@@ -335,7 +335,12 @@
                                 && at
                                         <= recoveredAt
                                                 + ReplicaSimulation.PROPAGATION_DEADLINE_MICROS),
-                "healed at " + recoveredAt + ", effective at " + at + ": " + simulation.eventLog);
+                "recovered at "
+                        + recoveredAt
+                        + ", effective at "
+                        + at
+                        + ": "
+                        + simulation.eventLog);
     }
 
     @Property(tries = 1000, seed = "66")
