--- a/lab/src/main/java/ottergauge/lab/program/RunCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/RunCommand.java
@@ -54,7 +54,7 @@
             description = "Where the nodes' logs are kept; a temporary folder" + " unless given.")
     private Path logs;
 
-    @Option(names = "--json", description = "Where the report for programs is written.")
+    @Option(names = "--json", description = "Where the report is written as JSON.")
     private Path json;
 
     @Option(names = "--seconds", description = "Print the counts of each second too.")
--- a/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
@@ -48,7 +48,7 @@
                     "Where configurations and logs are kept; a temporary folder" + " unless given.")
     private Path logs;
 
-    @Option(names = "--json", description = "Where the report for programs is written.")
+    @Option(names = "--json", description = "Where the report is written as JSON.")
     private Path json;
 
     @Spec private CommandSpec spec;
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -36,8 +36,8 @@
     }
 
     // At most 1% of the laboratory's tasks may run later than this, in microseconds.
-    private static final long LATE_P99 = 20_000;
-    private static final int SHOWN = 10;
+    private static final long MAX_LATE_P99 = 20_000;
+    private static final int MAX_SHOWN_VIOLATIONS = 10;
     private static final double MS = 1_000;
     private static final double SECOND = 1e6;
 
@@ -56,7 +56,7 @@
 
     /** Returns the verdict; {@code RIG_LATE} takes precedence over a broken rule. */
     public Verdict verdict() {
-        return result.lateP99() > LATE_P99
+        return result.lateP99() > MAX_LATE_P99
                 ? Verdict.RIG_LATE
                 : violations.isEmpty() ? Verdict.KEPT : Verdict.BROKEN;
     }
@@ -178,7 +178,7 @@
             violations.forEach(each -> counts.merge(each.rule(), 1, Integer::sum));
             out.println("RULES BROKEN: " + counts);
             violations.stream()
-                    .limit(SHOWN)
+                    .limit(MAX_SHOWN_VIOLATIONS)
                     .forEach(
                             each ->
                                     out.printf(
