--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -100,7 +100,7 @@
         return this;
     }
 
-    /** Makes settings that do not allow to cancel attempts. */
+    /** Makes settings that do not allow the cancellation of attempts. */
     public TestConfig withoutCancellation() {
         cancel = false;
         return this;
--- a/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Guards against dropping a change that is due because the poll it answers has timed out
-     * meanwhile.
+     * Guards against dropping a change at its propagation deadline because its answer belongs to a
+     * poll that has timed out.
      */
     @Test
     void lateAnswerOfASilentWatch_isAcceptedUntilTheNextAnswer() {
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Guards against dropping a change that is due: it may be in the answer to a poll that has
-     * timed out.
+     * Guards against dropping a change at its propagation deadline: the answer to a poll that has
+     * timed out may contain it.
      */
     @Test
     void answerToATimedOutFirstPoll_isAcceptedDuringTheBackoff() {
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -218,8 +218,8 @@
     // ---- Settings of servers and connections ----
 
     /**
-     * Guards against an effect in two zones: in the new order of zones, the index of one zone had
-     * been that of the other.
+     * Guards against a request that takes effect in two zones: in the new order of zones, one zone
+     * had the index that the other had before.
      */
     @ParameterizedTest
     @MethodSource("sources")
