--- a/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import ottergauge.lab.run.RunException;
-import ottergauge.lab.scale.play.ScalePlay;
+import ottergauge.lab.scale.run.ScaleRun;
 import ottergauge.lab.scale.report.ScaleReport;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 import ottergauge.lab.scale.scenario.ScaleScenarioReader;
@@ -67,8 +67,8 @@
         Path folder =
                 logs == null ? Files.createTempDirectory("scale") : Files.createDirectories(logs);
         try {
-            ScalePlay play =
-                    new ScalePlay(
+            ScaleRun play =
+                    new ScaleRun(
                             scenario,
                             root.toAbsolutePath(),
                             RunCommand.runLine(root),
--- a/lab/src/main/java/ottergauge/lab/scale/play/Told.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.play;
+package ottergauge.lab.scale.run;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
 import ottergauge.lab.scale.process.LoopLooks;
 
 /** Notes what the processes of a play tell, each in its own words. */
-final class Told {
+final class EventRecorder {
 
     private static final long MICROS_A_MS = 1_000;
 
@@ -21,7 +21,7 @@
     private volatile int firstLate;
 
     /** {@code ready} is told which process has said that it is. */
-    Told(Observations seen, Consumer<String> ready) {
+    EventRecorder(Observations seen, Consumer<String> ready) {
         this.seen = seen;
         this.ready = ready;
     }
--- a/lab/src/main/java/ottergauge/lab/scale/play/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/Fleet.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.play;
+package ottergauge.lab.scale.run;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -47,7 +47,7 @@
     private final List<String> realNodes = new ArrayList<>();
     private final Map<String, String> regionOf = new LinkedHashMap<>();
     private final Map<String, CountDownLatch> ready = new LinkedHashMap<>();
-    private final Told told;
+    private final EventRecorder told;
 
     Fleet(
             ScaleScenario scenario,
@@ -61,7 +61,7 @@
         this.folder = Files.createDirectories(folder);
         this.addresses = addresses;
         this.seen = seen;
-        told = new Told(seen, this::isReady);
+        told = new EventRecorder(seen, this::isReady);
         placeNodes();
         prepareDiscovery();
         prepareLinks();
--- a/lab/src/main/java/ottergauge/lab/scale/play/PhasePlayer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/PhaseRunner.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.play;
+package ottergauge.lab.scale.run;
 
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import java.io.IOException;
@@ -20,7 +20,7 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.What;
 
 /** Has the things of a phase happen at their times. */
-final class PhasePlayer {
+final class PhaseRunner {
 
     private static final double MICROS_A_SECOND = 1e6;
 
@@ -40,7 +40,7 @@
     /** The version that the list has once all that was ordered is done. */
     private volatile long expected;
 
-    PhasePlayer(
+    PhaseRunner(
             Loop loop,
             Fleet fleet,
             ServerList list,
--- a/lab/src/main/java/ottergauge/lab/scale/play/ScaleAddresses.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ScaleAddresses.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.play;
+package ottergauge.lab.scale.run;
 
 import ottergauge.lab.net.LoopbackAddresses;
 
--- a/lab/src/main/java/ottergauge/lab/scale/play/ScalePlay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.play;
+package ottergauge.lab.scale.run;
 
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -23,7 +23,7 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.What;
 
 /** Plays a scale test from beginning to end, phase by phase, and leaves nothing running. */
-public final class ScalePlay {
+public final class ScaleRun {
 
     private static final long FIRST_VERSION = 1_000;
     private static final long LOOK_EVERY_MS = 50;
@@ -45,7 +45,7 @@
      * {@code root} is the folder of the program under test, {@code run} the line that starts a real
      * node, and {@code folder} keeps configurations and logs.
      */
-    public ScalePlay(ScaleScenario scenario, Path root, String run, Path folder) {
+    public ScaleRun(ScaleScenario scenario, Path root, String run, Path folder) {
         this.scenario = scenario;
         this.root = root;
         this.run = run;
@@ -66,7 +66,7 @@
                                 new ScaleAddresses(LoopbackAddresses.of(lock)),
                                 seen)) {
             ServerList list = new ServerList(scenario);
-            PhasePlayer player = new PhasePlayer(loop, fleet, list, seen, scenario, FIRST_VERSION);
+            PhaseRunner player = new PhaseRunner(loop, fleet, list, seen, scenario, FIRST_VERSION);
             onLoop(loop, loop::begin);
             fleet.startDiscovery(FIRST_VERSION, list.whole());
             fleet.startLinks();
@@ -104,7 +104,7 @@
                 });
     }
 
-    private PhaseFigures start(Fleet fleet, ServerList list, PhasePlayer player)
+    private PhaseFigures start(Fleet fleet, ServerList list, PhaseRunner player)
             throws IOException, InterruptedException, RunException {
         long from = Reporter.wallMicros();
         Phase phase =
@@ -123,7 +123,7 @@
     }
 
     private PhaseFigures play(
-            Loop loop, Fleet fleet, ServerList list, PhasePlayer player, Phase phase)
+            Loop loop, Fleet fleet, ServerList list, PhaseRunner player, Phase phase)
             throws InterruptedException, RunException {
         long from = Reporter.wallMicros();
         onLoop(loop, () -> player.begin(phase));
@@ -133,7 +133,7 @@
 
     // Waits until all go by the newest version, or until the time for that is over.
     private PhaseFigures end(
-            Fleet fleet, ServerList list, PhasePlayer player, Phase phase, long from)
+            Fleet fleet, ServerList list, PhaseRunner player, Phase phase, long from)
             throws InterruptedException, RunException {
         long most =
                 Reporter.wallMicros()
@@ -161,7 +161,7 @@
                         until,
                         fleet.hollow(),
                         fleet.real(),
-                        PhasePlayer.beginsAnew(phase),
+                        PhaseRunner.beginsAnew(phase),
                         excused,
                         list.digest()));
     }
@@ -173,7 +173,7 @@
     }
 
     // Looks after the processes meanwhile.
-    private void await(Fleet fleet, PhasePlayer player, long until, BooleanSupplier over)
+    private void await(Fleet fleet, PhaseRunner player, long until, BooleanSupplier over)
             throws InterruptedException, RunException {
         while (Reporter.wallMicros() < until && !over.getAsBoolean()) {
             String ended = fleet.ended(player.away());
--- a/lab/src/main/java/ottergauge/lab/scale/play/package-info.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/package-info.java
@@ -3,4 +3,4 @@
  * Plays a scale test: starts its processes, has things happen at their times, waits, and ends it
  * all.
  */
-package ottergauge.lab.scale.play;
+package ottergauge.lab.scale.run;
--- a/lab/src/test/java/ottergauge/lab/scale/ScaleIT.java
+++ b/lab/src/test/java/ottergauge/lab/scale/ScaleIT.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import ottergauge.lab.scale.figures.PhaseFigures;
-import ottergauge.lab.scale.play.ScalePlay;
+import ottergauge.lab.scale.run.ScaleRun;
 import ottergauge.lab.scale.report.ScaleReport;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 import ottergauge.lab.scale.scenario.ScaleScenarioReader;
@@ -43,7 +43,7 @@
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
                         .matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
         assertTrue(run.find());
-        List<PhaseFigures> figures = new ScalePlay(scenario, ROOT, run.group(1), folder).run();
+        List<PhaseFigures> figures = new ScaleRun(scenario, ROOT, run.group(1), folder).run();
         StringWriter printed = new StringWriter();
         new ScaleReport(scenario, figures).print(new PrintWriter(printed));
         text = printed.toString();
--- a/lab/src/test/java/ottergauge/lab/scale/play/ServerListTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/run/ServerListTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.play;
+package ottergauge.lab.scale.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
