--- a/lab/src/main/java/ottergauge/lab/scale/report/ScaleReport.java
+++ b/lab/src/main/java/ottergauge/lab/scale/report/ScaleReport.java
@@ -11,10 +11,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
-import ottergauge.lab.scale.figures.Observations;
-import ottergauge.lab.scale.figures.PhaseFigures;
-import ottergauge.lab.scale.figures.PhaseFigures.Verdict;
-import ottergauge.lab.scale.figures.Spread;
+import ottergauge.lab.scale.statistics.Observations;
+import ottergauge.lab.scale.statistics.PhaseStatistics;
+import ottergauge.lab.scale.statistics.PhaseStatistics.Verdict;
+import ottergauge.lab.scale.statistics.Distribution;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 
 /** What a scale test came to. A phase in which the rig was late has a verdict and no figures. */
@@ -26,9 +26,9 @@
     private static final double PERCENT = 100;
 
     private final ScaleScenario scenario;
-    private final List<PhaseFigures> phases;
+    private final List<PhaseStatistics> phases;
 
-    public ScaleReport(ScaleScenario scenario, List<PhaseFigures> phases) {
+    public ScaleReport(ScaleScenario scenario, List<PhaseStatistics> phases) {
         this.scenario = scenario;
         this.phases = phases;
     }
@@ -59,7 +59,7 @@
         out.flush();
     }
 
-    private void print(PrintWriter out, PhaseFigures f) {
+    private void print(PrintWriter out, PhaseStatistics f) {
         out.printf(
                 Locale.ROOT,
                 "%n%s: %.1f s, %d changes%s: %s%n",
@@ -145,25 +145,25 @@
         }
     }
 
-    private static double seconds(PhaseFigures f) {
+    private static double seconds(PhaseStatistics f) {
         return (f.window().until() - f.window().from()) / S;
     }
 
-    private static double playCores(PhaseFigures f) {
+    private static double playCores(PhaseStatistics f) {
         return f.cores().entrySet().stream()
                 .filter(each -> !each.getKey().equals(Observations.MACHINE))
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
     }
 
-    private static double hollowCores(PhaseFigures f) {
+    private static double hollowCores(PhaseStatistics f) {
         return f.cores().entrySet().stream()
                 .filter(each -> each.getKey().startsWith("hollow-"))
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
     }
 
-    private static void spread(PrintWriter out, String name, Spread spread) {
+    private static void spread(PrintWriter out, String name, Distribution spread) {
         if (spread.count() > 0) {
             out.printf(
                     Locale.ROOT,
@@ -201,7 +201,7 @@
         return new ObjectMapper().writerWithDefaultPrettyPrinter().writeValueAsString(root);
     }
 
-    private ObjectNode json(PhaseFigures f) {
+    private ObjectNode json(PhaseStatistics f) {
         ObjectNode node =
                 JsonNodeFactory.instance
                         .objectNode()
@@ -242,7 +242,7 @@
         return node;
     }
 
-    private static ObjectNode json(Spread spread) {
+    private static ObjectNode json(Distribution spread) {
         return JsonNodeFactory.instance
                 .objectNode()
                 .put("count", spread.count())
--- a/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import ottergauge.lab.scale.figures.Observations;
+import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.process.LoopLooks;
 
 /** Notes what the processes of a play tell, each in its own words. */
--- a/lab/src/main/java/ottergauge/lab/scale/run/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/Fleet.java
@@ -18,7 +18,7 @@
 import java.util.function.Consumer;
 import ottergauge.lab.node.Signals;
 import ottergauge.lab.run.RunException;
-import ottergauge.lab.scale.figures.Observations;
+import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.process.ChildProcess;
 import ottergauge.lab.scale.process.ProcessUse;
 import ottergauge.lab.scale.process.Reaper;
--- a/lab/src/main/java/ottergauge/lab/scale/run/PhaseRunner.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/PhaseRunner.java
@@ -13,7 +13,7 @@
 import java.util.function.LongFunction;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.run.RunException;
-import ottergauge.lab.scale.figures.Observations;
+import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.process.Reporter;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
--- a/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
@@ -13,9 +13,9 @@
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.run.RunException;
-import ottergauge.lab.scale.figures.Observations;
-import ottergauge.lab.scale.figures.PhaseFigures;
-import ottergauge.lab.scale.figures.PhaseWindow;
+import ottergauge.lab.scale.statistics.Observations;
+import ottergauge.lab.scale.statistics.PhaseStatistics;
+import ottergauge.lab.scale.statistics.PhaseWindow;
 import ottergauge.lab.scale.process.LoopLooks;
 import ottergauge.lab.scale.process.Reporter;
 import ottergauge.lab.scale.scenario.ScaleScenario;
@@ -55,7 +55,7 @@
     /**
      * Plays it, and gives back the figures of each phase; the first one is the start of all nodes.
      */
-    public List<PhaseFigures> run() throws IOException, InterruptedException, RunException {
+    public List<PhaseStatistics> run() throws IOException, InterruptedException, RunException {
         try (ServerSocket lock = LoopbackAddresses.reserve();
                 Loop loop = new Loop();
                 Fleet fleet =
@@ -72,7 +72,7 @@
             fleet.startLinks();
             seen.changed(FIRST_VERSION, Reporter.wallMicros());
             onLoop(loop, () -> watchRig(loop, LoopLooks.begin(loop)));
-            List<PhaseFigures> figures = new ArrayList<>();
+            List<PhaseStatistics> figures = new ArrayList<>();
             figures.add(start(fleet, list, player));
             for (Phase phase : scenario.phases()) {
                 figures.add(play(loop, fleet, list, player, phase));
@@ -104,7 +104,7 @@
                 });
     }
 
-    private PhaseFigures start(Fleet fleet, ServerList list, PhaseRunner player)
+    private PhaseStatistics start(Fleet fleet, ServerList list, PhaseRunner player)
             throws IOException, InterruptedException, RunException {
         long from = Reporter.wallMicros();
         Phase phase =
@@ -122,7 +122,7 @@
         return end(fleet, list, player, phase, from);
     }
 
-    private PhaseFigures play(
+    private PhaseStatistics play(
             Loop loop, Fleet fleet, ServerList list, PhaseRunner player, Phase phase)
             throws InterruptedException, RunException {
         long from = Reporter.wallMicros();
@@ -132,7 +132,7 @@
     }
 
     // Waits until all go by the newest version, or until the time for that is over.
-    private PhaseFigures end(
+    private PhaseStatistics end(
             Fleet fleet, ServerList list, PhaseRunner player, Phase phase, long from)
             throws InterruptedException, RunException {
         long most =
--- a/lab/src/main/java/ottergauge/lab/scale/figures/LongTable.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/LongTable.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.figures;
+package ottergauge.lab.scale.statistics;
 
 import java.util.Arrays;
 
--- a/lab/src/main/java/ottergauge/lab/scale/figures/NodeLog.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/NodeObservations.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.figures;
+package ottergauge.lab.scale.statistics;
 
 import java.util.Comparator;
 import java.util.stream.IntStream;
@@ -8,7 +8,7 @@
  * What was seen of one node: the versions that came in force, and its bytes. Instants are
  * microseconds.
  */
-final class NodeLog {
+final class NodeObservations {
 
     private static final long BYTES_SPAN = 100_000;
     private static final long WINDOW = 10_000_000;
--- a/lab/src/main/java/ottergauge/lab/scale/figures/Observations.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/Observations.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.figures;
+package ottergauge.lab.scale.statistics;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -29,7 +29,7 @@
 
     static final int COUNT = 1;
 
-    private final Map<String, NodeLog> nodes = new LinkedHashMap<>();
+    private final Map<String, NodeObservations> nodes = new LinkedHashMap<>();
     private final TreeMap<Long, Long> changes = new TreeMap<>();
 
     /** Calls that hollow nodes made, by kind. */
@@ -47,8 +47,8 @@
     private final Map<String, Long> lost = new LinkedHashMap<>();
     private final Map<String, Long> leftOut = new LinkedHashMap<>();
 
-    private NodeLog node(String name) {
-        return nodes.computeIfAbsent(name, each -> new NodeLog());
+    private NodeObservations node(String name) {
+        return nodes.computeIfAbsent(name, each -> new NodeObservations());
     }
 
     /** A node is part of the play, whether anything is seen of it or not. */
@@ -149,11 +149,11 @@
     }
 
     /** What is seen in a window, reckoned while nothing is added. */
-    public synchronized PhaseFigures figures(PhaseWindow window) {
-        return new FiguresOfPhase(this, window).reckon();
+    public synchronized PhaseStatistics figures(PhaseWindow window) {
+        return new PhaseStatisticsCalculator(this, window).reckon();
     }
 
-    Map<String, NodeLog> nodes() {
+    Map<String, NodeObservations> nodes() {
         return nodes;
     }
 
--- a/lab/src/main/java/ottergauge/lab/scale/figures/PhaseFigures.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseStatistics.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.figures;
+package ottergauge.lab.scale.statistics;
 
 import java.util.Map;
 
@@ -28,15 +28,15 @@
  * @param residentBytes the most of each process
  * @param heapBytes the least of each process: what is left after a collection
  */
-public record PhaseFigures(
+public record PhaseStatistics(
         PhaseWindow window,
         boolean late,
         Latest latest,
         long changes,
-        Spread inForce,
-        Spread atLastNode,
-        Spread atRealNodes,
-        Spread afterRestart,
+        Distribution inForce,
+        Distribution atLastNode,
+        Distribution atRealNodes,
+        Distribution afterRestart,
         long missing,
         long behind,
         long wrong,
--- a/lab/src/main/java/ottergauge/lab/scale/figures/FiguresOfPhase.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseStatisticsCalculator.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.figures;
+package ottergauge.lab.scale.statistics;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -7,13 +7,13 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import ottergauge.lab.scale.figures.Observations.Lateness;
-import ottergauge.lab.scale.figures.Observations.Use;
-import ottergauge.lab.scale.figures.PhaseFigures.Latest;
-import ottergauge.lab.scale.figures.PhaseFigures.WholeLists;
+import ottergauge.lab.scale.statistics.Observations.Lateness;
+import ottergauge.lab.scale.statistics.Observations.Use;
+import ottergauge.lab.scale.statistics.PhaseStatistics.Latest;
+import ottergauge.lab.scale.statistics.PhaseStatistics.WholeLists;
 
 /** Reckons the figures of one phase from what was seen. */
-final class FiguresOfPhase {
+final class PhaseStatisticsCalculator {
 
     // As much of the rig's looks may be late.
     private static final double LATE_PART = 0.01;
@@ -24,12 +24,12 @@
     private final Observations seen;
     private final PhaseWindow window;
 
-    FiguresOfPhase(Observations seen, PhaseWindow window) {
+    PhaseStatisticsCalculator(Observations seen, PhaseWindow window) {
         this.seen = seen;
         this.window = window;
     }
 
-    PhaseFigures reckon() {
+    PhaseStatistics reckon() {
         Map<Long, Long> changes = seen.changes(window.from(), window.until());
         List<Long> inForce = new ArrayList<>();
         List<Long> atLast = new ArrayList<>();
@@ -46,9 +46,9 @@
                 changes.entrySet().stream()
                         .flatMap(change -> spans(change, window.real()).stream())
                         .toList();
-        List<NodeLog> hollow = window.hollow().stream().map(seen.nodes()::get).toList();
+        List<NodeObservations> hollow = window.hollow().stream().map(seen.nodes()::get).toList();
         Latest latest = latest();
-        return new PhaseFigures(
+        return new PhaseStatistics(
                 window,
                 latest.part() > LATE_PART || latest.lost() > 0,
                 latest,
@@ -82,8 +82,8 @@
                 Map.copyOf(seen.leftOut()));
     }
 
-    private static Spread spread(List<Long> values) {
-        return Spread.of(values.stream().mapToLong(each -> each).toArray());
+    private static Distribution spread(List<Long> values) {
+        return Distribution.of(values.stream().mapToLong(each -> each).toArray());
     }
 
     // From when a node could be told: for one that was cut off from when it no longer was.
@@ -99,9 +99,9 @@
         return spans;
     }
 
-    private Spread afterRestart() {
+    private Distribution afterRestart() {
         if (!window.beginsAnew()) {
-            return Spread.NONE;
+            return Distribution.NONE;
         }
         long newest = seen.newestVersion();
         return spread(
@@ -116,7 +116,7 @@
         return (window.until() - window.from()) / MICROS_A_SECOND;
     }
 
-    private double bytesANode(List<NodeLog> hollow) {
+    private double bytesANode(List<NodeObservations> hollow) {
         long bytes =
                 hollow.stream()
                         .mapToLong(node -> node.bytes(window.spansFrom(), window.until()))
--- a/lab/src/test/java/ottergauge/lab/scale/ScaleIT.java
+++ b/lab/src/test/java/ottergauge/lab/scale/ScaleIT.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import ottergauge.lab.scale.figures.PhaseFigures;
+import ottergauge.lab.scale.statistics.PhaseStatistics;
 import ottergauge.lab.scale.run.ScaleRun;
 import ottergauge.lab.scale.report.ScaleReport;
 import ottergauge.lab.scale.scenario.ScaleScenario;
@@ -38,12 +38,12 @@
 
     private String text;
 
-    private Map<String, PhaseFigures> play(ScaleScenario scenario) throws Exception {
+    private Map<String, PhaseStatistics> play(ScaleScenario scenario) throws Exception {
         Matcher run =
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
                         .matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
         assertTrue(run.find());
-        List<PhaseFigures> figures = new ScaleRun(scenario, ROOT, run.group(1), folder).run();
+        List<PhaseStatistics> figures = new ScaleRun(scenario, ROOT, run.group(1), folder).run();
         StringWriter printed = new StringWriter();
         new ScaleReport(scenario, figures).print(new PrintWriter(printed));
         text = printed.toString();
@@ -79,7 +79,7 @@
                         });
     }
 
-    private void assertAllReached(ScaleScenario scenario, Map<String, PhaseFigures> phases) {
+    private void assertAllReached(ScaleScenario scenario, Map<String, PhaseStatistics> phases) {
         phases.values()
                 .forEach(
                         phase -> {
@@ -107,7 +107,7 @@
     @Test
     void allNodesComeToEachVersionAndTakeTheListWholeOnlyWhereTheyMust() throws Exception {
         ScaleScenario scenario = ScaleScenarioReader.read(Path.of("scale-tests/small.yaml"));
-        Map<String, PhaseFigures> phases = play(scenario);
+        Map<String, PhaseStatistics> phases = play(scenario);
         assertAllReached(scenario, phases);
         for (String resumes :
                 List.of("rest", "changes", "release", "zone-lost", "apart", "stall")) {
@@ -148,9 +148,9 @@
                         phases: [{what: changes, for: 3s, rate: 20}]
                         """
                                 .formatted(servers));
-        Map<String, PhaseFigures> phases = play(scenario);
+        Map<String, PhaseStatistics> phases = play(scenario);
         assertAllReached(scenario, phases);
-        PhaseFigures changes = phases.get("changes");
+        PhaseStatistics changes = phases.get("changes");
         double seconds = (changes.window().until() - changes.window().from()) / 1e6;
         return changes.bytesANode() * seconds / changes.changes();
     }
--- a/lab/src/test/java/ottergauge/lab/scale/figures/PhaseFiguresTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/statistics/PhaseStatisticsTest.java
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.figures;
+package ottergauge.lab.scale.statistics;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ottergauge.lab.scale.figures.PhaseFigures.Verdict;
+import ottergauge.lab.scale.statistics.PhaseStatistics.Verdict;
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
 import ottergauge.lab.scale.scenario.ScaleScenario.What;
 
 /** Holds the figures of a phase to what was seen in it, on made-up instants. */
-class PhaseFiguresTest {
+class PhaseStatisticsTest {
 
     private static final long S = 1_000_000;
     private static final long FROM = 100 * S;
@@ -19,14 +19,14 @@
 
     private final Observations seen = new Observations();
 
-    PhaseFiguresTest() {
+    PhaseStatisticsTest() {
         List.of("h1", "h2", "real-1").forEach(seen::expect);
         seen.changed(7, 50 * S);
         seen.inForce("h1", 7, 51 * S);
         seen.inForce("h2", 7, 51 * S);
     }
 
-    private PhaseFigures figures(
+    private PhaseStatistics figures(
             boolean beginsAnew, Map<String, Long> excusedUntil, String digest) {
         Phase phase = new Phase("phase", What.CHANGES, 10 * S, 1, 1, 0, List.of(), "", 0);
         return seen.figures(
@@ -41,7 +41,7 @@
                         digest));
     }
 
-    private PhaseFigures figures() {
+    private PhaseStatistics figures() {
         return figures(false, Map.of(), "");
     }
 
@@ -51,11 +51,11 @@
         seen.inForce("h1", 8, 101 * S + 30);
         seen.inForce("h2", 8, 101 * S + 50);
         seen.inForce("real-1", 8, 101 * S + 70);
-        PhaseFigures figures = figures();
+        PhaseStatistics figures = figures();
         assertEquals(1, figures.changes());
-        assertEquals(new Spread(2, 30, 50, 50), figures.inForce());
-        assertEquals(new Spread(1, 50, 50, 50), figures.atLastNode());
-        assertEquals(new Spread(1, 70, 70, 70), figures.atRealNodes());
+        assertEquals(new Distribution(2, 30, 50, 50), figures.inForce());
+        assertEquals(new Distribution(1, 50, 50, 50), figures.atLastNode());
+        assertEquals(new Distribution(1, 70, 70, 70), figures.atRealNodes());
         assertEquals(Verdict.REACHED, figures.verdict());
     }
 
@@ -65,8 +65,8 @@
         seen.changed(9, 102 * S);
         seen.inForce("h1", 9, 102 * S + 10);
         seen.inForce("h2", 9, 102 * S + 20);
-        PhaseFigures figures = figures();
-        assertEquals(new Spread(2, 20, S + 20, S + 20), figures.atLastNode());
+        PhaseStatistics figures = figures();
+        assertEquals(new Distribution(2, 20, S + 20, S + 20), figures.atLastNode());
         assertEquals(0, figures.missing());
     }
 
@@ -74,10 +74,10 @@
     void aNodeThatNeverGoesByAChangeIsMissingAndBehind() {
         seen.changed(8, 101 * S);
         seen.inForce("h1", 8, 101 * S + 30);
-        PhaseFigures figures = figures();
+        PhaseStatistics figures = figures();
         assertEquals(1, figures.missing());
         assertEquals(1, figures.behind());
-        assertEquals(Spread.NONE, figures.atLastNode());
+        assertEquals(Distribution.NONE, figures.atLastNode());
         assertEquals(Verdict.NOT_REACHED, figures.verdict());
     }
 
@@ -85,7 +85,7 @@
     void aNodeWithOtherServersIsWrong() {
         seen.digest("h1", "abc");
         seen.digest("h2", "abd");
-        PhaseFigures figures = figures(false, Map.of(), "abc");
+        PhaseStatistics figures = figures(false, Map.of(), "abc");
         assertEquals(1, figures.wrong());
         assertEquals(Verdict.NOT_REACHED, figures.verdict());
     }
@@ -96,7 +96,7 @@
         seen.inForce("h1", 8, 101 * S + 30);
         seen.inForce("h2", 8, 105 * S + 40);
         assertEquals(
-                new Spread(2, 30, 40, 40), figures(false, Map.of("h2", 105 * S), "").inForce());
+                new Distribution(2, 30, 40, 40), figures(false, Map.of("h2", 105 * S), "").inForce());
     }
 
     @Test
@@ -106,7 +106,7 @@
         assertEquals(1, figures(true, Map.of(), "").behind());
         seen.inForce("h2", 7, 104 * S);
         assertEquals(
-                new Spread(2, 3 * S, 4 * S, 4 * S), figures(true, Map.of(), "").afterRestart());
+                new Distribution(2, 3 * S, 4 * S, 4 * S), figures(true, Map.of(), "").afterRestart());
         assertEquals(Verdict.REACHED, figures(true, Map.of(), "").verdict());
     }
 
@@ -120,7 +120,7 @@
         for (int second = 11; second < 30; second++) {
             seen.traffic("h1", 110, 0, FROM + second * S);
         }
-        PhaseFigures figures =
+        PhaseStatistics figures =
                 seen.figures(
                         new PhaseWindow(
                                 phase,
@@ -141,7 +141,7 @@
     void aSpanThatReachesIntoThePhaseBelongsToIt() {
         seen.wholeLists(2, 700, FROM - 60_000);
         seen.wholeLists(9, 900, FROM - 100_000);
-        assertEquals(new PhaseFigures.WholeLists(2, 700), figures().wholeLists());
+        assertEquals(new PhaseStatistics.WholeLists(2, 700), figures().wholeLists());
     }
 
     @Test
@@ -150,7 +150,7 @@
         seen.calls("discovery whole", 2, FROM + 90_000);
         seen.calls("discovery changes", 4, FROM + 110_000);
         seen.calls("discovery changes", 100, UNTIL);
-        PhaseFigures figures = figures();
+        PhaseStatistics figures = figures();
         assertEquals(6, figures.mostCallsIn100ms());
         assertEquals(Map.of("discovery changes", 7L, "discovery whole", 2L), figures.calls());
     }
