--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryCounts.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryCounters.java
@@ -13,7 +13,7 @@
  * Counts calls in spans of 10 ms, and answers and bytes in spans of 100 ms, and tells them as JSON
  * lines.
  */
-final class DiscoveryCounts {
+final class DiscoveryCounters {
 
     /** Takes what is counted. */
     @FunctionalInterface
@@ -48,7 +48,7 @@
     private long wholeLists;
     private long wholeBytes;
 
-    DiscoveryCounts(Sink sink) {
+    DiscoveryCounters(Sink sink) {
         this.sink = sink;
     }
 
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
@@ -44,9 +44,9 @@
         Reporter reporter = new Reporter(out);
         try (Loop loop = new Loop()) {
             JsonNode first = JSON.readTree(lines.readLine());
-            ListLog list = new ListLog(first.get("version").asLong(), entries(first.get("hosts")));
+            VersionedServerList list = new VersionedServerList(first.get("version").asLong(), entries(first.get("hosts")));
             warmUp(loop, list);
-            DiscoveryCounts counts = new DiscoveryCounts(reporter::tell);
+            DiscoveryCounters counts = new DiscoveryCounters(reporter::tell);
             DiscoveryServer server =
                     new DiscoveryServer(loop, list, counts, callsPerSecond, patience);
             server.listen(LoopbackAddresses.parse(listen));
@@ -60,10 +60,10 @@
     }
 
     // A service of its own on the same loop and list, whose counts are nobody's.
-    private static void warmUp(Loop loop, ListLog list) throws IOException {
-        DiscoveryCounts counts = new DiscoveryCounts((event, at, fields) -> {});
+    private static void warmUp(Loop loop, VersionedServerList list) throws IOException {
+        DiscoveryCounters counts = new DiscoveryCounters((event, at, fields) -> {});
         DiscoveryServer warm = new DiscoveryServer(loop, list, counts, Double.MAX_VALUE, 0);
-        SelfCalls.run(warm.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
+        WarmUp.run(warm.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
     }
 
     private static void change(DiscoveryServer server, JsonNode order, Reporter reporter) {
@@ -78,12 +78,12 @@
                         .put("version", version));
     }
 
-    private static List<ListLog.Entry> entries(JsonNode hosts) {
-        List<ListLog.Entry> entries = new ArrayList<>();
+    private static List<VersionedServerList.Entry> entries(JsonNode hosts) {
+        List<VersionedServerList.Entry> entries = new ArrayList<>();
         hosts.forEach(
                 host ->
                         entries.add(
-                                new ListLog.Entry(
+                                new VersionedServerList.Entry(
                                         host.get("host").asText(),
                                         "terminated".equals(host.get("health").asText()),
                                         host.toString())));
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
@@ -32,7 +32,7 @@
 import java.util.Set;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.net.LoopbackAddresses;
-import ottergauge.lab.scale.discovery.ListLog.Answer;
+import ottergauge.lab.scale.discovery.VersionedServerList.Answer;
 
 /**
  * Stand-in discovery on sockets: one service that works through calls in turn. A call that opens a
@@ -53,8 +53,8 @@
     private record Watch(ChannelHandlerContext context, long after) {}
 
     private final Loop loop;
-    private final ListLog list;
-    private final DiscoveryCounts counts;
+    private final VersionedServerList list;
+    private final DiscoveryCounters counts;
     private final double callsPerSecond;
     private final long patience;
     private final Set<Watch> watches = new LinkedHashSet<>();
@@ -67,7 +67,7 @@
 
     /** {@code patience}, in microseconds, is how long a call may stand in the line. */
     DiscoveryServer(
-            Loop loop, ListLog list, DiscoveryCounts counts, double callsPerSecond, long patience) {
+            Loop loop, VersionedServerList list, DiscoveryCounters counts, double callsPerSecond, long patience) {
         this.loop = loop;
         this.list = list;
         this.counts = counts;
@@ -157,19 +157,19 @@
         long now = loop.now();
         Long before = answeredAt.get(context);
         if (after >= 0 && before != null && now - before <= GOES_ON) {
-            counts.call(DiscoveryCounts.Kind.GOES_ON);
+            counts.call(DiscoveryCounters.Kind.GOES_ON);
             handle(context, after, wait);
             return;
         }
         long turn = Math.max(freeAt, now) + (long) (MICROS_A_SECOND / callsPerSecond);
         if (turn - now > patience) {
-            counts.call(DiscoveryCounts.Kind.REFUSED);
+            counts.call(DiscoveryCounters.Kind.REFUSED);
             loop.after(
                     patience,
                     () -> answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]));
             return;
         }
-        counts.call(DiscoveryCounts.Kind.OPENS);
+        counts.call(DiscoveryCounters.Kind.OPENS);
         freeAt = turn;
         loop.at(turn, () -> handle(context, after, wait));
     }
@@ -200,7 +200,7 @@
     }
 
     /** Takes a change of the list, tells those who watch, and gives back its version. */
-    long change(List<ListLog.Entry> entries) {
+    long change(List<VersionedServerList.Entry> entries) {
         long version = list.change(entries);
         List<Watch> told = new ArrayList<>(watches);
         watches.clear();
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/ListLog.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/VersionedServerList.java
@@ -13,7 +13,7 @@
  * The list of servers and its newest changes, by versions. Bodies of answers are made once for all
  * callers that ask from the same version.
  */
-final class ListLog {
+final class VersionedServerList {
 
     /** A server's entry as it is told; {@code gone} says that this is its last one. */
     record Entry(String host, boolean gone, String json) {}
@@ -35,7 +35,7 @@
     private long oldest;
 
     /** Begins with a list; what came before it is not known. */
-    ListLog(long version, Collection<Entry> entries) {
+    VersionedServerList(long version, Collection<Entry> entries) {
         this.version = version;
         oldest = version;
         entries.forEach(each -> listed.put(each.host(), each));
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/SelfCalls.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/WarmUp.java
@@ -11,7 +11,7 @@
  * Calls a stand-in from its own process until it is warm: one whose code runs for the first time
  * answers the first hundreds of calls late, which a play would take for the nodes' doing.
  */
-final class SelfCalls {
+final class WarmUp {
 
     private static final int CALLS = 500;
     private static final int READ_WITHIN_MS = 10_000;
@@ -21,7 +21,7 @@
     private static final String LENGTH = "content-length: ";
     private static final String HEAD_END = "\r\n\r\n";
 
-    private SelfCalls() {}
+    private WarmUp() {}
 
     static void run(InetSocketAddress address) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
--- a/lab/src/main/java/ottergauge/lab/scale/process/LoopLooks.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/LatenessSampler.java
@@ -8,7 +8,7 @@
  * Looks at a loop in equal steps, so that how late it comes round is known also while nothing
  * happens.
  */
-public final class LoopLooks {
+public final class LatenessSampler {
 
     /** Looks that are later than this count as late, in microseconds. */
     public static final long LATE = 20_000;
@@ -20,13 +20,13 @@
 
     private final Loop loop;
 
-    private LoopLooks(Loop loop) {
+    private LatenessSampler(Loop loop) {
         this.loop = loop;
     }
 
     /** Begins to look; on the loop. */
-    public static LoopLooks begin(Loop loop) {
-        LoopLooks looks = new LoopLooks(loop);
+    public static LatenessSampler begin(Loop loop) {
+        LatenessSampler looks = new LatenessSampler(loop);
         looks.look(loop.now() + EVERY);
         return looks;
     }
--- a/lab/src/main/java/ottergauge/lab/scale/process/ProcessUse.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/ProcessUsage.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 
 /** What a process has used so far, as the system tells it: CPU in microseconds, resident bytes. */
-public record ProcessUse(long cpuMicros, long residentBytes) {
+public record ProcessUsage(long cpuMicros, long residentBytes) {
 
     private static final long MICROS_A_TICK = 10_000;
     private static final long PAGE = 4_096;
@@ -21,38 +21,38 @@
     private static final int LAST_OF_MACHINE = 7;
 
     /** Reads it, or nothing if the process has gone. */
-    public static ProcessUse of(long pid) {
+    public static ProcessUsage of(long pid) {
         try {
             return parse(Files.readString(Path.of("/proc/" + pid + "/stat")));
         } catch (IOException e) {
-            return new ProcessUse(0, 0);
+            return new ProcessUsage(0, 0);
         }
     }
 
     /** What all processes of the machine together have used. */
-    public static ProcessUse ofMachine() {
+    public static ProcessUsage ofMachine() {
         try (Stream<String> lines = Files.lines(Path.of("/proc/stat"))) {
             return parseMachine(lines.findFirst().orElse(""));
         } catch (IOException e) {
-            return new ProcessUse(0, 0);
+            return new ProcessUsage(0, 0);
         }
     }
 
     // User, nice and system time come first, then idle time and waiting for disks, then interrupts.
-    static ProcessUse parseMachine(String line) {
+    static ProcessUsage parseMachine(String line) {
         String[] fields = line.trim().split("\\s+", -1);
         long ticks = 0;
         for (int field = 1; field <= LAST_OF_MACHINE && field < fields.length; field++) {
             ticks += field == IDLE || field == DISKS ? 0 : Long.parseLong(fields[field]);
         }
-        return new ProcessUse(ticks * MICROS_A_TICK, 0);
+        return new ProcessUsage(ticks * MICROS_A_TICK, 0);
     }
 
-    static ProcessUse parse(String stat) {
+    static ProcessUsage parse(String stat) {
         List<String> fields = List.of(stat.substring(stat.lastIndexOf(')') + 2).trim().split(" "));
         long ticks =
                 Long.parseLong(fields.get(USER_TICKS)) + Long.parseLong(fields.get(SYSTEM_TICKS));
-        return new ProcessUse(
+        return new ProcessUsage(
                 ticks * MICROS_A_TICK, Long.parseLong(fields.get(RESIDENT_PAGES)) * PAGE);
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/process/Reporter.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/Reporter.java
@@ -66,15 +66,15 @@
      * Watches how late a loop comes round, and tells it; {@code beside} runs before that is told.
      */
     public void watch(Loop loop, Runnable beside) {
-        tellLateness(loop, LoopLooks.begin(loop), beside);
+        tellLateness(loop, LatenessSampler.begin(loop), beside);
     }
 
-    private void tellLateness(Loop loop, LoopLooks looks, Runnable beside) {
+    private void tellLateness(Loop loop, LatenessSampler looks, Runnable beside) {
         loop.after(
                 TELL_EVERY,
                 () -> {
                     beside.run();
-                    LoopLooks.Lateness lateness = looks.take();
+                    LatenessSampler.Lateness lateness = looks.take();
                     tell(
                             "lateness",
                             wallMicros(),
--- a/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import ottergauge.lab.scale.statistics.Observations;
-import ottergauge.lab.scale.process.LoopLooks;
+import ottergauge.lab.scale.process.LatenessSampler;
 
 /** Notes what the processes of a play tell, each in its own words. */
 final class EventRecorder {
@@ -99,7 +99,7 @@
 
     private void bounds(JsonNode line) {
         int index = 0;
-        while (line.get("late_ms").get(index).asLong() * MICROS_A_MS < LoopLooks.LATE) {
+        while (line.get("late_ms").get(index).asLong() * MICROS_A_MS < LatenessSampler.LATE) {
             index++;
         }
         firstLate = index + 1;
--- a/lab/src/main/java/ottergauge/lab/scale/run/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/Fleet.java
@@ -20,7 +20,7 @@
 import ottergauge.lab.run.RunException;
 import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.process.ChildProcess;
-import ottergauge.lab.scale.process.ProcessUse;
+import ottergauge.lab.scale.process.ProcessUsage;
 import ottergauge.lab.scale.process.Reaper;
 import ottergauge.lab.scale.process.Reporter;
 import ottergauge.lab.scale.scenario.ScaleScenario;
@@ -352,11 +352,11 @@
     long look() {
         long resident = 0;
         long at = Reporter.wallMicros();
-        seen.use(Observations.MACHINE, ProcessUse.ofMachine().cpuMicros(), 0, at);
-        seen.use(Observations.RIG, ProcessUse.of(ProcessHandle.current().pid()).cpuMicros(), 0, at);
+        seen.use(Observations.MACHINE, ProcessUsage.ofMachine().cpuMicros(), 0, at);
+        seen.use(Observations.RIG, ProcessUsage.of(ProcessHandle.current().pid()).cpuMicros(), 0, at);
         for (ChildProcess process : List.copyOf(processes.values())) {
             if (process.isAlive()) {
-                ProcessUse use = ProcessUse.of(process.pid());
+                ProcessUsage use = ProcessUsage.of(process.pid());
                 seen.use(process.name(), use.cpuMicros(), use.residentBytes(), at);
                 resident += use.residentBytes();
             }
--- a/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
@@ -16,7 +16,7 @@
 import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.statistics.PhaseStatistics;
 import ottergauge.lab.scale.statistics.PhaseWindow;
-import ottergauge.lab.scale.process.LoopLooks;
+import ottergauge.lab.scale.process.LatenessSampler;
 import ottergauge.lab.scale.process.Reporter;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
@@ -71,7 +71,7 @@
             fleet.startDiscovery(FIRST_VERSION, list.whole());
             fleet.startLinks();
             seen.changed(FIRST_VERSION, Reporter.wallMicros());
-            onLoop(loop, () -> watchRig(loop, LoopLooks.begin(loop)));
+            onLoop(loop, () -> watchRig(loop, LatenessSampler.begin(loop)));
             List<PhaseStatistics> figures = new ArrayList<>();
             figures.add(start(fleet, list, player));
             for (Phase phase : scenario.phases()) {
@@ -90,11 +90,11 @@
     }
 
     // The rig's own loop, on which things happen at their times.
-    private void watchRig(Loop loop, LoopLooks looks) {
+    private void watchRig(Loop loop, LatenessSampler looks) {
         loop.after(
                 USE_EVERY,
                 () -> {
-                    LoopLooks.Lateness lateness = looks.take();
+                    LatenessSampler.Lateness lateness = looks.take();
                     seen.lateness(
                             Observations.RIG,
                             lateness.looks(),
--- a/lab/src/test/java/ottergauge/lab/scale/discovery/ListLogTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/discovery/VersionedServerListTest.java
@@ -9,12 +9,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import ottergauge.lab.scale.discovery.ListLog.Entry;
+import ottergauge.lab.scale.discovery.VersionedServerList.Entry;
 
 /** What the stand-in tells of its list, by the version that is asked from. */
-class ListLogTest {
+class VersionedServerListTest {
 
-    private final ListLog log = new ListLog(10, List.of(up("a"), up("b")));
+    private final VersionedServerList log = new VersionedServerList(10, List.of(up("a"), up("b")));
 
     private static Entry up(String host) {
         return new Entry(host, false, "\"" + host + "\"");
--- a/lab/src/test/java/ottergauge/lab/scale/process/ProcessUseTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/process/ProcessUsageTest.java
@@ -7,32 +7,32 @@
 import org.junit.jupiter.api.Test;
 
 /** Reads what the system tells of a process. */
-class ProcessUseTest {
+class ProcessUsageTest {
 
     @Test
     void fieldsAreCountedBehindTheNameWhateverItHolds() {
         String stat =
                 "42 (a) b (c) S 1 42 42 0 -1 4194560 900 0 0 0 150 50 0 0 20 0 9 0 77 5000 2000"
                         + " 18446 1 1 0 0";
-        assertEquals(new ProcessUse(2_000_000, 2_000 * 4_096L), ProcessUse.parse(stat));
+        assertEquals(new ProcessUsage(2_000_000, 2_000 * 4_096L), ProcessUsage.parse(stat));
     }
 
     @Test
     void theMachineIsBusyWithAllButIdlingAndDisks() {
         assertEquals(
-                new ProcessUse(1_150_000, 0),
-                ProcessUse.parseMachine("cpu  50 10 40 9000 700 5 10 0 0 0"));
-        assertTrue(ProcessUse.ofMachine().cpuMicros() > 0);
+                new ProcessUsage(1_150_000, 0),
+                ProcessUsage.parseMachine("cpu  50 10 40 9000 700 5 10 0 0 0"));
+        assertTrue(ProcessUsage.ofMachine().cpuMicros() > 0);
     }
 
     @Test
     void aProcessThatRunsUsesSomething() {
-        ProcessUse use = ProcessUse.of(ProcessHandle.current().pid());
+        ProcessUsage use = ProcessUsage.of(ProcessHandle.current().pid());
         assertTrue(use.cpuMicros() > 0 && use.residentBytes() > 1 << 20, use.toString());
     }
 
     @Test
     void oneThatHasGoneUsesNothing() {
-        assertEquals(new ProcessUse(0, 0), ProcessUse.of(Integer.MAX_VALUE));
+        assertEquals(new ProcessUsage(0, 0), ProcessUsage.of(Integer.MAX_VALUE));
     }
 }
