--- a/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/ScaleCommand.java
@@ -7,8 +7,8 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import ottergauge.lab.run.RunException;
-import ottergauge.lab.scale.run.ScaleRun;
 import ottergauge.lab.scale.report.ScaleReport;
+import ottergauge.lab.scale.run.ScaleRun;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 import ottergauge.lab.scale.scenario.ScaleScenarioReader;
 import ottergauge.lab.scenario.ScenarioException;
@@ -67,13 +67,13 @@
         Path folder =
                 logs == null ? Files.createTempDirectory("scale") : Files.createDirectories(logs);
         try {
-            ScaleRun play =
+            ScaleRun scaleRun =
                     new ScaleRun(
                             scenario,
                             root.toAbsolutePath(),
                             RunCommand.runLine(root),
                             folder.toAbsolutePath());
-            ScaleReport report = new ScaleReport(scenario, play.run());
+            ScaleReport report = new ScaleReport(scenario, scaleRun.run());
             report.print(spec.commandLine().getOut());
             if (json != null) {
                 Files.writeString(json, report.json());
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryCounters.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryCounters.java
@@ -10,20 +10,20 @@
 import ottergauge.lab.scale.process.Reporter;
 
 /**
- * Counts calls in spans of 10 ms, and answers and bytes in spans of 100 ms, and tells them as JSON
- * lines.
+ * Counts calls in intervals of 10 ms, and responses and bytes in intervals of 100 ms, and reports
+ * them as JSON lines.
  */
 final class DiscoveryCounters {
 
-    /** Takes what is counted. */
+    /** Receives the counts as events. */
     @FunctionalInterface
     interface Sink {
-        void tell(String event, long at, ObjectNode fields);
+        void report(String event, long at, ObjectNode fields);
     }
 
     /**
-     * What became of a call: it opened a watch or took the list, went on with a watch, was turned
-     * away.
+     * How a call was handled: it opened a watch or fetched the list, it continued a watch, or it
+     * was rejected.
      */
     enum Kind {
         OPENS,
@@ -31,46 +31,46 @@
         REFUSED
     }
 
-    private static final long CALLS_SPAN = 10_000;
-    private static final long BYTES_SPAN = 100_000;
+    private static final long CALL_INTERVAL = 10_000;
+    private static final long BYTE_INTERVAL = 100_000;
 
-    // Where the system lets a connection within this machine come from, unless it is told
-    // otherwise.
-    private static final String ANYWHERE = "127.0.0.1";
+    // The source address that the operating system chooses for a connection within this machine
+    // unless the caller binds another one.
+    private static final String DEFAULT_SOURCE = "127.0.0.1";
 
     private final Sink sink;
     private final Map<String, Long> versions = new HashMap<>();
     private final Map<Kind, Long> calls = new EnumMap<>(Kind.class);
-    private long callsAt;
-    private long bytesAt;
+    private long callIntervalStart;
+    private long byteIntervalStart;
     private long bytesIn;
     private long bytesOut;
-    private long wholeLists;
-    private long wholeBytes;
+    private long fullLists;
+    private long fullListBytes;
 
     DiscoveryCounters(Sink sink) {
         this.sink = sink;
     }
 
-    void call(Kind kind) {
-        long now = Reporter.wallMicros();
-        if (now - callsAt >= CALLS_SPAN) {
-            tellCalls();
-            callsAt = now - now % CALLS_SPAN;
+    void countCall(Kind kind) {
+        long now = Reporter.wallClockMicros();
+        if (now - callIntervalStart >= CALL_INTERVAL) {
+            reportCalls();
+            callIntervalStart = now - now % CALL_INTERVAL;
         }
         calls.merge(kind, 1L, Long::sum);
     }
 
     /**
-     * A caller has this version: told of those that connect from an address of their own, when it
-     * moves.
+     * Records that a caller has this version of the list. It is reported when the version changes,
+     * and only for callers that connect from their own source address.
      */
-    void asks(String caller, long version) {
-        if (!ANYWHERE.equals(caller)
+    void recordVersion(String caller, long version) {
+        if (!DEFAULT_SOURCE.equals(caller)
                 && !Long.valueOf(version).equals(versions.put(caller, version))) {
-            sink.tell(
+            sink.report(
                     "asks",
-                    Reporter.wallMicros(),
+                    Reporter.wallClockMicros(),
                     JsonNodeFactory.instance
                             .objectNode()
                             .put("caller", caller)
@@ -78,58 +78,58 @@
         }
     }
 
-    void bytes(long in, long out) {
-        moveOn();
+    void countBytes(long in, long out) {
+        startByteIntervalIfDue();
         bytesIn += in;
         bytesOut += out;
     }
 
-    void answer(boolean whole, int length) {
-        if (whole) {
-            moveOn();
-            wholeLists++;
-            wholeBytes += length;
+    void countResponse(boolean full, int length) {
+        if (full) {
+            startByteIntervalIfDue();
+            fullLists++;
+            fullListBytes += length;
         }
     }
 
-    private void moveOn() {
-        long now = Reporter.wallMicros();
-        if (now - bytesAt >= BYTES_SPAN) {
-            tellBytes();
-            bytesAt = now - now % BYTES_SPAN;
+    private void startByteIntervalIfDue() {
+        long now = Reporter.wallClockMicros();
+        if (now - byteIntervalStart >= BYTE_INTERVAL) {
+            reportBytes();
+            byteIntervalStart = now - now % BYTE_INTERVAL;
         }
     }
 
-    /** Tells what has been counted and not told yet. */
-    void tell() {
-        tellCalls();
-        tellBytes();
+    /** Reports all counts that have not been reported yet. */
+    void report() {
+        reportCalls();
+        reportBytes();
     }
 
-    private void tellCalls() {
+    private void reportCalls() {
         if (!calls.isEmpty()) {
             ObjectNode fields = JsonNodeFactory.instance.objectNode();
             calls.forEach((kind, count) -> fields.put(kind.name().toLowerCase(Locale.ROOT), count));
-            sink.tell("calls", callsAt, fields);
+            sink.report("calls", callIntervalStart, fields);
             calls.clear();
         }
     }
 
-    private void tellBytes() {
-        if (bytesIn + bytesOut + wholeLists > 0) {
-            sink.tell(
+    private void reportBytes() {
+        if (bytesIn + bytesOut + fullLists > 0) {
+            sink.report(
                     "bytes",
-                    bytesAt,
+                    byteIntervalStart,
                     JsonNodeFactory.instance
                             .objectNode()
                             .put("in", bytesIn)
                             .put("out", bytesOut)
-                            .put("whole_lists", wholeLists)
-                            .put("whole_bytes", wholeBytes));
+                            .put("whole_lists", fullLists)
+                            .put("whole_bytes", fullListBytes));
             bytesIn = 0;
             bytesOut = 0;
-            wholeLists = 0;
-            wholeBytes = 0;
+            fullLists = 0;
+            fullListBytes = 0;
         }
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
@@ -19,8 +19,8 @@
 import ottergauge.lab.scale.process.Reporter;
 
 /**
- * Discovery as a process: its first order is the list that it begins with, each further one a
- * change. It tells the version and instant of each change, its calls and its bytes.
+ * Runs the stand-in for discovery as a process. Its first command is the initial list, each further
+ * command a change. It reports the version and time of each change, its calls and its bytes.
  */
 public final class DiscoveryProcess {
 
@@ -28,53 +28,56 @@
 
     private final String listen;
     private final double callsPerSecond;
-    private final long patience;
+    private final long maxQueueTime;
 
-    /** {@code patience} is in microseconds. */
-    public DiscoveryProcess(String listen, double callsPerSecond, long patience) {
+    /** {@code maxQueueTime} is in microseconds. */
+    public DiscoveryProcess(String listen, double callsPerSecond, long maxQueueTime) {
         this.listen = listen;
         this.callsPerSecond = callsPerSecond;
-        this.patience = patience;
+        this.maxQueueTime = maxQueueTime;
     }
 
-    /** Runs until its orders end. */
-    public void run(InputStream orders, PrintStream out) throws IOException {
+    /** Runs until the end of its commands. */
+    public void run(InputStream commands, PrintStream out) throws IOException {
         BufferedReader lines =
-                new BufferedReader(new InputStreamReader(orders, StandardCharsets.UTF_8));
+                new BufferedReader(new InputStreamReader(commands, StandardCharsets.UTF_8));
         Reporter reporter = new Reporter(out);
         try (Loop loop = new Loop()) {
             JsonNode first = JSON.readTree(lines.readLine());
-            VersionedServerList list = new VersionedServerList(first.get("version").asLong(), entries(first.get("hosts")));
+            VersionedServerList list =
+                    new VersionedServerList(
+                            first.get("version").asLong(), entries(first.get("hosts")));
             warmUp(loop, list);
-            DiscoveryCounters counts = new DiscoveryCounters(reporter::tell);
+            DiscoveryCounters counters = new DiscoveryCounters(reporter::report);
             DiscoveryServer server =
-                    new DiscoveryServer(loop, list, counts, callsPerSecond, patience);
+                    new DiscoveryServer(loop, list, counters, callsPerSecond, maxQueueTime);
             server.listen(LoopbackAddresses.parse(listen));
-            loop.netty().execute(() -> reporter.watch(loop, counts::tell));
-            reporter.tell("ready", Reporter.wallMicros(), JsonNodeFactory.instance.objectNode());
+            loop.netty().execute(() -> reporter.reportLateness(loop, counters::report));
+            reporter.report(
+                    "ready", Reporter.wallClockMicros(), JsonNodeFactory.instance.objectNode());
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                JsonNode order = JSON.readTree(line);
-                loop.netty().execute(() -> change(server, order, reporter));
+                JsonNode command = JSON.readTree(line);
+                loop.netty().execute(() -> applyChange(server, command, reporter));
             }
         }
     }
 
-    // A service of its own on the same loop and list, whose counts are nobody's.
+    // Uses a second server on the same loop and list, so that the warm-up calls are not counted.
     private static void warmUp(Loop loop, VersionedServerList list) throws IOException {
-        DiscoveryCounters counts = new DiscoveryCounters((event, at, fields) -> {});
-        DiscoveryServer warm = new DiscoveryServer(loop, list, counts, Double.MAX_VALUE, 0);
+        DiscoveryCounters counters = new DiscoveryCounters((event, at, fields) -> {});
+        DiscoveryServer warm = new DiscoveryServer(loop, list, counters, Double.MAX_VALUE, 0);
         WarmUp.run(warm.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)));
     }
 
-    private static void change(DiscoveryServer server, JsonNode order, Reporter reporter) {
-        long at = Reporter.wallMicros();
-        long version = server.change(entries(order.get("hosts")));
-        reporter.tell(
+    private static void applyChange(DiscoveryServer server, JsonNode command, Reporter reporter) {
+        long at = Reporter.wallClockMicros();
+        long version = server.applyChange(entries(command.get("hosts")));
+        reporter.report(
                 "changed",
                 at,
                 JsonNodeFactory.instance
                         .objectNode()
-                        .put("id", order.get("id").asLong())
+                        .put("id", command.get("id").asLong())
                         .put("version", version));
     }
 
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
@@ -32,50 +32,55 @@
 import java.util.Set;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.net.LoopbackAddresses;
-import ottergauge.lab.scale.discovery.VersionedServerList.Answer;
+import ottergauge.lab.scale.discovery.VersionedServerList.ListResponse;
 
 /**
- * Stand-in discovery on sockets: one service that works through calls in turn. A call that opens a
- * watch takes its turn in the line, and is turned away if it would have to wait for too long; a
- * watch that goes on at once does not.
+ * A stand-in for discovery on sockets, which handles calls one after the other. A call that opens a
+ * watch queues, and is rejected if it would have to queue for too long. A call that continues a
+ * watch without a pause does not queue.
  */
 final class DiscoveryServer {
 
     private static final String PATH = "/registry/instances";
     private static final int BACKLOG = 4_096;
-    private static final int MOST_REQUEST = 1 << 16;
-    private static final long MOST_WAIT_MS = 60_000;
-    private static final long MICROS_A_MS = 1_000;
-    private static final double MICROS_A_SECOND = 1e6;
-    // A watch that goes on so soon does not stand in the line again.
-    private static final long GOES_ON = 200 * MICROS_A_MS;
+    private static final int MAX_REQUEST_BYTES = 1 << 16;
+    private static final long MAX_WAIT_MS = 60_000;
+    private static final long MICROS_PER_MS = 1_000;
+    private static final double MICROS_PER_SECOND = 1e6;
+    // A call that comes this soon after the last response on its connection continues a watch and
+    // does not queue again.
+    private static final long RENEWAL_WINDOW = 200 * MICROS_PER_MS;
 
     private record Watch(ChannelHandlerContext context, long after) {}
 
     private final Loop loop;
     private final VersionedServerList list;
-    private final DiscoveryCounters counts;
+    private final DiscoveryCounters counters;
     private final double callsPerSecond;
-    private final long patience;
+    private final long maxQueueTime;
     private final Set<Watch> watches = new LinkedHashSet<>();
 
-    /** When each open connection was answered last. */
-    private final Map<ChannelHandlerContext, Long> answeredAt = new HashMap<>();
+    /** When the last response was sent on each open connection. */
+    private final Map<ChannelHandlerContext, Long> lastResponseAt = new HashMap<>();
 
-    /** Until when the line is full. */
-    private long freeAt;
+    /** When the calls that are queued now will have been handled. */
+    private long queueEndsAt;
 
-    /** {@code patience}, in microseconds, is how long a call may stand in the line. */
+    /** {@code maxQueueTime} is how long a call may queue, in microseconds. */
     DiscoveryServer(
-            Loop loop, VersionedServerList list, DiscoveryCounters counts, double callsPerSecond, long patience) {
+            Loop loop,
+            VersionedServerList list,
+            DiscoveryCounters counters,
+            double callsPerSecond,
+            long maxQueueTime) {
         this.loop = loop;
         this.list = list;
-        this.counts = counts;
+        this.counters = counters;
         this.callsPerSecond = callsPerSecond;
-        this.patience = patience;
+        this.maxQueueTime = maxQueueTime;
     }
 
-    /** Listens, and gives back the address, with its port if that was left open. */
+    /** Starts to listen and returns the address, with the actual port if 0 was given. */
     InetSocketAddress listen(InetSocketAddress address) throws IOException {
         ChannelFuture bound =
                 new ServerBootstrap()
@@ -93,8 +98,8 @@
                                                 .addLast(
                                                         new ByteCounter(),
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(MOST_REQUEST),
-                                                        new Calls());
+                                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                                        new RequestHandler());
                                     }
                                 })
                         .bind(address)
@@ -110,7 +115,7 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
             if (message instanceof ByteBuf bytes) {
-                counts.bytes(bytes.readableBytes(), 0);
+                counters.countBytes(bytes.readableBytes(), 0);
             }
             context.fireChannelRead(message);
         }
@@ -120,22 +125,22 @@
         @SuppressWarnings("FutureReturnValueIgnored")
         public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
             if (message instanceof ByteBuf bytes) {
-                counts.bytes(0, bytes.readableBytes());
+                counters.countBytes(0, bytes.readableBytes());
             }
             context.write(message, promise);
         }
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-            asked(context, new QueryStringDecoder(request.uri()));
+            handleRequest(context, new QueryStringDecoder(request.uri()));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             watches.removeIf(watch -> watch.context() == context);
-            answeredAt.remove(context);
+            lastResponseAt.remove(context);
         }
 
         @Override
@@ -146,46 +151,47 @@
         }
     }
 
-    private void asked(ChannelHandlerContext context, QueryStringDecoder call) {
+    private void handleRequest(ChannelHandlerContext context, QueryStringDecoder call) {
         if (!call.path().equals(PATH)) {
-            answer(context, HttpResponseStatus.NOT_FOUND, new byte[0]);
+            respond(context, HttpResponseStatus.NOT_FOUND, new byte[0]);
             return;
         }
-        long after = number(call, "after", -1);
-        long wait = Math.min(MOST_WAIT_MS, number(call, "wait_ms", 0)) * MICROS_A_MS;
-        counts.asks(((InetSocketAddress) context.channel().remoteAddress()).getHostString(), after);
+        long after = longParameter(call, "after", -1);
+        long wait = Math.min(MAX_WAIT_MS, longParameter(call, "wait_ms", 0)) * MICROS_PER_MS;
+        counters.recordVersion(
+                ((InetSocketAddress) context.channel().remoteAddress()).getHostString(), after);
         long now = loop.now();
-        Long before = answeredAt.get(context);
-        if (after >= 0 && before != null && now - before <= GOES_ON) {
-            counts.call(DiscoveryCounters.Kind.GOES_ON);
-            handle(context, after, wait);
+        Long lastResponse = lastResponseAt.get(context);
+        if (after >= 0 && lastResponse != null && now - lastResponse <= RENEWAL_WINDOW) {
+            counters.countCall(DiscoveryCounters.Kind.GOES_ON);
+            respondOrWatch(context, after, wait);
             return;
         }
-        long turn = Math.max(freeAt, now) + (long) (MICROS_A_SECOND / callsPerSecond);
-        if (turn - now > patience) {
-            counts.call(DiscoveryCounters.Kind.REFUSED);
+        long startAt = Math.max(queueEndsAt, now) + (long) (MICROS_PER_SECOND / callsPerSecond);
+        if (startAt - now > maxQueueTime) {
+            counters.countCall(DiscoveryCounters.Kind.REFUSED);
             loop.after(
-                    patience,
-                    () -> answer(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]));
+                    maxQueueTime,
+                    () -> respond(context, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]));
             return;
         }
-        counts.call(DiscoveryCounters.Kind.OPENS);
-        freeAt = turn;
-        loop.at(turn, () -> handle(context, after, wait));
+        counters.countCall(DiscoveryCounters.Kind.OPENS);
+        queueEndsAt = startAt;
+        loop.at(startAt, () -> respondOrWatch(context, after, wait));
     }
 
-    private static long number(QueryStringDecoder call, String name, long absent) {
+    private static long longParameter(QueryStringDecoder call, String name, long defaultValue) {
         List<String> values = call.parameters().get(name);
         try {
-            return values == null ? absent : Long.parseLong(values.get(0));
+            return values == null ? defaultValue : Long.parseLong(values.get(0));
         } catch (NumberFormatException e) {
-            return absent;
+            return defaultValue;
         }
     }
 
-    private void handle(ChannelHandlerContext context, long after, long wait) {
-        if (list.hasNews(after) || wait == 0) {
-            tell(context, after);
+    private void respondOrWatch(ChannelHandlerContext context, long after, long wait) {
+        if (list.hasChangesAfter(after) || wait == 0) {
+            sendList(context, after);
             return;
         }
         Watch watch = new Watch(context, after);
@@ -194,32 +200,32 @@
                 wait,
                 () -> {
                     if (watches.remove(watch)) {
-                        tell(context, after);
+                        sendList(context, after);
                     }
                 });
     }
 
-    /** Takes a change of the list, tells those who watch, and gives back its version. */
-    long change(List<VersionedServerList.Entry> entries) {
-        long version = list.change(entries);
-        List<Watch> told = new ArrayList<>(watches);
+    /** Applies a change to the list, sends it to all watches, and returns the new version. */
+    long applyChange(List<VersionedServerList.Entry> entries) {
+        long version = list.apply(entries);
+        List<Watch> notified = new ArrayList<>(watches);
         watches.clear();
-        told.forEach(watch -> tell(watch.context(), watch.after()));
+        notified.forEach(watch -> sendList(watch.context(), watch.after()));
         return version;
     }
 
-    private void tell(ChannelHandlerContext context, long after) {
-        Answer answer = list.after(after);
+    private void sendList(ChannelHandlerContext context, long after) {
+        ListResponse listResponse = list.after(after);
         if (context.channel().isActive()) {
-            counts.answer(answer.whole(), answer.body().length);
-            answeredAt.put(context, loop.now());
+            counters.countResponse(listResponse.full(), listResponse.body().length);
+            lastResponseAt.put(context, loop.now());
         }
-        answer(context, HttpResponseStatus.OK, answer.body());
+        respond(context, HttpResponseStatus.OK, listResponse.body());
     }
 
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private static void answer(
+    private static void respond(
             ChannelHandlerContext context, HttpResponseStatus status, byte[] body) {
         if (context.channel().isActive()) {
             FullHttpResponse response =
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/VersionedServerList.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/VersionedServerList.java
@@ -10,75 +10,75 @@
 import java.util.Map;
 
 /**
- * The list of servers and its newest changes, by versions. Bodies of answers are made once for all
- * callers that ask from the same version.
+ * The list of servers and its latest changes, each with a version. A response body is created once
+ * and shared by all callers that ask for changes since the same version.
  */
 final class VersionedServerList {
 
-    /** A server's entry as it is told; {@code gone} says that this is its last one. */
-    record Entry(String host, boolean gone, String json) {}
+    /** A server's entry as it is sent. {@code removed} marks the last entry of a server. */
+    record Entry(String host, boolean removed, String json) {}
 
     private record Change(long version, List<Entry> entries) {}
 
-    /** An answer: its body, and whether that is the whole list. */
+    /** A response: its body, and whether that is the full list. */
     @SuppressWarnings("ArrayRecordComponent") // Encoded once and never compared.
-    record Answer(byte[] body, boolean whole, int entries) {}
+    record ListResponse(byte[] body, boolean full, int entries) {}
 
-    private static final int MOST_CHANGES = 50_000;
+    private static final int MAX_CHANGES = 50_000;
 
-    private final Map<String, Entry> listed = new LinkedHashMap<>();
+    private final Map<String, Entry> entriesByHost = new LinkedHashMap<>();
     private final Deque<Change> changes = new ArrayDeque<>();
-    private final Map<Long, Answer> answers = new LinkedHashMap<>();
+    private final Map<Long, ListResponse> responses = new LinkedHashMap<>();
     private long version;
 
-    /** The oldest version from which the changes are known. */
-    private long oldest;
+    /** The oldest version since which all changes are kept. */
+    private long oldestVersion;
 
-    /** Begins with a list; what came before it is not known. */
+    /** Starts with a list. Changes before its version are not available. */
     VersionedServerList(long version, Collection<Entry> entries) {
         this.version = version;
-        oldest = version;
-        entries.forEach(each -> listed.put(each.host(), each));
+        oldestVersion = version;
+        entries.forEach(each -> entriesByHost.put(each.host(), each));
     }
 
     long version() {
         return version;
     }
 
-    /** Takes a change, and gives back its version. */
-    long change(List<Entry> entries) {
+    /** Applies a change and returns the new version. */
+    long apply(List<Entry> entries) {
         version++;
         for (Entry each : entries) {
-            if (each.gone()) {
-                listed.remove(each.host());
+            if (each.removed()) {
+                entriesByHost.remove(each.host());
             } else {
-                listed.put(each.host(), each);
+                entriesByHost.put(each.host(), each);
             }
         }
         changes.add(new Change(version, entries));
-        if (changes.size() > MOST_CHANGES) {
-            oldest = changes.poll().version();
+        if (changes.size() > MAX_CHANGES) {
+            oldestVersion = changes.poll().version();
         }
-        answers.clear();
+        responses.clear();
         return version;
     }
 
-    /** Whether there is anything to be told to one that has this version. */
-    boolean hasNews(long after) {
+    /** Returns whether a caller with this version lacks a change. */
+    boolean hasChangesAfter(long after) {
         return after != version;
     }
 
     /**
-     * What one that has this version is told: changes, or the whole list if they are not known from
-     * it.
+     * Returns the response for a caller with this version: the changes since then, or the full list
+     * if those changes are not available.
      */
-    Answer after(long after) {
-        long from = after < oldest || after > version ? -1 : after;
-        return answers.computeIfAbsent(from, this::make);
+    ListResponse after(long after) {
+        long from = after < oldestVersion || after > version ? -1 : after;
+        return responses.computeIfAbsent(from, this::createResponse);
     }
 
-    private Answer make(long from) {
-        Collection<Entry> entries = from < 0 ? listed.values() : newest(from);
+    private ListResponse createResponse(long from) {
+        Collection<Entry> entries = from < 0 ? entriesByHost.values() : latestEntries(from);
         StringBuilder text =
                 new StringBuilder(
                         "{\"seq\":" + version + ",\"whole\":" + (from < 0) + ",\"hosts\":[");
@@ -86,23 +86,23 @@
                 each ->
                         text.append(text.charAt(text.length() - 1) == '[' ? "" : ",")
                                 .append(each.json()));
-        return new Answer(
+        return new ListResponse(
                 text.append("]}").toString().getBytes(StandardCharsets.UTF_8),
                 from < 0,
                 entries.size());
     }
 
-    // Of each server only the last that is known.
-    private Collection<Entry> newest(long from) {
-        Map<String, Entry> newest = new LinkedHashMap<>();
-        for (Change change : changes) {
-            if (change.version() > from) {
-                for (Entry each : change.entries()) {
-                    newest.remove(each.host());
-                    newest.put(each.host(), each);
+    // For each server only its latest entry.
+    private Collection<Entry> latestEntries(long from) {
+        Map<String, Entry> latestEntries = new LinkedHashMap<>();
+        for (Change logged : changes) {
+            if (logged.version() > from) {
+                for (Entry each : logged.entries()) {
+                    latestEntries.remove(each.host());
+                    latestEntries.put(each.host(), each);
                 }
             }
         }
-        return newest.values();
+        return latestEntries.values();
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/WarmUp.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/WarmUp.java
@@ -8,13 +8,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Calls a stand-in from its own process until it is warm: one whose code runs for the first time
- * answers the first hundreds of calls late, which a play would take for the nodes' doing.
+ * Calls a stand-in from its own process to warm it up. A stand-in whose code runs for the first
+ * time answers the first hundreds of calls late, and a scale test would attribute that delay to the
+ * nodes.
  */
 final class WarmUp {
 
     private static final int CALLS = 500;
-    private static final int READ_WITHIN_MS = 10_000;
+    private static final int READ_TIMEOUT_MS = 10_000;
     private static final byte[] REQUEST =
             ("GET /registry/instances?after=0&wait_ms=0 HTTP/1.1\r\n" + "Host: itself\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII);
@@ -25,7 +26,7 @@
 
     static void run(InetSocketAddress address) throws IOException {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            socket.setSoTimeout(READ_WITHIN_MS);
+            socket.setSoTimeout(READ_TIMEOUT_MS);
             InputStream in = socket.getInputStream();
             for (int call = 0; call < CALLS; call++) {
                 socket.getOutputStream().write(REQUEST);
@@ -39,7 +40,8 @@
         while (head.indexOf(HEAD_END) < 0) {
             int next = in.read();
             if (next < 0) {
-                throw new IOException("it closed the connection");
+                throw new IOException(
+                        "the discovery stand-in closed the connection during its warm-up");
             }
             head.append((char) next);
         }
--- a/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
@@ -21,23 +21,24 @@
 import ottergauge.lab.scale.process.Reporter;
 
 /**
- * All links as a process: its first order names them with their addresses and targets, each further
- * one cuts or heals some. It tells when it has done so, and the bytes over each link.
+ * Runs all links as a process. Its first command contains their names, addresses and targets; each
+ * further command cuts or restores some of them. It reports each change, and the bytes on each
+ * link.
  */
 public final class LinksProcess {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long CLEAR = 0;
+    private static final long SEED = 0;
 
     private final Map<String, Relay> relays = new LinkedHashMap<>();
 
-    /** Runs until its orders end. */
-    public void run(InputStream orders, PrintStream out) throws IOException {
+    /** Runs until the end of its commands. */
+    public void run(InputStream commands, PrintStream out) throws IOException {
         BufferedReader lines =
-                new BufferedReader(new InputStreamReader(orders, StandardCharsets.UTF_8));
+                new BufferedReader(new InputStreamReader(commands, StandardCharsets.UTF_8));
         Reporter reporter = new Reporter(out);
         try (Loop loop = new Loop()) {
-            Links links = new Links(CLEAR);
+            Links links = new Links(SEED);
             for (JsonNode each : JSON.readTree(lines.readLine()).get("links")) {
                 String name = each.get("name").asText();
                 Link link = links.add(name, each.get("target").asText(), 0, 0);
@@ -50,11 +51,12 @@
                                 LoopbackAddresses.parse(each.get("target").asText()),
                                 source(each)));
             }
-            loop.netty().execute(() -> reporter.watch(loop, () -> tellBytes(reporter)));
-            reporter.tell("ready", Reporter.wallMicros(), JsonNodeFactory.instance.objectNode());
+            loop.netty().execute(() -> reporter.reportLateness(loop, () -> reportBytes(reporter)));
+            reporter.report(
+                    "ready", Reporter.wallClockMicros(), JsonNodeFactory.instance.objectNode());
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
-                JsonNode order = JSON.readTree(line);
-                loop.netty().execute(() -> cut(order, reporter));
+                JsonNode command = JSON.readTree(line);
+                loop.netty().execute(() -> cut(command, reporter));
             }
             loop.netty().submit(() -> relays.values().forEach(Relay::end)).awaitUninterruptibly();
         }
@@ -64,22 +66,22 @@
         return link.has("source") ? new InetSocketAddress(link.get("source").asText(), 0) : null;
     }
 
-    private void cut(JsonNode order, Reporter reporter) {
-        boolean cuts = order.get("cut").asBoolean();
-        order.get("links").forEach(name -> relays.get(name.asText()).cut(cuts));
+    private void cut(JsonNode command, Reporter reporter) {
+        boolean cuts = command.get("cut").asBoolean();
+        command.get("links").forEach(name -> relays.get(name.asText()).cut(cuts));
         ObjectNode fields = JsonNodeFactory.instance.objectNode().put("cut", cuts);
-        fields.set("links", order.get("links"));
-        reporter.tell("links", Reporter.wallMicros(), fields);
+        fields.set("links", command.get("links"));
+        reporter.report("links", Reporter.wallClockMicros(), fields);
     }
 
-    private void tellBytes(Reporter reporter) {
+    private void reportBytes(Reporter reporter) {
         relays.forEach(
                 (name, relay) -> {
-                    long[] bytes = relay.takeBytes();
+                    long[] bytes = relay.readAndResetBytes();
                     if (bytes[0] + bytes[1] > 0) {
-                        reporter.tell(
+                        reporter.report(
                                 "link-bytes",
-                                Reporter.wallMicros(),
+                                Reporter.wallClockMicros(),
                                 JsonNodeFactory.instance
                                         .objectNode()
                                         .put("link", name)
--- a/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
@@ -23,10 +23,10 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * One way between two places: what connects to its address is connected to its target, and bytes go
- * on either way as fast as the other side takes them. Cut off, it moves nothing and answers no
- * connection, as if the network between had gone; what the systems hold at either side moves once
- * it heals.
+ * A TCP relay between two places. It connects each incoming connection to its target and forwards
+ * bytes in both directions, as fast as the receiver reads them. While it is cut, it forwards
+ * nothing and accepts no connection, like a network partition. The bytes that the operating system
+ * has buffered on either side are forwarded once the relay is restored.
  */
 final class Relay {
 
@@ -39,14 +39,14 @@
     private final Link link;
     private final Listener listener;
 
-    /** The connections at this relay's two sides. */
-    private final Set<Channel> open = new LinkedHashSet<>();
+    /** The connections on both sides of this relay. */
+    private final Set<Channel> openChannels = new LinkedHashSet<>();
 
     private boolean cut;
-    private long bytesThere;
-    private long bytesBack;
+    private long bytesToTarget;
+    private long bytesFromTarget;
 
-    /** {@code source} is where it connects to the target from; null for wherever. */
+    /** {@code source} is the local address of connections to the target, or null for any. */
     Relay(
             Loop loop,
             Link link,
@@ -64,10 +64,10 @@
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void accepted(ChannelPipeline pipeline) {
-        Channel near = pipeline.channel();
-        near.config().setWriteBufferWaterMark(WATER_MARK);
-        near.config().setAutoRead(false);
-        near.closeFuture().addListener(closed -> open.remove(near));
+        Channel inbound = pipeline.channel();
+        inbound.config().setWriteBufferWaterMark(WATER_MARK);
+        inbound.config().setAutoRead(false);
+        inbound.closeFuture().addListener(closed -> openChannels.remove(inbound));
         ChannelFuture connecting =
                 new Bootstrap()
                         .group(loop.netty())
@@ -79,49 +79,49 @@
                                 new ChannelInitializer<>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        // Its handler comes with the connection.
+                                        // The handler is added once the connection is established.
                                     }
                                 })
                         .connect(target, source);
         connecting.addListener(
                 done -> {
                     if (done.isSuccess()) {
-                        join(near, connecting.channel());
+                        pair(inbound, connecting.channel());
                     } else {
-                        near.close();
+                        inbound.close();
                     }
                 });
     }
 
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void join(Channel near, Channel far) {
-        open.add(near);
-        open.add(far);
-        far.closeFuture().addListener(closed -> open.remove(far));
-        near.pipeline().addLast(new Side(far, true));
-        far.pipeline().addLast(new Side(near, false));
-        if (near.isActive()) {
-            read(near);
-            read(far);
+    private void pair(Channel inbound, Channel outbound) {
+        openChannels.add(inbound);
+        openChannels.add(outbound);
+        outbound.closeFuture().addListener(closed -> openChannels.remove(outbound));
+        inbound.pipeline().addLast(new Forwarder(outbound, true));
+        outbound.pipeline().addLast(new Forwarder(inbound, false));
+        if (inbound.isActive()) {
+            updateAutoRead(inbound);
+            updateAutoRead(outbound);
         } else {
-            far.close();
+            outbound.close();
         }
     }
 
-    // Reads on if it may, and if the other side takes what comes.
-    private void read(Channel channel) {
-        Side side = channel.pipeline().get(Side.class);
-        channel.config().setAutoRead(!cut && side.other.isWritable());
+    // Reads from a connection only while the relay is not cut and the other side is writable.
+    private void updateAutoRead(Channel channel) {
+        Forwarder forwarder = channel.pipeline().get(Forwarder.class);
+        channel.config().setAutoRead(!cut && forwarder.other.isWritable());
     }
 
-    private final class Side extends ChannelInboundHandlerAdapter {
+    private final class Forwarder extends ChannelInboundHandlerAdapter {
         private final Channel other;
-        private final boolean near;
+        private final boolean inbound;
 
-        Side(Channel other, boolean near) {
+        Forwarder(Channel other, boolean inbound) {
             this.other = other;
-            this.near = near;
+            this.inbound = inbound;
         }
 
         @Override
@@ -129,18 +129,18 @@
         @SuppressWarnings("FutureReturnValueIgnored")
         public void channelRead(ChannelHandlerContext context, Object message) {
             int length = ((ByteBuf) message).readableBytes();
-            bytesThere += near ? length : 0;
-            bytesBack += near ? 0 : length;
+            bytesToTarget += inbound ? length : 0;
+            bytesFromTarget += inbound ? 0 : length;
             other.writeAndFlush(message);
             if (!other.isWritable()) {
-                read(context.channel());
+                updateAutoRead(context.channel());
             }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
             if (other.isActive()) {
-                read(other);
+                updateAutoRead(other);
             }
             context.fireChannelWritabilityChanged();
         }
@@ -149,7 +149,7 @@
         // A failed write or close shows as the end of its connection.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void channelInactive(ChannelHandlerContext context) {
-            // What was written to the other side goes out before it is closed.
+            // Flushes what was written to the other side before closing it.
             other.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(sent -> other.close());
         }
 
@@ -161,19 +161,19 @@
         }
     }
 
-    /** Cuts it off, or heals it. */
+    /** Cuts the relay, or restores it. */
     void cut(boolean cuts) {
         cut = cuts;
         link.setSilent(cuts);
-        List.copyOf(open).stream().filter(Channel::isActive).forEach(this::read);
+        List.copyOf(openChannels).stream().filter(Channel::isActive).forEach(this::updateAutoRead);
     }
 
-    /** The bytes that have gone to the target, and back, since this was asked last. */
-    long[] takeBytes() {
-        long[] taken = {bytesThere, bytesBack};
-        bytesThere = 0;
-        bytesBack = 0;
-        return taken;
+    /** Returns the bytes sent to the target and received from it since the last call. */
+    long[] readAndResetBytes() {
+        long[] sinceLastRead = {bytesToTarget, bytesFromTarget};
+        bytesToTarget = 0;
+        bytesFromTarget = 0;
+        return sinceLastRead;
     }
 
     void end() {
--- a/lab/src/main/java/ottergauge/lab/scale/link/package-info.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/package-info.java
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * The ways between regions and what they reach, as a process that relays bytes and can be told to
- * stop.
+ * The network links from the regions to discovery. A separate process relays the bytes and can cut
+ * each link.
  */
 package ottergauge.lab.scale.link;
--- a/lab/src/main/java/ottergauge/lab/scale/process/ChildProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/ChildProcess.java
@@ -15,40 +15,40 @@
 import ottergauge.lab.node.Signals;
 
 /**
- * A process of a play that takes orders on standard input, a line each, and tells what it sees as
- * JSON lines on standard output. It ends with its input.
+ * A child process of a scale test. It reads commands from standard input, one per line, and writes
+ * its events to standard output as JSON lines. It exits at the end of its input.
  */
 public final class ChildProcess {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int LOG_END = 2_000;
-    private static final long END_WITHIN_S = 5;
+    private static final int LOG_TAIL_CHARS = 2_000;
+    private static final long EXIT_TIMEOUT_S = 5;
 
     private final String name;
     private final ProcessBuilder builder;
     private final Path log;
     private final Reaper reaper;
     private final Signals signals;
-    private final Consumer<JsonNode> told;
+    private final Consumer<JsonNode> eventHandler;
     private Process process;
 
-    /** {@code told} gets each line, on a thread of the process's own. */
+    /** {@code eventHandler} receives each event, on a reader thread of this process. */
     public ChildProcess(
             String name,
             ProcessBuilder builder,
             Path log,
             Reaper reaper,
             Signals signals,
-            Consumer<JsonNode> told) {
+            Consumer<JsonNode> eventHandler) {
         this.name = name;
         this.builder = builder;
         this.log = log;
         this.reaper = reaper;
         this.signals = signals;
-        this.told = told;
+        this.eventHandler = eventHandler;
     }
 
-    /** Starts it, for the first time or anew. */
+    /** Starts the process for the first time, or again after it has ended. */
     public void start() throws IOException {
         builder.redirectError(ProcessBuilder.Redirect.appendTo(log.toFile()));
         process = builder.start();
@@ -58,22 +58,22 @@
         reader.start();
     }
 
-    private void read(Process from) {
+    private void read(Process child) {
         try (BufferedReader lines =
                 new BufferedReader(
-                        new InputStreamReader(from.getInputStream(), StandardCharsets.UTF_8))) {
+                        new InputStreamReader(child.getInputStream(), StandardCharsets.UTF_8))) {
             for (String line = lines.readLine(); line != null; line = lines.readLine()) {
                 JsonNode event = parse(line);
                 if (event != null) {
-                    told.accept(event);
+                    eventHandler.accept(event);
                 }
             }
         } catch (IOException e) {
-            // It was killed.
+            // The process was killed.
         }
     }
 
-    // The last line of one that was killed may be cut.
+    // The last line of a killed process may be incomplete.
     private static JsonNode parse(String line) {
         try {
             return JSON.readTree(line);
@@ -82,14 +82,14 @@
         }
     }
 
-    /** Gives it an order; one that has ended takes none. */
-    public synchronized void order(String line) {
+    /** Sends a command. A command to a process that has ended is dropped. */
+    public synchronized void sendCommand(String line) {
         try {
-            OutputStream orders = process.getOutputStream();
-            orders.write((line + "\n").getBytes(StandardCharsets.UTF_8));
-            orders.flush();
+            OutputStream input = process.getOutputStream();
+            input.write((line + "\n").getBytes(StandardCharsets.UTF_8));
+            input.flush();
         } catch (IOException e) {
-            // It has ended, which shows elsewhere.
+            // The process has ended. The caller learns this from isAlive.
         }
     }
 
@@ -105,12 +105,12 @@
         return process != null && process.isAlive();
     }
 
-    /** Stops it, or lets it go on. */
-    public void stalled(boolean stalls) {
-        signals.send(stalls ? "STOP" : "CONT", process.pid());
+    /** Suspends the process by SIGSTOP, or continues it by SIGCONT. */
+    public void setSuspended(boolean suspended) {
+        signals.send(suspended ? "STOP" : "CONT", process.pid());
     }
 
-    /** Kills it and waits for its end. */
+    /** Kills the process and waits until it has ended. */
     public void kill() throws InterruptedException {
         if (process != null) {
             process.destroyForcibly().waitFor();
@@ -118,7 +118,10 @@
         }
     }
 
-    /** Ends its input, waits for its end, and kills it if that does not come. */
+    /**
+     * Closes the standard input of the process, waits for its exit, and kills it if it does not
+     * exit in time.
+     */
     public void end() throws InterruptedException {
         if (process == null) {
             return;
@@ -126,19 +129,19 @@
         try {
             process.getOutputStream().close();
         } catch (IOException e) {
-            // It has ended.
+            // The process has ended.
         }
-        process.waitFor(END_WITHIN_S, TimeUnit.SECONDS);
+        process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS);
         kill();
     }
 
-    /** The last lines of its log. */
-    public String logEnd() {
+    /** Returns the last part of the process's log. */
+    public String logTail() {
         try {
             String text = Files.readString(log);
-            return text.substring(Math.max(0, text.length() - LOG_END));
+            return text.substring(Math.max(0, text.length() - LOG_TAIL_CHARS));
         } catch (IOException e) {
-            return "no log: " + e.getMessage();
+            return "cannot read the log: " + e.getMessage();
         }
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/process/LatenessSampler.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/LatenessSampler.java
@@ -5,18 +5,18 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * Looks at a loop in equal steps, so that how late it comes round is known also while nothing
- * happens.
+ * Samples a loop at a fixed interval, so that the lateness of its tasks is known even while it is
+ * otherwise idle.
  */
 public final class LatenessSampler {
 
-    /** Looks that are later than this count as late, in microseconds. */
-    public static final long LATE = 20_000;
+    /** A sample that is later than this counts as late, in microseconds. */
+    public static final long LATE_THRESHOLD = 20_000;
 
-    private static final long EVERY = 10_000;
+    private static final long INTERVAL = 10_000;
 
-    /** How many looks there were, how many of them late, and the latest in microseconds. */
-    public record Lateness(long looks, long late, long most) {}
+    /** The number of samples, the number of late ones, and the largest lateness in microseconds. */
+    public record Lateness(long samples, long late, long maximum) {}
 
     private final Loop loop;
 
@@ -24,29 +24,29 @@
         this.loop = loop;
     }
 
-    /** Begins to look; on the loop. */
-    public static LatenessSampler begin(Loop loop) {
-        LatenessSampler looks = new LatenessSampler(loop);
-        looks.look(loop.now() + EVERY);
-        return looks;
+    /** Starts to sample. Must be called on the loop. */
+    public static LatenessSampler start(Loop loop) {
+        LatenessSampler sampler = new LatenessSampler(loop);
+        sampler.sample(loop.now() + INTERVAL);
+        return sampler;
     }
 
-    // The next look is due from when this one was: those that were missed come late one after the
-    // other.
-    private void look(long due) {
-        loop.at(due, () -> look(due + EVERY));
+    // The next sample is scheduled relative to when this one was due, not when it ran. After a
+    // delay, the missed samples run one after the other, each with its own lateness.
+    private void sample(long due) {
+        loop.at(due, () -> sample(due + INTERVAL));
     }
 
-    /** What was seen since this was asked last; on the loop. */
-    public Lateness take() {
+    /** Returns the lateness since the last call and resets it. Must be called on the loop. */
+    public Lateness readAndReset() {
         Histogram histogram = loop.lateness();
-        long looks = histogram.getTotalCount();
-        Lateness taken =
+        long samples = histogram.getTotalCount();
+        Lateness sinceLastRead =
                 new Lateness(
-                        looks,
-                        looks - histogram.getCountBetweenValues(0, LATE),
+                        samples,
+                        samples - histogram.getCountBetweenValues(0, LATE_THRESHOLD),
                         histogram.getMaxValue());
         histogram.reset();
-        return taken;
+        return sinceLastRead;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/process/ProcessUsage.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/ProcessUsage.java
@@ -7,20 +7,24 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** What a process has used so far, as the system tells it: CPU in microseconds, resident bytes. */
+/**
+ * The resources that a process has used so far according to /proc: CPU time in microseconds, and
+ * resident bytes.
+ */
 public record ProcessUsage(long cpuMicros, long residentBytes) {
 
-    private static final long MICROS_A_TICK = 10_000;
-    private static final long PAGE = 4_096;
-    // Behind the name, which may hold anything and ends with the last bracket.
-    private static final int USER_TICKS = 11;
-    private static final int SYSTEM_TICKS = 12;
-    private static final int RESIDENT_PAGES = 21;
-    private static final int IDLE = 4;
-    private static final int DISKS = 5;
-    private static final int LAST_OF_MACHINE = 7;
+    private static final long MICROS_PER_TICK = 10_000;
+    private static final long PAGE_BYTES = 4_096;
+    // Field positions after the process name in /proc/PID/stat. The name may contain any character
+    // and ends at the last closing bracket.
+    private static final int USER_TICKS_FIELD = 11;
+    private static final int SYSTEM_TICKS_FIELD = 12;
+    private static final int RESIDENT_PAGES_FIELD = 21;
+    private static final int IDLE_FIELD = 4;
+    private static final int IO_WAIT_FIELD = 5;
+    private static final int LAST_BUSY_FIELD = 7;
 
-    /** Reads it, or nothing if the process has gone. */
+    /** Reads the usage of a process; all zero if the process does not exist. */
     public static ProcessUsage of(long pid) {
         try {
             return parse(Files.readString(Path.of("/proc/" + pid + "/stat")));
@@ -29,7 +33,7 @@
         }
     }
 
-    /** What all processes of the machine together have used. */
+    /** Reads the CPU time that all processes of the machine have used together. */
     public static ProcessUsage ofMachine() {
         try (Stream<String> lines = Files.lines(Path.of("/proc/stat"))) {
             return parseMachine(lines.findFirst().orElse(""));
@@ -38,21 +42,26 @@
         }
     }
 
-    // User, nice and system time come first, then idle time and waiting for disks, then interrupts.
+    // The fields are user, nice and system time, then idle time and I/O wait, then interrupts.
     static ProcessUsage parseMachine(String line) {
         String[] fields = line.trim().split("\\s+", -1);
         long ticks = 0;
-        for (int field = 1; field <= LAST_OF_MACHINE && field < fields.length; field++) {
-            ticks += field == IDLE || field == DISKS ? 0 : Long.parseLong(fields[field]);
+        for (int field = 1; field <= LAST_BUSY_FIELD && field < fields.length; field++) {
+            ticks +=
+                    field == IDLE_FIELD || field == IO_WAIT_FIELD
+                            ? 0
+                            : Long.parseLong(fields[field]);
         }
-        return new ProcessUsage(ticks * MICROS_A_TICK, 0);
+        return new ProcessUsage(ticks * MICROS_PER_TICK, 0);
     }
 
     static ProcessUsage parse(String stat) {
         List<String> fields = List.of(stat.substring(stat.lastIndexOf(')') + 2).trim().split(" "));
         long ticks =
-                Long.parseLong(fields.get(USER_TICKS)) + Long.parseLong(fields.get(SYSTEM_TICKS));
+                Long.parseLong(fields.get(USER_TICKS_FIELD))
+                        + Long.parseLong(fields.get(SYSTEM_TICKS_FIELD));
         return new ProcessUsage(
-                ticks * MICROS_A_TICK, Long.parseLong(fields.get(RESIDENT_PAGES)) * PAGE);
+                ticks * MICROS_PER_TICK,
+                Long.parseLong(fields.get(RESIDENT_PAGES_FIELD)) * PAGE_BYTES);
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/process/Reaper.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/Reaper.java
@@ -6,8 +6,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Kills what is left of a play when the rig is gone, however it ended: a shell that is told of each
- * process and waits for the end of its input, which comes with the end of the rig.
+ * Kills the remaining child processes of a scale test when the laboratory has ended for any reason.
+ * It is a shell that reads the ids of started and ended processes and waits for the end of its
+ * input, which comes when the laboratory ends.
  */
 public final class Reaper implements AutoCloseable {
 
@@ -29,9 +30,10 @@
     private final Process shell;
     private final OutputStream entries;
 
-    /** Starts the shell that kills registered processes when this one has gone. */
+    /** Starts the shell that kills registered processes when the laboratory has ended. */
     public Reaper() throws IOException {
-        // A group of its own: what ends the rig's group from a terminal does not end this.
+        // The shell has its own session, so a signal from a terminal to the laboratory's process
+        // group does not end it.
         shell =
                 new ProcessBuilder("setsid", "/bin/sh", "-c", SCRIPT)
                         .redirectErrorStream(true)
@@ -40,12 +42,12 @@
         entries = shell.getOutputStream();
     }
 
-    /** Notes a process that has been started. */
+    /** Registers a process that has been started. */
     public void started(long pid) {
         write("+ " + pid);
     }
 
-    /** Notes a process that has ended: its number may soon be another's. */
+    /** Removes a process that has ended, since its id may soon belong to another process. */
     public void ended(long pid) {
         write("- " + pid);
     }
@@ -56,11 +58,11 @@
             entries.flush();
         } catch (IOException e) {
             throw new IllegalStateException(
-                    "nothing would kill the processes of a rig that is killed", e);
+                    "cannot register a process with the shell that kills left-over processes", e);
         }
     }
 
-    /** Has it kill what has not ended yet. */
+    /** Makes the shell kill the processes that have not ended yet. */
     @Override
     public void close() throws IOException {
         entries.close();
--- a/lab/src/main/java/ottergauge/lab/scale/process/Reporter.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/Reporter.java
@@ -12,19 +12,20 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * Tells what a process of the rig sees, as JSON lines on standard output, and each second how late
- * its loop came round. A thread of its own writes: one that reads slowly never holds up the loop.
+ * Writes the events of a laboratory process as JSON lines to standard output, among them the
+ * lateness of its loop each second. A separate thread writes, so a slow reader never blocks the
+ * loop.
  */
 public final class Reporter {
 
-    private static final long TELL_EVERY = 1_000_000;
-    private static final int MOST_WAITING = 1 << 16;
-    private static final long MICROS = 1_000;
+    private static final long REPORT_INTERVAL = 1_000_000;
+    private static final int MAX_QUEUED = 1 << 16;
+    private static final long NANOS_PER_MICRO = 1_000;
 
-    private final BlockingQueue<String> waiting = new LinkedBlockingQueue<>(MOST_WAITING);
+    private final BlockingQueue<String> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
     private final PrintStream out;
 
-    /** Begins to write what it is told to. */
+    /** Starts the thread that writes events. */
     public Reporter(PrintStream out) {
         this.out = out;
         Thread writer = new Thread(this::write, "reporter");
@@ -32,19 +33,19 @@
         writer.start();
     }
 
-    /** The wall clock, in microseconds. */
-    public static long wallMicros() {
+    /** Returns the wall-clock time in microseconds. */
+    public static long wallClockMicros() {
         Instant now = Instant.now();
-        return TimeUnit.SECONDS.toMicros(now.getEpochSecond()) + now.getNano() / MICROS;
+        return TimeUnit.SECONDS.toMicros(now.getEpochSecond()) + now.getNano() / NANOS_PER_MICRO;
     }
 
     private void write() {
         try {
             while (true) {
-                String line = waiting.take();
+                String line = queue.take();
                 byte[] bytes = (line + "\n").getBytes(StandardCharsets.UTF_8);
                 out.write(bytes, 0, bytes.length);
-                if (waiting.isEmpty()) {
+                if (queue.isEmpty()) {
                     out.flush();
                 }
             }
@@ -53,37 +54,39 @@
         }
     }
 
-    /** Tells an event. */
-    public void tell(String event, long at, ObjectNode fields) {
+    /** Queues an event to be written. */
+    public void report(String event, long at, ObjectNode fields) {
         ObjectNode line = JsonNodeFactory.instance.objectNode().put("event", event).put("at", at);
         line.setAll(fields);
-        if (!waiting.offer(line.toString())) {
-            throw new IllegalStateException("nobody reads what this process tells");
+        if (!queue.offer(line.toString())) {
+            throw new IllegalStateException(
+                    "the output queue is full: the parent process does not read standard output");
         }
     }
 
     /**
-     * Watches how late a loop comes round, and tells it; {@code beside} runs before that is told.
+     * Samples the lateness of a loop and reports it each second; {@code beforeReport} runs before
+     * each report.
      */
-    public void watch(Loop loop, Runnable beside) {
-        tellLateness(loop, LatenessSampler.begin(loop), beside);
+    public void reportLateness(Loop loop, Runnable beforeReport) {
+        scheduleLatenessReport(loop, LatenessSampler.start(loop), beforeReport);
     }
 
-    private void tellLateness(Loop loop, LatenessSampler looks, Runnable beside) {
+    private void scheduleLatenessReport(Loop loop, LatenessSampler sampler, Runnable beforeReport) {
         loop.after(
-                TELL_EVERY,
+                REPORT_INTERVAL,
                 () -> {
-                    beside.run();
-                    LatenessSampler.Lateness lateness = looks.take();
-                    tell(
+                    beforeReport.run();
+                    LatenessSampler.Lateness lateness = sampler.readAndReset();
+                    report(
                             "lateness",
-                            wallMicros(),
+                            wallClockMicros(),
                             JsonNodeFactory.instance
                                     .objectNode()
-                                    .put("looks", lateness.looks())
+                                    .put("looks", lateness.samples())
                                     .put("late", lateness.late())
-                                    .put("most_us", lateness.most()));
-                    tellLateness(loop, looks, beside);
+                                    .put("most_us", lateness.maximum()));
+                    scheduleLatenessReport(loop, sampler, beforeReport);
                 });
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/process/package-info.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/package-info.java
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * The processes of a scale test: started, ordered about, measured, and ended whatever becomes of
- * the rig.
+ * The child processes of a scale test: started, controlled, measured, and killed even if the
+ * laboratory itself is killed.
  */
 package ottergauge.lab.scale.process;
--- a/lab/src/main/java/ottergauge/lab/scale/report/ScaleReport.java
+++ b/lab/src/main/java/ottergauge/lab/scale/report/ScaleReport.java
@@ -11,13 +11,16 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.Collectors;
+import ottergauge.lab.scale.scenario.ScaleScenario;
+import ottergauge.lab.scale.statistics.Distribution;
 import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.statistics.PhaseStatistics;
 import ottergauge.lab.scale.statistics.PhaseStatistics.Verdict;
-import ottergauge.lab.scale.statistics.Distribution;
-import ottergauge.lab.scale.scenario.ScaleScenario;
 
-/** What a scale test came to. A phase in which the rig was late has a verdict and no figures. */
+/**
+ * The report of a scale test. A phase in which the laboratory ran late has a verdict but no
+ * statistics of the nodes.
+ */
 public final class ScaleReport {
 
     private static final double MS = 1_000;
@@ -34,14 +37,14 @@
     }
 
     /**
-     * Whether all nodes went by all that was changed in each phase, and the rig was in time to see
-     * it.
+     * Returns whether in each phase all changes took effect on all nodes, and the laboratory ran on
+     * time.
      */
     public boolean reached() {
         return phases.stream().allMatch(each -> each.verdict() == Verdict.REACHED);
     }
 
-    /** Prints it for people. */
+    /** Prints the report as text. */
     public void print(PrintWriter out) {
         ScaleScenario.Nodes nodes = scenario.nodes();
         out.printf(
@@ -66,55 +69,55 @@
                 f.window().phase().name(),
                 seconds(f),
                 f.changes(),
-                f.window().phase().compressed() > 1
+                f.window().phase().compression() > 1
                         ? String.format(
                                 Locale.ROOT,
-                                " (%.0f times as dense as what they stand for)",
-                                f.window().phase().compressed())
+                                " (at %.0f times the real rate)",
+                                f.window().phase().compression())
                         : "",
                 f.verdict());
         out.printf(
                 Locale.ROOT,
-                "  rig          %s late at %.2f%% of its looks, %d lines lost%n",
-                f.latest().process().isEmpty() ? "nothing" : f.latest().process(),
-                f.latest().part() * PERCENT,
-                f.latest().lost());
+                "  rig          %s late in %.2f%% of its samples, %d lines lost%n",
+                f.rigLateness().process().isEmpty() ? "nothing" : f.rigLateness().process(),
+                f.rigLateness().lateFraction() * PERCENT,
+                f.rigLateness().lostLines());
         out.printf(
                 Locale.ROOT,
-                "  machine      %.1f cores busy, of which %.1f with this play%n",
+                "  machine      %.1f cores busy, of which %.1f with this test%n",
                 f.cores().getOrDefault(Observations.MACHINE, 0.0),
-                playCores(f));
+                testCores(f));
         if (f.verdict() == Verdict.RIG_LATE) {
             return;
         }
-        spread(out, "in force", f.inForce());
-        spread(out, "last node", f.atLastNode());
-        spread(out, "real nodes", f.atRealNodes());
-        spread(out, "from nothing", f.afterRestart());
+        printDistribution(out, "in force", f.propagation());
+        printDistribution(out, "last node", f.propagationToLastNode());
+        printDistribution(out, "real nodes", f.propagationToRealNodes());
+        printDistribution(out, "from nothing", f.propagationAfterRestart());
         out.printf(
                 Locale.ROOT,
                 "  at the end   %d hollow nodes behind, %d with wrong servers, %d never saw"
                         + " a change%n",
-                f.behind(),
-                f.wrong(),
-                f.missing());
+                f.nodesBehind(),
+                f.nodesWithWrongServers(),
+                f.missingChanges());
         out.printf(
                 Locale.ROOT,
                 "  bytes        %.0f a second of a hollow node, at most %d of one in 10 s%n",
-                f.bytesANode(),
-                f.mostBytesIn10s());
+                f.bytesPerNodePerSecond(),
+                f.maxBytesIn10s());
         out.printf(
                 Locale.ROOT,
                 "  calls        %s, at most %d in 100 ms%n",
                 counts(f.calls()),
-                f.mostCallsIn100ms());
+                f.maxCallsIn100ms());
         out.printf(
                 Locale.ROOT,
                 "  discovery    %s, at most %d in 100 ms; %d whole lists of %.1f MB in all%n",
-                counts(f.atDiscovery()),
-                f.mostAtDiscoveryIn100ms(),
-                f.wholeLists().lists(),
-                f.wholeLists().bytes() / MB);
+                counts(f.discoveryCalls()),
+                f.maxDiscoveryCallsIn100ms(),
+                f.fullLists().lists(),
+                f.fullLists().bytes() / MB);
         out.printf(
                 Locale.ROOT,
                 "  cores        %s; a hollow node %.4f%n",
@@ -140,8 +143,8 @@
                                                 each.getKey(),
                                                 each.getValue() / MB))
                         .collect(Collectors.joining(", ")));
-        if (!f.leftOut().isEmpty()) {
-            out.printf("  left out     %s%n", counts(f.leftOut()));
+        if (!f.omittedEffects().isEmpty()) {
+            out.printf("  left out     %s%n", counts(f.omittedEffects()));
         }
     }
 
@@ -149,7 +152,7 @@
         return (f.window().until() - f.window().from()) / S;
     }
 
-    private static double playCores(PhaseStatistics f) {
+    private static double testCores(PhaseStatistics f) {
         return f.cores().entrySet().stream()
                 .filter(each -> !each.getKey().equals(Observations.MACHINE))
                 .mapToDouble(Map.Entry::getValue)
@@ -163,16 +166,16 @@
                 .sum();
     }
 
-    private static void spread(PrintWriter out, String name, Distribution spread) {
-        if (spread.count() > 0) {
+    private static void printDistribution(PrintWriter out, String name, Distribution distribution) {
+        if (distribution.count() > 0) {
             out.printf(
                     Locale.ROOT,
                     "  %-12s median %.1f ms, 99th %.1f ms, most %.1f ms of %d%n",
                     name,
-                    spread.median() / MS,
-                    spread.p99() / MS,
-                    spread.most() / MS,
-                    spread.count());
+                    distribution.median() / MS,
+                    distribution.p99() / MS,
+                    distribution.maximum() / MS,
+                    distribution.count());
         }
     }
 
@@ -184,7 +187,7 @@
                         .collect(Collectors.joining(", "));
     }
 
-    /** The same for programs. */
+    /** Returns the report as JSON. */
     public String json() throws IOException {
         ObjectNode root =
                 JsonNodeFactory.instance
@@ -208,46 +211,46 @@
                         .put("name", f.window().phase().name())
                         .put("verdict", f.verdict().name())
                         .put("seconds", seconds(f))
-                        .put("compressed", f.window().phase().compressed())
+                        .put("compressed", f.window().phase().compression())
                         .put("changes", f.changes())
-                        .put("latest", f.latest().process())
-                        .put("late_part", f.latest().part())
-                        .put("lost_lines", f.latest().lost())
+                        .put("latest", f.rigLateness().process())
+                        .put("late_part", f.rigLateness().lateFraction())
+                        .put("lost_lines", f.rigLateness().lostLines())
                         .put("machine_cores", f.cores().getOrDefault(Observations.MACHINE, 0.0))
-                        .put("play_cores", playCores(f));
+                        .put("play_cores", testCores(f));
         if (f.verdict() == Verdict.RIG_LATE) {
             return node;
         }
-        node.set("in_force_us", json(f.inForce()));
-        node.set("at_last_node_us", json(f.atLastNode()));
-        node.set("at_real_nodes_us", json(f.atRealNodes()));
-        node.set("after_restart_us", json(f.afterRestart()));
-        node.put("missing", f.missing())
-                .put("behind", f.behind())
-                .put("wrong", f.wrong())
-                .put("bytes_a_node_a_second", f.bytesANode())
-                .put("most_bytes_in_10s", f.mostBytesIn10s())
-                .put("most_calls_in_100ms", f.mostCallsIn100ms())
-                .put("most_at_discovery_in_100ms", f.mostAtDiscoveryIn100ms())
-                .put("whole_lists", f.wholeLists().lists())
-                .put("whole_bytes", f.wholeLists().bytes())
+        node.set("in_force_us", json(f.propagation()));
+        node.set("at_last_node_us", json(f.propagationToLastNode()));
+        node.set("at_real_nodes_us", json(f.propagationToRealNodes()));
+        node.set("after_restart_us", json(f.propagationAfterRestart()));
+        node.put("missing", f.missingChanges())
+                .put("behind", f.nodesBehind())
+                .put("wrong", f.nodesWithWrongServers())
+                .put("bytes_a_node_a_second", f.bytesPerNodePerSecond())
+                .put("most_bytes_in_10s", f.maxBytesIn10s())
+                .put("most_calls_in_100ms", f.maxCallsIn100ms())
+                .put("most_at_discovery_in_100ms", f.maxDiscoveryCallsIn100ms())
+                .put("whole_lists", f.fullLists().lists())
+                .put("whole_bytes", f.fullLists().bytes())
                 .put("hollow_node_cores", hollowCores(f) / scenario.nodes().hollow());
         f.calls().forEach(node.putObject("calls")::put);
-        f.atDiscovery().forEach(node.putObject("at_discovery")::put);
+        f.discoveryCalls().forEach(node.putObject("at_discovery")::put);
         f.cores().forEach(node.putObject("cores")::put);
         f.residentBytes().forEach(node.putObject("resident_bytes")::put);
         f.heapBytes().forEach(node.putObject("heap_bytes")::put);
         f.linkBytes().forEach(node.putObject("link_bytes")::put);
-        f.leftOut().forEach(node.putObject("left_out")::put);
+        f.omittedEffects().forEach(node.putObject("left_out")::put);
         return node;
     }
 
-    private static ObjectNode json(Distribution spread) {
+    private static ObjectNode json(Distribution distribution) {
         return JsonNodeFactory.instance
                 .objectNode()
-                .put("count", spread.count())
-                .put("median", spread.median())
-                .put("p99", spread.p99())
-                .put("most", spread.most());
+                .put("count", distribution.count())
+                .put("median", distribution.median())
+                .put("p99", distribution.p99())
+                .put("most", distribution.maximum());
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
@@ -5,83 +5,92 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
-import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.process.LatenessSampler;
+import ottergauge.lab.scale.statistics.Observations;
 
-/** Notes what the processes of a play tell, each in its own words. */
+/**
+ * Records the events that the processes of a scale test report; each kind of process has its own
+ * events.
+ */
 final class EventRecorder {
 
-    private static final long MICROS_A_MS = 1_000;
+    private static final long MICROS_PER_MS = 1_000;
 
-    private final Observations seen;
+    private final Observations observations;
     private final Consumer<String> ready;
     private final Map<String, String> callers = new HashMap<>();
 
-    /** The index of the first of a hollow process's counts of lateness that is over what may be. */
-    private volatile int firstLate;
+    /**
+     * A hollow process counts lateness in buckets. This is the index of its first bucket whose
+     * values all exceed the lateness limit.
+     */
+    private volatile int firstLateIndex;
 
-    /** {@code ready} is told which process has said that it is. */
-    EventRecorder(Observations seen, Consumer<String> ready) {
-        this.seen = seen;
+    /** {@code ready} receives the name of each process that reports that it is ready. */
+    EventRecorder(Observations observations, Consumer<String> ready) {
+        this.observations = observations;
         this.ready = ready;
     }
 
-    /** What calls discovery from this address is this node. */
-    void caller(String address, String node) {
+    /** Records which node calls discovery from this address. */
+    void addCaller(String address, String node) {
         callers.put(address, node);
     }
 
-    /** Takes a line of a process. */
-    void take(String process, JsonNode line) {
+    /** Records an event of a process. */
+    void recordEvent(String process, JsonNode line) {
         long at = line.path("at").asLong();
         switch (line.path("event").asText()) {
             case "ready", "started" -> ready.accept(process);
-            case "changed" -> seen.changed(line.get("version").asLong(), at);
+            case "changed" -> observations.recordChange(line.get("version").asLong(), at);
             case "in-force" ->
-                    seen.inForce(line.get("node").asText(), line.get("version").asLong(), at);
-            case "asks" -> asks(line, at);
+                    observations.recordVersion(
+                            line.get("node").asText(), line.get("version").asLong(), at);
+            case "asks" -> recordVersion(line, at);
             case "traffic" ->
-                    seen.traffic(
+                    observations.recordTraffic(
                             line.get("node").asText(),
                             line.get("in").asLong(),
                             line.get("out").asLong(),
                             at);
-            case "servers" -> seen.digest(line.get("node").asText(), line.get("digest").asText());
-            case "calls" -> calls(line, at);
+            case "servers" ->
+                    observations.recordDigest(
+                            line.get("node").asText(), line.get("digest").asText());
+            case "calls" -> recordCalls(line, at);
             case "bytes" ->
-                    seen.wholeLists(
+                    observations.recordFullLists(
                             line.get("whole_lists").asLong(), line.get("whole_bytes").asLong(), at);
             case "link-bytes" ->
-                    seen.linkBytes(
+                    observations.recordLinkBytes(
                             line.get("link").asText(),
                             line.get("there").asLong(),
                             line.get("back").asLong(),
                             at);
             case "lateness" ->
-                    seen.lateness(
+                    observations.recordLateness(
                             process, line.get("looks").asLong(), line.get("late").asLong(), at);
-            case "bounds" -> bounds(line);
-            case "late" -> late(process, line, at);
+            case "bounds" -> setLatenessBounds(line);
+            case "late" -> recordLateness(process, line, at);
             case "process" -> {
-                seen.heap(process, line.get("heap").asLong(), at);
-                seen.lost(process, line.get("lost").asLong());
+                observations.recordHeap(process, line.get("heap").asLong(), at);
+                observations.recordLostLines(process, line.get("lost").asLong());
             }
-            case "left-out" -> seen.leftOut(line.get("effect").asText());
+            case "left-out" -> observations.recordOmittedEffect(line.get("effect").asText());
             default -> {}
         }
     }
 
-    private void asks(JsonNode line, long at) {
+    private void recordVersion(JsonNode line, long at) {
         String node = callers.get(line.get("caller").asText());
         if (node != null) {
-            seen.inForce(node, line.get("version").asLong(), at);
+            observations.recordVersion(node, line.get("version").asLong(), at);
         }
     }
 
-    // Hollow nodes tell one kind at a time, discovery all that it has counted.
-    private void calls(JsonNode line, long at) {
+    // A hollow process reports one kind per line, discovery all kinds in one line.
+    private void recordCalls(JsonNode line, long at) {
         if (line.has("kind")) {
-            seen.calls(
+            observations.recordCalls(
                     line.get("source").asText() + " " + line.get("kind").asText(),
                     line.get("count").asLong(),
                     at);
@@ -90,29 +99,30 @@
                     .forEach(
                             each -> {
                                 if (!"event".equals(each.getKey()) && !"at".equals(each.getKey())) {
-                                    seen.callsAtDiscovery(
+                                    observations.recordDiscoveryCalls(
                                             each.getKey(), each.getValue().asLong(), at);
                                 }
                             });
         }
     }
 
-    private void bounds(JsonNode line) {
+    private void setLatenessBounds(JsonNode line) {
         int index = 0;
-        while (line.get("late_ms").get(index).asLong() * MICROS_A_MS < LatenessSampler.LATE) {
+        while (line.get("late_ms").get(index).asLong() * MICROS_PER_MS
+                < LatenessSampler.LATE_THRESHOLD) {
             index++;
         }
-        firstLate = index + 1;
+        firstLateIndex = index + 1;
     }
 
-    private void late(String process, JsonNode line, long at) {
-        long looks = 0;
-        long late = 0;
+    private void recordLateness(String process, JsonNode line, long at) {
+        long total = 0;
+        long lateCount = 0;
         for (int index = 0; index < line.get("counts").size(); index++) {
             long count = line.get("counts").get(index).asLong();
-            looks += count;
-            late += index >= firstLate ? count : 0;
+            total += count;
+            lateCount += index >= firstLateIndex ? count : 0;
         }
-        seen.lateness(process, looks, late, at);
+        observations.recordLateness(process, total, lateCount, at);
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/run/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/Fleet.java
@@ -18,22 +18,22 @@
 import java.util.function.Consumer;
 import ottergauge.lab.node.Signals;
 import ottergauge.lab.run.RunException;
-import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.process.ChildProcess;
 import ottergauge.lab.scale.process.ProcessUsage;
 import ottergauge.lab.scale.process.Reaper;
 import ottergauge.lab.scale.process.Reporter;
 import ottergauge.lab.scale.scenario.ScaleScenario;
+import ottergauge.lab.scale.statistics.Observations;
 
-/** The processes of a scale test: discovery, links, hollow nodes and real ones. */
+/** The processes of a scale test: discovery, links, hollow nodes and real nodes. */
 final class Fleet implements AutoCloseable {
 
-    /** The program under test: its folder, and the line that starts a real node. */
+    /** The program under test: its folder, and the command line that starts a real node. */
     record Program(Path root, String run) {}
 
     private static final String DISCOVERY = "discovery";
     private static final String LINKS = "links";
-    private static final long READY_WITHIN_S = 60;
+    private static final long READY_TIMEOUT_S = 60;
 
     private final ScaleScenario scenario;
     private final Program program;
@@ -41,34 +41,34 @@
     private final ScaleAddresses addresses;
     private final Reaper reaper = new Reaper();
     private final Signals signals = new Signals();
-    private final Observations seen;
+    private final Observations observations;
     private final Map<String, ChildProcess> processes = new LinkedHashMap<>();
     private final Map<String, List<String>> hollowNodes = new LinkedHashMap<>();
     private final List<String> realNodes = new ArrayList<>();
     private final Map<String, String> regionOf = new LinkedHashMap<>();
     private final Map<String, CountDownLatch> ready = new LinkedHashMap<>();
-    private final EventRecorder told;
+    private final EventRecorder eventRecorder;
 
     Fleet(
             ScaleScenario scenario,
             Program program,
             Path folder,
             ScaleAddresses addresses,
-            Observations seen)
+            Observations observations)
             throws IOException {
         this.scenario = scenario;
         this.program = program;
         this.folder = Files.createDirectories(folder);
         this.addresses = addresses;
-        this.seen = seen;
-        told = new EventRecorder(seen, this::isReady);
-        placeNodes();
+        this.observations = observations;
+        eventRecorder = new EventRecorder(observations, this::markReady);
+        assignNodes();
         prepareDiscovery();
         prepareLinks();
     }
 
-    // Hollow processes go round the regions, so that each region has as many.
-    private void placeNodes() {
+    // Assigns hollow processes to the regions in turn, so that each region has the same number.
+    private void assignNodes() {
         int from = 1;
         for (int process = 0; process < scenario.nodes().processes(); process++) {
             int count =
@@ -80,7 +80,7 @@
             for (int number = from; number < from + count; number++) {
                 names.add("h" + number);
                 regionOf.put("h" + number, ScaleScenario.region(process % scenario.regions()));
-                seen.expect("h" + number);
+                observations.addNode("h" + number);
             }
             hollowNodes.put("hollow-" + (process + 1), names);
             from += count;
@@ -89,15 +89,15 @@
             String name = "real-" + (node + 1);
             realNodes.add(name);
             regionOf.put(name, ScaleScenario.region(node % scenario.regions()));
-            seen.expect(name);
-            told.caller(addresses.sourceOfReal(node), name);
+            observations.addNode(name);
+            eventRecorder.addCaller(addresses.sourceOfReal(node), name);
         }
     }
 
     private void prepareDiscovery() {
         process(
                 DISCOVERY,
-                standIn(
+                labProcess(
                         scenario.discovery().heapMb(),
                         DISCOVERY,
                         "--listen",
@@ -105,14 +105,14 @@
                         "--calls-per-second",
                         "" + scenario.discovery().callsPerSecond(),
                         "--patience-us",
-                        "" + scenario.discovery().patience()));
+                        "" + scenario.discovery().maxQueueTime()));
     }
 
     private void prepareLinks() {
-        process(LINKS, standIn(256, LINKS));
+        process(LINKS, labProcess(256, LINKS));
     }
 
-    private static ProcessBuilder standIn(int heapMb, String... command) {
+    private static ProcessBuilder labProcess(int heapMb, String... command) {
         List<String> line =
                 new ArrayList<>(
                         List.of(
@@ -132,15 +132,20 @@
     }
 
     private ChildProcess process(String name, ProcessBuilder builder) {
-        Consumer<JsonNode> take = event -> told.take(name, event);
+        Consumer<JsonNode> eventHandler = event -> eventRecorder.recordEvent(name, event);
         ChildProcess process =
                 new ChildProcess(
-                        name, builder, folder.resolve(name + ".log"), reaper, signals, take);
+                        name,
+                        builder,
+                        folder.resolve(name + ".log"),
+                        reaper,
+                        signals,
+                        eventHandler);
         processes.put(name, process);
         return process;
     }
 
-    private void isReady(String name) {
+    private void markReady(String name) {
         CountDownLatch latch;
         synchronized (ready) {
             latch = ready.get(name);
@@ -150,8 +155,8 @@
         }
     }
 
-    // Starts a process, gives it its first order and waits until it says that it is ready.
-    private void start(String name, String order)
+    // Starts a process, sends its first command and waits until it reports that it is ready.
+    private void start(String name, String command)
             throws IOException, InterruptedException, RunException {
         CountDownLatch latch = new CountDownLatch(1);
         synchronized (ready) {
@@ -159,16 +164,18 @@
         }
         ChildProcess process = processes.get(name);
         process.start();
-        process.order(order);
-        if (!latch.await(READY_WITHIN_S, TimeUnit.SECONDS)) {
+        process.sendCommand(command);
+        if (!latch.await(READY_TIMEOUT_S, TimeUnit.SECONDS)) {
             throw new RunException(
-                    name + " is not ready; the end of its log:\n" + process.logEnd());
+                    name
+                            + " did not become ready in time; the end of its log:\n"
+                            + process.logTail());
         }
     }
 
     /**
-     * Starts discovery, for the first time or anew: it knows this list and nothing of what was
-     * before.
+     * Starts discovery for the first time, or again after it has ended. It knows this list and none
+     * of the earlier changes.
      */
     void startDiscovery(long version, ArrayNode list)
             throws IOException, InterruptedException, RunException {
@@ -183,8 +190,8 @@
 
     /** Starts the links. */
     void startLinks() throws IOException, InterruptedException, RunException {
-        ObjectNode order = JsonNodeFactory.instance.objectNode();
-        ArrayNode links = order.putArray("links");
+        ObjectNode command = JsonNodeFactory.instance.objectNode();
+        ArrayNode links = command.putArray("links");
         for (int region = 0; region < scenario.regions(); region++) {
             links.addObject()
                     .put("name", ScaleScenario.region(region))
@@ -198,14 +205,16 @@
                     .put("target", addresses.discovery())
                     .put("source", addresses.sourceOfReal(node));
         }
-        start(LINKS, order.toString());
+        start(LINKS, command.toString());
     }
 
-    /** Starts all nodes; {@code list} is what they know, if they are to know it. */
+    /**
+     * Starts all nodes; {@code list} is the server list that they get if the scenario preloads it.
+     */
     void startNodes(long version, ArrayNode list) throws IOException {
-        boolean knows = scenario.nodes().knows();
-        long knownVersion = knows ? version : 0;
-        ArrayNode known = knows ? list : JsonNodeFactory.instance.arrayNode();
+        boolean preloaded = scenario.nodes().preloaded();
+        long knownVersion = preloaded ? version : 0;
+        ArrayNode known = preloaded ? list : JsonNodeFactory.instance.arrayNode();
         for (int node = 0; node < realNodes.size(); node++) {
             startReal(node, knownVersion, known);
         }
@@ -247,7 +256,7 @@
                             "--loops",
                             "" + Math.min(scenario.nodes().loops(), each.getValue().size()),
                             "--start-over-ms",
-                            "" + TimeUnit.MICROSECONDS.toMillis(scenario.nodes().startOver()));
+                            "" + TimeUnit.MICROSECONDS.toMillis(scenario.nodes().startPeriod()));
             process(each.getKey(), builder).start();
             from += each.getValue().size();
             process++;
@@ -277,11 +286,11 @@
         process(name, builder).start();
     }
 
-    /** Tells discovery of a change; its instant and version come back by what it tells. */
+    /** Sends a change to discovery, which reports its time and version as an event. */
     void change(long id, ArrayNode entries) {
         processes
                 .get(DISCOVERY)
-                .order(
+                .sendCommand(
                         JsonNodeFactory.instance
                                 .objectNode()
                                 .put("id", id)
@@ -289,27 +298,27 @@
                                 .toString());
     }
 
-    /** Cuts regions with their real nodes off, or heals them. */
+    /** Cuts off regions with their real nodes, or reconnects them. */
     void cut(Collection<String> regions, boolean cuts) {
-        ObjectNode order = JsonNodeFactory.instance.objectNode().put("cut", cuts);
-        ArrayNode links = order.putArray("links");
+        ObjectNode command = JsonNodeFactory.instance.objectNode().put("cut", cuts);
+        ArrayNode links = command.putArray("links");
         regions.forEach(links::add);
         realNodes.stream().filter(name -> regions.contains(regionOf.get(name))).forEach(links::add);
-        processes.get(LINKS).order(order.toString());
+        processes.get(LINKS).sendCommand(command.toString());
     }
 
-    /** Has all hollow nodes drop their connections and state and begin anew. */
+    /** Makes all hollow nodes drop their connections and state and start again. */
     void restartHollow() {
-        orderHollow("restart");
+        sendToHollow("restart");
     }
 
-    /** Asks all hollow nodes how their servers stand. */
-    void askServers() {
-        orderHollow("servers");
+    /** Asks all hollow nodes for the digest of their servers. */
+    void requestDigests() {
+        sendToHollow("servers");
     }
 
-    private void orderHollow(String order) {
-        hollowNodes.keySet().forEach(name -> processes.get(name).order(order));
+    private void sendToHollow(String command) {
+        hollowNodes.keySet().forEach(name -> processes.get(name).sendCommand(command));
     }
 
     /** Kills a process. */
@@ -317,17 +326,18 @@
         processes.get(name).kill();
     }
 
-    /** Stops a process, or lets it go on. */
-    void stall(String name, boolean stalls) {
-        if (stalls) {
-            seen.excuse(name, Long.MAX_VALUE);
+    /** Suspends a process, or continues it. */
+    void stall(String name, boolean suspended) {
+        if (suspended) {
+            observations.ignoreLateness(name, Long.MAX_VALUE);
         } else {
-            seen.excuse(name, Reporter.wallMicros() + TimeUnit.SECONDS.toMicros(2));
+            observations.ignoreLateness(
+                    name, Reporter.wallClockMicros() + TimeUnit.SECONDS.toMicros(2));
         }
-        processes.get(name).stalled(stalls);
+        processes.get(name).setSuspended(suspended);
     }
 
-    /** The hollow nodes of a process, or all of them. */
+    /** Returns the names of all hollow nodes. */
     List<String> hollow() {
         return hollowNodes.values().stream().flatMap(List::stream).toList();
     }
@@ -340,7 +350,7 @@
         return realNodes;
     }
 
-    /** All nodes of some regions. */
+    /** Returns all nodes of these regions. */
     List<String> nodesOf(Collection<String> regions) {
         return regionOf.entrySet().stream()
                 .filter(each -> regions.contains(each.getValue()))
@@ -348,31 +358,41 @@
                 .toList();
     }
 
-    /** Notes what each process uses, and gives back the memory of all together. */
-    long look() {
+    /**
+     * Records the resource usage of each process, and returns the resident bytes of all of them
+     * together.
+     */
+    long recordUsage() {
         long resident = 0;
-        long at = Reporter.wallMicros();
-        seen.use(Observations.MACHINE, ProcessUsage.ofMachine().cpuMicros(), 0, at);
-        seen.use(Observations.RIG, ProcessUsage.of(ProcessHandle.current().pid()).cpuMicros(), 0, at);
+        long at = Reporter.wallClockMicros();
+        observations.recordUsage(Observations.MACHINE, ProcessUsage.ofMachine().cpuMicros(), 0, at);
+        observations.recordUsage(
+                Observations.RIG,
+                ProcessUsage.of(ProcessHandle.current().pid()).cpuMicros(),
+                0,
+                at);
         for (ChildProcess process : List.copyOf(processes.values())) {
             if (process.isAlive()) {
-                ProcessUsage use = ProcessUsage.of(process.pid());
-                seen.use(process.name(), use.cpuMicros(), use.residentBytes(), at);
-                resident += use.residentBytes();
+                ProcessUsage usage = ProcessUsage.of(process.pid());
+                observations.recordUsage(
+                        process.name(), usage.cpuMicros(), usage.residentBytes(), at);
+                resident += usage.residentBytes();
             }
         }
         return resident;
     }
 
-    /** A process that has ended by itself, if there is one. */
-    String ended(Collection<String> expected) {
+    /**
+     * Returns a message about a process that has ended although it was not expected to, or null.
+     */
+    String describeExited(Collection<String> expected) {
         return processes.values().stream()
                 .filter(process -> !process.isAlive() && !expected.contains(process.name()))
                 .map(
                         process ->
                                 process.name()
-                                        + " has ended; the end of its log:\n"
-                                        + process.logEnd())
+                                        + " has exited unexpectedly; the end of its log:\n"
+                                        + process.logTail())
                 .findFirst()
                 .orElse(null);
     }
--- a/lab/src/main/java/ottergauge/lab/scale/run/NodeTemplate.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/NodeTemplate.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 
-/** A node's configuration, for real ones and as the template of hollow ones. */
+/** Creates the configuration of a node; for hollow nodes it is a template. */
 final class NodeTemplate {
 
     private static final int SOCKETS = 1_024;
@@ -14,7 +14,10 @@
 
     private NodeTemplate() {}
 
-    /** {@code known} is the list that it is given at its start, of this version. */
+    /**
+     * {@code known} is the server list that the node has at its start, and {@code version} its
+     * version.
+     */
     static ObjectNode of(
             ScaleScenario scenario,
             String name,
--- a/lab/src/main/java/ottergauge/lab/scale/run/PhaseRunner.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/PhaseRunner.java
@@ -13,173 +13,179 @@
 import java.util.function.LongFunction;
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.run.RunException;
-import ottergauge.lab.scale.statistics.Observations;
 import ottergauge.lab.scale.process.Reporter;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
-import ottergauge.lab.scale.scenario.ScaleScenario.What;
+import ottergauge.lab.scale.scenario.ScaleScenario.PhaseKind;
+import ottergauge.lab.scale.statistics.Observations;
 
-/** Has the things of a phase happen at their times. */
+/** Applies the changes and faults of a phase at their times. */
 final class PhaseRunner {
 
-    private static final double MICROS_A_SECOND = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final Loop loop;
     private final Fleet fleet;
     private final ServerList list;
-    private final Observations seen;
+    private final Observations observations;
     private final SplittableRandom random;
 
-    /** Processes that are meant to be away. */
-    private final Set<String> away = ConcurrentHashMap.newKeySet();
+    /** Processes that are down on purpose. */
+    private final Set<String> downProcesses = ConcurrentHashMap.newKeySet();
 
-    private final Map<String, Long> excusedUntil = new HashMap<>();
+    private final Map<String, Long> reachableFrom = new HashMap<>();
     private volatile String failure;
     private long lastId;
 
-    /** The version that the list has once all that was ordered is done. */
-    private volatile long expected;
+    /** The version of the list once discovery has applied all changes that were sent to it. */
+    private volatile long expectedVersion;
 
     PhaseRunner(
             Loop loop,
             Fleet fleet,
             ServerList list,
-            Observations seen,
+            Observations observations,
             ScaleScenario scenario,
             long version) {
         this.loop = loop;
         this.fleet = fleet;
         this.list = list;
-        this.seen = seen;
+        this.observations = observations;
         random = new SplittableRandom(~scenario.seed());
-        expected = version;
+        expectedVersion = version;
     }
 
-    /** The version that all nodes have to come to. */
-    long expected() {
-        return expected;
+    /** Returns the version that has to take effect on all nodes. */
+    long expectedVersion() {
+        return expectedVersion;
     }
 
-    /** The processes that are meant to be away just now. */
-    Set<String> away() {
-        return away;
+    /** Returns the processes that are down on purpose now. */
+    Set<String> downProcesses() {
+        return downProcesses;
     }
 
-    /** For each node that can't be reached in this phase, when it could be again. */
-    Map<String, Long> excusedUntil() {
-        synchronized (excusedUntil) {
-            return Map.copyOf(excusedUntil);
+    /** Returns, for each node that could not be reached in this phase, when it became reachable. */
+    Map<String, Long> reachableFrom() {
+        synchronized (reachableFrom) {
+            return Map.copyOf(reachableFrom);
         }
     }
 
-    /** Begins a phase: all that it does is done by its length's end. On the loop. */
+    /**
+     * Starts a phase; all of its changes and faults are done when its length has passed. Must be
+     * called on the loop.
+     */
     void begin(Phase phase) {
-        synchronized (excusedUntil) {
-            excusedUntil.clear();
+        synchronized (reachableFrom) {
+            reachableFrom.clear();
         }
-        switch (phase.what()) {
+        switch (phase.kind()) {
             case REST -> {}
-            case CHANGES -> drawn(phase);
-            case RELEASE -> paced(phase);
+            case CHANGES -> scheduleRandomChanges(phase);
+            case RELEASE -> scheduleRelease(phase);
             case RESTART -> restart();
-            case ZONE_LOST -> change(now -> list.lose(phase.part()));
-            case APART -> apart(phase);
+            case ZONE_LOST -> change(now -> list.loseZones(phase.lostFraction()));
+            case APART -> cutOff(phase);
             case KILL -> kill(phase);
             case STALL -> stall(phase);
-            default -> throw new IllegalArgumentException("no such phase: " + phase.what());
+            default -> throw new IllegalArgumentException("unknown kind of phase: " + phase.kind());
         }
     }
 
-    // Only the thread that runs the phases writes it; others read.
+    // Only the loop's thread writes the version; other threads read it.
     @SuppressWarnings("NonAtomicVolatileUpdate")
-    private void change(LongFunction<ArrayNode> what) {
-        ArrayNode entries = what.apply(System.currentTimeMillis());
-        expected++;
+    private void change(LongFunction<ArrayNode> entriesAt) {
+        ArrayNode entries = entriesAt.apply(System.currentTimeMillis());
+        expectedVersion++;
         fleet.change(++lastId, entries);
     }
 
-    // At instants drawn by chance, independent of each other; at least one.
-    private void drawn(Phase phase) {
+    // Changes at random times, independent of each other; at least one.
+    private void scheduleRandomChanges(Phase phase) {
         List<Long> instants = new ArrayList<>();
-        for (double at = next(phase.rate()); at < phase.length(); at += next(phase.rate())) {
+        for (double at = nextInterval(phase.rate());
+                at < phase.length();
+                at += nextInterval(phase.rate())) {
             instants.add((long) at);
         }
         if (instants.isEmpty()) {
             instants.add(random.nextLong(phase.length()));
         }
         long from = loop.now();
-        instants.forEach(at -> loop.at(from + at, () -> change(list::draw)));
+        instants.forEach(at -> loop.at(from + at, () -> change(list::randomChange)));
     }
 
-    private double next(double rate) {
-        return -Math.log(1 - random.nextDouble()) / rate * MICROS_A_SECOND;
+    private double nextInterval(double rate) {
+        return -Math.log(1 - random.nextDouble()) / rate * MICROS_PER_SECOND;
     }
 
-    private void paced(Phase phase) {
+    private void scheduleRelease(Phase phase) {
         long from = loop.now();
-        long count = Math.max(1, (long) (phase.rate() * phase.length() / MICROS_A_SECOND));
+        long count = Math.max(1, (long) (phase.rate() * phase.length() / MICROS_PER_SECOND));
         for (long i = 0; i < count; i++) {
             loop.at(
-                    from + (long) (i / phase.rate() * MICROS_A_SECOND),
+                    from + (long) (i / phase.rate() * MICROS_PER_SECOND),
                     () -> change(list::release));
         }
     }
 
     private void restart() {
-        seen.restarted(fleet.hollow());
+        observations.recordRestart(fleet.hollow());
         fleet.restartHollow();
     }
 
-    private void apart(Phase phase) {
+    private void cutOff(Phase phase) {
         List<String> nodes = fleet.nodesOf(phase.regions());
-        excuse(nodes, Long.MAX_VALUE);
+        setReachableFrom(nodes, Long.MAX_VALUE);
         fleet.cut(phase.regions(), true);
-        drawn(phase);
+        scheduleRandomChanges(phase);
         loop.after(
                 phase.length(),
                 () -> {
                     fleet.cut(phase.regions(), false);
-                    excuse(nodes, Reporter.wallMicros());
+                    setReachableFrom(nodes, Reporter.wallClockMicros());
                 });
     }
 
-    private void excuse(List<String> nodes, long until) {
-        synchronized (excusedUntil) {
-            nodes.forEach(each -> excusedUntil.put(each, until));
+    private void setReachableFrom(List<String> nodes, long until) {
+        synchronized (reachableFrom) {
+            nodes.forEach(each -> reachableFrom.put(each, until));
         }
     }
 
-    // The change that comes with it may be told to none, some or all: once it is back, it knows of
-    // it.
+    // Discovery may have sent the change to none, some or all of the nodes when it is killed. After
+    // its restart it knows the change.
     private void kill(Phase phase) {
-        away.add(phase.who());
-        change(list::draw);
-        excuse(fleet.hollow(), Long.MAX_VALUE);
-        excuse(fleet.real(), Long.MAX_VALUE);
-        beside(() -> fleet.kill(phase.who()));
-        loop.after(phase.away(), this::startDiscovery);
+        downProcesses.add(phase.process());
+        change(list::randomChange);
+        setReachableFrom(fleet.hollow(), Long.MAX_VALUE);
+        setReachableFrom(fleet.real(), Long.MAX_VALUE);
+        runInBackground(() -> fleet.kill(phase.process()));
+        loop.after(phase.downTime(), this::startDiscovery);
     }
 
     private void startDiscovery() {
-        long version = expected;
-        ArrayNode entries = list.whole();
-        beside(
+        long version = expectedVersion;
+        ArrayNode entries = list.allEntries();
+        runInBackground(
                 () -> {
                     fleet.startDiscovery(version, entries);
-                    long at = Reporter.wallMicros();
-                    seen.changed(version, at);
-                    excuse(fleet.hollow(), at);
-                    excuse(fleet.real(), at);
-                    away.remove("discovery");
+                    long at = Reporter.wallClockMicros();
+                    observations.recordChange(version, at);
+                    setReachableFrom(fleet.hollow(), at);
+                    setReachableFrom(fleet.real(), at);
+                    downProcesses.remove("discovery");
                 });
     }
 
-    private interface Waiting {
+    private interface BackgroundTask {
         void run() throws IOException, InterruptedException, RunException;
     }
 
-    // What waits for a process does so on a thread of its own: the loop has to be in time.
-    private void beside(Waiting task) {
+    // Work that waits for a process runs on its own thread, since the loop has to run its tasks on
+    // time.
+    private void runInBackground(BackgroundTask task) {
         Thread thread =
                 new Thread(
                         () -> {
@@ -196,27 +202,27 @@
         thread.start();
     }
 
-    /** Why the phase can't be played to its end; null as long as it can. */
+    /** Returns why the phase cannot be completed, or null while it can. */
     String failure() {
         return failure;
     }
 
     private void stall(Phase phase) {
         List<String> nodes =
-                "discovery".equals(phase.who()) ? List.of() : fleet.hollowOf(phase.who());
-        excuse(nodes, Long.MAX_VALUE);
-        fleet.stall(phase.who(), true);
-        loop.after(phase.away() / 2, () -> change(list::draw));
+                "discovery".equals(phase.process()) ? List.of() : fleet.hollowOf(phase.process());
+        setReachableFrom(nodes, Long.MAX_VALUE);
+        fleet.stall(phase.process(), true);
+        loop.after(phase.downTime() / 2, () -> change(list::randomChange));
         loop.after(
-                phase.away(),
+                phase.downTime(),
                 () -> {
-                    fleet.stall(phase.who(), false);
-                    excuse(nodes, Reporter.wallMicros());
+                    fleet.stall(phase.process(), false);
+                    setReachableFrom(nodes, Reporter.wallClockMicros());
                 });
     }
 
-    /** Whether a phase's nodes begin without any state. */
-    static boolean beginsAnew(Phase phase) {
-        return phase.what() == What.RESTART;
+    /** Returns whether the nodes start a phase without any state. */
+    static boolean startsWithoutState(Phase phase) {
+        return phase.kind() == PhaseKind.RESTART;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/run/ScaleAddresses.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ScaleAddresses.java
@@ -20,27 +20,30 @@
         return host(third, fourth) + ":" + range.port();
     }
 
-    /** Where discovery listens. */
+    /** The address at which discovery listens. */
     String discovery() {
         return at(DISCOVERY, 1);
     }
 
-    /** Where the hollow nodes of a region, from 0 on, find discovery. */
+    /**
+     * The address at which the hollow nodes of a region reach discovery; {@code region} starts at
+     * 0.
+     */
     String discoveryFrom(int region) {
         return at(REGION_LINKS + region, 1);
     }
 
-    /** Where a real node, from 0 on, finds discovery. */
+    /** The address at which a real node reaches discovery; {@code node} starts at 0. */
     String discoveryOfReal(int node) {
         return at(REAL_LINKS + node, 1);
     }
 
-    /** Where a real node's calls come from, as discovery sees it. */
+    /** The source address of a real node's calls, as discovery sees it. */
     String sourceOfReal(int node) {
         return host(REAL_SOURCE, node + 1);
     }
 
-    /** Where a real node listens. */
+    /** The address at which a real node listens. */
     String real(int node) {
         return at(REAL_LISTEN, node + 1);
     }
--- a/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
@@ -13,37 +13,38 @@
 import ottergauge.lab.net.Loop;
 import ottergauge.lab.net.LoopbackAddresses;
 import ottergauge.lab.run.RunException;
-import ottergauge.lab.scale.statistics.Observations;
-import ottergauge.lab.scale.statistics.PhaseStatistics;
-import ottergauge.lab.scale.statistics.PhaseWindow;
 import ottergauge.lab.scale.process.LatenessSampler;
 import ottergauge.lab.scale.process.Reporter;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
-import ottergauge.lab.scale.scenario.ScaleScenario.What;
+import ottergauge.lab.scale.scenario.ScaleScenario.PhaseKind;
+import ottergauge.lab.scale.statistics.Observations;
+import ottergauge.lab.scale.statistics.PhaseStatistics;
+import ottergauge.lab.scale.statistics.PhaseWindow;
 
-/** Plays a scale test from beginning to end, phase by phase, and leaves nothing running. */
+/** Runs a scale test from start to end, phase by phase, and leaves no process running. */
 public final class ScaleRun {
 
     private static final long FIRST_VERSION = 1_000;
-    private static final long LOOK_EVERY_MS = 50;
-    private static final long USE_EVERY = 500_000;
-    // Processes tell what they count each half second or second.
-    private static final long TOLD_AFTER = 1_500_000;
-    private static final long DIGESTS_WITHIN = 30_000_000;
-    // Half of the machine that it was made for, and never more than this.
-    private static final long MOST_MEMORY = 11L << 30;
+    private static final long CHECK_INTERVAL_MS = 50;
+    private static final long USAGE_INTERVAL = 500_000;
+    // Processes report their counts every half second or every second.
+    private static final long REPORT_DELAY = 1_500_000;
+    private static final long DIGEST_TIMEOUT = 30_000_000;
+    // At most this much memory. It is half the memory of the machine for which the scale tests were
+    // written.
+    private static final long MAX_MEMORY = 11L << 30;
 
     private final ScaleScenario scenario;
     private final Path root;
     private final String run;
     private final Path folder;
-    private final Observations seen = new Observations();
-    private long lookedAt;
+    private final Observations observations = new Observations();
+    private long usageRecordedAt;
 
     /**
-     * {@code root} is the folder of the program under test, {@code run} the line that starts a real
-     * node, and {@code folder} keeps configurations and logs.
+     * {@code root} is the folder of the program under test, {@code run} the command line that
+     * starts a real node, and {@code folder} the place for configurations and logs.
      */
     public ScaleRun(ScaleScenario scenario, Path root, String run, Path folder) {
         this.scenario = scenario;
@@ -53,7 +54,8 @@
     }
 
     /**
-     * Plays it, and gives back the figures of each phase; the first one is the start of all nodes.
+     * Runs the test and returns the statistics of each phase. The first phase is the start of all
+     * nodes.
      */
     public List<PhaseStatistics> run() throws IOException, InterruptedException, RunException {
         try (ServerSocket lock = LoopbackAddresses.reserve();
@@ -64,20 +66,21 @@
                                 new Fleet.Program(root, run),
                                 folder,
                                 new ScaleAddresses(LoopbackAddresses.of(lock)),
-                                seen)) {
+                                observations)) {
             ServerList list = new ServerList(scenario);
-            PhaseRunner player = new PhaseRunner(loop, fleet, list, seen, scenario, FIRST_VERSION);
+            PhaseRunner runner =
+                    new PhaseRunner(loop, fleet, list, observations, scenario, FIRST_VERSION);
             onLoop(loop, loop::begin);
-            fleet.startDiscovery(FIRST_VERSION, list.whole());
+            fleet.startDiscovery(FIRST_VERSION, list.allEntries());
             fleet.startLinks();
-            seen.changed(FIRST_VERSION, Reporter.wallMicros());
-            onLoop(loop, () -> watchRig(loop, LatenessSampler.begin(loop)));
-            List<PhaseStatistics> figures = new ArrayList<>();
-            figures.add(start(fleet, list, player));
+            observations.recordChange(FIRST_VERSION, Reporter.wallClockMicros());
+            onLoop(loop, () -> recordLateness(loop, LatenessSampler.start(loop)));
+            List<PhaseStatistics> statistics = new ArrayList<>();
+            statistics.add(start(fleet, list, runner));
             for (Phase phase : scenario.phases()) {
-                figures.add(play(loop, fleet, list, player, phase));
+                statistics.add(runPhase(loop, fleet, list, runner, phase));
             }
-            return figures;
+            return statistics;
         }
     }
 
@@ -85,114 +88,116 @@
         try {
             loop.netty().submit(task).get();
         } catch (ExecutionException e) {
-            throw new RunException("the rig failed: " + e.getCause());
+            throw new RunException("a task of the laboratory failed: " + e.getCause());
         }
     }
 
-    // The rig's own loop, on which things happen at their times.
-    private void watchRig(Loop loop, LatenessSampler looks) {
+    // Records the lateness of this process's loop, which schedules changes and faults.
+    private void recordLateness(Loop loop, LatenessSampler sampler) {
         loop.after(
-                USE_EVERY,
+                USAGE_INTERVAL,
                 () -> {
-                    LatenessSampler.Lateness lateness = looks.take();
-                    seen.lateness(
+                    LatenessSampler.Lateness lateness = sampler.readAndReset();
+                    observations.recordLateness(
                             Observations.RIG,
-                            lateness.looks(),
+                            lateness.samples(),
                             lateness.late(),
-                            Reporter.wallMicros());
-                    watchRig(loop, looks);
+                            Reporter.wallClockMicros());
+                    recordLateness(loop, sampler);
                 });
     }
 
-    private PhaseStatistics start(Fleet fleet, ServerList list, PhaseRunner player)
+    private PhaseStatistics start(Fleet fleet, ServerList list, PhaseRunner runner)
             throws IOException, InterruptedException, RunException {
-        long from = Reporter.wallMicros();
+        long from = Reporter.wallClockMicros();
         Phase phase =
                 new Phase(
                         "start",
-                        What.RESTART,
-                        scenario.nodes().startOver(),
+                        PhaseKind.RESTART,
+                        scenario.nodes().startPeriod(),
                         0,
                         1,
                         0,
                         List.of(),
                         "",
                         0);
-        fleet.startNodes(player.expected(), list.whole());
-        return end(fleet, list, player, phase, from);
+        fleet.startNodes(runner.expectedVersion(), list.allEntries());
+        return finishPhase(fleet, list, runner, phase, from);
     }
 
-    private PhaseStatistics play(
-            Loop loop, Fleet fleet, ServerList list, PhaseRunner player, Phase phase)
+    private PhaseStatistics runPhase(
+            Loop loop, Fleet fleet, ServerList list, PhaseRunner runner, Phase phase)
             throws InterruptedException, RunException {
-        long from = Reporter.wallMicros();
-        onLoop(loop, () -> player.begin(phase));
-        await(fleet, player, from + phase.length(), () -> false);
-        return end(fleet, list, player, phase, from);
+        long from = Reporter.wallClockMicros();
+        onLoop(loop, () -> runner.begin(phase));
+        await(fleet, runner, from + phase.length(), () -> false);
+        return finishPhase(fleet, list, runner, phase, from);
     }
 
-    // Waits until all go by the newest version, or until the time for that is over.
-    private PhaseStatistics end(
-            Fleet fleet, ServerList list, PhaseRunner player, Phase phase, long from)
+    // Waits until the newest version is in effect on all nodes, or until the time for that is over.
+    private PhaseStatistics finishPhase(
+            Fleet fleet, ServerList list, PhaseRunner runner, Phase phase, long from)
             throws InterruptedException, RunException {
-        long most =
-                Reporter.wallMicros()
-                        + phase.length() * (phase.what() == What.RESTART ? 1 : 0)
-                        + scenario.settle();
+        long deadline =
+                Reporter.wallClockMicros()
+                        + phase.length() * (phase.kind() == PhaseKind.RESTART ? 1 : 0)
+                        + scenario.settleTimeout();
         await(
                 fleet,
-                player,
-                most,
-                () -> player.away().isEmpty() && allReached(fleet, player.expected()));
-        long until = Reporter.wallMicros();
-        seen.forgetDigests();
-        await(fleet, player, until + TOLD_AFTER, () -> false);
-        fleet.askServers();
+                runner,
+                deadline,
+                () ->
+                        runner.downProcesses().isEmpty()
+                                && allReached(fleet, runner.expectedVersion()));
+        long until = Reporter.wallClockMicros();
+        observations.clearDigests();
+        await(fleet, runner, until + REPORT_DELAY, () -> false);
+        fleet.requestDigests();
         await(
                 fleet,
-                player,
-                Reporter.wallMicros() + DIGESTS_WITHIN,
-                () -> seen.digests(fleet.hollow()) == fleet.hollow().size());
-        Map<String, Long> excused = player.excusedUntil();
-        return seen.figures(
+                runner,
+                Reporter.wallClockMicros() + DIGEST_TIMEOUT,
+                () -> observations.countDigests(fleet.hollow()) == fleet.hollow().size());
+        Map<String, Long> reachableFrom = runner.reachableFrom();
+        return observations.statistics(
                 new PhaseWindow(
                         phase,
                         from,
                         until,
                         fleet.hollow(),
                         fleet.real(),
-                        PhaseRunner.beginsAnew(phase),
-                        excused,
+                        PhaseRunner.startsWithoutState(phase),
+                        reachableFrom,
                         list.digest()));
     }
 
     private boolean allReached(Fleet fleet, long version) {
-        return seen.newestVersion() >= version
-                && seen.reached(fleet.hollow(), version) == fleet.hollow().size()
-                && seen.reached(fleet.real(), version) == fleet.real().size();
+        return observations.newestVersion() >= version
+                && observations.countReached(fleet.hollow(), version) == fleet.hollow().size()
+                && observations.countReached(fleet.real(), version) == fleet.real().size();
     }
 
-    // Looks after the processes meanwhile.
-    private void await(Fleet fleet, PhaseRunner player, long until, BooleanSupplier over)
+    // Checks the processes while it waits.
+    private void await(Fleet fleet, PhaseRunner runner, long until, BooleanSupplier condition)
             throws InterruptedException, RunException {
-        while (Reporter.wallMicros() < until && !over.getAsBoolean()) {
-            String ended = fleet.ended(player.away());
-            if (ended != null || player.failure() != null) {
-                throw new RunException(ended != null ? ended : player.failure());
+        while (Reporter.wallClockMicros() < until && !condition.getAsBoolean()) {
+            String exited = fleet.describeExited(runner.downProcesses());
+            if (exited != null || runner.failure() != null) {
+                throw new RunException(exited != null ? exited : runner.failure());
             }
-            if (Reporter.wallMicros() - lookedAt >= USE_EVERY) {
-                lookedAt = Reporter.wallMicros();
-                long resident = fleet.look();
-                if (resident > MOST_MEMORY) {
+            if (Reporter.wallClockMicros() - usageRecordedAt >= USAGE_INTERVAL) {
+                usageRecordedAt = Reporter.wallClockMicros();
+                long resident = fleet.recordUsage();
+                if (resident > MAX_MEMORY) {
                     throw new RunException(
-                            "the play takes "
+                            "the scale test uses "
                                     + (resident >> 20)
-                                    + " MB of memory, over the "
-                                    + (MOST_MEMORY >> 20)
-                                    + " MB that it may have");
+                                    + " MB of memory, more than the "
+                                    + (MAX_MEMORY >> 20)
+                                    + " MB that it may use");
                 }
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+            TimeUnit.MILLISECONDS.sleep(CHECK_INTERVAL_MS);
         }
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/run/ServerList.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ServerList.java
@@ -16,18 +16,21 @@
 import ottergauge.lab.scale.scenario.ScaleScenario;
 
 /**
- * The servers as they ought to be listed: changed by the play, and held against what nodes go by.
+ * The servers that discovery should list. The test changes them, and compares them with the servers
+ * that the nodes use.
  */
 final class ServerList {
 
-    /** What the list says of a server. */
+    /** The health of a server in the list. */
     enum Health {
         IN_SERVICE,
         TERMINATING,
         TERMINATED
     }
 
-    /** A place in the fleet, and the server that stands there now. */
+    /**
+     * A server and its place in the fleet. A place keeps its number when its server is replaced.
+     */
     private record Server(String name, int place, Health health, long bornMs) {}
 
     private static final int ZONES = 10;
@@ -56,15 +59,15 @@
         return "svc-%03d-s%05d-%d".formatted(place % services, place, generations[place]);
     }
 
-    /** All entries, in discovery's form. */
-    ArrayNode whole() {
+    /** Returns all entries in the form of the discovery protocol. */
+    ArrayNode allEntries() {
         ArrayNode entries = JsonNodeFactory.instance.arrayNode();
         places.values().forEach(server -> entries.add(entry(server)));
         return entries;
     }
 
     private static ObjectNode entry(Server server) {
-        // Nobody connects to it: an address of this machine at which nothing listens.
+        // A loopback address at which nothing listens; no node connects to it.
         String dial =
                 "127.251."
                         + server.place() / BYTE % BYTE
@@ -84,7 +87,7 @@
                 .put("born_ms", server.bornMs());
     }
 
-    /** The names of all zones. */
+    /** Returns the names of all zones. */
     static List<String> zones() {
         List<String> zones = new ArrayList<>();
         for (int place = 0; place < ZONES; place++) {
@@ -97,14 +100,14 @@
         return "z" + place % ZONES;
     }
 
-    /** A change drawn by chance: a server begins to drain, goes, or comes. */
-    ArrayNode draw(long nowMs) {
-        int what = random.nextInt(3);
-        if (what == 0 && !draining.isEmpty()) {
-            return only(terminate(draining.get(random.nextInt(draining.size()))));
+    /** Makes a random change: a server starts to drain, terminates, or is added. */
+    ArrayNode randomChange(long nowMs) {
+        int kind = random.nextInt(3);
+        if (kind == 0 && !draining.isEmpty()) {
+            return singleEntry(terminate(draining.get(random.nextInt(draining.size()))));
         }
-        if (what == 1 && !empty.isEmpty()) {
-            return only(add(empty.get(random.nextInt(empty.size())), nowMs));
+        if (kind == 1 && !empty.isEmpty()) {
+            return singleEntry(add(empty.get(random.nextInt(empty.size())), nowMs));
         }
         List<Integer> serving =
                 places.values().stream()
@@ -112,31 +115,31 @@
                         .map(Server::place)
                         .toList();
         return serving.isEmpty()
-                ? only(add(empty.get(0), nowMs))
-                : only(drain(serving.get(random.nextInt(serving.size()))));
+                ? singleEntry(add(empty.get(0), nowMs))
+                : singleEntry(drain(serving.get(random.nextInt(serving.size()))));
     }
 
     /**
-     * The next change of a release: each server in turn drains, goes, and comes back under another
-     * name.
+     * Makes the next change of a release: each server in turn drains, terminates, and is replaced
+     * by one with another name.
      */
     ArrayNode release(long nowMs) {
         int place = nextToRelease;
         Server server = places.get(place);
         if (server == null) {
             nextToRelease = (place + 1) % generations.length;
-            return only(add(place, nowMs));
+            return singleEntry(add(place, nowMs));
         }
-        return only(server.health() == Health.IN_SERVICE ? drain(place) : terminate(place));
+        return singleEntry(server.health() == Health.IN_SERVICE ? drain(place) : terminate(place));
     }
 
-    /** A part of all servers goes at once: those of as many zones as it takes. */
-    ArrayNode lose(double part) {
+    /** Terminates this fraction of all servers at once, zone by zone. */
+    ArrayNode loseZones(double fraction) {
         ArrayNode entries = JsonNodeFactory.instance.arrayNode();
-        long most = Math.round(part * places.size());
+        long limit = Math.round(fraction * places.size());
         for (int zone = 0; zone < ZONES; zone++) {
             for (int place = zone; place < generations.length; place += ZONES) {
-                if (entries.size() < most && places.containsKey(place)) {
+                if (entries.size() < limit && places.containsKey(place)) {
                     entries.add(terminate(place));
                 }
             }
@@ -144,16 +147,17 @@
         return entries;
     }
 
-    private static ArrayNode only(ObjectNode entry) {
+    private static ArrayNode singleEntry(ObjectNode entry) {
         return JsonNodeFactory.instance.arrayNode().add(entry);
     }
 
     private ObjectNode drain(int place) {
         Server server = places.get(place);
-        Server drains = new Server(server.name(), place, Health.TERMINATING, server.bornMs());
-        places.put(place, drains);
+        Server drainingServer =
+                new Server(server.name(), place, Health.TERMINATING, server.bornMs());
+        places.put(place, drainingServer);
         draining.add(place);
-        return entry(drains);
+        return entry(drainingServer);
     }
 
     private ObjectNode terminate(int place) {
@@ -171,7 +175,7 @@
         return entry(server);
     }
 
-    /** What a node's digest of its servers has to be. */
+    /** Returns the digest that a node should report for its servers. */
     String digest() {
         List<String> lines =
                 new ArrayList<>(
--- a/lab/src/main/java/ottergauge/lab/scale/run/package-info.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/package-info.java
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /**
- * Plays a scale test: starts its processes, has things happen at their times, waits, and ends it
- * all.
+ * Runs a scale test: starts its processes, applies changes and faults at their times, waits for the
+ * nodes, and ends all processes.
  */
 package ottergauge.lab.scale.run;
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenario.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenario.java
@@ -3,7 +3,7 @@
 
 import java.util.List;
 
-/** One scale test as its file describes it. Spans are microseconds. */
+/** A scale test as its file describes it. Durations are in microseconds. */
 public record ScaleScenario(
         String name,
         long seed,
@@ -11,83 +11,88 @@
         int regions,
         State state,
         Discovery discovery,
-        long settle,
+        long settleTimeout,
         List<Phase> phases) {
 
     /**
-     * The nodes: hollow ones share {@code processes} processes with {@code loops} event loops each
-     * and {@code heapMb} of heap, and start over {@code startOver}; {@code real} ones run as
-     * deployed. A node that {@code knows} the list was given it with its configuration, as of the
-     * play's start.
+     * The nodes. The {@code hollow} nodes share {@code processes} processes, each with {@code
+     * loops} event loops and {@code heapMb} MB of heap. Their starts are spread over {@code
+     * startPeriod}. The {@code real} nodes run as deployed. If {@code preloaded} is set, a node
+     * gets the server list as of the start of the test with its configuration.
      */
     public record Nodes(
             int hollow,
             int processes,
             int loops,
             int heapMb,
-            long startOver,
+            long startPeriod,
             int real,
-            boolean knows) {}
+            boolean preloaded) {}
 
-    /** What is distributed, by number. */
+    /** The size of the state that is distributed to the nodes. */
     public record State(int servers, int services) {}
 
     /**
-     * The stand-in for discovery: the calls that it works through in a second, and how long one may
-     * wait.
+     * The stand-in for discovery: the number of calls that it handles per second, how long a call
+     * may queue, and the size of its heap.
      */
-    public record Discovery(double callsPerSecond, long patience, int heapMb) {}
+    public record Discovery(double callsPerSecond, long maxQueueTime, int heapMb) {}
 
-    /** What happens in a phase. */
-    public enum What {
+    /** What happens in a phase. The file names a kind in lower case with hyphens. */
+    public enum PhaseKind {
         /** Nothing changes. */
         REST,
-        /** Changes at instants drawn by chance. */
+        /** Changes happen at random times. */
         CHANGES,
         /**
-         * Servers are replaced one by one: each drains, goes, and comes back under another name.
+         * Servers are replaced one by one: each drains, terminates, and is replaced by one with
+         * another name.
          */
         RELEASE,
-        /** All hollow nodes lose their connections and state at once and begin anew. */
+        /** All hollow nodes lose their connections and state at once and start again. */
         RESTART,
-        /** A part of the servers goes in one instant. */
+        /** A fraction of the servers terminates at once. */
         ZONE_LOST,
-        /** Regions are cut off while changes come, and then heal. */
+        /** Regions are cut off while changes happen, and are then reconnected. */
         APART,
-        /** A process is killed at the instant of a change, and started again after a while. */
+        /** A process is killed at the time of a change, and is started again after a while. */
         KILL,
-        /** A process is stopped by the system for a while, with a change in the middle of it. */
+        /**
+         * A process is suspended by the operating system for a while, and a change happens halfway.
+         */
         STALL
     }
 
     /**
-     * A part of the play: {@code length} is how long it is played before all nodes are waited for,
-     * {@code rate} the changes a second, of which {@code compressed} tells how many times denser
-     * they come than in what is stood for. {@code part} is that of the servers lost, {@code
-     * regions} those cut off, {@code who} the process that is killed or stalled, for {@code away}.
+     * A phase of the test. {@code length} is how long it runs before the test waits for all nodes.
+     * {@code rate} is the number of changes per second, and {@code compression} is how many times
+     * higher that rate is than the real one. {@code lostFraction} is the fraction of the servers
+     * that terminates, {@code regions} are the regions that are cut off, and {@code process} is the
+     * one that is killed or suspended for {@code downTime}.
      */
     public record Phase(
             String name,
-            What what,
+            PhaseKind kind,
             long length,
             double rate,
-            double compressed,
-            double part,
+            double compression,
+            double lostFraction,
             List<String> regions,
-            String who,
-            long away) {}
+            String process,
+            long downTime) {}
 
-    /** The same with another seed. */
+    /** Returns the same scale test with another seed. */
     public ScaleScenario withSeed(long other) {
-        return new ScaleScenario(name, other, nodes, regions, state, discovery, settle, phases);
+        return new ScaleScenario(
+                name, other, nodes, regions, state, discovery, settleTimeout, phases);
     }
 
-    /** The name of a region, by its number from 0 on. */
+    /** Returns the name of a region; {@code number} starts at 0. */
     public static String region(int number) {
         return "r" + (number + 1);
     }
 
-    /** All nodes, hollow and real. */
+    /** Returns the number of all nodes, hollow and real. */
     public int allNodes() {
         return nodes.hollow() + nodes.real();
     }
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
@@ -11,24 +11,24 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.Discovery;
 import ottergauge.lab.scale.scenario.ScaleScenario.Nodes;
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
+import ottergauge.lab.scale.scenario.ScaleScenario.PhaseKind;
 import ottergauge.lab.scale.scenario.ScaleScenario.State;
-import ottergauge.lab.scale.scenario.ScaleScenario.What;
 import ottergauge.lab.scenario.ScenarioException;
 import ottergauge.lab.scenario.YamlMapping;
 import ottergauge.lab.scenario.YamlMapping.Range;
 
-/** Reads scale tests from YAML and checks them whole before anything is started. */
+/** Reads scale tests from YAML and checks them completely before anything is started. */
 public final class ScaleScenarioReader {
 
-    private static final int MOST_HOLLOW = 2_000;
-    private static final int MOST_REAL = 16;
-    private static final int MOST_PROCESSES = 64;
-    private static final int MOST_REGIONS = 20;
-    private static final int MOST_SERVERS = 20_000;
+    private static final int MAX_HOLLOW = 2_000;
+    private static final int MAX_REAL = 16;
+    private static final int MAX_PROCESSES = 64;
+    private static final int MAX_REGIONS = 20;
+    private static final int MAX_SERVERS = 20_000;
     private static final long S = 1_000_000;
-    private static final long MOST_LENGTH = 3_600 * S;
-    private static final double SECONDS_A_DAY = 86_400;
-    private static final int CHANGES_A_SERVER = 3;
+    private static final long MAX_LENGTH = 3_600 * S;
+    private static final double SECONDS_PER_DAY = 86_400;
+    private static final int CHANGES_PER_SERVER = 3;
 
     private ScaleScenarioReader() {}
 
@@ -37,10 +37,10 @@
         return read(path.getFileName().toString(), Files.readString(path));
     }
 
-    /** Reads and checks a scenario's text; {@code file} is what messages call it. */
+    /** Reads and checks a scenario's text; {@code file} is its name in error messages. */
     public static ScaleScenario read(String file, String text) throws ScenarioException {
         YamlMapping root = YamlMapping.root(file, text);
-        int regions = atMost(root, "regions", root.count("regions", 1), MOST_REGIONS);
+        int regions = atMost(root, "regions", root.count("regions", 1), MAX_REGIONS);
         State state = state(root.child("state"));
         Nodes nodes = nodes(root.child("nodes"), regions);
         ScaleScenario scenario =
@@ -57,10 +57,10 @@
         return scenario;
     }
 
-    private static int atMost(YamlMapping entry, String key, int value, int most)
+    private static int atMost(YamlMapping entry, String key, int value, int maximum)
             throws ScenarioException {
-        if (value > most) {
-            throw entry.fault(key, "a whole number from 1 to " + most);
+        if (value > maximum) {
+            throw entry.fault(key, "a whole number from 1 to " + maximum);
         }
         return value;
     }
@@ -68,25 +68,25 @@
     private static State state(YamlMapping e) throws ScenarioException {
         State state =
                 new State(
-                        atMost(e, "servers", e.count("servers"), MOST_SERVERS),
+                        atMost(e, "servers", e.count("servers"), MAX_SERVERS),
                         e.count("services", 1));
         e.rejectUnknownKeys();
         return state;
     }
 
     private static Nodes nodes(YamlMapping e, int regions) throws ScenarioException {
-        int hollow = atMost(e, "hollow", e.count("hollow"), MOST_HOLLOW);
-        int processes = atMost(e, "processes", e.count("processes", regions), MOST_PROCESSES);
+        int hollow = atMost(e, "hollow", e.count("hollow"), MAX_HOLLOW);
+        int processes = atMost(e, "processes", e.count("processes", regions), MAX_PROCESSES);
         if (processes % regions != 0 || processes > hollow) {
             throw e.fault(
                     "processes",
-                    "a multiple of the " + regions + " regions and at most one a node");
+                    "a multiple of the " + regions + " regions and at most one per node");
         }
         int real =
                 (int)
                         e.number(
                                 "real",
-                                new Range(0, MOST_REAL, "a whole number from 0 to " + MOST_REAL),
+                                new Range(0, MAX_REAL, "a whole number from 0 to " + MAX_REAL),
                                 0);
         Nodes nodes =
                 new Nodes(
@@ -120,82 +120,93 @@
             Phase phase = phase(e, regions, nodes, state);
             e.rejectUnknownKeys();
             if (!names.add(phase.name())) {
-                throw e.fault("name", "a name of its own; start is the rig's");
+                throw e.fault("name", "a unique name; start is reserved");
             }
             length += phase.length();
             phases.add(phase);
         }
-        if (phases.isEmpty() || length > MOST_LENGTH) {
-            throw root.fault(
-                    "phases", "a list of at least one phase, of an hour in all at the most");
+        if (phases.isEmpty() || length > MAX_LENGTH) {
+            throw root.fault("phases", "a list of at least one phase, of at most an hour in total");
         }
         return phases;
     }
 
     private static Phase phase(YamlMapping e, int regions, Nodes nodes, State state)
             throws ScenarioException {
-        What what = e.oneOf("what", What.class, null);
+        PhaseKind kind = e.oneOf("what", PhaseKind.class, null);
         String name =
-                e.text("name", what.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
-        double compressed = e.number("compressed", Range.POSITIVE, 1);
-        double rate = rate(e, what, compressed, state);
-        List<String> apart = what == What.APART ? apart(e, regions) : List.of();
-        String who = what == What.KILL || what == What.STALL ? who(e, what, nodes) : "";
-        double part = what == What.ZONE_LOST ? e.number("part", Range.FRACTION) : 0;
-        long away = what == What.KILL || what == What.STALL ? e.span("away") : 0;
+                e.text("name", kind.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-'));
+        double compression = e.number("compressed", Range.POSITIVE, 1);
+        double rate = rate(e, kind, compression, state);
+        List<String> cutOffRegions =
+                kind == PhaseKind.APART ? cutOffRegions(e, regions) : List.of();
+        String process =
+                kind == PhaseKind.KILL || kind == PhaseKind.STALL ? process(e, kind, nodes) : "";
+        double lostFraction = kind == PhaseKind.ZONE_LOST ? e.number("part", Range.FRACTION) : 0;
+        long downTime = kind == PhaseKind.KILL || kind == PhaseKind.STALL ? e.span("away") : 0;
         long length = e.span("for");
-        if (away >= length) {
+        if (downTime >= length) {
             throw e.fault("away", "a time shorter than the phase");
         }
-        return new Phase(name, what, length, rate, compressed, part, apart, who, away);
+        return new Phase(
+                name,
+                kind,
+                length,
+                rate,
+                compression,
+                lostFraction,
+                cutOffRegions,
+                process,
+                downTime);
     }
 
-    // Either as such, or as what it is on a day or in a release, and how many times denser it is
-    // played.
-    private static double rate(YamlMapping e, What what, double compressed, State state)
+    // The rate is given either directly, or as the number per day or in a release together with how
+    // many times faster than in reality the test runs.
+    private static double rate(YamlMapping e, PhaseKind kind, double compression, State state)
             throws ScenarioException {
-        if (what == What.RELEASE) {
+        if (kind == PhaseKind.RELEASE) {
             return state.servers()
-                    * (double) CHANGES_A_SERVER
+                    * (double) CHANGES_PER_SERVER
                     / (e.span("within") / (double) S)
-                    * compressed;
+                    * compression;
         }
-        if (what == What.CHANGES || what == What.APART) {
+        if (kind == PhaseKind.CHANGES || kind == PhaseKind.APART) {
             return e.has("a_day")
-                    ? e.number("a_day", Range.POSITIVE) / SECONDS_A_DAY * compressed
+                    ? e.number("a_day", Range.POSITIVE) / SECONDS_PER_DAY * compression
                     : e.number("rate", Range.POSITIVE);
         }
         return 0;
     }
 
-    private static List<String> apart(YamlMapping e, int regions) throws ScenarioException {
-        List<String> apart = e.texts("regions");
-        for (String each : apart) {
+    private static List<String> cutOffRegions(YamlMapping e, int regions) throws ScenarioException {
+        List<String> cutOffRegions = e.texts("regions");
+        for (String each : cutOffRegions) {
             if (!each.matches("r[1-9][0-9]?") || Integer.parseInt(each.substring(1)) > regions) {
                 throw e.fault("regions", "names from r1 to r" + regions);
             }
         }
-        if (apart.isEmpty()) {
+        if (cutOffRegions.isEmpty()) {
             throw e.fault("regions", "names from r1 to r" + regions);
         }
-        return apart;
+        return cutOffRegions;
     }
 
-    private static String who(YamlMapping e, What what, Nodes nodes) throws ScenarioException {
-        String who = e.text("who", "discovery");
-        boolean known =
-                "discovery".equals(who)
-                        || (what == What.STALL
-                                && who.matches("hollow-[1-9][0-9]?")
-                                && Integer.parseInt(who.substring("hollow-".length()))
+    private static String process(YamlMapping e, PhaseKind kind, Nodes nodes)
+            throws ScenarioException {
+        String process = e.text("who", "discovery");
+        boolean valid =
+                "discovery".equals(process)
+                        || (kind == PhaseKind.STALL
+                                && process.matches("hollow-[1-9][0-9]?")
+                                && Integer.parseInt(process.substring("hollow-".length()))
                                         <= nodes.processes());
-        if (!known) {
+        if (!valid) {
             throw e.fault(
                     "who",
-                    what == What.KILL
+                    kind == PhaseKind.KILL
                             ? "discovery"
                             : "discovery, or hollow-1 to hollow-" + nodes.processes());
         }
-        return who;
+        return process;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/package-info.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/package-info.java
@@ -1,3 +1,3 @@
 // SPDX-License-Identifier: Apache-2.0
-/** What a scale test plays: read from YAML and checked whole before anything starts. */
+/** Scale tests as described in YAML files, which are checked completely before anything starts. */
 package ottergauge.lab.scale.scenario;
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/Distribution.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/Distribution.java
@@ -4,17 +4,17 @@
 import java.util.Arrays;
 
 /**
- * How values spread: their number, median, 99th percentile and largest. All are 0 if there are
- * none.
+ * The distribution of values: their number, median, 99th percentile and maximum. All are 0 if there
+ * are no values.
  */
-public record Distribution(long count, long median, long p99, long most) {
+public record Distribution(long count, long median, long p99, long maximum) {
 
     public static final Distribution NONE = new Distribution(0, 0, 0, 0);
 
     private static final double MEDIAN = 0.5;
     private static final double P99 = 0.99;
 
-    /** Of these values, which are sorted by this. */
+    /** Returns the distribution of these values. Sorts the array in place. */
     public static Distribution of(long[] values) {
         if (values.length == 0) {
             return NONE;
@@ -24,8 +24,8 @@
                 values.length, at(values, MEDIAN), at(values, P99), values[values.length - 1]);
     }
 
-    // The smallest value that so large a part of all is not over.
-    private static long at(long[] sorted, double part) {
-        return sorted[Math.max(0, (int) Math.ceil(part * sorted.length) - 1)];
+    // The smallest value that is not exceeded by this fraction of all values.
+    private static long at(long[] sorted, double fraction) {
+        return sorted[Math.max(0, (int) Math.ceil(fraction * sorted.length) - 1)];
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/LongTable.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/LongTable.java
@@ -4,7 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Rows of whole numbers in the order in which they came, kept densely: there are millions of them.
+ * Rows of integers in the order in which they were added. They are stored compactly, since a scale
+ * test has millions of them.
  */
 final class LongTable {
 
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/NodeObservations.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/NodeObservations.java
@@ -5,50 +5,51 @@
 import java.util.stream.IntStream;
 
 /**
- * What was seen of one node: the versions that came in force, and its bytes. Instants are
+ * The observations of one node: the versions that took effect on it, and its traffic. Times are
  * microseconds.
  */
 final class NodeObservations {
 
-    private static final long BYTES_SPAN = 100_000;
-    private static final long WINDOW = 10_000_000;
+    private static final long BYTE_INTERVAL = 100_000;
+    private static final long TRAFFIC_WINDOW = 10_000_000;
 
     private final LongTable versions = new LongTable(2);
     private final LongTable traffic = new LongTable(3);
     private String digest = "";
-    private long inForce;
+    private long currentVersion;
 
-    void inForce(long version, long at) {
+    void recordVersion(long version, long at) {
         versions.add(version, at);
-        inForce = version;
+        currentVersion = version;
     }
 
-    /** It has lost its state. */
-    void restarted() {
-        inForce = 0;
+    /** The node has lost its state. */
+    void clearState() {
+        currentVersion = 0;
     }
 
-    void traffic(long bytesIn, long bytesOut, long at) {
+    void recordTraffic(long bytesIn, long bytesOut, long at) {
         traffic.add(bytesIn, bytesOut, at);
     }
 
-    void digest(String told) {
-        digest = told;
+    void setDigest(String newDigest) {
+        digest = newDigest;
     }
 
     String digest() {
         return digest;
     }
 
-    /** The version in force now. */
-    long inForce() {
-        return inForce;
+    /** Returns the version that is in effect now. */
+    long currentVersion() {
+        return currentVersion;
     }
 
     /**
-     * When this version or a newer one came in force first, from an instant on; negative if never.
+     * Returns when this version or a newer one first took effect, at or after {@code from}; -1 if
+     * it did not.
      */
-    long reached(long version, long from) {
+    long firstReached(long version, long from) {
         for (int row = 0; row < versions.rows(); row++) {
             if (versions.get(row, 0) >= version && versions.get(row, 1) >= from) {
                 return versions.get(row, 1);
@@ -57,7 +58,10 @@
         return -1;
     }
 
-    /** All bytes told of instants after {@code from} and before {@code until}, either way. */
+    /**
+     * Returns the bytes in both directions of intervals that start after {@code from} and before
+     * {@code until}.
+     */
     long bytes(long from, long until) {
         long sum = 0;
         for (int row = 0; row < traffic.rows(); row++) {
@@ -69,26 +73,27 @@
     }
 
     /**
-     * The most bytes, either way, in any ten seconds of a span of time. Bytes are known by tenths
-     * of a second; a tenth that lies only partly in the ten seconds counts whole.
+     * Returns the largest number of bytes, in both directions, within any ten seconds of a period.
+     * Bytes are counted in intervals of 100 ms; an interval that lies only partly in the ten
+     * seconds counts in full.
      */
-    long mostBytesInWindow(long from, long until) {
+    long maxBytesInWindow(long from, long until) {
         long[][] rows = sorted(from, until);
-        long most = 0;
+        long maxSum = 0;
         long sum = 0;
         int first = 0;
         for (long[] row : rows) {
             sum += row[1];
-            while (rows[first][0] <= row[0] - WINDOW - BYTES_SPAN) {
+            while (rows[first][0] <= row[0] - TRAFFIC_WINDOW - BYTE_INTERVAL) {
                 sum -= rows[first][1];
                 first++;
             }
-            most = Math.max(most, sum);
+            maxSum = Math.max(maxSum, sum);
         }
-        return most;
+        return maxSum;
     }
 
-    // By instant: what is counted for one source of state is told apart from what is for another.
+    // Sorted by time, since bytes are reported separately for each source of state.
     private long[][] sorted(long from, long until) {
         return IntStream.range(0, traffic.rows())
                 .mapToObj(
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/Observations.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/Observations.java
@@ -8,21 +8,24 @@
 import java.util.TreeMap;
 
 /**
- * All that was seen in a play, by whoever saw it: instants are wall-clock microseconds. Safe to be
- * told from several threads.
+ * All observations of a scale test, from all of its processes. Times are wall-clock microseconds.
+ * This class is thread-safe.
  */
 public final class Observations {
 
-    /** What the use of the whole machine is noted under, and that of the rig's own process. */
+    /**
+     * The name under which the CPU time of the machine is recorded, and that of the laboratory's
+     * own process.
+     */
     public static final String MACHINE = "machine";
 
     public static final String RIG = "rig";
 
-    /** What a process used: its CPU so far, resident bytes, and heap as far as it tells. */
-    record Use(long at, long cpuMicros, long residentBytes) {}
+    /** The CPU time that a process has used so far, and its resident bytes. */
+    record Usage(long at, long cpuMicros, long residentBytes) {}
 
-    /** How late a loop of the rig came round in the time before an instant. */
-    record Lateness(long at, long looks, long late) {}
+    /** The lateness of a laboratory loop in the interval before {@code at}. */
+    record Lateness(long at, long samples, long late) {}
 
     /** The columns of {@link #calls} and {@link #discovery}. */
     static final int AT = 0;
@@ -35,122 +38,127 @@
     /** Calls that hollow nodes made, by kind. */
     private final Map<String, LongTable> calls = new LinkedHashMap<>();
 
-    /** Calls that reached discovery, by what became of them. */
+    /** Calls that reached discovery, by how they were handled. */
     private final Map<String, LongTable> discovery = new LinkedHashMap<>();
 
-    private final LongTable wholeLists = new LongTable(3);
-    private final Map<String, List<Use>> uses = new LinkedHashMap<>();
+    private final LongTable fullLists = new LongTable(3);
+    private final Map<String, List<Usage>> usages = new LinkedHashMap<>();
     private final Map<String, LongTable> heaps = new LinkedHashMap<>();
     private final Map<String, List<Lateness>> lateness = new LinkedHashMap<>();
-    private final Map<String, Long> excused = new LinkedHashMap<>();
+    private final Map<String, Long> latenessIgnoredUntil = new LinkedHashMap<>();
     private final Map<String, LongTable> linkBytes = new LinkedHashMap<>();
-    private final Map<String, Long> lost = new LinkedHashMap<>();
-    private final Map<String, Long> leftOut = new LinkedHashMap<>();
+    private final Map<String, Long> lostLines = new LinkedHashMap<>();
+    private final Map<String, Long> omittedEffects = new LinkedHashMap<>();
 
     private NodeObservations node(String name) {
         return nodes.computeIfAbsent(name, each -> new NodeObservations());
     }
 
-    /** A node is part of the play, whether anything is seen of it or not. */
-    public synchronized void expect(String node) {
+    /** Adds a node to the test, whether or not anything is observed of it. */
+    public synchronized void addNode(String node) {
         node(node);
     }
 
-    /** A version came to be at its source. */
-    public synchronized void changed(long version, long at) {
+    /** Records when a version was created at its source. */
+    public synchronized void recordChange(long version, long at) {
         changes.put(version, at);
     }
 
-    public synchronized void inForce(String node, long version, long at) {
-        node(node).inForce(version, at);
+    public synchronized void recordVersion(String node, long version, long at) {
+        node(node).recordVersion(version, at);
     }
 
-    /** These nodes have lost their state. */
-    public synchronized void restarted(List<String> names) {
-        names.forEach(each -> node(each).restarted());
+    /** Records that these nodes have lost their state. */
+    public synchronized void recordRestart(List<String> names) {
+        names.forEach(each -> node(each).clearState());
     }
 
-    public synchronized void traffic(String node, long bytesIn, long bytesOut, long at) {
-        node(node).traffic(bytesIn, bytesOut, at);
+    public synchronized void recordTraffic(String node, long bytesIn, long bytesOut, long at) {
+        node(node).recordTraffic(bytesIn, bytesOut, at);
     }
 
-    public synchronized void digest(String node, String digest) {
-        node(node).digest(digest);
+    public synchronized void recordDigest(String node, String digest) {
+        node(node).setDigest(digest);
     }
 
-    public synchronized void calls(String kind, long count, long at) {
+    public synchronized void recordCalls(String kind, long count, long at) {
         calls.computeIfAbsent(kind, each -> new LongTable(2)).add(at, count);
     }
 
-    public synchronized void callsAtDiscovery(String kind, long count, long at) {
+    public synchronized void recordDiscoveryCalls(String kind, long count, long at) {
         discovery.computeIfAbsent(kind, each -> new LongTable(2)).add(at, count);
     }
 
-    public synchronized void wholeLists(long lists, long bytes, long at) {
-        wholeLists.add(at, lists, bytes);
+    public synchronized void recordFullLists(long lists, long bytes, long at) {
+        fullLists.add(at, lists, bytes);
     }
 
-    public synchronized void use(String process, long cpuMicros, long residentBytes, long at) {
-        uses.computeIfAbsent(process, each -> new ArrayList<>())
-                .add(new Use(at, cpuMicros, residentBytes));
+    public synchronized void recordUsage(
+            String process, long cpuMicros, long residentBytes, long at) {
+        usages.computeIfAbsent(process, each -> new ArrayList<>())
+                .add(new Usage(at, cpuMicros, residentBytes));
     }
 
-    public synchronized void heap(String process, long bytes, long at) {
+    public synchronized void recordHeap(String process, long bytes, long at) {
         heaps.computeIfAbsent(process, each -> new LongTable(2)).add(at, bytes);
     }
 
     /**
-     * A process is stopped on purpose: what it tells of its lateness until then is not the rig's.
+     * Ignores the lateness that a process reports until this time, because it is suspended on
+     * purpose.
      */
-    public synchronized void excuse(String process, long until) {
-        excused.put(process, until);
+    public synchronized void ignoreLateness(String process, long until) {
+        latenessIgnoredUntil.put(process, until);
     }
 
-    /** Records how many of so many looks of a process came late, by an instant in ms. */
-    public synchronized void lateness(String process, long looks, long late, long at) {
-        if (at < excused.getOrDefault(process, 0L)) {
+    /**
+     * Records how many samples a process has taken and how many of them were late, up to {@code
+     * at}.
+     */
+    public synchronized void recordLateness(String process, long samples, long late, long at) {
+        if (at < latenessIgnoredUntil.getOrDefault(process, 0L)) {
             return;
         }
         lateness.computeIfAbsent(process, each -> new ArrayList<>())
-                .add(new Lateness(at, looks, late));
+                .add(new Lateness(at, samples, late));
     }
 
-    public synchronized void linkBytes(String link, long there, long back, long at) {
+    public synchronized void recordLinkBytes(String link, long there, long back, long at) {
         linkBytes.computeIfAbsent(link, each -> new LongTable(3)).add(at, there, back);
     }
 
-    /** So many lines of a process's report are lost, in all. */
-    public synchronized void lost(String process, long lines) {
-        lost.put(process, lines);
+    /** Records the total number of lines that are missing from a process's report. */
+    public synchronized void recordLostLines(String process, long lines) {
+        lostLines.put(process, lines);
     }
 
-    /** A hollow node was asked for something that it lacks. */
-    public synchronized void leftOut(String effect) {
-        leftOut.merge(effect, 1L, Long::sum);
+    /** Records an effect that a hollow node was asked for and does not implement. */
+    public synchronized void recordOmittedEffect(String effect) {
+        omittedEffects.merge(effect, 1L, Long::sum);
     }
 
-    /** How many of these nodes go by a version or a newer one now. */
-    public synchronized long reached(List<String> names, long version) {
-        return names.stream().filter(each -> node(each).inForce() >= version).count();
+    /** Returns on how many of these nodes this version or a newer one is in effect now. */
+    public synchronized long countReached(List<String> names, long version) {
+        return names.stream().filter(each -> node(each).currentVersion() >= version).count();
     }
 
-    /** How many of these nodes have told a digest since {@link #forgetDigests}. */
-    public synchronized long digests(List<String> names) {
+    /** Returns how many of these nodes have reported a digest since {@link #clearDigests}. */
+    public synchronized long countDigests(List<String> names) {
         return names.stream().filter(each -> !node(each).digest().isEmpty()).count();
     }
 
-    public synchronized void forgetDigests() {
-        nodes.values().forEach(each -> each.digest(""));
+    public synchronized void clearDigests() {
+        nodes.values().forEach(each -> each.setDigest(""));
     }
 
-    /** The newest version that its source has told. */
+    /** Returns the newest version that its source has reported. */
     public synchronized long newestVersion() {
         return changes.isEmpty() ? 0 : changes.lastKey();
     }
 
-    /** What is seen in a window, reckoned while nothing is added. */
-    public synchronized PhaseStatistics figures(PhaseWindow window) {
-        return new PhaseStatisticsCalculator(this, window).reckon();
+    /** Computes the statistics of a phase; no observation is added meanwhile. */
+    public synchronized PhaseStatistics statistics(PhaseWindow window) {
+        return new PhaseStatisticsCalculator(this, window).compute();
     }
 
     Map<String, NodeObservations> nodes() {
@@ -171,12 +179,12 @@
         return discovery;
     }
 
-    LongTable wholeLists() {
-        return wholeLists;
+    LongTable fullLists() {
+        return fullLists;
     }
 
-    Map<String, List<Use>> uses() {
-        return uses;
+    Map<String, List<Usage>> usages() {
+        return usages;
     }
 
     Map<String, LongTable> heaps() {
@@ -191,11 +199,11 @@
         return linkBytes;
     }
 
-    Map<String, Long> lost() {
-        return lost;
+    Map<String, Long> lostLines() {
+        return lostLines;
     }
 
-    Map<String, Long> leftOut() {
-        return leftOut;
+    Map<String, Long> omittedEffects() {
+        return omittedEffects;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseStatistics.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseStatistics.java
@@ -4,78 +4,85 @@
 import java.util.Map;
 
 /**
- * The figures of a phase. Spans are microseconds, bytes are those of HTTP messages at a node's
- * sockets.
+ * The statistics of a phase. Durations are microseconds; bytes are those of HTTP messages at a
+ * node's sockets.
  *
- * @param latest the process of the rig that was late most, by the part of its looks
- * @param changes how many changes were made
- * @param inForce from a change until a hollow node goes by it, for all pairs of both
- * @param atLastNode the same until the last hollow node goes by it, for all changes
- * @param atRealNodes until a real node's next call shows that it goes by it
- * @param afterRestart from the phase's beginning until a hollow node goes by the newest version,
- *     where they began without any state
- * @param missing pairs of a change and a hollow node that does not go by it at the end
- * @param behind hollow nodes that do not go by the newest version at the end
- * @param wrong hollow nodes whose servers at the end are not those of the source
- * @param bytesANode bytes a second of a hollow node, in the mean
- * @param mostBytesIn10s the most bytes of any hollow node in any ten seconds
+ * @param rigLate whether the laboratory ran late or lost lines of a report
+ * @param rigLateness the laboratory process with the largest fraction of late samples
+ * @param changes the number of changes
+ * @param propagation the time from a change until it takes effect on a hollow node, for all pairs
+ *     of a change and a hollow node
+ * @param propagationToLastNode the time from a change until it takes effect on the last hollow
+ *     node, for all changes
+ * @param propagationToRealNodes the time from a change until a real node's next call shows that it
+ *     has taken effect
+ * @param propagationAfterRestart the time from the start of the phase until the newest version
+ *     takes effect on a hollow node, if the nodes start without any state
+ * @param missingChanges pairs of a change and a hollow node on which it is not in effect at the end
+ * @param nodesBehind hollow nodes on which the newest version is not in effect at the end
+ * @param nodesWithWrongServers hollow nodes whose servers at the end differ from those of the
+ *     source
+ * @param bytesPerNodePerSecond the mean bytes per second of a hollow node
+ * @param maxBytesIn10s the largest number of bytes of any hollow node in any ten seconds
  * @param calls calls that hollow nodes made, by kind
- * @param mostCallsIn100ms the most of them in any 100 ms
- * @param atDiscovery calls that reached discovery, by what became of them
- * @param mostAtDiscoveryIn100ms the most of them in any 100 ms
- * @param wholeLists whole lists that discovery wrote, and their bytes
- * @param cores CPU of each process, in cores
- * @param residentBytes the most of each process
- * @param heapBytes the least of each process: what is left after a collection
+ * @param maxCallsIn100ms the largest number of these calls in any 100 ms
+ * @param discoveryCalls calls that reached discovery, by how they were handled
+ * @param maxDiscoveryCallsIn100ms the largest number of these calls in any 100 ms
+ * @param fullLists full lists that discovery sent, and their bytes
+ * @param cores CPU time of each process, in cores
+ * @param residentBytes the maximum for each process
+ * @param heapBytes the minimum for each process: what remains after a garbage collection
  */
 public record PhaseStatistics(
         PhaseWindow window,
-        boolean late,
-        Latest latest,
+        boolean rigLate,
+        RigLateness rigLateness,
         long changes,
-        Distribution inForce,
-        Distribution atLastNode,
-        Distribution atRealNodes,
-        Distribution afterRestart,
-        long missing,
-        long behind,
-        long wrong,
-        double bytesANode,
-        long mostBytesIn10s,
+        Distribution propagation,
+        Distribution propagationToLastNode,
+        Distribution propagationToRealNodes,
+        Distribution propagationAfterRestart,
+        long missingChanges,
+        long nodesBehind,
+        long nodesWithWrongServers,
+        double bytesPerNodePerSecond,
+        long maxBytesIn10s,
         Map<String, Long> calls,
-        long mostCallsIn100ms,
-        Map<String, Long> atDiscovery,
-        long mostAtDiscoveryIn100ms,
-        WholeLists wholeLists,
+        long maxCallsIn100ms,
+        Map<String, Long> discoveryCalls,
+        long maxDiscoveryCallsIn100ms,
+        FullLists fullLists,
         Map<String, Double> cores,
         Map<String, Long> residentBytes,
         Map<String, Long> heapBytes,
         Map<String, Long> linkBytes,
-        Map<String, Long> leftOut) {
+        Map<String, Long> omittedEffects) {
 
     /**
-     * The process of the rig that was late most, the part of its looks that were, and lines lost by
-     * all.
+     * The laboratory process with the largest fraction of late samples, that fraction, and the
+     * lines that all processes lost.
      */
-    public record Latest(String process, double part, long lost) {}
+    public record RigLateness(String process, double lateFraction, long lostLines) {}
 
-    /** Whole lists, by number and bytes. */
-    public record WholeLists(long lists, long bytes) {}
+    /** The number of full lists and their bytes. */
+    public record FullLists(long lists, long bytes) {}
 
-    /** What a phase comes to. */
+    /** The verdict on a phase. */
     public enum Verdict {
-        /** All nodes go by all that was changed. */
+        /** All changes took effect on all nodes. */
         REACHED,
-        /** Some node does not. */
+        /** Some change did not take effect on some node. */
         NOT_REACHED,
-        /** The rig was late: what it saw says nothing of the nodes. */
+        /** The laboratory ran late, so the measurements say nothing about the nodes. */
         RIG_LATE
     }
 
-    /** What it comes to. */
+    /** Returns the verdict; {@code RIG_LATE} takes precedence. */
     public Verdict verdict() {
-        return late
+        return rigLate
                 ? Verdict.RIG_LATE
-                : missing + behind + wrong > 0 ? Verdict.NOT_REACHED : Verdict.REACHED;
+                : missingChanges + nodesBehind + nodesWithWrongServers > 0
+                        ? Verdict.NOT_REACHED
+                        : Verdict.REACHED;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseStatisticsCalculator.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseStatisticsCalculator.java
@@ -8,118 +8,129 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import ottergauge.lab.scale.statistics.Observations.Lateness;
-import ottergauge.lab.scale.statistics.Observations.Use;
-import ottergauge.lab.scale.statistics.PhaseStatistics.Latest;
-import ottergauge.lab.scale.statistics.PhaseStatistics.WholeLists;
+import ottergauge.lab.scale.statistics.Observations.Usage;
+import ottergauge.lab.scale.statistics.PhaseStatistics.FullLists;
+import ottergauge.lab.scale.statistics.PhaseStatistics.RigLateness;
 
-/** Reckons the figures of one phase from what was seen. */
+/** Computes the statistics of one phase from the observations. */
 final class PhaseStatisticsCalculator {
 
-    // As much of the rig's looks may be late.
-    private static final double LATE_PART = 0.01;
-    private static final long WORST = 100_000;
-    private static final long CALLS_SPAN = 10_000;
-    private static final double MICROS_A_SECOND = 1e6;
+    // The largest fraction of the laboratory's samples that may be late.
+    private static final double MAX_LATE_FRACTION = 0.01;
+    private static final long PEAK_WINDOW = 100_000;
+    private static final long CALL_INTERVAL = 10_000;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private final Observations seen;
+    private final Observations observations;
     private final PhaseWindow window;
 
-    PhaseStatisticsCalculator(Observations seen, PhaseWindow window) {
-        this.seen = seen;
+    PhaseStatisticsCalculator(Observations observations, PhaseWindow window) {
+        this.observations = observations;
         this.window = window;
     }
 
-    PhaseStatistics reckon() {
-        Map<Long, Long> changes = seen.changes(window.from(), window.until());
-        List<Long> inForce = new ArrayList<>();
-        List<Long> atLast = new ArrayList<>();
-        long missing = 0;
+    PhaseStatistics compute() {
+        Map<Long, Long> changes = observations.changes(window.from(), window.until());
+        List<Long> toHollowNodes = new ArrayList<>();
+        List<Long> toLastNode = new ArrayList<>();
+        long missingChanges = 0;
         for (Map.Entry<Long, Long> change : changes.entrySet()) {
-            List<Long> spans = spans(change, window.hollow());
-            inForce.addAll(spans);
-            missing += window.hollow().size() - spans.size();
-            if (spans.size() == window.hollow().size()) {
-                atLast.add(spans.stream().mapToLong(each -> each).max().orElse(0));
+            List<Long> times = propagationTimes(change, window.hollow());
+            toHollowNodes.addAll(times);
+            missingChanges += window.hollow().size() - times.size();
+            if (times.size() == window.hollow().size()) {
+                toLastNode.add(times.stream().mapToLong(each -> each).max().orElse(0));
             }
         }
-        List<Long> atReal =
+        List<Long> toRealNodes =
                 changes.entrySet().stream()
-                        .flatMap(change -> spans(change, window.real()).stream())
+                        .flatMap(change -> propagationTimes(change, window.real()).stream())
                         .toList();
-        List<NodeObservations> hollow = window.hollow().stream().map(seen.nodes()::get).toList();
-        Latest latest = latest();
+        List<NodeObservations> hollow =
+                window.hollow().stream().map(observations.nodes()::get).toList();
+        RigLateness lateness = rigLateness();
         return new PhaseStatistics(
                 window,
-                latest.part() > LATE_PART || latest.lost() > 0,
-                latest,
+                lateness.lateFraction() > MAX_LATE_FRACTION || lateness.lostLines() > 0,
+                lateness,
                 changes.size(),
-                spread(inForce),
-                spread(atLast),
-                spread(atReal),
-                afterRestart(),
-                missing,
-                hollow.stream().filter(node -> node.inForce() < seen.newestVersion()).count(),
+                distribution(toHollowNodes),
+                distribution(toLastNode),
+                distribution(toRealNodes),
+                propagationAfterRestart(),
+                missingChanges,
+                hollow.stream()
+                        .filter(node -> node.currentVersion() < observations.newestVersion())
+                        .count(),
                 window.digest().isEmpty()
                         ? 0
                         : hollow.stream()
                                 .filter(node -> !node.digest().equals(window.digest()))
                                 .count(),
-                bytesANode(hollow),
+                bytesPerNodePerSecond(hollow),
                 hollow.stream()
                         .mapToLong(
-                                node -> node.mostBytesInWindow(window.spansFrom(), window.until()))
+                                node ->
+                                        node.maxBytesInWindow(
+                                                window.intervalsFrom(), window.until()))
                         .max()
                         .orElse(0),
-                sums(seen.calls()),
-                most(seen.calls()),
-                sums(seen.discovery()),
-                most(seen.discovery()),
-                wholeLists(),
+                sums(observations.calls()),
+                maxInWindow(observations.calls()),
+                sums(observations.discovery()),
+                maxInWindow(observations.discovery()),
+                fullLists(),
                 cores(),
                 resident(),
                 heaps(),
                 linkBytes(),
-                Map.copyOf(seen.leftOut()));
+                Map.copyOf(observations.omittedEffects()));
     }
 
-    private static Distribution spread(List<Long> values) {
+    private static Distribution distribution(List<Long> values) {
         return Distribution.of(values.stream().mapToLong(each -> each).toArray());
     }
 
-    // From when a node could be told: for one that was cut off from when it no longer was.
-    private List<Long> spans(Map.Entry<Long, Long> change, List<String> nodes) {
-        List<Long> spans = new ArrayList<>();
+    // Counts from when a change could reach the node: for a node that was cut off, from when it was
+    // reachable again.
+    private List<Long> propagationTimes(Map.Entry<Long, Long> change, List<String> nodes) {
+        List<Long> times = new ArrayList<>();
         for (String name : nodes) {
-            long from = Math.max(change.getValue(), window.excusedUntil().getOrDefault(name, 0L));
-            long at = seen.nodes().get(name).reached(change.getKey(), window.from());
+            long from = Math.max(change.getValue(), window.reachableFrom().getOrDefault(name, 0L));
+            long at = observations.nodes().get(name).firstReached(change.getKey(), window.from());
             if (at >= 0) {
-                spans.add(Math.max(0, at - from));
+                times.add(Math.max(0, at - from));
             }
         }
-        return spans;
+        return times;
     }
 
-    private Distribution afterRestart() {
-        if (!window.beginsAnew()) {
+    private Distribution propagationAfterRestart() {
+        if (!window.startsWithoutState()) {
             return Distribution.NONE;
         }
-        long newest = seen.newestVersion();
-        return spread(
+        long newest = observations.newestVersion();
+        return distribution(
                 window.hollow().stream()
-                        .map(name -> seen.nodes().get(name).reached(newest, window.from()))
+                        .map(
+                                name ->
+                                        observations
+                                                .nodes()
+                                                .get(name)
+                                                .firstReached(newest, window.from()))
                         .filter(at -> at >= 0)
                         .map(at -> at - window.from())
                         .toList());
     }
 
     private double seconds() {
-        return (window.until() - window.from()) / MICROS_A_SECOND;
+        return (window.until() - window.from()) / MICROS_PER_SECOND;
     }
 
-    private double bytesANode(List<NodeObservations> hollow) {
+    private double bytesPerNodePerSecond(List<NodeObservations> hollow) {
         long bytes =
                 hollow.stream()
-                        .mapToLong(node -> node.bytes(window.spansFrom(), window.until()))
+                        .mapToLong(node -> node.bytes(window.intervalsFrom(), window.until()))
                         .sum();
         return bytes / seconds() / Math.max(1, hollow.size());
     }
@@ -131,7 +142,7 @@
                     long sum = 0;
                     for (int row = 0; row < table.rows(); row++) {
                         sum +=
-                                window.holds(table.get(row, Observations.AT))
+                                window.contains(table.get(row, Observations.AT))
                                         ? table.get(row, Observations.COUNT)
                                         : 0;
                     }
@@ -140,52 +151,59 @@
         return sums;
     }
 
-    // Known by hundredths of a second; one that lies only partly in the 100 ms counts whole.
-    private long most(Map<String, LongTable> tables) {
-        TreeMap<Long, Long> spans = new TreeMap<>();
+    // Calls are counted in intervals of 10 ms; an interval that lies only partly in the 100 ms
+    // counts in full.
+    private long maxInWindow(Map<String, LongTable> tables) {
+        TreeMap<Long, Long> counts = new TreeMap<>();
         for (LongTable table : tables.values()) {
             for (int row = 0; row < table.rows(); row++) {
-                if (window.holds(table.get(row, Observations.AT))) {
-                    spans.merge(
+                if (window.contains(table.get(row, Observations.AT))) {
+                    counts.merge(
                             table.get(row, Observations.AT),
                             table.get(row, Observations.COUNT),
                             Long::sum);
                 }
             }
         }
-        return spans.keySet().stream()
+        return counts.keySet().stream()
                 .mapToLong(
                         from ->
-                                spans.subMap(from, from + WORST + CALLS_SPAN).values().stream()
+                                counts
+                                        .subMap(from, from + PEAK_WINDOW + CALL_INTERVAL)
+                                        .values()
+                                        .stream()
                                         .mapToLong(each -> each)
                                         .sum())
                 .max()
                 .orElse(0);
     }
 
-    private WholeLists wholeLists() {
+    private FullLists fullLists() {
         long lists = 0;
         long bytes = 0;
-        LongTable table = seen.wholeLists();
+        LongTable table = observations.fullLists();
         for (int row = 0; row < table.rows(); row++) {
-            if (window.holds(table.get(row, Observations.AT))) {
+            if (window.contains(table.get(row, Observations.AT))) {
                 lists += table.get(row, 1);
                 bytes += table.get(row, 2);
             }
         }
-        return new WholeLists(lists, bytes);
+        return new FullLists(lists, bytes);
     }
 
     private Map<String, Double> cores() {
         Map<String, Double> cores = new LinkedHashMap<>();
-        seen.uses()
+        observations
+                .usages()
                 .forEach(
-                        (process, uses) -> {
-                            List<Use> part =
-                                    uses.stream().filter(use -> window.holds(use.at())).toList();
+                        (process, usages) -> {
+                            List<Usage> part =
+                                    usages.stream()
+                                            .filter(use -> window.contains(use.at()))
+                                            .toList();
                             if (part.size() > 1) {
-                                Use first = part.get(0);
-                                Use last = part.get(part.size() - 1);
+                                Usage first = part.get(0);
+                                Usage last = part.get(part.size() - 1);
                                 cores.put(
                                         process,
                                         (double) (last.cpuMicros() - first.cpuMicros())
@@ -196,14 +214,14 @@
     }
 
     private Map<String, Long> resident() {
-        return seen.uses().entrySet().stream()
+        return observations.usages().entrySet().stream()
                 .collect(
                         Collectors.toMap(
                                 Map.Entry::getKey,
                                 each ->
                                         each.getValue().stream()
-                                                .filter(use -> window.holds(use.at()))
-                                                .mapToLong(Use::residentBytes)
+                                                .filter(use -> window.contains(use.at()))
+                                                .mapToLong(Usage::residentBytes)
                                                 .max()
                                                 .orElse(0),
                                 (one, other) -> one,
@@ -212,11 +230,12 @@
 
     private Map<String, Long> heaps() {
         Map<String, Long> heaps = new LinkedHashMap<>();
-        seen.heaps()
+        observations
+                .heaps()
                 .forEach(
                         (process, table) -> {
                             for (int row = 0; row < table.rows(); row++) {
-                                if (window.holds(table.get(row, Observations.AT))) {
+                                if (window.contains(table.get(row, Observations.AT))) {
                                     heaps.merge(process, table.get(row, 1), Math::min);
                                 }
                             }
@@ -226,11 +245,12 @@
 
     private Map<String, Long> linkBytes() {
         Map<String, Long> bytes = new LinkedHashMap<>();
-        seen.linkBytes()
+        observations
+                .linkBytes()
                 .forEach(
                         (link, table) -> {
                             for (int row = 0; row < table.rows(); row++) {
-                                if (window.holds(table.get(row, Observations.AT))) {
+                                if (window.contains(table.get(row, Observations.AT))) {
                                     bytes.merge(
                                             link, table.get(row, 1) + table.get(row, 2), Long::sum);
                                 }
@@ -239,22 +259,24 @@
         return bytes;
     }
 
-    private Latest latest() {
-        String latest = "";
-        double part = 0;
-        for (Map.Entry<String, List<Lateness>> each : seen.lateness().entrySet()) {
-            long looks = 0;
+    private RigLateness rigLateness() {
+        String process = "";
+        double fraction = 0;
+        for (Map.Entry<String, List<Lateness>> each : observations.lateness().entrySet()) {
+            long samples = 0;
             long late = 0;
-            for (Lateness told : each.getValue()) {
-                looks += window.holds(told.at()) ? told.looks() : 0;
-                late += window.holds(told.at()) ? told.late() : 0;
+            for (Lateness measured : each.getValue()) {
+                samples += window.contains(measured.at()) ? measured.samples() : 0;
+                late += window.contains(measured.at()) ? measured.late() : 0;
             }
-            if (looks > 0 && (double) late / looks > part) {
-                latest = each.getKey();
-                part = (double) late / looks;
+            if (samples > 0 && (double) late / samples > fraction) {
+                process = each.getKey();
+                fraction = (double) late / samples;
             }
         }
-        return new Latest(
-                latest, part, seen.lost().values().stream().mapToLong(each -> each).sum());
+        return new RigLateness(
+                process,
+                fraction,
+                observations.lostLines().values().stream().mapToLong(each -> each).sum());
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseWindow.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseWindow.java
@@ -6,16 +6,19 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
 
 /**
- * When a phase was played and what is held against it; instants are wall-clock microseconds.
+ * The period of a phase and what its observations are compared with. Times are wall-clock
+ * microseconds.
  *
- * @param from when it began
- * @param until when all nodes had been waited for
- * @param hollow the hollow nodes, by name
- * @param real the real nodes, by name
- * @param beginsAnew whether hollow nodes began without any state: then their time counts from
- *     {@code from}
- * @param excusedUntil for nodes that could not be reached in this phase, when they could be again
- * @param digest what each node's servers should come to in the end; empty if that was not asked for
+ * @param from when the phase started
+ * @param until when the wait for all nodes ended
+ * @param hollow the names of the hollow nodes
+ * @param real the names of the real nodes
+ * @param startsWithoutState whether hollow nodes started without any state; then their time counts
+ *     from {@code from}
+ * @param reachableFrom for nodes that could not be reached in this phase, when they became
+ *     reachable
+ * @param digest the expected digest of each node's servers at the end; empty if it was not
+ *     requested
  */
 public record PhaseWindow(
         Phase phase,
@@ -23,23 +26,26 @@
         long until,
         List<String> hollow,
         List<String> real,
-        boolean beginsAnew,
-        Map<String, Long> excusedUntil,
+        boolean startsWithoutState,
+        Map<String, Long> reachableFrom,
         String digest) {
 
-    // What is counted in spans of time bears the instant at which its span began.
-    private static final long LONGEST_SPAN = 100_000;
+    // A count for an interval is recorded under the time at which the interval started.
+    private static final long MAX_INTERVAL = 100_000;
 
     /**
-     * When the first span began that reaches into the phase; before it all is at rest for over a
-     * second.
+     * Returns the exclusive lower bound for the start of intervals that overlap the phase. Nothing
+     * happens for more than a second before a phase, so this includes no count from before it.
      */
-    long spansFrom() {
-        return from - LONGEST_SPAN;
+    long intervalsFrom() {
+        return from - MAX_INTERVAL;
     }
 
-    /** Whether a span, or an instant, belongs to the phase. */
-    boolean holds(long at) {
-        return at > spansFrom() && at < until;
+    /**
+     * Returns whether an interval that starts at this time, or an event at this time, belongs to
+     * the phase.
+     */
+    boolean contains(long at) {
+        return at > intervalsFrom() && at < until;
     }
 }
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/package-info.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/package-info.java
@@ -1,3 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/** What was seen in a play, and the figures that follow from it. No I/O. */
+/**
+ * The observations of a scale test and the statistics that are computed from them. This package
+ * does no I/O.
+ */
 package ottergauge.lab.scale.statistics;
