--- a/lab/src/test/java/ottergauge/lab/scale/ScaleIT.java
+++ b/lab/src/test/java/ottergauge/lab/scale/ScaleIT.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import ottergauge.lab.scale.statistics.PhaseStatistics;
-import ottergauge.lab.scale.run.ScaleRun;
 import ottergauge.lab.scale.report.ScaleReport;
+import ottergauge.lab.scale.run.ScaleRun;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 import ottergauge.lab.scale.scenario.ScaleScenarioReader;
+import ottergauge.lab.scale.statistics.PhaseStatistics;
 
 /**
  * Scale tests at a small size. They go by counts and orders alone, which a machine that is busy
@@ -38,29 +38,29 @@
 
     private String text;
 
-    private Map<String, PhaseStatistics> play(ScaleScenario scenario) throws Exception {
+    private Map<String, PhaseStatistics> execute(ScaleScenario scenario) throws Exception {
         Matcher run =
                 Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE)
                         .matcher(Files.readString(ROOT.resolve("deploy/balancer.toml")));
         assertTrue(run.find());
-        List<PhaseStatistics> figures = new ScaleRun(scenario, ROOT, run.group(1), folder).run();
+        List<PhaseStatistics> statistics = new ScaleRun(scenario, ROOT, run.group(1), folder).run();
         StringWriter printed = new StringWriter();
-        new ScaleReport(scenario, figures).print(new PrintWriter(printed));
+        new ScaleReport(scenario, statistics).print(new PrintWriter(printed));
         text = printed.toString();
-        assertFalse(left(), "processes are left");
-        return figures.stream()
+        assertFalse(isProcessLeft(), "processes are left");
+        return statistics.stream()
                 .collect(
                         Collectors.toMap(
                                 each -> each.window().phase().name(), Function.identity()));
     }
 
     // Whether any process still has this play's folder in its command line or environment.
-    private boolean left() {
+    private boolean isProcessLeft() {
         return ProcessHandle.allProcesses()
                 .anyMatch(
                         process -> {
                             try {
-                                String told =
+                                String processText =
                                         Files.readString(
                                                         Path.of(
                                                                 "/proc/"
@@ -72,7 +72,7 @@
                                                                         + process.pid()
                                                                         + "/environ"));
                                 return process.pid() != ProcessHandle.current().pid()
-                                        && told.contains(folder.toString());
+                                        && processText.contains(folder.toString());
                             } catch (IOException e) {
                                 return false;
                             }
@@ -86,58 +86,58 @@
                             String name = phase.window().phase().name();
                             assertEquals(
                                     0,
-                                    phase.missing(),
+                                    phase.missingChanges(),
                                     name + ": a change never came in force\n" + text);
                             assertEquals(
                                     0,
-                                    phase.behind(),
+                                    phase.nodesBehind(),
                                     name + ": a node goes by an old version\n" + text);
                             assertEquals(
                                     0,
-                                    phase.wrong(),
+                                    phase.nodesWithWrongServers(),
                                     name + ": a node goes by other servers\n" + text);
                             assertEquals(
                                     phase.changes() * scenario.nodes().real(),
-                                    phase.atRealNodes().count(),
+                                    phase.propagationToRealNodes().count(),
                                     name + ": a real node has not taken a change\n" + text);
-                            assertEquals(Map.of(), phase.leftOut(), name + "\n" + text);
+                            assertEquals(Map.of(), phase.omittedEffects(), name + "\n" + text);
                         });
     }
 
     @Test
     void allNodesComeToEachVersionAndTakeTheListWholeOnlyWhereTheyMust() throws Exception {
         ScaleScenario scenario = ScaleScenarioReader.read(Path.of("scale-tests/small.yaml"));
-        Map<String, PhaseStatistics> phases = play(scenario);
+        Map<String, PhaseStatistics> phases = execute(scenario);
         assertAllReached(scenario, phases);
-        for (String resumes :
+        for (String phaseName :
                 List.of("rest", "changes", "release", "zone-lost", "apart", "stall")) {
             assertEquals(
                     0,
-                    phases.get(resumes).wholeLists().lists(),
-                    resumes
+                    phases.get(phaseName).fullLists().lists(),
+                    phaseName
                             + ": a list was taken whole that a version would have done for\n"
                             + text);
         }
         // Begun anew, a node takes it once; more often only if its call was not answered in time.
         long hollow = scenario.nodes().hollow();
-        assertTrue(phases.get("start").wholeLists().lists() >= scenario.allNodes(), text);
-        assertTrue(phases.get("restart").wholeLists().lists() >= hollow, text);
-        assertTrue(phases.get("restart").wholeLists().lists() < 2 * hollow, text);
-        assertEquals(hollow, phases.get("restart").afterRestart().count(), text);
+        assertTrue(phases.get("start").fullLists().lists() >= scenario.allNodes(), text);
+        assertTrue(phases.get("restart").fullLists().lists() >= hollow, text);
+        assertTrue(phases.get("restart").fullLists().lists() < 2 * hollow, text);
+        assertEquals(hollow, phases.get("restart").propagationAfterRestart().count(), text);
         assertTrue(phases.get("apart").changes() > 0 && phases.get("kill").changes() > 0, text);
     }
 
     /** Guards against a change that costs by the list. */
     @Test
     void aChangeCostsAsManyBytesWhateverTheListsSize() throws Exception {
-        double small = bytesAChange(100);
-        double large = bytesAChange(1_600);
+        double small = bytesPerChange(100);
+        double large = bytesPerChange(1_600);
         assertTrue(
                 large < small * 1.5,
                 large + " bytes a change with 1,600 servers, " + small + " with 100\n" + text);
     }
 
-    private double bytesAChange(int servers) throws Exception {
+    private double bytesPerChange(int servers) throws Exception {
         ScaleScenario scenario =
                 ScaleScenarioReader.read(
                         "bytes",
@@ -148,10 +148,10 @@
                         phases: [{what: changes, for: 3s, rate: 20}]
                         """
                                 .formatted(servers));
-        Map<String, PhaseStatistics> phases = play(scenario);
+        Map<String, PhaseStatistics> phases = execute(scenario);
         assertAllReached(scenario, phases);
         PhaseStatistics changes = phases.get("changes");
         double seconds = (changes.window().until() - changes.window().from()) / 1e6;
-        return changes.bytesANode() * seconds / changes.changes();
+        return changes.bytesPerNodePerSecond() * seconds / changes.changes();
     }
 }
--- a/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
@@ -80,12 +80,12 @@
 
     @Test
     void bytesGoBothWaysFromTheAddressThatWasNamed() throws Exception {
-        try (Socket near = connect(LATER_MS);
-                Socket far = target.accept()) {
-            assertEquals("127.9.9.9", far.getInetAddress().getHostAddress());
-            assertCarries(near, far, "there");
-            assertCarries(far, near, "and back");
-            long[] bytes = loop.netty().submit(() -> relay.takeBytes()).get();
+        try (Socket inbound = connect(LATER_MS);
+                Socket outbound = target.accept()) {
+            assertEquals("127.9.9.9", outbound.getInetAddress().getHostAddress());
+            assertCarries(inbound, outbound, "there");
+            assertCarries(outbound, inbound, "and back");
+            long[] bytes = loop.netty().submit(() -> relay.readAndResetBytes()).get();
             assertArrayEquals(new long[] {5, 8}, bytes);
         }
     }
@@ -93,32 +93,32 @@
     @Test
     @SuppressWarnings("try") // One side is closed by the test before its block ends.
     void theEndOfOneSideIsTheEndOfTheOther() throws Exception {
-        try (Socket near = connect(LATER_MS);
-                Socket far = target.accept()) {
-            far.getOutputStream().write("last".getBytes(UTF_8));
-            far.close();
-            near.setSoTimeout(LATER_MS);
-            assertEquals("last", new String(near.getInputStream().readAllBytes(), UTF_8));
+        try (Socket inbound = connect(LATER_MS);
+                Socket outbound = target.accept()) {
+            outbound.getOutputStream().write("last".getBytes(UTF_8));
+            outbound.close();
+            inbound.setSoTimeout(LATER_MS);
+            assertEquals("last", new String(inbound.getInputStream().readAllBytes(), UTF_8));
         }
     }
 
     /** Guards against a cut that loses or passes what is under way, or that lets connections up. */
     @Test
     void cutOffNothingMovesUntilItHeals() throws Exception {
-        try (Socket near = connect(LATER_MS);
-                Socket far = target.accept()) {
-            assertCarries(near, far, "open");
+        try (Socket inbound = connect(LATER_MS);
+                Socket outbound = target.accept()) {
+            assertCarries(inbound, outbound, "open");
             cut(true);
-            near.getOutputStream().write("held there".getBytes(UTF_8));
-            far.getOutputStream().write("held back".getBytes(UTF_8));
-            assertBringsNothing(far);
-            assertBringsNothing(near);
+            inbound.getOutputStream().write("held there".getBytes(UTF_8));
+            outbound.getOutputStream().write("held back".getBytes(UTF_8));
+            assertBringsNothing(outbound);
+            assertBringsNothing(inbound);
             assertThrows(SocketTimeoutException.class, () -> connect(SOON_MS).close());
             cut(false);
-            far.setSoTimeout(LATER_MS);
-            near.setSoTimeout(LATER_MS);
-            assertEquals("held there", new String(far.getInputStream().readNBytes(10), UTF_8));
-            assertEquals("held back", new String(near.getInputStream().readNBytes(9), UTF_8));
+            outbound.setSoTimeout(LATER_MS);
+            inbound.setSoTimeout(LATER_MS);
+            assertEquals("held there", new String(outbound.getInputStream().readNBytes(10), UTF_8));
+            assertEquals("held back", new String(inbound.getInputStream().readNBytes(9), UTF_8));
             try (Socket again = connect(LATER_MS);
                     Socket other = target.accept()) {
                 assertCarries(again, other, "anew");
@@ -129,18 +129,18 @@
     /** Guards against a relay that keeps in its memory what the other side does not take. */
     @Test
     void oneThatDoesNotReadStopsTheOneThatWrites() throws Exception {
-        try (SocketChannel near = SocketChannel.open(address);
-                Socket far = target.accept()) {
-            near.configureBlocking(false);
+        try (SocketChannel inbound = SocketChannel.open(address);
+                Socket outbound = target.accept()) {
+            inbound.configureBlocking(false);
             long written = 0;
             long quietSince = System.nanoTime();
             while (System.nanoTime() - quietSince < 500_000_000L) {
-                int part = near.write(ByteBuffer.allocate(1 << 16));
+                int part = inbound.write(ByteBuffer.allocate(1 << 16));
                 written += part;
                 quietSince = part > 0 ? System.nanoTime() : quietSince;
                 assertTrue(written < 64 << 20, "it takes whatever comes");
             }
-            InputStream in = far.getInputStream();
+            InputStream in = outbound.getInputStream();
             long read = 0;
             while (read < written) {
                 read += in.readNBytes((int) Math.min(1 << 16, written - read)).length;
--- a/lab/src/test/java/ottergauge/lab/scale/run/ServerListTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/run/ServerListTest.java
@@ -47,16 +47,16 @@
                         "svc-000-s00000-1 in_service",
                         "svc-001-s00001-0 terminating"),
                 Stream.generate(() -> change(list.release(5))).limit(4).toList());
-        assertEquals(20, list.whole().size());
+        assertEquals(20, list.allEntries().size());
     }
 
     @Test
     void aZoneLostTakesAPartOfAllAtOnce() {
         ServerList list = list(1);
-        JsonNode entries = list.lose(0.1);
+        JsonNode entries = list.loseZones(0.1);
         assertEquals(2, entries.size());
         entries.forEach(each -> assertEquals("z0", each.get("site").asText()));
-        assertEquals(18, list.whole().size());
+        assertEquals(18, list.allEntries().size());
     }
 
     @Test
@@ -65,17 +65,17 @@
         ServerList same = list(1);
         ServerList other = list(2);
         Set<String> kinds = new HashSet<>();
-        StringBuilder drawn = new StringBuilder();
-        StringBuilder differ = new StringBuilder();
+        StringBuilder firstSequence = new StringBuilder();
+        StringBuilder otherSequence = new StringBuilder();
         for (int i = 0; i < 200; i++) {
-            String change = change(list.draw(i));
-            assertEquals(change, change(same.draw(i)));
-            drawn.append(change);
-            differ.append(change(other.draw(i)));
+            String change = change(list.randomChange(i));
+            assertEquals(change, change(same.randomChange(i)));
+            firstSequence.append(change);
+            otherSequence.append(change(other.randomChange(i)));
             kinds.add(change.substring(change.indexOf(' ') + 1));
-            assertTrue(list.whole().size() > 0);
+            assertTrue(list.allEntries().size() > 0);
         }
-        assertNotEquals(drawn.toString(), differ.toString());
+        assertNotEquals(firstSequence.toString(), otherSequence.toString());
         assertEquals(Set.of("in_service", "terminating", "terminated"), kinds);
     }
 
@@ -84,10 +84,10 @@
         ServerList list = list(1);
         String before = list.digest();
         list.release(1);
-        String drains = list.digest();
+        String draining = list.digest();
         list.release(1);
-        assertNotEquals(before, drains);
-        assertNotEquals(drains, list.digest());
+        assertNotEquals(before, draining);
+        assertNotEquals(draining, list.digest());
         assertEquals(list(3).digest(), before);
     }
 }
--- a/lab/src/test/java/ottergauge/lab/scale/statistics/PhaseStatisticsTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/statistics/PhaseStatisticsTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import ottergauge.lab.scale.statistics.PhaseStatistics.Verdict;
 import ottergauge.lab.scale.scenario.ScaleScenario.Phase;
-import ottergauge.lab.scale.scenario.ScaleScenario.What;
+import ottergauge.lab.scale.scenario.ScaleScenario.PhaseKind;
+import ottergauge.lab.scale.statistics.PhaseStatistics.Verdict;
 
 /** Holds the figures of a phase to what was seen in it, on made-up instants. */
 class PhaseStatisticsTest {
@@ -17,111 +17,113 @@
     private static final long FROM = 100 * S;
     private static final long UNTIL = 110 * S;
 
-    private final Observations seen = new Observations();
+    private final Observations observations = new Observations();
 
     PhaseStatisticsTest() {
-        List.of("h1", "h2", "real-1").forEach(seen::expect);
-        seen.changed(7, 50 * S);
-        seen.inForce("h1", 7, 51 * S);
-        seen.inForce("h2", 7, 51 * S);
+        List.of("h1", "h2", "real-1").forEach(observations::addNode);
+        observations.recordChange(7, 50 * S);
+        observations.recordVersion("h1", 7, 51 * S);
+        observations.recordVersion("h2", 7, 51 * S);
     }
 
-    private PhaseStatistics figures(
-            boolean beginsAnew, Map<String, Long> excusedUntil, String digest) {
-        Phase phase = new Phase("phase", What.CHANGES, 10 * S, 1, 1, 0, List.of(), "", 0);
-        return seen.figures(
+    private PhaseStatistics statistics(
+            boolean startsWithoutState, Map<String, Long> reachableFrom, String digest) {
+        Phase phase = new Phase("phase", PhaseKind.CHANGES, 10 * S, 1, 1, 0, List.of(), "", 0);
+        return observations.statistics(
                 new PhaseWindow(
                         phase,
                         FROM,
                         UNTIL,
                         List.of("h1", "h2"),
                         List.of("real-1"),
-                        beginsAnew,
-                        excusedUntil,
+                        startsWithoutState,
+                        reachableFrom,
                         digest));
     }
 
-    private PhaseStatistics figures() {
-        return figures(false, Map.of(), "");
+    private PhaseStatistics statistics() {
+        return statistics(false, Map.of(), "");
     }
 
     @Test
     void aChangeCountsFromItsInstantUntilEachNodeGoesByIt() {
-        seen.changed(8, 101 * S);
-        seen.inForce("h1", 8, 101 * S + 30);
-        seen.inForce("h2", 8, 101 * S + 50);
-        seen.inForce("real-1", 8, 101 * S + 70);
-        PhaseStatistics figures = figures();
-        assertEquals(1, figures.changes());
-        assertEquals(new Distribution(2, 30, 50, 50), figures.inForce());
-        assertEquals(new Distribution(1, 50, 50, 50), figures.atLastNode());
-        assertEquals(new Distribution(1, 70, 70, 70), figures.atRealNodes());
-        assertEquals(Verdict.REACHED, figures.verdict());
+        observations.recordChange(8, 101 * S);
+        observations.recordVersion("h1", 8, 101 * S + 30);
+        observations.recordVersion("h2", 8, 101 * S + 50);
+        observations.recordVersion("real-1", 8, 101 * S + 70);
+        PhaseStatistics statistics = statistics();
+        assertEquals(1, statistics.changes());
+        assertEquals(new Distribution(2, 30, 50, 50), statistics.propagation());
+        assertEquals(new Distribution(1, 50, 50, 50), statistics.propagationToLastNode());
+        assertEquals(new Distribution(1, 70, 70, 70), statistics.propagationToRealNodes());
+        assertEquals(Verdict.REACHED, statistics.verdict());
     }
 
     @Test
     void aLaterVersionBringsTheEarlierOneToo() {
-        seen.changed(8, 101 * S);
-        seen.changed(9, 102 * S);
-        seen.inForce("h1", 9, 102 * S + 10);
-        seen.inForce("h2", 9, 102 * S + 20);
-        PhaseStatistics figures = figures();
-        assertEquals(new Distribution(2, 20, S + 20, S + 20), figures.atLastNode());
-        assertEquals(0, figures.missing());
+        observations.recordChange(8, 101 * S);
+        observations.recordChange(9, 102 * S);
+        observations.recordVersion("h1", 9, 102 * S + 10);
+        observations.recordVersion("h2", 9, 102 * S + 20);
+        PhaseStatistics statistics = statistics();
+        assertEquals(new Distribution(2, 20, S + 20, S + 20), statistics.propagationToLastNode());
+        assertEquals(0, statistics.missingChanges());
     }
 
     @Test
     void aNodeThatNeverGoesByAChangeIsMissingAndBehind() {
-        seen.changed(8, 101 * S);
-        seen.inForce("h1", 8, 101 * S + 30);
-        PhaseStatistics figures = figures();
-        assertEquals(1, figures.missing());
-        assertEquals(1, figures.behind());
-        assertEquals(Distribution.NONE, figures.atLastNode());
-        assertEquals(Verdict.NOT_REACHED, figures.verdict());
+        observations.recordChange(8, 101 * S);
+        observations.recordVersion("h1", 8, 101 * S + 30);
+        PhaseStatistics statistics = statistics();
+        assertEquals(1, statistics.missingChanges());
+        assertEquals(1, statistics.nodesBehind());
+        assertEquals(Distribution.NONE, statistics.propagationToLastNode());
+        assertEquals(Verdict.NOT_REACHED, statistics.verdict());
     }
 
     @Test
     void aNodeWithOtherServersIsWrong() {
-        seen.digest("h1", "abc");
-        seen.digest("h2", "abd");
-        PhaseStatistics figures = figures(false, Map.of(), "abc");
-        assertEquals(1, figures.wrong());
-        assertEquals(Verdict.NOT_REACHED, figures.verdict());
+        observations.recordDigest("h1", "abc");
+        observations.recordDigest("h2", "abd");
+        PhaseStatistics statistics = statistics(false, Map.of(), "abc");
+        assertEquals(1, statistics.nodesWithWrongServers());
+        assertEquals(Verdict.NOT_REACHED, statistics.verdict());
     }
 
     @Test
     void aNodeThatWasCutOffCountsFromWhenItNoLongerWas() {
-        seen.changed(8, 101 * S);
-        seen.inForce("h1", 8, 101 * S + 30);
-        seen.inForce("h2", 8, 105 * S + 40);
+        observations.recordChange(8, 101 * S);
+        observations.recordVersion("h1", 8, 101 * S + 30);
+        observations.recordVersion("h2", 8, 105 * S + 40);
         assertEquals(
-                new Distribution(2, 30, 40, 40), figures(false, Map.of("h2", 105 * S), "").inForce());
+                new Distribution(2, 30, 40, 40),
+                statistics(false, Map.of("h2", 105 * S), "").propagation());
     }
 
     @Test
     void nodesThatBeginAnewCountFromTheBeginning() {
-        seen.restarted(List.of("h1", "h2"));
-        seen.inForce("h1", 7, 103 * S);
-        assertEquals(1, figures(true, Map.of(), "").behind());
-        seen.inForce("h2", 7, 104 * S);
+        observations.recordRestart(List.of("h1", "h2"));
+        observations.recordVersion("h1", 7, 103 * S);
+        assertEquals(1, statistics(true, Map.of(), "").nodesBehind());
+        observations.recordVersion("h2", 7, 104 * S);
         assertEquals(
-                new Distribution(2, 3 * S, 4 * S, 4 * S), figures(true, Map.of(), "").afterRestart());
-        assertEquals(Verdict.REACHED, figures(true, Map.of(), "").verdict());
+                new Distribution(2, 3 * S, 4 * S, 4 * S),
+                statistics(true, Map.of(), "").propagationAfterRestart());
+        assertEquals(Verdict.REACHED, statistics(true, Map.of(), "").verdict());
     }
 
     @Test
     void theMostBytesOfTenSecondsSlideOverThePhase() {
-        seen.traffic("h1", 100, 20, FROM + 100_000);
-        seen.traffic("h1", 1_000, 0, FROM + 200_000);
-        seen.traffic("h2", 500, 0, FROM - 100_000);
-        seen.traffic("h2", 80, 0, FROM - 90_000);
-        Phase phase = new Phase("phase", What.REST, 40 * S, 0, 1, 0, List.of(), "", 0);
+        observations.recordTraffic("h1", 100, 20, FROM + 100_000);
+        observations.recordTraffic("h1", 1_000, 0, FROM + 200_000);
+        observations.recordTraffic("h2", 500, 0, FROM - 100_000);
+        observations.recordTraffic("h2", 80, 0, FROM - 90_000);
+        Phase phase = new Phase("phase", PhaseKind.REST, 40 * S, 0, 1, 0, List.of(), "", 0);
         for (int second = 11; second < 30; second++) {
-            seen.traffic("h1", 110, 0, FROM + second * S);
+            observations.recordTraffic("h1", 110, 0, FROM + second * S);
         }
-        PhaseStatistics figures =
-                seen.figures(
+        PhaseStatistics statistics =
+                observations.statistics(
                         new PhaseWindow(
                                 phase,
                                 FROM,
@@ -132,62 +134,62 @@
                                 Map.of(),
                                 ""));
         // Eleven of a second each lie in ten seconds and a tenth.
-        assertEquals(1_210, figures.mostBytesIn10s());
-        assertEquals((1_120 + 80 + 19 * 110) / 40.0 / 2, figures.bytesANode());
+        assertEquals(1_210, statistics.maxBytesIn10s());
+        assertEquals((1_120 + 80 + 19 * 110) / 40.0 / 2, statistics.bytesPerNodePerSecond());
     }
 
     /** Guards against what happens at once in a phase counting for the time before it. */
     @Test
     void aSpanThatReachesIntoThePhaseBelongsToIt() {
-        seen.wholeLists(2, 700, FROM - 60_000);
-        seen.wholeLists(9, 900, FROM - 100_000);
-        assertEquals(new PhaseStatistics.WholeLists(2, 700), figures().wholeLists());
+        observations.recordFullLists(2, 700, FROM - 60_000);
+        observations.recordFullLists(9, 900, FROM - 100_000);
+        assertEquals(new PhaseStatistics.FullLists(2, 700), statistics().fullLists());
     }
 
     @Test
     void theMostCallsOfATenthOfASecondSlideOverAllKinds() {
-        seen.calls("discovery changes", 3, FROM);
-        seen.calls("discovery whole", 2, FROM + 90_000);
-        seen.calls("discovery changes", 4, FROM + 110_000);
-        seen.calls("discovery changes", 100, UNTIL);
-        PhaseStatistics figures = figures();
-        assertEquals(6, figures.mostCallsIn100ms());
-        assertEquals(Map.of("discovery changes", 7L, "discovery whole", 2L), figures.calls());
+        observations.recordCalls("discovery changes", 3, FROM);
+        observations.recordCalls("discovery whole", 2, FROM + 90_000);
+        observations.recordCalls("discovery changes", 4, FROM + 110_000);
+        observations.recordCalls("discovery changes", 100, UNTIL);
+        PhaseStatistics statistics = statistics();
+        assertEquals(6, statistics.maxCallsIn100ms());
+        assertEquals(Map.of("discovery changes", 7L, "discovery whole", 2L), statistics.calls());
     }
 
     /** Guards against figures of a rig that measured itself. */
     @Test
     void aRigThatIsLateAtOverAHundredthOfItsLooksSaysNothing() {
-        seen.lateness("links", 500, 5, FROM + S);
-        seen.lateness("links", 500, 5, FROM + 2 * S);
-        seen.lateness("hollow-1", 100, 100, FROM - S);
-        assertEquals(Verdict.REACHED, figures().verdict());
-        seen.lateness("links", 100, 2, FROM + 3 * S);
-        assertEquals(Verdict.RIG_LATE, figures().verdict());
-        assertEquals("links", figures().latest().process());
+        observations.recordLateness("links", 500, 5, FROM + S);
+        observations.recordLateness("links", 500, 5, FROM + 2 * S);
+        observations.recordLateness("hollow-1", 100, 100, FROM - S);
+        assertEquals(Verdict.REACHED, statistics().verdict());
+        observations.recordLateness("links", 100, 2, FROM + 3 * S);
+        assertEquals(Verdict.RIG_LATE, statistics().verdict());
+        assertEquals("links", statistics().rigLateness().process());
     }
 
     @Test
     void aProcessThatIsStoppedOnPurposeIsNotLate() {
-        seen.excuse("hollow-1", FROM + 3 * S);
-        seen.lateness("hollow-1", 100, 90, FROM + 2 * S);
-        assertEquals(Verdict.REACHED, figures().verdict());
-        seen.lateness("hollow-1", 100, 90, FROM + 3 * S);
-        assertEquals(Verdict.RIG_LATE, figures().verdict());
+        observations.ignoreLateness("hollow-1", FROM + 3 * S);
+        observations.recordLateness("hollow-1", 100, 90, FROM + 2 * S);
+        assertEquals(Verdict.REACHED, statistics().verdict());
+        observations.recordLateness("hollow-1", 100, 90, FROM + 3 * S);
+        assertEquals(Verdict.RIG_LATE, statistics().verdict());
     }
 
     @Test
     void aReportWithLostLinesSaysNothing() {
-        seen.lost("hollow-1", 1);
-        assertEquals(Verdict.RIG_LATE, figures().verdict());
+        observations.recordLostLines("hollow-1", 1);
+        assertEquals(Verdict.RIG_LATE, statistics().verdict());
     }
 
     @Test
     void cpuIsThatBetweenTheFirstLookAndTheLast() {
-        seen.use("links", 1_000, 50, FROM - S);
-        seen.use("links", 1_500, 70, FROM + S);
-        seen.use("links", 101_500, 60, FROM + 2 * S);
-        assertEquals(Map.of("links", 0.1), figures().cores());
-        assertEquals(Map.of("links", 70L), figures().residentBytes());
+        observations.recordUsage("links", 1_000, 50, FROM - S);
+        observations.recordUsage("links", 1_500, 70, FROM + S);
+        observations.recordUsage("links", 101_500, 60, FROM + 2 * S);
+        assertEquals(Map.of("links", 0.1), statistics().cores());
+        assertEquals(Map.of("links", 70L), statistics().residentBytes());
     }
 }
