--- a/lab/src/test/java/ottergauge/lab/scale/ScaleIT.java
+++ b/lab/src/test/java/ottergauge/lab/scale/ScaleIT.java
@@ -26,8 +26,8 @@
 import ottergauge.lab.scale.statistics.PhaseStatistics;
 
 /**
- * Scale tests at a small size. They go by counts and orders alone, which a machine that is busy
- * with other things does not change; so it does not matter here whether the rig was late.
+ * Scale tests at a small size. They check only counts and orders, which do not depend on how busy
+ * the machine is. So the verdict that the laboratory ran late is ignored here.
  */
 @Timeout(300)
 class ScaleIT {
@@ -47,14 +47,14 @@
         StringWriter printed = new StringWriter();
         new ScaleReport(scenario, statistics).print(new PrintWriter(printed));
         text = printed.toString();
-        assertFalse(isProcessLeft(), "processes are left");
+        assertFalse(isProcessLeft(), "processes are still running");
         return statistics.stream()
                 .collect(
                         Collectors.toMap(
                                 each -> each.window().phase().name(), Function.identity()));
     }
 
-    // Whether any process still has this play's folder in its command line or environment.
+    // Returns whether any process still has this test's folder in its command line or environment.
     private boolean isProcessLeft() {
         return ProcessHandle.allProcesses()
                 .anyMatch(
@@ -87,25 +87,27 @@
                             assertEquals(
                                     0,
                                     phase.missingChanges(),
-                                    name + ": a change never came in force\n" + text);
+                                    name + ": a change never took effect on a node\n" + text);
                             assertEquals(
                                     0,
                                     phase.nodesBehind(),
-                                    name + ": a node goes by an old version\n" + text);
+                                    name + ": an old version is in effect on a node\n" + text);
                             assertEquals(
                                     0,
                                     phase.nodesWithWrongServers(),
-                                    name + ": a node goes by other servers\n" + text);
+                                    name + ": a node has other servers than the list\n" + text);
                             assertEquals(
                                     phase.changes() * scenario.nodes().real(),
                                     phase.propagationToRealNodes().count(),
-                                    name + ": a real node has not taken a change\n" + text);
+                                    name
+                                            + ": a change did not take effect on a real node\n"
+                                            + text);
                             assertEquals(Map.of(), phase.omittedEffects(), name + "\n" + text);
                         });
     }
 
     @Test
-    void allNodesComeToEachVersionAndTakeTheListWholeOnlyWhereTheyMust() throws Exception {
+    void allNodesReachEachVersionAndFetchTheFullListOnlyWhereNeeded() throws Exception {
         ScaleScenario scenario = ScaleScenarioReader.read(Path.of("scale-tests/small.yaml"));
         Map<String, PhaseStatistics> phases = execute(scenario);
         assertAllReached(scenario, phases);
@@ -114,11 +116,10 @@
             assertEquals(
                     0,
                     phases.get(phaseName).fullLists().lists(),
-                    phaseName
-                            + ": a list was taken whole that a version would have done for\n"
-                            + text);
+                    phaseName + ": a full list was fetched although changes were enough\n" + text);
         }
-        // Begun anew, a node takes it once; more often only if its call was not answered in time.
+        // A node that starts without state fetches the list once, or more often if its call is not
+        // answered in time.
         long hollow = scenario.nodes().hollow();
         assertTrue(phases.get("start").fullLists().lists() >= scenario.allNodes(), text);
         assertTrue(phases.get("restart").fullLists().lists() >= hollow, text);
@@ -127,14 +128,14 @@
         assertTrue(phases.get("apart").changes() > 0 && phases.get("kill").changes() > 0, text);
     }
 
-    /** Guards against a change that costs by the list. */
+    /** Guards against a change whose cost grows with the size of the list. */
     @Test
-    void aChangeCostsAsManyBytesWhateverTheListsSize() throws Exception {
+    void theBytesPerChangeDoNotDependOnTheSizeOfTheList() throws Exception {
         double small = bytesPerChange(100);
         double large = bytesPerChange(1_600);
         assertTrue(
                 large < small * 1.5,
-                large + " bytes a change with 1,600 servers, " + small + " with 100\n" + text);
+                large + " bytes per change with 1,600 servers, " + small + " with 100\n" + text);
     }
 
     private double bytesPerChange(int servers) throws Exception {
--- a/lab/src/test/java/ottergauge/lab/scale/discovery/VersionedServerListTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/discovery/VersionedServerListTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 import ottergauge.lab.scale.discovery.VersionedServerList.Entry;
 
-/** What the stand-in tells of its list, by the version that is asked from. */
+/** The responses of the discovery stand-in, by the version that the caller has. */
 class VersionedServerListTest {
 
-    private final VersionedServerList log =
+    private final VersionedServerList list =
             new VersionedServerList(10, List.of(entry("a"), entry("b")));
 
     private static Entry entry(String host) {
@@ -26,44 +26,44 @@
     }
 
     private String body(long after) {
-        return new String(log.after(after).body(), StandardCharsets.UTF_8);
+        return new String(list.after(after).body(), StandardCharsets.UTF_8);
     }
 
     @Test
-    void oneThatHasNothingIsToldTheWholeList() {
+    void aCallerWithoutAVersionGetsTheFullList() {
         assertEquals("{\"seq\":10,\"whole\":true,\"hosts\":[\"a\",\"b\"]}", body(-1));
         assertEquals(body(-1), body(0));
-        assertTrue(log.after(0).full());
+        assertTrue(list.after(0).full());
     }
 
     @Test
-    void oneThatIsUpToDateIsToldNothing() {
+    void anUpToDateCallerGetsNoEntries() {
         assertEquals("{\"seq\":10,\"whole\":false,\"hosts\":[]}", body(10));
-        assertFalse(log.hasChangesAfter(10));
+        assertFalse(list.hasChangesAfter(10));
     }
 
     @Test
-    void oneThatIsBehindIsToldOfEachServerOnce() {
-        assertEquals(11, log.apply(List.of(entry("c"))));
-        log.apply(List.of(removed("c")));
-        log.apply(List.of(removed("a")));
-        assertTrue(log.hasChangesAfter(10));
+    void aCallerThatIsBehindGetsEachServerOnce() {
+        assertEquals(11, list.apply(List.of(entry("c"))));
+        list.apply(List.of(removed("c")));
+        list.apply(List.of(removed("a")));
+        assertTrue(list.hasChangesAfter(10));
         assertEquals("{\"seq\":13,\"whole\":false,\"hosts\":[\"c gone\",\"a gone\"]}", body(10));
         assertEquals("{\"seq\":13,\"whole\":false,\"hosts\":[\"a gone\"]}", body(12));
         assertEquals("{\"seq\":13,\"whole\":true,\"hosts\":[\"b\"]}", body(9));
     }
 
-    /** A process that was started anew may know less than those that ask it. */
+    /** A restarted discovery process may have an older version than its callers. */
     @Test
-    void oneThatIsAheadIsToldTheWholeList() {
-        assertTrue(log.hasChangesAfter(11));
-        assertTrue(log.after(11).full());
+    void aCallerThatIsAheadGetsTheFullList() {
+        assertTrue(list.hasChangesAfter(11));
+        assertTrue(list.after(11).full());
     }
 
     @Test
-    void answersAreMadeOnceForAll() {
-        assertSame(log.after(-1), log.after(3));
-        log.apply(List.of(entry("c")));
-        assertSame(log.after(10), log.after(10));
+    void responsesAreCreatedOnceAndShared() {
+        assertSame(list.after(-1), list.after(3));
+        list.apply(List.of(entry("c")));
+        assertSame(list.after(10), list.after(10));
     }
 }
--- a/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/link/RelayTest.java
@@ -23,12 +23,12 @@
 import ottergauge.lab.net.Links;
 import ottergauge.lab.net.Loop;
 
-/** The way over a relay: open, cut off and healed. */
+/** A relay while it is open, while it is cut, and after it is restored. */
 @Timeout(60)
 class RelayTest {
 
-    private static final int SOON_MS = 200;
-    private static final int LATER_MS = 20_000;
+    private static final int SHORT_TIMEOUT_MS = 200;
+    private static final int LONG_TIMEOUT_MS = 20_000;
 
     private final Loop loop = new Loop();
     private ServerSocket target;
@@ -61,74 +61,76 @@
         loop.netty().submit(() -> relay.cut(cuts)).get();
     }
 
-    private Socket connect(int withinMs) throws IOException {
+    private Socket connect(int timeoutMs) throws IOException {
         Socket socket = new Socket();
-        socket.connect(address, withinMs);
+        socket.connect(address, timeoutMs);
         return socket;
     }
 
-    private static void assertCarries(Socket from, Socket to, String text) throws IOException {
-        to.setSoTimeout(LATER_MS);
+    private static void assertForwards(Socket from, Socket to, String text) throws IOException {
+        to.setSoTimeout(LONG_TIMEOUT_MS);
         from.getOutputStream().write(text.getBytes(UTF_8));
         assertArrayEquals(text.getBytes(UTF_8), to.getInputStream().readNBytes(text.length()));
     }
 
-    private static void assertBringsNothing(Socket socket) throws IOException {
-        socket.setSoTimeout(SOON_MS);
+    private static void assertReceivesNothing(Socket socket) throws IOException {
+        socket.setSoTimeout(SHORT_TIMEOUT_MS);
         assertThrows(SocketTimeoutException.class, () -> socket.getInputStream().read());
     }
 
     @Test
-    void bytesGoBothWaysFromTheAddressThatWasNamed() throws Exception {
-        try (Socket inbound = connect(LATER_MS);
+    void bytesAreForwardedInBothDirectionsFromTheConfiguredSource() throws Exception {
+        try (Socket inbound = connect(LONG_TIMEOUT_MS);
                 Socket outbound = target.accept()) {
             assertEquals("127.9.9.9", outbound.getInetAddress().getHostAddress());
-            assertCarries(inbound, outbound, "there");
-            assertCarries(outbound, inbound, "and back");
+            assertForwards(inbound, outbound, "there");
+            assertForwards(outbound, inbound, "and back");
             long[] bytes = loop.netty().submit(() -> relay.readAndResetBytes()).get();
             assertArrayEquals(new long[] {5, 8}, bytes);
         }
     }
 
     @Test
-    @SuppressWarnings("try") // One side is closed by the test before its block ends.
-    void theEndOfOneSideIsTheEndOfTheOther() throws Exception {
-        try (Socket inbound = connect(LATER_MS);
+    @SuppressWarnings("try") // The test closes one side before the block ends.
+    void closingOneSideClosesTheOther() throws Exception {
+        try (Socket inbound = connect(LONG_TIMEOUT_MS);
                 Socket outbound = target.accept()) {
             outbound.getOutputStream().write("last".getBytes(UTF_8));
             outbound.close();
-            inbound.setSoTimeout(LATER_MS);
+            inbound.setSoTimeout(LONG_TIMEOUT_MS);
             assertEquals("last", new String(inbound.getInputStream().readAllBytes(), UTF_8));
         }
     }
 
-    /** Guards against a cut that loses or passes what is under way, or that lets connections up. */
+    /**
+     * Guards against a cut that loses or forwards bytes on their way, or that accepts connections.
+     */
     @Test
-    void cutOffNothingMovesUntilItHeals() throws Exception {
-        try (Socket inbound = connect(LATER_MS);
+    void aCutRelayForwardsNothingUntilItIsRestored() throws Exception {
+        try (Socket inbound = connect(LONG_TIMEOUT_MS);
                 Socket outbound = target.accept()) {
-            assertCarries(inbound, outbound, "open");
+            assertForwards(inbound, outbound, "open");
             cut(true);
             inbound.getOutputStream().write("held there".getBytes(UTF_8));
             outbound.getOutputStream().write("held back".getBytes(UTF_8));
-            assertBringsNothing(outbound);
-            assertBringsNothing(inbound);
-            assertThrows(SocketTimeoutException.class, () -> connect(SOON_MS).close());
+            assertReceivesNothing(outbound);
+            assertReceivesNothing(inbound);
+            assertThrows(SocketTimeoutException.class, () -> connect(SHORT_TIMEOUT_MS).close());
             cut(false);
-            outbound.setSoTimeout(LATER_MS);
-            inbound.setSoTimeout(LATER_MS);
+            outbound.setSoTimeout(LONG_TIMEOUT_MS);
+            inbound.setSoTimeout(LONG_TIMEOUT_MS);
             assertEquals("held there", new String(outbound.getInputStream().readNBytes(10), UTF_8));
             assertEquals("held back", new String(inbound.getInputStream().readNBytes(9), UTF_8));
-            try (Socket again = connect(LATER_MS);
+            try (Socket again = connect(LONG_TIMEOUT_MS);
                     Socket other = target.accept()) {
-                assertCarries(again, other, "anew");
+                assertForwards(again, other, "anew");
             }
         }
     }
 
-    /** Guards against a relay that keeps in its memory what the other side does not take. */
+    /** Guards against a relay that buffers in its memory what the other side does not read. */
     @Test
-    void oneThatDoesNotReadStopsTheOneThatWrites() throws Exception {
+    void aReceiverThatDoesNotReadStopsTheSender() throws Exception {
         try (SocketChannel inbound = SocketChannel.open(address);
                 Socket outbound = target.accept()) {
             inbound.configureBlocking(false);
@@ -138,7 +140,7 @@
                 int part = inbound.write(ByteBuffer.allocate(1 << 16));
                 written += part;
                 quietSince = part > 0 ? System.nanoTime() : quietSince;
-                assertTrue(written < 64 << 20, "it takes whatever comes");
+                assertTrue(written < 64 << 20, "the relay reads without limit");
             }
             InputStream in = outbound.getInputStream();
             long read = 0;
--- a/lab/src/test/java/ottergauge/lab/scale/process/ProcessUsageTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/process/ProcessUsageTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Reads what the system tells of a process. */
+/** Reads the resource usage of processes from /proc. */
 class ProcessUsageTest {
 
     @Test
-    void fieldsAreCountedBehindTheNameWhateverItHolds() {
+    void fieldsAreCountedAfterTheNameWhichMayContainAnyCharacter() {
         String stat =
                 "42 (a) b (c) S 1 42 42 0 -1 4194560 900 0 0 0 150 50 0 0 20 0 9 0 77 5000 2000"
                         + " 18446 1 1 0 0";
@@ -18,7 +18,7 @@
     }
 
     @Test
-    void theMachineIsBusyWithAllButIdlingAndDisks() {
+    void cpuTimeOfTheMachineExcludesIdleAndIoWait() {
         assertEquals(
                 new ProcessUsage(1_150_000, 0),
                 ProcessUsage.parseMachine("cpu  50 10 40 9000 700 5 10 0 0 0"));
@@ -26,13 +26,13 @@
     }
 
     @Test
-    void aProcessThatRunsUsesSomething() {
-        ProcessUsage use = ProcessUsage.of(ProcessHandle.current().pid());
-        assertTrue(use.cpuMicros() > 0 && use.residentBytes() > 1 << 20, use.toString());
+    void aRunningProcessHasCpuTimeAndMemory() {
+        ProcessUsage usage = ProcessUsage.of(ProcessHandle.current().pid());
+        assertTrue(usage.cpuMicros() > 0 && usage.residentBytes() > 1 << 20, usage.toString());
     }
 
     @Test
-    void oneThatHasGoneUsesNothing() {
+    void aProcessThatDoesNotExistHasNoUsage() {
         assertEquals(new ProcessUsage(0, 0), ProcessUsage.of(Integer.MAX_VALUE));
     }
 }
--- a/lab/src/test/java/ottergauge/lab/scale/process/ReaperTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/process/ReaperTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Guards against processes that are left when the rig is killed. */
+/** Guards against processes that keep running after the laboratory is killed. */
 @Timeout(30)
 class ReaperTest {
 
@@ -19,25 +19,26 @@
     }
 
     @Test
-    void whatHasNotEndedIsKilledOnceItsOrdersEnd() throws Exception {
-        Process left = sleeper();
+    void runningAndStoppedProcessesAreKilledAtTheEndOfInput() throws Exception {
+        Process running = sleeper();
         Process ended = sleeper();
         Process stopped = sleeper();
         try {
             Reaper reaper = new Reaper();
-            reaper.started(left.pid());
+            reaper.started(running.pid());
             reaper.started(ended.pid());
             reaper.started(stopped.pid());
             reaper.ended(ended.pid());
             assertEquals(
                     0, new ProcessBuilder("kill", "-STOP", "" + stopped.pid()).start().waitFor());
             reaper.close();
-            assertTrue(left.waitFor(20, TimeUnit.SECONDS) && stopped.waitFor(20, TimeUnit.SECONDS));
-            assertEquals(KILLED, left.exitValue());
+            assertTrue(
+                    running.waitFor(20, TimeUnit.SECONDS) && stopped.waitFor(20, TimeUnit.SECONDS));
+            assertEquals(KILLED, running.exitValue());
             assertEquals(KILLED, stopped.exitValue());
-            assertTrue(ended.isAlive(), "its number may be another's by now");
+            assertTrue(ended.isAlive(), "an unregistered process was killed");
         } finally {
-            left.destroyForcibly();
+            running.destroyForcibly();
             ended.destroyForcibly();
             stopped.destroyForcibly();
         }
--- a/lab/src/test/java/ottergauge/lab/scale/run/ServerListTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/run/ServerListTest.java
@@ -16,7 +16,7 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.Nodes;
 import ottergauge.lab.scale.scenario.ScaleScenario.State;
 
-/** What becomes of the servers of a play. */
+/** The changes that a scale test makes to its servers. */
 class ServerListTest {
 
     private static ServerList list(long seed) {
@@ -51,7 +51,7 @@
     }
 
     @Test
-    void aZoneLostTakesAPartOfAllAtOnce() {
+    void aLostZoneTerminatesAFractionOfAllServersAtOnce() {
         ServerList list = list(1);
         JsonNode entries = list.loseZones(0.1);
         assertEquals(2, entries.size());
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void drawnChangesAreThoseOfTheSeedAndKeepSomeServers() {
+    void randomChangesDependOnTheSeedAndKeepSomeServers() {
         ServerList list = list(1);
         ServerList same = list(1);
         ServerList other = list(2);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void theDigestFollowsNamesAndStates() {
+    void theDigestDependsOnNamesAndStates() {
         ServerList list = list(1);
         String before = list.digest();
         list.release(1);
--- a/lab/src/test/java/ottergauge/lab/scale/scenario/ScaleScenarioReaderTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/scenario/ScaleScenarioReaderTest.java
@@ -16,7 +16,7 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.PhaseKind;
 import ottergauge.lab.scenario.ScenarioException;
 
-/** Scale tests are checked whole, and what is wrong is named with its line. */
+/** Scale tests are checked completely, and an error names its line. */
 class ScaleScenarioReaderTest {
 
     private static final String GOOD =
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void ratesFollowFromWhatTheyStandFor() throws ScenarioException {
+    void ratesFollowFromTheRealOnes() throws ScenarioException {
         List<Phase> phases = read(GOOD).phases();
         assertEquals(0.1, phases.get(0).rate(), 1e-9);
         assertEquals(10, phases.get(0).compression());
@@ -75,7 +75,7 @@
                 "what: stall|what: nap|file.yaml:8: what: one of rest, changes, release, restart,"
                         + " zone-lost"
             })
-    void whatIsWrongIsNamed(String good, String bad, String message) {
+    void anErrorNamesTheKeyAndItsLine(String good, String bad, String message) {
         assertTrue(GOOD.contains(good), good);
         String actual =
                 assertThrows(ScenarioException.class, () -> read(GOOD.replace(good, bad)))
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void thoseOfTheRepositoryAreGood() throws Exception {
+    void theFilesOfTheRepositoryAreValid() throws Exception {
         try (Stream<Path> files = Files.list(Path.of("scale-tests"))) {
             for (Path file : files.toList()) {
                 ScaleScenarioReader.read(file);
--- a/lab/src/test/java/ottergauge/lab/scale/statistics/PhaseStatisticsTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/statistics/PhaseStatisticsTest.java
@@ -10,7 +10,7 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.PhaseKind;
 import ottergauge.lab.scale.statistics.PhaseStatistics.Verdict;
 
-/** Holds the figures of a phase to what was seen in it, on made-up instants. */
+/** Checks the statistics of a phase against observations at made-up times. */
 class PhaseStatisticsTest {
 
     private static final long S = 1_000_000;
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aChangeCountsFromItsInstantUntilEachNodeGoesByIt() {
+    void propagationIsMeasuredFromTheChangeUntilItTakesEffectOnEachNode() {
         observations.recordChange(8, 101 * S);
         observations.recordVersion("h1", 8, 101 * S + 30);
         observations.recordVersion("h2", 8, 101 * S + 50);
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aLaterVersionBringsTheEarlierOneToo() {
+    void aLaterVersionIncludesTheEarlierOne() {
         observations.recordChange(8, 101 * S);
         observations.recordChange(9, 102 * S);
         observations.recordVersion("h1", 9, 102 * S + 10);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aNodeThatNeverGoesByAChangeIsMissingAndBehind() {
+    void aNodeOnWhichAChangeNeverTakesEffectIsBehindAndCountsAsMissing() {
         observations.recordChange(8, 101 * S);
         observations.recordVersion("h1", 8, 101 * S + 30);
         PhaseStatistics statistics = statistics();
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void aNodeWithOtherServersIsWrong() {
+    void aNodeWithOtherServersHasWrongServers() {
         observations.recordDigest("h1", "abc");
         observations.recordDigest("h2", "abd");
         PhaseStatistics statistics = statistics(false, Map.of(), "abc");
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aNodeThatWasCutOffCountsFromWhenItNoLongerWas() {
+    void propagationToACutOffNodeIsMeasuredFromItsReconnection() {
         observations.recordChange(8, 101 * S);
         observations.recordVersion("h1", 8, 101 * S + 30);
         observations.recordVersion("h2", 8, 105 * S + 40);
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void nodesThatBeginAnewCountFromTheBeginning() {
+    void nodesThatStartWithoutStateAreMeasuredFromThePhaseStart() {
         observations.recordRestart(List.of("h1", "h2"));
         observations.recordVersion("h1", 7, 103 * S);
         assertEquals(1, statistics(true, Map.of(), "").nodesBehind());
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void theMostBytesOfTenSecondsSlideOverThePhase() {
+    void maxBytesIn10sIsTakenOverASlidingWindow() {
         observations.recordTraffic("h1", 100, 20, FROM + 100_000);
         observations.recordTraffic("h1", 1_000, 0, FROM + 200_000);
         observations.recordTraffic("h2", 500, 0, FROM - 100_000);
@@ -133,21 +133,21 @@
                                 false,
                                 Map.of(),
                                 ""));
-        // Eleven of a second each lie in ten seconds and a tenth.
+        // Ten seconds and a tenth contain eleven of these entries, one per second.
         assertEquals(1_210, statistics.maxBytesIn10s());
         assertEquals((1_120 + 80 + 19 * 110) / 40.0 / 2, statistics.bytesPerNodePerSecond());
     }
 
-    /** Guards against what happens at once in a phase counting for the time before it. */
+    /** Guards against attributing events in a phase to the time before it. */
     @Test
-    void aSpanThatReachesIntoThePhaseBelongsToIt() {
+    void anIntervalThatOverlapsThePhaseBelongsToIt() {
         observations.recordFullLists(2, 700, FROM - 60_000);
         observations.recordFullLists(9, 900, FROM - 100_000);
         assertEquals(new PhaseStatistics.FullLists(2, 700), statistics().fullLists());
     }
 
     @Test
-    void theMostCallsOfATenthOfASecondSlideOverAllKinds() {
+    void maxCallsIn100msIsTakenOverASlidingWindowOfAllKinds() {
         observations.recordCalls("discovery changes", 3, FROM);
         observations.recordCalls("discovery whole", 2, FROM + 90_000);
         observations.recordCalls("discovery changes", 4, FROM + 110_000);
@@ -157,9 +157,9 @@
         assertEquals(Map.of("discovery changes", 7L, "discovery whole", 2L), statistics.calls());
     }
 
-    /** Guards against figures of a rig that measured itself. */
+    /** Guards against statistics of a laboratory that measured itself. */
     @Test
-    void aRigThatIsLateAtOverAHundredthOfItsLooksSaysNothing() {
+    void moreThanOnePercentOfLateSamplesInvalidatesThePhase() {
         observations.recordLateness("links", 500, 5, FROM + S);
         observations.recordLateness("links", 500, 5, FROM + 2 * S);
         observations.recordLateness("hollow-1", 100, 100, FROM - S);
@@ -170,7 +170,7 @@
     }
 
     @Test
-    void aProcessThatIsStoppedOnPurposeIsNotLate() {
+    void aProcessSuspendedOnPurposeIsNotLate() {
         observations.ignoreLateness("hollow-1", FROM + 3 * S);
         observations.recordLateness("hollow-1", 100, 90, FROM + 2 * S);
         assertEquals(Verdict.REACHED, statistics().verdict());
@@ -179,13 +179,13 @@
     }
 
     @Test
-    void aReportWithLostLinesSaysNothing() {
+    void lostReportLinesInvalidateThePhase() {
         observations.recordLostLines("hollow-1", 1);
         assertEquals(Verdict.RIG_LATE, statistics().verdict());
     }
 
     @Test
-    void cpuIsThatBetweenTheFirstLookAndTheLast() {
+    void cpuIsMeasuredBetweenTheFirstAndTheLastSample() {
         observations.recordUsage("links", 1_000, 50, FROM - S);
         observations.recordUsage("links", 1_500, 70, FROM + S);
         observations.recordUsage("links", 101_500, 60, FROM + 2 * S);
