--- a/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
@@ -58,12 +58,12 @@
         this.target = target;
         this.source = source;
         this.link = link;
-        listener = new Listener(loop, address, link, this::accepted);
+        listener = new Listener(loop, address, link, this::connectToTarget);
     }
 
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void accepted(ChannelPipeline pipeline) {
+    private void connectToTarget(ChannelPipeline pipeline) {
         Channel inbound = pipeline.channel();
         inbound.config().setWriteBufferWaterMark(WATER_MARK);
         inbound.config().setAutoRead(false);
--- a/lab/src/main/java/ottergauge/lab/scale/report/ScaleReport.java
+++ b/lab/src/main/java/ottergauge/lab/scale/report/ScaleReport.java
@@ -96,14 +96,14 @@
         printDistribution(out, "from nothing", f.propagationAfterRestart());
         out.printf(
                 Locale.ROOT,
-                "  at the end   %d hollow nodes behind, %d with wrong servers, %d never saw"
-                        + " a change%n",
+                "  at the end   %d hollow nodes behind, %d with wrong servers, %d changes"
+                        + " missing on a node%n",
                 f.nodesBehind(),
                 f.nodesWithWrongServers(),
                 f.missingChanges());
         out.printf(
                 Locale.ROOT,
-                "  bytes        %.0f a second of a hollow node, at most %d of one in 10 s%n",
+                "  bytes        %.0f per second and hollow node, at most %d of one in 10 s%n",
                 f.bytesPerNodePerSecond(),
                 f.maxBytesIn10s());
         out.printf(
@@ -113,7 +113,7 @@
                 f.maxCallsIn100ms());
         out.printf(
                 Locale.ROOT,
-                "  discovery    %s, at most %d in 100 ms; %d whole lists of %.1f MB in all%n",
+                "  discovery    %s, at most %d in 100 ms; %d full lists, %.1f MB in total%n",
                 counts(f.discoveryCalls()),
                 f.maxDiscoveryCallsIn100ms(),
                 f.fullLists().lists(),
