--- a/lab/src/test/java/ottergauge/lab/scale/play/ServerListTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/run/ServerListTest.java
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-package ottergauge.lab.scale.play;
+package ottergauge.lab.scale.run;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -16,7 +16,7 @@
 import ottergauge.lab.scale.scenario.ScaleScenario.Nodes;
 import ottergauge.lab.scale.scenario.ScaleScenario.State;
 
-/** What becomes of the servers of a play. */
+/** The changes that a scale test makes to its servers. */
 class ServerListTest {
 
     private static ServerList list(long seed) {
@@ -47,47 +47,47 @@
                         "svc-000-s00000-1 in_service",
                         "svc-001-s00001-0 terminating"),
                 Stream.generate(() -> change(list.release(5))).limit(4).toList());
-        assertEquals(20, list.whole().size());
+        assertEquals(20, list.allEntries().size());
     }
 
     @Test
-    void aZoneLostTakesAPartOfAllAtOnce() {
+    void aLostZoneTerminatesAFractionOfAllServersAtOnce() {
         ServerList list = list(1);
-        JsonNode entries = list.lose(0.1);
+        JsonNode entries = list.loseZones(0.1);
         assertEquals(2, entries.size());
         entries.forEach(each -> assertEquals("z0", each.get("site").asText()));
-        assertEquals(18, list.whole().size());
+        assertEquals(18, list.allEntries().size());
     }
 
     @Test
-    void drawnChangesAreThoseOfTheSeedAndKeepSomeServers() {
+    void randomChangesDependOnTheSeedAndKeepSomeServers() {
         ServerList list = list(1);
         ServerList same = list(1);
         ServerList other = list(2);
         Set<String> kinds = new HashSet<>();
-        StringBuilder drawn = new StringBuilder();
-        StringBuilder differ = new StringBuilder();
+        StringBuilder firstSequence = new StringBuilder();
+        StringBuilder otherSequence = new StringBuilder();
         for (int i = 0; i < 200; i++) {
-            String change = change(list.draw(i));
-            assertEquals(change, change(same.draw(i)));
-            drawn.append(change);
-            differ.append(change(other.draw(i)));
+            String change = change(list.randomChange(i));
+            assertEquals(change, change(same.randomChange(i)));
+            firstSequence.append(change);
+            otherSequence.append(change(other.randomChange(i)));
             kinds.add(change.substring(change.indexOf(' ') + 1));
-            assertTrue(list.whole().size() > 0);
+            assertTrue(list.allEntries().size() > 0);
         }
-        assertNotEquals(drawn.toString(), differ.toString());
+        assertNotEquals(firstSequence.toString(), otherSequence.toString());
         assertEquals(Set.of("in_service", "terminating", "terminated"), kinds);
     }
 
     @Test
-    void theDigestFollowsNamesAndStates() {
+    void theDigestDependsOnNamesAndStates() {
         ServerList list = list(1);
         String before = list.digest();
         list.release(1);
-        String drains = list.digest();
+        String draining = list.digest();
         list.release(1);
-        assertNotEquals(before, drains);
-        assertNotEquals(drains, list.digest());
+        assertNotEquals(before, draining);
+        assertNotEquals(draining, list.digest());
         assertEquals(list(3).digest(), before);
     }
 }
