--- a/capacity/src/main/java/ottergauge/capacity/benchmark/CpuProfiler.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/CpuProfiler.java
@@ -21,11 +21,11 @@
     /** The name of the result, in microseconds for each operation. */
     public static final String RESULT = "cpu.norm";
 
-    private static final double NANOS_A_MICRO = 1_000;
+    private static final double NANOS_PER_MICRO = 1_000;
 
     private final OperatingSystemMXBean system =
             (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-    private long before;
+    private long cpuNanosBefore;
 
     @Override
     public String getDescription() {
@@ -34,15 +34,15 @@
 
     @Override
     public void beforeIteration(BenchmarkParams benchmark, IterationParams iteration) {
-        before = system.getProcessCpuTime();
+        cpuNanosBefore = system.getProcessCpuTime();
     }
 
     @Override
     public Collection<ScalarResult> afterIteration(
             BenchmarkParams benchmark, IterationParams iteration, IterationResult result) {
-        double spent = (system.getProcessCpuTime() - before) / NANOS_A_MICRO;
+        double cpuMicros = (system.getProcessCpuTime() - cpuNanosBefore) / NANOS_PER_MICRO;
         long operations = Math.max(1, result.getMetadata().getAllOps());
         return List.of(
-                new ScalarResult(RESULT, spent / operations, "us/op", AggregationPolicy.AVG));
+                new ScalarResult(RESULT, cpuMicros / operations, "us/op", AggregationPolicy.AVG));
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
@@ -11,8 +11,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import ottergauge.capacity.workload.DecisionDriver;
+import ottergauge.capacity.workload.DecisionEndpoints;
 import ottergauge.capacity.workload.Fleet;
-import ottergauge.capacity.workload.ListedServers;
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.capacity.workload.NodeConfiguration;
 import ottergauge.decision.api.DecisionSettings;
@@ -41,17 +41,19 @@
     public void start() {
         DecisionSettings settings =
                 new NodeConfiguration(
-                                Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.unknown())
+                                Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.emptyList())
                         .read()
                         .settings()
                         .decisions();
-        driver = new DecisionDriver(settings, seed, ListedServers.draw(servers, seed).whole());
+        driver =
+                new DecisionDriver(
+                        settings, seed, DecisionEndpoints.generate(servers, seed).fullList());
         driver.serveWindows(WINDOWS);
     }
 
     @Benchmark
     public long serveRequest() {
-        return driver.serve();
+        return driver.serveOne();
     }
 
     @Benchmark
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
@@ -11,8 +11,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import ottergauge.capacity.workload.DecisionDriver;
+import ottergauge.capacity.workload.DecisionEndpoints;
 import ottergauge.capacity.workload.Fleet;
-import ottergauge.capacity.workload.ListedServers;
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.capacity.workload.NodeConfiguration;
 import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
@@ -36,8 +36,8 @@
     @Param("1")
     public long seed;
 
-    private ListedServers listed;
-    private EndpointUpdate whole;
+    private DecisionEndpoints endpoints;
+    private EndpointUpdate fullList;
     private DecisionDriver driver;
 
     /** Starts a module that has served for two windows. */
@@ -45,25 +45,25 @@
     public void start() {
         DecisionSettings settings =
                 new NodeConfiguration(
-                                Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.unknown())
+                                Loopback.UNUSED, Loopback.UNUSED, seed, classes, Fleet.emptyList())
                         .read()
                         .settings()
                         .decisions();
-        listed = ListedServers.draw(servers, seed);
-        whole = listed.whole();
-        driver = new DecisionDriver(settings, seed, whole);
+        endpoints = DecisionEndpoints.generate(servers, seed);
+        fullList = endpoints.fullList();
+        driver = new DecisionDriver(settings, seed, fullList);
         driver.serveWindows(WINDOWS);
     }
 
     @Benchmark
     public DecisionDriver followWhole() {
-        driver.follow(whole);
+        driver.applyUpdate(fullList);
         return driver;
     }
 
     @Benchmark
     public DecisionDriver followChange() {
-        driver.follow(listed.change());
+        driver.applyUpdate(endpoints.change());
         return driver;
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
@@ -27,17 +27,17 @@
     @Param("1")
     public long seed;
 
-    private EndpointList whole;
+    private EndpointList fullList;
     private EndpointList change;
-    private byte[] wholeBytes;
+    private byte[] fullListBytes;
     private byte[] changeBytes;
 
     /** Draws a fleet and encodes it. */
     @Setup
-    public void draw() {
-        Fleet fleet = Fleet.draw(servers, seed, Loopback.UNUSED);
-        whole = fleet.whole();
-        wholeBytes = whole.json();
+    public void generate() {
+        Fleet fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
+        fullList = fleet.fullList();
+        fullListBytes = fullList.json();
         change = fleet.change();
         changeBytes = change.json();
     }
@@ -45,7 +45,7 @@
     /** Reads a full endpoint list. */
     @Benchmark
     public EndpointList readWhole() throws ProtocolException {
-        EndpointList read = EndpointList.read(wholeBytes);
+        EndpointList read = EndpointList.read(fullListBytes);
         Check.equal(servers, read.endpoints().size());
         return read;
     }
@@ -61,8 +61,8 @@
     /** Writes a full endpoint list. */
     @Benchmark
     public byte[] writeWhole() {
-        byte[] written = whole.json();
-        Check.equal(wholeBytes.length, written.length);
+        byte[] written = fullList.json();
+        Check.equal(fullListBytes.length, written.length);
         return written;
     }
 
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
@@ -10,7 +10,7 @@
 import org.openjdk.jmh.annotations.Scope;
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
-import ottergauge.capacity.workload.EncodedFleet;
+import ottergauge.capacity.workload.EncodedSnapshot;
 import ottergauge.capacity.workload.VersionedFleet;
 import ottergauge.protocol.ProtocolException;
 import ottergauge.resources.ChangePage;
@@ -29,15 +29,15 @@
     @Param("1")
     public long seed;
 
-    private EncodedFleet encoded;
+    private EncodedSnapshot encoded;
     private ChangePage change;
     private byte[] changeBytes;
 
     /** Draws a state and encodes its pages and a change. */
     @Setup
-    public void draw() {
-        VersionedFleet fleet = VersionedFleet.draw(servers, seed);
-        encoded = EncodedFleet.of(fleet);
+    public void generate() {
+        VersionedFleet fleet = VersionedFleet.generate(servers, seed);
+        encoded = EncodedSnapshot.of(fleet);
         change = fleet.changePage();
         changeBytes = ResourceCodec.write(change);
     }
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/RouterListBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/RouterListBenchmark.java
@@ -36,7 +36,7 @@
     /** Starts a router with the whole list in its configuration. */
     @Setup
     public void start() {
-        fleet = Fleet.draw(servers, seed, Loopback.UNUSED);
+        fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
         driver =
                 new RouterDriver(
                         new NodeConfiguration(
@@ -44,14 +44,14 @@
                                         Loopback.UNUSED,
                                         seed,
                                         classes,
-                                        fleet.whole())
+                                        fleet.fullList())
                                 .read());
-        driver.callDiscovery();
+        driver.awaitFirstPoll();
     }
 
     @Benchmark
     public long takeWhole() {
-        return driver.answer(fleet.wholeAgain());
+        return driver.answer(fleet.fullListAtNextVersion());
     }
 
     @Benchmark
--- a/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
+++ b/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
@@ -3,8 +3,8 @@
 
 import org.openjdk.jol.info.GraphLayout;
 import ottergauge.capacity.workload.DecisionDriver;
+import ottergauge.capacity.workload.DecisionEndpoints;
 import ottergauge.capacity.workload.Fleet;
-import ottergauge.capacity.workload.ListedServers;
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.capacity.workload.NodeConfiguration;
 import ottergauge.capacity.workload.RouterDriver;
@@ -22,41 +22,42 @@
     private RetainedHeap() {}
 
     /** Of a list as it is read from discovery's answer. */
-    public static long ofList(int servers, long seed) {
-        return bytes(Fleet.draw(servers, seed, Loopback.UNUSED).whole());
+    public static long ofEndpointList(int servers, long seed) {
+        return bytes(Fleet.generate(servers, seed, Loopback.UNUSED).fullList());
     }
 
     /** Of a decision module that has served for two windows, its settings included. */
-    public static long ofDecisions(int servers, int classes, long seed) {
-        NodeConfiguration configuration = configuration(classes, seed, Fleet.unknown());
+    public static long ofDecisionEngine(int servers, int classes, long seed) {
+        NodeConfiguration configuration = configuration(classes, seed, Fleet.emptyList());
         DecisionDriver driver =
                 new DecisionDriver(
                         configuration.read().settings().decisions(),
                         seed,
-                        ListedServers.draw(servers, seed).whole());
+                        DecisionEndpoints.generate(servers, seed).fullList());
         driver.serveWindows(WINDOWS);
-        return bytes(driver.decide());
+        return bytes(driver.engine());
     }
 
     /** Of a router with the list in its configuration, which it keeps. */
-    public static long ofRouter(int servers, int classes, long seed) {
-        Fleet fleet = Fleet.draw(servers, seed, Loopback.UNUSED);
-        RouterDriver driver = new RouterDriver(configuration(classes, seed, fleet.whole()).read());
+    public static long ofRouterWithConfiguredList(int servers, int classes, long seed) {
+        Fleet fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
+        RouterDriver driver =
+                new RouterDriver(configuration(classes, seed, fleet.fullList()).read());
         return bytes(driver.router());
     }
 
     /** Of a router that was told the list by discovery. */
-    public static long ofToldRouter(int servers, int classes, long seed) {
-        Fleet fleet = Fleet.draw(servers, seed, Loopback.UNUSED);
+    public static long ofRouterWithDiscoveredList(int servers, int classes, long seed) {
+        Fleet fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
         RouterDriver driver =
-                new RouterDriver(configuration(classes, seed, Fleet.unknown()).read());
-        driver.callDiscovery();
-        driver.answer(readAgain(fleet.whole()));
+                new RouterDriver(configuration(classes, seed, Fleet.emptyList()).read());
+        driver.awaitFirstPoll();
+        driver.answer(encodeAndDecode(fleet.fullList()));
         return bytes(driver.router());
     }
 
     // As it comes over a socket: its strings are shared with nothing else.
-    private static EndpointList readAgain(EndpointList list) {
+    private static EndpointList encodeAndDecode(EndpointList list) {
         try {
             return EndpointList.read(list.json());
         } catch (ProtocolException e) {
--- a/capacity/src/main/java/ottergauge/capacity/load/Latencies.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/Latencies.java
@@ -8,17 +8,17 @@
  * how many ended otherwise, and how late after the intended instant each was sent: a client that is
  * itself late says little of what it measures.
  */
-public record Latencies(Histogram served, long failed, Histogram lateness) {
+public record Latencies(Histogram served, long failed, Histogram sendDelays) {
 
-    private static final double NANOS_A_MILLI = 1e6;
+    private static final double NANOS_PER_MILLI = 1e6;
 
     /** The time within which this part of the served requests ended, in percent. */
     public double milliseconds(double percentile) {
-        return served.getValueAtPercentile(percentile) / NANOS_A_MILLI;
+        return served.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
     }
 
     /** The time by which this part of the requests was sent at the latest, in percent. */
-    public double lateMilliseconds(double percentile) {
-        return lateness.getValueAtPercentile(percentile) / NANOS_A_MILLI;
+    public double sendDelayMilliseconds(double percentile) {
+        return sendDelays.getValueAtPercentile(percentile) / NANOS_PER_MILLI;
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
@@ -36,12 +36,12 @@
  */
 public final class OpenLoopClient implements AutoCloseable {
 
-    private static final long GIVE_UP_MS = 1_000;
-    private static final int MOST_BODY = 1 << 16;
-    private static final int DIGITS = 3;
-    private static final long LONGEST = TimeUnit.SECONDS.toNanos(60);
+    private static final long REQUEST_TIMEOUT_MS = 1_000;
+    private static final int MAX_BODY_BYTES = 1 << 16;
+    private static final int SIGNIFICANT_DIGITS = 3;
+    private static final long MAX_RECORDED_NANOS = TimeUnit.SECONDS.toNanos(60);
     // All connections, idle ones among them: a target that stands still is not sent more.
-    private static final int MOST_CONNECTIONS = 256;
+    private static final int MAX_CONNECTIONS = 256;
 
     private final EventLoop loop;
     private final Address target;
@@ -50,9 +50,9 @@
     private final Deque<Channel> idle = new ArrayDeque<>();
     private final Set<Channel> connections = new HashSet<>();
     private Histogram served = histogram();
-    private Histogram lateness = histogram();
+    private Histogram sendDelays = histogram();
     private long sent;
-    private long open;
+    private long inFlight;
     private long failed;
 
     /**
@@ -66,28 +66,28 @@
     }
 
     private static Histogram histogram() {
-        return new Histogram(LONGEST, DIGITS);
+        return new Histogram(MAX_RECORDED_NANOS, SIGNIFICANT_DIGITS);
     }
 
     /** Sends one request that was intended for an instant of {@link System#nanoTime}. */
-    public void send(long intended) {
-        loop.execute(() -> sendNow(intended));
+    public void send(long intendedAt) {
+        loop.execute(() -> sendNow(intendedAt));
     }
 
-    private void sendNow(long intended) {
-        open++;
-        lateness.recordValue(Math.min(LONGEST, System.nanoTime() - intended));
-        Channel kept = idle.pollLast();
-        if (kept != null) {
-            write(kept, intended);
-        } else if (connections.size() >= MOST_CONNECTIONS) {
-            over(false, intended);
+    private void sendNow(long intendedAt) {
+        inFlight++;
+        sendDelays.recordValue(Math.min(MAX_RECORDED_NANOS, System.nanoTime() - intendedAt));
+        Channel reused = idle.pollLast();
+        if (reused != null) {
+            write(reused, intendedAt);
+        } else if (connections.size() >= MAX_CONNECTIONS) {
+            finish(false, intendedAt);
         } else {
-            connect(intended);
+            connect(intendedAt);
         }
     }
 
-    private void connect(long intended) {
+    private void connect(long intendedAt) {
         new Bootstrap()
                 .group(loop)
                 .channel(NioSocketChannel.class)
@@ -100,8 +100,8 @@
                                         .pipeline()
                                         .addLast(
                                                 new HttpClientCodec(),
-                                                new HttpObjectAggregator(MOST_BODY),
-                                                new Answers());
+                                                new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                new ResponseHandler());
                             }
                         })
                 .connect(target.host(), target.port())
@@ -110,48 +110,48 @@
                             if (connected.isSuccess()) {
                                 Channel connection = ((ChannelFuture) connected).channel();
                                 connections.add(connection);
-                                write(connection, intended);
+                                write(connection, intendedAt);
                             } else {
-                                over(false, intended);
+                                finish(false, intendedAt);
                             }
                         });
     }
 
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void write(Channel connection, long intended) {
-        connection.pipeline().get(Answers.class).intended = intended;
+    private void write(Channel connection, long intendedAt) {
+        connection.pipeline().get(ResponseHandler.class).intendedAt = intendedAt;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api");
         request.headers()
                 .set(HttpHeaderNames.HOST, target.toString())
                 .set(Headers.TRACE_ID, name + "-" + ++sent)
                 .set(Headers.REQUEST_CLASS, NodeConfiguration.className((int) (sent % classes)))
-                .set(Headers.EXPIRES_IN_MS, GIVE_UP_MS);
+                .set(Headers.EXPIRES_IN_MS, REQUEST_TIMEOUT_MS);
         connection.writeAndFlush(request);
     }
 
-    private void over(boolean success, long intended) {
-        open--;
+    private void finish(boolean success, long intendedAt) {
+        inFlight--;
         if (success) {
-            served.recordValue(Math.min(LONGEST, System.nanoTime() - intended));
+            served.recordValue(Math.min(MAX_RECORDED_NANOS, System.nanoTime() - intendedAt));
         } else {
             failed++;
         }
     }
 
     /** The answers of one connection, which carries one request at a time. */
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private static final long NONE = Long.MIN_VALUE;
-        private long intended = NONE;
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private static final long NO_REQUEST = Long.MIN_VALUE;
+        private long intendedAt = NO_REQUEST;
 
         @Override
         // A failed write or close shows as the end of its connection.
         @SuppressWarnings("FutureReturnValueIgnored")
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            long begun = intended;
-            intended = NONE;
-            over(answer.status().equals(HttpResponseStatus.OK), begun);
+            long requestIntendedAt = intendedAt;
+            intendedAt = NO_REQUEST;
+            finish(answer.status().equals(HttpResponseStatus.OK), requestIntendedAt);
             if (HttpUtil.isKeepAlive(answer)) {
                 idle.add(ctx.channel());
             } else {
@@ -163,9 +163,9 @@
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(ctx.channel());
             idle.remove(ctx.channel());
-            if (intended != NONE) {
-                over(false, intended);
-                intended = NONE;
+            if (intendedAt != NO_REQUEST) {
+                finish(false, intendedAt);
+                intendedAt = NO_REQUEST;
             }
         }
 
@@ -180,24 +180,24 @@
     /**
      * What has become of the requests since this was asked last; those that are open count later.
      */
-    public Latencies take() {
+    public Latencies collect() {
         return loop.submit(
                         () -> {
-                            Latencies taken = new Latencies(served, failed, lateness);
+                            Latencies collected = new Latencies(served, failed, sendDelays);
                             served = histogram();
-                            lateness = histogram();
+                            sendDelays = histogram();
                             failed = 0;
-                            return taken;
+                            return collected;
                         })
                 .syncUninterruptibly()
                 .getNow();
     }
 
     /** Waits until no request is open; false if some are after this time. */
-    public boolean awaitAnswers(long milliseconds) throws InterruptedException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds);
-        while (loop.submit(() -> open).syncUninterruptibly().getNow() > 0) {
-            if (System.nanoTime() > until) {
+    public boolean awaitResponses(long milliseconds) throws InterruptedException {
+        long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds);
+        while (loop.submit(() -> inFlight).syncUninterruptibly().getNow() > 0) {
+            if (System.nanoTime() > deadline) {
                 return false;
             }
             TimeUnit.MILLISECONDS.sleep(1);
--- a/capacity/src/main/java/ottergauge/capacity/load/Pacer.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/Pacer.java
@@ -26,39 +26,39 @@
      * waiting.
      */
     public void run(List<OpenLoopClient> clients, double perSecond, double seconds) {
-        long from = System.nanoTime();
-        long until = from + (long) (seconds * NANOS);
-        long[] next = new long[clients.size()];
-        for (int client = 0; client < next.length; client++) {
-            next[client] = from + gap(perSecond);
+        long start = System.nanoTime();
+        long end = start + (long) (seconds * NANOS);
+        long[] nextSend = new long[clients.size()];
+        for (int client = 0; client < nextSend.length; client++) {
+            nextSend[client] = start + nextInterval(perSecond);
         }
-        int first = earliest(next);
-        while (next[first] < until) {
-            waitUntil(next[first]);
-            clients.get(first).send(next[first]);
-            next[first] += gap(perSecond);
-            first = earliest(next);
+        int earliestClient = earliest(nextSend);
+        while (nextSend[earliestClient] < end) {
+            waitUntil(nextSend[earliestClient]);
+            clients.get(earliestClient).send(nextSend[earliestClient]);
+            nextSend[earliestClient] += nextInterval(perSecond);
+            earliestClient = earliest(nextSend);
         }
-        waitUntil(until);
+        waitUntil(end);
     }
 
-    private long gap(double perSecond) {
+    private long nextInterval(double perSecond) {
         return (long) (-Math.log(1 - random.nextDouble()) / perSecond * NANOS);
     }
 
     private static int earliest(long[] instants) {
-        int first = 0;
+        int earliestClient = 0;
         for (int i = 1; i < instants.length; i++) {
-            first = instants[i] < instants[first] ? i : first;
+            earliestClient = instants[i] < instants[earliestClient] ? i : earliestClient;
         }
-        return first;
+        return earliestClient;
     }
 
     private static void waitUntil(long instant) {
-        for (long left = instant - System.nanoTime();
-                left > 0;
-                left = instant - System.nanoTime()) {
-            LockSupport.parkNanos(left);
+        for (long remaining = instant - System.nanoTime();
+                remaining > 0;
+                remaining = instant - System.nanoTime()) {
+            LockSupport.parkNanos(remaining);
         }
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeMeasurement.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeMeasurement.java
@@ -16,14 +16,14 @@
 import ottergauge.capacity.load.Latencies;
 import ottergauge.capacity.load.OpenLoopClient;
 import ottergauge.capacity.load.Pacer;
-import ottergauge.capacity.node.NodeFigures.Changes;
-import ottergauge.capacity.node.NodeFigures.Load;
-import ottergauge.capacity.node.NodeFigures.LoadSlice;
-import ottergauge.capacity.node.NodeFigures.NotTaken;
-import ottergauge.capacity.node.NodeFigures.Rest;
-import ottergauge.capacity.node.NodeFigures.Start;
-import ottergauge.capacity.node.NodeFigures.Taken;
-import ottergauge.capacity.node.NodeFigures.Told;
+import ottergauge.capacity.node.NodeResults.Applied;
+import ottergauge.capacity.node.NodeResults.Changes;
+import ottergauge.capacity.node.NodeResults.DiscoveryStart;
+import ottergauge.capacity.node.NodeResults.Idle;
+import ottergauge.capacity.node.NodeResults.Load;
+import ottergauge.capacity.node.NodeResults.LoadSlice;
+import ottergauge.capacity.node.NodeResults.NotApplied;
+import ottergauge.capacity.node.NodeResults.Start;
 import ottergauge.capacity.standin.DiscoveryStandIn;
 import ottergauge.capacity.standin.ServerStandIn;
 import ottergauge.capacity.standin.Traffic;
@@ -34,102 +34,105 @@
 public final class NodeMeasurement implements AutoCloseable {
 
     /** How long each part takes. */
-    public record Effort(
+    public record RunSettings(
             int starts,
             int settleMs,
-            int restSeconds,
+            int idleSeconds,
             int changeSlices,
             int changeSliceSeconds,
             int warmUpRequests,
             int loadSlices,
             int loadSliceSeconds,
-            int toldWithinMs) {}
+            int discoveryTimeoutMs) {}
 
     /** Changes of the list a second while that is measured. */
-    public static final int CHANGES_A_SECOND = 50;
+    public static final int CHANGES_PER_SECOND = 50;
 
     /** Requests a second at the node, and as many past it. */
-    public static final int REQUESTS_A_SECOND = 62;
+    public static final int REQUESTS_PER_SECOND = 62;
 
-    private static final int WARM_UP_A_SECOND = 200;
-    private static final long ANSWERED_WITHIN_MS = 2_000;
-    private static final int LOOPS = 3;
-    private static final long LOOK_EVERY_MS = 2;
-    private static final double NANOS_A_MILLI = 1e6;
-    private static final double MILLIS = 1e3;
+    private static final int WARM_UP_REQUESTS_PER_SECOND = 200;
+    private static final long RESPONSE_TIMEOUT_MS = 2_000;
+    private static final int EVENT_LOOPS = 3;
+    private static final long POLL_INTERVAL_MS = 2;
+    private static final double NANOS_PER_MILLI = 1e6;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
     private final RunLine run;
     private final Path root;
     private final long seed;
     private final int classes;
-    private final Effort effort;
-    private final EventLoopGroup loops =
-            new MultiThreadIoEventLoopGroup(LOOPS, NioIoHandler.newFactory());
+    private final RunSettings runSettings;
+    private final EventLoopGroup eventLoops =
+            new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
 
     /** Measures the program under this root, started by this line. */
-    public NodeMeasurement(RunLine run, Path root, long seed, int classes, Effort effort) {
+    public NodeMeasurement(
+            RunLine run, Path root, long seed, int classes, RunSettings runSettings) {
         this.run = run;
         this.root = root;
         this.seed = seed;
         this.classes = classes;
-        this.effort = effort;
+        this.runSettings = runSettings;
     }
 
     /** Takes all figures for lists of this size. */
-    public NodeFigures measure(int servers) throws IOException, InterruptedException {
-        try (ServerStandIn server = new ServerStandIn(loops.next())) {
-            Fleet fleet = Fleet.draw(servers, seed, server.address());
-            Told told;
-            try (DiscoveryStandIn discovery = new DiscoveryStandIn(loops.next(), fleet)) {
-                told = startUntold(discovery);
+    public NodeResults measure(int servers) throws IOException, InterruptedException {
+        try (ServerStandIn server = new ServerStandIn(eventLoops.next())) {
+            Fleet fleet = Fleet.generate(servers, seed, server.address());
+            DiscoveryStart discoveryStart;
+            try (DiscoveryStandIn discovery = new DiscoveryStandIn(eventLoops.next(), fleet)) {
+                discoveryStart = startWithoutList(discovery);
             }
             List<Start> starts = new ArrayList<>();
-            for (int start = 1; start < effort.starts(); start++) {
-                starts.add(startOnly(fleet));
+            for (int start = 1; start < runSettings.starts(); start++) {
+                starts.add(measureStart(fleet));
             }
-            try (DiscoveryStandIn discovery = new DiscoveryStandIn(loops.next(), fleet)) {
-                return measureRunning(fleet, discovery, server, told, starts);
+            try (DiscoveryStandIn discovery = new DiscoveryStandIn(eventLoops.next(), fleet)) {
+                return measureRunning(fleet, discovery, server, discoveryStart, starts);
             }
         }
     }
 
-    private NodeFigures measureRunning(
+    private NodeResults measureRunning(
             Fleet fleet,
             DiscoveryStandIn discovery,
             ServerStandIn server,
-            Told told,
+            DiscoveryStart discoveryStart,
             List<Start> starts)
             throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("capacity");
         try (NodeProcess node = start(folder, configuration(discovery, fleet))) {
-            starts.add(started(node));
-            Rest rest = rest(node, discovery);
+            starts.add(awaitStart(node));
+            Idle idle = idle(node, discovery);
             Changes changes = change(node, discovery);
-            Load load = load(node, server, rest.cpu());
-            return new NodeFigures(starts, told, rest, changes, load, node.peakResidentBytes());
+            Load load = load(node, server, idle.cpu());
+            return new NodeResults(
+                    starts, discoveryStart, idle, changes, load, node.peakResidentBytes());
         } finally {
             delete(folder);
         }
     }
 
-    private Start startOnly(Fleet fleet) throws IOException, InterruptedException {
+    private Start measureStart(Fleet fleet) throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("capacity");
-        try (DiscoveryStandIn discovery = new DiscoveryStandIn(loops.next(), fleet);
+        try (DiscoveryStandIn discovery = new DiscoveryStandIn(eventLoops.next(), fleet);
                 NodeProcess node = start(folder, configuration(discovery, fleet))) {
-            return started(node);
+            return awaitStart(node);
         } finally {
             delete(folder);
         }
     }
 
-    private Start started(NodeProcess node) throws IOException, InterruptedException {
+    private Start awaitStart(NodeProcess node) throws IOException, InterruptedException {
         Duration ready = node.awaitReady();
         Duration cpu = node.cpu();
-        TimeUnit.MILLISECONDS.sleep(effort.settleMs());
-        return new Start(ready.toNanos() / NANOS_A_MILLI, cpu.toMillis(), node.residentBytes());
+        TimeUnit.MILLISECONDS.sleep(runSettings.settleMs());
+        return new Start(ready.toNanos() / NANOS_PER_MILLI, cpu.toMillis(), node.residentBytes());
     }
 
-    private Told startUntold(DiscoveryStandIn discovery) throws IOException, InterruptedException {
+    private DiscoveryStart startWithoutList(DiscoveryStandIn discovery)
+            throws IOException, InterruptedException {
         Path folder = Files.createTempDirectory("capacity");
         NodeConfiguration configuration =
                 new NodeConfiguration(
@@ -137,118 +140,131 @@
                         discovery.address(),
                         seed,
                         classes,
-                        Fleet.unknown());
+                        Fleet.emptyList());
         try (NodeProcess node = start(folder, configuration)) {
-            long from = System.nanoTime();
+            long startedAt = System.nanoTime();
             node.awaitReady();
-            long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(effort.toldWithinMs());
-            while (discovery.askedAfter() < discovery.version()) {
-                if (System.nanoTime() > until) {
-                    return notTaken(discovery);
+            long deadline =
+                    System.nanoTime()
+                            + TimeUnit.MILLISECONDS.toNanos(runSettings.discoveryTimeoutMs());
+            while (discovery.lastPolledVersion() < discovery.version()) {
+                if (System.nanoTime() > deadline) {
+                    return notApplied(discovery);
                 }
-                TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+                TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
             }
-            double after = (System.nanoTime() - from) / NANOS_A_MILLI;
-            TimeUnit.MILLISECONDS.sleep(effort.settleMs());
-            return new Taken(after, node.residentBytes());
+            double elapsedMs = (System.nanoTime() - startedAt) / NANOS_PER_MILLI;
+            TimeUnit.MILLISECONDS.sleep(runSettings.settleMs());
+            return new Applied(elapsedMs, node.residentBytes());
         } finally {
             delete(folder);
         }
     }
 
-    private NotTaken notTaken(DiscoveryStandIn discovery) {
-        Traffic passed = discovery.traffic();
-        return new NotTaken(
+    private NotApplied notApplied(DiscoveryStandIn discovery) {
+        Traffic observed = discovery.traffic();
+        return new NotApplied(
                 "not taken in %.1f s: %d calls, %,d bytes"
-                        .formatted(effort.toldWithinMs() / MILLIS, passed.calls(), passed.bytes()));
+                        .formatted(
+                                runSettings.discoveryTimeoutMs() / MILLIS_PER_SECOND,
+                                observed.calls(),
+                                observed.bytes()));
     }
 
-    private Rest rest(NodeProcess node, DiscoveryStandIn discovery)
+    private Idle idle(NodeProcess node, DiscoveryStandIn discovery)
             throws IOException, InterruptedException {
         Traffic before = discovery.traffic();
         Duration cpuBefore = node.cpu();
-        TimeUnit.SECONDS.sleep(effort.restSeconds());
-        Traffic passed = discovery.traffic().since(before);
-        double seconds = effort.restSeconds();
-        return new Rest(
-                node.cpu().minus(cpuBefore).toMillis() / MILLIS / seconds,
-                passed.calls() / seconds,
-                passed.bytes() / seconds);
+        TimeUnit.SECONDS.sleep(runSettings.idleSeconds());
+        Traffic observed = discovery.traffic().since(before);
+        double seconds = runSettings.idleSeconds();
+        return new Idle(
+                node.cpu().minus(cpuBefore).toMillis() / MILLIS_PER_SECOND / seconds,
+                observed.calls() / seconds,
+                observed.bytes() / seconds);
     }
 
     private Changes change(NodeProcess node, DiscoveryStandIn discovery)
             throws IOException, InterruptedException {
         Traffic before = discovery.traffic();
-        double[] cpu = new double[effort.changeSlices()];
-        int made = 0;
+        double[] cpu = new double[runSettings.changeSlices()];
+        int changeCount = 0;
         for (int slice = 0; slice < cpu.length; slice++) {
             Duration cpuBefore = node.cpu();
-            made += discovery.change(CHANGES_A_SECOND, effort.changeSliceSeconds());
+            changeCount += discovery.change(CHANGES_PER_SECOND, runSettings.changeSliceSeconds());
             cpu[slice] =
-                    node.cpu().minus(cpuBefore).toMillis() / MILLIS / effort.changeSliceSeconds();
+                    node.cpu().minus(cpuBefore).toMillis()
+                            / MILLIS_PER_SECOND
+                            / runSettings.changeSliceSeconds();
         }
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(effort.toldWithinMs());
-        while (discovery.askedAfter() < discovery.version() && System.nanoTime() < until) {
-            TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+        long deadline =
+                System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(runSettings.discoveryTimeoutMs());
+        while (discovery.lastPolledVersion() < discovery.version()
+                && System.nanoTime() < deadline) {
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
-        Traffic passed = discovery.traffic().since(before);
+        Traffic observed = discovery.traffic().since(before);
         return new Changes(
                 cpu,
-                passed.calls() / (double) made,
-                passed.bytes() / (double) made,
-                discovery.askedAfter() == discovery.version());
+                observed.calls() / (double) changeCount,
+                observed.bytes() / (double) changeCount,
+                discovery.lastPolledVersion() == discovery.version());
     }
 
-    private Load load(NodeProcess node, ServerStandIn server, double cpuAtRest)
+    private Load load(NodeProcess node, ServerStandIn server, double idleCpu)
             throws IOException, InterruptedException {
         List<LoadSlice> slices = new ArrayList<>();
-        try (OpenLoopClient through =
-                        new OpenLoopClient(loops.next(), node.address(), classes, "through");
+        try (OpenLoopClient viaNode =
+                        new OpenLoopClient(eventLoops.next(), node.address(), classes, "through");
                 OpenLoopClient direct =
-                        new OpenLoopClient(loops.next(), server.address(), classes, "direct")) {
+                        new OpenLoopClient(
+                                eventLoops.next(), server.address(), classes, "direct")) {
             Pacer pacer = new Pacer(seed);
-            List<OpenLoopClient> clients = List.of(through, direct);
+            List<OpenLoopClient> clients = List.of(viaNode, direct);
             pacer.run(
-                    clients, WARM_UP_A_SECOND, effort.warmUpRequests() / (double) WARM_UP_A_SECOND);
-            take(through);
-            take(direct);
-            for (int slice = 0; slice < effort.loadSlices(); slice++) {
+                    clients,
+                    WARM_UP_REQUESTS_PER_SECOND,
+                    runSettings.warmUpRequests() / (double) WARM_UP_REQUESTS_PER_SECOND);
+            collect(viaNode);
+            collect(direct);
+            for (int slice = 0; slice < runSettings.loadSlices(); slice++) {
                 Duration cpuBefore = node.cpu();
-                pacer.run(clients, REQUESTS_A_SECOND, effort.loadSliceSeconds());
-                Latencies node99 = take(through);
+                pacer.run(clients, REQUESTS_PER_SECOND, runSettings.loadSliceSeconds());
+                Latencies viaNodeLatencies = collect(viaNode);
                 double cpu =
-                        node.cpu().minus(cpuBefore).toMillis() / MILLIS
-                                - cpuAtRest * effort.loadSliceSeconds();
-                slices.add(slice(cpu, node99, take(direct)));
+                        node.cpu().minus(cpuBefore).toMillis() / MILLIS_PER_SECOND
+                                - idleCpu * runSettings.loadSliceSeconds();
+                slices.add(slice(cpu, viaNodeLatencies, collect(direct)));
             }
         }
         return new Load(slices);
     }
 
-    private static Latencies take(OpenLoopClient client) throws IOException, InterruptedException {
-        if (!client.awaitAnswers(ANSWERED_WITHIN_MS)) {
-            throw new IOException("requests are not answered after " + ANSWERED_WITHIN_MS + " ms");
+    private static Latencies collect(OpenLoopClient client)
+            throws IOException, InterruptedException {
+        if (!client.awaitResponses(RESPONSE_TIMEOUT_MS)) {
+            throw new IOException("requests are not answered after " + RESPONSE_TIMEOUT_MS + " ms");
         }
-        return client.take();
+        return client.collect();
     }
 
-    private static LoadSlice slice(double cpuSeconds, Latencies through, Latencies direct) {
-        long requests = through.served().getTotalCount() + through.failed();
+    private static LoadSlice slice(double cpuSeconds, Latencies viaNode, Latencies direct) {
+        long requests = viaNode.served().getTotalCount() + viaNode.failed();
         return new LoadSlice(
-                cpuSeconds * MILLIS / Math.max(1, requests),
-                through.milliseconds(50),
-                through.milliseconds(99),
+                cpuSeconds * MILLIS_PER_SECOND / Math.max(1, requests),
+                viaNode.milliseconds(50),
+                viaNode.milliseconds(99),
                 direct.milliseconds(50),
                 direct.milliseconds(99),
-                through.lateMilliseconds(99),
-                through.served().getTotalCount(),
-                through.failed() + direct.failed());
+                viaNode.sendDelayMilliseconds(99),
+                viaNode.served().getTotalCount(),
+                viaNode.failed() + direct.failed());
     }
 
     private NodeConfiguration configuration(DiscoveryStandIn discovery, Fleet fleet)
             throws IOException {
         return new NodeConfiguration(
-                NodeProcess.freeAddress(), discovery.address(), seed, classes, fleet.whole());
+                NodeProcess.freeAddress(), discovery.address(), seed, classes, fleet.fullList());
     }
 
     private NodeProcess start(Path folder, NodeConfiguration configuration) throws IOException {
@@ -265,6 +281,6 @@
 
     @Override
     public void close() {
-        loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
@@ -23,11 +23,11 @@
  */
 public final class NodeProcess implements AutoCloseable {
 
-    private static final long READY_WITHIN_MS = 30_000;
-    private static final long LOOK_EVERY_MS = 2;
-    private static final int ANSWER_WITHIN_MS = 1_000;
-    private static final long END_WITHIN_S = 5;
-    private static final int LOG_END = 1_000;
+    private static final long READY_TIMEOUT_MS = 30_000;
+    private static final long POLL_INTERVAL_MS = 2;
+    private static final int RESPONSE_TIMEOUT_MS = 1_000;
+    private static final long EXIT_TIMEOUT_S = 5;
+    private static final int LOG_TAIL_CHARS = 1_000;
     private static final String READY = "HTTP/1.1 200";
 
     private final Process process;
@@ -69,19 +69,19 @@
 
     /** Waits until it takes clients; gives back the time since it was started. */
     public Duration awaitReady() throws IOException, InterruptedException {
-        long until = startedAt + TimeUnit.MILLISECONDS.toNanos(READY_WITHIN_MS);
+        long deadline = startedAt + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         while (!isReady()) {
-            if (System.nanoTime() > until || !process.isAlive()) {
-                throw new IOException("the node is not ready; its log ends with: " + logEnd());
+            if (System.nanoTime() > deadline || !process.isAlive()) {
+                throw new IOException("the node is not ready; its log ends with: " + logTail());
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_EVERY_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
         }
         return Duration.ofNanos(System.nanoTime() - startedAt);
     }
 
     private boolean isReady() {
         try (Socket connection = new Socket(address.host(), address.port())) {
-            connection.setSoTimeout(ANSWER_WITHIN_MS);
+            connection.setSoTimeout(RESPONSE_TIMEOUT_MS);
             connection
                     .getOutputStream()
                     .write(
@@ -110,7 +110,7 @@
     public Duration cpu() throws IOException {
         Optional<Duration> spent = process.info().totalCpuDuration();
         if (spent.isEmpty()) {
-            throw new IOException("the node has ended; its log ends with: " + logEnd());
+            throw new IOException("the node has ended; its log ends with: " + logTail());
         }
         return spent.get();
     }
@@ -135,16 +135,16 @@
         return Long.parseLong(line.replaceAll("\\D", "")) * 1024;
     }
 
-    private String logEnd() throws IOException {
+    private String logTail() throws IOException {
         String text = Files.readString(log);
-        return text.substring(Math.max(0, text.length() - LOG_END));
+        return text.substring(Math.max(0, text.length() - LOG_TAIL_CHARS));
     }
 
     @Override
     public void close() {
         process.destroy();
         try {
-            if (!process.waitFor(END_WITHIN_S, TimeUnit.SECONDS)) {
+            if (!process.waitFor(EXIT_TIMEOUT_S, TimeUnit.SECONDS)) {
                 process.destroyForcibly().waitFor();
             }
         } catch (InterruptedException e) {
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeFigures.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /** What was measured of real processes that know lists of one size. */
-public record NodeFigures(
+public record NodeResults(
         List<Start> starts,
-        Told told,
-        Rest rest,
+        DiscoveryStart discoveryStart,
+        Idle idle,
         Changes changes,
         Load load,
         long peakResidentBytes) {
@@ -19,22 +19,22 @@
     public record Start(double readyMs, double cpuMs, long residentBytes) {}
 
     /** What became of a start with no list in the configuration: discovery had to tell it. */
-    public sealed interface Told {}
+    public sealed interface DiscoveryStart {}
 
     /** The node took the list so long after its process was started. */
-    public record Taken(double afterMs, long residentBytes) implements Told {}
+    public record Applied(double afterMs, long residentBytes) implements DiscoveryStart {}
 
     /** The node had not taken it by the end; so much passed at discovery each second. */
-    public record NotTaken(String why) implements Told {}
+    public record NotApplied(String reason) implements DiscoveryStart {}
 
     /** A node that nothing happens at; CPU as a part of one core. */
-    public record Rest(double cpu, double callsPerSecond, double bytesPerSecond) {}
+    public record Idle(double cpu, double callsPerSecond, double bytesPerSecond) {}
 
     /** Changes at an even rate; CPU as a part of one core, by slices of the time. */
     @SuppressWarnings(
             "ArrayRecordComponent") // Compared nowhere; primitives as the table takes them.
     public record Changes(
-            double[] cpu, double callsPerChange, double bytesPerChange, boolean followed) {}
+            double[] cpu, double callsPerChange, double bytesPerChange, boolean allApplied) {}
 
     /** Requests at a mean rate, by slices of the time. */
     public record Load(List<LoadSlice> slices) {}
@@ -45,11 +45,11 @@
      */
     public record LoadSlice(
             double cpuMsPerRequest,
-            double throughMs50,
-            double throughMs99,
-            double directMs50,
-            double directMs99,
-            double lateMs99,
+            double viaNodeP50Ms,
+            double viaNodeP99Ms,
+            double directP50Ms,
+            double directP99Ms,
+            double sendDelayP99Ms,
             long served,
             long failed) {}
 }
--- a/capacity/src/main/java/ottergauge/capacity/node/RunLine.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/RunLine.java
@@ -12,18 +12,18 @@
 /** The shell line by which operators start a node. */
 public record RunLine(String command) {
 
-    private static final Pattern RUN = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
+    private static final Pattern RUN_KEY = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
     private static final String ARCHIVE = "-XX:SharedArchiveFile";
     private static final String JAR = "-jar";
 
     /** Reads the line from the deploy file of the program under this root. */
     public static RunLine read(Path root) throws IOException {
         Path deploy = root.resolve("deploy/balancer.toml");
-        Matcher run = RUN.matcher(Files.readString(deploy));
-        if (!run.find()) {
+        Matcher found = RUN_KEY.matcher(Files.readString(deploy));
+        if (!found.find()) {
             throw new IOException(deploy + " has no line run");
         }
-        return new RunLine(run.group(1));
+        return new RunLine(found.group(1));
     }
 
     /**
--- a/capacity/src/main/java/ottergauge/capacity/program/Benchmarks.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/Benchmarks.java
@@ -26,86 +26,95 @@
 final class Benchmarks {
 
     /** What is run: a method of a benchmark's class, under the name that the page gives it. */
-    record Plan(Class<?> type, String method, String what) {}
+    record BenchmarkMethod(Class<?> type, String method, String label) {}
 
     /**
      * Plans that are run at all sizes, and plans whose input has one size: these at the ends alone.
      */
-    record Plans(List<Plan> atAllSizes, List<Plan> atEnds) {}
+    record BenchmarkGroup(
+            List<BenchmarkMethod> atAllSizes, List<BenchmarkMethod> atSmallestAndLargest) {}
 
     /** How often: for {@code forks} of 0 in this process, which is for a test alone. */
-    record Effort(int forks, int warmups, int iterations, TimeValue each) {}
+    record RunSettings(int forks, int warmups, int iterations, TimeValue iterationTime) {}
 
-    private static final String ALLOCATED = "gc.alloc.rate.norm";
+    private static final String ALLOCATED_BYTES = "gc.alloc.rate.norm";
 
-    private final Effort effort;
+    private final RunSettings runSettings;
     private final long seed;
     private final List<String> jvmFlags;
 
-    Benchmarks(Effort effort, long seed, List<String> jvmFlags) {
-        this.effort = effort;
+    Benchmarks(RunSettings runSettings, long seed, List<String> jvmFlags) {
+        this.runSettings = runSettings;
         this.seed = seed;
         this.jvmFlags = jvmFlags;
     }
 
     /** Rows by number of servers, each with this number of classes. */
-    List<Row> byServers(Plan plan, List<Integer> sizes, int classes) throws RunnerException {
-        return rows(plan, "servers", sizes, "classes", classes);
+    List<Row> byServers(BenchmarkMethod benchmark, List<Integer> sizes, int classes)
+            throws RunnerException {
+        return rows(benchmark, "servers", sizes, "classes", classes);
     }
 
     /** Rows of all plans by number of servers. */
-    List<Row> byServers(Plans plans, List<Integer> sizes, int classes) throws RunnerException {
+    List<Row> byServers(BenchmarkGroup group, List<Integer> sizes, int classes)
+            throws RunnerException {
         List<Row> rows = new ArrayList<>();
-        for (Plan plan : plans.atAllSizes()) {
-            rows.addAll(byServers(plan, sizes, classes));
+        for (BenchmarkMethod benchmark : group.atAllSizes()) {
+            rows.addAll(byServers(benchmark, sizes, classes));
         }
-        List<Integer> ends = List.of(sizes.get(0), sizes.get(sizes.size() - 1));
-        for (Plan plan : plans.atEnds()) {
-            rows.addAll(byServers(plan, ends, classes));
+        List<Integer> smallestAndLargest = List.of(sizes.get(0), sizes.get(sizes.size() - 1));
+        for (BenchmarkMethod benchmark : group.atSmallestAndLargest()) {
+            rows.addAll(byServers(benchmark, smallestAndLargest, classes));
         }
         return rows;
     }
 
     /** Rows by number of classes, each with this number of servers. */
-    List<Row> byClasses(Plan plan, List<Integer> sizes, int servers) throws RunnerException {
-        return rows(plan, "classes", sizes, "servers", servers);
+    List<Row> byClasses(BenchmarkMethod benchmark, List<Integer> sizes, int servers)
+            throws RunnerException {
+        return rows(benchmark, "classes", sizes, "servers", servers);
     }
 
     private List<Row> rows(
-            Plan plan, String sizeParameter, List<Integer> sizes, String fixedParameter, int fixed)
+            BenchmarkMethod benchmark,
+            String sizeParameter,
+            List<Integer> sizes,
+            String fixedParameter,
+            int fixed)
             throws RunnerException {
         ChainedOptionsBuilder options =
                 new OptionsBuilder()
-                        .include("^" + plan.type().getName() + "\\." + plan.method() + "$")
+                        .include(
+                                "^" + benchmark.type().getName() + "\\." + benchmark.method() + "$")
                         .param("seed", Long.toString(seed))
                         .param(
                                 sizeParameter,
                                 sizes.stream().map(String::valueOf).toArray(String[]::new))
                         .param(fixedParameter, Integer.toString(fixed))
-                        .forks(effort.forks())
-                        .warmupIterations(effort.warmups())
-                        .warmupTime(effort.each())
-                        .measurementIterations(effort.iterations())
-                        .measurementTime(effort.each())
+                        .forks(runSettings.forks())
+                        .warmupIterations(runSettings.warmups())
+                        .warmupTime(runSettings.iterationTime())
+                        .measurementIterations(runSettings.iterations())
+                        .measurementTime(runSettings.iterationTime())
                         .addProfiler(GCProfiler.class)
                         .addProfiler(CpuProfiler.class)
                         .shouldFailOnError(false)
                         .verbosity(VerboseMode.SILENT);
-        if (effort.forks() > 0) {
+        if (runSettings.forks() > 0) {
             options.jvmArgs(jvmFlags.toArray(new String[0]));
         }
-        Row cpu = Row.of(plan.what(), "µs of CPU");
-        Row allocated = Row.of(plan.what(), "B allocated");
+        Row cpu = Row.of(benchmark.label(), "µs of CPU");
+        Row allocated = Row.of(benchmark.label(), "B allocated");
         for (int size : sizes) {
-            Cell none = new Failed("no result");
-            cpu.put(size, none);
-            allocated.put(size, none);
+            Cell missing = new Failed("no result");
+            cpu.put(size, missing);
+            allocated.put(size, missing);
         }
         for (RunResult result : new Runner(options.build()).run()) {
             BenchmarkParams parameters = result.getParams();
             int size = Integer.parseInt(parameters.getParam(sizeParameter));
             cpu.put(size, cell(result.getSecondaryResults().get(CpuProfiler.RESULT)));
-            allocated.put(size, cell(result.getSecondaryResults().get(ALLOCATED)));
+            allocated.put(size, cell(result.getSecondaryResults().get(ALLOCATED_BYTES)));
         }
         return new ArrayList<>(List.of(cpu, allocated));
     }
--- a/capacity/src/main/java/ottergauge/capacity/program/Conditions.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/Conditions.java
@@ -11,7 +11,7 @@
 /** What the page says of the machine and of the sources that were measured. */
 final class Conditions {
 
-    private static final long ANSWER_WITHIN_S = 10;
+    private static final long GIT_TIMEOUT_S = 10;
     private static final String UNKNOWN = "unknown";
 
     private Conditions() {}
@@ -26,8 +26,8 @@
                             .start();
             String text =
                     new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-            boolean ended = git.waitFor(ANSWER_WITHIN_S, TimeUnit.SECONDS);
-            return ended && git.exitValue() == 0 ? text : UNKNOWN;
+            boolean exited = git.waitFor(GIT_TIMEOUT_S, TimeUnit.SECONDS);
+            return exited && git.exitValue() == 0 ? text : UNKNOWN;
         } catch (IOException e) {
             return UNKNOWN;
         } catch (InterruptedException e) {
--- a/capacity/src/main/java/ottergauge/capacity/program/NodeSections.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/NodeSections.java
@@ -8,12 +8,12 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import java.util.function.ToDoubleFunction;
-import ottergauge.capacity.node.NodeFigures;
-import ottergauge.capacity.node.NodeFigures.LoadSlice;
-import ottergauge.capacity.node.NodeFigures.NotTaken;
-import ottergauge.capacity.node.NodeFigures.Start;
-import ottergauge.capacity.node.NodeFigures.Taken;
 import ottergauge.capacity.node.NodeMeasurement;
+import ottergauge.capacity.node.NodeResults;
+import ottergauge.capacity.node.NodeResults.Applied;
+import ottergauge.capacity.node.NodeResults.LoadSlice;
+import ottergauge.capacity.node.NodeResults.NotApplied;
+import ottergauge.capacity.node.NodeResults.Start;
 import ottergauge.capacity.report.Cell;
 import ottergauge.capacity.report.Row;
 import ottergauge.capacity.report.Section;
@@ -23,22 +23,25 @@
 /** The tables of the real process. */
 final class NodeSections {
 
-    private static final double BYTES_A_MEGABYTE = 1e6;
-    private static final double MILLIS = 1e3;
+    private static final double BYTES_PER_MEGABYTE = 1e6;
+    private static final double MILLIS_PER_SECOND = 1e3;
 
     private final NodeMeasurement measurement;
-    private final NodeMeasurement.Effort effort;
+    private final NodeMeasurement.RunSettings runSettings;
     private final List<Integer> sizes;
 
-    NodeSections(NodeMeasurement measurement, NodeMeasurement.Effort effort, List<Integer> sizes) {
+    NodeSections(
+            NodeMeasurement measurement,
+            NodeMeasurement.RunSettings runSettings,
+            List<Integer> sizes) {
         this.measurement = measurement;
-        this.effort = effort;
+        this.runSettings = runSettings;
         this.sizes = sizes;
     }
 
     /** Measures all sizes; one that cannot be measured leaves its reason in each of its cells. */
     List<Section> measure() throws InterruptedException {
-        SortedMap<Integer, NodeFigures> measured = new TreeMap<>();
+        SortedMap<Integer, NodeResults> measured = new TreeMap<>();
         SortedMap<Integer, String> failed = new TreeMap<>();
         for (int servers : sizes) {
             try {
@@ -63,31 +66,31 @@
                 "Started by the `run` line as one of "
                         + NodeConfiguration.NODES
                         + " nodes, "
-                        + effort.starts()
+                        + runSettings.starts()
                         + " times; idle is "
-                        + effort.settleMs() / MILLIS
+                        + runSettings.settleMs() / MILLIS_PER_SECOND
                         + " s after it was ready.",
                 "Bytes and calls are those that discovery's stand-in saw on its sockets, heads"
                         + " included.",
                 "CPU at rest is of "
-                        + effort.restSeconds()
+                        + runSettings.idleSeconds()
                         + " s, at changes of "
-                        + effort.changeSlices()
+                        + runSettings.changeSlices()
                         + " times "
-                        + effort.changeSliceSeconds()
+                        + runSettings.changeSliceSeconds()
                         + " s. The system tells CPU in steps of 10 ms.");
     }
 
     private List<String> loadNotes() {
         return List.of(
                 "Open loop at "
-                        + NodeMeasurement.REQUESTS_A_SECOND
+                        + NodeMeasurement.REQUESTS_PER_SECOND
                         + " a second, Poisson, after "
-                        + effort.warmUpRequests()
+                        + runSettings.warmUpRequests()
                         + " requests, "
-                        + effort.loadSlices()
+                        + runSettings.loadSlices()
                         + " times "
-                        + effort.loadSliceSeconds()
+                        + runSettings.loadSliceSeconds()
                         + " s.",
                 "Latency counts from the intended instant. The same stand-in for a server, which"
                         + " answers at",
@@ -99,150 +102,153 @@
     }
 
     private static List<Row> starts(Rows rows) {
-        List<Row> made = new ArrayList<>();
-        made.add(
+        List<Row> list = new ArrayList<>();
+        list.add(
                 rows.of(
                         "exec to ready, list from the configuration",
                         "ms",
                         each -> starts(each, Start::readyMs)));
-        made.add(rows.of("CPU from exec to ready", "ms", each -> starts(each, Start::cpuMs)));
-        made.add(
+        list.add(rows.of("CPU from exec to ready", "ms", each -> starts(each, Start::cpuMs)));
+        list.add(
                 rows.of(
                         "resident, idle, list from the configuration",
                         "MB",
-                        each -> starts(each, start -> start.residentBytes() / BYTES_A_MEGABYTE)));
-        made.add(
+                        each -> starts(each, start -> start.residentBytes() / BYTES_PER_MEGABYTE)));
+        list.add(
                 rows.of(
                         "exec to the list taken from discovery",
                         "ms",
-                        each -> told(each, Taken::afterMs)));
-        made.add(
+                        each -> discoveryStart(each, Applied::afterMs)));
+        list.add(
                 rows.of(
                         "resident, idle, list from discovery",
                         "MB",
-                        each -> told(each, taken -> taken.residentBytes() / BYTES_A_MEGABYTE)));
-        made.add(
+                        each ->
+                                discoveryStart(
+                                        each,
+                                        taken -> taken.residentBytes() / BYTES_PER_MEGABYTE)));
+        list.add(
                 rows.of(
                         "most resident, all over",
                         "MB",
-                        each -> one(each.peakResidentBytes() / BYTES_A_MEGABYTE)));
-        made.add(rows.of("CPU at rest", "part of a core", each -> one(each.rest().cpu())));
-        made.add(
+                        each -> single(each.peakResidentBytes() / BYTES_PER_MEGABYTE)));
+        list.add(rows.of("CPU at rest", "part of a core", each -> single(each.idle().cpu())));
+        list.add(
                 rows.of(
                         "calls to discovery at rest",
                         "1/s",
-                        each -> one(each.rest().callsPerSecond())));
-        made.add(
+                        each -> single(each.idle().callsPerSecond())));
+        list.add(
                 rows.of(
                         "bytes at discovery at rest",
                         "B/s",
-                        each -> one(each.rest().bytesPerSecond())));
-        made.add(
+                        each -> single(each.idle().bytesPerSecond())));
+        list.add(
                 rows.of(
-                        "CPU at " + NodeMeasurement.CHANGES_A_SECOND + " changes a second",
+                        "CPU at " + NodeMeasurement.CHANGES_PER_SECOND + " changes a second",
                         "part of a core",
                         each -> changes(each, new Cell.Measured(Spread.of(each.changes().cpu())))));
-        made.add(
+        list.add(
                 rows.of(
                         "bytes at discovery for a change",
                         "B",
-                        each -> changes(each, one(each.changes().bytesPerChange()))));
-        made.add(
+                        each -> changes(each, single(each.changes().bytesPerChange()))));
+        list.add(
                 rows.of(
                         "calls to discovery for a change",
                         "1",
-                        each -> changes(each, one(each.changes().callsPerChange()))));
-        return made;
+                        each -> changes(each, single(each.changes().callsPerChange()))));
+        return list;
     }
 
     private static List<Row> load(Rows rows) {
-        List<Row> made = new ArrayList<>();
-        made.add(
+        List<Row> list = new ArrayList<>();
+        list.add(
                 rows.of(
                         "CPU of a request",
                         "ms",
                         each -> slices(each, LoadSlice::cpuMsPerRequest)));
-        made.add(
+        list.add(
                 rows.of(
                         "through the node, 50th percentile",
                         "ms",
-                        each -> slices(each, LoadSlice::throughMs50)));
-        made.add(
+                        each -> slices(each, LoadSlice::viaNodeP50Ms)));
+        list.add(
                 rows.of(
                         "through the node, 99th percentile",
                         "ms",
-                        each -> slices(each, LoadSlice::throughMs99)));
-        made.add(
+                        each -> slices(each, LoadSlice::viaNodeP99Ms)));
+        list.add(
                 rows.of(
                         "past the node, 50th percentile",
                         "ms",
-                        each -> slices(each, LoadSlice::directMs50)));
-        made.add(
+                        each -> slices(each, LoadSlice::directP50Ms)));
+        list.add(
                 rows.of(
                         "past the node, 99th percentile",
                         "ms",
-                        each -> slices(each, LoadSlice::directMs99)));
-        made.add(
+                        each -> slices(each, LoadSlice::directP99Ms)));
+        list.add(
                 rows.of(
                         "added, 50th percentile",
                         "ms",
-                        each -> slices(each, slice -> slice.throughMs50() - slice.directMs50())));
-        made.add(
+                        each -> slices(each, slice -> slice.viaNodeP50Ms() - slice.directP50Ms())));
+        list.add(
                 rows.of(
                         "added, 99th percentile",
                         "ms",
-                        each -> slices(each, slice -> slice.throughMs99() - slice.directMs99())));
-        made.add(
+                        each -> slices(each, slice -> slice.viaNodeP99Ms() - slice.directP99Ms())));
+        list.add(
                 rows.of(
                         "sent late by the measuring process, 99th percentile",
                         "ms",
-                        each -> slices(each, LoadSlice::lateMs99)));
-        made.add(
+                        each -> slices(each, LoadSlice::sendDelayP99Ms)));
+        list.add(
                 rows.of(
                         "requests through the node in a time slice",
                         "1",
                         each -> slices(each, LoadSlice::served)));
-        made.add(
+        list.add(
                 rows.of(
                         "requests that were not answered 200",
                         "1",
                         each -> slices(each, LoadSlice::failed)));
-        return made;
+        return list;
     }
 
-    private static Cell starts(NodeFigures figures, ToDoubleFunction<Start> value) {
-        return new Cell.Measured(Spread.of(figures.starts().stream().mapToDouble(value).toArray()));
+    private static Cell starts(NodeResults results, ToDoubleFunction<Start> value) {
+        return new Cell.Measured(Spread.of(results.starts().stream().mapToDouble(value).toArray()));
     }
 
-    private static Cell slices(NodeFigures figures, ToDoubleFunction<LoadSlice> value) {
+    private static Cell slices(NodeResults results, ToDoubleFunction<LoadSlice> value) {
         return new Cell.Measured(
-                Spread.of(figures.load().slices().stream().mapToDouble(value).toArray()));
+                Spread.of(results.load().slices().stream().mapToDouble(value).toArray()));
     }
 
-    private static Cell told(NodeFigures figures, ToDoubleFunction<Taken> value) {
-        return figures.told() instanceof Taken taken
-                ? one(value.applyAsDouble(taken))
-                : new Cell.Failed(((NotTaken) figures.told()).why());
+    private static Cell discoveryStart(NodeResults results, ToDoubleFunction<Applied> value) {
+        return results.discoveryStart() instanceof Applied taken
+                ? single(value.applyAsDouble(taken))
+                : new Cell.Failed(((NotApplied) results.discoveryStart()).reason());
     }
 
-    private static Cell changes(NodeFigures figures, Cell measured) {
-        return figures.changes().followed()
+    private static Cell changes(NodeResults results, Cell measured) {
+        return results.changes().allApplied()
                 ? measured
                 : new Cell.Failed("the changes were not all taken");
     }
 
-    private static Cell one(double value) {
+    private static Cell single(double value) {
         return new Cell.Measured(Spread.of(value));
     }
 
     /** Makes rows of what was measured at each size, or of why it was not. */
     private record Rows(
-            SortedMap<Integer, NodeFigures> measured, SortedMap<Integer, String> failed) {
+            SortedMap<Integer, NodeResults> measured, SortedMap<Integer, String> failed) {
 
-        Row of(String what, String unit, Function<NodeFigures, Cell> cell) {
-            Row row = Row.of(what, unit);
-            measured.forEach((servers, figures) -> row.put(servers, cell.apply(figures)));
-            failed.forEach((servers, why) -> row.put(servers, new Cell.Failed(why)));
+        Row of(String label, String unit, Function<NodeResults, Cell> cell) {
+            Row row = Row.of(label, unit);
+            measured.forEach((servers, results) -> row.put(servers, cell.apply(results)));
+            failed.forEach((servers, reason) -> row.put(servers, new Cell.Failed(reason)));
             return row;
         }
     }
--- a/capacity/src/main/java/ottergauge/capacity/program/ReducerSections.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/ReducerSections.java
@@ -10,13 +10,13 @@
 import ottergauge.capacity.benchmark.ResourceCodecBenchmark;
 import ottergauge.capacity.benchmark.RouterListBenchmark;
 import ottergauge.capacity.heap.RetainedHeap;
-import ottergauge.capacity.program.Benchmarks.Plan;
-import ottergauge.capacity.program.Benchmarks.Plans;
+import ottergauge.capacity.program.Benchmarks.BenchmarkGroup;
+import ottergauge.capacity.program.Benchmarks.BenchmarkMethod;
 import ottergauge.capacity.report.Cell;
 import ottergauge.capacity.report.Row;
 import ottergauge.capacity.report.Section;
 import ottergauge.capacity.report.Spread;
-import ottergauge.capacity.workload.EncodedFleet;
+import ottergauge.capacity.workload.EncodedSnapshot;
 import ottergauge.capacity.workload.Fleet;
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.capacity.workload.VersionedFleet;
@@ -29,52 +29,58 @@
     static final String CLASSES = "class";
 
     /** Classes of the rows that are told by number of servers. */
-    static final int USUAL_CLASSES = 8;
+    static final int DEFAULT_CLASSES = 8;
 
-    private static final Plans LISTS =
-            new Plans(
+    private static final BenchmarkGroup LISTS =
+            new BenchmarkGroup(
                     List.of(
-                            new Plan(ListCodecBenchmark.class, "readWhole", "read a whole list"),
-                            new Plan(ListCodecBenchmark.class, "writeWhole", "write a whole list"),
-                            new Plan(
+                            new BenchmarkMethod(
+                                    ListCodecBenchmark.class, "readWhole", "read a whole list"),
+                            new BenchmarkMethod(
+                                    ListCodecBenchmark.class, "writeWhole", "write a whole list"),
+                            new BenchmarkMethod(
                                     RouterListBenchmark.class,
                                     "takeWhole",
                                     "router takes a whole list over"),
-                            new Plan(
+                            new BenchmarkMethod(
                                     RouterListBenchmark.class,
                                     "takeChange",
                                     "router takes one change over"),
-                            new Plan(
+                            new BenchmarkMethod(
                                     DecisionListBenchmark.class,
                                     "followWhole",
                                     "decisions alone, a whole list"),
-                            new Plan(
+                            new BenchmarkMethod(
                                     DecisionListBenchmark.class,
                                     "followChange",
                                     "decisions alone, one change")),
                     List.of(
-                            new Plan(ListCodecBenchmark.class, "readChange", "read one change"),
-                            new Plan(ListCodecBenchmark.class, "writeChange", "write one change")));
-    private static final Plans RESOURCES =
-            new Plans(
+                            new BenchmarkMethod(
+                                    ListCodecBenchmark.class, "readChange", "read one change"),
+                            new BenchmarkMethod(
+                                    ListCodecBenchmark.class, "writeChange", "write one change")));
+    private static final BenchmarkGroup RESOURCES =
+            new BenchmarkGroup(
                     List.of(
-                            new Plan(
+                            new BenchmarkMethod(
                                     ResourceCodecBenchmark.class,
                                     "readSnapshot",
                                     "read all pages of a snapshot")),
                     List.of(
-                            new Plan(ResourceCodecBenchmark.class, "readChange", "read one change"),
-                            new Plan(
+                            new BenchmarkMethod(
+                                    ResourceCodecBenchmark.class, "readChange", "read one change"),
+                            new BenchmarkMethod(
                                     ResourceCodecBenchmark.class,
                                     "writeChange",
                                     "write one change")));
-    private static final Plan DECISION =
-            new Plan(DecisionBenchmark.class, "serveRequest", "decisions for one request");
-    private static final Plan WINDOW =
-            new Plan(DecisionBenchmark.class, "endWindow", "end of a window");
+    private static final BenchmarkMethod DECISION =
+            new BenchmarkMethod(
+                    DecisionBenchmark.class, "serveRequest", "decisions for one request");
+    private static final BenchmarkMethod WINDOW =
+            new BenchmarkMethod(DecisionBenchmark.class, "endWindow", "end of a window");
 
     // Classes past this many share a row of weights: lines are fitted up to here.
-    private static final int MOST_ROWS = 64;
+    private static final int MAX_FITTED_CLASSES = 64;
 
     private final Benchmarks benchmarks;
     private final Sizes sizes;
@@ -83,7 +89,7 @@
     /** Numbers of servers, and of classes. */
     record Sizes(List<Integer> servers, List<Integer> classes) {
 
-        int mostServers() {
+        int maxServers() {
             return servers.get(servers.size() - 1);
         }
     }
@@ -95,8 +101,8 @@
     }
 
     Section lists() throws RunnerException {
-        List<Row> rows = new ArrayList<>(messages());
-        rows.addAll(benchmarks.byServers(LISTS, sizes.servers(), USUAL_CLASSES));
+        List<Row> rows = new ArrayList<>(messageSizes());
+        rows.addAll(benchmarks.byServers(LISTS, sizes.servers(), DEFAULT_CLASSES));
         return new Section(
                 "A list and a change of it",
                 List.of(
@@ -104,28 +110,28 @@
                                 + " servers, connections,",
                         "watch and decisions. A change is one server that begins to drain or is in"
                                 + " service again. "
-                                + USUAL_CLASSES
+                                + DEFAULT_CLASSES
                                 + " classes."),
                 SERVERS,
                 sizes.servers(),
-                sizes.mostServers(),
+                sizes.maxServers(),
                 rows);
     }
 
-    private List<Row> messages() {
-        Row whole = Row.of("message: a whole list", "B");
+    private List<Row> messageSizes() {
+        Row fullList = Row.of("message: a whole list", "B");
         Row change = Row.of("message: one change", "B");
         for (int servers : sizes.servers()) {
-            Fleet fleet = Fleet.draw(servers, seed, Loopback.UNUSED);
-            whole.put(servers, exactly(fleet.whole().json().length));
-            change.put(servers, exactly(fleet.change().json().length));
+            Fleet fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
+            fullList.put(servers, exact(fleet.fullList().json().length));
+            change.put(servers, exact(fleet.change().json().length));
         }
-        return List.of(whole, change);
+        return List.of(fullList, change);
     }
 
     Section versionedState() throws RunnerException {
-        List<Row> rows = new ArrayList<>(pages());
-        rows.addAll(benchmarks.byServers(RESOURCES, sizes.servers(), USUAL_CLASSES));
+        List<Row> rows = new ArrayList<>(snapshotSizes());
+        rows.addAll(benchmarks.byServers(RESOURCES, sizes.servers(), DEFAULT_CLASSES));
         return new Section(
                 "Versioned state: services, servers, routes and tenants",
                 List.of(
@@ -133,31 +139,31 @@
                                 + " fewer as many in",
                         "proportion. A change is one server that begins to drain or is in service"
                                 + " again; a snapshot",
-                        "comes in pages of at most " + EncodedFleet.PAGE_BYTES + " bytes."),
+                        "comes in pages of at most " + EncodedSnapshot.PAGE_BYTES + " bytes."),
                 SERVERS,
                 sizes.servers(),
-                sizes.mostServers(),
+                sizes.maxServers(),
                 rows);
     }
 
-    private List<Row> pages() {
+    private List<Row> snapshotSizes() {
         Row resources = Row.of("resources", "1");
         Row snapshot = Row.of("messages: all pages of a snapshot", "B");
         Row change = Row.of("message: one change", "B");
         for (int servers : sizes.servers()) {
-            VersionedFleet fleet = VersionedFleet.draw(servers, seed);
-            EncodedFleet encoded = EncodedFleet.of(fleet);
-            resources.put(servers, exactly(encoded.resources()));
-            snapshot.put(servers, exactly(encoded.bytes()));
-            change.put(servers, exactly(ResourceCodec.write(fleet.changePage()).length));
+            VersionedFleet fleet = VersionedFleet.generate(servers, seed);
+            EncodedSnapshot encoded = EncodedSnapshot.of(fleet);
+            resources.put(servers, exact(encoded.resources()));
+            snapshot.put(servers, exact(encoded.bytes()));
+            change.put(servers, exact(ResourceCodec.write(fleet.changePage()).length));
         }
         return List.of(resources, snapshot, change);
     }
 
     Section decisionsByServers() throws RunnerException {
         List<Row> rows = new ArrayList<>();
-        rows.addAll(benchmarks.byServers(DECISION, sizes.servers(), USUAL_CLASSES));
-        rows.addAll(benchmarks.byServers(WINDOW, sizes.servers(), USUAL_CLASSES));
+        rows.addAll(benchmarks.byServers(DECISION, sizes.servers(), DEFAULT_CLASSES));
+        rows.addAll(benchmarks.byServers(WINDOW, sizes.servers(), DEFAULT_CLASSES));
         return new Section(
                 "Decisions by number of servers",
                 List.of(
@@ -165,40 +171,45 @@
                                 + " load; 62 a second, so",
                         "that its figures hold one 310th of a window's end. The window that ends is"
                                 + " one in which nothing",
-                        "was served. " + USUAL_CLASSES + " classes."),
+                        "was served. " + DEFAULT_CLASSES + " classes."),
                 SERVERS,
                 sizes.servers(),
-                sizes.mostServers(),
+                sizes.maxServers(),
                 rows);
     }
 
     Section decisionsByClasses() throws RunnerException {
         List<Row> rows = new ArrayList<>();
-        rows.addAll(benchmarks.byClasses(DECISION, sizes.classes(), sizes.mostServers()));
-        rows.addAll(benchmarks.byClasses(WINDOW, sizes.classes(), sizes.mostServers()));
+        rows.addAll(benchmarks.byClasses(DECISION, sizes.classes(), sizes.maxServers()));
+        rows.addAll(benchmarks.byClasses(WINDOW, sizes.classes(), sizes.maxServers()));
         return new Section(
                 "Decisions by number of classes",
                 List.of(
                         "As above, with "
-                                + sizes.mostServers()
+                                + sizes.maxServers()
                                 + " servers. Classes past the 64th share one row of",
                         "weights: lines are fitted up to there."),
                 CLASSES,
                 sizes.classes(),
-                MOST_ROWS,
+                MAX_FITTED_CLASSES,
                 rows);
     }
 
     Section heapByServers() {
         Row list = Row.of("a list as it is read", "B");
         Row decisions = Row.of("decisions", "B");
-        Row router = Row.of("router, list from the configuration", "B");
-        Row told = Row.of("router, list from discovery", "B");
+        Row routerFromConfiguration = Row.of("router, list from the configuration", "B");
+        Row routerFromDiscovery = Row.of("router, list from discovery", "B");
         for (int servers : sizes.servers()) {
-            list.put(servers, exactly(RetainedHeap.ofList(servers, seed)));
-            decisions.put(servers, exactly(RetainedHeap.ofDecisions(servers, USUAL_CLASSES, seed)));
-            router.put(servers, exactly(RetainedHeap.ofRouter(servers, USUAL_CLASSES, seed)));
-            told.put(servers, exactly(RetainedHeap.ofToldRouter(servers, USUAL_CLASSES, seed)));
+            list.put(servers, exact(RetainedHeap.ofEndpointList(servers, seed)));
+            decisions.put(
+                    servers, exact(RetainedHeap.ofDecisionEngine(servers, DEFAULT_CLASSES, seed)));
+            routerFromConfiguration.put(
+                    servers,
+                    exact(RetainedHeap.ofRouterWithConfiguredList(servers, DEFAULT_CLASSES, seed)));
+            routerFromDiscovery.put(
+                    servers,
+                    exact(RetainedHeap.ofRouterWithDiscoveredList(servers, DEFAULT_CLASSES, seed)));
         }
         return new Section(
                 "Retained on the heap, by number of servers",
@@ -207,29 +218,30 @@
                                 + " references. The router's",
                         "rows hold the decisions and the configuration, whose list stays referenced"
                                 + " after the start.",
-                        USUAL_CLASSES + " classes."),
+                        DEFAULT_CLASSES + " classes."),
                 SERVERS,
                 sizes.servers(),
-                sizes.mostServers(),
-                List.of(list, decisions, router, told));
+                sizes.maxServers(),
+                List.of(list, decisions, routerFromConfiguration, routerFromDiscovery));
     }
 
     Section heapByClasses() {
-        Row decisions = Row.of("decisions, " + sizes.mostServers() + " servers", "B");
+        Row decisions = Row.of("decisions, " + sizes.maxServers() + " servers", "B");
         for (int classes : sizes.classes()) {
             decisions.put(
-                    classes, exactly(RetainedHeap.ofDecisions(sizes.mostServers(), classes, seed)));
+                    classes,
+                    exact(RetainedHeap.ofDecisionEngine(sizes.maxServers(), classes, seed)));
         }
         return new Section(
                 "Retained on the heap, by number of classes",
                 List.of(),
                 CLASSES,
                 sizes.classes(),
-                MOST_ROWS,
+                MAX_FITTED_CLASSES,
                 List.of(decisions));
     }
 
-    private static Cell exactly(long value) {
+    private static Cell exact(long value) {
         return new Cell.Measured(Spread.of((double) value));
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/program/TableCommand.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/TableCommand.java
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.util.Version;
 import ottergauge.capacity.node.NodeMeasurement;
 import ottergauge.capacity.node.RunLine;
-import ottergauge.capacity.program.Benchmarks.Effort;
+import ottergauge.capacity.program.Benchmarks.RunSettings;
 import ottergauge.capacity.program.ReducerSections.Sizes;
 import ottergauge.capacity.report.MarkdownWriter;
 import ottergauge.capacity.report.Page;
@@ -34,10 +34,11 @@
 
     private static final Sizes SIZES =
             new Sizes(List.of(100, 1_000, 4_000, 8_000), List.of(1, 8, 64, 500));
-    private static final Effort EFFORT = new Effort(2, 2, 3, TimeValue.milliseconds(300));
+    private static final RunSettings BENCHMARK_RUN =
+            new RunSettings(2, 2, 3, TimeValue.milliseconds(300));
 
-    private static final NodeMeasurement.Effort NODE_EFFORT =
-            new NodeMeasurement.Effort(3, 2_000, 8, 4, 2, 400, 3, 8, 8_000);
+    private static final NodeMeasurement.RunSettings NODE_RUN =
+            new NodeMeasurement.RunSettings(3, 2_000, 8, 4, 2, 400, 3, 8, 8_000);
 
     @Option(
             names = "--root",
@@ -71,10 +72,10 @@
     @Override
     public Integer call() throws IOException, RunnerException, InterruptedException {
         PrintWriter log = spec.commandLine().getOut();
-        long from = System.nanoTime();
+        long startedAt = System.nanoTime();
         double loadBefore = Conditions.loadAverage();
         RunLine run = RunLine.read(root);
-        Benchmarks benchmarks = new Benchmarks(EFFORT, seed, run.jvmFlags());
+        Benchmarks benchmarks = new Benchmarks(BENCHMARK_RUN, seed, run.jvmFlags());
         List<Section> sections = new ArrayList<>();
         if (parts.contains(Part.NODE)) {
             measureNode(log, run, sections);
@@ -82,7 +83,7 @@
         if (parts.contains(Part.REDUCERS)) {
             measureReducers(log, new ReducerSections(benchmarks, SIZES, seed), sections);
         }
-        long seconds = (System.nanoTime() - from) / 1_000_000_000;
+        long seconds = (System.nanoTime() - startedAt) / 1_000_000_000;
         Page page = new Page(conditions(run, loadBefore, seconds), sections);
         Files.writeString(out, MarkdownWriter.write(page));
         log.println("written to " + out + " after " + seconds + " s");
@@ -92,9 +93,9 @@
     private void measureNode(PrintWriter log, RunLine run, List<Section> sections)
             throws InterruptedException {
         try (NodeMeasurement node =
-                new NodeMeasurement(run, root, seed, ReducerSections.USUAL_CLASSES, NODE_EFFORT)) {
-            for (Section section : new NodeSections(node, NODE_EFFORT, SIZES.servers()).measure()) {
-                sections.add(done(log, section));
+                new NodeMeasurement(run, root, seed, ReducerSections.DEFAULT_CLASSES, NODE_RUN)) {
+            for (Section section : new NodeSections(node, NODE_RUN, SIZES.servers()).measure()) {
+                sections.add(logDone(log, section));
             }
         }
     }
@@ -102,15 +103,15 @@
     private static void measureReducers(
             PrintWriter log, ReducerSections reducers, List<Section> sections)
             throws RunnerException {
-        sections.add(done(log, reducers.heapByServers()));
-        sections.add(done(log, reducers.heapByClasses()));
-        sections.add(done(log, reducers.lists()));
-        sections.add(done(log, reducers.versionedState()));
-        sections.add(done(log, reducers.decisionsByServers()));
-        sections.add(done(log, reducers.decisionsByClasses()));
+        sections.add(logDone(log, reducers.heapByServers()));
+        sections.add(logDone(log, reducers.heapByClasses()));
+        sections.add(logDone(log, reducers.lists()));
+        sections.add(logDone(log, reducers.versionedState()));
+        sections.add(logDone(log, reducers.decisionsByServers()));
+        sections.add(logDone(log, reducers.decisionsByClasses()));
     }
 
-    private static Section done(PrintWriter log, Section section) {
+    private static Section logDone(PrintWriter log, Section section) {
         log.println(section.title());
         log.flush();
         return section;
@@ -136,13 +137,13 @@
                 "Benchmarks: JMH "
                         + Version.getPlainVersion()
                         + ", one thread, "
-                        + EFFORT.forks()
+                        + BENCHMARK_RUN.forks()
                         + " forks, each of "
-                        + EFFORT.warmups()
+                        + BENCHMARK_RUN.warmups()
                         + " warm-up and "
-                        + EFFORT.iterations()
+                        + BENCHMARK_RUN.iterations()
                         + " measured iterations of "
-                        + EFFORT.each()
+                        + BENCHMARK_RUN.iterationTime()
                         + "; CPU is the process's, its collector and compiler"
                         + " included, read in steps of 10 ms; bytes by the profiler `gc`.",
                 "Flags of the forks, those of the node's own `run` line: `"
--- a/capacity/src/main/java/ottergauge/capacity/report/Cell.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Cell.java
@@ -8,5 +8,5 @@
     record Measured(Spread spread) implements Cell {}
 
     /** It was tried and failed. */
-    record Failed(String why) implements Cell {}
+    record Failed(String reason) implements Cell {}
 }
--- a/capacity/src/main/java/ottergauge/capacity/report/LinearFit.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/LinearFit.java
@@ -8,7 +8,7 @@
  * the part of the variance that it explains.
  */
 public record LinearFit(
-        double intercept, double slope, double from, double to, double determination) {
+        double intercept, double slope, double minSize, double maxSize, double rSquared) {
 
     /** Fits a line to at least two points with different sizes. */
     public static LinearFit of(double[] sizes, double[] values) {
@@ -30,12 +30,12 @@
             throw new IllegalArgumentException("all sizes are " + meanSize);
         }
         double slope = products / sizeSquares;
-        double determination = valueSquares == 0 ? 1 : slope * products / valueSquares;
+        double rSquared = valueSquares == 0 ? 1 : slope * products / valueSquares;
         return new LinearFit(
                 meanValue - slope * meanSize,
                 slope,
                 Arrays.stream(sizes).min().orElseThrow(),
                 Arrays.stream(sizes).max().orElseThrow(),
-                determination);
+                rSquared);
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/report/MarkdownWriter.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/MarkdownWriter.java
@@ -8,9 +8,9 @@
 public final class MarkdownWriter {
 
     private static final String NOT_RUN = "not run";
-    private static final double LARGE = 1000;
+    private static final double WHOLE_NUMBER_FROM = 1000;
     // What grows by less than this part over all sizes does not grow.
-    private static final double FLAT_PART = 0.001;
+    private static final double FLAT_FRACTION = 0.001;
 
     private MarkdownWriter() {}
 
@@ -29,7 +29,7 @@
         section.notes().forEach(note -> text.append(note).append('\n'));
         text.append(section.notes().isEmpty() ? "" : "\n");
         text.append("| what | unit |");
-        section.sizes().forEach(size -> text.append(' ').append(whole(size)).append(" |"));
+        section.sizes().forEach(size -> text.append(' ').append(wholeNumber(size)).append(" |"));
         text.append(" fit: at 0 | fit: per ")
                 .append(section.sizeName())
                 .append(" | fitted over | R² |\n|");
@@ -38,7 +38,7 @@
     }
 
     private static void write(StringBuilder text, Section section, Row row) {
-        text.append("| ").append(row.what()).append(" | ").append(row.unit()).append(" | ");
+        text.append("| ").append(row.label()).append(" | ").append(row.unit()).append(" | ");
         text.append(
                 section.sizes().stream()
                         .map(size -> cell(row.cells().get(size)))
@@ -50,25 +50,25 @@
     private static String cell(Cell cell) {
         if (cell instanceof Cell.Measured measured) {
             Spread spread = measured.spread();
-            String least = number(spread.least());
-            String most = number(spread.most());
-            return least.equals(most)
-                    ? least
-                    : "%s (%s to %s)".formatted(number(spread.median()), least, most);
+            String minimum = number(spread.minimum());
+            String maximum = number(spread.maximum());
+            return minimum.equals(maximum)
+                    ? minimum
+                    : "%s (%s to %s)".formatted(number(spread.median()), minimum, maximum);
         }
-        return cell instanceof Cell.Failed failed ? "failed: " + failed.why() : NOT_RUN;
+        return cell instanceof Cell.Failed failed ? "failed: " + failed.reason() : NOT_RUN;
     }
 
     private static String fit(LinearFit fit) {
-        double grows = fit.slope() * (fit.to() - fit.from());
-        boolean flat = Math.abs(grows) < FLAT_PART * Math.abs(fit.intercept());
+        double growth = fit.slope() * (fit.maxSize() - fit.minSize());
+        boolean flat = Math.abs(growth) < FLAT_FRACTION * Math.abs(fit.intercept());
         return "%s | %s | %s to %s | %s"
                 .formatted(
                         number(fit.intercept()),
                         flat ? "0" : number(fit.slope()),
-                        whole((long) fit.from()),
-                        whole((long) fit.to()),
-                        flat ? "-" : String.format(Locale.ROOT, "%.3f", fit.determination()));
+                        wholeNumber((long) fit.minSize()),
+                        wholeNumber((long) fit.maxSize()),
+                        flat ? "-" : String.format(Locale.ROOT, "%.3f", fit.rSquared()));
     }
 
     /** Three significant digits, thousands set apart. */
@@ -76,14 +76,14 @@
         if (value == 0) {
             return "0";
         }
-        if (Math.abs(value) >= LARGE) {
-            return whole(Math.round(value));
+        if (Math.abs(value) >= WHOLE_NUMBER_FROM) {
+            return wholeNumber(Math.round(value));
         }
         int decimals = Math.max(0, 2 - (int) Math.floor(Math.log10(Math.abs(value))));
         return String.format(Locale.ROOT, "%." + Math.min(decimals, 9) + "f", value);
     }
 
-    private static String whole(long value) {
+    private static String wholeNumber(long value) {
         return String.format(Locale.ROOT, "%,d", value);
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/report/Row.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Row.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 
 /** One thing that is measured, in one unit, by size. */
-public record Row(String what, String unit, SortedMap<Integer, Cell> cells) {
+public record Row(String label, String unit, SortedMap<Integer, Cell> cells) {
 
     /** A row without cells yet. */
-    public static Row of(String what, String unit) {
-        return new Row(what, unit, new TreeMap<>());
+    public static Row of(String label, String unit) {
+        return new Row(label, unit, new TreeMap<>());
     }
 
     /** Notes what was measured at a size. */
@@ -20,8 +20,8 @@
     }
 
     /** The line through the medians at sizes up to one, if two at least were measured. */
-    public Optional<LinearFit> fit(int upTo) {
-        SortedMap<Integer, Cell> fitted = cells.headMap(upTo + 1);
+    public Optional<LinearFit> fit(int maxSize) {
+        SortedMap<Integer, Cell> fitted = cells.headMap(maxSize + 1);
         double[] sizes =
                 fitted.entrySet().stream()
                         .filter(each -> each.getValue() instanceof Cell.Measured)
--- a/capacity/src/main/java/ottergauge/capacity/report/Spread.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Spread.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 
 /** Values of one thing that was measured several times. */
-public record Spread(double median, double least, double most, int count) {
+public record Spread(double median, double minimum, double maximum, int count) {
 
     /** The spread of these values, of which there is at least one. */
     public static Spread of(double... values) {
--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -29,11 +29,11 @@
 public final class DiscoveryStandIn implements AutoCloseable {
 
     // A watch that falls behind by more changes than this is told the whole list.
-    private static final int MOST_KEPT = 4_096;
+    private static final int MAX_STORED_CHANGES = 4_096;
     private static final String AFTER = "after";
     private static final String WAIT = "wait_ms";
 
-    private record Waiting(long after, long call) {}
+    private record HeldPoll(long after, long poll) {}
 
     private final EventLoop loop;
     private final Fleet fleet;
@@ -41,29 +41,30 @@
     private final Deque<EndpointList> changes = new ArrayDeque<>();
 
     /** The call that waits on each connection. */
-    private final Map<Channel, Waiting> waiting = new HashMap<>();
+    private final Map<Channel, HeldPoll> heldPolls = new HashMap<>();
 
     private long version;
-    private long lastCall;
-    private volatile long askedAfter = -1;
+    private long lastPoll;
+    private volatile long lastPolledVersion = -1;
 
     /** Listens on a free port; the fleet is used on this loop alone from now on. */
     public DiscoveryStandIn(EventLoop loop, Fleet fleet) {
         this.loop = loop;
         this.fleet = fleet;
-        version = fleet.whole().version();
+        version = fleet.fullList().version();
         listener =
                 new HttpListener(
                         loop,
                         new HttpListener.Handler() {
                             @Override
-                            public void asked(Channel connection, FullHttpRequest request) {
+                            public void requestReceived(
+                                    Channel connection, FullHttpRequest request) {
                                 answer(connection, new QueryStringDecoder(request.uri()));
                             }
 
                             @Override
-                            public void ended(Channel connection) {
-                                waiting.remove(connection);
+                            public void connectionClosed(Channel connection) {
+                                heldPolls.remove(connection);
                             }
                         });
     }
@@ -82,101 +83,105 @@
      * The version that the latest call asked from: what came up to it was taken; -1 for the whole
      * list.
      */
-    public long askedAfter() {
-        return askedAfter;
+    public long lastPolledVersion() {
+        return lastPolledVersion;
     }
 
     /** The newest version. */
     public long version() {
-        return onLoop(() -> version);
+        return runOnLoop(() -> version);
     }
 
     /** Makes changes at an even rate for some time; gives back how many. */
     public int change(int perSecond, long seconds) throws InterruptedException {
-        long every = TimeUnit.SECONDS.toNanos(1) / perSecond;
-        int count = (int) (perSecond * seconds);
-        long next = System.nanoTime();
-        for (int made = 0; made < count; made++) {
-            next += every;
-            TimeUnit.NANOSECONDS.sleep(Math.max(0, next - System.nanoTime()));
-            changeNow();
+        long intervalNanos = TimeUnit.SECONDS.toNanos(1) / perSecond;
+        int total = (int) (perSecond * seconds);
+        long nextAt = System.nanoTime();
+        for (int count = 0; count < total; count++) {
+            nextAt += intervalNanos;
+            TimeUnit.NANOSECONDS.sleep(Math.max(0, nextAt - System.nanoTime()));
+            makeChange();
         }
-        return count;
+        return total;
     }
 
     /** Makes one change. */
-    public void changeNow() {
-        onLoop(this::change);
+    public void makeChange() {
+        runOnLoop(this::change);
     }
 
     private Void change() {
         EndpointList change = fleet.change();
         version = change.version();
         changes.add(change);
-        if (changes.size() > MOST_KEPT) {
+        if (changes.size() > MAX_STORED_CHANGES) {
             changes.remove();
         }
-        for (Map.Entry<Channel, Waiting> each : List.copyOf(waiting.entrySet())) {
-            waiting.remove(each.getKey());
-            tell(each.getKey(), each.getValue().after());
+        for (Map.Entry<Channel, HeldPoll> entry : List.copyOf(heldPolls.entrySet())) {
+            heldPolls.remove(entry.getKey());
+            sendList(entry.getKey(), entry.getValue().after());
         }
         return null;
     }
 
-    private <T> T onLoop(Callable<T> task) {
+    private <T> T runOnLoop(Callable<T> task) {
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
     // A failed write shows as the end of its connection; the scheduled task only writes.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void answer(Channel connection, QueryStringDecoder call) {
-        if (!call.path().equals(Paths.ENDPOINTS)) {
+    private void answer(Channel connection, QueryStringDecoder poll) {
+        if (!poll.path().equals(Paths.ENDPOINTS)) {
             connection.writeAndFlush(
                     HttpListener.response(HttpResponseStatus.NOT_FOUND, new byte[0]));
             return;
         }
-        long after = number(call, AFTER, -1);
-        long waitMs = number(call, WAIT, 0);
-        askedAfter = after;
+        long after = longParameter(poll, AFTER, -1);
+        long waitMs = longParameter(poll, WAIT, 0);
+        lastPolledVersion = after;
         if (after < version || waitMs == 0) {
-            tell(connection, after);
+            sendList(connection, after);
             return;
         }
-        Waiting held = new Waiting(after, ++lastCall);
-        waiting.put(connection, held);
+        HeldPoll held = new HeldPoll(after, ++lastPoll);
+        heldPolls.put(connection, held);
         loop.schedule(
                 () -> {
-                    if (waiting.remove(connection, held)) {
-                        tell(connection, after);
+                    if (heldPolls.remove(connection, held)) {
+                        sendList(connection, after);
                     }
                 },
                 waitMs,
                 TimeUnit.MILLISECONDS);
     }
 
-    private static long number(QueryStringDecoder call, String name, long absent) {
-        List<String> values = call.parameters().getOrDefault(name, List.of());
-        return values.isEmpty() ? absent : Long.parseLong(values.get(0));
+    private static long longParameter(QueryStringDecoder poll, String name, long defaultValue) {
+        List<String> values = poll.parameters().getOrDefault(name, List.of());
+        return values.isEmpty() ? defaultValue : Long.parseLong(values.get(0));
     }
 
     // A failed write or close shows as the end of its connection.
     @SuppressWarnings("FutureReturnValueIgnored")
-    private void tell(Channel connection, long after) {
+    private void sendList(Channel connection, long after) {
         connection.writeAndFlush(HttpListener.response(HttpResponseStatus.OK, list(after).json()));
     }
 
     private EndpointList list(long after) {
-        long oldest = changes.isEmpty() ? version + 1 : changes.peek().version();
-        if (after < 0 || after > version || (after < version && after < oldest - 1)) {
-            return fleet.whole();
+        long oldestStored = changes.isEmpty() ? version + 1 : changes.peek().version();
+        if (after < 0 || after > version || (after < version && after < oldestStored - 1)) {
+            return fleet.fullList();
         }
-        Map<String, DiscoveredEndpoint> newest = new LinkedHashMap<>();
+        Map<String, DiscoveredEndpoint> latestByName = new LinkedHashMap<>();
         changes.stream()
                 .filter(change -> change.version() > after)
                 .forEach(
                         change ->
-                                change.endpoints().forEach(host -> newest.put(host.name(), host)));
-        return new EndpointList(version, false, new ArrayList<>(newest.values()));
+                                change.endpoints()
+                                        .forEach(
+                                                endpoint ->
+                                                        latestByName.put(
+                                                                endpoint.name(), endpoint)));
+        return new EndpointList(version, false, new ArrayList<>(latestByName.values()));
     }
 
     @Override
--- a/capacity/src/main/java/ottergauge/capacity/standin/HttpListener.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/HttpListener.java
@@ -28,13 +28,13 @@
     /** What a stand-in does with requests, on its event loop. */
     interface Handler {
 
-        void asked(Channel connection, FullHttpRequest request);
+        void requestReceived(Channel connection, FullHttpRequest request);
 
         /** A connection has ended. */
-        default void ended(Channel connection) {}
+        default void connectionClosed(Channel connection) {}
     }
 
-    private static final int MOST_BODY = 1 << 16;
+    private static final int MAX_BODY_BYTES = 1 << 16;
     private static final int BACKLOG = 1024;
 
     private final TrafficCounter counter = new TrafficCounter();
@@ -56,8 +56,8 @@
                                                 .addLast(
                                                         counter,
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(MOST_BODY),
-                                                        new Requests(handler));
+                                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                        new RequestHandler(handler));
                                     }
                                 })
                         .bind(Loopback.HOST, 0)
@@ -65,22 +65,22 @@
                         .channel();
     }
 
-    private final class Requests extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Handler handler;
 
-        private Requests(Handler handler) {
+        private RequestHandler(Handler handler) {
             this.handler = handler;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            counter.called();
-            handler.asked(ctx.channel(), request);
+            counter.countRequest();
+            handler.requestReceived(ctx.channel(), request);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            handler.ended(ctx.channel());
+            handler.connectionClosed(ctx.channel());
         }
 
         @Override
--- a/capacity/src/main/java/ottergauge/capacity/standin/Traffic.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/Traffic.java
@@ -2,15 +2,18 @@
 package ottergauge.capacity.standin;
 
 /** What has passed at a stand-in: calls, and the bytes of requests and answers on its sockets. */
-public record Traffic(long calls, long received, long sent) {
+public record Traffic(long calls, long receivedBytes, long sentBytes) {
 
     /** What has passed since an earlier look. */
-    public Traffic since(Traffic before) {
-        return new Traffic(calls - before.calls, received - before.received, sent - before.sent);
+    public Traffic since(Traffic earlier) {
+        return new Traffic(
+                calls - earlier.calls,
+                receivedBytes - earlier.receivedBytes,
+                sentBytes - earlier.sentBytes);
     }
 
     /** The bytes of both ways. */
     public long bytes() {
-        return received + sent;
+        return receivedBytes + sentBytes;
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/standin/TrafficCounter.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/TrafficCounter.java
@@ -13,22 +13,22 @@
 final class TrafficCounter extends ChannelDuplexHandler {
 
     private final AtomicLong calls = new AtomicLong();
-    private final AtomicLong received = new AtomicLong();
-    private final AtomicLong sent = new AtomicLong();
+    private final AtomicLong receivedBytes = new AtomicLong();
+    private final AtomicLong sentBytes = new AtomicLong();
 
     /** Counts one request. */
-    void called() {
+    void countRequest() {
         calls.incrementAndGet();
     }
 
     Traffic traffic() {
-        return new Traffic(calls.get(), received.get(), sent.get());
+        return new Traffic(calls.get(), receivedBytes.get(), sentBytes.get());
     }
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (message instanceof ByteBuf bytes) {
-            received.addAndGet(bytes.readableBytes());
+            receivedBytes.addAndGet(bytes.readableBytes());
         }
         ctx.fireChannelRead(message);
     }
@@ -38,7 +38,7 @@
     @SuppressWarnings("FutureReturnValueIgnored")
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes) {
-            sent.addAndGet(bytes.readableBytes());
+            sentBytes.addAndGet(bytes.readableBytes());
         }
         ctx.write(message, promise);
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
@@ -19,65 +19,75 @@
 public final class DecisionDriver {
 
     /** Requests a second at one node. */
-    public static final int REQUESTS_A_SECOND = 62;
+    public static final int REQUESTS_PER_SECOND = 62;
 
-    private static final long SECOND = 1_000_000;
-    private static final long WINDOW = 5 * SECOND;
-    private static final long SERVICE = 10_000;
-    private static final long GIVE_UP_AFTER = SECOND;
-    private static final LoadReport REPORT = new LoadReport(1, 0, 0.1, SERVICE, Double.NaN);
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private static final long WINDOW_US = 5 * MICROS_PER_SECOND;
+    private static final long SERVICE_TIME_US = 10_000;
+    private static final long REQUEST_TIMEOUT_US = MICROS_PER_SECOND;
+    private static final LoadReport LOAD_REPORT =
+            new LoadReport(1, 0, 0.1, SERVICE_TIME_US, Double.NaN);
 
     /** Keeps the last send, and whether a request was given up. */
-    private static final class Sends implements DecisionActionSink {
-        private SendAttempt last;
-        private int given;
+    private static final class ActionRecorder implements DecisionActionSink {
+        private SendAttempt lastAttempt;
+        private int failures;
 
         @Override
         public void accept(DecisionAction action) {
             if (action instanceof SendAttempt send) {
-                last = send;
+                lastAttempt = send;
             } else if (action instanceof RejectRequest || action instanceof FailRequest) {
-                given++;
+                failures++;
             }
         }
     }
 
-    private final DecisionEngine decide;
-    private final Sends sends = new Sends();
+    private final DecisionEngine engine;
+    private final ActionRecorder actions = new ActionRecorder();
     private final int classes;
-    private long now = SECOND;
+    private long now = MICROS_PER_SECOND;
     private long requests;
 
     /** A module that has been told of these servers. */
-    public DecisionDriver(DecisionSettings settings, long seed, EndpointUpdate servers) {
-        decide = new DecisionEngine(settings, seed);
+    public DecisionDriver(DecisionSettings settings, long seed, EndpointUpdate endpoints) {
+        engine = new DecisionEngine(settings, seed);
         classes = settings.requestClasses().size();
-        decide.handle(now, servers, sends);
+        engine.handle(now, endpoints, actions);
     }
 
     /** Tells the module of a list at once. */
-    public void follow(EndpointUpdate list) {
+    public void applyUpdate(EndpointUpdate list) {
         now++;
-        decide.handle(now, list, sends);
+        engine.handle(now, list, actions);
     }
 
     /** A request arrives, is sent to a server and answered by it, each class in turn. */
-    public long serve() {
+    public long serveOne() {
         String id = Long.toString(++requests);
         int requestClass = (int) (requests % classes);
-        sends.last = null;
-        decide.handle(
-                now, new RequestArrived(id, requestClass, now + GIVE_UP_AFTER, false, 0), sends);
-        SendAttempt send = sends.last;
+        actions.lastAttempt = null;
+        engine.handle(
+                now,
+                new RequestArrived(id, requestClass, now + REQUEST_TIMEOUT_US, false, 0),
+                actions);
+        SendAttempt send = actions.lastAttempt;
         if (send == null || !send.id().equals(id)) {
             throw new IllegalStateException("request " + id + " was not sent");
         }
-        decide.handle(
-                now + SERVICE,
-                new AttemptEnded(id, 0, send.server(), AttemptResult.SERVED, SERVICE, true, REPORT),
-                sends);
-        now += SECOND / REQUESTS_A_SECOND;
-        if (sends.given > 0) {
+        engine.handle(
+                now + SERVICE_TIME_US,
+                new AttemptEnded(
+                        id,
+                        0,
+                        send.server(),
+                        AttemptResult.SERVED,
+                        SERVICE_TIME_US,
+                        true,
+                        LOAD_REPORT),
+                actions);
+        now += MICROS_PER_SECOND / REQUESTS_PER_SECOND;
+        if (actions.failures > 0) {
             throw new IllegalStateException("request " + id + " was given up");
         }
         return send.server();
@@ -85,19 +95,21 @@
 
     /** Serves the requests of some windows, so that rows have their weights. */
     public void serveWindows(int windows) {
-        for (long left = windows * WINDOW / SECOND * REQUESTS_A_SECOND; left > 0; left--) {
-            serve();
+        for (long left = windows * WINDOW_US / MICROS_PER_SECOND * REQUESTS_PER_SECOND;
+                left > 0;
+                left--) {
+            serveOne();
         }
     }
 
     /** Lets a window end in which nothing was served. */
     public void endWindow() {
-        now += WINDOW;
-        decide.handle(now, new TimerFired("tick"), sends);
+        now += WINDOW_US;
+        engine.handle(now, new TimerFired("tick"), actions);
     }
 
     /** The module, for a look at what it retains. */
-    public DecisionEngine decide() {
-        return decide;
+    public DecisionEngine engine() {
+        return engine;
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/workload/ListedServers.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/DecisionEndpoints.java
@@ -11,12 +11,12 @@
 import ottergauge.protocol.DiscoveredEndpoint;
 
 /** A fleet in the form in which the decision module is told of it, with changes made in turn. */
-public final class ListedServers {
+public final class DecisionEndpoints {
 
     private final List<Endpoint> servers;
-    private int nextChanged;
+    private int nextToChange;
 
-    private ListedServers(List<Endpoint> servers) {
+    private DecisionEndpoints(List<Endpoint> servers) {
         this.servers = servers;
     }
 
@@ -24,32 +24,32 @@
      * Draws a fleet; the module sorts by the servers' numbers, which are drawn as evenly as hashes
      * are.
      */
-    public static ListedServers draw(int servers, long seed) {
-        SplittableRandom numbers = new SplittableRandom(~seed);
-        List<Endpoint> listed = new ArrayList<>(servers);
-        for (DiscoveredEndpoint host :
-                Fleet.draw(servers, seed, Loopback.UNUSED).whole().endpoints()) {
-            listed.add(
+    public static DecisionEndpoints generate(int servers, long seed) {
+        SplittableRandom ids = new SplittableRandom(~seed);
+        List<Endpoint> generated = new ArrayList<>(servers);
+        for (DiscoveredEndpoint server :
+                Fleet.generate(servers, seed, Loopback.UNUSED).fullList().endpoints()) {
+            generated.add(
                     new Endpoint(
-                            numbers.nextLong(),
-                            Fleet.ZONES.indexOf(host.zone()),
-                            Fleet.KINDS.indexOf(host.kind()),
-                            host.cell(),
-                            host.state(),
-                            host.weight(),
-                            host.startedAtMs() * 1000));
+                            ids.nextLong(),
+                            Fleet.ZONES.indexOf(server.zone()),
+                            Fleet.KINDS.indexOf(server.kind()),
+                            server.cell(),
+                            server.state(),
+                            server.weight(),
+                            server.startedAtMs() * 1000));
         }
-        return new ListedServers(listed);
+        return new DecisionEndpoints(generated);
     }
 
     /** The whole list, as discovery's answer to a first call brings it. */
-    public EndpointUpdate whole() {
+    public EndpointUpdate fullList() {
         return new EndpointUpdate(UpdateScope.FULL, List.copyOf(servers));
     }
 
     /** The next change: one server begins to drain, or is in service again; each in turn. */
     public EndpointUpdate change() {
-        Endpoint before = servers.get(nextChanged);
+        Endpoint before = servers.get(nextToChange);
         Endpoint after =
                 new Endpoint(
                         before.id(),
@@ -61,9 +61,9 @@
                                 : EndpointState.UP,
                         before.nominalWeight(),
                         before.startedAt());
-        servers.set(nextChanged, after);
+        servers.set(nextToChange, after);
         if (after.state() == EndpointState.UP) {
-            nextChanged = (nextChanged + 1) % servers.size();
+            nextToChange = (nextToChange + 1) % servers.size();
         }
         return new EndpointUpdate(UpdateScope.INCREMENTAL, List.of(after));
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/Fleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/Fleet.java
@@ -21,63 +21,65 @@
     /** The kinds of machine that the servers of a fleet are of. */
     public static final List<String> KINDS = List.of("small", "medium", "large");
 
-    private static final double[] SHARES = {0.5, 1.0, 2.0};
-    private static final int BLOCKS = 64;
+    private static final double[] WEIGHTS = {0.5, 1.0, 2.0};
+    private static final int CELLS = 64;
     // Every so many servers one was started lately enough for its entry to say when.
-    private static final int STARTED_LATELY = 16;
+    private static final int RECENT_START_INTERVAL = 16;
     private static final long EPOCH_MS = 1_760_000_000_000L;
     private static final long DAY_MS = 86_400_000L;
 
-    private final List<DiscoveredEndpoint> hosts;
+    private final List<DiscoveredEndpoint> endpoints;
     private long version = 1;
-    private int nextChanged;
+    private int nextToChange;
 
-    private Fleet(List<DiscoveredEndpoint> hosts) {
-        this.hosts = hosts;
+    private Fleet(List<DiscoveredEndpoint> endpoints) {
+        this.endpoints = endpoints;
     }
 
     /**
      * Draws a fleet whose servers are all reached at one address, as those behind a stand-in are.
      */
-    public static Fleet draw(int servers, long seed, Address dial) {
+    public static Fleet generate(int servers, long seed, Address sharedAddress) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<DiscoveredEndpoint> hosts = new ArrayList<>(servers);
+        List<DiscoveredEndpoint> endpoints = new ArrayList<>(servers);
         for (int number = 0; number < servers; number++) {
             int kind = random.nextInt(KINDS.size());
-            long bornMs =
-                    random.nextInt(STARTED_LATELY) == 0 ? EPOCH_MS + random.nextLong(DAY_MS) : 0;
-            hosts.add(
+            long startedMs =
+                    random.nextInt(RECENT_START_INTERVAL) == 0
+                            ? EPOCH_MS + random.nextLong(DAY_MS)
+                            : 0;
+            endpoints.add(
                     new DiscoveredEndpoint(
                             "server-%05d.example".formatted(number),
-                            dial,
+                            sharedAddress,
                             ZONES.get(random.nextInt(ZONES.size())),
                             KINDS.get(kind),
-                            random.nextInt(BLOCKS),
+                            random.nextInt(CELLS),
                             EndpointState.UP,
-                            SHARES[kind],
-                            bornMs));
+                            WEIGHTS[kind],
+                            startedMs));
         }
-        return new Fleet(hosts);
+        return new Fleet(endpoints);
     }
 
     /** The number of servers. */
     public int size() {
-        return hosts.size();
+        return endpoints.size();
     }
 
     /** The whole list at its present version. */
-    public EndpointList whole() {
-        return new EndpointList(version, true, List.copyOf(hosts));
+    public EndpointList fullList() {
+        return new EndpointList(version, true, List.copyOf(endpoints));
     }
 
     /** An empty list, which a node has that is to be told all by discovery. */
-    public static EndpointList unknown() {
+    public static EndpointList emptyList() {
         return new EndpointList(0, true, List.of());
     }
 
     /** Makes the next change: one server begins to drain, or is in service again; each in turn. */
     public EndpointList change() {
-        DiscoveredEndpoint before = hosts.get(nextChanged);
+        DiscoveredEndpoint before = endpoints.get(nextToChange);
         DiscoveredEndpoint after =
                 new DiscoveredEndpoint(
                         before.name(),
@@ -90,18 +92,18 @@
                                 : EndpointState.UP,
                         before.weight(),
                         before.startedAtMs());
-        hosts.set(nextChanged, after);
+        endpoints.set(nextToChange, after);
         // First it drains, then it is in service again: no more than one is out at a time.
         if (after.state() == EndpointState.UP) {
-            nextChanged = (nextChanged + 1) % hosts.size();
+            nextToChange = (nextToChange + 1) % endpoints.size();
         }
         version++;
         return new EndpointList(version, false, List.of(after));
     }
 
     /** Goes on to a new version without a change. */
-    public EndpointList wholeAgain() {
+    public EndpointList fullListAtNextVersion() {
         version++;
-        return whole();
+        return fullList();
     }
 }
--- a/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
@@ -18,28 +18,28 @@
  * tell loads, probes cost more than they are worth, and all classes may be repeated.
  */
 public record NodeConfiguration(
-        Address listen, Address discovery, long seed, int classes, EndpointList known) {
+        Address listen, Address discovery, long seed, int classes, EndpointList knownEndpoints) {
 
     /** Nodes in the fleet that the measured one is part of. */
     public static final int NODES = 780;
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int DESCRIPTORS = 1024;
+    private static final int MAX_SOCKETS = 1024;
     private static final int MEMORY_MB = 128;
-    private static final double AIM_MS = 400;
-    private static final double HARD_LIMIT_MS = 1000;
-    private static final double PROBE_PRICE = 0.08;
-    private static final double COLD_MS = 9000;
-    private static final double COLD_FROM = 0.3;
-    private static final double TIP_MULTIPLE = 3;
-    private static final double FALL_MS = 1000;
-    private static final double ANSWER_SLACK_MS = 5;
-    private static final double STOP_SENDING_WITHIN_MS = 250;
-    private static final double MUST_ASK_IN_MS = 10_000;
-    private static final int MOST_ATTEMPTS = 5;
-    private static final double MOST_RETRY_AFTER_MS = 600;
+    private static final double LATENCY_OBJECTIVE_MS = 400;
+    private static final double DEADLINE_MS = 1000;
+    private static final double PROBE_COST = 0.08;
+    private static final double SLOW_START_MS = 9000;
+    private static final double INITIAL_CAPACITY_RATIO = 0.3;
+    private static final double OVERLOAD_MULTIPLE = 3;
+    private static final double OVERLOAD_WINDOW_MS = 1000;
+    private static final double RESPONSE_TOLERANCE_MS = 5;
+    private static final double DRAIN_GRACE_MS = 250;
+    private static final double MAX_POLL_INTERVAL_MS = 10_000;
+    private static final int MAX_ATTEMPTS = 5;
+    private static final double MAX_RETRY_AFTER_MS = 600;
     private static final double CONNECT_TIMEOUT_MS = 200;
-    private static final double CONNECTION_IDLE_MS = 10_000;
+    private static final double CONNECTION_IDLE_TIMEOUT_MS = 10_000;
 
     /** The name of the class of this number, counted from 0. */
     public static String className(int number) {
@@ -67,10 +67,10 @@
             out.writeObjectFieldStart("limits");
             out.writeNumberField("cores", 1.0);
             out.writeNumberField("memory_mb", MEMORY_MB);
-            out.writeNumberField("sockets", DESCRIPTORS);
+            out.writeNumberField("sockets", MAX_SOCKETS);
             out.writeEndObject();
             out.writeFieldName("known");
-            out.writeRawValue(new String(known.json(), StandardCharsets.UTF_8));
+            out.writeRawValue(new String(knownEndpoints.json(), StandardCharsets.UTF_8));
             out.writeObjectFieldStart("settings");
             writeSettings(out);
             out.writeEndObject();
@@ -95,35 +95,35 @@
         out.writeStringField("how", "inline");
         writeNames(out, "fields", List.of("outstanding"));
         out.writeEndObject();
-        writeCeilings(out);
+        writeLimits(out);
         writeRules(out);
         out.writeObjectFieldStart("penalties");
-        out.writeNumberField("probe", PROBE_PRICE);
+        out.writeNumberField("probe", PROBE_COST);
         out.writeEndObject();
         writeClasses(out);
     }
 
-    private static void writeCeilings(JsonGenerator out) throws IOException {
+    private static void writeLimits(JsonGenerator out) throws IOException {
         out.writeObjectFieldStart("ceilings");
         out.writeBooleanField("probes", true);
         out.writeBooleanField("cancel", true);
         out.writeBooleanField("retryAfter", true);
-        out.writeNumberField("maxAttempts", MOST_ATTEMPTS);
-        out.writeNumberField("maxRetryAfterMs", MOST_RETRY_AFTER_MS);
+        out.writeNumberField("maxAttempts", MAX_ATTEMPTS);
+        out.writeNumberField("maxRetryAfterMs", MAX_RETRY_AFTER_MS);
         out.writeNumberField("connectTimeoutMs", CONNECT_TIMEOUT_MS);
-        out.writeNumberField("connIdleMs", CONNECTION_IDLE_MS);
+        out.writeNumberField("connIdleMs", CONNECTION_IDLE_TIMEOUT_MS);
         out.writeEndObject();
     }
 
     private static void writeRules(JsonGenerator out) throws IOException {
         out.writeObjectFieldStart("rules");
-        out.writeNumberField("answerSlackMs", ANSWER_SLACK_MS);
-        out.writeNumberField("stopSendingWithinMs", STOP_SENDING_WITHIN_MS);
-        out.writeNumberField("coldFrom", COLD_FROM);
-        out.writeNumberField("coldMs", COLD_MS);
-        out.writeNumberField("tipMultiple", TIP_MULTIPLE);
-        out.writeNumberField("fallMs", FALL_MS);
-        out.writeNumberField("mustAskInMs", MUST_ASK_IN_MS);
+        out.writeNumberField("answerSlackMs", RESPONSE_TOLERANCE_MS);
+        out.writeNumberField("stopSendingWithinMs", DRAIN_GRACE_MS);
+        out.writeNumberField("coldFrom", INITIAL_CAPACITY_RATIO);
+        out.writeNumberField("coldMs", SLOW_START_MS);
+        out.writeNumberField("tipMultiple", OVERLOAD_MULTIPLE);
+        out.writeNumberField("fallMs", OVERLOAD_WINDOW_MS);
+        out.writeNumberField("mustAskInMs", MAX_POLL_INTERVAL_MS);
         out.writeEndObject();
     }
 
@@ -133,8 +133,8 @@
             out.writeStartObject();
             out.writeStringField("name", className(number));
             out.writeStringField("semantics", "free");
-            out.writeNumberField("aimMs", AIM_MS);
-            out.writeNumberField("hardLimitMs", HARD_LIMIT_MS);
+            out.writeNumberField("aimMs", LATENCY_OBJECTIVE_MS);
+            out.writeNumberField("hardLimitMs", DEADLINE_MS);
             out.writeNumberField("value", 1.0);
             out.writeEndObject();
         }
--- a/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
@@ -38,38 +38,39 @@
     private static final int TARGET_SERVICES = 500;
     private static final int TARGET_ROUTES = 2_700;
     private static final int TARGET_TENANTS = 38_000;
-    private static final int MOST_RATE = 1_000;
-    private static final int MOST_OPEN = 256;
+    private static final int MAX_REQUESTS_PER_SECOND = 1_000;
+    private static final int MAX_OPEN_REQUESTS = 256;
 
     private final List<ResourceKey> servers = new ArrayList<>();
     private final TreeMap<ResourceKey, Resource> state = new TreeMap<>();
     private long version;
-    private int nextChanged;
+    private int nextToChange;
 
     private VersionedFleet() {}
 
     /**
      * Draws a state with this many servers; its resources were each made by a change of their own.
      */
-    public static VersionedFleet draw(int servers, long seed) {
+    public static VersionedFleet generate(int servers, long seed) {
         VersionedFleet fleet = new VersionedFleet();
         SplittableRandom random = new SplittableRandom(seed);
-        int services = inProportion(TARGET_SERVICES, servers);
+        int services = scaled(TARGET_SERVICES, servers);
         for (int number = 0; number < services; number++) {
             fleet.put(
                     ResourceKind.SERVICE,
                     serviceName(number),
                     new ResourceValue.Service("service"));
         }
-        for (DiscoveredEndpoint host :
-                Fleet.draw(servers, seed, Loopback.UNUSED).whole().endpoints()) {
+        for (DiscoveredEndpoint server :
+                Fleet.generate(servers, seed, Loopback.UNUSED).fullList().endpoints()) {
             fleet.servers.add(
                     fleet.put(
                             ResourceKind.SERVER,
-                            host.name(),
-                            new ResourceValue.Server(serviceName(random.nextInt(services)), host)));
+                            server.name(),
+                            new ResourceValue.Server(
+                                    serviceName(random.nextInt(services)), server)));
         }
-        for (int number = 0; number < inProportion(TARGET_ROUTES, servers); number++) {
+        for (int number = 0; number < scaled(TARGET_ROUTES, servers); number++) {
             fleet.put(
                     ResourceKind.ROUTE,
                     "route-%04d".formatted(number),
@@ -78,7 +79,7 @@
                             "/api/%04d".formatted(number),
                             NodeConfiguration.className(0)));
         }
-        for (int number = 0; number < inProportion(TARGET_TENANTS, servers); number++) {
+        for (int number = 0; number < scaled(TARGET_TENANTS, servers); number++) {
             fleet.put(ResourceKind.TENANT, "tenant-%05d".formatted(number), tenant(random));
         }
         return fleet;
@@ -86,13 +87,13 @@
 
     private static ResourceValue tenant(SplittableRandom random) {
         return new ResourceValue.Tenant(
-                1 + random.nextInt(MOST_RATE),
-                1 + random.nextInt(MOST_RATE),
-                1 + random.nextInt(MOST_OPEN),
+                1 + random.nextInt(MAX_REQUESTS_PER_SECOND),
+                1 + random.nextInt(MAX_REQUESTS_PER_SECOND),
+                1 + random.nextInt(MAX_OPEN_REQUESTS),
                 1);
     }
 
-    private static int inProportion(int atTarget, int servers) {
+    private static int scaled(int atTarget, int servers) {
         return Math.max(1, (int) Math.round(atTarget * (servers / (double) TARGET_SERVERS)));
     }
 
@@ -118,26 +119,26 @@
 
     /** Makes the next change: one server begins to drain, or is in service again; each in turn. */
     public Change change() {
-        ResourceKey key = servers.get(nextChanged);
+        ResourceKey key = servers.get(nextToChange);
         ResourceValue.Server before = (ResourceValue.Server) state.get(key).value();
-        DiscoveredEndpoint host = before.endpoint();
+        DiscoveredEndpoint server = before.endpoint();
         EndpointState next =
-                host.state() == EndpointState.UP ? EndpointState.DRAINING : EndpointState.UP;
+                server.state() == EndpointState.UP ? EndpointState.DRAINING : EndpointState.UP;
         ResourceValue after =
                 new ResourceValue.Server(
                         before.service(),
                         new DiscoveredEndpoint(
-                                host.name(),
-                                host.address(),
-                                host.zone(),
-                                host.kind(),
-                                host.cell(),
+                                server.name(),
+                                server.address(),
+                                server.zone(),
+                                server.kind(),
+                                server.cell(),
                                 next,
-                                host.weight(),
-                                host.startedAtMs()));
+                                server.weight(),
+                                server.startedAtMs()));
         put(key.kind(), key.name(), after);
         if (next == EndpointState.UP) {
-            nextChanged = (nextChanged + 1) % servers.size();
+            nextToChange = (nextToChange + 1) % servers.size();
         }
         return new Change(version, List.of(new Change.Put(key, after)), List.of());
     }
@@ -149,11 +150,11 @@
     }
 
     /** The state in pages of at most so many resources. */
-    public List<SnapshotPage> pages(int mostResources) {
+    public List<SnapshotPage> pages(int maxResources) {
         List<SnapshotPage> pages = new ArrayList<>();
         List<Resource> page = new ArrayList<>();
         for (Map.Entry<ResourceKey, Resource> each : state.entrySet()) {
-            if (page.size() == mostResources) {
+            if (page.size() == maxResources) {
                 pages.add(
                         new SnapshotPage(
                                 position(), List.copyOf(page), Optional.of(each.getKey())));
--- a/capacity/src/test/java/ottergauge/capacity/benchmark/BenchmarkSmokeTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/benchmark/BenchmarkSmokeTest.java
@@ -48,13 +48,13 @@
                 results.stream()
                         .map(each -> each.getParams().getBenchmark())
                         .collect(Collectors.toCollection(TreeSet::new));
-        assertEquals(listed(), ran.size(), "benchmarks that ran: " + ran);
+        assertEquals(benchmarkCount(), ran.size(), "benchmarks that ran: " + ran);
         assertTrue(
                 results.stream()
                         .allMatch(each -> each.getPrimaryResult().getStatistics().getN() > 0));
     }
 
-    private static long listed() throws IOException {
+    private static long benchmarkCount() throws IOException {
         try (InputStream list = BenchmarkSmokeTest.class.getResourceAsStream(LIST)) {
             return new String(list.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
--- a/capacity/src/test/java/ottergauge/capacity/heap/RetainedHeapTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/heap/RetainedHeapTest.java
@@ -11,19 +11,28 @@
     private static final long SEED = 7;
     // A server's name alone is 20 bytes and a string around them; no server of the lists here takes
     // 4 KiB.
-    private static final long LEAST_A_SERVER = 60;
-    private static final long MOST_A_SERVER = 4_096;
+    private static final long MIN_BYTES_PER_SERVER = 60;
+    private static final long MAX_BYTES_PER_SERVER = 4_096;
 
     @Test
     void whatIsRetainedGrowsWithTheServers() {
-        within(RetainedHeap.ofList(100, SEED), RetainedHeap.ofList(200, SEED));
-        within(RetainedHeap.ofDecisions(100, 4, SEED), RetainedHeap.ofDecisions(200, 4, SEED));
-        within(RetainedHeap.ofRouter(100, 4, SEED), RetainedHeap.ofRouter(200, 4, SEED));
-        within(RetainedHeap.ofToldRouter(100, 4, SEED), RetainedHeap.ofToldRouter(200, 4, SEED));
+        assertGrowthInBounds(
+                RetainedHeap.ofEndpointList(100, SEED), RetainedHeap.ofEndpointList(200, SEED));
+        assertGrowthInBounds(
+                RetainedHeap.ofDecisionEngine(100, 4, SEED),
+                RetainedHeap.ofDecisionEngine(200, 4, SEED));
+        assertGrowthInBounds(
+                RetainedHeap.ofRouterWithConfiguredList(100, 4, SEED),
+                RetainedHeap.ofRouterWithConfiguredList(200, 4, SEED));
+        assertGrowthInBounds(
+                RetainedHeap.ofRouterWithDiscoveredList(100, 4, SEED),
+                RetainedHeap.ofRouterWithDiscoveredList(200, 4, SEED));
     }
 
-    private static void within(long at100, long at200) {
-        double each = (at200 - at100) / 100.0;
-        assertTrue(each >= LEAST_A_SERVER && each <= MOST_A_SERVER, "a server takes " + each);
+    private static void assertGrowthInBounds(long at100, long at200) {
+        double bytesPerServer = (at200 - at100) / 100.0;
+        assertTrue(
+                bytesPerServer >= MIN_BYTES_PER_SERVER && bytesPerServer <= MAX_BYTES_PER_SERVER,
+                "a server takes " + bytesPerServer);
     }
 }
--- a/capacity/src/test/java/ottergauge/capacity/load/OpenLoopClientTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/load/OpenLoopClientTest.java
@@ -22,7 +22,7 @@
 
 class OpenLoopClientTest {
 
-    private static final long PATIENCE_MS = 20_000;
+    private static final long TIMEOUT_MS = 20_000;
 
     private final EventLoopGroup loops =
             new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
@@ -38,14 +38,14 @@
     void timeCountsFromTheIntendedInstant() throws Exception {
         try (OpenLoopClient client = new OpenLoopClient(loops.next(), server.address(), 1, "t")) {
             client.send(System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(700));
-            assertTrue(client.awaitAnswers(PATIENCE_MS));
-            Latencies latencies = client.take();
+            assertTrue(client.awaitResponses(TIMEOUT_MS));
+            Latencies latencies = client.collect();
             assertEquals(1, latencies.served().getTotalCount());
             assertEquals(0, latencies.failed());
             assertTrue(latencies.milliseconds(50) >= 699, latencies.milliseconds(50) + " ms");
             assertTrue(
-                    latencies.lateMilliseconds(50) >= 699,
-                    latencies.lateMilliseconds(50) + " ms late");
+                    latencies.sendDelayMilliseconds(50) >= 699,
+                    latencies.sendDelayMilliseconds(50) + " ms late");
         }
     }
 
@@ -54,8 +54,8 @@
         try (OpenLoopClient client =
                 new OpenLoopClient(loops.next(), NodeProcess.freeAddress(), 1, "t")) {
             client.send(System.nanoTime());
-            assertTrue(client.awaitAnswers(PATIENCE_MS));
-            Latencies latencies = client.take();
+            assertTrue(client.awaitResponses(TIMEOUT_MS));
+            Latencies latencies = client.collect();
             assertEquals(0, latencies.served().getTotalCount());
             assertEquals(1, latencies.failed());
         }
@@ -63,12 +63,12 @@
 
     @Test
     void requestsDoNotWaitForEachOthersAnswers() throws Exception {
-        try (Silent silent = new Silent();
+        try (SilentServer silentServer = new SilentServer();
                 OpenLoopClient client =
-                        new OpenLoopClient(loops.next(), silent.address(), 1, "t")) {
+                        new OpenLoopClient(loops.next(), silentServer.address(), 1, "t")) {
             client.send(System.nanoTime());
             client.send(System.nanoTime());
-            silent.acceptTwo();
+            silentServer.acceptTwo();
         }
     }
 
@@ -76,16 +76,17 @@
     void aSeedSendsTheSameRequestsHoweverLateThePacerRuns() throws Exception {
         try (OpenLoopClient client = new OpenLoopClient(loops.next(), server.address(), 1, "t")) {
             new Pacer(11).run(List.of(client), 400, 0.5);
-            assertTrue(client.awaitAnswers(PATIENCE_MS));
-            Latencies latencies = client.take();
+            assertTrue(client.awaitResponses(TIMEOUT_MS));
+            Latencies latencies = client.collect();
             assertEquals(
-                    drawn(11, 400, 0.5), latencies.served().getTotalCount() + latencies.failed());
+                    expectedCount(11, 400, 0.5),
+                    latencies.served().getTotalCount() + latencies.failed());
         }
     }
 
     // The same process by its definition: gaps with an exponential distribution until the time is
     // over.
-    private static long drawn(long seed, double perSecond, double seconds) {
+    private static long expectedCount(long seed, double perSecond, double seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         long count = -1;
         for (double at = 0; at < seconds; count++) {
@@ -95,12 +96,12 @@
     }
 
     /** Takes connections and never answers. */
-    private static final class Silent implements AutoCloseable {
+    private static final class SilentServer implements AutoCloseable {
         private final ServerSocket listener;
 
-        Silent() throws IOException {
+        SilentServer() throws IOException {
             listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-            listener.setSoTimeout((int) PATIENCE_MS);
+            listener.setSoTimeout((int) TIMEOUT_MS);
         }
 
         Address address() {
--- a/capacity/src/test/java/ottergauge/capacity/report/LinearFitTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/report/LinearFitTest.java
@@ -31,9 +31,9 @@
         LinearFit fit = LinearFit.of(new double[] {1, 2, 3}, new double[] {2, 1, 6});
         assertEquals(2, fit.slope(), 1e-12);
         assertEquals(-1, fit.intercept(), 1e-12);
-        assertEquals(8.0 / 14, fit.determination(), 1e-12);
-        assertEquals(1, fit.from());
-        assertEquals(3, fit.to());
+        assertEquals(8.0 / 14, fit.rSquared(), 1e-12);
+        assertEquals(1, fit.minSize());
+        assertEquals(3, fit.maxSize());
     }
 
     @Test
--- a/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
@@ -25,12 +25,12 @@
 
 class DiscoveryStandInTest {
 
-    private static final long PATIENCE_S = 20;
+    private static final long TIMEOUT_S = 20;
 
     private final EventLoopGroup loops =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final DiscoveryStandIn discovery =
-            new DiscoveryStandIn(loops.next(), Fleet.draw(20, 3, Loopback.UNUSED));
+            new DiscoveryStandIn(loops.next(), Fleet.generate(20, 3, Loopback.UNUSED));
     private final HttpClient client =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
 
@@ -40,35 +40,35 @@
         loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private HttpRequest call(String query) {
+    private HttpRequest request(String query) {
         return HttpRequest.newBuilder(
                         URI.create("http://" + discovery.address() + "/registry/instances" + query))
                 .build();
     }
 
-    private EndpointList ask(String query)
+    private EndpointList poll(String query)
             throws IOException, InterruptedException, ProtocolException {
-        return EndpointList.read(client.send(call(query), BodyHandlers.ofByteArray()).body());
+        return EndpointList.read(client.send(request(query), BodyHandlers.ofByteArray()).body());
     }
 
     @Test
     void aCallWithoutAVersionIsToldTheWholeList() throws Exception {
-        EndpointList list = ask("");
+        EndpointList list = poll("");
         assertTrue(list.complete());
         assertEquals(20, list.endpoints().size());
-        assertEquals(-1, discovery.askedAfter());
+        assertEquals(-1, discovery.lastPolledVersion());
     }
 
     @Test
     void aCallThatWaitsIsToldTheChangeThatComes() throws Exception {
-        CompletableFuture<HttpResponse<byte[]>> waiting =
-                client.sendAsync(call("?after=1&wait_ms=60000"), BodyHandlers.ofByteArray());
+        CompletableFuture<HttpResponse<byte[]>> heldPoll =
+                client.sendAsync(request("?after=1&wait_ms=60000"), BodyHandlers.ofByteArray());
         while (discovery.traffic().calls() == 0) {
             Thread.onSpinWait();
         }
-        assertFalse(waiting.isDone());
-        discovery.changeNow();
-        EndpointList change = EndpointList.read(waiting.get(PATIENCE_S, TimeUnit.SECONDS).body());
+        assertFalse(heldPoll.isDone());
+        discovery.makeChange();
+        EndpointList change = EndpointList.read(heldPoll.get(TIMEOUT_S, TimeUnit.SECONDS).body());
         assertFalse(change.complete());
         assertEquals(2, change.version());
         assertEquals(1, change.endpoints().size());
@@ -76,10 +76,10 @@
 
     @Test
     void whatWasMissedIsToldOncePerServer() throws Exception {
-        discovery.changeNow();
-        discovery.changeNow();
-        discovery.changeNow();
-        EndpointList missed = ask("?after=1&wait_ms=0");
+        discovery.makeChange();
+        discovery.makeChange();
+        discovery.makeChange();
+        EndpointList missed = poll("?after=1&wait_ms=0");
         assertEquals(4, missed.version());
         assertFalse(missed.complete());
         // The first server drained and came back; the second drains.
@@ -88,12 +88,12 @@
 
     @Test
     void aVersionThatIsNotKnownIsToldTheWholeList() throws Exception {
-        assertTrue(ask("?after=77&wait_ms=0").complete());
+        assertTrue(poll("?after=77&wait_ms=0").complete());
     }
 
     @Test
     void aWaitThatIsOverIsToldNothing() throws Exception {
-        EndpointList nothing = ask("?after=1&wait_ms=1");
+        EndpointList nothing = poll("?after=1&wait_ms=1");
         assertEquals(1, nothing.version());
         assertFalse(nothing.complete());
         assertTrue(nothing.endpoints().isEmpty());
@@ -101,10 +101,12 @@
 
     @Test
     void callsAndBytesAreCountedWithTheirHeads() throws Exception {
-        int body = client.send(call(""), BodyHandlers.ofByteArray()).body().length;
+        int body = client.send(request(""), BodyHandlers.ofByteArray()).body().length;
         Traffic traffic = discovery.traffic();
         assertEquals(1, traffic.calls());
-        assertTrue(traffic.sent() > body, "sent " + traffic.sent() + " with a body of " + body);
-        assertTrue(traffic.received() > "GET /registry/instances HTTP/1.1\r\n\r\n".length());
+        assertTrue(
+                traffic.sentBytes() > body,
+                "sent " + traffic.sentBytes() + " with a body of " + body);
+        assertTrue(traffic.receivedBytes() > "GET /registry/instances HTTP/1.1\r\n\r\n".length());
     }
 }
--- a/capacity/src/test/java/ottergauge/capacity/workload/EncodedFleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/EncodedSnapshotTest.java
@@ -11,15 +11,15 @@
 import ottergauge.resources.Resource;
 import ottergauge.resources.ResourceCodec;
 
-class EncodedFleetTest {
+class EncodedSnapshotTest {
 
     @Test
     void thePagesHoldTheWholeStateWithinTheirBytes() throws ProtocolException {
-        VersionedFleet fleet = VersionedFleet.draw(100, 7);
-        EncodedFleet encoded = EncodedFleet.of(fleet);
+        VersionedFleet fleet = VersionedFleet.generate(100, 7);
+        EncodedSnapshot encoded = EncodedSnapshot.of(fleet);
         List<Resource> read = new ArrayList<>();
         for (byte[] page : encoded.pages()) {
-            assertTrue(page.length <= EncodedFleet.PAGE_BYTES, "a page of " + page.length);
+            assertTrue(page.length <= EncodedSnapshot.PAGE_BYTES, "a page of " + page.length);
             read.addAll(ResourceCodec.readSnapshotPage(page).resources());
         }
         assertEquals(fleet.resources(), read);
--- a/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
@@ -19,46 +19,46 @@
 
     @Test
     void theSameSeedGivesTheSameListAndAnotherOneAnother() {
-        byte[] one = Fleet.draw(50, 3, Loopback.UNUSED).whole().json();
-        assertArrayEquals(one, Fleet.draw(50, 3, Loopback.UNUSED).whole().json());
+        byte[] one = Fleet.generate(50, 3, Loopback.UNUSED).fullList().json();
+        assertArrayEquals(one, Fleet.generate(50, 3, Loopback.UNUSED).fullList().json());
         assertNotEquals(
-                Fleet.draw(50, 4, Loopback.UNUSED).whole(),
-                Fleet.draw(50, 3, Loopback.UNUSED).whole());
+                Fleet.generate(50, 4, Loopback.UNUSED).fullList(),
+                Fleet.generate(50, 3, Loopback.UNUSED).fullList());
     }
 
     @Test
     void aListIsReadAsItWasDrawn() throws ProtocolException {
-        EndpointList drawn = Fleet.draw(50, 3, Loopback.UNUSED).whole();
-        assertEquals(drawn, EndpointList.read(drawn.json()));
+        EndpointList generated = Fleet.generate(50, 3, Loopback.UNUSED).fullList();
+        assertEquals(generated, EndpointList.read(generated.json()));
     }
 
     @Test
     void changesTakeOneServerOutAndBackWithARisingVersion() {
-        Fleet fleet = Fleet.draw(2, 3, Loopback.UNUSED);
-        List<String> told = new ArrayList<>();
-        long version = fleet.whole().version();
+        Fleet fleet = Fleet.generate(2, 3, Loopback.UNUSED);
+        List<String> changes = new ArrayList<>();
+        long version = fleet.fullList().version();
         for (int i = 0; i < 5; i++) {
             EndpointList change = fleet.change();
             assertFalse(change.complete());
             assertEquals(++version, change.version());
-            DiscoveredEndpoint host = change.endpoints().get(0);
-            told.add(
-                    host.name().substring(7, 12)
-                            + (host.state() == EndpointState.UP ? " up" : " drains"));
+            DiscoveredEndpoint endpoint = change.endpoints().get(0);
+            changes.add(
+                    endpoint.name().substring(7, 12)
+                            + (endpoint.state() == EndpointState.UP ? " up" : " drains"));
         }
         assertEquals(
                 List.of("00000 drains", "00000 up", "00001 drains", "00001 up", "00000 drains"),
-                told);
+                changes);
     }
 
     @Test
     void theConfigurationIsReadWithItsListAndClasses() {
-        Fleet fleet = Fleet.draw(20, 3, Loopback.UNUSED);
+        Fleet fleet = Fleet.generate(20, 3, Loopback.UNUSED);
         NodeConfig config =
                 new NodeConfiguration(
-                                Loopback.port(3000), Loopback.port(8500), 5, 500, fleet.whole())
+                                Loopback.port(3000), Loopback.port(8500), 5, 500, fleet.fullList())
                         .read();
-        assertEquals(fleet.whole(), config.knownEndpoints());
+        assertEquals(fleet.fullList(), config.knownEndpoints());
         assertEquals(500, config.settings().decisions().requestClasses().size());
         assertEquals(NodeConfiguration.NODES, config.settings().decisions().nodeCount());
     }
--- a/capacity/src/test/java/ottergauge/capacity/workload/VersionedFleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/VersionedFleetTest.java
@@ -34,7 +34,7 @@
                         2_700,
                         ResourceKind.TENANT,
                         38_000),
-                counts(VersionedFleet.draw(8_000, 7)));
+                counts(VersionedFleet.generate(8_000, 7)));
         assertEquals(
                 Map.of(
                         ResourceKind.SERVICE,
@@ -45,18 +45,19 @@
                         34,
                         ResourceKind.TENANT,
                         475),
-                counts(VersionedFleet.draw(100, 7)));
+                counts(VersionedFleet.generate(100, 7)));
     }
 
     @Test
     void theSameSeedGivesTheSameState() {
         assertEquals(
-                VersionedFleet.draw(50, 3).resources(), VersionedFleet.draw(50, 3).resources());
+                VersionedFleet.generate(50, 3).resources(),
+                VersionedFleet.generate(50, 3).resources());
     }
 
     @Test
     void pagesHoldTheStateInItsOrderAndNameTheNextKey() {
-        VersionedFleet fleet = VersionedFleet.draw(20, 3);
+        VersionedFleet fleet = VersionedFleet.generate(20, 3);
         List<SnapshotPage> pages = fleet.pages(10);
         List<Resource> all = new ArrayList<>();
         for (int i = 0; i < pages.size(); i++) {
@@ -73,7 +74,7 @@
 
     @Test
     void aChangeIsTheNewestVersionOfOneServer() {
-        VersionedFleet fleet = VersionedFleet.draw(20, 3);
+        VersionedFleet fleet = VersionedFleet.generate(20, 3);
         long before = fleet.position().version();
         Change change = fleet.change();
         assertEquals(before + 1, change.version());
