--- a/capacity/src/main/java/ottergauge/capacity/Main.java
+++ b/capacity/src/main/java/ottergauge/capacity/Main.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The benchmarks' command line. */
+/** The command line of the capacity measurements. */
 @Command(
         name = "capacity",
         mixinStandardHelpOptions = true,
@@ -16,7 +16,7 @@
 
     private Main() {}
 
-    /** Runs a command and ends with its exit code. */
+    /** Runs a command and exits with its exit code. */
     public static void main(String[] arguments) {
         System.exit(
                 new CommandLine(new Main())
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/Check.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/Check.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.capacity.benchmark;
 
-/** Checks of what a benchmark measures: a run whose result is wrong fails. */
+/** Checks the results of benchmarked code: a wrong result fails the run. */
 final class Check {
 
     private Check() {}
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/CpuProfiler.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/CpuProfiler.java
@@ -13,12 +13,13 @@
 import org.openjdk.jmh.results.ScalarResult;
 
 /**
- * Tells the processor time that an operation takes: of the whole process, so that the collector's
- * and the compiler's is in it, and time in which other processes had the core is not.
+ * A JMH profiler that reports the CPU time per operation. It reads the CPU time of the process, so
+ * the result includes garbage collection and JIT compilation, and excludes time in which other
+ * processes had the core.
  */
 public final class CpuProfiler implements InternalProfiler {
 
-    /** The name of the result, in microseconds for each operation. */
+    /** The name of the result, which is in microseconds per operation. */
     public static final String RESULT = "cpu.norm";
 
     private static final double NANOS_PER_MICRO = 1_000;
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionBenchmark.java
@@ -17,7 +17,7 @@
 import ottergauge.capacity.workload.NodeConfiguration;
 import ottergauge.decision.api.DecisionSettings;
 
-/** The decisions for one request from its arrival to its answer, and the end of a window. */
+/** Measures the decisions for one request from its arrival to its response, and a window end. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -36,7 +36,7 @@
 
     private DecisionDriver driver;
 
-    /** Starts a module that has served for two windows. */
+    /** Creates a decision engine and serves two windows of requests. */
     @Setup
     public void start() {
         DecisionSettings settings =
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/DecisionListBenchmark.java
@@ -18,13 +18,13 @@
 import ottergauge.decision.api.DecisionEvent.EndpointUpdate;
 import ottergauge.decision.api.DecisionSettings;
 
-/** A list that is taken over by the decision module alone. */
+/** Measures how the decision engine alone applies an endpoint list or an incremental update. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
 public class DecisionListBenchmark {
 
-    // So many windows' worth of answers before it is measured.
+    // Windows of requests that are served before the measurement.
     private static final int WINDOWS = 2;
 
     @Param("100")
@@ -40,7 +40,7 @@
     private EndpointUpdate fullList;
     private DecisionDriver driver;
 
-    /** Starts a module that has served for two windows. */
+    /** Creates a decision engine and serves two windows of requests. */
     @Setup
     public void start() {
         DecisionSettings settings =
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ListCodecBenchmark.java
@@ -15,7 +15,7 @@
 import ottergauge.protocol.EndpointList;
 import ottergauge.protocol.ProtocolException;
 
-/** Reading and writing discovery's list: whole, and one change. */
+/** Measures reading and writing an endpoint list of discovery: the full list, and one change. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -32,7 +32,7 @@
     private byte[] fullListBytes;
     private byte[] changeBytes;
 
-    /** Draws a fleet and encodes it. */
+    /** Generates a fleet and encodes its list and one change. */
     @Setup
     public void generate() {
         Fleet fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/ResourceCodecBenchmark.java
@@ -17,7 +17,10 @@
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.SnapshotPage;
 
-/** Reading and writing what a control process tells: one change, and all pages of a snapshot. */
+/**
+ * Measures reading and writing the messages of a control process: a page with one change, and all
+ * pages of a snapshot.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -33,7 +36,7 @@
     private ChangePage change;
     private byte[] changeBytes;
 
-    /** Draws a state and encodes its pages and a change. */
+    /** Generates a state and encodes its snapshot pages and a change. */
     @Setup
     public void generate() {
         VersionedFleet fleet = VersionedFleet.generate(servers, seed);
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/RouterListBenchmark.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/RouterListBenchmark.java
@@ -15,7 +15,10 @@
 import ottergauge.capacity.workload.NodeConfiguration;
 import ottergauge.capacity.workload.RouterDriver;
 
-/** A list that is taken over by all parts of the router, the decision module among them. */
+/**
+ * Measures how a router applies an endpoint list or an incremental update in all its parts,
+ * decision engine included.
+ */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -33,7 +36,7 @@
     private Fleet fleet;
     private RouterDriver driver;
 
-    /** Starts a router with the whole list in its configuration. */
+    /** Starts a router with the full list in its configuration. */
     @Setup
     public void start() {
         fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
--- a/capacity/src/main/java/ottergauge/capacity/benchmark/package-info.java
+++ b/capacity/src/main/java/ottergauge/capacity/benchmark/package-info.java
@@ -1,4 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/** JMH benchmarks of the node's reducers and codecs; each checks the result of what it measures. */
+/**
+ * JMH benchmarks of the node's state machines (reducers) and codecs. Each benchmark checks the
+ * result of the code that it measures.
+ */
 package ottergauge.capacity.benchmark;
--- a/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
+++ b/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
@@ -12,21 +12,22 @@
 import ottergauge.protocol.ProtocolException;
 
 /**
- * Bytes that can be reached from the node's state, as JOL's walk over the object graph counts them.
+ * Measures the retained heap of the node's data structures: the size of all objects that can be
+ * reached from them, counted by JOL (Java Object Layout).
  */
 public final class RetainedHeap {
 
-    // All rows have their weights after two windows.
+    // After two windows the engine has computed the server weights of all request classes.
     private static final int WINDOWS = 2;
 
     private RetainedHeap() {}
 
-    /** Of a list as it is read from discovery's answer. */
+    /** Returns the bytes of a full endpoint list. */
     public static long ofEndpointList(int servers, long seed) {
         return bytes(Fleet.generate(servers, seed, Loopback.UNUSED).fullList());
     }
 
-    /** Of a decision module that has served for two windows, its settings included. */
+    /** Returns the bytes of a decision engine after two windows of requests, settings included. */
     public static long ofDecisionEngine(int servers, int classes, long seed) {
         NodeConfiguration configuration = configuration(classes, seed, Fleet.emptyList());
         DecisionDriver driver =
@@ -38,7 +39,7 @@
         return bytes(driver.engine());
     }
 
-    /** Of a router with the list in its configuration, which it keeps. */
+    /** Returns the bytes of a router with the list in its configuration, which it keeps. */
     public static long ofRouterWithConfiguredList(int servers, int classes, long seed) {
         Fleet fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
         RouterDriver driver =
@@ -46,7 +47,7 @@
         return bytes(driver.router());
     }
 
-    /** Of a router that was told the list by discovery. */
+    /** Returns the bytes of a router that received the list from discovery. */
     public static long ofRouterWithDiscoveredList(int servers, int classes, long seed) {
         Fleet fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
         RouterDriver driver =
@@ -56,7 +57,7 @@
         return bytes(driver.router());
     }
 
-    // As it comes over a socket: its strings are shared with nothing else.
+    // Gives a list whose strings are shared with no other object, as if it came from a socket.
     private static EndpointList encodeAndDecode(EndpointList list) {
         try {
             return EndpointList.read(list.json());
--- a/capacity/src/main/java/ottergauge/capacity/heap/package-info.java
+++ b/capacity/src/main/java/ottergauge/capacity/heap/package-info.java
@@ -1,4 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/** What objects retain on the heap, by JOL. */
+/** Measures retained heap with JOL (Java Object Layout). */
 package ottergauge.capacity.heap;
--- a/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
@@ -31,8 +31,8 @@
 import ottergauge.protocol.Headers;
 
 /**
- * Sends requests to one address at instants that do not wait for answers; a request that finds no
- * idle connection opens one. Connections and times belong to one event loop.
+ * An open-loop HTTP client for one address: the send times of requests do not depend on responses.
+ * A request opens a connection if there is no idle one. All state belongs to one event loop.
  */
 public final class OpenLoopClient implements AutoCloseable {
 
@@ -40,7 +40,8 @@
     private static final int MAX_BODY_BYTES = 1 << 16;
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final long MAX_RECORDED_NANOS = TimeUnit.SECONDS.toNanos(60);
-    // All connections, idle ones among them: a target that stands still is not sent more.
+    // Limit of open connections, idle ones included. It bounds the load on a target that does not
+    // respond.
     private static final int MAX_CONNECTIONS = 256;
 
     private final EventLoop loop;
@@ -56,7 +57,8 @@
     private long failed;
 
     /**
-     * A client whose requests are of so many classes in turn; {@code name} is a part of their ids.
+     * Creates a client. Its requests cycle through {@code classes} request classes, and {@code
+     * name} is a part of their trace ids.
      */
     public OpenLoopClient(EventLoop loop, Address target, int classes, String name) {
         this.loop = loop;
@@ -69,7 +71,9 @@
         return new Histogram(MAX_RECORDED_NANOS, SIGNIFICANT_DIGITS);
     }
 
-    /** Sends one request that was intended for an instant of {@link System#nanoTime}. */
+    /**
+     * Sends one request now; its latency counts from {@code intendedAt}, a {@link System#nanoTime}.
+     */
     public void send(long intendedAt) {
         loop.execute(() -> sendNow(intendedAt));
     }
@@ -117,7 +121,7 @@
                         });
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void write(Channel connection, long intendedAt) {
         connection.pipeline().get(ResponseHandler.class).intendedAt = intendedAt;
@@ -140,13 +144,13 @@
         }
     }
 
-    /** The answers of one connection, which carries one request at a time. */
+    /** Handles the responses of one connection, which carries one request at a time. */
     private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         private static final long NO_REQUEST = Long.MIN_VALUE;
         private long intendedAt = NO_REQUEST;
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
             long requestIntendedAt = intendedAt;
@@ -170,7 +174,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
@@ -178,7 +182,8 @@
     }
 
     /**
-     * What has become of the requests since this was asked last; those that are open count later.
+     * Returns the results since the last call and starts new histograms. Requests in flight are
+     * counted when they end.
      */
     public Latencies collect() {
         return loop.submit(
@@ -193,7 +198,7 @@
                 .getNow();
     }
 
-    /** Waits until no request is open; false if some are after this time. */
+    /** Waits until no request is in flight. Returns false if some still are after this time. */
     public boolean awaitResponses(long milliseconds) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds);
         while (loop.submit(() -> inFlight).syncUninterruptibly().getNow() > 0) {
@@ -206,7 +211,7 @@
     }
 
     @Override
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void close() {
         loop.submit(() -> Set.copyOf(connections).forEach(Channel::close)).syncUninterruptibly();
--- a/capacity/src/main/java/ottergauge/capacity/load/Pacer.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/Pacer.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Sends requests of several clients at instants drawn from a seed, a Poisson process for each
- * client.
+ * Sends the requests of several clients at random times, which are generated from a seed: an
+ * independent Poisson process for each client.
  */
 public final class Pacer {
 
@@ -16,15 +16,12 @@
 
     private final SplittableRandom random;
 
-    /** A pacer that draws from this seed. */
+    /** Creates a pacer with this random seed. */
     public Pacer(long seed) {
         random = new SplittableRandom(seed);
     }
 
-    /**
-     * Lets each client send at this mean rate for some time; the thread that calls it does the
-     * waiting.
-     */
+    /** Lets each client send at this mean rate for this time. Blocks the calling thread. */
     public void run(List<OpenLoopClient> clients, double perSecond, double seconds) {
         long start = System.nanoTime();
         long end = start + (long) (seconds * NANOS);
--- a/capacity/src/main/java/ottergauge/capacity/load/package-info.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/package-info.java
@@ -1,4 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/** Open-loop requests, timed from the instant at which each was intended. */
+/** An open-loop load generator. Latencies count from the intended send time of each request. */
 package ottergauge.capacity.load;
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeMeasurement.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeMeasurement.java
@@ -30,10 +30,13 @@
 import ottergauge.capacity.workload.Fleet;
 import ottergauge.capacity.workload.NodeConfiguration;
 
-/** Starts real processes before stand-ins and measures them, one after the other. */
+/**
+ * Starts node processes against stand-ins for discovery and servers, and measures them one after
+ * the other.
+ */
 public final class NodeMeasurement implements AutoCloseable {
 
-    /** How long each part takes. */
+    /** The number and length of the parts of a run. */
     public record RunSettings(
             int starts,
             int settleMs,
@@ -45,10 +48,10 @@
             int loadSliceSeconds,
             int discoveryTimeoutMs) {}
 
-    /** Changes of the list a second while that is measured. */
+    /** Rate of endpoint list changes while their cost is measured. */
     public static final int CHANGES_PER_SECOND = 50;
 
-    /** Requests a second at the node, and as many past it. */
+    /** Request rate through the node; the direct requests have the same rate. */
     public static final int REQUESTS_PER_SECOND = 62;
 
     private static final int WARM_UP_REQUESTS_PER_SECOND = 200;
@@ -66,7 +69,7 @@
     private final EventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(EVENT_LOOPS, NioIoHandler.newFactory());
 
-    /** Measures the program under this root, started by this line. */
+    /** Measures the program in this folder, started with this command. */
     public NodeMeasurement(
             RunLine run, Path root, long seed, int classes, RunSettings runSettings) {
         this.run = run;
@@ -76,7 +79,7 @@
         this.runSettings = runSettings;
     }
 
-    /** Takes all figures for lists of this size. */
+    /** Takes all measurements with endpoint lists of this size. */
     public NodeResults measure(int servers) throws IOException, InterruptedException {
         try (ServerStandIn server = new ServerStandIn(eventLoops.next())) {
             Fleet fleet = Fleet.generate(servers, seed, server.address());
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeProcess.java
@@ -19,7 +19,8 @@
 import ottergauge.protocol.Paths;
 
 /**
- * A process of the node as operators start it, with what the system says of its time and memory.
+ * A node process, started as operators start it, with its CPU time and memory as the operating
+ * system reports them.
  */
 public final class NodeProcess implements AutoCloseable {
 
@@ -42,14 +43,14 @@
         this.startedAt = startedAt;
     }
 
-    /** A loopback address that was free a moment ago. */
+    /** Returns a loopback address whose port was free a moment ago. */
     public static Address freeAddress() throws IOException {
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             return Loopback.port(probe.getLocalPort());
         }
     }
 
-    /** Starts a node from the program's root, with its files in a folder of its own. */
+    /** Starts a node in the program's root folder, with its files in {@code folder}. */
     public static NodeProcess start(
             RunLine run, Path root, Path folder, NodeConfiguration configuration)
             throws IOException {
@@ -67,7 +68,7 @@
         return new NodeProcess(builder.start(), configuration.listen(), log, startedAt);
     }
 
-    /** Waits until it takes clients; gives back the time since it was started. */
+    /** Waits until the node is ready and returns the time since its start. */
     public Duration awaitReady() throws IOException, InterruptedException {
         long deadline = startedAt + TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MS);
         while (!isReady()) {
@@ -96,17 +97,17 @@
                             .readLine();
             return status != null && status.startsWith(READY);
         } catch (IOException e) {
-            // It does not listen yet.
+            // The node does not listen yet, or did not answer in time.
             return false;
         }
     }
 
-    /** Where it takes clients. */
+    /** Returns the address on which the node listens for clients. */
     public Address address() {
         return address;
     }
 
-    /** The processor time that it has used. */
+    /** Returns the CPU time that the process has used. */
     public Duration cpu() throws IOException {
         Optional<Duration> spent = process.info().totalCpuDuration();
         if (spent.isEmpty()) {
@@ -115,12 +116,12 @@
         return spent.get();
     }
 
-    /** Memory that it has in use now, in bytes. */
+    /** Returns the current resident memory of the process in bytes. */
     public long residentBytes() throws IOException {
         return status("VmRSS:");
     }
 
-    /** The most memory that it has had in use. */
+    /** Returns the peak resident memory of the process in bytes. */
     public long peakResidentBytes() throws IOException {
         return status("VmHWM:");
     }
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
@@ -3,7 +3,7 @@
 
 import java.util.List;
 
-/** What was measured of real processes that know lists of one size. */
+/** The measurements of node processes with endpoint lists of one size. */
 public record NodeResults(
         List<Start> starts,
         DiscoveryStart discoveryStart,
@@ -13,35 +13,36 @@
         long peakResidentBytes) {
 
     /**
-     * One start with the whole list in the configuration: until it takes clients, and some time
-     * later.
+     * One start with the full list in the configuration: time and CPU time until the node is ready,
+     * and resident memory some time later.
      */
     public record Start(double readyMs, double cpuMs, long residentBytes) {}
 
-    /** What became of a start with no list in the configuration: discovery had to tell it. */
+    /**
+     * The result of a start with an empty list in the configuration, so that discovery sends it.
+     */
     public sealed interface DiscoveryStart {}
 
-    /** The node took the list so long after its process was started. */
+    /** The node applied the list of discovery this long after its process was started. */
     public record Applied(double afterMs, long residentBytes) implements DiscoveryStart {}
 
-    /** The node had not taken it by the end; so much passed at discovery each second. */
+    /** The node did not apply the list in time. The reason states the traffic at discovery. */
     public record NotApplied(String reason) implements DiscoveryStart {}
 
-    /** A node that nothing happens at; CPU as a part of one core. */
+    /** A node without requests or changes. CPU is a fraction of one core. */
     public record Idle(double cpu, double callsPerSecond, double bytesPerSecond) {}
 
-    /** Changes at an even rate; CPU as a part of one core, by slices of the time. */
-    @SuppressWarnings(
-            "ArrayRecordComponent") // Compared nowhere; primitives as the table takes them.
+    /** Changes at a constant rate. CPU is a fraction of one core, one value per time slice. */
+    @SuppressWarnings("ArrayRecordComponent") // Never compared; the table takes primitives.
     public record Changes(
             double[] cpu, double callsPerChange, double bytesPerChange, boolean allApplied) {}
 
-    /** Requests at a mean rate, by slices of the time. */
+    /** Requests at a constant mean rate, one result per time slice. */
     public record Load(List<LoadSlice> slices) {}
 
     /**
-     * Requests through the node, and as many past it meanwhile; CPU of the node for each of its
-     * own.
+     * Requests through the node and, at the same time and mean rate, requests sent directly to the
+     * server. {@code cpuMsPerRequest} is CPU time of the node per request through it.
      */
     public record LoadSlice(
             double cpuMsPerRequest,
--- a/capacity/src/main/java/ottergauge/capacity/node/RunLine.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/RunLine.java
@@ -9,26 +9,27 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The shell line by which operators start a node. */
+/** The shell command with which operators start a node. */
 public record RunLine(String command) {
 
     private static final Pattern RUN_KEY = Pattern.compile("^run = \"(.*)\"$", Pattern.MULTILINE);
     private static final String ARCHIVE = "-XX:SharedArchiveFile";
     private static final String JAR = "-jar";
 
-    /** Reads the line from the deploy file of the program under this root. */
+    /** Reads the {@code run} entry of deploy/balancer.toml in this folder. */
     public static RunLine read(Path root) throws IOException {
         Path deploy = root.resolve("deploy/balancer.toml");
         Matcher found = RUN_KEY.matcher(Files.readString(deploy));
         if (!found.find()) {
-            throw new IOException(deploy + " has no line run");
+            throw new IOException(deploy + " has no line that starts with: run = \"");
         }
         return new RunLine(found.group(1));
     }
 
     /**
-     * The virtual machine's flags, without the archive of classes, which is of the node's jar
-     * alone: benchmarks run under the same compiler, collector and heap as a node.
+     * Returns the JVM flags of the command, so that benchmarks run with the same JIT compiler,
+     * garbage collector and heap as a node. The class-data-sharing archive is left out, because it
+     * only fits the node's jar.
      */
     public List<String> jvmFlags() {
         return Arrays.stream(command.split("\\s+"))
--- a/capacity/src/main/java/ottergauge/capacity/node/package-info.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/package-info.java
@@ -1,4 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/** Real processes of the node, started by the line {@code run} of deploy/balancer.toml. */
+/** Measures node processes, which the {@code run} command of deploy/balancer.toml starts. */
 package ottergauge.capacity.node;
--- a/capacity/src/main/java/ottergauge/capacity/package-info.java
+++ b/capacity/src/main/java/ottergauge/capacity/package-info.java
@@ -1,4 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/** Benchmarks of one node at the sizes that docs/CAPACITY.md names. */
+/** Measures one node of the load balancer at the fleet sizes that docs/CAPACITY.md names. */
 package ottergauge.capacity;
--- a/capacity/src/main/java/ottergauge/capacity/program/Benchmarks.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/Benchmarks.java
@@ -20,21 +20,25 @@
 import ottergauge.capacity.report.Spread;
 
 /**
- * Runs benchmarks at some sizes; gives back two rows for each: its CPU time, and the bytes it
- * allocates.
+ * Runs JMH benchmarks at several sizes. Each benchmark gives two rows: CPU time and allocated bytes
+ * per operation.
  */
 final class Benchmarks {
 
-    /** What is run: a method of a benchmark's class, under the name that the page gives it. */
+    /** A benchmark: a method of a benchmark class, and its label on the page. */
     record BenchmarkMethod(Class<?> type, String method, String label) {}
 
     /**
-     * Plans that are run at all sizes, and plans whose input has one size: these at the ends alone.
+     * Benchmarks that run at all sizes, and benchmarks whose input does not depend on the size,
+     * which run at the smallest and largest size only.
      */
     record BenchmarkGroup(
             List<BenchmarkMethod> atAllSizes, List<BenchmarkMethod> atSmallestAndLargest) {}
 
-    /** How often: for {@code forks} of 0 in this process, which is for a test alone. */
+    /**
+     * The number and length of JMH iterations. With 0 {@code forks}, benchmarks run in this
+     * process, which is only for tests.
+     */
     record RunSettings(int forks, int warmups, int iterations, TimeValue iterationTime) {}
 
     private static final String ALLOCATED_BYTES = "gc.alloc.rate.norm";
@@ -49,13 +53,13 @@
         this.jvmFlags = jvmFlags;
     }
 
-    /** Rows by number of servers, each with this number of classes. */
+    /** Runs a benchmark at each number of servers, with a fixed number of request classes. */
     List<Row> byServers(BenchmarkMethod benchmark, List<Integer> sizes, int classes)
             throws RunnerException {
         return rows(benchmark, "servers", sizes, "classes", classes);
     }
 
-    /** Rows of all plans by number of servers. */
+    /** Runs all benchmarks of a group by number of servers. */
     List<Row> byServers(BenchmarkGroup group, List<Integer> sizes, int classes)
             throws RunnerException {
         List<Row> rows = new ArrayList<>();
@@ -69,7 +73,7 @@
         return rows;
     }
 
-    /** Rows by number of classes, each with this number of servers. */
+    /** Runs a benchmark at each number of request classes, with a fixed number of servers. */
     List<Row> byClasses(BenchmarkMethod benchmark, List<Integer> sizes, int servers)
             throws RunnerException {
         return rows(benchmark, "classes", sizes, "servers", servers);
--- a/capacity/src/main/java/ottergauge/capacity/program/Conditions.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/Conditions.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** What the page says of the machine and of the sources that were measured. */
+/** Describes the machine and the version of the measured sources, for the page. */
 final class Conditions {
 
     private static final long GIT_TIMEOUT_S = 10;
@@ -16,7 +16,7 @@
 
     private Conditions() {}
 
-    /** The name that git gives to the sources, with a mark if they were changed. */
+    /** Returns the output of {@code git describe}, which marks sources with uncommitted changes. */
     static String version(Path root) {
         try {
             Process git =
@@ -36,7 +36,7 @@
         }
     }
 
-    /** The processor's name as the system tells it. */
+    /** Returns the model name of the processor from /proc/cpuinfo. */
     static String processor() {
         try {
             return Files.readAllLines(Path.of("/proc/cpuinfo")).stream()
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Processes that ran or wanted to, on the mean of the last minute. */
+    /** Returns the load average of the last minute: the mean number of runnable processes. */
     static double loadAverage() {
         return ManagementFactory.getOperatingSystemMXBean().getSystemLoadAverage();
     }
--- a/capacity/src/main/java/ottergauge/capacity/program/NodeSections.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/NodeSections.java
@@ -20,7 +20,7 @@
 import ottergauge.capacity.report.Spread;
 import ottergauge.capacity.workload.NodeConfiguration;
 
-/** The tables of the real process. */
+/** The tables with the measurements of node processes. */
 final class NodeSections {
 
     private static final double BYTES_PER_MEGABYTE = 1e6;
@@ -39,7 +39,7 @@
         this.sizes = sizes;
     }
 
-    /** Measures all sizes; one that cannot be measured leaves its reason in each of its cells. */
+    /** Measures all sizes. The cells of a size that failed hold the reason. */
     List<Section> measure() throws InterruptedException {
         SortedMap<Integer, NodeResults> measured = new TreeMap<>();
         SortedMap<Integer, String> failed = new TreeMap<>();
@@ -96,8 +96,8 @@
                         + " answers at",
                 "once, gets as many requests past the node meanwhile. Added is the difference of"
                         + " the two",
-                "percentiles of a time slice (HdrHistogram, three digits). CPU at rest is taken off"
-                        + " that of",
+                "percentiles of a time slice (HdrHistogram, three digits). CPU at rest is applied"
+                        + " off that of",
                 "requests. Where the measuring process itself sends late, latencies say little.");
     }
 
@@ -126,7 +126,7 @@
                         each ->
                                 discoveryStart(
                                         each,
-                                        taken -> taken.residentBytes() / BYTES_PER_MEGABYTE)));
+                                        applied -> applied.residentBytes() / BYTES_PER_MEGABYTE)));
         list.add(
                 rows.of(
                         "most resident, all over",
@@ -226,8 +226,8 @@
     }
 
     private static Cell discoveryStart(NodeResults results, ToDoubleFunction<Applied> value) {
-        return results.discoveryStart() instanceof Applied taken
-                ? single(value.applyAsDouble(taken))
+        return results.discoveryStart() instanceof Applied applied
+                ? single(value.applyAsDouble(applied))
                 : new Cell.Failed(((NotApplied) results.discoveryStart()).reason());
     }
 
@@ -241,7 +241,7 @@
         return new Cell.Measured(Spread.of(value));
     }
 
-    /** Makes rows of what was measured at each size, or of why it was not. */
+    /** Creates rows from the results at each size, or from the reason of a failure. */
     private record Rows(
             SortedMap<Integer, NodeResults> measured, SortedMap<Integer, String> failed) {
 
--- a/capacity/src/main/java/ottergauge/capacity/program/ReducerSections.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/ReducerSections.java
@@ -22,13 +22,16 @@
 import ottergauge.capacity.workload.VersionedFleet;
 import ottergauge.resources.ResourceCodec;
 
-/** The tables of what runs in memory: reducers and codecs, by JMH, and what they retain, by JOL. */
+/**
+ * The tables of in-memory measurements: CPU time and allocation of the node's state machines
+ * (reducers) and codecs, by JMH, and their retained heap, by JOL.
+ */
 final class ReducerSections {
 
     static final String SERVERS = "server";
     static final String CLASSES = "class";
 
-    /** Classes of the rows that are told by number of servers. */
+    /** Number of request classes in rows that vary the number of servers. */
     static final int DEFAULT_CLASSES = 8;
 
     private static final BenchmarkGroup LISTS =
@@ -79,14 +82,15 @@
     private static final BenchmarkMethod WINDOW =
             new BenchmarkMethod(DecisionBenchmark.class, "endWindow", "end of a window");
 
-    // Classes past this many share a row of weights: lines are fitted up to here.
+    // Request classes beyond this number share one set of server weights. Lines are fitted up to
+    // this number.
     private static final int MAX_FITTED_CLASSES = 64;
 
     private final Benchmarks benchmarks;
     private final Sizes sizes;
     private final long seed;
 
-    /** Numbers of servers, and of classes. */
+    /** The measured numbers of servers and of request classes, in ascending order. */
     record Sizes(List<Integer> servers, List<Integer> classes) {
 
         int maxServers() {
--- a/capacity/src/main/java/ottergauge/capacity/program/TableCommand.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/TableCommand.java
@@ -59,7 +59,7 @@
     @Option(
             names = "--seed",
             defaultValue = "20260101",
-            description = "Draws lists and configurations.")
+            description = "Seed of the generated lists and configurations.")
     private long seed;
 
     private enum Part {
--- a/capacity/src/main/java/ottergauge/capacity/program/package-info.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/package-info.java
@@ -1,6 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/**
- * The command line: which measurements are taken, in which order, and where the page is written.
- */
+/** The command line: runs the measurements in their order and writes the page. */
 package ottergauge.capacity.program;
--- a/capacity/src/main/java/ottergauge/capacity/report/Cell.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Cell.java
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.capacity.report;
 
-/** What a table says of one row at one size. */
+/** The content of a table cell: the result for one row at one size. */
 public sealed interface Cell {
 
-    /** It was measured. */
+    /** The measured values. */
     record Measured(Spread spread) implements Cell {}
 
-    /** It was tried and failed. */
+    /** The measurement failed. */
     record Failed(String reason) implements Cell {}
 }
--- a/capacity/src/main/java/ottergauge/capacity/report/LinearFit.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/LinearFit.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * A line by least squares, over the sizes from {@code from} to {@code to}; {@code determination} is
- * the part of the variance that it explains.
+ * A least-squares line over the sizes from {@code minSize} to {@code maxSize}. {@code rSquared} is
+ * the coefficient of determination: the fraction of the variance that the line explains.
  */
 public record LinearFit(
         double intercept, double slope, double minSize, double maxSize, double rSquared) {
@@ -14,7 +14,10 @@
     public static LinearFit of(double[] sizes, double[] values) {
         if (sizes.length != values.length || sizes.length < 2) {
             throw new IllegalArgumentException(
-                    sizes.length + " sizes and " + values.length + " values");
+                    sizes.length
+                            + " sizes and "
+                            + values.length
+                            + " values; expected equal counts of at least 2");
         }
         double meanSize = Arrays.stream(sizes).average().orElseThrow();
         double meanValue = Arrays.stream(values).average().orElseThrow();
@@ -27,7 +30,8 @@
             valueSquares += (values[i] - meanValue) * (values[i] - meanValue);
         }
         if (sizeSquares == 0) {
-            throw new IllegalArgumentException("all sizes are " + meanSize);
+            throw new IllegalArgumentException(
+                    "a fit needs different sizes, but all sizes are " + meanSize);
         }
         double slope = products / sizeSquares;
         double rSquared = valueSquares == 0 ? 1 : slope * products / valueSquares;
--- a/capacity/src/main/java/ottergauge/capacity/report/MarkdownWriter.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/MarkdownWriter.java
@@ -9,12 +9,12 @@
 
     private static final String NOT_RUN = "not run";
     private static final double WHOLE_NUMBER_FROM = 1000;
-    // What grows by less than this part over all sizes does not grow.
+    // A slope is reported as 0 if the line grows by less than this fraction over all sizes.
     private static final double FLAT_FRACTION = 0.001;
 
     private MarkdownWriter() {}
 
-    /** The page's text. */
+    /** Returns the page as Markdown text. */
     public static String write(Page page) {
         StringBuilder text = new StringBuilder("<!-- SPDX-License-Identifier: Apache-2.0 -->\n");
         text.append("# Capacity of one node, as measured\n\n");
@@ -71,7 +71,7 @@
                         flat ? "-" : String.format(Locale.ROOT, "%.3f", fit.rSquared()));
     }
 
-    /** Three significant digits, thousands set apart. */
+    /** Formats a number with three significant digits, or as a whole number from 1,000 up. */
     static String number(double value) {
         if (value == 0) {
             return "0";
--- a/capacity/src/main/java/ottergauge/capacity/report/Page.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Page.java
@@ -3,5 +3,5 @@
 
 import java.util.List;
 
-/** The whole page: how it was made, line by line, and its tables. */
+/** The page: the conditions under which it was measured, one per line, and its tables. */
 public record Page(List<String> conditions, List<Section> sections) {}
--- a/capacity/src/main/java/ottergauge/capacity/report/Row.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Row.java
@@ -6,20 +6,20 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** One thing that is measured, in one unit, by size. */
+/** A table row: the results of one measurement, in one unit, by size. */
 public record Row(String label, String unit, SortedMap<Integer, Cell> cells) {
 
-    /** A row without cells yet. */
+    /** Creates an empty row. */
     public static Row of(String label, String unit) {
         return new Row(label, unit, new TreeMap<>());
     }
 
-    /** Notes what was measured at a size. */
+    /** Sets the result at a size. */
     public void put(int size, Cell cell) {
         cells.put(size, cell);
     }
 
-    /** The line through the medians at sizes up to one, if two at least were measured. */
+    /** Fits a line to the medians at sizes up to {@code maxSize}, if at least two were measured. */
     public Optional<LinearFit> fit(int maxSize) {
         SortedMap<Integer, Cell> fitted = cells.headMap(maxSize + 1);
         double[] sizes =
--- a/capacity/src/main/java/ottergauge/capacity/report/Section.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Section.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A table of the page: rows measured at the same sizes, with what has to be known to read them.
- * Lines are fitted over the sizes up to {@code fitUpTo}.
+ * A table of the page: rows measured at the same sizes, and notes that explain them. Lines are
+ * fitted over the sizes up to {@code fitUpTo}.
  */
 public record Section(
         String title,
--- a/capacity/src/main/java/ottergauge/capacity/report/Spread.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/Spread.java
@@ -3,13 +3,13 @@
 
 import java.util.Arrays;
 
-/** Values of one thing that was measured several times. */
+/** Summary statistics of repeated measurements of one quantity. */
 public record Spread(double median, double minimum, double maximum, int count) {
 
-    /** The spread of these values, of which there is at least one. */
+    /** Summarizes at least one value. */
     public static Spread of(double... values) {
         if (values.length == 0) {
-            throw new IllegalArgumentException("no values");
+            throw new IllegalArgumentException("a spread needs at least one value");
         }
         double[] sorted = values.clone();
         Arrays.sort(sorted);
--- a/capacity/src/main/java/ottergauge/capacity/report/package-info.java
+++ b/capacity/src/main/java/ottergauge/capacity/report/package-info.java
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 /**
- * Measured values with their spread, linear fits over the sizes, and the Markdown page made of
- * them.
+ * The report: measured values with their spread, linear fits over the sizes, and the Markdown page
+ * with their tables.
  */
 package ottergauge.capacity.report;
--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -22,13 +22,13 @@
 import ottergauge.protocol.Paths;
 
 /**
- * Stands in for discovery: tells a fleet's list whole, or the changes after a version, and keeps a
- * call that has nothing to be told until a change comes or its wait is over. All of it runs on one
- * event loop.
+ * A stand-in for discovery. It returns the full endpoint list or the changes since a version, and
+ * supports long polls: a poll for which there is no newer version is held until a change is made or
+ * its wait time is over. All state belongs to one event loop.
  */
 public final class DiscoveryStandIn implements AutoCloseable {
 
-    // A watch that falls behind by more changes than this is told the whole list.
+    // A client that is more changes behind than this gets the full list.
     private static final int MAX_STORED_CHANGES = 4_096;
     private static final String AFTER = "after";
     private static final String WAIT = "wait_ms";
@@ -40,14 +40,14 @@
     private final HttpListener listener;
     private final Deque<EndpointList> changes = new ArrayDeque<>();
 
-    /** The call that waits on each connection. */
+    /** The held poll of each connection. */
     private final Map<Channel, HeldPoll> heldPolls = new HashMap<>();
 
     private long version;
     private long lastPoll;
     private volatile long lastPolledVersion = -1;
 
-    /** Listens on a free port; the fleet is used on this loop alone from now on. */
+    /** Listens on a free port. From now on, only this event loop may use the fleet. */
     public DiscoveryStandIn(EventLoop loop, Fleet fleet) {
         this.loop = loop;
         this.fleet = fleet;
@@ -69,30 +69,30 @@
                         });
     }
 
-    /** Where it listens. */
+    /** Returns the address on which it listens. */
     public Address address() {
         return listener.address();
     }
 
-    /** What it was asked so far. */
+    /** Returns the traffic since it was created. */
     public Traffic traffic() {
         return listener.traffic();
     }
 
     /**
-     * The version that the latest call asked from: what came up to it was taken; -1 for the whole
-     * list.
+     * Returns the version in the newest poll. The client has applied everything up to this version.
+     * -1 stands for a poll without a version, which asks for the full list.
      */
     public long lastPolledVersion() {
         return lastPolledVersion;
     }
 
-    /** The newest version. */
+    /** Returns the newest version. */
     public long version() {
         return runOnLoop(() -> version);
     }
 
-    /** Makes changes at an even rate for some time; gives back how many. */
+    /** Makes changes at a constant rate for this time and returns their number. */
     public int change(int perSecond, long seconds) throws InterruptedException {
         long intervalNanos = TimeUnit.SECONDS.toNanos(1) / perSecond;
         int total = (int) (perSecond * seconds);
@@ -128,7 +128,8 @@
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    // A failed write shows as the end of its connection; the scheduled task only writes.
+    // The futures may be ignored: the connection closes after a failed write, and the scheduled
+    // task does nothing but write.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void answer(Channel connection, QueryStringDecoder poll) {
         if (!poll.path().equals(Paths.ENDPOINTS)) {
@@ -160,7 +161,7 @@
         return values.isEmpty() ? defaultValue : Long.parseLong(values.get(0));
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void sendList(Channel connection, long after) {
         connection.writeAndFlush(HttpListener.response(HttpResponseStatus.OK, list(after).json()));
--- a/capacity/src/main/java/ottergauge/capacity/standin/HttpListener.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/HttpListener.java
@@ -22,15 +22,15 @@
 import ottergauge.capacity.workload.Loopback;
 import ottergauge.protocol.Address;
 
-/** A listener on a loopback port for HTTP/1.1 requests with small bodies, on one event loop. */
+/** An HTTP/1.1 server for requests with small bodies, on a loopback port and one event loop. */
 final class HttpListener implements AutoCloseable {
 
-    /** What a stand-in does with requests, on its event loop. */
+    /** Handles the requests of a stand-in, on its event loop. */
     interface Handler {
 
         void requestReceived(Channel connection, FullHttpRequest request);
 
-        /** A connection has ended. */
+        /** Called after a connection has closed. */
         default void connectionClosed(Channel connection) {}
     }
 
@@ -84,7 +84,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
@@ -99,7 +99,7 @@
         return counter.traffic();
     }
 
-    /** An answer with this body. */
+    /** Creates a response with this body. */
     static FullHttpResponse response(HttpResponseStatus status, byte[] body) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(
--- a/capacity/src/main/java/ottergauge/capacity/standin/ServerStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/ServerStandIn.java
@@ -11,7 +11,8 @@
 import ottergauge.protocol.Headers;
 
 /**
- * Stands in for all servers of a fleet: answers each request at once and reports that it is idle.
+ * A stand-in for all servers of a fleet. It answers each request immediately, with a load report of
+ * an idle server.
  */
 public final class ServerStandIn implements AutoCloseable {
 
@@ -20,12 +21,12 @@
 
     private final HttpListener listener;
 
-    /** Listens on a free port; answers are given on this loop. */
+    /** Listens on a free port and answers on this event loop. */
     public ServerStandIn(EventLoop loop) {
         listener = new HttpListener(loop, ServerStandIn::answer);
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private static void answer(Channel connection, FullHttpRequest request) {
         FullHttpResponse response = HttpListener.response(HttpResponseStatus.OK, BODY);
@@ -33,12 +34,12 @@
         connection.writeAndFlush(response);
     }
 
-    /** Where it listens. */
+    /** Returns the address on which it listens. */
     public Address address() {
         return listener.address();
     }
 
-    /** What it was asked so far. */
+    /** Returns the traffic since it was created. */
     public Traffic traffic() {
         return listener.traffic();
     }
--- a/capacity/src/main/java/ottergauge/capacity/standin/Traffic.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/Traffic.java
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.capacity.standin;
 
-/** What has passed at a stand-in: calls, and the bytes of requests and answers on its sockets. */
+/** The traffic of a stand-in: number of requests, and bytes received and sent on its sockets. */
 public record Traffic(long calls, long receivedBytes, long sentBytes) {
 
-    /** What has passed since an earlier look. */
+    /** Returns the traffic since an earlier reading. */
     public Traffic since(Traffic earlier) {
         return new Traffic(
                 calls - earlier.calls,
@@ -12,7 +12,7 @@
                 sentBytes - earlier.sentBytes);
     }
 
-    /** The bytes of both ways. */
+    /** Returns the bytes of both directions. */
     public long bytes() {
         return receivedBytes + sentBytes;
     }
--- a/capacity/src/main/java/ottergauge/capacity/standin/TrafficCounter.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/TrafficCounter.java
@@ -8,7 +8,10 @@
 import io.netty.channel.ChannelPromise;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Counts the bytes of all connections of a stand-in, next to their sockets. */
+/**
+ * Counts the bytes of all connections of a stand-in. It is the first handler of each pipeline, so
+ * it sees the bytes of the sockets, HTTP headers included.
+ */
 @Sharable
 final class TrafficCounter extends ChannelDuplexHandler {
 
@@ -16,7 +19,6 @@
     private final AtomicLong receivedBytes = new AtomicLong();
     private final AtomicLong sentBytes = new AtomicLong();
 
-    /** Counts one request. */
     void countRequest() {
         calls.incrementAndGet();
     }
@@ -34,7 +36,7 @@
     }
 
     @Override
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes) {
--- a/capacity/src/main/java/ottergauge/capacity/standin/package-info.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/package-info.java
@@ -1,7 +1,4 @@
 // SPDX-License-Identifier: Apache-2.0
 
-/**
- * Stand-ins for discovery and for servers, on loopback addresses, which count what a node asks of
- * them.
- */
+/** Stand-ins for discovery and for servers, on loopback addresses. They count their traffic. */
 package ottergauge.capacity.standin;
--- a/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
@@ -15,10 +15,13 @@
 import ottergauge.decision.api.DecisionSettings;
 import ottergauge.decision.api.LoadReport;
 
-/** Lets a decision module serve requests one after the other, at the rate of one of 780 nodes. */
+/**
+ * Drives a decision engine through one request at a time, at the request rate of one node in a
+ * fleet of 780. All times are in microseconds of a simulated clock.
+ */
 public final class DecisionDriver {
 
-    /** Requests a second at one node. */
+    /** Request rate of one node. */
     public static final int REQUESTS_PER_SECOND = 62;
 
     private static final long MICROS_PER_SECOND = 1_000_000;
@@ -28,7 +31,7 @@
     private static final LoadReport LOAD_REPORT =
             new LoadReport(1, 0, 0.1, SERVICE_TIME_US, Double.NaN);
 
-    /** Keeps the last send, and whether a request was given up. */
+    /** Keeps the last attempt, and counts the requests that were rejected or failed. */
     private static final class ActionRecorder implements DecisionActionSink {
         private SendAttempt lastAttempt;
         private int failures;
@@ -49,20 +52,23 @@
     private long now = MICROS_PER_SECOND;
     private long requests;
 
-    /** A module that has been told of these servers. */
+    /** Creates an engine and gives it the endpoint list. */
     public DecisionDriver(DecisionSettings settings, long seed, EndpointUpdate endpoints) {
         engine = new DecisionEngine(settings, seed);
         classes = settings.requestClasses().size();
         engine.handle(now, endpoints, actions);
     }
 
-    /** Tells the module of a list at once. */
+    /** Gives the engine an endpoint list or an incremental update. */
     public void applyUpdate(EndpointUpdate list) {
         now++;
         engine.handle(now, list, actions);
     }
 
-    /** A request arrives, is sent to a server and answered by it, each class in turn. */
+    /**
+     * Runs one request from its arrival to the response of the chosen server, and returns the id of
+     * that server. The request classes take turns.
+     */
     public long serveOne() {
         String id = Long.toString(++requests);
         int requestClass = (int) (requests % classes);
@@ -73,7 +79,7 @@
                 actions);
         SendAttempt send = actions.lastAttempt;
         if (send == null || !send.id().equals(id)) {
-            throw new IllegalStateException("request " + id + " was not sent");
+            throw new IllegalStateException("request " + id + " was not sent to a server");
         }
         engine.handle(
                 now + SERVICE_TIME_US,
@@ -88,12 +94,13 @@
                 actions);
         now += MICROS_PER_SECOND / REQUESTS_PER_SECOND;
         if (actions.failures > 0) {
-            throw new IllegalStateException("request " + id + " was given up");
+            throw new IllegalStateException(
+                    "request " + id + " was rejected or failed; expected it to be served");
         }
         return send.server();
     }
 
-    /** Serves the requests of some windows, so that rows have their weights. */
+    /** Serves the requests of several windows, so that the engine has computed server weights. */
     public void serveWindows(int windows) {
         for (long left = windows * WINDOW_US / MICROS_PER_SECOND * REQUESTS_PER_SECOND;
                 left > 0;
@@ -102,13 +109,13 @@
         }
     }
 
-    /** Lets a window end in which nothing was served. */
+    /** Advances the clock to the end of a window without requests. */
     public void endWindow() {
         now += WINDOW_US;
         engine.handle(now, new TimerFired("tick"), actions);
     }
 
-    /** The module, for a look at what it retains. */
+    /** Returns the engine, so that its retained heap can be measured. */
     public DecisionEngine engine() {
         return engine;
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/DecisionEndpoints.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/DecisionEndpoints.java
@@ -10,7 +10,7 @@
 import ottergauge.decision.api.UpdateScope;
 import ottergauge.protocol.DiscoveredEndpoint;
 
-/** A fleet in the form in which the decision module is told of it, with changes made in turn. */
+/** A generated fleet in the form that the decision engine takes, and incremental updates of it. */
 public final class DecisionEndpoints {
 
     private final List<Endpoint> servers;
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Draws a fleet; the module sorts by the servers' numbers, which are drawn as evenly as hashes
-     * are.
+     * Generates a fleet. The engine sorts servers by id, and ids in production are hashes, so the
+     * ids are uniformly distributed.
      */
     public static DecisionEndpoints generate(int servers, long seed) {
         SplittableRandom ids = new SplittableRandom(~seed);
@@ -42,12 +42,15 @@
         return new DecisionEndpoints(generated);
     }
 
-    /** The whole list, as discovery's answer to a first call brings it. */
+    /** Returns the full list, as discovery sends it in response to the first poll. */
     public EndpointUpdate fullList() {
         return new EndpointUpdate(UpdateScope.FULL, List.copyOf(servers));
     }
 
-    /** The next change: one server begins to drain, or is in service again; each in turn. */
+    /**
+     * Makes the next change and returns it as an incremental update: one server starts to drain or
+     * returns to service. The servers take turns.
+     */
     public EndpointUpdate change() {
         Endpoint before = servers.get(nextToChange);
         Endpoint after =
--- a/capacity/src/main/java/ottergauge/capacity/workload/EncodedSnapshot.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/EncodedSnapshot.java
@@ -6,16 +6,20 @@
 import ottergauge.resources.ResourceCodec;
 import ottergauge.resources.SnapshotPage;
 
-/** A state's snapshot as it goes over sockets, in pages of nearly the bytes that nodes ask for. */
+/**
+ * The encoded pages of a snapshot, as the control process sends them. Each page fits into the size
+ * that nodes request.
+ */
 public record EncodedSnapshot(List<byte[]> pages, int resources) {
 
-    /** The bytes of a page that nodes ask for. */
+    /** The page size that nodes request, in bytes. */
     public static final int PAGE_BYTES = 65_536;
 
-    // The bytes of the largest resource here: so many fit into a page in any case.
+    // Upper bound of the encoded size of a resource in this workload. It limits the resources per
+    // page.
     private static final int MAX_RESOURCE_BYTES = 256;
 
-    /** Encodes all pages. */
+    /** Encodes all pages of the state. */
     public static EncodedSnapshot of(VersionedFleet fleet) {
         List<byte[]> pages = new ArrayList<>();
         for (SnapshotPage page : fleet.pages(PAGE_BYTES / MAX_RESOURCE_BYTES)) {
@@ -24,7 +28,7 @@
         return new EncodedSnapshot(pages, fleet.resources().size());
     }
 
-    /** The bytes of all pages. */
+    /** Returns the total size of all pages in bytes. */
     public long bytes() {
         return pages.stream().mapToLong(page -> page.length).sum();
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/Fleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/Fleet.java
@@ -10,20 +10,21 @@
 import ottergauge.protocol.EndpointList;
 
 /**
- * A list of servers as discovery tells it, and changes of it; the same seed gives the same lists.
+ * A generated list of servers in the form that discovery returns, and incremental updates of it.
+ * The same seed gives the same lists and updates.
  */
 public final class Fleet {
 
-    /** The zones that the servers of a fleet stand in. */
+    /** The zones of the servers. */
     public static final List<String> ZONES =
             List.of("z-01", "z-02", "z-03", "z-04", "z-05", "z-06", "z-07", "z-08", "z-09", "z-10");
 
-    /** The kinds of machine that the servers of a fleet are of. */
+    /** The machine types of the servers. */
     public static final List<String> KINDS = List.of("small", "medium", "large");
 
     private static final double[] WEIGHTS = {0.5, 1.0, 2.0};
     private static final int CELLS = 64;
-    // Every so many servers one was started lately enough for its entry to say when.
+    // On average, one server in 16 has a start time in its entry; the others started too long ago.
     private static final int RECENT_START_INTERVAL = 16;
     private static final long EPOCH_MS = 1_760_000_000_000L;
     private static final long DAY_MS = 86_400_000L;
@@ -37,7 +38,8 @@
     }
 
     /**
-     * Draws a fleet whose servers are all reached at one address, as those behind a stand-in are.
+     * Generates a fleet. All its servers have the same address, because one stand-in answers for
+     * all of them.
      */
     public static Fleet generate(int servers, long seed, Address sharedAddress) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -62,22 +64,25 @@
         return new Fleet(endpoints);
     }
 
-    /** The number of servers. */
+    /** Returns the number of servers. */
     public int size() {
         return endpoints.size();
     }
 
-    /** The whole list at its present version. */
+    /** Returns the full list at its current version. */
     public EndpointList fullList() {
         return new EndpointList(version, true, List.copyOf(endpoints));
     }
 
-    /** An empty list, which a node has that is to be told all by discovery. */
+    /** Returns the list of a node that gets all its endpoints from discovery. */
     public static EndpointList emptyList() {
         return new EndpointList(0, true, List.of());
     }
 
-    /** Makes the next change: one server begins to drain, or is in service again; each in turn. */
+    /**
+     * Makes the next change and returns it as an incremental update: one server starts to drain or
+     * returns to service. The servers take turns.
+     */
     public EndpointList change() {
         DiscoveredEndpoint before = endpoints.get(nextToChange);
         DiscoveredEndpoint after =
@@ -93,7 +98,7 @@
                         before.weight(),
                         before.startedAtMs());
         endpoints.set(nextToChange, after);
-        // First it drains, then it is in service again: no more than one is out at a time.
+        // A server returns to service before the next one drains: at most one is out of service.
         if (after.state() == EndpointState.UP) {
             nextToChange = (nextToChange + 1) % endpoints.size();
         }
@@ -101,7 +106,7 @@
         return new EndpointList(version, false, List.of(after));
     }
 
-    /** Goes on to a new version without a change. */
+    /** Returns the same servers as a full list with the next version. */
     public EndpointList fullListAtNextVersion() {
         version++;
         return fullList();
--- a/capacity/src/main/java/ottergauge/capacity/workload/Loopback.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/Loopback.java
@@ -6,15 +6,15 @@
 /** Loopback addresses. */
 public final class Loopback {
 
-    /** The host of all addresses in use here. */
+    /** The host of all addresses of the measurements. */
     public static final String HOST = "127.0.0.1";
 
-    /** An address that nothing is sent to: reducers are measured without sockets. */
+    /** A placeholder address for measurements that open no sockets. */
     public static final Address UNUSED = new Address(HOST, 9);
 
     private Loopback() {}
 
-    /** The loopback address with this port. */
+    /** Returns the loopback address with this port. */
     public static Address port(int port) {
         return new Address(HOST, port);
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
@@ -14,13 +14,14 @@
 import ottergauge.protocol.ProtocolException;
 
 /**
- * The configuration of one of 780 nodes, the same for benchmarks and for real processes: answers
- * tell loads, probes cost more than they are worth, and all classes may be repeated.
+ * The configuration of one node in a fleet of 780. Benchmarks and node processes use the same one:
+ * responses carry load reports, a load probe costs more than it is worth, and requests of all
+ * classes may be retried.
  */
 public record NodeConfiguration(
         Address listen, Address discovery, long seed, int classes, EndpointList knownEndpoints) {
 
-    /** Nodes in the fleet that the measured one is part of. */
+    /** Number of nodes in the fleet of the measured node. */
     public static final int NODES = 780;
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -41,12 +42,12 @@
     private static final double CONNECT_TIMEOUT_MS = 200;
     private static final double CONNECTION_IDLE_TIMEOUT_MS = 10_000;
 
-    /** The name of the class of this number, counted from 0. */
+    /** Returns the name of the request class with this index, which starts at 0. */
     public static String className(int number) {
         return "class-%03d".formatted(number);
     }
 
-    /** The configuration as the node reads it. */
+    /** Returns the configuration as the node parses it. */
     public NodeConfig read() {
         try {
             return NodeConfig.read(json());
@@ -55,7 +56,7 @@
         }
     }
 
-    /** The content of the configuration file. */
+    /** Returns the content of the configuration file. */
     public byte[] json() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator out = JSON.createGenerator(bytes)) {
--- a/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
@@ -10,16 +10,18 @@
 import ottergauge.routing.Router;
 import ottergauge.routing.Timer;
 
-/** Brings a router to the point at which discovery is called, and answers its calls. */
+/** Runs a router on a simulated clock up to its first poll of discovery, and answers its polls. */
 public final class RouterDriver {
 
-    // The first call comes within 200 ms of the start.
+    // A router polls discovery for the first time within 200 ms of its start. In microseconds.
     private static final long FIRST_POLL_WITHIN_US = 250_000;
-    // Discovery's answers follow each other this closely, so that no window of the decisions ends
-    // between.
+    // Time between two discovery responses, in microseconds. It is so short that no window of the
+    // decision engine ends between them.
     private static final long ANSWER_INTERVAL_US = 1;
 
-    /** Keeps the number of the call to discovery that is out and nothing else. */
+    /**
+     * Keeps the id of the pending discovery poll and counts the polls; ignores all other effects.
+     */
     private static final class PollRecorder implements Consumer<Effect> {
         private long currentPoll;
         private long count;
@@ -37,33 +39,34 @@
     private final Router router;
     private long now = 1_000_000;
 
-    /** Starts a router, which follows the list of its configuration. */
+    /** Starts a router with the endpoint list of its configuration. */
     public RouterDriver(NodeConfig config) {
         router = new Router(config, polls);
         router.start(now);
     }
 
-    /** Lets time pass until discovery is called for the first time. */
+    /** Advances the clock until the router polls discovery for the first time. */
     public void awaitFirstPoll() {
         now += FIRST_POLL_WITHIN_US;
         router.handle(now, new Event.TimerFired(new Timer.Decision("tick")));
         if (polls.count == 0) {
-            throw new IllegalStateException("the router did not call discovery");
+            throw new IllegalStateException("the router did not poll discovery after its start");
         }
     }
 
-    /** Answers the call that is out; gives back how many calls were made since the start. */
+    /** Answers the pending poll and returns the number of polls since the start. */
     public long answer(EndpointList list) {
         long countBefore = polls.count;
         now += ANSWER_INTERVAL_US;
         router.handle(now, new Event.EndpointListReceived(polls.currentPoll, list));
         if (polls.count == countBefore) {
-            throw new IllegalStateException("the router did not go on with its watch");
+            throw new IllegalStateException(
+                    "the router did not poll discovery again after a response");
         }
         return polls.count;
     }
 
-    /** The router, for a look at what it retains. */
+    /** Returns the router, so that its retained heap can be measured. */
     public Router router() {
         return router;
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/VersionedFleet.java
@@ -21,19 +21,19 @@
 import ottergauge.resources.Subscription;
 
 /**
- * The state that a control process tells: services with their servers, routes, and tenants, as many
- * for each server as the target has; changes of it, and its pages. The same seed gives the same
- * state.
+ * A generated state of a control process: services with their servers, routes and tenants, in the
+ * ratios of the capacity target. It can be changed and split into snapshot pages. The same seed
+ * gives the same state.
  */
 public final class VersionedFleet {
 
-    /** The log that counts the versions. */
+    /** The name of the change log that numbers the versions. */
     public static final String LOG = "capacity";
 
-    /** A node that follows all of it. */
+    /** The subscription of a node that follows all resources. */
     public static final Subscription ALL = new Subscription(Set.of(), "default");
 
-    // The target: 8,000 servers in 500 services, 2,700 routes, 38,000 tenants.
+    // The capacity target: 8,000 servers in 500 services, 2,700 routes, 38,000 tenants.
     private static final int TARGET_SERVERS = 8_000;
     private static final int TARGET_SERVICES = 500;
     private static final int TARGET_ROUTES = 2_700;
@@ -49,7 +49,8 @@
     private VersionedFleet() {}
 
     /**
-     * Draws a state with this many servers; its resources were each made by a change of their own.
+     * Generates a state with this many servers. Each resource has a version of its own, as if a
+     * separate change had created it.
      */
     public static VersionedFleet generate(int servers, long seed) {
         VersionedFleet fleet = new VersionedFleet();
@@ -107,17 +108,20 @@
         return key;
     }
 
-    /** The version of the newest change. */
+    /** Returns the position of the newest change in the log. */
     public LogPosition position() {
         return new LogPosition(LOG, version);
     }
 
-    /** All resources, in the order of their keys. */
+    /** Returns all resources, sorted by key. */
     public List<Resource> resources() {
         return List.copyOf(state.values());
     }
 
-    /** Makes the next change: one server begins to drain, or is in service again; each in turn. */
+    /**
+     * Makes the next change and returns it: one server starts to drain or returns to service. The
+     * servers take turns.
+     */
     public Change change() {
         ResourceKey key = servers.get(nextToChange);
         ResourceValue.Server before = (ResourceValue.Server) state.get(key).value();
@@ -143,13 +147,13 @@
         return new Change(version, List.of(new Change.Put(key, after)), List.of());
     }
 
-    /** A page that holds the next change alone. */
+    /** Makes the next change and returns a page with only this change. */
     public ChangePage changePage() {
         Change change = change();
         return new ChangePage(position(), List.of(change));
     }
 
-    /** The state in pages of at most so many resources. */
+    /** Returns the state in snapshot pages of at most {@code maxResources} resources. */
     public List<SnapshotPage> pages(int maxResources) {
         List<SnapshotPage> pages = new ArrayList<>();
         List<Resource> page = new ArrayList<>();
