--- a/capacity/src/main/java/ottergauge/capacity/program/NodeSections.java
+++ b/capacity/src/main/java/ottergauge/capacity/program/NodeSections.java
@@ -96,8 +96,8 @@
                         + " answers at",
                 "once, gets as many requests past the node meanwhile. Added is the difference of"
                         + " the two",
-                "percentiles of a time slice (HdrHistogram, three digits). CPU at rest is applied"
-                        + " off that of",
+                "percentiles of a time slice (HdrHistogram, three digits). CPU at rest is taken off"
+                        + " that of",
                 "requests. Where the measuring process itself sends late, latencies say little.");
     }
 
