--- a/capacity/src/test/java/ottergauge/capacity/benchmark/BenchmarkSmokeTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/benchmark/BenchmarkSmokeTest.java
@@ -20,15 +20,15 @@
 import org.openjdk.jmh.runner.options.VerboseMode;
 
 /**
- * Runs each benchmark once with 100 servers: it has to end with its result checked, in whatever
- * time.
+ * Runs each benchmark once with 100 servers. The benchmark's own checks have to hold; the time that
+ * it takes does not matter.
  */
 class BenchmarkSmokeTest {
 
     private static final String LIST = "/META-INF/BenchmarkList";
 
     @Test
-    void eachBenchmarkRunsAndItsChecksHold() throws RunnerException, IOException {
+    void everyBenchmarkRunsAndItsChecksHold() throws RunnerException, IOException {
         Collection<RunResult> results =
                 new Runner(
                                 new OptionsBuilder()
--- a/capacity/src/test/java/ottergauge/capacity/heap/RetainedHeapTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/heap/RetainedHeapTest.java
@@ -5,17 +5,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Bounds from both sides that hold for any layout of objects. */
+/** Checks lower and upper bounds that hold for any object layout of the JVM. */
 class RetainedHeapTest {
 
     private static final long SEED = 7;
-    // A server's name alone is 20 bytes and a string around them; no server of the lists here takes
-    // 4 KiB.
+    // A server's name alone takes 20 bytes and the headers of its string. No server of these lists
+    // takes 4 KiB.
     private static final long MIN_BYTES_PER_SERVER = 60;
     private static final long MAX_BYTES_PER_SERVER = 4_096;
 
     @Test
-    void whatIsRetainedGrowsWithTheServers() {
+    void retainedHeapGrowsWithTheNumberOfServers() {
         assertGrowthInBounds(
                 RetainedHeap.ofEndpointList(100, SEED), RetainedHeap.ofEndpointList(200, SEED));
         assertGrowthInBounds(
--- a/capacity/src/test/java/ottergauge/capacity/load/OpenLoopClientTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/load/OpenLoopClientTest.java
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void timeCountsFromTheIntendedInstant() throws Exception {
+    void latencyCountsFromTheIntendedSendTime() throws Exception {
         try (OpenLoopClient client = new OpenLoopClient(loops.next(), server.address(), 1, "t")) {
             client.send(System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(700));
             assertTrue(client.awaitResponses(TIMEOUT_MS));
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void whatCannotConnectHasFailed() throws Exception {
+    void requestThatCannotConnectCountsAsFailed() throws Exception {
         try (OpenLoopClient client =
                 new OpenLoopClient(loops.next(), NodeProcess.freeAddress(), 1, "t")) {
             client.send(System.nanoTime());
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void requestsDoNotWaitForEachOthersAnswers() throws Exception {
+    void requestIsSentBeforeAnEarlierOneIsAnswered() throws Exception {
         try (SilentServer silentServer = new SilentServer();
                 OpenLoopClient client =
                         new OpenLoopClient(loops.next(), silentServer.address(), 1, "t")) {
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aSeedSendsTheSameRequestsHoweverLateThePacerRuns() throws Exception {
+    void numberOfRequestsDependsOnTheSeedAndNotOnThePacersDelay() throws Exception {
         try (OpenLoopClient client = new OpenLoopClient(loops.next(), server.address(), 1, "t")) {
             new Pacer(11).run(List.of(client), 400, 0.5);
             assertTrue(client.awaitResponses(TIMEOUT_MS));
@@ -84,8 +84,8 @@
         }
     }
 
-    // The same process by its definition: gaps with an exponential distribution until the time is
-    // over.
+    // Counts the requests of the same Poisson process by its definition: exponentially distributed
+    // intervals until the time is over.
     private static long expectedCount(long seed, double perSecond, double seconds) {
         SplittableRandom random = new SplittableRandom(seed);
         long count = -1;
@@ -95,7 +95,7 @@
         return count;
     }
 
-    /** Takes connections and never answers. */
+    /** Accepts connections and never answers. */
     private static final class SilentServer implements AutoCloseable {
         private final ServerSocket listener;
 
--- a/capacity/src/test/java/ottergauge/capacity/node/NodeMeasurementIT.java
+++ b/capacity/src/test/java/ottergauge/capacity/node/NodeMeasurementIT.java
@@ -11,7 +11,8 @@
 import ottergauge.capacity.node.NodeResults.LoadSlice;
 
 /**
- * Measures a real process of the node once, with 100 servers: by counts, whatever time it takes.
+ * Measures a node process once, with 100 servers. The test checks counts and sets no bounds on the
+ * measured times.
  */
 class NodeMeasurementIT {
 
@@ -20,7 +21,7 @@
             new NodeMeasurement.RunSettings(2, 0, 1, 1, 1, 20, 1, 1, 20_000);
 
     @Test
-    void aNodeIsMeasured() throws Exception {
+    void measure_returnsResultsOfANodeProcess() throws Exception {
         NodeResults results;
         try (NodeMeasurement measurement =
                 new NodeMeasurement(RunLine.read(ROOT), ROOT, 7, 4, SHORT_RUN)) {
@@ -30,10 +31,10 @@
         results.starts()
                 .forEach(start -> assertTrue(start.readyMs() > 0 && start.residentBytes() > 0));
         assertInstanceOf(Applied.class, results.discoveryStart());
-        assertTrue(results.changes().allApplied(), "the node has taken each change");
+        assertTrue(results.changes().allApplied(), "the node did not apply every change");
         assertTrue(results.changes().callsPerChange() > 0);
         LoadSlice slice = results.load().slices().get(0);
-        assertTrue(slice.served() > 0, "requests were served");
+        assertTrue(slice.served() > 0, "no request was served");
         assertTrue(results.peakResidentBytes() >= results.starts().get(1).residentBytes() / 2);
     }
 }
--- a/capacity/src/test/java/ottergauge/capacity/node/RunLineTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/node/RunLineTest.java
@@ -15,7 +15,7 @@
 class RunLineTest {
 
     @Test
-    void theFlagsAreThoseBeforeTheJarWithoutTheArchive() {
+    void jvmFlags_areTheFlagsBeforeTheJarWithoutTheClassArchive() {
         RunLine run =
                 new RunLine(
                         "exec java -XX:SharedArchiveFile=a.jsa -Xmx96m -XX:+UseSerialGC -jar a.jar "
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void theOperatorsLineIsRead() throws IOException {
+    void read_returnsTheRunCommandOfTheDeployFile() throws IOException {
         RunLine run = RunLine.read(Path.of(".."));
         assertTrue(run.command().startsWith("exec java "), run.command());
         assertTrue(run.jvmFlags().contains("-XX:+UseSerialGC"), run.jvmFlags().toString());
     }
 
     @Test
-    void aFileWithoutTheLineIsRefused(@TempDir Path root) throws IOException {
+    void read_fileWithoutARunCommandFails(@TempDir Path root) throws IOException {
         Files.createDirectories(root.resolve("deploy"));
         Files.writeString(root.resolve("deploy/balancer.toml"), "build = \"x\"\n");
         assertThrows(IOException.class, () -> RunLine.read(root));
--- a/capacity/src/test/java/ottergauge/capacity/report/LinearFitTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/report/LinearFitTest.java
@@ -12,7 +12,7 @@
 class LinearFitTest {
 
     @Property(seed = "20260101")
-    void whatLiesOnALineGivesThatLine(
+    void pointsOnALineGiveThatLine(
             @ForAll @DoubleRange(min = -1e6, max = 1e6) double intercept,
             @ForAll @DoubleRange(min = -1e3, max = 1e3) double slope) {
         double[] sizes = {100, 1_000, 4_000, 8_000};
@@ -26,8 +26,8 @@
     }
 
     @Test
-    void pointsBesideALineAreFittedByLeastSquares() {
-        // By hand: means 2 and 3; products 4, squares of sizes 2, squares of values 14.
+    void pointsOffALineAreFittedByLeastSquares() {
+        // Calculated by hand: means 2 and 3; products 4, squares of sizes 2, squares of values 14.
         LinearFit fit = LinearFit.of(new double[] {1, 2, 3}, new double[] {2, 1, 6});
         assertEquals(2, fit.slope(), 1e-12);
         assertEquals(-1, fit.intercept(), 1e-12);
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void onePointOrOneSizeIsNoLine() {
+    void onePointOrOneSizeCannotBeFitted() {
         assertThrows(
                 IllegalArgumentException.class,
                 () -> LinearFit.of(new double[] {1}, new double[] {1}));
--- a/capacity/src/test/java/ottergauge/capacity/report/MarkdownWriterTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/report/MarkdownWriterTest.java
@@ -10,7 +10,7 @@
 class MarkdownWriterTest {
 
     @Test
-    void aRowTellsSpreadFailureAndWhatWasNotRun() {
+    void rowShowsSpreadFailureAndSizesThatWereNotRun() {
         Row row = Row.of("read", "µs");
         row.put(100, new Cell.Measured(Spread.of(3, 1, 2)));
         row.put(1_000, new Cell.Measured(Spread.of(12)));
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void whatDoesNotGrowHasNoSlope() {
+    void rowThatDoesNotGrowHasSlopeZero() {
         Row row = Row.of("bytes", "B");
         row.put(100, new Cell.Measured(Spread.of(8_872.001)));
         row.put(8_000, new Cell.Measured(Spread.of(8_872.003)));
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void sizesPastTheFitAreShownAndNotFitted() {
+    void sizesBeyondTheFitLimitAreShownAndNotFitted() {
         Row row = Row.of("window", "µs");
         row.put(1, new Cell.Measured(Spread.of(1)));
         row.put(64, new Cell.Measured(Spread.of(64)));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void numbersHaveThreeDigitsOrAreWhole() {
+    void number_hasThreeSignificantDigitsOrIsAWholeNumber() {
         assertEquals("0", MarkdownWriter.number(0));
         assertEquals("0.0123", MarkdownWriter.number(0.012345));
         assertEquals("12.3", MarkdownWriter.number(12.345));
--- a/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/standin/DiscoveryStandInTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aCallWithoutAVersionIsToldTheWholeList() throws Exception {
+    void pollWithoutAVersionGetsTheFullList() throws Exception {
         EndpointList list = poll("");
         assertTrue(list.complete());
         assertEquals(20, list.endpoints().size());
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void aCallThatWaitsIsToldTheChangeThatComes() throws Exception {
+    void heldPollGetsTheNextChange() throws Exception {
         CompletableFuture<HttpResponse<byte[]>> heldPoll =
                 client.sendAsync(request("?after=1&wait_ms=60000"), BodyHandlers.ofByteArray());
         while (discovery.traffic().calls() == 0) {
@@ -75,24 +75,24 @@
     }
 
     @Test
-    void whatWasMissedIsToldOncePerServer() throws Exception {
+    void missedChangesAreSentOncePerServer() throws Exception {
         discovery.makeChange();
         discovery.makeChange();
         discovery.makeChange();
         EndpointList missed = poll("?after=1&wait_ms=0");
         assertEquals(4, missed.version());
         assertFalse(missed.complete());
-        // The first server drained and came back; the second drains.
+        // The first server drained and returned to service; the second one drains.
         assertEquals(2, missed.endpoints().size());
     }
 
     @Test
-    void aVersionThatIsNotKnownIsToldTheWholeList() throws Exception {
+    void pollWithAnUnknownVersionGetsTheFullList() throws Exception {
         assertTrue(poll("?after=77&wait_ms=0").complete());
     }
 
     @Test
-    void aWaitThatIsOverIsToldNothing() throws Exception {
+    void pollWhoseWaitTimeIsOverGetsAnEmptyUpdate() throws Exception {
         EndpointList nothing = poll("?after=1&wait_ms=1");
         assertEquals(1, nothing.version());
         assertFalse(nothing.complete());
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void callsAndBytesAreCountedWithTheirHeads() throws Exception {
+    void trafficCountsRequestsAndBytesWithHttpHeaders() throws Exception {
         int body = client.send(request(""), BodyHandlers.ofByteArray()).body().length;
         Traffic traffic = discovery.traffic();
         assertEquals(1, traffic.calls());
--- a/capacity/src/test/java/ottergauge/capacity/workload/EncodedSnapshotTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/EncodedSnapshotTest.java
@@ -14,7 +14,7 @@
 class EncodedSnapshotTest {
 
     @Test
-    void thePagesHoldTheWholeStateWithinTheirBytes() throws ProtocolException {
+    void pagesHoldAllResourcesAndStayWithinThePageSize() throws ProtocolException {
         VersionedFleet fleet = VersionedFleet.generate(100, 7);
         EncodedSnapshot encoded = EncodedSnapshot.of(fleet);
         List<Resource> read = new ArrayList<>();
--- a/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/FleetTest.java
@@ -18,7 +18,7 @@
 class FleetTest {
 
     @Test
-    void theSameSeedGivesTheSameListAndAnotherOneAnother() {
+    void generate_sameSeedGivesTheSameListAndAnotherSeedAnother() {
         byte[] one = Fleet.generate(50, 3, Loopback.UNUSED).fullList().json();
         assertArrayEquals(one, Fleet.generate(50, 3, Loopback.UNUSED).fullList().json());
         assertNotEquals(
@@ -27,13 +27,13 @@
     }
 
     @Test
-    void aListIsReadAsItWasDrawn() throws ProtocolException {
+    void generatedListIsUnchangedAfterEncodingAndReading() throws ProtocolException {
         EndpointList generated = Fleet.generate(50, 3, Loopback.UNUSED).fullList();
         assertEquals(generated, EndpointList.read(generated.json()));
     }
 
     @Test
-    void changesTakeOneServerOutAndBackWithARisingVersion() {
+    void change_drainsOneServerAndReturnsItWithIncreasingVersions() {
         Fleet fleet = Fleet.generate(2, 3, Loopback.UNUSED);
         List<String> changes = new ArrayList<>();
         long version = fleet.fullList().version();
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void theConfigurationIsReadWithItsListAndClasses() {
+    void configurationIsReadWithItsListAndClasses() {
         Fleet fleet = Fleet.generate(20, 3, Loopback.UNUSED);
         NodeConfig config =
                 new NodeConfiguration(
--- a/capacity/src/test/java/ottergauge/capacity/workload/VersionedFleetTest.java
+++ b/capacity/src/test/java/ottergauge/capacity/workload/VersionedFleetTest.java
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theTargetHasItsNumbersAndSmallerSizesTheSameParts() {
+    void generate_hasTheNumbersOfTheTargetAndScalesThemDown() {
         assertEquals(
                 Map.of(
                         ResourceKind.SERVICE,
@@ -49,14 +49,14 @@
     }
 
     @Test
-    void theSameSeedGivesTheSameState() {
+    void generate_sameSeedGivesTheSameState() {
         assertEquals(
                 VersionedFleet.generate(50, 3).resources(),
                 VersionedFleet.generate(50, 3).resources());
     }
 
     @Test
-    void pagesHoldTheStateInItsOrderAndNameTheNextKey() {
+    void pages_holdAllResourcesInOrderAndTheNextKey() {
         VersionedFleet fleet = VersionedFleet.generate(20, 3);
         List<SnapshotPage> pages = fleet.pages(10);
         List<Resource> all = new ArrayList<>();
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aChangeIsTheNewestVersionOfOneServer() {
+    void change_givesOneServerTheNewestVersion() {
         VersionedFleet fleet = VersionedFleet.generate(20, 3);
         long before = fleet.position().version();
         Change change = fleet.change();
