--- a/src/main/java/ottergauge/decision/DecisionEngine.java
+++ b/src/main/java/ottergauge/decision/DecisionEngine.java
@@ -54,12 +54,13 @@
 import ottergauge.decision.selection.ServerSelector;
 
 /**
- * Makes all decisions of a node and does nothing else. It receives an event with its instant and
- * returns actions. The same inputs and the same seed always give the same actions. The engine only
- * dispatches events to its parts, and each part owns its state. The basic algorithm is Per-Function
- * Auto Weighted Round-Robin; docs/design.md lists the departures from it and when each applies.
+ * Decides for one node which server gets each request, and when a request is retried, rejected or
+ * failed. It receives an event with its instant and returns actions. The same events and the same
+ * seed always give the same actions. The engine only dispatches events to its parts, and each part
+ * owns its state. The basic algorithm is Per-Function Auto Weighted Round-Robin; docs/design.md
+ * lists the deviations from it and when each applies.
  *
- * <p>Not thread-safe: one thread passes all events, in the order of their instants.
+ * <p>Not thread-safe: one thread must pass all events, in the order of their instants.
  */
 public final class DecisionEngine implements DecisionView {
 
@@ -229,7 +230,10 @@
         subset.choose(now);
     }
 
-    /** Returns whether the event may have freed capacity of a server. */
+    /**
+     * Passes the event to the part that handles it, and returns whether the event may have freed
+     * capacity at a server.
+     */
     private boolean dispatch(DecisionEvent event, DecisionActionSink actions) {
         if (event instanceof RequestArrived e) {
             requestArrived(e, actions);
@@ -306,8 +310,9 @@
         endpointsUpdated(event.endpoints());
     }
 
-    // Classes that keep their names keep their statistics. Requests that have already arrived keep
-    // their settings. If their class has been removed, they use the shared row.
+    // A class whose name is also in the new settings keeps its statistics. Requests that have
+    // already arrived keep their class and limits. If their class has been removed, they use the
+    // row of the weight table that all classes share.
     private void applySettings(DecisionSettings next) {
         warmUp.applySettings(next.rules());
         subset.applySettings(next);
--- a/src/main/java/ottergauge/decision/Dispatcher.java
+++ b/src/main/java/ottergauge/decision/Dispatcher.java
@@ -20,7 +20,8 @@
 import ottergauge.decision.selection.ServerSelector;
 
 /**
- * Sends pending requests to servers, highest priority first, and probes servers before if needed.
+ * Sends pending requests to servers, highest priority first. If a selected server's load is unknown
+ * and load probes are used, it probes that server first.
  */
 final class Dispatcher {
 
@@ -64,8 +65,8 @@
     /**
      * Sends all pending requests that can be sent now.
      *
-     * @param capacityFreed whether the event may have freed capacity of a server. If not, requests
-     *     that wait for a load probe continue to wait.
+     * @param capacityFreed whether the current event may have freed capacity at a server. If not,
+     *     requests that wait for a load probe continue to wait.
      */
     void dispatch(boolean capacityFreed, long now, DecisionActionSink actions) {
         if (pending.isEmpty()) {
@@ -92,8 +93,8 @@
         return request.probedServer() != null && probes.isAwaited(request.probedServer(), now);
     }
 
-    // If a request that may be sent to any server finds none, neither do the requests behind it.
-    // See docs/design.md, "head-of-line blocking".
+    // If no server is available to a request that may be sent to every server, none is available to
+    // the requests behind it either. See docs/design.md, "head-of-line blocking".
     private boolean blocksOthers(Request request, long now) {
         return !loadSource.usesReports()
                 && request.isCertainlyNotExecuted()
--- a/src/main/java/ottergauge/decision/RequestLifecycle.java
+++ b/src/main/java/ottergauge/decision/RequestLifecycle.java
@@ -22,7 +22,7 @@
 import ottergauge.decision.request.RequestTable;
 import ottergauge.decision.selection.ServerSelector;
 
-/** Leads each request from its arrival to exactly one final response. */
+/** Manages each request from its arrival until it has its one final response. */
 final class RequestLifecycle {
 
     private final RequestTable requests;
@@ -98,7 +98,11 @@
         }
     }
 
-    /** Rejects or fails the pending requests that can no longer meet their deadlines. */
+    /**
+     * Rejects or fails the pending requests that can no longer meet their deadlines. If a server
+     * may already have executed the request, and a late response still has value, its deadline is
+     * extended instead.
+     */
     void expirePending(long now, DecisionActionSink actions) {
         while (!pending.isEmpty() && admission.cannotMeetDeadline(pending.firstByDeadline(), now)) {
             Request request = pending.firstByDeadline();
@@ -110,7 +114,10 @@
         }
     }
 
-    /** Queues a request again after its attempt failed, if a retry is allowed and worthwhile. */
+    /**
+     * Queues a request again after its last outstanding attempt failed, if a retry is allowed and
+     * can still be in time. Otherwise rejects or fails the request.
+     */
     void retryOrGiveUp(Request request, Server failed, long now, DecisionActionSink actions) {
         request.recordFailedServer(failed);
         boolean inTime =
@@ -123,13 +130,17 @@
         }
     }
 
-    // An attempt that reached no server didn't add load and needs no retry budget. Otherwise all
-    // requests would be rejected while connections fail at all servers.
+    // An attempt that reached no server added no load, so the retry after it needs no retry budget.
+    // If it did, and many connections to all servers failed, the budget would soon be empty and
+    // most requests would be rejected.
     private boolean isRetryAffordable(Request request) {
         return !request.hasReachedServer() || retryBudget.permitsRetry(weights.row(request));
     }
 
-    /** Cancels an attempt so that its request is retried, if that is allowed and worthwhile. */
+    /**
+     * Cancels an attempt so that its request is retried, if a retry is allowed and can still be in
+     * time.
+     */
     void replace(Attempt attempt, long now, DecisionActionSink actions) {
         Request request = attempt.request();
         if (RepeatRules.mayReplace(attempt, now) && !admission.cannotMeetDeadline(request, now)) {
@@ -137,7 +148,10 @@
         }
     }
 
-    /** Completes a request that needs no further response, and cancels its attempts if allowed. */
+    /**
+     * Marks a request as complete, since it needs no further response, and cancels its outstanding
+     * attempts if the limits allow it.
+     */
     void complete(Request request, DecisionActionSink actions) {
         pending.remove(request);
         request.markComplete();
--- a/src/main/java/ottergauge/decision/ResultFeedback.java
+++ b/src/main/java/ottergauge/decision/ResultFeedback.java
@@ -20,7 +20,8 @@
 /** Passes the results of attempts and load probes to the estimates and the outlier detection. */
 final class ResultFeedback {
 
-    // A response that took longer than this fraction of its latency objective indicates a queue.
+    // A response that took longer than this fraction of its latency objective indicates a queue at
+    // the server.
     private static final double CONGESTED_OBJECTIVE_RATIO = 0.5;
 
     private final ClassWeights weights;
@@ -61,8 +62,9 @@
     void attemptEnded(Attempt attempt, AttemptEnded event, long now) {
         Server server = attempt.server();
         boolean served = event.result() == AttemptResult.SERVED;
-        // A server that fails requests immediately reports an empty queue, which would attract
-        // traffic.
+        // A server that fails requests immediately reports an empty queue, which would attract more
+        // requests. With passive load reports, only the report of a successful attempt is therefore
+        // used.
         if (served || !loadSource.usesReports()) {
             loads.record(server, event.loadReport(), served ? 1 : 0, now);
         }
@@ -116,8 +118,10 @@
     private void timedOut(Attempt attempt, long elapsed, long now) {
         Server server = attempt.server();
         recordCongestion(server, now);
-        // A lost response says nothing about the fleet's speed. If the entire elapsed time counted,
-        // a few lost responses would make every server seem too slow for any request.
+        // If the server is slow, the timeout is a sample of its service time. If the response was
+        // lost, it says nothing about the speed. The sample is therefore capped at a few times the
+        // expected latency. If the entire elapsed time counted, a few lost responses would raise
+        // the fleet's mean service time until every server seemed too slow for any request.
         double longest =
                 serviceTimes.mean() > 0
                         ? SilenceDetector.MAX_MISSED_RESPONSES_PER_ATTEMPT
--- a/src/main/java/ottergauge/decision/api/Costs.java
+++ b/src/main/java/ottergauge/decision/api/Costs.java
@@ -2,7 +2,8 @@
 package ottergauge.decision.api;
 
 /**
- * The cost of resources, which is subtracted from the deployment's result.
+ * The costs of load probes and connections, each as a fraction of the deployment's result, from
+ * which it is subtracted.
  *
  * @param probe cost of one load probe per request
  * @param connection cost of 100 open connections per server
--- a/src/main/java/ottergauge/decision/api/DecisionAction.java
+++ b/src/main/java/ottergauge/decision/api/DecisionAction.java
@@ -5,7 +5,8 @@
 public sealed interface DecisionAction {
 
     /**
-     * Starts the request's next attempt. With a timeout of 0 it lasts until the client gives up.
+     * Starts the request's next attempt. An attempt with a timeout of 0 lasts until the client
+     * gives up.
      */
     record SendAttempt(String id, long server, long timeout) implements DecisionAction {}
 
--- a/src/main/java/ottergauge/decision/api/DecisionSettings.java
+++ b/src/main/java/ottergauge/decision/api/DecisionSettings.java
@@ -14,8 +14,8 @@
  * @param discoveryMode how endpoint updates reach the node
  * @param reportsLoad whether servers report how many requests they hold
  * @param clientRetriesMarked whether clients mark their retries
- * @param cacheAffinity whether a request costs a server less if it served the same affinity key
- *     recently
+ * @param cacheAffinity whether a server needs less work for a request if it recently served another
+ *     request with the same affinity key
  * @param limits limits that apply to requests
  * @param rules parameters of response times, draining and slow start
  * @param costs costs of load probes and connections
--- a/src/main/java/ottergauge/decision/balancing/ClassWeights.java
+++ b/src/main/java/ottergauge/decision/balancing/ClassWeights.java
@@ -21,12 +21,15 @@
  */
 public final class ClassWeights {
 
-    /** Sum of a row's weights before rounding, which is one round of the round-robin. */
+    /**
+     * Sum of a row's weights before rounding. It is about the number of selections in one round of
+     * the round-robin.
+     */
     public static final int TOTAL_WEIGHT = 1000;
 
     private static final int MAX_CLASSES = 64;
-    // With this number of samples per server, the means of a row are more accurate than those of
-    // the shared row.
+    // From this mean number of samples per server on, a class uses its own row, whose means are
+    // then more accurate for the class than those of the shared row.
     private static final int MIN_SAMPLES_PER_SERVER = 3;
     private static final int MIN_WEIGHT = 1;
 
@@ -108,7 +111,8 @@
         }
     }
 
-    // Each weight is proportional to the inverse of the server's mean latency, rounded down.
+    // Each weight is proportional to the inverse of the server's mean latency, rounded down, and at
+    // least MIN_WEIGHT.
     private void updateWeights(List<Server> servers, int row) {
         double knownMeans = 0;
         int known = 0;
--- a/src/main/java/ottergauge/decision/balancing/ServerSubset.java
+++ b/src/main/java/ottergauge/decision/balancing/ServerSubset.java
@@ -21,16 +21,18 @@
     // Maximum fraction of the deployment's result that open connections may cost. They also use up
     // capacity of the servers.
     private static final double MAX_CONNECTION_COST_RATIO = 0.005;
-    // If a fifth of the fleet is silent, all servers of a smaller subset would often be silent.
+    // If a fifth of the fleet doesn't respond, often no server of a smaller subset would respond.
     private static final int MIN_SIZE = 4;
-    // Maximum size if connections cost nothing. The best of this number of servers is hardly worse
-    // than the best of the fleet.
+    // Maximum size if connections cost nothing, unless outstanding attempts need a larger subset.
+    // The best of this number of servers is hardly worse than the best of the fleet.
     private static final int MAX_FREE_SIZE = 32;
-    // Maximum number of nodes that have the same server in their subsets on average. With more of
-    // them all nodes would select the same idle server, and each node would get load reports of a
-    // server too seldom.
+    // Maximum mean number of nodes that have the same server in their subsets, unless outstanding
+    // attempts need larger subsets. With more nodes per server, all of them would select the same
+    // idle server, and each node would get load reports of a server too seldom. If there are more
+    // nodes than servers, a subset may have this number of servers instead.
     private static final int NODES_PER_SERVER = 12;
-    // Servers per outstanding attempt, so that most attempts find an idle connection.
+    // Servers per attempt that was outstanding on average, so that most attempts find an idle
+    // connection.
     private static final int SERVERS_PER_ATTEMPT = 2;
     private static final int MAX_POINTS_PER_SERVER = 4;
     // A step of the golden ratio distributes any number of points evenly over the ring.
@@ -137,7 +139,10 @@
         servers.add(server);
     }
 
-    /** Returns the target size of the subset. */
+    /**
+     * Returns the target size of the subset: as many servers as the limits on connections allow, or
+     * more if outstanding attempts need them.
+     */
     public int targetSize() {
         double connectionsPerServer = settings.nodeCount() / (100.0 * Math.max(1, ring.count()));
         double connectionCost = settings.costs().connection() * connectionsPerServer;
--- a/src/main/java/ottergauge/decision/health/OutlierDetector.java
+++ b/src/main/java/ottergauge/decision/health/OutlierDetector.java
@@ -21,12 +21,13 @@
     // A server that fails requests immediately looks idle and attracts more of them. This number of
     // consecutive errors ejects it.
     private static final int MAX_CONSECUTIVE_ERRORS = 2;
-    // With passive load reports, an ejection for an error starts at this many doublings, because
-    // each trial after an ejection risks a request.
+    // With passive load reports, the time span of an ejection for an error is doubled at least this
+    // many times, because the first request after each ejection may fail.
     private static final int ERROR_EJECTION_STEP = 2;
     private static final long FIRST_EJECTION_MICROS = 100_000;
     private static final int MAX_EJECTION_DOUBLINGS = 6;
-    // Maximum probability of marking a live server as unreachable.
+    // Maximum probability of marking a reachable server as unreachable because of random connection
+    // failures.
     private static final double MAX_FALSE_ALARM_RATIO = 0.005;
     private static final double CONNECT_FAILURE_SMOOTHING_RATIO = 0.02;
 
@@ -54,8 +55,9 @@
     }
 
     /**
-     * Returns whether at least half of the subset is ejected. In that case no single server is at
-     * fault, and the remaining servers couldn't carry the load.
+     * Returns whether the number of ejected servers is at least half the size of the subset. In
+     * that case the cause is probably not in single servers, and too few servers would be left to
+     * carry the load. No further server is then ejected for errors or missed responses.
      */
     public boolean isHalfEjected(long now) {
         while (!ejected.isEmpty() && !ejected.first().health().isEjected(now)) {
@@ -77,16 +79,17 @@
     public void recordSuccess(Server server, long now) {
         recordResponse(server, now);
         ServerHealth health = server.health();
-        // With passive load reports the count is halved only. Otherwise a server that fails some of
-        // its requests would start again with the shortest ejection after each success.
+        // With passive load reports, a success only halves the number of ejections. If it reset the
+        // number, the next ejection of a server that fails some of its requests would be one of the
+        // shortest after each success.
         health.setEjections(loadSource.usesReports() ? health.ejections() / 2 : 0);
         health.clearErrors();
     }
 
     /** Records an error response. */
     public void recordError(Server server, long now) {
-        // With passive load reports a node may send to a server so seldom that further errors would
-        // come too late.
+        // With passive load reports, a node may send to a server so seldom that a second error
+        // would come too late. A single error therefore ejects the server.
         int maxErrors = loadSource.usesReports() ? 1 : MAX_CONSECUTIVE_ERRORS;
         ServerHealth health = server.health();
         if (health.countError() >= maxErrors && !isHalfEjected(now)) {
@@ -99,8 +102,10 @@
 
     /**
      * Records a connection that was reset. When a process dies, all of its connections break and it
-     * accepts no new ones. A single reset therefore doesn't prove that the process died, and random
-     * resets would eject one server after another.
+     * accepts no new ones. A single reset therefore doesn't prove that the process died. If it
+     * ejected the server, random resets would eject one server after another. With passive load
+     * reports, a single reset is treated as a failed connection, as a single error ejects the
+     * server there.
      */
     public void recordReset(Server server, long now) {
         if (loadSource.usesReports() || server.health().countError() >= MAX_CONSECUTIVE_ERRORS) {
@@ -109,9 +114,10 @@
     }
 
     /**
-     * Records a connection that could not be established. If connections fail at all servers, a
-     * live server has consecutive failures too. The server is therefore marked as unreachable only
-     * if that many consecutive failures are unlikely to be random.
+     * Records a connection that could not be established, and ejects the server. If connections to
+     * all servers fail at random, a reachable server has consecutive failures too. The server is
+     * therefore marked as unreachable only if that many consecutive failures are unlikely to be
+     * random.
      */
     public void recordConnectFailure(Server server, long now) {
         int failures = server.health().countConnectFailure();
@@ -144,9 +150,10 @@
         }
     }
 
-    // An ejection shorter than the time between two attempts at a server has no effect. That time
-    // is computed from the arrival rate. The rate of successful requests falls because of
-    // ejections, so ejections based on it would lengthen themselves.
+    // An ejection shorter than the time between two attempts at a server has no effect. With
+    // passive load reports that time may be long, so it is the minimum length of the first
+    // ejection. It is computed from the arrival rate, because ejections lower the rate of
+    // successful requests: computed from that rate, each ejection would make the next one longer.
     private long ejectionSpan(int ejections) {
         double first =
                 loadSource.usesReports()
@@ -176,7 +183,7 @@
         server.health().setEjectedUntil(Instants.NEVER);
     }
 
-    /** Removes a server that is no longer listed. */
+    /** Removes a server that is no longer listed from the ejected servers. */
     public void remove(Server server) {
         ejected.remove(server);
     }
--- a/src/main/java/ottergauge/decision/health/SilenceDetector.java
+++ b/src/main/java/ottergauge/decision/health/SilenceDetector.java
@@ -20,19 +20,20 @@
 public final class SilenceDetector {
 
     /**
-     * Maximum number of missed responses counted for one attempt. A single expensive request also
-     * goes without a response for long.
+     * Maximum number of missed responses counted for one attempt. It is lower than the number that
+     * makes a server silent, because a single expensive request may also stay unanswered for a long
+     * time.
      */
     public static final double MAX_MISSED_RESPONSES_PER_ATTEMPT = 3;
 
     private static final long SWEEP_INTERVAL_MICROS = 25_000;
-    // A server with more missed responses than this is considered silent. The probability of a
-    // false alarm, e^-5, is under 1 in 100.
+    // A server with more missed responses than this is considered silent. The probability that a
+    // working server misses so many is e^-5, which is under 1 in 100.
     private static final double SILENT_MISSED_RESPONSES = 5;
     // Few attempts take longer than this multiple of their expected latency.
     private static final double OVERDUE_LATENCY_MULTIPLE = 6;
-    // If the ratio of unanswered attempts is lower than this, an overdue attempt is considered a
-    // long request rather than a lost one.
+    // Unless the ratio of unanswered attempts is higher than this, an overdue attempt is considered
+    // a long request rather than a lost one.
     private static final double MIN_LOST_RATIO = 0.15;
 
     private final OutstandingAttempts outstanding;
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Ejects silent servers if a sweep is due. Returns the attempts that are not worth waiting for,
-     * in the order in which they are to be replaced.
+     * Ejects silent servers if a sweep is due. Returns the overdue attempts and those at the
+     * servers that it ejected, in the order in which they are to be replaced.
      */
     public Set<Attempt> sweep(long now) {
         if (now < nextSweepAt) {
--- a/src/main/java/ottergauge/decision/health/SlowStartBudget.java
+++ b/src/main/java/ottergauge/decision/health/SlowStartBudget.java
@@ -21,11 +21,11 @@
 
     // The budget is an estimate. Only this fraction of it is used.
     private static final double SAFETY_RATIO = 0.6;
-    // Minimum number of sends per window by all nodes together. Without any requests a server never
-    // warms up.
+    // Minimum number of sends to a server per overload window by all nodes together. Without any
+    // requests a server never warms up.
     private static final double MIN_FLEET_SENDS = 2;
-    // A send counts from the selection of the server. The attempt may start until this fraction of
-    // the window has passed since then.
+    // A send is counted in the overload window at the instant at which the server is selected. The
+    // attempt may start until this fraction of the window has passed since then.
     private static final double MAX_START_DELAY_RATIO = 0.25;
 
     private final WarmUpSchedule warmUp;
@@ -70,8 +70,8 @@
     }
 
     /**
-     * Returns whether a server may be sent a request now. With a budget under one send per window,
-     * the node waits until the budget accumulated over time reaches a random threshold.
+     * Returns whether a server may be sent a request now. With a budget under one send per overload
+     * window, the node waits until the budget accumulated over time reaches a random threshold.
      */
     public boolean permitsSend(Server server, long now) {
         SlowStartState state = server.slowStart();
@@ -85,7 +85,8 @@
         if (budget >= 1 || state.recentSends() > 0) {
             return state.recentSends() < (int) budget;
         }
-        // If each of hundreds of nodes sent one request at once, the server would be overloaded.
+        // If each of hundreds of nodes sent one request at the same time, the server would be
+        // overloaded. The random threshold spreads them over time.
         if (!state.hasSendThreshold()) {
             state.setSendThreshold(-Math.log(1 - random.nextDouble()), now);
         }
@@ -100,8 +101,8 @@
     }
 
     // With load probes the budget is computed from the estimated capacity of a server. Otherwise it
-    // is computed from the rate at which a mean server serves this node's attempts, which that
-    // server is known to sustain.
+    // is computed from the mean rate at which a server of the subset serves this node's attempts,
+    // because servers are known to sustain that rate.
     private double sendsPerWindow(double factor) {
         double nodes = subset.nodesPerServer();
         double rate =
@@ -129,9 +130,9 @@
     }
 
     /**
-     * Returns whether an attempt may still start at this instant. Otherwise attempts that waited
-     * for connections could reach the server together, outside of the windows in which they were
-     * counted.
+     * Returns whether an attempt that was assigned to a server earlier may still start at this
+     * instant. During slow start it may not after a long wait for a connection: several such
+     * attempts could reach the server together, outside of the windows in which they were counted.
      */
     public boolean permitsStart(Attempt attempt, long at) {
         return isWarm(attempt.server(), at)
--- a/src/main/java/ottergauge/decision/limits/CapacityEstimate.java
+++ b/src/main/java/ottergauge/decision/limits/CapacityEstimate.java
@@ -2,17 +2,19 @@
 package ottergauge.decision.limits;
 
 /**
- * Estimates how many requests a server holds when all of its cores are busy. That is the number of
- * cores if requests only compute, and many times that number if requests mostly wait for other
- * systems. The estimate is the number of requests held divided by the busy fraction of the cores,
- * each summed over load reports.
+ * Estimates how many requests a server executes concurrently when all of its cores are busy. That
+ * is the number of cores if requests only compute, and many times that number if requests mostly
+ * wait for other systems. The estimate is the number of requests executed divided by the busy
+ * fraction of the cores, each summed over load reports.
  */
 public final class CapacityEstimate {
 
-    // The estimate is known once the busy fractions of the reports add up to this number. At twice
-    // this number both sums are halved.
+    // The estimate is known once the busy fractions of the reports add up to more than this number,
+    // or after one report that counts as several. At more than twice this number both sums are
+    // halved, so that recent reports count more.
     private static final double FULL_EVIDENCE = 4;
-    // Error margin of a report.
+    // Added to the estimate before it is rounded down, because a report may be too low by about
+    // this number of requests.
     private static final double NOISE_MARGIN = 0.3;
     private static final double MIN_CAPACITY = 1;
 
@@ -43,8 +45,8 @@
     }
 
     /**
-     * Returns the capacity in requests, at least 1. While there are too few reports, the capacity
-     * of other servers makes up for the missing ones.
+     * Returns the capacity in requests, at least 1. While there are too few reports, {@code
+     * othersCapacity} is used in place of the missing ones.
      */
     public double capacity(double othersCapacity) {
         double missing = Math.max(0, FULL_EVIDENCE - utilization);
--- a/src/main/java/ottergauge/decision/limits/ConcurrencyLimit.java
+++ b/src/main/java/ottergauge/decision/limits/ConcurrencyLimit.java
@@ -4,22 +4,23 @@
 /**
  * Limits the attempts that one node may have outstanding at one server. The limit adapts to the
  * results of the attempts by additive increase and multiplicative decrease (Chiu and Jain, 1989).
- * It is set when the server rejects an attempt or responds too late, and is dropped when it has
- * grown well past the number of outstanding attempts.
+ * It is set when the server rejects an attempt or responds too late, and is removed when it has
+ * grown to several times the number of outstanding attempts.
  *
  * <p>A limit under 1 is a rate: the node sends one attempt at a time, one per 1/limit service
- * times. All nodes together increase their limits by one request, and each node adds its fraction
- * of that. The sum of the limits therefore grows at the same speed with any number of nodes.
- * Instants and time spans are in microseconds.
+ * times. A node whose limit is reached increases it by 1/n for each successful round of as many
+ * attempts as the limit, where n is the number of nodes that send to the server. The sum of the
+ * nodes' limits therefore grows by one request per round with any number of nodes. Instants and
+ * time spans are in microseconds.
  */
 public final class ConcurrencyLimit {
 
-    // A decrease to half would leave a server idle that is full only now and then, such as one that
-    // rejects early.
+    // The limit is multiplied by this ratio. With a ratio of one half, a server that is full only
+    // now and then, such as one that rejects requests early, would often be idle.
     private static final double DECREASE_RATIO = 0.7;
     // The minimum limit of all nodes together: one request per five service times.
     private static final double MIN_FLEET_LIMIT = 0.2;
-    // A limit of more than this multiple of the outstanding attempts has no effect and is dropped.
+    // A limit of more than this multiple of the outstanding attempts has no effect and is removed.
     private static final double UNBINDING_MULTIPLE = 4;
     private static final double UNLIMITED = Double.POSITIVE_INFINITY;
     private static final long NEVER = Long.MIN_VALUE / 2;
--- a/src/main/java/ottergauge/decision/limits/ReportFreshness.java
+++ b/src/main/java/ottergauge/decision/limits/ReportFreshness.java
@@ -4,21 +4,23 @@
 import ottergauge.decision.api.LoadReport;
 
 /**
- * Detects load reports that servers update too seldom for selecting a server by them. A report that
- * is updated once in several service times stays the same however often a node asks for it. All
- * nodes then send to the server that it shows as idle, and avoid another one that has long been
- * idle again.
+ * Detects whether servers update their load reports often enough for the nodes to select servers by
+ * them. If a server updates its report only once in several service times, all probes between two
+ * updates return the same report. All nodes then send to the server whose report shows it as idle,
+ * and avoid servers that have long become idle again.
  *
- * <p>The detector compares pairs of reports that a server gave within one service time, and
- * measures the ratio of equal pairs. Only reports with a value that constantly changes at a busy
- * server count: a request rate, a latency, or a utilization below 100%. The number of requests is
- * not such a value, because it stays constant while the nodes keep a server full.
+ * <p>The detector compares pairs of successive reports that a server gave within one service time,
+ * and measures the ratio of equal pairs. A pair counts only if one of its reports has a value that
+ * constantly changes at a busy server: a request rate, a latency, or a utilization below 90%. The
+ * number of requests is not such a value, because it stays constant while the nodes keep a server
+ * full.
  */
 public final class ReportFreshness {
 
-    // Two reports of current values may be equal by chance, more often if they hold fewer values.
+    // If more of the pairs are equal, reports are considered stale. Some pairs of current reports
+    // are equal by chance, more often if the reports have fewer values.
     private static final double MAX_EQUAL_RATIO = 0.8;
-    // A utilization over this may stay constant.
+    // A utilization of at least this value may stay constant at a busy server.
     private static final double FULL_UTILIZATION = 0.9;
     // The moving average covers about this number of pairs. It isn't used before it has as many.
     private static final double MEAN_PAIRS = 10;
@@ -47,7 +49,7 @@
                         || (report.utilization() > 0 && report.utilization() < FULL_UTILIZATION));
     }
 
-    /** Returns whether reports are too old for selecting a server by them. */
+    /** Returns whether servers update their reports too seldom for selecting a server by them. */
     public boolean isStale() {
         return pairs >= MEAN_PAIRS && equalRatio > MAX_EQUAL_RATIO;
     }
--- a/src/main/java/ottergauge/decision/limits/RetryBudget.java
+++ b/src/main/java/ottergauge/decision/limits/RetryBudget.java
@@ -14,11 +14,11 @@
  */
 public final class RetryBudget {
 
-    /** Retries per first attempt, the ratio published for client libraries. */
+    /** Maximum ratio of retries to first attempts, as published for client libraries. */
     private static final double RETRY_RATIO = 0.1;
 
-    // The ratio for a single class is higher, because the failures of a small class come in
-    // clusters.
+    // The maximum ratio for a single class is higher, because many of the failures of a small class
+    // occur at the same time.
     private static final double CLASS_RETRY_RATIO = 0.2;
     // Bucket size and initial number of tokens. It covers the retries that one failing server
     // causes before it is ejected.
--- a/src/main/java/ottergauge/decision/limits/WarmUpSchedule.java
+++ b/src/main/java/ottergauge/decision/limits/WarmUpSchedule.java
@@ -3,7 +3,10 @@
 
 import ottergauge.decision.api.ServiceRules;
 
-/** The minimum fraction of its capacity that a server has during slow start. */
+/**
+ * The fraction of its full capacity that a server has at least during slow start. The fraction
+ * grows linearly with the time since the server's start.
+ */
 public final class WarmUpSchedule {
 
     private static final double MIN_INITIAL_CAPACITY_RATIO = 0.01;
@@ -18,7 +21,7 @@
     }
 
     /**
-     * Returns the warm-up factor, greater than 0 and at most 1.
+     * Returns that fraction, the warm-up factor. It is greater than 0 and at most 1.
      *
      * @param startedAt instant at which the server started, in microseconds
      * @param at instant for which the factor is returned, in microseconds
--- a/src/main/java/ottergauge/decision/load/CapacityEstimates.java
+++ b/src/main/java/ottergauge/decision/load/CapacityEstimates.java
@@ -18,8 +18,8 @@
     // Servers report their mean utilization over the last second. Right after the first requests
     // that second is still mostly idle time, so the figure is too low to use.
     private static final long UTILIZATION_SETTLING_MICROS = 2_000_000;
-    // A reported request rate is a mean over some time. It counts as much as this number of
-    // instantaneous request counts.
+    // A reported request rate is a mean over some time. It counts as much as this number of reports
+    // of the requests held at one instant.
     private static final double RATE_REPORT_WEIGHT = 4;
     private static final double MICROS_PER_SECOND = 1e6;
 
--- a/src/main/java/ottergauge/decision/load/LoadEstimates.java
+++ b/src/main/java/ottergauge/decision/load/LoadEstimates.java
@@ -14,19 +14,22 @@
  */
 public final class LoadEstimates {
 
-    // A load report is fresh for this fraction of a service time. The probability that the load has
-    // changed meanwhile is about as small.
+    // A load report is fresh for this fraction of a service time, or of the round-trip time if that
+    // is longer. The probability that the server's load changes within that time is about the same
+    // fraction.
     private static final double FRESH_REPORT_SERVICE_TIMES = 0.08;
     // A server that was reported busy is assumed to stay busy for this fraction of the time that it
     // needs for the requests it held.
     private static final double BUSY_WORK_RATIO = 0.3;
-    // Time constant, in service times, with which a load report loses its weight. Other nodes send
-    // to an idle server about this seldom.
+    // Time constant, in service times, of the exponential decay of a load report's weight. If the
+    // report shows an idle server, another node sends to that server only after about this time.
     private static final double REPORT_DECAY_SERVICE_TIMES = 10;
-    // Assumed number of attempts that each other node sends to a server for each one of this node.
+    // Assumed number of attempts that each other node has sent to a server since its last load
+    // report, for each attempt that this node has sent to it.
     private static final double OTHERS_SENDS_RATIO = 0.4;
-    // Fraction of the requests expected to have ended since a load report that other nodes'
-    // requests haven't replaced.
+    // Since a load report, some of the reported requests have ended, and other nodes have sent new
+    // ones in place of most of them. This fraction of the ended requests is assumed not to have
+    // been replaced.
     private static final double UNREPLACED_RATIO = 0.25;
 
     private final LoadSourceSelector loadSource;
@@ -75,8 +78,9 @@
         record(server, report, 0, now);
         loadSource.dropStaleProbes();
         if (Double.isNaN(report.inFlight())) {
-            // If the load counted as unknown, no server would be sent a request. See
-            // docs/design.md, "probes without a load".
+            // A probe's response without a load counts as this node's own number of attempts. If
+            // the load stayed unknown, no server would be sent a request. See docs/design.md,
+            // "probes without a load".
             server.load().recordEstimate(server.outstandingCount(), now);
         }
     }
@@ -84,14 +88,17 @@
     /** Records an attempt that timed out after this time span, in microseconds. */
     public void recordTimeout(Server server, long elapsed, long now) {
         if (loadSource.usesReports() && capacities.isKnown()) {
-            // An attempt that didn't end in this time had about as much work ahead of it. See
-            // docs/design.md, "timeouts as load reports".
+            // An attempt that didn't end in this time waited for about as many requests as the
+            // server executes in this time. See docs/design.md, "timeouts as load reports".
             double implied = capacities.of(server) * elapsed / serviceTimes.mean();
             server.load().recordEstimate(Math.max(server.load().inFlight(), implied), now);
         }
     }
 
-    /** Returns whether the last load report of a server is still valid. */
+    /**
+     * Returns whether a server's last load report is recent enough to select the server by it. A
+     * report that showed a busy server is used for longer, until the server may have become idle.
+     */
     public boolean isFresh(Server server, long now) {
         ServerLoad load = server.load();
         double service = serviceTimes.mean();
@@ -135,9 +142,9 @@
         return Math.max(server.outstandingCount(), decayedLoad(server, now));
     }
 
-    // The weight of a load report decays with its age, so that the estimate approaches the mean of
-    // all reports. The estimate also accounts for requests that have ended since the report and for
-    // those that the other nodes have sent.
+    // The weight of a load report decays with its age, so that the estimate approaches the moving
+    // average of all servers' reports. The estimate also accounts for requests that have ended
+    // since the report and for those that the other nodes have sent.
     private double decayedLoad(Server server, long now) {
         ServerLoad load = server.load();
         if (load.reportedAt() == Instants.NEVER) {
@@ -158,9 +165,11 @@
     }
 
     /**
-     * Returns a measure of a server's queue, by which servers are compared. A load from passive
-     * reports is outdated, so there the measure is relative to a server that random arrivals fill
-     * up to its capacity less the square root of its capacity.
+     * Returns a measure of a server's queue, by which servers are compared. With load probes it is
+     * the number of requests that would wait at the server if one more were sent. A load from
+     * passive reports is outdated, and random arrivals alone fill a server up to about its capacity
+     * less the square root of its capacity. With passive reports the measure is therefore how far
+     * the load exceeds that level, as a fraction of the capacity.
      */
     public double queueScore(Server server, long now) {
         double capacity = capacities.of(server);
--- a/src/main/java/ottergauge/decision/load/LoadSourceSelector.java
+++ b/src/main/java/ottergauge/decision/load/LoadSourceSelector.java
@@ -8,10 +8,11 @@
 import ottergauge.decision.ring.ConsistentHashRing;
 
 /**
- * Selects the {@link LoadSource}. Active load probes are used if they are allowed and affordable
- * and their reports are not stale. Otherwise passive load reports are used once one has come, and
- * this node's own attempts until then. See docs/design.md, "Active load probes", "Passive load
- * reports" and "stale reports".
+ * Selects the {@link LoadSource}. Active load probes are used if servers report their load and
+ * probes are allowed and affordable. Otherwise passive load reports are used once one has come, and
+ * this node's own attempts until then. If servers don't report their load, or their reports have
+ * proved stale, only this node's own attempts are used. See docs/design.md, "Active load probes",
+ * "Passive load reports" and "stale reports".
  */
 public final class LoadSourceSelector {
 
@@ -50,12 +51,18 @@
         return source == LoadSource.PASSIVE_REPORTS;
     }
 
-    /** Returns whether the load source is more than this node's own attempts. */
+    /**
+     * Returns whether load probes or load reports are used, so that the load from other nodes is
+     * known too.
+     */
     public boolean knowsLoad() {
         return source != LoadSource.OWN_ATTEMPTS;
     }
 
-    /** Records that a load report has come, and switches to passive reports if possible. */
+    /**
+     * Records that a load report has come. Unless probes are used, switches to passive load
+     * reports, or to this node's own attempts if the reports have proved stale.
+     */
     void reportReceived() {
         if (source != LoadSource.ACTIVE_PROBES) {
             source =
--- a/src/main/java/ottergauge/decision/load/ProbeBudget.java
+++ b/src/main/java/ottergauge/decision/load/ProbeBudget.java
@@ -8,15 +8,17 @@
 /** Limits the number of load probes per request. See docs/design.md, "Active load probes". */
 public final class ProbeBudget {
 
-    // Maximum fraction of the deployment's result that probes may cost. It is well below the cost
-    // of a bad choice of server.
+    // Maximum fraction of the deployment's result that probes may cost. The loss from selecting a
+    // bad server is much larger.
     private static final double MAX_PROBE_COST_RATIO = 0.06;
     private static final int MAX_PROBES = 32;
     private static final int MIN_PROBES = 2;
 
     private int maxProbes;
 
-    /** Returns whether probes are cheap enough to be worthwhile. */
+    /**
+     * Returns whether the minimum number of probes per request is cheap enough to be worthwhile.
+     */
     static boolean affordsProbes(Costs costs) {
         return costs.probe() * MIN_PROBES <= MAX_PROBE_COST_RATIO;
     }
--- a/src/main/java/ottergauge/decision/load/ProbeTracker.java
+++ b/src/main/java/ottergauge/decision/load/ProbeTracker.java
@@ -54,7 +54,7 @@
     public long timeoutAt(Server server) {
         ServerProbe probe = server.probe();
         double roundTrip = roundTrip(server);
-        // The node detects a response only at its next event.
+        // The node detects a response only at its next event, which may be an event interval later.
         double timeout = Math.max(TIMEOUT_ROUND_TRIPS * roundTrip, roundTrip + 2 * eventInterval);
         return probe.sentAt() + (long) timeout + 1;
     }
--- a/src/main/java/ottergauge/decision/load/ServiceTimes.java
+++ b/src/main/java/ottergauge/decision/load/ServiceTimes.java
@@ -8,8 +8,8 @@
 /**
  * Estimates how long servers take to execute a request, without queueing, in microseconds. A
  * server's estimate is the fleet's mean times the ratio of the server's service time to the
- * fleet's. A mean per server would get too few responses to follow when the entire fleet becomes
- * slow.
+ * fleet's. A separate mean per server would be updated by too few responses to follow quickly when
+ * the entire fleet becomes slow.
  */
 public final class ServiceTimes {
 
--- a/src/main/java/ottergauge/decision/model/OutstandingAttempts.java
+++ b/src/main/java/ottergauge/decision/model/OutstandingAttempts.java
@@ -5,7 +5,10 @@
 import java.util.Collections;
 import java.util.List;
 
-/** All outstanding attempts of this node, and their mean number per measurement window. */
+/**
+ * This node's attempts that servers work on, and their mean number in the last measurement window.
+ * An attempt doesn't count while its request body is still streaming to the server.
+ */
 public final class OutstandingAttempts {
 
     private final List<Attempt> attempts = new ArrayList<>();
@@ -23,7 +26,7 @@
         advancedTo = now;
     }
 
-    /** Ends a measurement window and computes its mean. */
+    /** Ends a measurement window and computes the mean number of outstanding attempts in it. */
     public void endWindow() {
         meanOfLastWindow =
                 (attemptMicros - attemptMicrosBeforeWindow) / MeasurementWindow.LENGTH_MICROS;
--- a/src/main/java/ottergauge/decision/model/RequestTimes.java
+++ b/src/main/java/ottergauge/decision/model/RequestTimes.java
@@ -12,16 +12,17 @@
  */
 public record RequestTimes(long arrivedAt, long objectiveAt, long valuableUntil) {
 
-    // The node can't measure the network delay to the client and back. It therefore aims to send a
-    // response this much before the latency objective ends.
+    // The node can't measure how long a request takes from the client to the node and the response
+    // back. It therefore aims to send the response this much before the latency objective ends.
     private static final long CLIENT_RESPONSE_MARGIN_MICROS = 2_000;
 
     /**
      * Returns the times of a request that arrives now.
      *
      * @param giveUpAt instant at which the client stops waiting
-     * @param clientRetry whether the request is a client's retry; its latency objective is measured
-     *     from the client's first attempt
+     * @param clientRetry whether the request is a client's retry. Its latency objective is then
+     *     measured from the client's first attempt, which is assumed to have been sent the class's
+     *     deadline before {@code giveUpAt}
      */
     public static RequestTimes of(
             RequestClass requestClass, long now, long giveUpAt, boolean clientRetry) {
--- a/src/main/java/ottergauge/decision/model/RotationEntry.java
+++ b/src/main/java/ottergauge/decision/model/RotationEntry.java
@@ -9,8 +9,8 @@
  */
 public final class RotationEntry {
 
-    // The sample count halves with each window. After this number of windows even the largest int
-    // has been halved to 0.
+    // Each window without samples halves the sample count. After this number of windows even the
+    // largest int has been halved to 0, so ending more windows would change nothing.
     private static final int MAX_WINDOWS_CAUGHT_UP = Integer.SIZE;
 
     private List<ServerStatistics> rows = List.of();
--- a/src/main/java/ottergauge/decision/model/ServerHealth.java
+++ b/src/main/java/ottergauge/decision/model/ServerHealth.java
@@ -27,7 +27,10 @@
         ejectedUntil = until;
     }
 
-    /** Returns the number of ejections that determines the length of the next one. */
+    /**
+     * Returns the number of ejections from which the length of the next one is computed. Successful
+     * attempts lower it.
+     */
     public int ejections() {
         return ejections;
     }
--- a/src/main/java/ottergauge/decision/package-info.java
+++ b/src/main/java/ottergauge/decision/package-info.java
@@ -20,9 +20,10 @@
  *       depend on servers
  * </ul>
  *
- * <p>The types of this package connect the parts. {@code RequestLifecycle} leads each request to
- * exactly one final response, {@code Dispatcher} sends pending requests, {@code ResultFeedback}
- * passes results to the estimates, and {@code TimerSchedule} sets the timer. Instants and time
- * spans are in microseconds. docs/design.md describes each mechanism and when it applies.
+ * <p>The types of this package connect the parts. {@code RequestLifecycle} manages each request
+ * until it has its one final response, {@code Dispatcher} sends pending requests, {@code
+ * ResultFeedback} passes results to the estimates, and {@code TimerSchedule} sets the timer.
+ * Instants and time spans are in microseconds. docs/design.md describes each mechanism and when it
+ * applies.
  */
 package ottergauge.decision;
--- a/src/main/java/ottergauge/decision/request/AdmissionControl.java
+++ b/src/main/java/ottergauge/decision/request/AdmissionControl.java
@@ -11,11 +11,12 @@
  */
 public final class AdmissionControl {
 
-    // With less than this fraction of a service time left, a request can't meet its deadline.
+    // A request whose deadline is at most this fraction of the mean service time away is considered
+    // unable to meet it.
     private static final double MIN_SERVICE_TIME_RATIO = 0.6;
-    // With this fraction of its latency objective left a request is always tried. A class whose
-    // requests are all rejected on arrival would yield no service-time samples and would stay
-    // rejected.
+    // A request with more than this fraction of its latency objective left is never considered
+    // unable to meet its deadline. A class whose requests are all rejected on arrival would yield
+    // no service-time samples, so its requests would be rejected forever.
     private static final double MAX_OBJECTIVE_RATIO = 0.5;
 
     private final PendingQueue queue;
@@ -31,8 +32,9 @@
     }
 
     /**
-     * Returns whether a request that has arrived may be queued. If its expected wait exceeds its
-     * deadline, it is rejected on arrival instead of after a long wait.
+     * Returns whether a request that has arrived may be queued. A request that would wait in the
+     * queue until it can no longer meet its deadline is rejected on arrival instead. With load
+     * probes, every request is queued.
      */
     public boolean admits(Request request, long now) {
         return loadSource.usesProbes()
--- a/src/main/java/ottergauge/decision/request/ClientRetryDetector.java
+++ b/src/main/java/ottergauge/decision/request/ClientRetryDetector.java
@@ -11,14 +11,15 @@
 
 /**
  * Distinguishes clients' retries from first attempts. An unmarked retry is detected by two signs:
- * it has less time left than other requests of its class, and it follows a request that got no
- * response. With the first sign alone, all requests with short client timeouts would count as
- * retries. See docs/design.md, "Client retries".
+ * its client's timeout is shorter than the longest one seen in its class, and it follows a request
+ * that got no successful response. With the first sign alone, all requests with short client
+ * timeouts would count as retries. See docs/design.md, "Client retries".
  */
 public final class ClientRetryDetector {
 
-    // Assumed fraction of the requests without a response that clients retry. With a higher value,
-    // rejections would cause further rejections.
+    // Assumed fraction of the requests without a successful response that clients retry. The
+    // latency objective of a retry ends sooner. With a higher value, rejections would therefore
+    // cause further rejections.
     private static final double RETRIED_RATIO = 0.5;
 
     private final Map<String, Long> longestTimeouts = new HashMap<>();
@@ -26,7 +27,10 @@
     private boolean retriesMarked;
     private long responseTolerance;
 
-    /** Applies new settings. Classes that keep their names keep what was learnt about them. */
+    /**
+     * Applies new settings. A class whose name is also in the new settings keeps the longest client
+     * timeout that was seen for it.
+     */
     public void applySettings(DecisionSettings next, Collection<String> classNames) {
         retriesMarked = next.clientRetriesMarked();
         responseTolerance = next.rules().responseTolerance();
@@ -50,7 +54,10 @@
         expectedRetries += request.isClientRetry() ? RETRIED_RATIO / 2 : RETRIED_RATIO;
     }
 
-    /** Ends a measurement window. Retries that haven't come by then become less likely. */
+    /**
+     * Ends a measurement window. The retries that are still expected become less likely, so their
+     * number is halved.
+     */
     public void endWindow() {
         expectedRetries /= 2;
     }
--- a/src/main/java/ottergauge/decision/request/PendingQueue.java
+++ b/src/main/java/ottergauge/decision/request/PendingQueue.java
@@ -60,7 +60,10 @@
         return byDeadline.first();
     }
 
-    /** Records the time between the sends of two successive requests, in microseconds. */
+    /**
+     * Records the time between the sends of two successive requests, in microseconds. The time is
+     * ignored if no request is left in the queue, because it then depends on when requests arrive.
+     */
     public void recordSend(long interval) {
         if (!byPriority.isEmpty()) {
             dequeueInterval = MovingAverage.update(dequeueInterval, (double) interval);
@@ -72,7 +75,10 @@
         return dequeueInterval > 0;
     }
 
-    /** Returns how long a request would wait for the requests ahead of it, by Little's law. */
+    /**
+     * Returns how long a request would wait for the requests ahead of it, in microseconds, by
+     * Little's law.
+     */
     public double expectedWait(Request request) {
         return byPriority.headSet(request).size() * dequeueInterval;
     }
--- a/src/main/java/ottergauge/decision/selection/DeadlineFit.java
+++ b/src/main/java/ottergauge/decision/selection/DeadlineFit.java
@@ -18,11 +18,11 @@
 
     // Maximum ratio of a request's expected latency to the time left until its deadline.
     private static final double MAX_TIME_RATIO = 0.75;
-    // The same for a request whose late response has value. It isn't cut off at its latency
-    // objective but continues at the expense of other requests.
+    // The same for a request whose late response has value. Such a request isn't ended at its
+    // latency objective, but continues at the expense of other requests.
     private static final double MAX_LATE_VALUE_TIME_RATIO = 0.5;
-    // A server may hold this multiple of the square root of its capacity in addition to its
-    // capacity, after the square-root staffing rule.
+    // The queue that a server may have is this multiple of the square root of its capacity, after
+    // the square-root staffing rule.
     private static final double MAX_QUEUE_ROOT_MULTIPLE = 0.6;
 
     private final LoadSourceSelector loadSource;
@@ -72,8 +72,9 @@
                                 || serviceTimes.of(server, now) <= timeLeft));
     }
 
-    // Passive load reports come only with responses. Without outstanding attempts, a fleet that was
-    // last reported full would be considered full forever.
+    // Passive load reports come only with responses. If no attempt is outstanding and all servers
+    // were last reported full, they would be considered full forever. One request is therefore sent
+    // to get a report.
     private boolean isReportWanted(long now) {
         return loadSource.usesReports()
                 && outstanding.isEmpty()
--- a/src/main/java/ottergauge/decision/selection/ServerSelector.java
+++ b/src/main/java/ottergauge/decision/selection/ServerSelector.java
@@ -26,8 +26,9 @@
     // A server is skipped if it has more of this node's attempts than this multiple of the mean,
     // plus one.
     private static final double MAX_MEAN_ATTEMPTS_MULTIPLE = 2;
-    // Reported queues that differ by less than this are considered equal, because reports are not
-    // more precise.
+    // Queues that differ by less than this are considered equal, because load reports are not more
+    // precise. With passive load reports the unit is the server's capacity, with load probes it is
+    // one request.
     private static final double REPORTED_QUEUE_TOLERANCE = 0.1;
     private static final double PROBED_QUEUE_TOLERANCE = 1;
     // After this fraction of its latency objective a request is sent to a server of known load if
@@ -117,8 +118,9 @@
                         > MAX_SEARCH_RATIO * request.requestClass().latencyObjective();
     }
 
-    // Excludes the server that failed the request if there is another one, and servers of unknown
-    // load if onlyFresh is set.
+    // Excludes the server that failed the request if there is another one, and servers without a
+    // fresh load report if onlyFresh is set. Returns the lowest queue score of the remaining
+    // candidates, but at least 0.
     private double narrowCandidates(
             Request request, boolean hasAlternative, boolean onlyFresh, long now) {
         double leastQueue = Double.MAX_VALUE;
@@ -159,10 +161,12 @@
         return best;
     }
 
-    // Two kinds of servers are selected up to one round of the round-robin early, which still gives
-    // each server its share by weight. One is the server that the request's affinity key is
-    // assigned to. The other, with load probes, is a server in slow start with a send threshold:
-    // many nodes hold parts of its budget, which would otherwise soon go unused.
+    // Two kinds of servers are selected up to one round of the round-robin early. Each server still
+    // gets its share by weight, because a server that was selected early is selected less often
+    // afterwards. One kind is the server that the request's affinity key is assigned to. The other,
+    // with load probes, is a server in slow start with a send threshold. Its budget is divided
+    // among many nodes, and each node's part soon goes unused if the round-robin selects another
+    // server.
     private double rank(Request request, Server server, int row, long now) {
         ServerStatistics statistics = server.rotation().row(row);
         boolean preferred =
@@ -176,7 +180,9 @@
         weights.commitPick(subset.servers(), server, weights.weightsRow(request));
     }
 
-    /** Returns whether the next attempt may be sent to any server of the subset. */
+    /**
+     * Returns whether the request's next attempt may be sent to at least one server of the subset.
+     */
     public boolean hasPermittedServer(Request request, long now) {
         for (Server server : subset.servers()) {
             if (server.state() == EndpointState.UP
