--- a/src/main/java/ottergauge/protocol/NodeConfig.java
+++ b/src/main/java/ottergauge/protocol/NodeConfig.java
@@ -39,7 +39,8 @@
         Optional<ControlPlaneConfig> control) {
 
     private static final int HEXADECIMAL = 16;
-    // The objects of a parsed list take about three times the size of its JSON.
+    // The JSON of an endpoint list may take up to the memory limit divided by this ratio. The
+    // objects of the parsed list take about three times the size of the JSON.
     private static final int MEMORY_TO_LIST_RATIO = 16;
     private static final int BYTES_PER_MB = 1 << 20;
     private static final int DEFAULT_DESCRIPTORS = 1024;
--- a/src/main/java/ottergauge/routing/Attempts.java
+++ b/src/main/java/ottergauge/routing/Attempts.java
@@ -216,7 +216,8 @@
     }
 
     // A malformed response, or a reused connection that breaks, doesn't prove that the server
-    // crashed. Only a reset of a new connection proves a crash and puts the server into slow start.
+    // crashed. Only a reset of a new connection is reported to the decision module as a reset,
+    // which may put the server into slow start.
     private static AttemptResult resultOfBrokenConnection(Attempt attempt, boolean malformed) {
         if (!attempt.sendCompleted) {
             return AttemptResult.CONNECT_FAILED;
--- a/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
+++ b/src/main/java/ottergauge/routing/ConnectTimeoutEstimator.java
@@ -12,7 +12,8 @@
     private static final double MEAN_GAIN = 1.0 / 8;
     private static final double DEVIATION_GAIN = 1.0 / 4;
     private static final double DEVIATIONS = 4;
-    // A busy event loop notices some connections an iteration or two late.
+    // Multiplies the estimate, because a busy event loop notices some connections an iteration or
+    // two late.
     private static final double SAFETY_FACTOR = 4;
     private static final long MIN_TIMEOUT_MICROS = 20_000;
     // After this number of timeouts in a row connections may have become slower, so the timeout
--- a/src/main/java/ottergauge/routing/DiscoveryWatch.java
+++ b/src/main/java/ottergauge/routing/DiscoveryWatch.java
@@ -20,17 +20,21 @@
  */
 final class DiscoveryWatch {
 
-    // If discovery answers sooner than this and without a change, the next poll is delayed by this
-    // time. The delay is within the 200 ms in which a watch has to continue.
+    // If discovery answers a poll sooner than this and without a change, the next poll is delayed
+    // by this time. The delay is shorter than the 200 ms after an answer within which the node must
+    // send the next poll.
     private static final long MIN_POLL_GAP_MICROS = 50_000;
-    // After a rejected list the next poll is delayed by the deadline, then by twice that, up to
-    // this number of doublings: six minutes for a deadline of six seconds.
+    // After more rejected lists in a row than MAX_TRANSIENT_REJECTIONS, the next poll is delayed by
+    // up to the deadline. The delay doubles with each further rejected list, up to this number of
+    // times: about six minutes for a deadline of six seconds.
     private static final int MAX_BACKOFF_DOUBLINGS = 6;
     // An answer that was damaged in transit is intact at the next poll. If more answers in a row
     // are rejected, the list itself is malformed.
     private static final int MAX_TRANSIENT_REJECTIONS = 3;
 
-    // Polls for the complete list: another address may number its versions differently.
+    // A poll after this version requests the complete list. It is needed after the watch has moved
+    // to another address, because versions may be numbered differently there, and after discovery
+    // has restarted its version numbers.
     private static final long NO_VERSION = -1;
     private static final long NO_POLL = 0;
 
--- a/src/main/java/ottergauge/routing/DownstreamConnections.java
+++ b/src/main/java/ottergauge/routing/DownstreamConnections.java
@@ -183,7 +183,10 @@
         return true;
     }
 
-    /** The last byte of a streamed response has been relayed and is still to be written. */
+    /**
+     * The last byte of a streamed response has been passed to the client's connection, but may not
+     * be written yet.
+     */
     void relayCompleted(long now, long client) {
         Connection connection = connections.get(client);
         if (connection != null) {
--- a/src/main/java/ottergauge/routing/PropagationDeadline.java
+++ b/src/main/java/ottergauge/routing/PropagationDeadline.java
@@ -8,9 +8,10 @@
  *
  * <p>Two cases are the slowest. In the first, a watch breaks as its poll begins, the poll times
  * out, the poll that reopens the watch is rejected, and the poll after the first backoff waits for
- * its turn at discovery. In the second, discovery becomes reachable again: a poll that began just
- * before that is never answered, the longest backoff follows, and the next poll waits for its turn
- * at discovery. Each case leaves a sixteenth of the deadline to spare.
+ * its turn at discovery. That takes up to 23 + 4 + 18 of the 48 parts of the deadline. In the
+ * second, discovery becomes reachable again: a poll that began just before that is never answered,
+ * the longest backoff follows, and the next poll waits for its turn at discovery. That takes up to
+ * 18 + 9 + 18 parts. Each case leaves 3 parts, a sixteenth of the deadline, to spare.
  *
  * @param micros the deadline in microseconds
  */
@@ -42,14 +43,14 @@
     }
 
     /**
-     * The shortest such time. Nodes whose watches break together spread their polls between the
-     * two.
+     * The shortest such time. Nodes whose watches break at the same time choose random times
+     * between this and {@link #maxPollWait}, which spreads their polls.
      */
     long minPollWait() {
         return fraction(MIN_POLL_WAIT);
     }
 
-    /** How long after that wait an answer may still arrive. */
+    /** How long after the wait that a poll asked for its answer may still arrive. */
     long answerDelay() {
         return fraction(ANSWER_DELAY);
     }
--- a/src/main/java/ottergauge/routing/ServerPool.java
+++ b/src/main/java/ottergauge/routing/ServerPool.java
@@ -16,7 +16,10 @@
     /** Whether attempts may be sent. Idle connections to a draining server are closed. */
     boolean accepting = true;
 
-    /** Most recently used first, so that surplus connections stay idle for longest. */
+    /**
+     * Most recently used first, so that connections that are no longer needed stay idle until they
+     * time out.
+     */
     final Deque<PooledConnection> idle = new ArrayDeque<>();
 
     final Deque<Attempt> waiting = new ArrayDeque<>();
--- a/src/main/java/ottergauge/routing/SocketBudget.java
+++ b/src/main/java/ottergauge/routing/SocketBudget.java
@@ -18,9 +18,11 @@
     private static final int ADMIN_RESERVED_DESCRIPTORS = 32;
     // Connections that the listener may accept before it applies a lower limit.
     private static final int ACCEPT_BATCH = 16;
-    // Leaves sockets for the connections to servers that clients' requests need.
+    // Maximum fraction of the sockets for clients' connections. The rest is for the connections to
+    // servers that clients' requests need.
     private static final double MAX_CLIENT_RATIO = 2.0 / 3;
-    // Allows for connections that the node's other process may open before they are counted again.
+    // Fraction of the descriptors for connections that the node's other process may open before its
+    // connections are counted again.
     private static final double PEER_GROWTH_RATIO = 0.25;
 
     private final int reserved;
--- a/src/main/java/ottergauge/routing/StreamBudget.java
+++ b/src/main/java/ottergauge/routing/StreamBudget.java
@@ -14,8 +14,8 @@
     // of the limit.
     private static final int STREAMS_PER_MB = 2;
     private static final int MIN_STREAMS = 2;
-    // The rest is reserved for responses: servers have done the work for them, and they can no
-    // longer be rejected.
+    // Fraction of the streams that requests may use. The rest is reserved for responses, because
+    // servers have done the work for them and they can no longer be rejected.
     private static final double REQUEST_RATIO = 0.75;
 
     private final int memoryMb;
--- a/src/main/java/ottergauge/routing/UpstreamPool.java
+++ b/src/main/java/ottergauge/routing/UpstreamPool.java
@@ -114,8 +114,9 @@
         Address address = endpoint.address();
         ServerPool pool = byServer.computeIfAbsent(server, id -> new ServerPool(id, address));
         pool.accepting = endpoint.state() == EndpointState.UP;
-        // The decision module chose the server for the waiting attempts when its previous process
-        // was running, which was warmed up.
+        // The decision module selected the server for the waiting attempts while its previous
+        // process was running, which had full capacity. A new process starts with slow start, so
+        // the attempts are withdrawn.
         boolean replaced =
                 !pool.address.equals(address) || endpoint.startedAtMs() > pool.startedAtMs;
         if (!pool.accepting || replaced) {
@@ -138,8 +139,8 @@
         }
     }
 
-    // If a waiting attempt were sent when its connection is established, it might exceed the drain
-    // period.
+    // If a waiting attempt were sent when its connection is established, the drain period of the
+    // server might already be over.
     private void withdrawWaiting(ServerPool pool, List<Attempt> withdrawn) {
         withdrawn.addAll(pool.waiting);
         pool.waiting.clear();
--- a/src/main/java/ottergauge/settings/SettingsReader.java
+++ b/src/main/java/ottergauge/settings/SettingsReader.java
@@ -23,7 +23,7 @@
     // A node that handles events only once a minute decides too late.
     private static final double MIN_EVENT_INTERVAL_MS = 0.001;
     private static final double MAX_EVENT_INTERVAL_MS = 60_000;
-    // A server's slow-start budget is divided by the number of nodes.
+    // The number of nodes is limited because a server's slow-start budget is divided by it.
     private static final double MAX_NODES = 1_000_000;
     private static final double UNBOUNDED = Double.MAX_VALUE;
     private static final double MICROS_PER_MS = 1000.0;
