--- a/src/main/java/ottergauge/transport/AdminListener.java
+++ b/src/main/java/ottergauge/transport/AdminListener.java
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Records that the node serves clients: later connections are opened by operators, not by the
-     * node itself.
+     * Records that the node serves clients. Connections that are accepted before this call count as
+     * those of the node's own warm-up and are not logged; later ones are operators'.
      */
     void startServing() {
         side = SIDE;
--- a/src/main/java/ottergauge/transport/BodyRelay.java
+++ b/src/main/java/ottergauge/transport/BodyRelay.java
@@ -14,8 +14,8 @@
  * Relays a body from one connection to another, part by part, with back-pressure: the source is
  * read no faster than the destination is written, and not at all before there is a destination.
  *
- * <p>It owns a reference to each part. The destination releases a part once it is written; {@link
- * #drop} releases the parts that are still queued.
+ * <p>The relay retains each part. A write passes this reference to Netty, which releases it once
+ * the part is written. {@link #drop} releases the parts that are still queued.
  */
 final class BodyRelay {
 
@@ -31,7 +31,7 @@
         source.pauseReading();
     }
 
-    /** Adds a part and takes its own reference to it. */
+    /** Adds a part and retains it; the caller still releases its own reference. */
     void add(HttpContent part) {
         if (dropped) {
             return;
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -32,9 +32,9 @@
 import ottergauge.routing.Event.StreamedRequestStarted;
 
 /**
- * A client's connection. It carries one request at a time. A request is reported once it has
- * arrived completely and no bytes followed it, or as streamed once its body is too large to be
- * buffered.
+ * A client's connection. It carries one request at a time. A request is reported to the router once
+ * it has arrived completely and no bytes followed it. A request whose body is too large to be
+ * buffered is reported as streamed, before it has arrived completely.
  */
 final class ClientConnection extends Connection {
 
@@ -42,7 +42,10 @@
         AWAITING_HEAD,
         BUFFERING_BODY,
         STREAMING_BODY,
-        /** All parts have been handled; the end of the read is still to come. */
+        /**
+         * The last part of the request has been handled, but not yet the end of the read that
+         * brought it.
+         */
         RECEIVED,
         AWAITING_RESPONSE,
         /** Further input is ignored. */
@@ -51,7 +54,10 @@
 
     private static final long PROGRESS_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-    /** How long a client that is still writing may take to notice the response. */
+    /**
+     * The time between the shutdown of the output and the close. A client that is still sending can
+     * notice the response meanwhile.
+     */
     private static final long LINGER_MS = 1_000;
 
     private final long number;
@@ -74,7 +80,10 @@
 
     private BodyBuffer body;
 
-    /** The body of a streamed request, as long as this connection may have to drop it. */
+    /**
+     * The body of a streamed request. Null once the body has arrived completely and is being
+     * relayed; until then, this connection drops the body when it responds or ends.
+     */
     private StreamedBody stream;
 
     private boolean streamReceived;
@@ -214,7 +223,8 @@
         relayed.relayTo(server, server.sendHead(forwarded));
     }
 
-    // A request is reported only if no bytes followed it: they would be read as another request.
+    // A request is rejected if bytes follow it: they would be read as another request, and the
+    // connection carries one at a time.
     @Override
     void onReadComplete() {
         if (stream != null) {
@@ -259,7 +269,8 @@
         body = null;
     }
 
-    // The first request on a new connection may be as old as the connection.
+    // A request that is read in the round that accepts its connection, or in the next one, may be
+    // as old as the connection: both may have waited to be accepted.
     private long ageMicros() {
         boolean isNew = monitor.round() <= acceptedInRound + 1;
         return monitor.microsSince(isNew ? connectedAt : monitor.earliestArrival());
--- a/src/main/java/ottergauge/transport/Connection.java
+++ b/src/main/java/ottergauge/transport/Connection.java
@@ -13,9 +13,9 @@
 abstract class Connection extends ChannelInboundHandlerAdapter {
 
     /**
-     * The source of a relayed body is not read while more unwritten bytes are buffered than the
-     * high-water mark, until they fall below the low-water mark. This bounds the memory of each
-     * relayed body.
+     * Limits for the bytes that wait to be written to a connection. Above the high-water mark, the
+     * node stops reading the source of a relayed body; below the low-water mark, it reads on. This
+     * bounds the memory of each relayed body.
      */
     static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
@@ -53,7 +53,7 @@
         closeReason = closeReason == null ? reason : closeReason;
     }
 
-    // If this or one of the two writes below fails, the connection ends, which is reported.
+    // If this or one of the two writes below fails, the connection ends, and onClosed is called.
     @SuppressWarnings("FutureReturnValueIgnored")
     final void close(CloseReason reason) {
         setCloseReason(reason);
@@ -81,7 +81,10 @@
         context.channel().config().setAutoRead(true);
     }
 
-    /** Whether fewer bytes wait to be written than the high-water mark. */
+    /**
+     * Whether more may be written. This is false from the moment at which the bytes that wait to be
+     * written exceed the high-water mark until they fall below the low-water mark.
+     */
     final boolean isWritable() {
         return context.channel().isWritable();
     }
@@ -108,7 +111,8 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            // After the connection's end, a decoder may emit leftover bytes as a message: ignored.
+            // After the connection's end, a decoder may emit leftover bytes as a message, which is
+            // ignored.
             if (ctx.channel().isActive()) {
                 onPart((HttpObject) message);
             }
--- a/src/main/java/ottergauge/transport/ConnectionLimiter.java
+++ b/src/main/java/ottergauge/transport/ConnectionLimiter.java
@@ -11,7 +11,7 @@
  */
 final class ConnectionLimiter extends ChannelInboundHandlerAdapter {
 
-    /** How many connections are accepted in one round of the event loop. */
+    /** The most connections that are accepted in one round of the event loop. */
     static final int MAX_ACCEPTS_PER_ROUND = 16;
 
     private final EventLoopMonitor monitor;
@@ -21,7 +21,10 @@
     private int acceptedInRound;
     private long earliestArrival;
 
-    /** Whether the last round accepted as many as it may: more may have waited for as long. */
+    /**
+     * Whether the last round accepted the most connections that it may. Connections that are still
+     * in the accept queue may have waited for as long, so {@link #earliestArrival} does not change.
+     */
     private boolean moreWaiting;
 
     private Channel listener;
--- a/src/main/java/ottergauge/transport/DownstreamConnections.java
+++ b/src/main/java/ottergauge/transport/DownstreamConnections.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Records that the node serves clients: later connections are opened by clients, not by the
-     * node itself.
+     * Records that the node serves clients. Connections that are accepted before this call count as
+     * those of the node's own warm-up and are not logged; later ones are clients'.
      */
     void startServing() {
         side = SIDE;
@@ -137,12 +137,15 @@
         }
         switch (effect.reason()) {
             case IDLE, STOPPING -> connection.closeGracefully(effect.reason());
-            // Its descriptor is needed at once, or the client cannot be sent anything.
+            // The connection's descriptor is needed at once, or nothing can be sent to the client.
             default -> connection.close(effect.reason());
         }
     }
 
-    /** Runs a task once all connections are closed, including those that are about to end. */
+    /**
+     * Runs a task once no connection is open; a connection that is being closed still counts as
+     * open.
+     */
     void whenEmpty(Runnable task) {
         if (connections.isEmpty()) {
             task.run();
--- a/src/main/java/ottergauge/transport/EndpointCache.java
+++ b/src/main/java/ottergauge/transport/EndpointCache.java
@@ -44,10 +44,11 @@
     }
 
     /**
-     * Returns the configuration with the cached list if that is newer than its own.
+     * Returns the configuration with the cached list if that is newer than the configuration's own
+     * list.
      *
-     * @param otherProcessAlive whether another process of this node keeps the cache up to date, so
-     *     that it is used whatever its version
+     * @param otherProcessAlive whether another process of this node is alive and keeps the cache up
+     *     to date, so that the cached list is used whatever its version
      */
     NodeConfig withCachedList(NodeConfig config, boolean otherProcessAlive) {
         try {
--- a/src/main/java/ottergauge/transport/EventLoopLag.java
+++ b/src/main/java/ottergauge/transport/EventLoopLag.java
@@ -10,7 +10,10 @@
     /** The task's period, in nanoseconds. */
     static final long PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-    /** Upper bounds of the histogram's buckets, in milliseconds; the last bucket has none. */
+    /**
+     * Upper bounds (exclusive) of the histogram's buckets, in milliseconds; the last bucket has
+     * none.
+     */
     static final List<Integer> BOUNDS_MS = List.of(1, 2, 5, 10, 20, 50, 100, 200, 500, 1_000);
 
     private long[] counts = new long[BOUNDS_MS.size() + 1];
--- a/src/main/java/ottergauge/transport/EventLoopMonitor.java
+++ b/src/main/java/ottergauge/transport/EventLoopMonitor.java
@@ -21,12 +21,15 @@
  */
 final class EventLoopMonitor implements SelectStrategy {
 
-    /** A wait up to this long is taken for the duration of the select itself. */
+    /** A wait up to this long counts as no wait: the select itself takes this time. */
     private static final long MAX_SELECT_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
 
     private static final long MAX_ROUND_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-    /** The router has a timer every 250 ms, so that a longer wait is a stall. */
+    /**
+     * The router has a timer every 250 ms, so that after a wait longer than this the process was
+     * stalled.
+     */
     private static final long MAX_WAIT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private static final long NANOS_PER_MICRO = 1_000;
--- a/src/main/java/ottergauge/transport/HollowEvent.java
+++ b/src/main/java/ottergauge/transport/HollowEvent.java
@@ -45,7 +45,7 @@
     record Traffic(String node, Source source, long bytesIn, long bytesOut, long at)
             implements HollowEvent {}
 
-    /** The histogram of a loop's lag since the last event, a count for each bucket. */
+    /** The histogram of a loop's lag since the loop's last such event, a count for each bucket. */
     record LoopLag(int loop, List<Long> counts, long at) implements HollowEvent {}
 
     /** The number of a node's servers, and a digest of their names and statuses. */
--- a/src/main/java/ottergauge/transport/HollowNode.java
+++ b/src/main/java/ottergauge/transport/HollowNode.java
@@ -172,8 +172,8 @@
         }
     }
 
-    // A poll with a version asks for newer ones: that version is in effect once the current event
-    // has been handled.
+    // A poll asks for the changes after a version. The router polls after the version that it has
+    // applied, so this version is in effect once the current event has been handled.
     private void poll(Effect.PollDiscovery effect) {
         nextVersion = effect.afterVersion();
         polls.count(
@@ -189,8 +189,8 @@
                         config.name(), effect.getClass().getSimpleName(), wallClock.getAsLong()));
     }
 
-    // The names come in the order in which the node first learned of them, which differs from node
-    // to node.
+    // The servers are sorted: the node lists them in the order in which it first learned of them,
+    // which differs from node to node.
     private ServerStatuses serverStatuses(String text) {
         List<String> lines = new ArrayList<>(text.lines().toList());
         lines.sort(null);
--- a/src/main/java/ottergauge/transport/HotRestartDirectory.java
+++ b/src/main/java/ottergauge/transport/HotRestartDirectory.java
@@ -8,7 +8,8 @@
 
 /**
  * The state that the processes of one node share on disk: which of them are alive, the servers in
- * maintenance, and the endpoint list.
+ * maintenance, and the endpoint list. During a hot restart, the node's old process and its new one
+ * run at the same time.
  */
 final class HotRestartDirectory {
 
--- a/src/main/java/ottergauge/transport/HotRestartProcesses.java
+++ b/src/main/java/ottergauge/transport/HotRestartProcesses.java
@@ -47,8 +47,8 @@
 
     /** Makes this process visible to the others. */
     void register() throws IOException {
-        // The file is locked before it gets its name: without a lock it would be taken for a
-        // leftover.
+        // The file is locked before it gets its name: another process would take an unlocked file
+        // for a leftover and delete it.
         Path part = directory.resolve(PART_PREFIX + ProcessHandle.current().pid());
         channel =
                 FileChannel.open(
@@ -72,7 +72,10 @@
         }
     }
 
-    /** Reads what the node's other processes have published; deletes leftovers. */
+    /**
+     * Reads what the node's other processes have published, and deletes the files of processes that
+     * have ended.
+     */
     OtherProcesses others() {
         boolean alive = false;
         boolean serving = false;
--- a/src/main/java/ottergauge/transport/JitWarmUp.java
+++ b/src/main/java/ottergauge/transport/JitWarmUp.java
@@ -36,7 +36,10 @@
     /** The JIT compiler compiles a method after a few hundred calls: more requests gain little. */
     private static final int MAX_REQUESTS = 1_000;
 
-    /** With fewer requests, most classes would be loaded by the first client's request. */
+    /**
+     * With fewer requests, most classes would be loaded by the first client's request. Each node
+     * makes at least this many, even if all nodes together then exceed their limit.
+     */
     private static final int MIN_REQUESTS = 100;
 
     /**
@@ -54,7 +57,10 @@
     /** Simulated time of an exchange with a server. */
     private static final long ROUND_TRIP_MICROS = 1_000;
 
-    /** Simulated time between requests, long enough that some of the engine's windows end. */
+    /**
+     * Simulated time between requests, long enough that some of the engine's time windows end
+     * during the warm-up.
+     */
     private static final long REQUEST_INTERVAL_MICROS = 20_000;
 
     /** One response in this many is a rejection. */
@@ -141,9 +147,9 @@
             now += REQUEST_INTERVAL_MICROS;
             RequestClass requestClass = classes.get(requests % classes.size());
             client.writeInbound(Unpooled.wrappedBuffer(request(requestClass, ++requests)));
-            // The response to each request is awaited before the next request. A second request on
-            // the same connection would end the first one, and a node of a large fleet queues many
-            // requests.
+            // The response to each request is awaited before the next request, because a second
+            // request on the same connection would end the first one. A node of a large fleet
+            // queues many requests, so that timers may have to fire before the response comes.
             while (client.outboundMessages().isEmpty() && (respondToAll() || fireNextTimer())) {
                 now += ROUND_TRIP_MICROS;
             }
--- a/src/main/java/ottergauge/transport/Listener.java
+++ b/src/main/java/ottergauge/transport/Listener.java
@@ -21,9 +21,9 @@
 import ottergauge.protocol.Address;
 
 /**
- * A listening socket with its connection limit. It is a Netty channel and not a Vert.x server,
- * which would close all of its connections when it is closed. A process that hands over to another
- * one stops listening long before its last connection ends.
+ * A listening socket with its connection limit. It is a Netty channel because a Vert.x server
+ * closes its connections when it stops listening. During a hot restart, the old process stops
+ * listening long before its last connection ends.
  */
 final class Listener {
 
@@ -106,8 +106,9 @@
     }
 
     /**
-     * Accepts the connections in the accept queue, which a close would reset, and then stops
-     * listening. Must be called on the event loop.
+     * Accepts the connections in the accept queue and then stops listening. If the socket was
+     * closed at once, the operating system would reset these connections. Must be called on the
+     * event loop.
      */
     void drainAndClose() {
         if (!channel.isOpen()) {
--- a/src/main/java/ottergauge/transport/NodeServer.java
+++ b/src/main/java/ottergauge/transport/NodeServer.java
@@ -28,7 +28,10 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(NodeServer.class);
 
-    /** How often the state of the node's other processes is read; much shorter than a drain. */
+    /**
+     * The period at which this process reads the state of the node's other processes; a drain takes
+     * much longer.
+     */
     private static final long HOT_RESTART_SYNC_PERIOD_MS = 100;
 
     private static final String SERVER_SIDE = "server";
@@ -84,7 +87,8 @@
                         hotRestart);
     }
 
-    // A node can serve without the directory: an upgrade is then like a restart.
+    // A node can serve without the directory. An upgrade is then like a plain restart: the next
+    // process gets no state from this one.
     private static Optional<HotRestartDirectory> open(Path directory, int maxListBytes) {
         try {
             return Optional.of(new HotRestartDirectory(directory, maxListBytes));
--- a/src/main/java/ottergauge/transport/OutboundConnection.java
+++ b/src/main/java/ottergauge/transport/OutboundConnection.java
@@ -70,7 +70,10 @@
         IDLE,
         AWAITING_HEAD,
         BUFFERING_BODY,
-        /** All parts have been handled; the end of the read is still to come. */
+        /**
+         * The last part of the response has been handled, but not yet the end of the read that
+         * brought it.
+         */
         RECEIVED,
         STREAMING_BODY,
         /** The same as RECEIVED, for a streamed body. */
@@ -330,7 +333,7 @@
         return nothingFollowed && HttpUtil.isKeepAlive(head) && HttpFraming.hasLength(head);
     }
 
-    // At the end of a read it is known whether any bytes followed the response.
+    // Only at the end of a read is it known whether any bytes followed the response.
     @Override
     void onReadComplete() {
         if (stream != null) {
--- a/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
+++ b/src/main/java/ottergauge/transport/SelfRequestWarmUp.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * The limit for all nodes together: in a large fleet, each node serves a small part of the
-     * requests.
+     * The limit for all nodes together. In a large fleet, each node serves a small part of the
+     * clients' requests, so that a node that is not warmed up slows down few of them.
      */
     private static final int MAX_REQUESTS_OF_ALL_NODES = 1_200;
 
--- a/src/main/java/ottergauge/transport/SingleLoopTransport.java
+++ b/src/main/java/ottergauge/transport/SingleLoopTransport.java
@@ -13,10 +13,10 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Runs everything on one event loop. When a separate thread accepted connections, it accepted
- * hundreds of them while the loop was busy, until no descriptor was left. The library then stops
- * accepting for a second, and the connections that had queued up meanwhile used up the descriptors
- * again: the node served no client for the rest of the day.
+ * Runs everything on one event loop. In an earlier version, a separate thread accepted connections.
+ * While the loop was busy, this thread accepted hundreds of them, until no file descriptor was
+ * left. Netty then stopped accepting for a second. The connections that queued up in that second
+ * used up the descriptors again, and the node served no client for the rest of the day.
  */
 final class SingleLoopTransport extends NioTransport {
 
--- a/src/main/java/ottergauge/transport/StreamedBody.java
+++ b/src/main/java/ottergauge/transport/StreamedBody.java
@@ -34,7 +34,10 @@
         relay.add(new DefaultHttpContent(Unpooled.wrappedBuffer(buffered)));
     }
 
-    /** Adds a part and takes its own reference to it. */
+    /**
+     * Adds a part and retains it, unless the body is too large; the caller still releases its own
+     * reference.
+     */
     Added add(HttpContent part) {
         bytes += part.content().readableBytes();
         if (bytes > BodyLimits.MAX_STREAMED_BYTES) {
--- a/src/main/java/ottergauge/transport/Timers.java
+++ b/src/main/java/ottergauge/transport/Timers.java
@@ -4,12 +4,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Timers that never fire early by the clock that events are stamped with, and that let the event
- * loop read its sockets first when they are late. The library's timers use their own clock: a timer
- * that fired early would be ignored as stale, and its timeout would be lost. After a stall, the
- * loop may run timers before it reads its sockets. Without another round, the node would close
- * connections as idle although a request had arrived on them, and time out attempts whose responses
- * had arrived.
+ * Timers that never fire early by the node's clock. A timer that is late first lets the event loop
+ * read its sockets.
+ *
+ * <p>Events carry the time of the node's clock, but Vert.x measures delays with another clock. The
+ * router would ignore a timer that fired early as stale, and the timeout would be lost.
+ *
+ * <p>After a stall, the loop may run timers before it reads its sockets. A late timer therefore
+ * waits for another round of the loop. Without this round, the node would close connections as idle
+ * although a request had arrived on them, and time out attempts whose responses had arrived.
  */
 final class Timers {
 
@@ -21,7 +24,7 @@
 
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** A timer that is later than this lets the loop read once more before it fires. */
+    /** A timer that is later than this waits until the loop has read its sockets once more. */
     private static final long MAX_LAG_MICROS = 10_000;
 
     private final LongSupplier clock;
--- a/src/main/java/ottergauge/transport/UpstreamConnector.java
+++ b/src/main/java/ottergauge/transport/UpstreamConnector.java
@@ -44,7 +44,10 @@
         Future<OutboundConnection> connect(Address address, long timeoutMs);
     }
 
-    /** Reasons for which a server counts as reachable although its response cannot be read. */
+    /**
+     * Reasons for a connection's end after which its server still counts as reachable: the server
+     * sent bytes, but the node cannot use them as a response.
+     */
     private static final Set<CloseReason> MALFORMED_RESPONSE =
             EnumSet.of(CloseReason.MALFORMED, CloseReason.TOO_LARGE);
 
--- a/src/main/java/ottergauge/transport/package-info.java
+++ b/src/main/java/ottergauge/transport/package-info.java
@@ -15,7 +15,7 @@
  *   <li>Messages: {@code HttpFraming} decodes them strictly; a body is buffered in a {@code
  *       BodyBuffer} or, if it is large, streamed by a {@code StreamedBody}.
  *   <li>Load: {@code ConnectionLimiter} bounds the open connections, {@code EventLoopMonitor}
- *       estimates how long input has waited to be read, {@code Timers} are late rather than early.
+ *       estimates how long input has waited to be read, {@code Timers} never fire early.
  *   <li>Hot restart: {@code HotRestartDirectory} holds what two processes of one node share on
  *       disk.
  *   <li>Start: {@link ottergauge.transport.JitWarmUp} and {@code SelfRequestWarmUp} run before
