--- a/src/main/java/ottergauge/replica/CallScheduler.java
+++ b/src/main/java/ottergauge/replica/CallScheduler.java
@@ -58,8 +58,8 @@
     }
 
     /**
-     * Marks the outstanding call as complete. Returns false if the response belongs to an older
-     * call.
+     * Marks the outstanding call as complete. Returns false if the response belongs to a call that
+     * is no longer outstanding.
      */
     boolean complete(long call) {
         if (call != outstandingCall || call == NO_CALL) {
@@ -78,8 +78,9 @@
     }
 
     /**
-     * Whether this call is still outstanding and its deadline has passed. If the timer fired late,
-     * the deadline is extended once.
+     * Whether this call is still outstanding and its deadline has passed. If the timer fired later
+     * than the deadline by more than the response grace, the call is given the response grace once
+     * more.
      */
     boolean hasTimedOut(long now, long call) {
         if (call != outstandingCall) {
@@ -107,7 +108,10 @@
         return min + random.nextLong(timeouts.maxWaitMicros() - min + 1);
     }
 
-    /** Whether the last call ended before its requested wait or the minimum poll gap was over. */
+    /**
+     * Whether the last call took less time than its requested wait, or less than the minimum poll
+     * gap.
+     */
     boolean endedEarly(long now) {
         return now - startedAt < Math.max(MIN_POLL_GAP_MICROS, waitMicros);
     }
--- a/src/main/java/ottergauge/replica/ControlEndpointSelector.java
+++ b/src/main/java/ottergauge/replica/ControlEndpointSelector.java
@@ -8,8 +8,9 @@
 
 /**
  * Selects the control process that a node calls: first those of its own region, then the others,
- * each group in rendezvous-hash order. If a process fails, its nodes are thereby distributed over
- * all remaining processes. A round visits each endpoint once.
+ * each group in rendezvous-hash order. This order differs from node to node. If a process fails,
+ * its nodes are therefore distributed over all remaining processes of its region. A round visits
+ * each endpoint once.
  */
 final class ControlEndpointSelector {
 
--- a/src/main/java/ottergauge/replica/ControlSession.java
+++ b/src/main/java/ottergauge/replica/ControlSession.java
@@ -15,7 +15,8 @@
 final class ControlSession {
 
     /**
-     * The longest time that a replica uses another process before it tries the preferred one again.
+     * The longest delay of the fail-back timer. When it fires, a replica that uses another process
+     * tries the preferred one again, unless a snapshot is being fetched.
      */
     static final long FAIL_BACK_DELAY_MICROS = 90_000_000;
 
@@ -61,7 +62,10 @@
         return responsive;
     }
 
-    /** Records a usable response; the replica keeps calling the current process. */
+    /**
+     * Records a usable response. The replica keeps calling the current process, and starts the
+     * fail-back timer if this is not the preferred one.
+     */
     void recordResponse() {
         responsive = true;
         otherLog = Optional.empty();
@@ -126,8 +130,8 @@
     }
 
     /**
-     * Goes back to the preferred process. If that fails, the replica tries the process that it used
-     * until now next.
+     * Goes back to the preferred process. If that process cannot be used, the replica next calls
+     * the one that it has used until now.
      */
     void failBack() {
         responsive = false;
--- a/src/main/java/ottergauge/replica/PollTimeouts.java
+++ b/src/main/java/ottergauge/replica/PollTimeouts.java
@@ -37,7 +37,8 @@
     }
 
     /**
-     * The shortest such time. Each poll draws a random wait between the two, so that the polls of
+     * The shortest time for which a responsive control process may hold a poll open. The wait of
+     * each poll is drawn at random between this and {@link #maxWaitMicros}, so that the polls of
      * different nodes don't synchronize.
      */
     long minWaitMicros() {
@@ -50,21 +51,24 @@
     }
 
     /**
-     * The wait of the first poll that is sent to a process. It is short because the response shows
-     * that the process is alive.
+     * The wait of the first poll that is sent to a process. It is short so that a response soon
+     * shows that the process is alive.
      */
     long initialWaitMicros() {
         return parts(INITIAL_WAIT_PARTS);
     }
 
-    /** The timeout of the first poll that is sent to a process, connection setup included. */
+    /**
+     * The timeout of the first poll that is sent to a process, connection setup included. Also the
+     * timeout of the polls that complete a snapshot, which request no wait.
+     */
     long initialTimeoutMicros() {
         return parts(INITIAL_TIMEOUT_PARTS);
     }
 
     /**
      * The longest back-off after a failed round, given the number of consecutive failed rounds
-     * before it.
+     * before it; or before a repeated snapshot, given the number of snapshots started in a row.
      */
     long maxBackOffMicros(int failedBefore) {
         return parts(failedBefore == 0 ? FIRST_BACK_OFF_PARTS : LATER_BACK_OFF_PARTS);
--- a/src/main/java/ottergauge/replica/Replica.java
+++ b/src/main/java/ottergauge/replica/Replica.java
@@ -23,8 +23,7 @@
  * process that it calls no longer has the changes after its position, or if no process has its log.
  *
  * <p>Within one log, the version never decreases: the replica skips a process that has not reached
- * the node's version. It switches to another log only after no reachable process has the current
- * one.
+ * the node's version. It switches to another log only if no reachable process has the current one.
  *
  * <p>A state machine without I/O: it handles events and emits effects, in order, to the consumer
  * that was passed to its constructor. Not thread-safe. All times are in microseconds.
@@ -34,7 +33,7 @@
     /** The maximum bytes of changes in one response, unless the first change alone is larger. */
     static final int MAX_CHANGES_BYTES = 64 * 1024;
 
-    /** The longest back-off before the replica fetches a state again that was too large. */
+    /** The longest back-off before the replica again fetches a state that was too large. */
     static final long TOO_LARGE_BACKOFF_MICROS = 60_000_000;
 
     /** The purpose of the next call. */
@@ -224,8 +223,8 @@
         }
     }
 
-    // Polls the preferred process at once. If a snapshot is being fetched, the fail-back is
-    // postponed until that is complete.
+    // Polls the preferred process at once. If a snapshot is being fetched, the fail-back timer is
+    // started again instead.
     private void failBackDue(long now) {
         if (!session.isFailBackDue()) {
             return;
@@ -376,7 +375,8 @@
         call(now);
     }
 
-    // The state would still be too large if it was fetched again at once, so the replica backs off.
+    // If the replica fetched the state again at once, it would still be too large. The replica
+    // therefore backs off.
     private void abandonSnapshot(SnapshotAssembly assembly) {
         report(new ReplicaReport.StateTooLarge(assembly.size(), assembly.bytes(), config.limits()));
         snapshot.discard();
--- a/src/main/java/ottergauge/replica/ReplicaTimer.java
+++ b/src/main/java/ottergauge/replica/ReplicaTimer.java
@@ -1,7 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 package ottergauge.replica;
 
-/** A timer of a replica. The number of its call identifies a stale timer, which is ignored. */
+/**
+ * A timer of a replica. A timer that belongs to a call carries the call's number, by which the
+ * replica recognizes a stale timer and ignores it.
+ */
 public sealed interface ReplicaTimer {
 
     /** The timeout of a call. */
--- a/src/main/java/ottergauge/replica/ResourceSize.java
+++ b/src/main/java/ottergauge/replica/ResourceSize.java
@@ -13,7 +13,7 @@
  */
 final class ResourceSize {
 
-    /** The resource, key, value, version and map entry. */
+    /** The objects of the resource, its key and its value, the version and the map entry. */
     private static final int RESOURCE_BYTES = 200;
 
     private static final int ENDPOINT_BYTES = 104;
--- a/src/main/java/ottergauge/replica/SnapshotAssembly.java
+++ b/src/main/java/ottergauge/replica/SnapshotAssembly.java
@@ -133,8 +133,8 @@
     }
 
     /**
-     * Applies the changes up to a version. Values that an invalid change put are removed, since a
-     * page may already have contained them.
+     * Applies the changes up to a version. An invalid change is not applied, but a page may already
+     * have contained its values. They are removed, and their resources count as rejected.
      */
     void apply(List<ValidatedChange> changes, long upTo) {
         Set<Long> invalidVersions = new HashSet<>();
--- a/src/main/java/ottergauge/replica/SnapshotFetch.java
+++ b/src/main/java/ottergauge/replica/SnapshotFetch.java
@@ -41,14 +41,17 @@
         this.check = check;
     }
 
-    /** Starts again from the first page. Returns the number of snapshots started in a row. */
+    /**
+     * Starts again from the first page. Returns the number of snapshots started in a row, this one
+     * included.
+     */
     int restart() {
         discard();
         return ++consecutiveStarts;
     }
 
     /**
-     * Records that a page of changes was received, so that the next snapshot starts without
+     * Records that the replica follows the changes again, so that the next snapshot starts without
      * back-off.
      */
     void recordFollowed() {
--- a/src/main/java/ottergauge/replica/SnapshotQuery.java
+++ b/src/main/java/ottergauge/replica/SnapshotQuery.java
@@ -8,8 +8,8 @@
 /**
  * A query for one page of a snapshot.
  *
- * @param log the log of the first page; empty for the first page
- * @param from the key at which the page begins; empty for the first page
+ * @param log the log of the snapshot's first page; empty in the query for that page
+ * @param from the key at which the page begins; empty in the query for the first page
  * @param maxBytes the maximum size of the page
  * @param subscription the resources that the node replicates
  * @param node the node's name
