--- a/src/main/java/ottergauge/resources/JsonMessage.java
+++ b/src/main/java/ottergauge/resources/JsonMessage.java
@@ -43,7 +43,8 @@
                     .build();
 
     /**
-     * Reads one field. The parser is at the start of the value and has to be at its end afterwards.
+     * Reads one field. The parser is at the start of the value and has to be at the end of the
+     * value afterwards.
      */
     interface FieldHandler {
         void read(String name, JsonParser in) throws IOException, ProtocolException;
--- a/src/main/java/ottergauge/resources/ResourceCodec.java
+++ b/src/main/java/ottergauge/resources/ResourceCodec.java
@@ -24,7 +24,8 @@
 public final class ResourceCodec {
 
     /**
-     * The longest page or error response that is read, in bytes. A page has at least one change.
+     * The longest page or error response that is read, in bytes. A page may be longer than its
+     * query allows, because it has at least one change.
      */
     public static final int MAX_PAGE_BYTES = 1 << 20;
 
--- a/src/main/java/ottergauge/resources/ResourceValue.java
+++ b/src/main/java/ottergauge/resources/ResourceValue.java
@@ -31,7 +31,10 @@
         }
     }
 
-    /** Routes requests by a path prefix to a service, as requests of a class. */
+    /**
+     * Routes the requests whose path begins with a prefix to a service, and assigns them a request
+     * class.
+     */
     record Route(String service, String pathPrefix, String requestClass) implements ResourceValue {
         @Override
         public ResourceKind kind() {
