--- a/src/main/java/ottergauge/migration/Migration.java
+++ b/src/main/java/ottergauge/migration/Migration.java
@@ -159,8 +159,8 @@
         settings.put("classes", classes(zones.equals(old.get("zones"))));
     }
 
-    // Classes that the shape does not name stay as they are; the values in the shape override those
-    // of the others.
+    // Classes that the shape does not name stay as they are. For the others, the values in the
+    // shape override the old values.
     private List<Object> classes(boolean sameZones) throws MigrationException {
         Map<Object, Map<String, Object>> byName = new LinkedHashMap<>();
         for (Object c : list(old.get("classes"), "settings.classes")) {
@@ -179,8 +179,9 @@
         for (Map.Entry<Object, Map<String, Object>> e : byName.entrySet()) {
             Map<String, Object> requestClass = e.getValue();
             Map<String, Object> change = changes.getOrDefault(e.getKey(), Map.of());
-            // The old zones defined which servers detect repeated requests together. With other
-            // zones no repetition is safe.
+            // The group "zone" means that the servers of one zone detect repeated requests
+            // together. If the zones differ from the old ones, no repetition is safe, and the class
+            // gets a window of 0.
             if ("zone".equals(requestClass.get("group"))
                     && !sameZones
                     && !change.containsKey("group")) {
--- a/src/main/java/ottergauge/simulator/MessageReader.java
+++ b/src/main/java/ottergauge/simulator/MessageReader.java
@@ -149,8 +149,8 @@
     }
 
     /**
-     * Collects the fields that a message may have. It is evaluated once all of them are read, since
-     * their order is arbitrary.
+     * Collects the fields that a message may have. The message is created once all of its fields
+     * are read, since their order is arbitrary.
      */
     private static final class Fields {
 
--- a/src/main/java/ottergauge/simulator/SimulatorMessage.java
+++ b/src/main/java/ottergauge/simulator/SimulatorMessage.java
@@ -25,7 +25,10 @@
      */
     record PeerNote() implements SimulatorMessage {}
 
-    /** The endpoints of a table that was introduced before replace or update the known ones. */
+    /**
+     * Replaces or updates the known endpoints with those of a table that an earlier message
+     * introduced.
+     */
     record EndpointsChanged(UpdateScope scope, int table) implements SimulatorMessage {}
 
     /**
@@ -38,7 +41,10 @@
             String id, String requestClass, long giveUpAt, boolean clientRetry, long affinityKey)
             implements SimulatorMessage {}
 
-    /** An event that uses no names from an engine's settings. */
+    /**
+     * An event that can be translated without an engine's settings, since it refers to none of
+     * their names.
+     */
     record EngineEvent(DecisionEvent event) implements SimulatorMessage {}
 
     /**
