--- a/src/main/java/ottergauge/transport/AdminConnection.java
+++ b/src/main/java/ottergauge/transport/AdminConnection.java
@@ -155,7 +155,7 @@
         context().writeAndFlush(response).addListener(written -> close(CloseReason.NOT_REUSABLE));
     }
 
-    /** Ends the connection; if no complete request has arrived, sends a 408 response first. */
+    /** Closes the connection; if no response has been sent yet, sends a 408 response first. */
     void onTimeout() {
         if (responded) {
             close(CloseReason.SLOW_ANSWER);
--- a/src/main/java/ottergauge/transport/ClientConnection.java
+++ b/src/main/java/ottergauge/transport/ClientConnection.java
@@ -48,7 +48,7 @@
          */
         RECEIVED,
         AWAITING_RESPONSE,
-        /** Further input is ignored. */
+        /** The connection is about to be closed; further input is ignored. */
         ENDING
     }
 
--- a/src/main/java/ottergauge/transport/DiscoveryClient.java
+++ b/src/main/java/ottergauge/transport/DiscoveryClient.java
@@ -44,7 +44,10 @@
 
     private final Consumer<Event> events;
 
-    /** The open polls and their connections; empty until the connection is established. */
+    /**
+     * The open polls by number, each with its connection, which is empty until it has been
+     * established.
+     */
     private final Map<Long, Optional<OutboundConnection>> openPolls = new HashMap<>();
 
     private OutboundConnection idle;
--- a/src/main/java/ottergauge/transport/EffectPerformer.java
+++ b/src/main/java/ottergauge/transport/EffectPerformer.java
@@ -50,7 +50,6 @@
         this.hotRestart = hotRestart;
     }
 
-    /** Performs an effect. */
     void perform(Effect effect) {
         if (effect instanceof Effect.Respond e) {
             clients.respond(e);
--- a/src/main/java/ottergauge/transport/HollowLoop.java
+++ b/src/main/java/ottergauge/transport/HollowLoop.java
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Starts the nodes one after the other over {@code overMs} milliseconds; completes with the
-     * last one.
+     * Starts the nodes one after the other over {@code overMs} milliseconds. The future completes
+     * once the last one has been started.
      */
     CompletableFuture<Void> start(long overMs) {
         CompletableFuture<Void> started = new CompletableFuture<>();
--- a/src/main/java/ottergauge/transport/HollowTrafficCounter.java
+++ b/src/main/java/ottergauge/transport/HollowTrafficCounter.java
@@ -49,7 +49,7 @@
                 context.fireChannelRead(message);
             }
 
-            // The outcome is reported by the promise, which belongs to the caller.
+            // The caller learns the outcome from its promise, so the returned future is not needed.
             @SuppressWarnings("FutureReturnValueIgnored")
             @Override
             public void write(
--- a/src/main/java/ottergauge/transport/MaintenanceStore.java
+++ b/src/main/java/ottergauge/transport/MaintenanceStore.java
@@ -67,7 +67,7 @@
         }
     }
 
-    // A server's name comes from outside and may not be usable as a file name.
+    // A server's name is external input and may not be usable as a file name.
     private static String fileName(String server) {
         return MARK_PREFIX + UUID.nameUUIDFromBytes(server.getBytes(StandardCharsets.UTF_8));
     }
--- a/src/main/java/ottergauge/transport/Timers.java
+++ b/src/main/java/ottergauge/transport/Timers.java
@@ -16,7 +16,9 @@
  */
 final class Timers {
 
-    /** Runs a task on the loop after at least this many milliseconds, by the library's clock. */
+    /**
+     * Runs a task on the loop after at least this many milliseconds, by the scheduler's own clock.
+     */
     @FunctionalInterface
     interface Scheduler {
         void schedule(long millis, Runnable task);
