--- a/src/main/java/ottergauge/replica/ControlEndpointSelector.java
+++ b/src/main/java/ottergauge/replica/ControlEndpointSelector.java
@@ -9,8 +9,8 @@
 /**
  * Selects the control process that a node calls: first those of its own region, then the others,
  * each group in rendezvous-hash order. This order differs from node to node. If a process fails,
- * its nodes are therefore distributed over all remaining processes of its region. A round visits
- * each endpoint once.
+ * its nodes are therefore distributed over all remaining processes of its region, or over those of
+ * the other regions if none remains. A round visits each endpoint once.
  */
 final class ControlEndpointSelector {
 
--- a/src/main/java/ottergauge/replica/EffectiveState.java
+++ b/src/main/java/ottergauge/replica/EffectiveState.java
@@ -101,7 +101,10 @@
         return true;
     }
 
-    /** Applies a page of changes that starts at or before the effective position. */
+    /**
+     * Applies a page of changes that starts at or before the effective position. Changes up to this
+     * position are skipped.
+     */
     void apply(ChangePage page) {
         ChangeBatch batch = new ChangeBatch(table, config.subscription(), config.limits());
         for (ValidatedChange change : ValidatedChange.of(page, check)) {
--- a/src/main/java/ottergauge/replica/ReplicaTimer.java
+++ b/src/main/java/ottergauge/replica/ReplicaTimer.java
@@ -10,7 +10,7 @@
     /** The timeout of a call. */
     record CallTimeout(long call) implements ReplicaTimer {}
 
-    /** The delay between this call and the next one is over. */
+    /** The delay between the call {@code afterCall} and the next one is over. */
     record DelayElapsed(long afterCall) implements ReplicaTimer {}
 
     /** The replica may go back to its preferred control process. */
--- a/src/main/java/ottergauge/resources/Resource.java
+++ b/src/main/java/ottergauge/resources/Resource.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * A resource, as the change with this version left it.
+ * A resource with the value that one change gave it.
  *
  * @param version the version of the change that put this value
  */
