--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -67,7 +67,7 @@
         this.service = service;
     }
 
-    /** Applies discovery's full list, or changes of it. */
+    /** Applies discovery's full list, or changes to it. */
     public void applyDiscoveryList(EndpointList list) {
         hasFullList |= list.complete();
         if (list.complete()) {
--- a/control/src/main/java/ottergauge/control/log/IdempotencyCache.java
+++ b/control/src/main/java/ottergauge/control/log/IdempotencyCache.java
@@ -14,8 +14,8 @@
  */
 final class IdempotencyCache {
 
-    // Have to be the same in all processes of a group, because they decide whether a retry becomes
-    // a new change.
+    // These limits have to be the same in all processes of a group, because they decide whether a
+    // retry becomes a new change.
     static final int MAX_ACCEPTED = 10_000;
     static final int MAX_REJECTED = 200;
 
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -125,7 +125,8 @@
         takeSnapshot();
     }
 
-    // The next call for changes returns those that were committed while the pages were read.
+    // The log is read on from the position of the first page: the next call for changes also
+    // returns those that were committed while the pages were read.
     private void takeSnapshot() throws ControlCallException, InterruptedException {
         List<Resource> resources = new ArrayList<>();
         Optional<LogPosition> first = Optional.empty();
--- a/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
+++ b/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
@@ -75,9 +75,9 @@
         overdue.forEach(ConnectionTracker::close);
     }
 
-    // HttpConnection.close() waits until the client has read all written data, but the client may
-    // never read it. The result of the channel's close() can be ignored, since a failure would need
-    // no further action.
+    // Closes the channel, since HttpConnection.close() would wait until the client has read all
+    // written data, and the client may never read it. The result can be ignored: a failure would
+    // need no further action.
     @SuppressWarnings("FutureReturnValueIgnored")
     private static void close(HttpConnection connection) {
         ((ConnectionBase) connection).channelHandlerContext().close();
--- a/control/src/main/java/ottergauge/control/server/QueryParameters.java
+++ b/control/src/main/java/ottergauge/control/server/QueryParameters.java
@@ -20,8 +20,8 @@
     static final int DEFAULT_PAGE_BYTES = 65_536;
 
     /**
-     * A page may exceed this limit by one change. It is still smaller than the largest page that a
-     * node accepts.
+     * A page exceeds this limit only if its first change alone is larger. It is still smaller than
+     * the largest page that a node accepts.
      */
     static final int MAX_PAGE_BYTES = 512 * 1024;
 
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -19,7 +19,10 @@
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final long MICROS_PER_MILLI = 1_000;
 
-    /** If a timer fires late, the queue catches up on at most this much time. */
+    /**
+     * After a timer that fired late, the queue writes at once no more than the rate allows for this
+     * much time.
+     */
     private static final long MAX_CATCH_UP_MICROS = 20_000;
 
     private record QueuedRequest(Responder responder, SnapshotRequest request) {}
