--- a/src/test/java/ottergauge/program/AdminListenerIT.java
+++ b/src/test/java/ottergauge/program/AdminListenerIT.java
@@ -112,10 +112,10 @@
             socket.setSoTimeout(10_000);
             try {
                 while (socket.getInputStream().read() >= 0) {
-                    // A response that it was too slow may come first.
+                    // The node may send a 408 response before it closes the connection.
                 }
             } catch (java.net.SocketException e) {
-                // A reset ends it as well.
+                // A reset also closes the connection.
             }
         }
     }
--- a/src/test/java/ottergauge/program/BodyStreamingIT.java
+++ b/src/test/java/ottergauge/program/BodyStreamingIT.java
@@ -209,8 +209,8 @@
             };
 
     /**
-     * Guards against a request that arrived completely before its server's connection was
-     * established, and was never forwarded.
+     * Guards against a node that never forwards a request that arrived completely before the
+     * connection to its server was established.
      */
     @Test
     void requestJustTooLargeToBufferIsForwardedOnceItsServerIsConnected() throws Exception {
--- a/src/test/java/ottergauge/program/RaceConditionIT.java
+++ b/src/test/java/ottergauge/program/RaceConditionIT.java
@@ -59,8 +59,8 @@
     }
 
     /**
-     * Guards against work for clients that have disconnected, while the end of their connection was
-     * still unread after their request.
+     * Guards against a node that forwards the request of a client that has disconnected. Such a
+     * node had read the request, but not yet the end of the connection that arrived after it.
      */
     @ParameterizedTest
     @ValueSource(strings = {"end", "half-close", "reset"})
@@ -93,8 +93,8 @@
     }
 
     /**
-     * Guards against requests to a draining server, while the new list was still unread after the
-     * requests.
+     * Guards against a node that forwards requests to a draining server. Such a node had read the
+     * requests, but not yet the new list, which had arrived as well.
      */
     @Test
     void requestsThatArriveWithANewListUseThatList() throws Exception {
--- a/src/test/java/ottergauge/program/StallIT.java
+++ b/src/test/java/ottergauge/program/StallIT.java
@@ -25,9 +25,9 @@
     @TempDir private Path folder;
 
     /**
-     * Guards against a request whose deadline passed during a stall being treated as new: it was
-     * forwarded and waited for once more, and the response came a full deadline late, which
-     * operators count as lost.
+     * Guards against a node that treats a request as new although its deadline passed during a
+     * stall. Such a node forwarded the request and waited for the server once more. Its own
+     * response came a full deadline late, which operators count as lost.
      */
     @Test
     void requestsReceivedDuringAStallAreTimedFromTheirArrival() throws Exception {
