--- a/src/main/java/ottergauge/decision/balancing/ClassWeights.java
+++ b/src/main/java/ottergauge/decision/balancing/ClassWeights.java
@@ -61,7 +61,7 @@
                         () -> new ServerStatistics(random.nextDouble() * TOTAL_WEIGHT)));
     }
 
-    /** Returns the index of the classes. */
+    /** Returns the index that assigns a row of the table to each class. */
     public ClassIndex classes() {
         return classes;
     }
--- a/src/main/java/ottergauge/protocol/NodeSettings.java
+++ b/src/main/java/ottergauge/protocol/NodeSettings.java
@@ -75,8 +75,8 @@
     }
 
     /**
-     * Returns these settings for the node with this index, which settings shared by all nodes do
-     * not contain.
+     * Returns a copy of these settings with this node index. Settings that all nodes share do not
+     * contain an index.
      */
     public NodeSettings forNode(int nodeIndex) {
         DecisionSettings shared = decisions;
--- a/src/main/java/ottergauge/routing/Shutdown.java
+++ b/src/main/java/ottergauge/routing/Shutdown.java
@@ -6,8 +6,8 @@
 import ottergauge.routing.Effect.StopAccepting;
 
 /**
- * Graceful shutdown: determines the last deadline, when idle connections are closed, and when the
- * node exits.
+ * Graceful shutdown: determines until when responses may be written, when idle connections are
+ * closed, and when the node exits.
  */
 final class Shutdown {
 
--- a/src/test/java/ottergauge/decision/OverloadTest.java
+++ b/src/test/java/ottergauge/decision/OverloadTest.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Guards against further tries that sustain an overload: with each request tried five times 91%
-     * were.
+     * Guards against retries that sustain an overload. Without a retry budget, with five attempts
+     * per request, servers rejected 91% of all attempts.
      */
     @Test
     void whenAllAttemptsAreRejectedRetriesAreAFractionOfFirstAttempts() {
