--- a/src/main/java/ottergauge/decision/api/ServiceRules.java
+++ b/src/main/java/ottergauge/decision/api/ServiceRules.java
@@ -9,9 +9,10 @@
  *     server
  * @param initialCapacityRatio fraction of its capacity that a server has when it starts, 0 to 1
  * @param slowStartDuration time from a server's start until it has its full capacity
- * @param overloadMultiple a server in slow start is overloaded by this multiple of its current
- *     capacity
- * @param overloadWindow time window over which requests to a server in slow start are counted
+ * @param overloadMultiple a server in slow start is overloaded by requests that amount to this
+ *     multiple of its current capacity within the overload window
+ * @param overloadWindow time window over which requests to a server in slow start are counted for
+ *     that
  */
 public record ServiceRules(
         long responseTolerance,
--- a/src/main/java/ottergauge/decision/health/OutlierDetector.java
+++ b/src/main/java/ottergauge/decision/health/OutlierDetector.java
@@ -80,8 +80,8 @@
         recordResponse(server, now);
         ServerHealth health = server.health();
         // With passive load reports, a success only halves the number of ejections. If it reset the
-        // number, the next ejection of a server that fails some of its requests would be one of the
-        // shortest after each success.
+        // number, the ejections of a server that fails only some of its requests would always be
+        // short.
         health.setEjections(loadSource.usesReports() ? health.ejections() / 2 : 0);
         health.clearErrors();
     }
--- a/src/main/java/ottergauge/protocol/RequestFields.java
+++ b/src/main/java/ottergauge/protocol/RequestFields.java
@@ -29,7 +29,7 @@
                     Headers.SECOND_TRY,
                     Headers.IDEMPOTENCY_KEY);
 
-    // An hour.
+    // One hour. If a client states a longer time, the node uses this one.
     private static final long MAX_EXPIRY_MS = 3_600_000;
     private static final int MAX_DIGITS = 18;
     private static final int DELETE = 0x7f;
--- a/src/main/java/ottergauge/routing/PropagationDeadline.java
+++ b/src/main/java/ottergauge/routing/PropagationDeadline.java
@@ -50,7 +50,7 @@
         return fraction(MIN_POLL_WAIT);
     }
 
-    /** How long after the wait that a poll asked for its answer may still arrive. */
+    /** How long an answer may take in addition to the wait that its poll asked for. */
     long answerDelay() {
         return fraction(ANSWER_DELAY);
     }
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -123,8 +123,8 @@
     }
 
     /**
-     * Guards against requests by a list from before the node was suspended: servers may have been
-     * removed since.
+     * Guards against attempts that use an endpoint list from before the node was suspended. Servers
+     * may have been removed since then.
      */
     @Test
     void suspendedNode_sendsNothingBeforeItsListIsCurrent() {
