--- a/src/test/java/ottergauge/decision/CapacityFromReportsTest.java
+++ b/src/test/java/ottergauge/decision/CapacityFromReportsTest.java
@@ -212,8 +212,8 @@
     }
 
     /**
-     * With dozens of outstanding attempts per server, a node spread them over the fleet and got
-     * load reports of each server too seldom.
+     * Guards against a subset that is too large. With dozens of outstanding attempts per server, a
+     * node spread them over the fleet and got load reports of each server too seldom.
      */
     @Test
     void manyAttemptsAtServersOfLargeCapacityDoNotEnlargeTheSubset() {
--- a/src/test/java/ottergauge/decision/DecisionEngineTest.java
+++ b/src/test/java/ottergauge/decision/DecisionEngineTest.java
@@ -33,13 +33,16 @@
 import ottergauge.decision.api.RequestClass;
 
 /**
- * Tests the decision engine by examples: each departure from the basic algorithm and each failure
- * that was found.
+ * Tests the decision engine by examples: one for each deviation from the basic algorithm and one
+ * for each fault that was found.
  */
 class DecisionEngineTest {
     private static final long MS = TestNode.MS;
 
-    /** Serves requests one by one until the capacity estimates and means have settled. */
+    /**
+     * Serves requests one by one until the capacity estimates and the mean service times hardly
+     * change any more.
+     */
     private static TestNode warm(TestSettings settings, int servers, int requests, long elapsed) {
         TestNode node = new TestNode(settings.build());
         node.servers(servers);
@@ -232,8 +235,9 @@
     }
 
     /**
-     * With an event interval of 5 ms every probe timed out before its response could be processed,
-     * and all servers were probed.
+     * Guards against a probe timeout that is shorter than the event interval. With an event
+     * interval of 5 ms, every probe timed out before its response could be processed, and all
+     * servers were probed.
      */
     @Test
     void aProbeDoesNotTimeOutBeforeItsResponseCanBeProcessed() {
@@ -252,8 +256,8 @@
     }
 
     /**
-     * With one mean round-roundTrip time of near and far zones, every probe of a far server timed
-     * out.
+     * Guards against a probe timeout that is too short for far zones. It was computed from one mean
+     * round-trip time of near and far zones, and every probe of a far server timed out.
      */
     @Test
     void eachZoneHasItsOwnRoundTripTime() {
@@ -284,8 +288,8 @@
     }
 
     /**
-     * If late responses had value, requests queued for as long as their clients waited, and three
-     * quarters of the responses came late.
+     * Guards against long queues of requests whose late responses have value. They queued for as
+     * long as their clients waited, and three quarters of the responses came late.
      */
     @Test
     void aFirstAttemptIsRejectedAtItsLatencyObjectiveAndNotAtTheClientTimeout() {
@@ -331,7 +335,10 @@
         }
     }
 
-    /** Without an estimate, a server with three cores counted as full with one request. */
+    /**
+     * Guards against idle cores. Without a capacity estimate, a server with three cores counted as
+     * full with one request.
+     */
     @Test
     void theCapacityOfAServerIsEstimatedFromItsReports() {
         for (boolean queues : new boolean[] {false, true}) {
@@ -366,8 +373,8 @@
     }
 
     /**
-     * When probe responses contained no load report, the load of every server was unknown, and all
-     * requests were rejected although servers were idle.
+     * Guards against rejections at an idle fleet. When probe responses contained no load report,
+     * the load of every server counted as unknown, and all requests were rejected.
      */
     @Test
     void withoutLoadReportsTheRoundRobinContinues() {
@@ -391,8 +398,8 @@
     }
 
     /**
-     * Queues that still allowed requests to meet their latency objective grew until every server of
-     * the fleet was overloaded.
+     * Guards against queues that are limited only by the latency objectives of their requests. Such
+     * queues grew until every server of the fleet was overloaded.
      */
     @Test
     void nothingIsSentToAServerWithMoreThanOneAndAHalfTimesItsCapacity() {
@@ -433,8 +440,9 @@
     }
 
     /**
-     * When requests with the same affinity key went to many servers, each server had to do all of
-     * the work for the key. The round-robin must still distribute requests evenly.
+     * Guards against repeated work. When requests with the same affinity key were sent to many
+     * servers, each of these servers had to do all of the work for the key. The round-robin must
+     * still distribute requests evenly.
      */
     @Test
     void requestsOfAnAffinityKeyGoToOneServerAndAllServersKeepTheirShares() {
@@ -470,8 +478,9 @@
     }
 
     /**
-     * With many pending requests, each of them caused two passes over the subset at each event,
-     * which took 15 us per request.
+     * Guards against events that are slow to handle while many requests are pending. At each event
+     * the engine passed over the subset twice for each pending request, which took 15 us per
+     * request.
      */
     @Test
     void whenTheFleetIsBusyOnlyTheFirstPendingRequestSendsProbes() {
@@ -489,8 +498,8 @@
     }
 
     /**
-     * The search for a server with a shorter queue used up the time in which a server could still
-     * have completed the request.
+     * Guards against a search that takes too long. The search for a server with a shorter queue
+     * used up the time in which a server could still have completed the request.
      */
     @Test
     void aRequestThatHasSearchedForLongIsSentToAServerOfKnownLoad() {
@@ -507,7 +516,8 @@
     }
 
     /**
-     * The reported utilization lags. While an idle fleet got its first requests, the capacity of
+     * Guards against capacity estimates from outdated utilizations. The utilization that servers
+     * report lags behind their load. While an idle fleet got its first requests, the capacity of
      * three cores was estimated as thirty.
      */
     @Test
@@ -530,7 +540,10 @@
                 "sent to a server that holds four requests");
     }
 
-    /** When an eighth of the responses were lost, every server seemed too slow for any request. */
+    /**
+     * Guards against lost responses that raise the mean service time. When an eighth of the
+     * responses were lost, every server seemed too slow for any request.
+     */
     @Test
     void lostResponsesDoNotRaiseTheServiceTimeOfTheFleet() {
         TestNode node = warm(withProbes(), 2, 60, 100 * MS);
@@ -559,8 +572,9 @@
     }
 
     /**
-     * A node with little traffic has only one attempt at a server. While responses were lost, it
-     * waited for each of them until the timeout.
+     * Guards against long waits for lost responses. A node with little traffic has only one attempt
+     * at a server, so it didn't detect the server as silent and waited for each lost response until
+     * the timeout.
      */
     @Test
     void whileResponsesAreLostAnOverdueAttemptIsReplaced() {
@@ -585,8 +599,8 @@
     }
 
     /**
-     * When connections were reset at random, every server was ejected and then limited to a
-     * slow-start budget.
+     * Guards against ejections after a single reset. When connections were reset at random, every
+     * server was ejected and then limited to a slow-start budget.
      */
     @Test
     void oneResetDoesNotEjectAServerAndTwoConsecutiveResetsDo() {
--- a/src/test/java/ottergauge/decision/History.java
+++ b/src/test/java/ottergauge/decision/History.java
@@ -387,8 +387,8 @@
     }
 
     /**
-     * Checks rule 4 as a budget of this node: its share of the requests that overload a server in
-     * slow start. One send is always allowed.
+     * Checks the rule on servers in slow start. This node may send its share of the number of
+     * requests per overload window that overloads the server, and it may always send one.
      */
     private void checkSlowStartBudget(SendAttempt send) {
         long started = startedAt.getOrDefault(send.server(), 0L);
--- a/src/test/java/ottergauge/decision/HistoryTest.java
+++ b/src/test/java/ottergauge/decision/HistoryTest.java
@@ -13,8 +13,9 @@
 import ottergauge.decision.api.Idempotency;
 
 /**
- * Checks the four rules as invariants over random histories with fixed seeds. {@link History}
- * checks every action.
+ * Checks four rules as invariants over random histories with fixed seeds: rules on final responses,
+ * on repeated attempts, on draining servers and on servers in slow start. {@link History} checks
+ * every action.
  */
 class HistoryTest {
 
@@ -41,7 +42,7 @@
     void theRulesHoldWithoutProbes(long seed) {
         TestSettings settings = allIdempotencyKinds();
         // The simulated servers serve only this node. The rate at which they serve its requests is
-        // therefore their capacity, and the budget of rule 4 must not be divided among more nodes.
+        // therefore their capacity, and the slow-start budget must not be divided among more nodes.
         settings.nodes = 1;
         History history = new History(settings, seed);
         history.run(1500);
--- a/src/test/java/ottergauge/decision/SettingsHistoryTest.java
+++ b/src/test/java/ottergauge/decision/SettingsHistoryTest.java
@@ -19,10 +19,10 @@
 import ottergauge.decision.api.ServiceRules;
 
 /**
- * Checks the four rules over random histories in which the settings change at random instants.
- * Requests are checked against the class and the limits that applied at their arrival, servers
- * against the current rules. The duration of the slow start and the overload window are not varied,
- * because after a change of these only later sends count.
+ * Checks the four rules of {@link History} over random histories in which the settings change at
+ * random instants. Requests are checked against the class and the limits that applied at their
+ * arrival, servers against the current rules. The duration of the slow start and the overload
+ * window are not varied, because after a change of these only later sends count.
  */
 class SettingsHistoryTest {
 
