--- a/src/main/java/ottergauge/resources/Resource.java
+++ b/src/main/java/ottergauge/resources/Resource.java
@@ -10,7 +10,7 @@
  */
 public record Resource(ResourceKey key, long version, ResourceValue value) {
 
-    /** The change that puts this resource alone. */
+    /** Returns a change that puts only this resource. */
     public Change asChange() {
         return new Change(version, List.of(new Change.Put(key, value)), List.of());
     }
