--- a/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/EventLog.java
@@ -57,16 +57,22 @@
         /** How long the client waits for the response, in microseconds. */
         public final long timeout;
 
-        /** When the last byte was written to the node, or -1. */
+        /**
+         * When the client wrote the request to its connection (the last one, if it sent the request
+         * again on a new connection), or -1 if it has not.
+         */
         public long sentAt = -1;
 
-        /** When the last response arrived or the connection ended; -1 if neither has happened. */
+        /**
+         * When the last response arrived, the connection ended before the timeout, or no connection
+         * could be opened; -1 if none of these has happened.
+         */
         public long answeredAt = -1;
 
-        /** When the client closed its connection before its timeout, or -1. */
+        /** When the client closed its connection before its timeout, or -1 if it did not. */
         public long clientClosedAt = -1;
 
-        /** When the client's timeout expired, or -1. */
+        /** When the client's timeout expired without a response, or -1 if it did not. */
         public long timedOutAt = -1;
 
         public int status = PENDING;
@@ -121,7 +127,11 @@
      */
     public record Effect(long at, String key, String group, String server, ServerAttempt attempt) {}
 
-    /** Load on a server or on discovery other than requests. */
+    /**
+     * Load that nodes cause on servers and on discovery in addition to the requests that servers
+     * process. {@code TURNED_AWAY} is a request that a server rejected because it was full or had
+     * too many connections.
+     */
     public enum Cost {
         PROBE,
         HANDSHAKE,
@@ -143,7 +153,7 @@
         public final long startedAt;
         public final boolean cold;
 
-        /** When each node learned that this server drains. */
+        /** When each node learned that this server drains, by the number of the node. */
         public final Map<Integer, Long> drainKnownAt = new LinkedHashMap<>();
 
         public long collapsedAt = -1;
--- a/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
@@ -17,7 +17,8 @@
 /**
  * Checks the rules using the event log only: each request that a running node accepted gets one
  * matching response in time, no effect happens twice, a draining server gets no new requests, no
- * cold server collapses under load. It knows nothing of how a node works.
+ * cold server collapses under load, no server gets a request whose client has disconnected, and no
+ * node crashes. The checker knows nothing of how a node works.
  */
 public final class RuleChecker {
 
@@ -34,19 +35,23 @@
     /** One violation of a rule with a description. */
     public record Violation(Rule rule, long at, String what) {}
 
-    // Tolerance on time limits that are measured at sockets. A response may be late by up to
-    // LATE_LIMIT: it is then worth nothing, but no violation.
+    // Tolerances in microseconds. SOCKET_SLACK is added to each time limit, since the times are
+    // measured at sockets. A response that arrives up to LATE_LIMIT after the client's timeout is
+    // worth nothing, but violates no rule.
     private static final long SOCKET_SLACK = 50_000;
     private static final long LATE_LIMIT = 500_000;
-    // The two ends of a connection do not notice its end at the same time.
+    // The server may notice the end of a connection later than the node, which then may already
+    // have sent the next attempt. Two attempts may overlap by this time, in microseconds.
     private static final long OVERLAP_TOLERANCE = 5_000;
     private static final int REFUSED = 503;
     private static final int TOO_MANY_REQUESTS = 429;
-    // An attempt that starts this long after its client has closed the connection has no recipient.
-    // The first cases are tolerated as messages that crossed on the network.
+    // A node that sends a request to a server this long (in microseconds) after the client has
+    // closed its connection does work for nobody. The first two cases of a run are tolerated,
+    // because the client's close and the node's request may have crossed on the network.
     private static final long ABANDON_TOLERANCE = 100_000;
     private static final int ALLOWED_ABANDONED_ATTEMPTS = 2;
-    // New connections of a node that is told to end go on being taken for so long.
+    // From this number of effects of one client attempt on, the rule that no effect happens twice
+    // is violated.
     private static final long DUPLICATE_EFFECTS = 2;
 
     private final Scenario scenario;
@@ -134,8 +139,10 @@
         }
     }
 
-    // The spans in which each node did not run or was unreachable for its clients. Requests that it
-    // had accepted then are excused.
+    // Returns the spans in which each node did not run or was unreachable for its clients. A node
+    // does not have to answer a request whose time from sending to its limit overlaps such a span.
+    // SIGTERM starts no span: a node that is told to end goes on accepting new connections for a
+    // while, and has to answer the requests on them.
     private Map<Integer, List<long[]>> unavailableSpans(long end) {
         Map<Integer, List<long[]>> spans = new HashMap<>();
         for (Event each : eventLog.events) {
@@ -202,7 +209,8 @@
         }
     }
 
-    // A request that may have been executed and is unsafe to repeat is sent only once.
+    // Reports each request that is unsafe to repeat and that a node sent again although a server
+    // may have executed it.
     private void unsafeRepeats(ClientAttempt each) {
         for (int i = 1; i < each.serverAttempts.size(); i++) {
             ServerAttempt before = each.serverAttempts.get(i - 1);
@@ -269,8 +277,8 @@
     }
 
     /**
-     * The attempts that started after their client had closed its connection, long enough for the
-     * node to notice.
+     * Returns the server attempts whose first byte arrived more than 100 ms after their client had
+     * closed its connection; the node had this time to notice the close.
      */
     public static List<ServerAttempt> attemptsAfterClientClosed(EventLog eventLog) {
         return eventLog.serverAttempts.stream()
@@ -303,8 +311,8 @@
     }
 
     /**
-     * Counts keyed requests that ran twice because their clients retried. No node is at fault for
-     * these.
+     * Counts the idempotency keys whose effect happened more than once because clients retried. No
+     * node is at fault for these.
      */
     public static long secondRuns(Scenario scenario, EventLog eventLog) {
         Map<String, Integer> runs = new HashMap<>();
--- a/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
@@ -30,11 +30,12 @@
     }
 
     /**
-     * Statistics of an interval. {@code worth} is the fraction of the offered worth that was served
-     * in time. {@code ideal} is the fraction that a scheduler with perfect knowledge could serve.
-     * {@code inverted} is the fraction of the requests that were served while a request of higher
-     * worth was refused, or the reverse. The component names, or the names in their annotations,
-     * are field names of the report.
+     * Statistics of an interval. {@code worth} is the earned fraction of the offered worth: a
+     * request served in time counts in full, and one served late with the late worth of its class.
+     * {@code ideal} is the fraction that a scheduler with perfect knowledge could earn. {@code
+     * inverted} is the number of pairs of a request that was served in time and a refused request
+     * with more worth per work, divided by the number of requests. The component names, or the
+     * names in their annotations, are field names of the report.
      */
     public record IntervalStats(
             long from,
@@ -182,8 +183,9 @@
         return bySecond.values().stream().mapToInt(n -> n).max().orElse(0);
     }
 
-    // Takes requests greedily by worth per work, until they use all work that the servers can do in
-    // the interval plus one latency objective.
+    // Estimates the worth that a scheduler with perfect knowledge could earn: takes the requests in
+    // descending order of worth per work, until they need more work than the servers can do in the
+    // interval plus the longest latency objective of all classes.
     private double ideal(List<ClientRequest> requests, long from, long to) {
         long latencyObjective =
                 scenario.classes().stream()
@@ -213,8 +215,9 @@
         return worth;
     }
 
-    // Sums over the seconds: the highest number of pairs of a request of one class that was served
-    // in time and a refused request with more worth per work.
+    // For each second and each class, pairs the requests of the class that were served in time with
+    // the refused requests that had more worth per work. Sums the largest number of pairs of any
+    // class over all seconds, and divides the sum by the number of requests.
     private double inverted(List<ClientRequest> requests) {
         Map<Long, List<ClientRequest>> bySecond = new TreeMap<>();
         requests.forEach(
@@ -253,9 +256,9 @@
     }
 
     /**
-     * The time after {@code after} until service has recovered: from then on, for {@code seconds}
-     * consecutive seconds, the fraction of the worth that is served in time is at least 0.95 of
-     * that before {@code before}. Returns -1 if this never happens.
+     * Returns the time from {@code after} until service has recovered, or -1 if it never does.
+     * Service has recovered when, for {@code seconds} consecutive seconds, the earned fraction of
+     * the worth is at least 0.95 of that in the interval that ends at {@code before}.
      */
     public long backAfter(long before, long after, int seconds) {
         double recovered = RECOVERED_SHARE * interval(Math.min(SECOND, before / 2), before).worth();
@@ -351,7 +354,7 @@
         return counts.values().stream().mapToInt(n -> n).max().orElse(0);
     }
 
-    /** The number of attempts for each outcome that the servers recorded. */
+    /** The number of server attempts by the end that the server recorded, such as "served". */
     public Map<String, Long> attemptEnds() {
         Map<String, Long> counts = new TreeMap<>();
         eventLog.serverAttempts.forEach(each -> counts.merge(each.end, 1L, Long::sum));
