--- a/lab/src/main/java/ottergauge/lab/run/Fleet.java
+++ b/lab/src/main/java/ottergauge/lab/run/Fleet.java
@@ -20,11 +20,13 @@
 import ottergauge.lab.scenario.Scenario;
 
 /**
- * The nodes of a run. Starts, stalls, kills and restarts them, each under its name and addresses.
+ * The nodes of a run. Starts, stalls, kills and restarts them. A restarted node keeps its name and
+ * addresses.
  */
 final class Fleet implements AutoCloseable {
 
-    // CPU limits are enforced by stopping and continuing a node in periods of this length.
+    // The length, in microseconds, of the periods in which a node with a CPU limit is stopped and
+    // continued.
     private static final long DUTY_PERIOD = 40_000;
 
     private final Loop loop;
@@ -43,8 +45,8 @@
     private boolean closed;
 
     /**
-     * {@code knownInstances} returns the entries of the endpoint list that a node had last; {@code
-     * extras} returns additional configuration.
+     * {@code knownInstances} returns the entries of the endpoint list with which a node starts;
+     * {@code extras} returns additional configuration. Both take the number of the node.
      */
     Fleet(
             Loop loop,
@@ -151,7 +153,7 @@
         loop.after(DUTY_PERIOD, () -> runDutyCycle(number, start));
     }
 
-    /** Kills a node with SIGKILL and starts it again after a delay. */
+    /** Kills a node with SIGKILL and starts it again {@code after} microseconds later. */
     void kill(int number, long after) {
         expectedExits.add(number);
         loadGenerator.setAlive(number, false);
@@ -170,8 +172,8 @@
     }
 
     /**
-     * Sends SIGTERM, kills the node if it has not ended within the platform's limit, and starts it
-     * again after a delay.
+     * Sends SIGTERM, kills the node if it has not ended 700 ms after the longest deadline of all
+     * request classes, and starts it again {@code after} microseconds after its end.
      */
     void terminate(int number, long after) {
         expectedExits.add(number);
--- a/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
+++ b/lab/src/main/java/ottergauge/lab/run/ScenarioRun.java
@@ -57,8 +57,8 @@
 
     private static final long READY_TIMEOUT_S = 60;
     private static final long READY_CHECK_INTERVAL = 20_000;
-    // The run goes on for this long after the deadline of the last request, so that late responses
-    // are recorded.
+    // The run goes on for this long, in microseconds, after the deadline of the last request, so
+    // that late responses are recorded.
     private static final long LATE_RESPONSE_TIME = 1_700_000;
 
     private final Scenario scenario;
--- a/lab/src/main/java/ottergauge/lab/run/Servers.java
+++ b/lab/src/main/java/ottergauge/lab/run/Servers.java
@@ -21,7 +21,10 @@
 import ottergauge.lab.server.DeduplicationCache;
 import ottergauge.lab.server.ServerStandIn;
 
-/** The server stand-ins of a run and discovery, which learns of their changes with a delay. */
+/**
+ * The server stand-ins of a run, and the stand-in for discovery. Discovery learns at once that a
+ * server drains, and of all other changes after the scenario's notice delay.
+ */
 final class Servers {
 
     static final String REGISTRY = "registry";
@@ -111,7 +114,9 @@
         return discovery;
     }
 
-    /** Returns the list's current entries, as sent to a node. */
+    /**
+     * Returns the entries of discovery's current list, as discovery would send them to this node.
+     */
     List<String> instanceList(int node) {
         return registry.fullList().stream()
                 .map(instance -> discovery.instanceJson(node, instance))
@@ -135,7 +140,8 @@
         }
     }
 
-    // Discovery learns of a change after the delay, as it was when this was called.
+    // Changes discovery's list after the scenario's notice delay, using the state at the time of
+    // this call.
     private void updateLater(String id, ServerStandIn server, Health health, long startedAtMs) {
         loop.after(
                 scenario.registry().noticeDelay(),
