--- a/lab/src/main/java/ottergauge/lab/server/FirstByteRecorder.java
+++ b/lab/src/main/java/ottergauge/lab/server/FirstByteRecorder.java
@@ -6,8 +6,8 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * Records when the first byte of each request arrived; the rule on draining servers counts a
- * request from there.
+ * Records when the first byte of each request arrived. The rule that a draining server gets no new
+ * requests uses this time.
  */
 final class FirstByteRecorder extends ChannelInboundHandlerAdapter {
 
@@ -27,8 +27,8 @@
     }
 
     /**
-     * Returns when the first byte of the completely received request arrived, and waits for the
-     * next request.
+     * Returns when the first byte of the completely received request arrived, and resets the
+     * recorder for the next request.
      */
     long takeTime() {
         long time = at;
--- a/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerConnection.java
@@ -226,7 +226,7 @@
         }
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void respond(
             ChannelHandlerContext ctx,
@@ -271,7 +271,7 @@
     }
 
     @Override
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         ctx.close();
--- a/lab/src/main/java/ottergauge/lab/server/ServerModel.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerModel.java
@@ -10,10 +10,10 @@
 import ottergauge.lab.scenario.Scenario.ServerKind;
 
 /**
- * A model of a server, without sockets or a clock. Requests run in a limited number of slots and
- * wait in a bounded queue before that. Each running request needs a core for its work; if more
+ * A model of a server, without sockets or a clock. Requests wait in a bounded queue for one of a
+ * limited number of slots, and run in it. Each running request needs a core for its work; if more
  * requests run than there are cores, all of them take longer in proportion. The server starts cold,
- * and collapses if it is sent far more than it can do while cold.
+ * and collapses if it gets far more work than it can do while it is cold.
  */
 public final class ServerModel {
 
@@ -55,7 +55,8 @@
 
     private record OfferedWork(long at, long work) {}
 
-    // Time constant of the mean of the reported utilization, in microseconds.
+    // Time constant of the exponentially weighted mean that is the reported utilization, in
+    // microseconds.
     private static final long BUSY_TIME_CONSTANT = 500_000;
 
     private final ServerKind kind;
@@ -141,8 +142,8 @@
         return heldWork;
     }
 
-    // Whether the work offered by all nodes within the overload window exceeds the given multiple
-    // of the current capacity.
+    // Whether the server is cold, has run for at least the overload window, and was offered more
+    // work by all nodes within that window than the given multiple of its current capacity.
     private boolean overloadsWhileCold(long now, Job job) {
         if (warmUpFraction(now) >= 1) {
             recentWork.clear();
--- a/lab/src/main/java/ottergauge/lab/server/ServerStandIn.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerStandIn.java
@@ -164,7 +164,7 @@
      * Simulates a crash of the process: connections are reset, new ones are refused, and running
      * requests are lost.
      */
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void crash() {
         model.crash();
@@ -217,7 +217,7 @@
     }
 
     /** Stops the server for good and frees its addresses. */
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void end() {
         listeners.values().forEach(Listener::end);
