--- a/lab/src/main/java/ottergauge/lab/net/Link.java
+++ b/lab/src/main/java/ottergauge/lab/net/Link.java
@@ -15,7 +15,7 @@
  */
 public final class Link {
 
-    /** How an attempt to connect is treated. */
+    /** How an attempt to connect is treated: accepted, refused, or never responded to. */
     public enum AcceptMode {
         OPEN,
         REFUSE,
@@ -66,7 +66,10 @@
         new ArrayList<>(open).forEach(Link::reset);
     }
 
-    /** Simulates that the machine at the accepting side is gone or back. */
+    /**
+     * Simulates that the machine at the accepting side has disappeared from the network, or is
+     * back.
+     */
     public void setSilent(boolean silent) {
         acceptMode(silent ? AcceptMode.SILENT : AcceptMode.OPEN);
     }
@@ -76,11 +79,11 @@
         acceptModeListener.run();
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     static void reset(Channel channel) {
-        // Closed as usual instead of forcibly, so that the stand-in's handlers are notified.
-        // SO_LINGER 0 makes the close send a reset.
+        // Uses close() instead of a forcible close, so that the stand-in's handlers are notified.
+        // With SO_LINGER 0, close() sends a TCP reset.
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
     }
--- a/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
+++ b/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
@@ -127,7 +127,7 @@
     }
 
     @Override
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes && bytes.isReadable()) {
--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -71,7 +71,7 @@
         }
     }
 
-    /** Simulates that the process that listens here is gone or back. */
+    /** Simulates that the process that listens here has ended, or runs again. */
     public void setRunning(boolean running) {
         if (processRunning != running) {
             processRunning = running;
@@ -135,8 +135,8 @@
         silentSocket = new ServerSocket();
         silentSocket.setReuseAddress(true);
         silentSocket.bind(address, SHORT_BACKLOG);
-        // Does not wait for these connections: a busy machine may take its time, but handles them
-        // in order.
+        // Does not wait until these connections are established: a busy machine may be slow, but it
+        // handles connection attempts in order, so later attempts find the backlog full.
         for (int i = 0; i < BACKLOG_FILLERS; i++) {
             SocketChannel socket = SocketChannel.open();
             backlogFillers.add(socket);
@@ -145,7 +145,7 @@
         }
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void close() {
         if (channel != null) {
@@ -166,7 +166,7 @@
                 each.close();
             }
         } catch (IOException e) {
-            // The socket was only there to block the address, and is no longer needed.
+            // The socket only kept the address from accepting connections, and is no longer needed.
         }
     }
 
--- a/lab/src/main/java/ottergauge/lab/net/LoopbackAddresses.java
+++ b/lab/src/main/java/ottergauge/lab/net/LoopbackAddresses.java
@@ -21,8 +21,9 @@
     private static final int FIRST_LINK_OCTET = 100;
 
     /**
-     * Reserves a range of addresses that no other run uses; the returned socket holds it until it
-     * is closed. Ports are below the range from which the operating system assigns ephemeral ports.
+     * Reserves a range of addresses that no other run uses. The range stays reserved until the
+     * returned socket is closed. Ports are below the range from which the operating system assigns
+     * ephemeral ports.
      */
     public static ServerSocket reserve() throws IOException {
         for (int net = FIRST_NET; net <= LAST_NET; net++) {
@@ -42,7 +43,7 @@
         throw new IOException("no free range of loopback addresses");
     }
 
-    /** Returns the addresses of the range that a socket from {@link #reserve} holds. */
+    /** Returns the addresses of the range that is reserved by a socket from {@link #reserve}. */
     public static LoopbackAddresses of(ServerSocket lock) {
         int net = lock.getInetAddress().getAddress()[1] & 0xff;
         return new LoopbackAddresses(
