--- a/lab/src/main/java/ottergauge/lab/client/LoadGenerator.java
+++ b/lab/src/main/java/ottergauge/lab/client/LoadGenerator.java
@@ -36,8 +36,8 @@
  */
 public final class LoadGenerator {
 
-    // How long a client keeps a connection open after the timeout; a response that has not arrived
-    // by then counts as lost.
+    // How long, in microseconds, a client keeps a connection open after the timeout; a response
+    // that has not arrived by then counts as lost.
     private static final long LATE_RESPONSE_WINDOW = 1_500_000;
     private static final int UNAVAILABLE = 503;
     private static final int TOO_MANY_REQUESTS = 429;
@@ -115,7 +115,7 @@
     }
 
     /** Starts no more requests and closes the idle connections. */
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void end() {
         finished = true;
@@ -172,7 +172,7 @@
     }
 
     // The client closes its connection and does not retry.
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void abandon(Call call) {
         if (!call.settled && call.usedConnection != null && call.usedConnection.call == call) {
@@ -201,8 +201,8 @@
                         });
     }
 
-    // One attempt in progress. Its request is sent again on a new connection if the pooled
-    // connection turns out to have been closed by the node.
+    // One attempt in progress. If the node closes the pooled connection before it responds, the
+    // client sends the request again on a new connection.
     private final class Call {
         private final ClientAttempt attempt;
         private final Workload.Request planned;
@@ -253,7 +253,7 @@
         }
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void onTimeout(Call call) {
         if (call.attempt.answeredAt < 0) {
@@ -292,7 +292,7 @@
                 planned.followsRetryAfter() && attempt.retryAfter >= 0
                         ? Math.min(attempt.retryAfter, scenario.platform().maxRetryAfter())
                         : scenario.clients().retryPause();
-        // Random jitter: real clients do not retry in step.
+        // Adds random jitter, since real clients do not all retry at the same time.
         loop.after(
                 wait + random.nextLong(wait / 10 + 2_000),
                 () -> startAttempt(attempt.request, planned, retryNumber + 1));
@@ -316,7 +316,7 @@
             }
         }
 
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         void send(Call next) {
             call = next;
@@ -326,7 +326,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             Call completed = call;
@@ -374,8 +374,8 @@
                     && !interrupted.settled
                     && !nodeDown[node]
                     && !finished) {
-                // The node closed an idle connection. That is not a response, so the request is
-                // sent again on a new connection.
+                // The node closed an idle connection, probably before it received the request. The
+                // client sends the request again on a new connection.
                 connect(interrupted);
             } else if (interrupted.settled) {
                 if (interrupted.attempt.answeredAt < 0) {
@@ -392,7 +392,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             ctx.close();
--- a/lab/src/main/java/ottergauge/lab/client/NodeConnector.java
+++ b/lab/src/main/java/ottergauge/lab/client/NodeConnector.java
@@ -38,7 +38,7 @@
         this.links = links;
     }
 
-    /** Connects to a node; {@code handler} comes after the HTTP codec in the pipeline. */
+    /** Connects to a node. {@code handler} is added to the pipeline after the HTTP codec. */
     ChannelFuture connect(int node, ChannelHandler handler) {
         Link link = links.get(node - 1);
         return new Bootstrap()
@@ -65,7 +65,7 @@
      * Sends one request on a connection of its own. {@code onStatus} gets the response status, or 0
      * if no response came in time; it may be called more than once.
      */
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     void sendOnce(int node, FullHttpRequest request, long timeout, IntConsumer onStatus) {
         ChannelFuture connecting =
@@ -73,7 +73,8 @@
                         node,
                         new SimpleChannelInboundHandler<FullHttpResponse>() {
                             @Override
-                            // A failed write or close shows as the end of its connection.
+                            // The future may be ignored: the connection closes after a failed write
+                            // or close.
                             @SuppressWarnings("FutureReturnValueIgnored")
                             protected void channelRead0(
                                     ChannelHandlerContext ctx, FullHttpResponse response) {
@@ -82,7 +83,8 @@
                             }
 
                             @Override
-                            // A failed write or close shows as the end of its connection.
+                            // The future may be ignored: the connection closes after a failed write
+                            // or close.
                             @SuppressWarnings("FutureReturnValueIgnored")
                             public void channelActive(ChannelHandlerContext ctx) {
                                 ctx.writeAndFlush(request);
@@ -94,7 +96,8 @@
                             }
 
                             @Override
-                            // A failed write or close shows as the end of its connection.
+                            // The future may be ignored: the connection closes after a failed write
+                            // or close.
                             @SuppressWarnings("FutureReturnValueIgnored")
                             public void exceptionCaught(
                                     ChannelHandlerContext ctx, Throwable cause) {
