--- a/lab/src/main/java/ottergauge/lab/discovery/DiscoveryStandIn.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/DiscoveryStandIn.java
@@ -38,18 +38,19 @@
 import ottergauge.lab.scenario.Scenario;
 
 /**
- * Stand-in for discovery, the same for all nodes. It handles calls one after the other at a limited
- * rate, so calls may have to queue.
+ * A stand-in for discovery that all nodes of a run call. It handles calls one after the other at a
+ * limited rate, so calls may have to queue.
  */
 public final class DiscoveryStandIn {
 
     private static final String TARGET = "registry";
     private static final long MAX_WAIT_MS = 60_000;
     private static final long MS = 1_000;
-    // A watch that is renewed this soon after its response does not queue again.
+    // A call that renews a watch within this time, in microseconds, after the last response on its
+    // connection does not queue.
     private static final long CONTINUATION_WINDOW = 200 * MS;
-    // A node counts as informed of a change this long after the change was made and discovery was
-    // reachable, even if its calls failed.
+    // A node counts as informed that a server is leaving once discovery has known it and has been
+    // reachable for this long, in microseconds, even if the node's calls failed.
     private static final long DRAIN_NOTICE_LIMIT = 6_000 * MS;
 
     private record Watch(ChannelHandlerContext ctx, int node, long after, long until) {}
@@ -123,7 +124,8 @@
                     }
 
                     @Override
-                    // A failed write or close shows as the end of its connection.
+                    // The future may be ignored: the connection closes after a failed write or
+                    // close.
                     @SuppressWarnings("FutureReturnValueIgnored")
                     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
                         ctx.close();
@@ -197,7 +199,10 @@
         }
     }
 
-    /** Sends the changes to all open watches. */
+    /**
+     * Sends the latest changes to the open watches, and schedules the time from which all nodes
+     * count as informed of the servers that are leaving.
+     */
     public void listChanged() {
         long now = loop.now();
         registry.since(0).stream()
@@ -275,7 +280,7 @@
                 instance.startedAtMs());
     }
 
-    // A node that asks for changes after a version has received everything up to it.
+    // A node that asks for the changes after a version has received all changes up to that version.
     private void confirmDrains(int node, long version) {
         unconfirmedDrains
                 .getOrDefault(node, Map.of())
@@ -290,7 +295,7 @@
                         });
     }
 
-    // Records that a node knows from now on that a server is leaving.
+    // Records that a node knows from now on that a server is leaving the endpoint list.
     private void markDrainKnown(int node, String server) {
         eventLog.lifetimes.values().stream()
                 .filter(lifetime -> lifetime.server.equals(server))
@@ -298,7 +303,7 @@
                 .ifPresent(lifetime -> lifetime.drainKnownAt.putIfAbsent(node, loop.now()));
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
         Channel channel = ctx.channel();
--- a/lab/src/main/java/ottergauge/lab/discovery/ServiceRegistry.java
+++ b/lab/src/main/java/ottergauge/lab/discovery/ServiceRegistry.java
@@ -63,7 +63,7 @@
     }
 
     /**
-     * From now on the list is served as it is now; updates are recorded but not visible until
+     * Freezes the list that callers see. Later updates are recorded, but are not visible until
      * {@link #thaw}.
      */
     public void freeze() {
