--- a/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
@@ -27,8 +27,8 @@
     private NodeConfig() {}
 
     /**
-     * Returns the configuration of a node. {@code known} are the entries of the endpoint list that
-     * the node had last. {@code extra} is merged into the root object; null for nothing.
+     * Returns the configuration of a node. {@code known} are the entries of the endpoint list with
+     * which the node starts. {@code extra} is merged into the root object; null adds nothing.
      */
     public static String of(
             Scenario scenario,
--- a/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeProcess.java
@@ -49,7 +49,7 @@
         this.exitListener = exitListener;
     }
 
-    /** Starts the process. Its temporary folder is empty then, as on the platform. */
+    /** Starts the process with an empty temporary folder, as the platform does. */
     // Nothing waits for the end of the process here: the exit listener is called.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void start(String config) throws IOException {
@@ -120,7 +120,10 @@
         return process.info().totalCpuDuration().map(each -> each.toNanos() / 1_000).orElse(0L);
     }
 
-    /** Kills the process, even if it is stopped. Its CPU time so far stays counted. */
+    /**
+     * Kills the process, even if a signal has stopped it. {@link #cpuMicros} still includes the CPU
+     * time that it has used.
+     */
     public void kill() {
         if (isAlive()) {
             cpuOfPreviousProcesses += cpuNow();
--- a/lab/src/main/java/ottergauge/lab/program/LinksCommand.java
+++ b/lab/src/main/java/ottergauge/lab/program/LinksCommand.java
@@ -6,7 +6,7 @@
 import ottergauge.lab.scale.link.LinksProcess;
 import picocli.CommandLine.Command;
 
-/** Runs the links between regions of a scale test in a process of their own. */
+/** Runs the links of a scale test, from the regions to discovery, in a process of their own. */
 @Command(
         name = "links",
         hidden = true,
--- a/lab/src/main/java/ottergauge/lab/report/Report.java
+++ b/lab/src/main/java/ottergauge/lab/report/Report.java
@@ -70,14 +70,14 @@
     }
 
     /**
-     * The overload burst of a run: the statistics before and during it, and how long after its end
-     * service has recovered, in microseconds, or -1. The component names are field names of the
-     * report.
+     * The overload burst of a run: the statistics before and during it, and the time from its end
+     * until service has recovered, in microseconds, or -1 if it never does. The component names are
+     * field names of the report.
      */
     public record Burst(IntervalStats before, IntervalStats during, long backAfter) {
         /**
-         * The worth served in time during the burst, relative to what a scheduler with perfect
-         * knowledge could serve.
+         * The worth earned during the burst, relative to what a scheduler with perfect knowledge
+         * could earn.
          */
         public double ofIdeal() {
             return during.worth() / during.ideal();
--- a/lab/src/main/java/ottergauge/lab/scenario/Scenario.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/Scenario.java
@@ -69,7 +69,10 @@
         UNSAFE
     }
 
-    /** Which servers deduplicate a keyed request together. */
+    /**
+     * Which servers share the idempotency keys that they have seen: all servers, or those of one
+     * zone.
+     */
     public enum Group {
         ALL,
         ZONE
@@ -112,7 +115,7 @@
             long noticeDelay,
             double abandonShare) {}
 
-    /** The load from a time on, as a fraction of the capacity of all servers. */
+    /** The load from the time {@code from} on, as a fraction of the capacity of all servers. */
     public record LoadStep(long from, double rate) {}
 
     /**
@@ -123,7 +126,7 @@
 
     /**
      * Discovery: how late it learns of changes, how many calls it handles per second, how long a
-     * call may queue, and how often a node must poll that does not watch.
+     * call may queue, and the longest interval between two polls of a node that has no open watch.
      */
     public record Registry(
             long noticeDelay, double callsPerSecond, long maxQueueTime, long maxPollInterval) {}
