--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryCounters.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryCounters.java
@@ -62,8 +62,9 @@
     }
 
     /**
-     * Records that a caller has this version of the list. It is reported when the version changes,
-     * and only for callers that connect from their own source address.
+     * Records that a caller has this version of the list. A version is reported when it differs
+     * from the caller's previous one, and only for callers that connect from a source address of
+     * their own.
      */
     void recordVersion(String caller, long version) {
         if (!DEFAULT_SOURCE.equals(caller)
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryProcess.java
@@ -19,8 +19,9 @@
 import ottergauge.lab.scale.process.Reporter;
 
 /**
- * Runs the stand-in for discovery as a process. Its first command is the initial list, each further
- * command a change. It reports the version and time of each change, its calls and its bytes.
+ * Runs the stand-in for discovery as a process. The first command contains the initial list, and
+ * each further command a change. The process reports the version and time of each change, the calls
+ * that it handled and the bytes that it sent and received.
  */
 public final class DiscoveryProcess {
 
@@ -37,7 +38,7 @@
         this.maxQueueTime = maxQueueTime;
     }
 
-    /** Runs until the end of its commands. */
+    /** Executes the commands, one on each line, until the end of the stream. */
     public void run(InputStream commands, PrintStream out) throws IOException {
         BufferedReader lines =
                 new BufferedReader(new InputStreamReader(commands, StandardCharsets.UTF_8));
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
@@ -47,8 +47,8 @@
     private static final long MAX_WAIT_MS = 60_000;
     private static final long MICROS_PER_MS = 1_000;
     private static final double MICROS_PER_SECOND = 1e6;
-    // A call that comes this soon after the last response on its connection continues a watch and
-    // does not queue again.
+    // A call that arrives within this time, in microseconds, after the last response on its
+    // connection continues a watch and does not queue again.
     private static final long RENEWAL_WINDOW = 200 * MICROS_PER_MS;
 
     private record Watch(ChannelHandlerContext context, long after) {}
@@ -63,7 +63,7 @@
     /** When the last response was sent on each open connection. */
     private final Map<ChannelHandlerContext, Long> lastResponseAt = new HashMap<>();
 
-    /** When the calls that are queued now will have been handled. */
+    /** When the last of the calls that are queued now will have been handled. */
     private long queueEndsAt;
 
     /** {@code maxQueueTime} is how long a call may queue, in microseconds. */
@@ -121,7 +121,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void write(ChannelHandlerContext context, Object message, ChannelPromise promise) {
             if (message instanceof ByteBuf bytes) {
@@ -144,7 +144,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
@@ -223,7 +223,7 @@
         respond(context, HttpResponseStatus.OK, listResponse.body());
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private static void respond(
             ChannelHandlerContext context, HttpResponseStatus status, byte[] body) {
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/VersionedServerList.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/VersionedServerList.java
@@ -20,7 +20,7 @@
 
     private record Change(long version, List<Entry> entries) {}
 
-    /** A response: its body, and whether that is the full list. */
+    /** A response: its body, whether the body is the full list, and the number of entries in it. */
     @SuppressWarnings("ArrayRecordComponent") // Encoded once and never compared.
     record ListResponse(byte[] body, boolean full, int entries) {}
 
@@ -31,10 +31,10 @@
     private final Map<Long, ListResponse> responses = new LinkedHashMap<>();
     private long version;
 
-    /** The oldest version since which all changes are kept. */
+    /** All changes after this version are kept. */
     private long oldestVersion;
 
-    /** Starts with a list. Changes before its version are not available. */
+    /** Creates a list with a version. Changes up to this version are not available. */
     VersionedServerList(long version, Collection<Entry> entries) {
         this.version = version;
         oldestVersion = version;
@@ -92,7 +92,7 @@
                 entries.size());
     }
 
-    // For each server only its latest entry.
+    // Returns the latest entry of each server that has changed after version {@code from}.
     private Collection<Entry> latestEntries(long from) {
         Map<String, Entry> latestEntries = new LinkedHashMap<>();
         for (Change logged : changes) {
--- a/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/LinksProcess.java
@@ -21,9 +21,9 @@
 import ottergauge.lab.scale.process.Reporter;
 
 /**
- * Runs all links as a process. Its first command contains their names, addresses and targets; each
- * further command cuts or restores some of them. It reports each change, and the bytes on each
- * link.
+ * Runs all links as a process. The first command contains the names, addresses and targets of the
+ * links; each further command cuts or restores some of them. The process reports each change, and
+ * the bytes on each link.
  */
 public final class LinksProcess {
 
@@ -32,7 +32,7 @@
 
     private final Map<String, Relay> relays = new LinkedHashMap<>();
 
-    /** Runs until the end of its commands. */
+    /** Executes the commands, one on each line, until the end of the stream. */
     public void run(InputStream commands, PrintStream out) throws IOException {
         BufferedReader lines =
                 new BufferedReader(new InputStreamReader(commands, StandardCharsets.UTF_8));
--- a/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
+++ b/lab/src/main/java/ottergauge/lab/scale/link/Relay.java
@@ -23,10 +23,10 @@
 import ottergauge.lab.net.Loop;
 
 /**
- * A TCP relay between two places. It connects each incoming connection to its target and forwards
- * bytes in both directions, as fast as the receiver reads them. While it is cut, it forwards
- * nothing and accepts no connection, like a network partition. The bytes that the operating system
- * has buffered on either side are forwarded once the relay is restored.
+ * A TCP relay that simulates a network link. It opens a connection to the target for each incoming
+ * connection and forwards bytes in both directions, as fast as the receiver reads them. While it is
+ * cut, it forwards nothing and accepts no connection, like a network partition. The bytes that the
+ * operating system has buffered on either side are forwarded once the relay is restored.
  */
 final class Relay {
 
@@ -61,7 +61,7 @@
         listener = new Listener(loop, address, link, this::connectToTarget);
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void connectToTarget(ChannelPipeline pipeline) {
         Channel inbound = pipeline.channel();
@@ -93,7 +93,7 @@
                 });
     }
 
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void pair(Channel inbound, Channel outbound) {
         openChannels.add(inbound);
@@ -125,7 +125,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void channelRead(ChannelHandlerContext context, Object message) {
             int length = ((ByteBuf) message).readableBytes();
@@ -146,7 +146,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void channelInactive(ChannelHandlerContext context) {
             // Flushes what was written to the other side before closing it.
@@ -154,7 +154,7 @@
         }
 
         @Override
-        // A failed write or close shows as the end of its connection.
+        // The future may be ignored: the connection closes after a failed write or close.
         @SuppressWarnings("FutureReturnValueIgnored")
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             context.close();
--- a/lab/src/main/java/ottergauge/lab/scale/process/Reporter.java
+++ b/lab/src/main/java/ottergauge/lab/scale/process/Reporter.java
@@ -54,7 +54,10 @@
         }
     }
 
-    /** Queues an event to be written. */
+    /**
+     * Queues an event to be written. Throws {@link IllegalStateException} if the queue is full
+     * because the parent process does not read standard output.
+     */
     public void report(String event, long at, ObjectNode fields) {
         ObjectNode line = JsonNodeFactory.instance.objectNode().put("event", event).put("at", at);
         line.setAll(fields);
--- a/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/EventRecorder.java
@@ -21,8 +21,8 @@
     private final Map<String, String> callers = new HashMap<>();
 
     /**
-     * A hollow process counts lateness in buckets. This is the index of its first bucket whose
-     * values all exceed the lateness limit.
+     * The index of the first bucket whose values all exceed the lateness limit. A hollow process
+     * counts its lateness in buckets.
      */
     private volatile int firstLateIndex;
 
@@ -87,7 +87,7 @@
         }
     }
 
-    // A hollow process reports one kind per line, discovery all kinds in one line.
+    // A hollow process reports one kind of calls per line; discovery reports all kinds in one line.
     private void recordCalls(JsonNode line, long at) {
         if (line.has("kind")) {
             observations.recordCalls(
--- a/lab/src/main/java/ottergauge/lab/scale/run/NodeTemplate.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/NodeTemplate.java
@@ -6,7 +6,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import ottergauge.lab.scale.scenario.ScaleScenario;
 
-/** Creates the configuration of a node; for hollow nodes it is a template. */
+/**
+ * Creates the configuration of a real node, or the template from which a hollow process creates the
+ * configurations of its nodes.
+ */
 final class NodeTemplate {
 
     private static final int SOCKETS = 1_024;
--- a/lab/src/main/java/ottergauge/lab/scale/run/PhaseRunner.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/PhaseRunner.java
@@ -30,7 +30,7 @@
     private final Observations observations;
     private final SplittableRandom random;
 
-    /** Processes that are down on purpose. */
+    /** Processes that the current phase has killed and that do not run again yet. */
     private final Set<String> downProcesses = ConcurrentHashMap.newKeySet();
 
     private final Map<String, Long> reachableFrom = new HashMap<>();
@@ -60,7 +60,7 @@
         return expectedVersion;
     }
 
-    /** Returns the processes that are down on purpose now. */
+    /** Returns the processes that the current phase has killed and that do not run again yet. */
     Set<String> downProcesses() {
         return downProcesses;
     }
@@ -73,8 +73,8 @@
     }
 
     /**
-     * Starts a phase; all of its changes and faults are done when its length has passed. Must be
-     * called on the loop.
+     * Starts a phase: applies its changes and faults at their times, all within the length of the
+     * phase. Must be called on the loop.
      */
     void begin(Phase phase) {
         synchronized (reachableFrom) {
@@ -101,7 +101,7 @@
         fleet.change(++lastId, entries);
     }
 
-    // Changes at random times, independent of each other; at least one.
+    // Schedules changes at independent random times (a Poisson process), but at least one change.
     private void scheduleRandomChanges(Phase phase) {
         List<Long> instants = new ArrayList<>();
         for (double at = nextInterval(phase.rate());
--- a/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ScaleRun.java
@@ -28,11 +28,12 @@
     private static final long FIRST_VERSION = 1_000;
     private static final long CHECK_INTERVAL_MS = 50;
     private static final long USAGE_INTERVAL = 500_000;
-    // Processes report their counts every half second or every second.
+    // Processes report their counts every half second or every second. The test waits for this
+    // time, in microseconds, after a phase, so that all counts of the phase are reported.
     private static final long REPORT_DELAY = 1_500_000;
     private static final long DIGEST_TIMEOUT = 30_000_000;
-    // At most this much memory. It is half the memory of the machine for which the scale tests were
-    // written.
+    // A test whose processes use more resident memory than this, in bytes, is aborted. The limit is
+    // half the memory of the machine for which the scale tests were written.
     private static final long MAX_MEMORY = 11L << 30;
 
     private final ScaleScenario scenario;
@@ -134,7 +135,8 @@
         return finishPhase(fleet, list, runner, phase, from);
     }
 
-    // Waits until the newest version is in effect on all nodes, or until the time for that is over.
+    // Waits until the newest version is in effect on all nodes, or until the settle timeout has
+    // passed, and returns the statistics of the phase.
     private PhaseStatistics finishPhase(
             Fleet fleet, ServerList list, PhaseRunner runner, Phase phase, long from)
             throws InterruptedException, RunException {
@@ -177,7 +179,8 @@
                 && observations.countReached(fleet.real(), version) == fleet.real().size();
     }
 
-    // Checks the processes while it waits.
+    // Waits for the condition or the time {@code until}. Throws an exception if a process ends
+    // unexpectedly or the processes use too much memory.
     private void await(Fleet fleet, PhaseRunner runner, long until, BooleanSupplier condition)
             throws InterruptedException, RunException {
         while (Reporter.wallClockMicros() < until && !condition.getAsBoolean()) {
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenario.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenario.java
@@ -17,8 +17,9 @@
     /**
      * The nodes. The {@code hollow} nodes share {@code processes} processes, each with {@code
      * loops} event loops and {@code heapMb} MB of heap. Their starts are spread over {@code
-     * startPeriod}. The {@code real} nodes run as deployed. If {@code preloaded} is set, a node
-     * gets the server list as of the start of the test with its configuration.
+     * startPeriod}. The {@code real} nodes run as deployed. If {@code preloaded} is set, the
+     * configuration of each node contains the server list that discovery has at the start of the
+     * test.
      */
     public record Nodes(
             int hollow,
@@ -66,9 +67,9 @@
     /**
      * A phase of the test. {@code length} is how long it runs before the test waits for all nodes.
      * {@code rate} is the number of changes per second, and {@code compression} is how many times
-     * higher that rate is than the real one. {@code lostFraction} is the fraction of the servers
+     * higher that rate is than in production. {@code lostFraction} is the fraction of the servers
      * that terminates, {@code regions} are the regions that are cut off, and {@code process} is the
-     * one that is killed or suspended for {@code downTime}.
+     * process that is killed or suspended for {@code downTime}.
      */
     public record Phase(
             String name,
--- a/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scale/scenario/ScaleScenarioReader.java
@@ -160,8 +160,10 @@
                 downTime);
     }
 
-    // The rate is given either directly, or as the number per day or in a release together with how
-    // many times faster than in reality the test runs.
+    // Returns the changes per second. The file has this rate itself ("rate"), or the changes per
+    // day in production ("a_day"), or the time that a release of all servers takes in production
+    // ("within"). The last two are multiplied by {@code compression}, the number of times that the
+    // test runs faster than production.
     private static double rate(YamlMapping e, PhaseKind kind, double compression, State state)
             throws ScenarioException {
         if (kind == PhaseKind.RELEASE) {
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/Distribution.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/Distribution.java
@@ -24,7 +24,8 @@
                 values.length, at(values, MEDIAN), at(values, P99), values[values.length - 1]);
     }
 
-    // The smallest value that is not exceeded by this fraction of all values.
+    // Returns the smallest value such that at least this fraction of all values are less than or
+    // equal to it.
     private static long at(long[] sorted, double fraction) {
         return sorted[Math.max(0, (int) Math.ceil(fraction * sorted.length) - 1)];
     }
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/NodeObservations.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/NodeObservations.java
@@ -23,7 +23,7 @@
         currentVersion = version;
     }
 
-    /** The node has lost its state. */
+    /** Records that the node has lost its state, so that no version is in effect on it. */
     void clearState() {
         currentVersion = 0;
     }
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/Observations.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/Observations.java
@@ -14,8 +14,8 @@
 public final class Observations {
 
     /**
-     * The name under which the CPU time of the machine is recorded, and that of the laboratory's
-     * own process.
+     * The name under which the CPU time of the machine is recorded. {@link #RIG} is the name of the
+     * laboratory's own process.
      */
     public static final String MACHINE = "machine";
 
@@ -59,7 +59,7 @@
         node(node);
     }
 
-    /** Records when a version was created at its source. */
+    /** Records when discovery created a version of the list. */
     public synchronized void recordChange(long version, long at) {
         changes.put(version, at);
     }
@@ -151,7 +151,7 @@
         nodes.values().forEach(each -> each.setDigest(""));
     }
 
-    /** Returns the newest version that its source has reported. */
+    /** Returns the newest version that discovery has reported. */
     public synchronized long newestVersion() {
         return changes.isEmpty() ? 0 : changes.lastKey();
     }
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseStatisticsCalculator.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseStatisticsCalculator.java
@@ -91,8 +91,8 @@
         return Distribution.of(values.stream().mapToLong(each -> each).toArray());
     }
 
-    // Counts from when a change could reach the node: for a node that was cut off, from when it was
-    // reachable again.
+    // The time counts from the change, or, for a node that was cut off at that time, from when the
+    // node was reachable again.
     private List<Long> propagationTimes(Map.Entry<Long, Long> change, List<String> nodes) {
         List<Long> times = new ArrayList<>();
         for (String name : nodes) {
--- a/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseWindow.java
+++ b/lab/src/main/java/ottergauge/lab/scale/statistics/PhaseWindow.java
@@ -35,7 +35,8 @@
 
     /**
      * Returns the exclusive lower bound for the start of intervals that overlap the phase. Nothing
-     * happens for more than a second before a phase, so this includes no count from before it.
+     * happens for more than a second before a phase, so the bound includes no count from before the
+     * phase.
      */
     long intervalsFrom() {
         return from - MAX_INTERVAL;
