--- a/lab/src/test/java/ottergauge/lab/net/LinkTest.java
+++ b/lab/src/test/java/ottergauge/lab/net/LinkTest.java
@@ -102,7 +102,8 @@
         return socket;
     }
 
-    // A change of the accept mode takes effect a moment later.
+    // Repeats the connection attempt, since a change of the accept mode takes effect a moment
+    // later.
     private void awaitConnectFailure(Class<? extends IOException> failure) throws IOException {
         for (; ; ) {
             try {
@@ -180,7 +181,7 @@
                         throw new SocketException("ended");
                     });
         }
-        // The reset may come as soon as the connection is established, or later.
+        // The client may notice the reset while it connects, writes or reads.
         assertThrows(
                 SocketException.class,
                 () -> {
@@ -267,7 +268,7 @@
 
     /** Guards against a run that fails because the previous run's addresses are freed late. */
     @Test
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     void anAddressStillInUseIsRetried() throws Exception {
         ServerSocket previousSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
--- a/lab/src/test/java/ottergauge/lab/scale/statistics/PhaseStatisticsTest.java
+++ b/lab/src/test/java/ottergauge/lab/scale/statistics/PhaseStatisticsTest.java
@@ -133,12 +133,13 @@
                                 false,
                                 Map.of(),
                                 ""));
-        // Ten seconds and a tenth contain eleven of these entries, one per second.
+        // A window of 10 s, plus the 0.1 s interval that lies only partly in it, contains eleven of
+        // these entries, one per second.
         assertEquals(1_210, statistics.maxBytesIn10s());
         assertEquals((1_120 + 80 + 19 * 110) / 40.0 / 2, statistics.bytesPerNodePerSecond());
     }
 
-    /** Guards against attributing events in a phase to the time before it. */
+    /** Guards against attributing events in a phase to the time before the phase. */
     @Test
     void anIntervalThatOverlapsThePhaseBelongsToIt() {
         observations.recordFullLists(2, 700, FROM - 60_000);
@@ -157,7 +158,10 @@
         assertEquals(Map.of("discovery changes", 7L, "discovery whole", 2L), statistics.calls());
     }
 
-    /** Guards against statistics of a laboratory that measured itself. */
+    /**
+     * Guards against statistics of a phase in which the laboratory ran late and so measured itself
+     * instead of the nodes.
+     */
     @Test
     void moreThanOnePercentOfLateSamplesInvalidatesThePhase() {
         observations.recordLateness("links", 500, 5, FROM + S);
--- a/lab/src/test/java/ottergauge/lab/server/ServerModelTest.java
+++ b/lab/src/test/java/ottergauge/lab/server/ServerModelTest.java
@@ -98,13 +98,14 @@
             taken++;
         }
         assertTrue(server.collapsed());
-        // 2 times its 0.44 of a core for one second is 8.75 requests of 100 ms.
+        // The server collapses beyond 2 times its current capacity, which is 0.44 of a core
+        // (exactly 7/16): in one second, that is 8.75 requests of 100 ms.
         assertEquals(8, taken);
         server.start(now);
         assertFalse(server.collapsed());
     }
 
-    /** Guards against a model that does not behave like the queue that it stands for. */
+    /** Guards against a model whose waiting times differ from those of an M/M/1 or M/M/2 queue. */
     @Test
     void meanTimeInSystemMatchesTheQueueingFormula() {
         double meanWork = 50_000;
@@ -127,8 +128,8 @@
                                 () -> sum[0] += now - arrivedAt));
             }
             advanceTo(now + 60_000_000);
-            // Time in the system of an M/M/1 and an M/M/2: 1 / (1 - load) and 1 / (1 - load^2)
-            // services.
+            // The mean time in an M/M/1 and an M/M/2 system is 1 / (1 - load) and 1 / (1 - load^2)
+            // mean service times.
             double expected = meanWork / (1 - Math.pow(load, cores));
             assertEquals(expected, sum[0] / count, 0.03 * expected, cores + " cores");
         }
