--- a/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
+++ b/capacity/src/main/java/ottergauge/capacity/heap/RetainedHeap.java
@@ -39,7 +39,10 @@
         return bytes(driver.engine());
     }
 
-    /** Returns the bytes of a router with the list in its configuration, which it keeps. */
+    /**
+     * Returns the bytes of a router whose configuration contains the list. The router keeps its
+     * configuration.
+     */
     public static long ofRouterWithConfiguredList(int servers, int classes, long seed) {
         Fleet fleet = Fleet.generate(servers, seed, Loopback.UNUSED);
         RouterDriver driver =
@@ -57,7 +60,8 @@
         return bytes(driver.router());
     }
 
-    // Gives a list whose strings are shared with no other object, as if it came from a socket.
+    // Returns an equal list whose strings are shared with no other object, like a list that was
+    // read from a socket.
     private static EndpointList encodeAndDecode(EndpointList list) {
         try {
             return EndpointList.read(list.json());
--- a/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/OpenLoopClient.java
@@ -41,7 +41,7 @@
     private static final int SIGNIFICANT_DIGITS = 3;
     private static final long MAX_RECORDED_NANOS = TimeUnit.SECONDS.toNanos(60);
     // Limit of open connections, idle ones included. It bounds the load on a target that does not
-    // respond.
+    // respond: a request that would need one more connection fails at once.
     private static final int MAX_CONNECTIONS = 256;
 
     private final EventLoop loop;
@@ -72,7 +72,8 @@
     }
 
     /**
-     * Sends one request now; its latency counts from {@code intendedAt}, a {@link System#nanoTime}.
+     * Sends one request now. Its latency counts from {@code intendedAt}, a value of {@link
+     * System#nanoTime}.
      */
     public void send(long intendedAt) {
         loop.execute(() -> sendNow(intendedAt));
@@ -198,7 +199,10 @@
                 .getNow();
     }
 
-    /** Waits until no request is in flight. Returns false if some still are after this time. */
+    /**
+     * Waits until no request is in flight. Returns false if requests are still in flight after this
+     * time.
+     */
     public boolean awaitResponses(long milliseconds) throws InterruptedException {
         long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(milliseconds);
         while (loop.submit(() -> inFlight).syncUninterruptibly().getNow() > 0) {
--- a/capacity/src/main/java/ottergauge/capacity/load/Pacer.java
+++ b/capacity/src/main/java/ottergauge/capacity/load/Pacer.java
@@ -21,7 +21,9 @@
         random = new SplittableRandom(seed);
     }
 
-    /** Lets each client send at this mean rate for this time. Blocks the calling thread. */
+    /**
+     * Makes each client send requests at this mean rate for this time. Blocks the calling thread.
+     */
     public void run(List<OpenLoopClient> clients, double perSecond, double seconds) {
         long start = System.nanoTime();
         long end = start + (long) (seconds * NANOS);
--- a/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
@@ -19,11 +19,14 @@
     public record Start(double readyMs, double cpuMs, long residentBytes) {}
 
     /**
-     * The result of a start with an empty list in the configuration, so that discovery sends it.
+     * The result of a start with an empty list in the configuration: the node gets the list from
+     * discovery.
      */
     public sealed interface DiscoveryStart {}
 
-    /** The node applied the list of discovery this long after its process was started. */
+    /**
+     * The node applied discovery's list {@code afterMs} milliseconds after its process was started.
+     */
     public record Applied(double afterMs, long residentBytes) implements DiscoveryStart {}
 
     /** The node did not apply the list in time. The reason states the traffic at discovery. */
--- a/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/DiscoveryStandIn.java
@@ -24,11 +24,11 @@
 /**
  * A stand-in for discovery. It returns the full endpoint list or the changes since a version, and
  * supports long polls: a poll for which there is no newer version is held until a change is made or
- * its wait time is over. All state belongs to one event loop.
+ * the poll's wait time is over. All state belongs to one event loop.
  */
 public final class DiscoveryStandIn implements AutoCloseable {
 
-    // A client that is more changes behind than this gets the full list.
+    // A client that lacks more changes than this gets the full list.
     private static final int MAX_STORED_CHANGES = 4_096;
     private static final String AFTER = "after";
     private static final String WAIT = "wait_ms";
@@ -69,12 +69,12 @@
                         });
     }
 
-    /** Returns the address on which it listens. */
+    /** Returns the address on which this stand-in listens. */
     public Address address() {
         return listener.address();
     }
 
-    /** Returns the traffic since it was created. */
+    /** Returns the traffic since this stand-in was created. */
     public Traffic traffic() {
         return listener.traffic();
     }
--- a/capacity/src/main/java/ottergauge/capacity/standin/ServerStandIn.java
+++ b/capacity/src/main/java/ottergauge/capacity/standin/ServerStandIn.java
@@ -34,12 +34,12 @@
         connection.writeAndFlush(response);
     }
 
-    /** Returns the address on which it listens. */
+    /** Returns the address on which this stand-in listens. */
     public Address address() {
         return listener.address();
     }
 
-    /** Returns the traffic since it was created. */
+    /** Returns the traffic since this stand-in was created. */
     public Traffic traffic() {
         return listener.traffic();
     }
--- a/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/DecisionDriver.java
@@ -17,7 +17,7 @@
 
 /**
  * Drives a decision engine through one request at a time, at the request rate of one node in a
- * fleet of 780. All times are in microseconds of a simulated clock.
+ * fleet of 780 nodes. All times are in microseconds of a simulated clock.
  */
 public final class DecisionDriver {
 
@@ -109,7 +109,10 @@
         }
     }
 
-    /** Advances the clock to the end of a window without requests. */
+    /**
+     * Advances the clock by one window without requests, so that the engine processes the end of
+     * the window.
+     */
     public void endWindow() {
         now += WINDOW_US;
         engine.handle(now, new TimerFired("tick"), actions);
--- a/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/NodeConfiguration.java
@@ -14,9 +14,9 @@
 import ottergauge.protocol.ProtocolException;
 
 /**
- * The configuration of one node in a fleet of 780. Benchmarks and node processes use the same one:
- * responses carry load reports, a load probe costs more than it is worth, and requests of all
- * classes may be retried.
+ * The configuration of one node in a fleet of 780 nodes. Benchmarks and node processes use the same
+ * configuration: responses carry load reports, a load probe costs more than it is worth, and
+ * requests of all classes may be retried.
  */
 public record NodeConfiguration(
         Address listen, Address discovery, long seed, int classes, EndpointList knownEndpoints) {
--- a/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
+++ b/capacity/src/main/java/ottergauge/capacity/workload/RouterDriver.java
@@ -13,7 +13,8 @@
 /** Runs a router on a simulated clock up to its first poll of discovery, and answers its polls. */
 public final class RouterDriver {
 
-    // A router polls discovery for the first time within 200 ms of its start. In microseconds.
+    // A router polls discovery for the first time within 200 ms of its start. This time, in
+    // microseconds, is 50 ms longer.
     private static final long FIRST_POLL_WITHIN_US = 250_000;
     // Time between two discovery responses, in microseconds. It is so short that no window of the
     // decision engine ends between them.
