--- a/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
@@ -14,7 +14,7 @@
 
     /**
      * One start with the full list in the configuration: time and CPU time until the node is ready,
-     * and resident memory some time later.
+     * and resident memory after the settle time that follows.
      */
     public record Start(double readyMs, double cpuMs, long residentBytes) {}
 
--- a/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RuleChecker.java
@@ -63,7 +63,10 @@
         this.eventLog = eventLog;
     }
 
-    /** Returns all violations of the rules in a run that ended at {@code end}. */
+    /**
+     * Returns all violations of the rules. A response that may still arrive in time after {@code
+     * end}, in microseconds, is not checked.
+     */
     public static List<Violation> check(Scenario scenario, EventLog eventLog, long end) {
         RuleChecker ruleChecker = new RuleChecker(scenario, eventLog);
         ruleChecker.responses(end);
--- a/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
+++ b/lab/src/main/java/ottergauge/lab/eventlog/RunStatistics.java
@@ -288,7 +288,7 @@
     }
 
     /** Returns the counts of each second of the run. */
-    @SuppressWarnings("EnumOrdinal") // Columns 1 to 4 stand in the order of Outcome.
+    @SuppressWarnings("EnumOrdinal") // Columns 1 to 4 have the order of Outcome.
     public List<Second> seconds() {
         int count = (int) ((scenario.length() + SECOND - 1) / SECOND);
         int[][] n = new int[count][11];
--- a/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
+++ b/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
@@ -10,10 +10,10 @@
 import java.util.function.Consumer;
 
 /**
- * Simulates a link between a connection's socket and the stand-in behind it. All bytes pass through
- * the link's state for their direction, which holds, delays, loses or slows them or resets the
- * connection. Lost bytes are not retransmitted: after a loss, nothing more is delivered on that
- * connection in that direction.
+ * Simulates a link between a connection's socket and the stand-in behind it. The faults of the
+ * link's two directions hold, delay, lose or slow down the bytes, or reset the connection. Lost
+ * bytes are not retransmitted: after a loss, nothing more is delivered on that connection in that
+ * direction.
  */
 public final class LinkHandler extends ChannelDuplexHandler {
 
--- a/lab/src/main/java/ottergauge/lab/net/Listener.java
+++ b/lab/src/main/java/ottergauge/lab/net/Listener.java
@@ -145,7 +145,7 @@
         }
     }
 
-    // The future may be ignored: the connection closes after a failed write or close.
+    // The future may be ignored: bindWhenFree retries until the address of the socket is free.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void close() {
         if (channel != null) {
--- a/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
@@ -15,7 +15,8 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
 /**
- * Writes a node's configuration file as the platform would. Durations are written in milliseconds.
+ * Creates the content of a node's configuration file as the platform would. Durations in it are
+ * milliseconds.
  */
 public final class NodeConfig {
 
--- a/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
+++ b/lab/src/main/java/ottergauge/lab/scale/discovery/DiscoveryServer.java
@@ -36,8 +36,8 @@
 
 /**
  * A stand-in for discovery on sockets, which handles calls one after the other. A call that opens a
- * watch queues, and is rejected if it would have to queue for too long. A call that continues a
- * watch without a pause does not queue.
+ * watch or fetches the list queues, and is rejected if it would have to queue for longer than the
+ * maximum queue time. A call that continues a watch without a pause does not queue.
  */
 final class DiscoveryServer {
 
@@ -60,7 +60,7 @@
     private final long maxQueueTime;
     private final Set<Watch> watches = new LinkedHashSet<>();
 
-    /** When the last response was sent on each open connection. */
+    /** When the last list was sent on each open connection. */
     private final Map<ChannelHandlerContext, Long> lastResponseAt = new HashMap<>();
 
     /** When the last of the calls that are queued now will have been handled. */
--- a/lab/src/main/java/ottergauge/lab/scale/run/ServerList.java
+++ b/lab/src/main/java/ottergauge/lab/scale/run/ServerList.java
@@ -133,7 +133,10 @@
         return singleEntry(server.health() == Health.IN_SERVICE ? drain(place) : terminate(place));
     }
 
-    /** Terminates this fraction of all servers at once, zone by zone. */
+    /**
+     * Terminates this fraction of all servers in one change: all servers of one zone, then those of
+     * the next, until the fraction is reached.
+     */
     ArrayNode loseZones(double fraction) {
         ArrayNode entries = JsonNodeFactory.instance.arrayNode();
         long limit = Math.round(fraction * places.size());
--- a/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/ScenarioReader.java
@@ -27,7 +27,8 @@
 /** Reads scenarios from YAML and checks them completely before anything is started. */
 public final class ScenarioReader {
 
-    // Loopback addresses have one byte for a server and one for a node.
+    // A loopback address has one byte for the number of a node and one for the number of a server,
+    // which limits both numbers.
     private static final int MAX_NODES = 99;
     private static final int MAX_SERVERS = 199;
     private static final long MS = 1_000;
--- a/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
+++ b/lab/src/main/java/ottergauge/lab/scenario/YamlMapping.java
@@ -19,8 +19,9 @@
 import org.snakeyaml.engine.v2.nodes.SequenceNode;
 
 /**
- * A mapping of a scenario file that knows its line numbers. Each value is read with the values that
- * are allowed; {@link #rejectUnknownKeys} reports keys that were never read.
+ * A YAML mapping in a scenario file, with its line numbers for error messages. The caller passes
+ * the allowed values when it reads a key; {@link #rejectUnknownKeys} reports keys that were never
+ * read.
  */
 public final class YamlMapping {
 
--- a/lab/src/main/java/ottergauge/lab/server/ServerModel.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerModel.java
@@ -75,7 +75,8 @@
     private long work;
 
     /**
-     * {@code startedAt} is when the server last started; if this is far in the past, it is warm.
+     * {@code startedAt} is when the server last started. A server that started {@code
+     * kind.coldFor()} ago or earlier is warm.
      */
     public ServerModel(
             ServerKind kind,
--- a/lab/src/main/java/ottergauge/lab/server/ServerStandIn.java
+++ b/lab/src/main/java/ottergauge/lab/server/ServerStandIn.java
@@ -30,7 +30,8 @@
 public final class ServerStandIn {
 
     private static final int MAX_BODY = 128 * 1024;
-    // The start time of a server that is warm when the run begins: an hour earlier.
+    // The start time, in microseconds, of a server that is warm when the run begins: an hour before
+    // the load starts.
     private static final long LONG_AGO = -3_600_000_000L;
 
     /** How an active fault changes the handling of requests. */
@@ -63,7 +64,8 @@
     private boolean draining;
 
     /**
-     * {@code serverName} is the server's name in the scenario; its id changes when it is replaced.
+     * {@code serverName} is the server's name in the scenario, which stays when a replacement gets
+     * another id.
      */
     public ServerStandIn(
             Loop loop,
@@ -155,7 +157,7 @@
         model.slow(factor);
     }
 
-    /** Loses this share of the responses after the work was done. */
+    /** Sets the share of requests that the server executes without sending a response. */
     public void loseResponses(double share) {
         lostResponseShare = share;
     }
