--- a/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
+++ b/capacity/src/main/java/ottergauge/capacity/node/NodeResults.java
@@ -14,16 +14,19 @@
 
     /**
      * One start with the full list in the configuration: time and CPU time until the node is ready,
-     * and resident memory some time later.
+     * and resident memory after the settle time that follows.
      */
     public record Start(double readyMs, double cpuMs, long residentBytes) {}
 
     /**
-     * The result of a start with an empty list in the configuration, so that discovery sends it.
+     * The result of a start with an empty list in the configuration: the node gets the list from
+     * discovery.
      */
     public sealed interface DiscoveryStart {}
 
-    /** The node applied the list of discovery this long after its process was started. */
+    /**
+     * The node applied discovery's list {@code afterMs} milliseconds after its process was started.
+     */
     public record Applied(double afterMs, long residentBytes) implements DiscoveryStart {}
 
     /** The node did not apply the list in time. The reason states the traffic at discovery. */
--- a/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
+++ b/lab/src/main/java/ottergauge/lab/net/LinkHandler.java
@@ -10,10 +10,10 @@
 import java.util.function.Consumer;
 
 /**
- * Simulates a link between a connection's socket and the stand-in behind it. All bytes pass through
- * the link's state for their direction, which holds, delays, loses or slows them or resets the
- * connection. Lost bytes are not retransmitted: after a loss, nothing more is delivered on that
- * connection in that direction.
+ * Simulates a link between a connection's socket and the stand-in behind it. The faults of the
+ * link's two directions hold, delay, lose or slow down the bytes, or reset the connection. Lost
+ * bytes are not retransmitted: after a loss, nothing more is delivered on that connection in that
+ * direction.
  */
 public final class LinkHandler extends ChannelDuplexHandler {
 
@@ -127,7 +127,7 @@
     }
 
     @Override
-    // A failed write or close shows as the end of its connection.
+    // The future may be ignored: the connection closes after a failed write or close.
     @SuppressWarnings("FutureReturnValueIgnored")
     public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
         if (message instanceof ByteBuf bytes && bytes.isReadable()) {
--- a/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
+++ b/lab/src/main/java/ottergauge/lab/node/NodeConfig.java
@@ -15,7 +15,8 @@
 import ottergauge.lab.scenario.Scenario.RequestClass;
 
 /**
- * Writes a node's configuration file as the platform would. Durations are written in milliseconds.
+ * Creates the content of a node's configuration file as the platform would. Durations in it are
+ * milliseconds.
  */
 public final class NodeConfig {
 
@@ -27,8 +28,8 @@
     private NodeConfig() {}
 
     /**
-     * Returns the configuration of a node. {@code known} are the entries of the endpoint list that
-     * the node had last. {@code extra} is merged into the root object; null for nothing.
+     * Returns the configuration of a node. {@code known} are the entries of the endpoint list with
+     * which the node starts. {@code extra} is merged into the root object; null adds nothing.
      */
     public static String of(
             Scenario scenario,
