--- a/src/test/java/ottergauge/routing/AdminStateTest.java
+++ b/src/test/java/ottergauge/routing/AdminStateTest.java
@@ -23,7 +23,7 @@
 import ottergauge.routing.Effect.RespondToAdmin;
 import ottergauge.routing.Effect.StoreMaintenance;
 
-/** Requests of operators on admin connections, tested without sockets. */
+/** Tests the node's responses to operators' admin requests, without sockets. */
 class AdminStateTest {
 
     private static final String ONE = endpointJson("s-1", "10.1.0.1:3000", "in_service");
@@ -58,16 +58,17 @@
             node.handle(new Event.UpstreamConnected(connect.connection()));
             Forward forward = node.expect(Forward.class);
             node.written(forward);
-            // The connection is not reusable, so that each request opens a connection that shows
-            // its server.
+            // The server's response makes the connection not reusable. Each request therefore opens
+            // a new connection, whose address shows the chosen server.
             node.answer(forward, 200, false, false);
         }
         return used;
     }
 
     /**
-     * After the successful response the server drains, whatever its state in the list. One end of
-     * maintenance undoes two starts.
+     * Guards against requests to a server that an operator has put into maintenance. The node
+     * treats the server as draining from its 200 response on, whatever state discovery lists. One
+     * request to end the maintenance is enough after two requests to start it.
      */
     @Test
     void serverInMaintenance_receivesNoRequestsUntilItIsReenabled() {
@@ -92,8 +93,9 @@
     }
 
     /**
-     * An attempt that waits for a connection to the server is sent to another one, and idle
-     * connections are closed, since the server is about to restart.
+     * Guards against an attempt that fails because its server restarts after maintenance has
+     * started. The node moves an attempt that waits for a connection to another server, and closes
+     * idle connections to the server, including a connection that is established later.
      */
     @Test
     void attemptWaitingForAServerPutIntoMaintenance_isSentToAnother() {
@@ -114,7 +116,10 @@
         node.expectNo(StoreMaintenance.class);
     }
 
-    /** During a hot restart the node's other process may have received the request. */
+    /**
+     * During a hot restart the node has two processes. Either of them may receive the operator's
+     * request and store it; the other process then loads it.
+     */
     @Test
     void maintenanceStoredByAnotherProcess_isApplied() {
         node.handle(new Event.MaintenanceLoaded(Map.of("s-1", 5L)));
@@ -126,8 +131,8 @@
     }
 
     /**
-     * A successful response is the signal to stop the previous process, so it must not be sent too
-     * early.
+     * Guards against an outage during a hot restart: a successful health response is the signal to
+     * stop the previous process, so the new process must not send it before it can serve.
      */
     @Test
     void health_isUnavailableBeforeServingAndAfterShutdown() {
@@ -140,7 +145,9 @@
     }
 
     /**
-     * The list is late: without the time of re-enabling, a restarted server counted as warmed up.
+     * Guards against a restarted server that skips slow start: the list still contains the previous
+     * start time when the operator ends the maintenance, so the server would count as warmed up.
+     * The node therefore uses the time at which maintenance ended.
      */
     @Test
     void reenabledServer_countsAsStartedWhenItWasReenabled() {
@@ -164,7 +171,10 @@
                                 "s-1", FIRST, "a", "m1", 0, EndpointState.UP, 1, bornMs)));
     }
 
-    /** Each request is counted under one outcome, and under none if its client has disconnected. */
+    /**
+     * The node counts each request under exactly one outcome. It counts a request whose client has
+     * disconnected under no outcome.
+     */
     @Test
     void metrics_countEachRequestOnce() {
         node.serve(node.forwardOnNewConnection("read"));
@@ -183,8 +193,9 @@
     }
 
     /**
-     * While another process accepts clients, no connection is closed on which a request may arrive.
-     * Each is closed after its response.
+     * Guards against lost requests during a hot restart. While the other process of the node
+     * accepts new clients, a connected client may still send a request, so this process closes each
+     * connection only after the next response or shortly before it exits.
      */
     @Test
     void handover_answersWhatConnectedClientsStillSend() {
@@ -211,8 +222,8 @@
     }
 
     /**
-     * Two processes share the node's descriptors: the connections of one reduce the limit of the
-     * other.
+     * Guards against running out of file descriptors during a hot restart: the node's two processes
+     * share one limit, so each process subtracts the connections that the other one reports.
      */
     @Test
     void hotRestartPeer_reducesTheSocketBudget() {
@@ -230,7 +241,7 @@
         return node.expect(Effect.AcceptUpTo.class).connections();
     }
 
-    /** The names are those in docs/operations.md; operators' tools read them. */
+    /** Operators' tools read these metric names; docs/operations.md lists them. */
     @ParameterizedTest
     @CsvSource({"ACTIVE,used", "DRAINING,draining", "EJECTED,barred", "UNRESPONSIVE,mute"})
     void servers_namesEachStatusAsTheOperationsPageDoes(EndpointStatus status, String expected) {
--- a/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
+++ b/src/test/java/ottergauge/routing/AttemptOutcomeTest.java
@@ -18,7 +18,10 @@
 import ottergauge.routing.Effect.ProbeLoad;
 import ottergauge.routing.Effect.Respond;
 
-/** What the end of an attempt proves, and how its request continues. */
+/**
+ * Tests which outcomes of an attempt prove that its server did not run the request, and whether the
+ * node then retries the request.
+ */
 class AttemptOutcomeTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
@@ -32,7 +35,7 @@
         return new RouterDriver(new TestConfig().withEndpoints(ONE, TWO));
     }
 
-    /** The outcomes in the protocol's table that prove that an attempt never ran. */
+    /** The outcomes in the protocol's table that prove that the server did not run the request. */
     static Stream<Arguments> neverRan() {
         return Stream.of(
                 named(
@@ -54,7 +57,7 @@
                                         new Event.UpstreamClosed(forward.connection(), false))));
     }
 
-    /** The outcomes after which an attempt may have run. */
+    /** The outcomes after which the server may have run the request. */
     static Stream<Arguments> mayHaveRun() {
         return Stream.of(
                 named(
--- a/src/test/java/ottergauge/routing/AttemptStartTest.java
+++ b/src/test/java/ottergauge/routing/AttemptStartTest.java
@@ -37,8 +37,8 @@
     }
 
     /**
-     * Guards against attempts for disconnected clients: the FIN was read in the same iteration of
-     * the event loop as the list.
+     * Guards against an attempt for a client that has disconnected: the event loop reads the
+     * client's FIN in the iteration in which the connection to the server is established.
      */
     @Test
     void clientDisconnectedBeforeFirstByte_isNotForwardedAndTheConnectionServesTheNext() {
@@ -55,7 +55,10 @@
         assertEquals(connect.connection(), node.expect(Forward.class).connection());
     }
 
-    /** Guards against the same when the settings do not allow cancellation. */
+    /**
+     * Guards against an attempt for a disconnected client when the settings do not allow the node
+     * to cancel attempts.
+     */
     @Test
     void clientDisconnectedWhileConnecting_isNotForwardedEvenWithoutCancellation() {
         RouterDriver node =
@@ -70,8 +73,8 @@
     }
 
     /**
-     * Guards against a request to a server whose draining state was read in the same iteration of
-     * the event loop.
+     * Guards against a request to a draining server: the event loop reads the list with the new
+     * state in the iteration in which the connection to the server is established.
      */
     @Test
     void serverDrainingBeforeFirstByte_receivesNoRequest() {
@@ -107,8 +110,8 @@
     }
 
     /**
-     * Guards against treating the end of a connection to which nothing was written as a failure of
-     * its server.
+     * Guards against counting a closed connection as a failure of its server although the node
+     * wrote nothing to it.
      */
     @Test
     void connectionClosedBeforeFirstByte_isReplacedAndDoesNotCountAgainstItsServer() {
@@ -123,8 +126,8 @@
     }
 
     /**
-     * Guards against attempts that use an endpoint list from before the node was suspended. Servers
-     * may have been removed since then.
+     * Guards against requests to removed servers: a node that was suspended for 7 s must not use
+     * its list before discovery has answered again.
      */
     @Test
     void suspendedNode_sendsNothingBeforeItsListIsCurrent() {
@@ -138,10 +141,7 @@
         node.expect(Forward.class);
     }
 
-    /**
-     * While discovery is unreachable, the effective list is the best one available, however old it
-     * is.
-     */
+    /** While discovery is unreachable, the node uses its last list, however old that list is. */
     @Test
     void unreachableDiscovery_leavesTheLastListEffective() {
         RouterDriver node = nodeWithIdleConnection(new TestConfig().withEndpoints(ONE));
@@ -152,8 +152,9 @@
     }
 
     /**
-     * Guards against a server in slow start receiving attempts that were chosen for its previous
-     * process, which was warmed up.
+     * Guards against overloading a restarted server: the node chose it for many attempts while its
+     * previous process was warmed up, and they all waited for a connection. The new process is in
+     * slow start and must not receive them.
      */
     @Test
     void restartedServer_receivesNoAttemptThatWaitedForItsPreviousProcess() {
@@ -170,8 +171,9 @@
     }
 
     /**
-     * Guards against a burst at a server in slow start: attempts that were counted in one period
-     * and are all sent in a later one.
+     * Guards against a burst of requests to a server in slow start. The node counts an attempt in
+     * the period in which it chooses the server. Attempts of several periods that wait for
+     * connections would otherwise all be sent in one later period.
      */
     @Test
     void serverInSlowStart_receivesNoAttemptThatHasWaitedForLong() {
--- a/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
+++ b/src/test/java/ottergauge/routing/ConnectTimeoutEstimatorTest.java
@@ -29,8 +29,8 @@
     }
 
     /**
-     * Guards against requests that time out while connecting: a request with 140 ms waited 200 ms
-     * for a connection to a machine without network.
+     * Guards against requests that time out while connecting: a request with a timeout of 140 ms
+     * waited 200 ms for a connection to a machine without network.
      */
     @Test
     void timeout_followsWhatConnectionsTake() {
@@ -43,7 +43,10 @@
         assertEquals(MAX_TIMEOUT, estimatorAfter(20, 150_000).timeout());
     }
 
-    /** Otherwise all connections would time out once connections have become permanently slower. */
+    /**
+     * Guards against a timeout that stays too short once connections take longer permanently: every
+     * connection would time out.
+     */
     @Test
     void timeout_growsWithFailuresInARow() {
         ConnectTimeoutEstimator estimator = estimatorAfter(20, 1_000);
@@ -100,8 +103,9 @@
     }
 
     /**
-     * Guards against wasted handshakes: when a third of the connections were established late, each
-     * was closed at once, and the next request had to wait for another one.
+     * Guards against wasted handshakes: when a third of the connections were established after the
+     * timeout, the node closed each of them at once, and the next request had to wait for another
+     * handshake.
      */
     @Test
     void overdueConnection_isKeptAndServesTheNextRequest() {
@@ -127,7 +131,8 @@
         assertTrue(used, "the connection stays idle while others are opened");
     }
 
-    // Whether requests are sent to this server; those sent to the other one are answered.
+    // Returns whether the node sends a request to this server. Answers the requests that the node
+    // sends to the other server.
     private static boolean receivesRequests(RouterDriver node, String host) {
         boolean received = false;
         for (int i = 0; i < 6 && !received; i++) {
@@ -147,8 +152,8 @@
     }
 
     /**
-     * Guards against live servers that are ejected one after another, each for one connection that
-     * is not established yet.
+     * Guards against ejecting live servers one after another: a single connection that exceeds its
+     * timeout must not eject its server.
      */
     @Test
     void oneOverdueConnection_ejectsNoServerAndTwoDo() {
--- a/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
+++ b/src/test/java/ottergauge/routing/ConnectionLimitsTest.java
@@ -12,7 +12,7 @@
 import ottergauge.routing.Effect.Forward;
 import ottergauge.routing.Effect.Respond;
 
-/** Idle timeouts, slow clients, and the socket budget. */
+/** Tests idle timeouts, slow clients and the limit on sockets. */
 class ConnectionLimitsTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
--- a/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryUpdatesTest.java
@@ -18,7 +18,10 @@
 import ottergauge.routing.Effect.PollDiscovery;
 import ottergauge.routing.Effect.Respond;
 
-/** Endpoint updates, draining servers, and the polls of discovery. */
+/**
+ * Tests updates of the endpoint list, draining servers and the polls that the node sends to
+ * discovery.
+ */
 class DiscoveryUpdatesTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
@@ -107,7 +110,7 @@
     }
 
     /**
-     * Guards against inconsistent handling of a list that contains a server twice: the last entry
+     * Guards against using both entries of a server that a list contains twice: the last entry
      * counts.
      */
     @Test
@@ -156,7 +159,10 @@
         node.expectNo(PollDiscovery.class);
     }
 
-    /** Guards against a limit below a thousand on servers, nodes or outstanding requests. */
+    /**
+     * Guards against a limit below 1,000 on the servers that a node uses or on its outstanding
+     * requests.
+     */
     @Test
     void servers1024_areAllUsedAtOnce() {
         int serverCount = 1024;
--- a/src/test/java/ottergauge/routing/DiscoveryWatchHistoryTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchHistoryTest.java
@@ -16,16 +16,16 @@
 import ottergauge.routing.SimulatedDiscovery.FaultKind;
 
 /**
- * Guards against requests to servers that discovery lists as draining. In random histories of polls
- * that fail, are rejected, are ignored, become silent or time out, and of moves of discovery, each
- * change reaches the node within 6 s after discovery has it and is reachable.
+ * Guards against requests to servers that discovery lists as draining. The histories are random:
+ * polls fail, are rejected, get no answer or time out, and discovery moves to another address. Each
+ * change must reach the node within 6 s after discovery has it and is reachable.
  */
 class DiscoveryWatchHistoryTest {
 
     private static final long SECOND = 1_000_000;
     private static final long PROPAGATION_DEADLINE = 6 * SECOND;
     private static final long DURATION = 60 * SECOND;
-    // Without changes the node sends at most this number of polls within 4 s.
+    // While the list does not change, the node sends at most this number of polls within 4 s.
     private static final int MAX_POLLS = 12;
 
     /** The faults of discovery, the times of changes, and the seed of all other random choices. */
--- a/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
+++ b/src/test/java/ottergauge/routing/DiscoveryWatchTest.java
@@ -23,8 +23,8 @@
 import ottergauge.routing.Effect.StartTimer;
 
 /**
- * A watch that becomes silent, and one that can't be opened. A change must reach the node within
- * six seconds after discovery has it and is reachable, however much the other nodes poll.
+ * Tests a watch that becomes silent and a watch that can't be opened. A change must reach the node
+ * within 6 s after discovery has it and is reachable, even if many nodes poll at the same time.
  */
 class DiscoveryWatchTest {
 
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Guards against requests to draining servers: a silent watch that is noticed only at the
-     * propagation deadline is reopened too late.
+     * Guards against requests to draining servers: if the node noticed a silent watch only at the
+     * propagation deadline (6 s), it would receive the change after that deadline.
      */
     @Test
     void silentWatch_isReopenedSoonAfterItsWait() {
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Guards against dropping a change at its propagation deadline because its answer belongs to a
-     * poll that has timed out.
+     * Guards against losing a change: its answer may arrive at the propagation deadline, after the
+     * node has given up that poll and sent another one.
      */
     @Test
     void lateAnswerOfASilentWatch_isAcceptedUntilTheNextAnswer() {
@@ -110,8 +110,8 @@
     }
 
     /**
-     * Guards against dropping a change at its propagation deadline: the answer to a poll that has
-     * timed out may contain it.
+     * Guards against losing a change: its answer may arrive at the propagation deadline, after the
+     * poll has timed out and while the node waits to send the next one.
      */
     @Test
     void answerToATimedOutFirstPoll_isAcceptedDuringTheBackoff() {
@@ -151,7 +151,10 @@
         assertTrue(expect(StartTimer.class).timer() instanceof Timer.NextPoll);
     }
 
-    /** Guards against a delay without updates after an open watch breaks. */
+    /**
+     * Guards against a delay in which the node gets no changes: if the connection of an open watch
+     * breaks, the node polls again at once instead of after a backoff.
+     */
     @Test
     void brokenWatch_isReopenedAtOnce() {
         PollDiscovery broken = watching();
@@ -160,8 +163,8 @@
     }
 
     /**
-     * Guards against a node that waits for a version that discovery never reaches, since it has
-     * restarted its version numbers.
+     * Guards against waiting forever for a newer version: a restarted discovery numbers its
+     * versions from the beginning and may never reach the node's version.
      */
     @Test
     void restartedVersions_arePolledForTheCompleteList() {
@@ -178,7 +181,10 @@
         assertTrue(watch.accepts(completePoll.poll(), list(3, true, "in_service")));
     }
 
-    /** Guards against an older complete list that undoes the answer to a concurrent poll. */
+    /**
+     * Guards against an older complete list that undoes a newer update: the node may have two polls
+     * outstanding, and their answers may arrive in either order.
+     */
     @Test
     void olderAnswer_isIgnoredAndTheWatchContinues() {
         PollDiscovery silent = watching();
@@ -194,8 +200,8 @@
     }
 
     /**
-     * Guards against a malformed list that discovery sends at its full size about once a second,
-     * without end.
+     * Guards against wasted network traffic: without growing delays, discovery would send the
+     * complete malformed list about once a second, forever.
      */
     @Test
     void listThatIsAlwaysRejected_isPolledWithGrowingDelays() {
--- a/src/test/java/ottergauge/routing/RequestForwardingTest.java
+++ b/src/test/java/ottergauge/routing/RequestForwardingTest.java
@@ -18,7 +18,7 @@
 import ottergauge.routing.Effect.Forward;
 import ottergauge.routing.Effect.Respond;
 
-/** Requests and responses that the node forwards. */
+/** Tests the requests and responses that the node forwards. */
 class RequestForwardingTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
@@ -126,13 +126,17 @@
                                 "/api",
                                 Content.NONE),
                         0));
-        // The request took longer to arrive than its timeout, which starts only now.
+        // The request took 300 ms to arrive, longer than its timeout of 200 ms, which starts only
+        // now.
         other.expectNo(Respond.class);
         other.advanceMs(200);
         assertEquals(503, other.status(late));
     }
 
-    /** Guards against a suspended node that treats requests which arrived meanwhile as new. */
+    /**
+     * Guards against giving requests too much time: a node that was suspended reads a request later
+     * than it arrived, and must subtract that time from the timeout.
+     */
     @Test
     void requestThatIsReadLate_hasLessTimeLeft() {
         RouterDriver node = one();
--- a/src/test/java/ottergauge/routing/RequestHandlerTest.java
+++ b/src/test/java/ottergauge/routing/RequestHandlerTest.java
@@ -17,7 +17,7 @@
 import ottergauge.routing.Effect.Forward;
 import ottergauge.routing.Effect.Respond;
 
-/** Each request has one final response; invalid requests are rejected. */
+/** Tests that the node sends one final response to each request and rejects invalid requests. */
 class RequestHandlerTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
@@ -198,7 +198,8 @@
         node.written(forward);
         node.handle(new Event.UpstreamClosed(forward.connection(), true));
         assertEquals(502, node.status(client));
-        // A server that had crashed would be ejected for a while.
+        // If the node treated the server as crashed, it would eject the server and open no
+        // connection.
         node.request("grant");
         node.expect(ConnectUpstream.class);
     }
--- a/src/test/java/ottergauge/routing/RouterDriver.java
+++ b/src/test/java/ottergauge/routing/RouterDriver.java
@@ -80,14 +80,14 @@
     }
 
     /**
-     * Delays the confirmations of pending reads from now on, so that other events precede the first
-     * byte of an attempt.
+     * From now on, delays the confirmation that the router waits for before it writes the first
+     * byte of an attempt. Other events can then reach the router before that byte.
      */
     void holdPendingReads() {
         holdsPendingReads = true;
     }
 
-    /** Confirms the delayed reads, so that the attempts may be sent. */
+    /** Sends the delayed confirmations, so that the router may write the attempts. */
     void releasePendingReads() {
         holdsPendingReads = false;
         for (Effect.ReadPendingInput read = reads.poll(); read != null; read = reads.poll()) {
--- a/src/test/java/ottergauge/routing/SettingsReloadTest.java
+++ b/src/test/java/ottergauge/routing/SettingsReloadTest.java
@@ -34,7 +34,10 @@
 import ottergauge.routing.Effect.Respond;
 import ottergauge.routing.Effect.RespondToAdmin;
 
-/** Settings and state that take effect while the node runs, on SIGHUP and from the change log. */
+/**
+ * Tests settings and endpoint lists that change while the node runs, on SIGHUP or from the change
+ * log.
+ */
 class SettingsReloadTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
@@ -101,8 +104,8 @@
     }
 
     /**
-     * A request keeps the semantics that it was accepted with: it is not retried if it may have had
-     * an effect.
+     * Guards against executing a request twice: the new settings allow retries for its class, but
+     * the node accepted it as one that must not be retried if it may have had an effect.
      */
     @ParameterizedTest
     @MethodSource("sources")
@@ -145,8 +148,8 @@
     }
 
     /**
-     * A class is identified by its name, whatever its position: a request that does not match its
-     * class is rejected.
+     * Guards against mixing up classes: the node identifies a class by its name, not by its
+     * position in the settings. It rejects a request that does not match its own class.
      */
     @ParameterizedTest
     @MethodSource("sources")
@@ -218,8 +221,8 @@
     // ---- Settings of servers and connections ----
 
     /**
-     * Guards against a request that takes effect in two zones: in the new order of zones, one zone
-     * had the index that the other had before.
+     * Guards against a request that takes effect in two zones: in the new order of zones, each zone
+     * has the index that the other one had before.
      */
     @ParameterizedTest
     @MethodSource("sources")
@@ -233,7 +236,7 @@
         node.changeState(121, Optional.empty(), false, other);
         node.handle(new Event.UpstreamClosed(forward.connection(), false));
         node.advanceMs(1000);
-        // It may be retried at the only server of its zone, and at no other server.
+        // The node may retry the request at the only server of its zone, and at no other server.
         while (node.has(ConnectUpstream.class)) {
             assertNotEquals(TWO_ADDRESS, node.expect(ConnectUpstream.class).address().toString());
         }
@@ -241,8 +244,8 @@
     }
 
     /**
-     * Zones that the settings do not name count as one zone. A change that names them makes them
-     * two.
+     * All zones that the settings do not name count as one zone, in which a request may be retried
+     * at either server. The new settings name both zones, so the request must stay in its zone.
      */
     @ParameterizedTest
     @MethodSource("sources")
@@ -296,8 +299,9 @@
     // ---- State from the change log ----
 
     /**
-     * A queued request is sent to a server of the new list. It has only one attempt, which would be
-     * lost at the removed server if the new settings were applied with the old list.
+     * Guards against losing a queued request when servers and settings change together. The request
+     * has only one attempt. If the node applied the new settings before the new list, it would use
+     * that attempt at the removed server.
      */
     @Test
     void endpointsAndSettings_takeEffectAtTheSameTime() {
@@ -317,8 +321,8 @@
     }
 
     /**
-     * An attempt that waits for a connection to a removed server is replaced by one to another
-     * server.
+     * The node replaces an attempt that waits for a connection to a removed server by an attempt at
+     * another server.
      */
     @Test
     void attemptWaitingForARemovedServer_isSentToAnother() {
@@ -342,7 +346,7 @@
         assertEquals(200, node.expect(Respond.class).status());
     }
 
-    /** Two sources of the endpoint list would undo each other's changes. */
+    /** Guards against two sources of the endpoint list that undo each other's changes. */
     @Test
     void discovery_isNotPolledOnceEndpointsComeFromTheChangeLog() {
         RouterDriver node = one();
@@ -366,8 +370,8 @@
     }
 
     /**
-     * Guards against all nodes using the same index: settings that nodes share can't contain the
-     * index of each.
+     * Guards against all nodes using the same index, which selects the servers that a node uses:
+     * settings from the change log are the same for all nodes and can't contain an index.
      */
     @Test
     void node_keepsItsIndexUnderSharedSettings() {
@@ -398,8 +402,8 @@
             node.handle(new Event.UpstreamConnected(connect.connection()));
             Forward forward = node.expect(Forward.class);
             node.written(forward);
-            // The connection is not reusable, so that each request opens a connection that shows
-            // its server.
+            // The server's response makes the connection not reusable. Each request therefore opens
+            // a new connection, whose address shows the chosen server.
             node.answer(forward, 200, false, false);
             node.expect(Respond.class);
             node.advanceMs(20);
@@ -407,7 +411,10 @@
         return used;
     }
 
-    /** A SIGHUP for another reason must not restore the settings of the configuration file. */
+    /**
+     * Guards against a SIGHUP that replaces the settings from the change log by those in the
+     * configuration file.
+     */
     @Test
     void settingsOfTheFile_areIgnoredOnceTheChangeLogHasSettings() {
         RouterDriver node = one();
--- a/src/test/java/ottergauge/routing/ShutdownTest.java
+++ b/src/test/java/ottergauge/routing/ShutdownTest.java
@@ -12,7 +12,7 @@
 import ottergauge.routing.Effect.Forward;
 import ottergauge.routing.Effect.Respond;
 
-/** Graceful shutdown. */
+/** Tests the graceful shutdown of a node. */
 class ShutdownTest {
 
     private static final String ONE = endpointJson("s-1", "10.0.0.1:80", "in_service");
--- a/src/test/java/ottergauge/routing/SimulatedDiscovery.java
+++ b/src/test/java/ottergauge/routing/SimulatedDiscovery.java
@@ -39,7 +39,10 @@
         MOVES_ADDRESS
     }
 
-    /** A fault and its time. Open polls are dropped, and discovery moves, in an instant. */
+    /**
+     * A fault, its start and its duration in microseconds. {@code DROPS_OPEN_POLLS} and {@code
+     * MOVES_ADDRESS} happen at one instant, so their duration is ignored.
+     */
     record Fault(FaultKind kind, long start, long duration) {
         long end() {
             return kind == FaultKind.DROPS_OPEN_POLLS || kind == FaultKind.MOVES_ADDRESS
@@ -121,7 +124,7 @@
         return changes.stream().filter(change -> change <= instant).count();
     }
 
-    // Each address numbers its versions differently.
+    // Discovery numbers its versions differently at each address.
     private long version(long instant) {
         return (address == 0 ? 41 : 3) + changesBy(instant);
     }
--- a/src/test/java/ottergauge/routing/StreamingTest.java
+++ b/src/test/java/ottergauge/routing/StreamingTest.java
@@ -19,7 +19,7 @@
 import ottergauge.routing.Effect.Respond;
 import ottergauge.routing.Event.ServerResponse;
 
-/** Streamed request and response bodies, tested without sockets. */
+/** Tests streamed request and response bodies, without sockets. */
 class StreamingTest {
 
     private final RouterDriver node =
@@ -53,8 +53,9 @@
     }
 
     /**
-     * A streamed request can't be sent again. If its connection breaks before the last byte is
-     * written, the server can't have run it and it is rejected; after that it fails.
+     * The node does not keep a streamed body, so it can't send the request again. If the connection
+     * breaks before the last byte is written, the server can't have run the request and the node
+     * rejects it with 503. If the connection breaks later, the node responds with 502.
      */
     @ParameterizedTest
     @CsvSource({"grant,false,503", "pay,false,503", "grant,true,502", "pay,true,502"})
@@ -72,7 +73,10 @@
         node.expectNo(ConnectUpstream.class);
     }
 
-    /** A streamed request is retried like any other until its first byte is written to a server. */
+    /**
+     * The node retries a streamed request like any other until it has written the first byte to a
+     * server.
+     */
     @Test
     void refusedConnection_isFollowedByAnotherAttempt() {
         startStreamedRequest("grant", 1000);
@@ -103,8 +107,8 @@
     }
 
     /**
-     * A body that is too slow or stalls ends the request, and the node closes the connection to the
-     * server.
+     * If a client sends a body too slowly or stops sending it, the node closes the client's
+     * connection and then the connection to the server.
      */
     @ParameterizedTest
     @CsvSource({"0,2900", "100,4000"})
@@ -124,8 +128,8 @@
     }
 
     /**
-     * No deadline ends a response that is being relayed, and the connection to the server is reused
-     * after it.
+     * Guards against truncated responses: once the node relays a response to the client, no
+     * deadline ends it. The node reuses the connection to the server afterwards.
      */
     @Test
     void streamedResponse_isNotEndedByADeadline() {
@@ -172,8 +176,8 @@
     }
 
     /**
-     * A response of unknown length is streamed before its timeout, so that its first bytes reach
-     * the client in time.
+     * Guards against a timeout of a response without a length: the node buffers the response at
+     * first, and starts to stream it before the request's timeout.
      */
     @Test
     void unsizedResponse_isStreamedBeforeItsTimeout() {
@@ -187,7 +191,8 @@
     }
 
     /**
-     * The memory limit bounds the number of streamed requests; further ones are rejected at once.
+     * Guards against running out of memory: the memory limit bounds the number of streamed
+     * requests, and the node rejects further ones at once.
      */
     @Test
     void streamedRequests_areBounded() {
