--- a/src/test/java/ottergauge/transport/EventLoopLagTest.java
+++ b/src/test/java/ottergauge/transport/EventLoopLagTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Checks the measured lag of an event loop against simulated time. */
+/** Tests the measurement of an event loop's lag, in simulated time. */
 class EventLoopLagTest {
 
     private static long ms(double millis) {
@@ -38,7 +38,10 @@
         assertArrayEquals(counts(-1, 0), lag.takeCounts());
     }
 
-    /** Guards against a stall of a second being counted as a single late run among many on time. */
+    /**
+     * Guards against hiding a stall in the metrics: if a stall of 1 s counted as one late run, it
+     * would disappear among many runs on time. Each run that the loop missed counts.
+     */
     @Test
     void missedRunsAreCounted() {
         EventLoopLag lag = new EventLoopLag(0);
--- a/src/test/java/ottergauge/transport/EventLoopMonitorTest.java
+++ b/src/test/java/ottergauge/transport/EventLoopMonitorTest.java
@@ -11,8 +11,8 @@
     private long now = TimeUnit.SECONDS.toNanos(5);
     private final EventLoopMonitor monitor = new EventLoopMonitor(() -> now);
 
-    // Simulates a round: selects, waits, and then handles input. Returns how long ago, in
-    // milliseconds, the input may have arrived.
+    // Simulates one round of the event loop: selects, waits for input, and handles it. Returns the
+    // maximum time in milliseconds for which the input can have been waiting when it is read.
     private long round(long waitMs, long handleMs) throws Exception {
         monitor.calculateStrategy(() -> 0, false);
         now += TimeUnit.MILLISECONDS.toNanos(waitMs);
@@ -29,8 +29,9 @@
     }
 
     /**
-     * Guards against treating requests as new that arrived while a loop short of CPU handled
-     * others.
+     * Guards against giving requests too much time: while an event loop that is short of CPU
+     * handles some requests, others arrive. The node must not treat those as new when it reads
+     * them.
      */
     @Test
     void inputReadyWithoutAWaitMayHaveArrivedDuringThePreviousRound() throws Exception {
@@ -40,7 +41,7 @@
         assertEquals(0, round(40, 0));
     }
 
-    /** Guards against the same in a process that was stopped while it was idle. */
+    /** Guards against treating requests as new that arrived while the idle process was stopped. */
     @Test
     void waitLongerThanAnyTimerAllowsCountsAsAStall() throws Exception {
         round(40, 0);
@@ -48,8 +49,9 @@
     }
 
     /**
-     * Guards against the operating system ending the wait of a continued process before the arrived
-     * input is ready.
+     * Guards against treating input as new after a stall. When the operating system continues a
+     * stopped process, it may end the wait in one round and report the arrived input only in the
+     * next one.
      */
     @Test
     void inputAfterAStallThatEndedWithNothingReadyIsAsOldAsTheStall() throws Exception {
@@ -63,7 +65,8 @@
     }
 
     /**
-     * Guards against the same on a busy machine: the arrived input was ready 5 ms after the select.
+     * Guards against treating input as new after a stall on a busy machine, where the operating
+     * system reported the arrived input only 5 ms after the select.
      */
     @Test
     void inputShortlyAfterAStallIsAsOldAsTheStall() throws Exception {
--- a/src/test/java/ottergauge/transport/HotRestartFilesTest.java
+++ b/src/test/java/ottergauge/transport/HotRestartFilesTest.java
@@ -27,8 +27,9 @@
 import ottergauge.protocol.TestConfig;
 
 /**
- * Files in the hot-restart directory as commit 221c4bf wrote them: processes of two versions share
- * them during an upgrade, so both their content and their names stay as they are.
+ * Tests the files in the hot-restart directory against samples that commit 221c4bf wrote. During an
+ * upgrade, processes of two versions share these files, so neither their content nor their names
+ * may change.
  */
 @Timeout(60)
 class HotRestartFilesTest {
@@ -152,8 +153,8 @@
     }
 
     /**
-     * A process that locks a file until it is killed. A second process is needed, since file locks
-     * have no effect within one process.
+     * Runs in a second process and locks a file until the test kills that process. The test needs a
+     * second process, since a JVM holds file locks on behalf of all its threads.
      */
     static final class LockHolder {
 
--- a/src/test/java/ottergauge/transport/JitWarmUpTest.java
+++ b/src/test/java/ottergauge/transport/JitWarmUpTest.java
@@ -10,7 +10,10 @@
 
 class JitWarmUpTest {
 
-    /** A rejected request runs only a part of the code, so that the rest is not warmed up. */
+    /**
+     * Guards against code that is not warmed up: a rejected warm-up request runs only a part of the
+     * code on the path of a served one.
+     */
     @Test
     void nearlyAllWarmUpRequestsAreServed() {
         JitWarmUp.Outcome outcome =
@@ -20,9 +23,10 @@
     }
 
     /**
-     * One of many nodes with expensive load probes queues a request while its share of the servers
-     * is used up. The next request came on the same connection, which ended the first one, and
-     * every node of the fleet crashed at the start.
+     * Guards against a crash at the start. In a large fleet with expensive load probes, the
+     * warm-up's router queues a request once the node has used up its share of the servers. The
+     * warm-up then sent the next request on the same connection. This ended the queued request, and
+     * every node of the fleet crashed.
      */
     @Test
     void queuedRequestIsAnsweredBeforeTheNextOne() {
@@ -33,9 +37,9 @@
     }
 
     /**
-     * With up to 1,000 requests each, ten of fourteen nodes that were restarted together were
-     * unavailable for 4.5 s. With 60 each, the nodes of a small fleet lost most requests of their
-     * first seconds.
+     * With up to 1,000 warm-up requests at each node, ten of fourteen nodes that were restarted
+     * together were unavailable for 4.5 s. With 60 warm-up requests at each node, the nodes of a
+     * small fleet lost most client requests of their first seconds.
      */
     @Test
     void nodeOfALargeFleetSendsFewerRequests() {
--- a/src/test/java/ottergauge/transport/TimersTest.java
+++ b/src/test/java/ottergauge/transport/TimersTest.java
@@ -20,8 +20,8 @@
             new Timers(() -> now, (millis, task) -> started.add(new Started(millis, task)));
 
     /**
-     * Guards against a lost timeout: a timer that fired 2 ms early was ignored and not started
-     * again.
+     * Guards against a lost timeout: the library fired a timer 2 ms early, and the node ignored it
+     * and did not start it again.
      */
     @Test
     void timerThatTheLibraryFiresEarlyWaitsForTheRest() {
@@ -47,8 +47,8 @@
     }
 
     /**
-     * Guards against connections closed as idle, and attempts given up, before the arrived input is
-     * read.
+     * Guards against closing connections as idle and timing out attempts after a stall, although
+     * their input has arrived: the event loop must read its sockets before it runs a late timer.
      */
     @Test
     void lateTimerLetsTheLoopReadFirst() {
