--- a/src/test/java/ottergauge/protocol/NodeSettingsTest.java
+++ b/src/test/java/ottergauge/protocol/NodeSettingsTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Settings that a node rejects, and why. */
+/** Tests which settings a node rejects and which reasons it gives. */
 class NodeSettingsTest {
 
     private static NodeSettings of(String... classes) throws ProtocolException {
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds a node's configuration in the form in which the platform writes it. */
+/** Builds a node's configuration in the JSON format of the configuration file. */
 public final class TestConfig {
 
-    /** The request classes of the settings unless others are given. */
+    /** One of the default request classes, together with {@link #PAY} and {@link #GRANT}. */
     public static final String READ = requestClass("read", "free", 1000);
 
     public static final String PAY =
--- a/src/test/java/ottergauge/replica/EffectiveStateChecker.java
+++ b/src/test/java/ottergauge/replica/EffectiveStateChecker.java
@@ -30,9 +30,10 @@
     /**
      * Creates a checker without a state.
      *
-     * @param exact whether each state has to equal the state of the log, because no change is
-     *     rejected
-     * @param restoresOther whether the stored state has another subscription or an unknown log
+     * @param exact whether each state must equal the state of the log, because the log has no
+     *     changes that the replica rejects
+     * @param restoresOther whether the replica starts from a stored state with another subscription
+     *     or of an unknown log; the first state is then not compared with the log
      * @param eventLog the events so far, for failure messages
      */
     EffectiveStateChecker(
@@ -52,7 +53,11 @@
         return state;
     }
 
-    /** Applies a change, and checks that the resulting state is one of the states of the log. */
+    /**
+     * Applies a change and checks the resulting state: the version doesn't decrease and no rejected
+     * value is effective. If the checker is exact, the state must also equal the state of the log
+     * at that version.
+     */
     void apply(StateChange change) {
         if (change.full()) {
             assertEquals(null, state, "a full state after the first state");
--- a/src/test/java/ottergauge/replica/ModelChanges.java
+++ b/src/test/java/ottergauge/replica/ModelChanges.java
@@ -26,7 +26,7 @@
     private static final int VALUE_COUNT = 3;
     private static final int MAX_ENTRIES = 4;
 
-    /** One in this many entries deletes its resource, if the resource exists. */
+    /** On average, one in this many entries deletes its resource, if the resource exists. */
     private static final int DELETE_ONE_IN = 3;
 
     private static final double INVALID_WEIGHT = -1;
--- a/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaHistoryTest.java
@@ -32,8 +32,8 @@
     private static final long FAULTS_END = 40 * SECOND;
     private static final long DURATION = 80 * SECOND;
     private static final int PROCESSES = 4;
-    // Allows rounds of four calls that fail at once, each followed by a back-off, or the pages of a
-    // snapshot.
+    // The maximum number of calls within 4 s. Allows for the pages of a snapshot, or for rounds of
+    // four calls that fail at once, with a back-off after each round.
     private static final int MAX_CALLS = 32;
     private static final Subscription ALL = new Subscription(Set.of(), "default");
 
@@ -194,7 +194,10 @@
                 second.eventLog.toString());
     }
 
-    /** Up to three processes fail at a time, often at the same time. */
+    /**
+     * One to three outages. In each outage, the same three of the four processes fail, each up to
+     * 50 ms after the previous one. A change is published at the start of each fault.
+     */
     @Provide
     Arbitrary<SimulationScript> threeFailedProcesses() {
         Arbitrary<FaultKind> faultKinds =
--- a/src/test/java/ottergauge/replica/ReplicaSimulation.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -115,9 +115,10 @@
     /**
      * Runs the simulation.
      *
-     * @param networkReliableFrom the time from which the network no longer loses and duplicates
-     *     messages
-     * @param stored the state from which the node starts
+     * @param length the simulated duration in microseconds
+     * @param networkReliableFrom the time in microseconds from which the network no longer loses
+     *     and duplicates messages
+     * @param stored the stored state from which the node starts; empty if the node has none
      */
     void run(long length, long networkReliableFrom, Optional<StoredState> stored) {
         networkUnreliableUntil = script.networkUnreliable() ? networkReliableFrom : 0;
--- a/src/test/java/ottergauge/replica/ReplicaSnapshotTest.java
+++ b/src/test/java/ottergauge/replica/ReplicaSnapshotTest.java
@@ -83,7 +83,8 @@
         node.replica.start(node.now, Optional.empty());
         node.snapshotPageReceived(10, "b", resource("a", 5, 1));
         node.fire(ReplicaTimer.DelayElapsed.class);
-        // The process that sent the first page, the two others, and the first process again.
+        // The replica asks the process that sent the first page, then two other processes, and then
+        // the first process again.
         for (int i = 0; i < 4; i++) {
             assertEquals(
                     Optional.of(LOG),
