--- a/control/src/main/java/ottergauge/control/client/ControlClient.java
+++ b/control/src/main/java/ottergauge/control/client/ControlClient.java
@@ -188,7 +188,8 @@
 
     /**
      * Reads the changes of one service after a position, without waiting for new changes. Returns
-     * empty if a snapshot has to be fetched.
+     * empty if the process can't serve the changes after that position, so that the caller has to
+     * fetch a snapshot.
      *
      * @throws ControlCallException if no process responds with a page
      */
--- a/control/src/main/java/ottergauge/control/consensus/SharedLog.java
+++ b/control/src/main/java/ottergauge/control/consensus/SharedLog.java
@@ -23,7 +23,8 @@
     private Runnable listener = () -> {};
 
     /**
-     * Sets the listener that is called after each change, on the thread that applied the change.
+     * Sets the listener. It is called after each submission, even if the log rejected it, and after
+     * the log was replaced. It runs on the thread that called {@link #apply} or {@link #replace}.
      */
     public synchronized void onChange(Runnable changeListener) {
         listener = changeListener;
--- a/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
+++ b/control/src/main/java/ottergauge/control/discovery/ServiceReconciler.java
@@ -48,7 +48,10 @@
     private final Map<String, DiscoveredEndpoint> discovered = new HashMap<>();
     private final Map<String, DiscoveredEndpoint> published = new HashMap<>();
 
-    /** The values that the log rejected. They are not published again until they change. */
+    /**
+     * The values that the log rejected. They are not published again until they change or a
+     * snapshot of the log is applied.
+     */
     private final Map<String, DiscoveredEndpoint> rejected = new HashMap<>();
 
     /** The names of the servers that may differ between discovery and the log. */
--- a/control/src/main/java/ottergauge/control/program/ImportCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ImportCommand.java
@@ -107,7 +107,8 @@
         }
     }
 
-    // Reads the changes that any client has published, or a snapshot if changes are not available.
+    // Reads the changes that any client has published since the last call. Reads a snapshot instead
+    // if the control process can't serve those changes.
     private void followLog() throws ControlCallException, InterruptedException {
         while (readUpTo.isPresent()) {
             Optional<ChangePage> page = control.changes(service, readUpTo.get());
@@ -125,8 +126,9 @@
         takeSnapshot();
     }
 
-    // The log is read on from the position of the first page: the next call for changes also
-    // returns those that were committed while the pages were read.
+    // Reads a snapshot of several pages, and sets the read position to that of the first page. The
+    // next call for changes thus also returns the changes that were committed while the other pages
+    // were read.
     private void takeSnapshot() throws ControlCallException, InterruptedException {
         List<Resource> resources = new ArrayList<>();
         Optional<LogPosition> first = Optional.empty();
--- a/control/src/main/java/ottergauge/control/program/ServeCommand.java
+++ b/control/src/main/java/ottergauge/control/program/ServeCommand.java
@@ -73,7 +73,8 @@
         return 1;
     }
 
-    // The shutdown hook. Waits for the responses to all pending requests; the JVM exits afterwards.
+    // The shutdown hook. Waits until the server has stopped, which takes a bounded time; the JVM
+    // exits afterwards.
     private static void stop(
             ControlProcessConfig config, ControlServer server, Consensus consensus) {
         CountDownLatch ended = new CountDownLatch(1);
--- a/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
+++ b/control/src/main/java/ottergauge/control/server/ConnectionTracker.java
@@ -76,8 +76,8 @@
     }
 
     // Closes the channel, since HttpConnection.close() would wait until the client has read all
-    // written data, and the client may never read it. The result can be ignored: a failure would
-    // need no further action.
+    // written data, and the client may never read it. The returned future is ignored, because a
+    // failure to close needs no further action.
     @SuppressWarnings("FutureReturnValueIgnored")
     private static void close(HttpConnection connection) {
         ((ConnectionBase) connection).channelHandlerContext().close();
--- a/control/src/main/java/ottergauge/control/server/ControlServer.java
+++ b/control/src/main/java/ottergauge/control/server/ControlServer.java
@@ -31,7 +31,8 @@
     private static final int ACCEPT_BACKLOG = 1_024;
 
     /**
-     * Per connection, the response bytes that the kernel buffers for a client that reads slowly.
+     * The size of the kernel's send buffer of each connection. A client that reads slowly occupies
+     * at most this many bytes of it.
      */
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
@@ -151,7 +152,10 @@
         }
     }
 
-    /** Responds to all pending requests and stops the server within a bounded time. */
+    /**
+     * Stops the server within a bounded time. Responds to pending polls and snapshot requests at
+     * once, and waits for the outcomes of pending submissions, for at most {@code STOP_TIMEOUT_MS}.
+     */
     public Future<Void> stop() {
         Promise<Void> stopped = Promise.promise();
         context.runOnContext(
--- a/control/src/main/java/ottergauge/control/server/QueryParameters.java
+++ b/control/src/main/java/ottergauge/control/server/QueryParameters.java
@@ -20,8 +20,9 @@
     static final int DEFAULT_PAGE_BYTES = 65_536;
 
     /**
-     * A page exceeds this limit only if its first change alone is larger. It is still smaller than
-     * the largest page that a node accepts.
+     * The largest page size in bytes that a client may request. A page exceeds the requested size
+     * only if its first entry alone is larger. Even such a page is smaller than the largest page
+     * that a node accepts.
      */
     static final int MAX_PAGE_BYTES = 512 * 1024;
 
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -20,8 +20,9 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * After a timer that fired late, the queue writes at once no more than the rate allows for this
-     * much time.
+     * The maximum unused time for which the rate limit allows bytes later, for example after the
+     * queue was empty or a timer fired late. Without this limit, the queue could write a large
+     * burst.
      */
     private static final long MAX_CATCH_UP_MICROS = 20_000;
 
