--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Sets the number of nodes and the cost of a probe, as a fraction of the result, and turns
-     * probes on.
+     * Turns load probes on, and sets the number of nodes and the cost of a probe, as {@link
+     * ottergauge.decision.api.Costs} defines it.
      */
     public TestConfig probingNodes(int nodeCount, double cost) {
         nodes = nodeCount;
--- a/src/test/java/ottergauge/replica/ModelControlProcess.java
+++ b/src/test/java/ottergauge/replica/ModelControlProcess.java
@@ -38,7 +38,10 @@
         CORRUPT
     }
 
-    /** A fault of a process and the period in which it occurs. */
+    /**
+     * A fault of a process and the period in which it occurs, in microseconds since the start of
+     * the simulation.
+     */
     record FaultWindow(int process, FaultKind fault, long from, long until) {}
 
     static final int MAX_CHANGES = 3;
--- a/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
+++ b/src/test/java/ottergauge/resources/ResourceCodecPropertyTest.java
@@ -180,7 +180,8 @@
         assertReadOrRejected(body, ResourceCodec::readErrors);
     }
 
-    // Any other exception fails the property. A message that could be read can also be written.
+    // Checks that the reader either reads the bytes or throws a ProtocolException; any other
+    // exception fails the property. A message that the reader has read must also be writable.
     private static void assertReadOrRejected(byte[] body, Reader reader) {
         Object read;
         try {
