--- a/control/src/main/java/ottergauge/control/server/ControlServer.java
+++ b/control/src/main/java/ottergauge/control/server/ControlServer.java
@@ -31,8 +31,8 @@
     private static final int ACCEPT_BACKLOG = 1_024;
 
     /**
-     * The size of the kernel's send buffer of each connection. A client that reads slowly occupies
-     * at most this many bytes of it.
+     * The size in bytes of each connection's send buffer in the kernel, which holds response data
+     * until the client reads it.
      */
     private static final int SEND_BUFFER_BYTES = 128 * 1024;
 
--- a/control/src/main/java/ottergauge/control/server/PendingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -60,7 +60,10 @@
         return pending.size();
     }
 
-    /** Responds to a poll immediately or later. */
+    /**
+     * Responds to a poll at once if there are changes for it, or keeps it pending until there are
+     * or its wait is over. Rejects it if too many polls are pending.
+     */
     void handle(Responder responder, ChangesRequest request) {
         Poll poll = new Poll(responder, request);
         if (respondIfReady(poll)) {
--- a/control/src/main/java/ottergauge/control/server/RequestBody.java
+++ b/control/src/main/java/ottergauge/control/server/RequestBody.java
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Reads a body asynchronously. Calls at most one of the handlers, and calls it once.
+     * Reads a body asynchronously. Calls at most one of the handlers, at most once.
      *
      * @param onBody receives the complete body
      * @param onTooLarge receives the error with status 413 if the received body exceeds the limit
--- a/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
+++ b/control/src/main/java/ottergauge/control/server/SnapshotQueue.java
@@ -20,9 +20,9 @@
     private static final long MICROS_PER_MILLI = 1_000;
 
     /**
-     * The maximum unused time for which the rate limit allows bytes later, for example after the
-     * queue was empty or a timer fired late. Without this limit, the queue could write a large
-     * burst.
+     * The longest unused time, in microseconds, that the rate limit makes up for. If the queue was
+     * empty or a timer fired late, the queue may at once write as many bytes as the rate allows for
+     * this time, rounded up to complete pages.
      */
     private static final long MAX_CATCH_UP_MICROS = 20_000;
 
