--- a/control/src/main/java/ottergauge/control/server/PendingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -61,8 +61,9 @@
     }
 
     /**
-     * Responds to a poll at once if there are changes for it, or keeps it pending until there are
-     * or its wait is over. Rejects it if too many polls are pending.
+     * Responds to a poll at once if the log has changes for it. Otherwise keeps the poll pending
+     * until the log has such changes or the wait of the poll is over. Rejects the poll if too many
+     * polls are pending.
      */
     void handle(Responder responder, ChangesRequest request) {
         Poll poll = new Poll(responder, request);
--- a/src/test/java/ottergauge/replica/ReplicaSimulation.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -49,7 +49,10 @@
 
     final List<String> eventLog = new ArrayList<>();
 
-    /** The time at which the node first had each version of the newest log, or a later version. */
+    /**
+     * For each version of the newest log, the time in microseconds at which this version or a later
+     * one first became effective at the node.
+     */
     final Map<Long, Long> effectiveAt = new HashMap<>();
 
     /** The time at which each version of the newest log was published. */
