--- a/control/src/main/java/ottergauge/control/server/PendingPolls.java
+++ b/control/src/main/java/ottergauge/control/server/PendingPolls.java
@@ -60,7 +60,11 @@
         return pending.size();
     }
 
-    /** Responds to a poll immediately or later. */
+    /**
+     * Responds to a poll at once if the log has changes for it. Otherwise keeps the poll pending
+     * until the log has such changes or the wait of the poll is over. Rejects the poll if too many
+     * polls are pending.
+     */
     void handle(Responder responder, ChangesRequest request) {
         Poll poll = new Poll(responder, request);
         if (respondIfReady(poll)) {
--- a/src/test/java/ottergauge/protocol/TestConfig.java
+++ b/src/test/java/ottergauge/protocol/TestConfig.java
@@ -5,10 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Builds a node's configuration in the form in which the platform writes it. */
+/** Builds a node's configuration in the JSON format of the configuration file. */
 public final class TestConfig {
 
-    /** The request classes of the settings unless others are given. */
+    /** One of the default request classes, together with {@link #PAY} and {@link #GRANT}. */
     public static final String READ = requestClass("read", "free", 1000);
 
     public static final String PAY =
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Sets the number of nodes and the cost of a probe, as a fraction of the result, and turns
-     * probes on.
+     * Turns load probes on, and sets the number of nodes and the cost of a probe, as {@link
+     * ottergauge.decision.api.Costs} defines it.
      */
     public TestConfig probingNodes(int nodeCount, double cost) {
         nodes = nodeCount;
--- a/src/test/java/ottergauge/replica/ReplicaSimulation.java
+++ b/src/test/java/ottergauge/replica/ReplicaSimulation.java
@@ -49,7 +49,10 @@
 
     final List<String> eventLog = new ArrayList<>();
 
-    /** The time at which the node first had each version of the newest log, or a later version. */
+    /**
+     * For each version of the newest log, the time in microseconds at which this version or a later
+     * one first became effective at the node.
+     */
     final Map<Long, Long> effectiveAt = new HashMap<>();
 
     /** The time at which each version of the newest log was published. */
@@ -115,9 +118,10 @@
     /**
      * Runs the simulation.
      *
-     * @param networkReliableFrom the time from which the network no longer loses and duplicates
-     *     messages
-     * @param stored the state from which the node starts
+     * @param length the simulated duration in microseconds
+     * @param networkReliableFrom the time in microseconds from which the network no longer loses
+     *     and duplicates messages
+     * @param stored the stored state from which the node starts; empty if the node has none
      */
     void run(long length, long networkReliableFrom, Optional<StoredState> stored) {
         networkUnreliableUntil = script.networkUnreliable() ? networkReliableFrom : 0;
